--- /dev/null
+++ b/tests/golden/test_golden.py
@@ -0,0 +1,58 @@
+"""Data of version 0.3.0 is read, and written again byte for byte: old and new processes work side by side in a roll."""
+
+import json
+import pathlib
+import shutil
+
+import pytest
+
+from pearhill.budgets.charges import rebuild, unpack
+from pearhill.durable.journal import frames_of, recover
+from pearhill.membership.datagram import Codec
+from pearhill.membership.frames import FrameCodec
+from pearhill.service.handover import decode
+from tests.golden import samples
+from tests.golden.samples import AGGREGATION, CHARGES, FILES, GOSSIP, KEY, NOTES, NOW, SAMPLES, SECOND, WALL
+
+
+@pytest.mark.parametrize("name", SAMPLES)
+def test_the_same_bytes_are_written(name):
+    assert SAMPLES[name]() == (FILES / name).read_bytes()
+
+
+def test_every_file_has_its_sample():
+    files = {path.relative_to(FILES).as_posix() for path in FILES.rglob("*") if path.is_file()}
+    assert files == {*SAMPLES, "balances.json"}
+
+
+@pytest.mark.parametrize("name", GOSSIP)
+def test_gossip_is_read(name):
+    message = GOSSIP[name]
+    assert Codec(KEY).unpack((FILES / f"gossip-{name}.bin").read_bytes(), message.say.to) == message
+
+
+@pytest.mark.parametrize("name", AGGREGATION)
+def test_messages_of_aggregators_are_read(name):
+    message = AGGREGATION[name]
+    assert FrameCodec(KEY).unpack((FILES / f"aggregation-{name}.bin").read_bytes(), message.to) == message
+
+
+@pytest.mark.parametrize("name", NOTES)
+def test_notes_of_a_takeover_are_read(name):
+    assert decode((FILES / f"{name}.txt").read_bytes(), "n1") == NOTES[name]
+
+
+def test_charges_are_read():
+    assert [unpack((FILES / f"charge-{n}.bin").read_bytes()) for n in range(len(CHARGES))] == list(CHARGES)
+
+
+def test_a_journal_with_a_snapshot_and_a_torn_tail_is_read(tmp_path: pathlib.Path):
+    folder = tmp_path / "journal"
+    shutil.copytree(FILES / "journal", folder)
+    found = recover(folder)
+    assert (found.seq, found.state_seq, found.cut, len(found.frames)) == (6, 2, 25, 4)
+    assert [unpack(one.body) for one in frames_of(folder)] == list(CHARGES)
+    budgets = samples.new_budgets()
+    assert rebuild(budgets, found.state, [one.body for one in found.frames], NOW + 9 * SECOND) == 4
+    balances = {name: budgets.balance(NOW + 9 * SECOND, WALL + 9, name) for name in ("ada", "bob")}
+    assert balances == json.loads((FILES / "balances.json").read_text())
--- /dev/null
+++ b/tests/golden/transcripts.py
@@ -0,0 +1,218 @@
+"""Long plays with a seed, as digests of all that was sent and decided in each second of them: one changed byte, one
+changed order of random draws, and every later line differs."""
+
+import hashlib
+import json
+import random
+from collections.abc import Iterable
+from types import SimpleNamespace
+from typing import Any
+
+from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
+from pearhill.core.deadlines import Deadlines
+from pearhill.membership.aggregator import Aggregator
+from pearhill.membership.council import Council
+from pearhill.membership.datagram import Codec
+from pearhill.membership.frames import FrameCodec
+from pearhill.membership.reporter import AggregatorSite, Reporter
+from pearhill.net.fleet import Fleet, FleetSetup
+from pearhill.spread.digests import Row
+
+KEY = [b"golden-files-have-a-public-key"]
+START, SECOND, STEP = 1_796_083_200_000_000, 1_000_000, 25_000
+WALL = START // SECOND
+
+
+class Transcript:
+    """One line a second: its number, how many entries it had, and a digest of them and of all before them."""
+
+    def __init__(self) -> None:
+        self._hash, self._count, self.lines = hashlib.sha256(), 0, list[str]()
+
+    def add(self, *values: Any) -> None:
+        self._hash.update(json.dumps(values, default=bytes.hex).encode())
+        self._count += 1
+
+    def turn(self) -> None:
+        self.lines.append(f"{len(self.lines)} {self._count} {self._hash.hexdigest()[:24]}")
+        self._count = 0
+
+    def text(self) -> bytes:
+        return ("\n".join(self.lines) + "\n").encode()
+
+
+class Network:
+    """Datagrams that arrive a step later, one in ten never, one in twenty twice."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng, self.transcript = random.Random(seed), Transcript()
+        self.arriving: list[tuple[str, bytes]] = []
+        self.sent: list[tuple[str, bytes]] = []
+
+    def send(self, to: str, data: bytes) -> None:
+        self.transcript.add(to, data)
+        drawn = self.rng.random()
+        self.sent += [(to, data)] * (0 if drawn < 0.1 else 2 if drawn > 0.95 else 1)
+
+    def step(self) -> Iterable[tuple[str, bytes]]:
+        self.arriving, self.sent = self.sent, []
+        return self.arriving
+
+
+def _rows(rng: random.Random, engines: int) -> list[Row]:
+    rows = []
+    for engine in range(engines):
+        waiting = rng.choice((0, 0, rng.randrange(1, 200_000)))
+        rows.append(Row((engine + 1) * 1_000_003, waiting, waiting + rng.randrange(1, 50_000)))
+    return rows
+
+
+def gossip() -> bytes:
+    """Five dispatchers for 40 seconds; one is gone from second 15 to 25, one starts again at 30."""
+    network, codec = Network(1), Codec(KEY)
+    names = [f"n{k}" for k in range(5)]
+
+    def start(name: str, now: int) -> Council:
+        rng = random.Random(f"{name} {now}")
+        return Council(name, [n for n in names if n != name], now, rng, lambda: _rows(rng, 6))
+
+    councils = {name: start(name, START + k) for k, name in enumerate(names)}
+    for now in range(START, START + 40 * SECOND, STEP):
+        second = (now - START) / SECOND
+        for to, data in network.step():
+            if to == "n1" and 15 <= second < 25:
+                continue
+            for answer in councils[to].heard(now, codec.unpack(data, to)):
+                network.send(answer.say.to, codec.pack(answer))
+        if second == 30:
+            councils["n2"] = start("n2", now)
+        for name, council in councils.items():
+            if (now - START) % 250_000 == 0 and not (name == "n1" and 15 <= second < 25):
+                for message in council.beat(now):
+                    network.send(message.say.to, codec.pack(message))
+        if (now - START) % SECOND == 0:
+            for council in councils.values():
+                others = council.others(now, 2 * 1_000_003, 10, 30)  # sums over sets: their last digits vary
+                network.transcript.add(council.count(now), [round(value, 6) for value in others])
+            network.transcript.turn()
+    return network.transcript.text()
+
+
+def aggregation() -> bytes:
+    """Six dispatchers and three aggregators for 60 seconds: an aggregator is gone from second 20 to 40 and starts
+    again, a dispatcher leaves at 30, one starts again at 45."""
+    network, codec = Network(2), FrameCodec(KEY)
+    sites = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
+
+    def report(name: str, now: int) -> Reporter:
+        rng = random.Random(f"{name} {now}")
+        return Reporter(name, f"r{int(name[1:]) % 3}", sites, now, rng, lambda: _rows(rng, 30))
+
+    def aggregate(name: str, now: int) -> Aggregator:
+        return Aggregator(name, [site.name for site in sites], now, random.Random(f"{name} {now}"))
+
+    reporters = {f"n{k}": report(f"n{k}", START + k) for k in range(6)}
+    aggregators = {site.name: aggregate(site.name, START + k) for k, site in enumerate(sites)}
+    gone = set[str]()
+
+    def send(frames: Iterable[Any], by: Reporter | None = None) -> None:
+        for frame in frames:
+            data = codec.pack(frame)
+            network.send(frame.to, data)
+            if by:
+                by.sent(len(data))
+
+    for now in range(START, START + 60 * SECOND, STEP):
+        second = (now - START) / SECOND
+        for to, data in network.step():
+            if to in gone:
+                continue
+            if to in aggregators:
+                send(aggregators[to].heard(now, codec.unpack(data, to)))
+            else:
+                send(reporters[to].heard(now, codec.unpack(data, to), len(data)), reporters[to])
+        if second == 20:
+            gone.add("a1")
+        elif second == 40:
+            gone.discard("a1")
+            aggregators["a1"] = aggregate("a1", now)
+        elif second == 30:
+            send(reporters["n5"].leave(now), reporters["n5"])
+            gone.add("n5")
+        elif second == 45:
+            reporters["n2"] = report("n2", now)
+        if (now - START) % 100_000 == 0:
+            for name, aggregator in aggregators.items():
+                if name not in gone:
+                    send(aggregator.beat(now))
+        for name, reporter in reporters.items():
+            if name not in gone and reporter.next_beat(now) <= now:
+                send(reporter.beat(now), reporter)
+        if (now - START) % SECOND == 0:
+            for reporter in reporters.values():
+                network.transcript.add(reporter.count(now), reporter.others(now, 2 * 1_000_003, 10, 30))
+                network.transcript.add(reporter.figures(now))
+            for aggregator in aggregators.values():
+                network.transcript.add(aggregator.figures(now))
+            network.transcript.turn()
+    return network.transcript.text()
+
+
+def budgets() -> bytes:
+    """Four tenants of two accounts, 6,000 admissions and settlements in a minute and some across midnight."""
+    rng, transcript = random.Random(3), Transcript()
+    tenants = {
+        "a": TenantPlan(Limit(tokens_per_min=60_000, burst=20_000, open=40, debt=5_000), "x", 2.0),
+        "b": TenantPlan(Limit(tokens_per_min=6_000, burst=4_000, day=200_000), "x", 1.0),
+        "c": TenantPlan(Limit(month=900_000), "", 0.0, Limit(tokens_per_min=6_000, burst=2_000)),
+        "d": TenantPlan(Limit(tokens_per_min=600, burst=600), "y", 1.0),
+    }
+    accounts = {"x": Limit(tokens_per_min=70_000, burst=25_000), "y": Limit(day=60_000)}
+    books = Budgets(
+        Plan(tenants, accounts, TenantPlan(Limit(day=3_000)), capacity=200_000, capacity_burst=30_000), START
+    )
+    held: list[Any] = []
+    for step in range(6_000):
+        now, wall = START + 10_000 * step, WALL + step // 40 * (700 if step > 4_000 else 1)
+        tenant, key = rng.choice("aaabbcdde"), rng.choice(("", "k1", "k2"))
+        prompt, answer = rng.randrange(1, 3_000), rng.randrange(1, 1_000)
+        found = books.admit(now, wall, tenant, key, prompt, answer, rng.choice((0, 0, answer // 3)))
+        transcript.add(found.kind, found.wait, found.why, found.lasting)
+        if found.reservation:
+            transcript.add(found.reservation.amount, found.reservation.spare)
+            held.append((found.reservation, prompt, answer))
+        if held and rng.random() < 0.6:
+            reservation, prompt, answer = held.pop(rng.randrange(len(held)))
+            used = Used(prompt, prompt // 3, rng.randrange(answer * 2)) if rng.random() < 0.9 else None
+            transcript.add(books.settle(now, reservation, used))
+        if step % 100 == 0:
+            transcript.add(*(books.balance(now, wall, name) for name in "abcde"))
+            transcript.add(books.state())
+            transcript.turn()
+    return transcript.text()
+
+
+def _keys(value: Any) -> Any:
+    if isinstance(value, dict):
+        return {key: _keys(each) for key, each in value.items()}
+    return [_keys(each) for each in value] if isinstance(value, list) else type(value).__name__
+
+
+def fleet_keys() -> bytes:
+    """The keys of what operators are told of a fleet, and the types of their values."""
+    deadlines = Deadlines(lambda: START)
+    setup = FleetSetup("n1", ("127.0.0.1", 1), tuple(KEY), {"n2": ("127.0.0.1", 2)})
+    fleet = Fleet(setup, 1, deadlines, list)
+    fleet._settle()
+    scout = SimpleNamespace(figures=lambda now: {11: (5, 9, False)})
+    node = SimpleNamespace(
+        dispatcher=SimpleNamespace(router=scout),
+        backend=SimpleNamespace(addresses={11: ("127.0.0.1", 3)}),
+        dispatchers=2,
+    )
+    told = fleet.told(node)
+    reporter = Reporter("n1", "r", [AggregatorSite("a1", "r")], START, random.Random(1), list)
+    aggregator = Aggregator("a1", ["a1", "a2"], START, random.Random(1))
+    fleet.close()
+    found = [told, reporter.figures(START), aggregator.figures(START)]
+    return json.dumps([_keys(each) for each in found], indent=1).encode()
