--- a/pearhill/adapter.py
+++ b/pearhill/adapter.py
@@ -11,7 +11,7 @@
 from pearhill.spread.scout import Scout
 
 
-def settings_of(raw: bytes) -> tuple[i.Settings, tuple[int, int]]:
+def settings_of(raw: bytes) -> tuple[i.RouterSettings, tuple[int, int]]:
     """The settings, and where the two load values stand in a report (-1: not reported)."""
     try:
         deployment = settings.parse(json.loads(raw))
--- a/pearhill/budgets/__init__.py
+++ b/pearhill/budgets/__init__.py
@@ -2,10 +2,7 @@
 
 from pearhill.budgets.budgets import Budgets
 from pearhill.budgets.limits import (
-    DEBT,
-    OVER,
-    SPARE,
-    WITHIN,
+    AdmissionStatus,
     Limit,
     Plan,
     Prices,
@@ -16,10 +13,7 @@
 )
 
 __all__ = [
-    "DEBT",
-    "OVER",
-    "SPARE",
-    "WITHIN",
+    "AdmissionStatus",
     "Budgets",
     "Limit",
     "Plan",
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -9,12 +9,9 @@
 from pearhill.budgets.estimate import Answers
 from pearhill.budgets.limits import (
     DAY,
-    DEBT,
     GRAINS,
     MILLI,
-    OVER,
-    SPARE,
-    WITHIN,
+    AdmissionStatus,
     Limit,
     Plan,
     Reservation,
@@ -114,15 +111,19 @@
                 return standing
             if short and (later := node.wait_for(amount)):
                 if node is not path[0]:
-                    return Standing(OVER, later, f"{node.name}: tokens a minute")
+                    return Standing(AdmissionStatus.OVER_LIMIT, later, f"{node.name}: tokens a minute")
                 wait = later
         borrows = False
         if wait:
             if not (plan.weight and self.spare.rate):
-                return Standing(OVER, wait, f"{path[0].name}: tokens a minute")
+                return Standing(AdmissionStatus.OVER_LIMIT, wait, f"{path[0].name}: tokens a minute")
             self.spare.refill(now)
             if later := self.spare.borrow(now, tenant, plan.weight, amount):
-                return Standing(OVER, min(wait, later), f"{path[0].name}: tokens a minute, and nothing is spare")
+                return Standing(
+                    AdmissionStatus.OVER_LIMIT,
+                    min(wait, later),
+                    f"{path[0].name}: tokens a minute, and nothing is spare",
+                )
             borrows = True
         elif self.spare.rate:
             self.spare.refill(now)
@@ -140,7 +141,7 @@
             node.open += 1
             node.day_used += amount
             node.month_used += amount
-        return Standing(SPARE if borrows else WITHIN, reservation=made)
+        return Standing(AdmissionStatus.BURST if borrows else AdmissionStatus.WITHIN_LIMIT, reservation=made)
 
     # Settlement.
 
@@ -336,17 +337,21 @@
     """Why a level lets nothing more in, whatever is spare."""
     limit = node.limit
     if limit.open and node.open >= limit.open:
-        return Standing(OVER, OPEN_WAIT, f"{node.name}: requests open at once")
+        return Standing(AdmissionStatus.OVER_LIMIT, OPEN_WAIT, f"{node.name}: requests open at once")
     if node.rate and node.level < 0:
-        return Standing(DEBT, node.wait_for(amount), f"{node.name}: a debt is to be paid off")
+        return Standing(AdmissionStatus.OVERDRAWN, node.wait_for(amount), f"{node.name}: a debt is to be paid off")
     if limit.day and node.day_used + amount > limit.day * MILLI:
-        return Standing(OVER, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a day", True)
+        return Standing(
+            AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a day", True
+        )
     if limit.month and node.month_used + amount > limit.month * MILLI:
-        return Standing(OVER, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a month", True)
+        return Standing(
+            AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a month", True
+        )
     # What is larger than the burst is let in on a full bucket, as far as the debt allows.
     if node.rate and amount * GRAINS > node.cap and worst + node.exposure > limit.burst * MILLI + node.debt:
         return Standing(
-            OVER,
+            AdmissionStatus.OVER_LIMIT,
             OPEN_WAIT if node.exposure else 0,
             f"{node.name}: more than the burst and the debt allow",
             not node.exposure,
--- a/pearhill/budgets/limits.py
+++ b/pearhill/budgets/limits.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from pearhill.interface import DEBT, OVER, SPARE, WITHIN
+from pearhill.interface import AdmissionStatus
 
 MILLI = 1_000
 GRAINS = 60_000_000  # in a milli
@@ -86,7 +86,7 @@
     """How an arrival stands. `wait`: microseconds until it would be let in, as far as can be told. `why`: the level
     and the limit that speak against it. `lasting`: a quota is used up, and coming back soon is of no use."""
 
-    kind: str
+    kind: AdmissionStatus
     wait: int = 0
     why: str = ""
     lasting: bool = False
@@ -160,12 +160,10 @@
 
 __all__ = [
     "DAY",
-    "DEBT",
+    "AdmissionStatus",
     "GRAINS",
     "MILLI",
-    "OVER",
-    "SPARE",
-    "WITHIN",
+    "AdmissionStatus",
     "Limit",
     "Plan",
     "Prices",
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -280,7 +280,7 @@
         return ask, spender, self._payload(asked, meter)
 
     def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: Ask) -> Answer:
-        safe = self.dispatcher.deployment.router.classes[ask.cls].effect == i.SAFE
+        safe = self.dispatcher.deployment.router.classes[ask.cls].idempotency == i.Idempotency.IDEMPOTENT
         heart = Heart(self.dispatcher.deadlines, self.spawn, self.reading.heartbeat)
         made = Made(asked.id, model.name, int(time.time()))
         return Answer(asked.reply, prompt.words(made), prompt.stream, safe, asked.headers, heart, asked.over)
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -158,9 +158,9 @@
                 _error.decode(body)
             except (msgspec.DecodeError, RecursionError):
                 return None  # not in the API's words: it may come from anywhere, and proves nothing
-            return Verdict(i.DECLINED, said=Said(status, body))
+            return Verdict(i.Outcome.DECLINED, said=Said(status, body))
         if status == 429:
-            return Verdict(i.FULL, rest=rest_of(headers))
+            return Verdict(i.Outcome.FULL, rest=rest_of(headers))
         if status in BARRED:
             logger.error(
                 "a server answers {status}: its key in the operator's file is wrong, or missing", status=status
@@ -171,5 +171,5 @@
                 "server_credentials",
                 type=SERVER,
             )
-            return Verdict(i.ERROR, said=Said(error.status, error.body()))
+            return Verdict(i.Outcome.ERROR, said=Said(error.status, error.body()))
         return None
--- a/pearhill/chat/spending.py
+++ b/pearhill/chat/spending.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from pearhill.budgets import Budgets, Plan, Reservation, Standing, Used
+from pearhill.budgets import AdmissionStatus, Budgets, Plan, Reservation, Standing, Used
 from pearhill.budgets import charges as c
 from pearhill.chat.answers import Answer
 from pearhill.chat.errors import RATE, ApiError, Said
@@ -201,7 +201,7 @@
 
     def admit(self, tenant: str, key: str, prompt: int, most: int, hint: int = 0) -> Standing:
         if self.failing and self.uncounted >= self.setup.uncounted * 1000:
-            return Standing("over", 1_000_000, "the journal cannot be written")
+            return Standing(AdmissionStatus.OVER_LIMIT, 1_000_000, "the journal cannot be written")
         return self.budgets.admit(self._deadlines.clock(), self._wall(), tenant, key, prompt, most, hint)
 
     def refused(self, tenant: str, key: str) -> None:
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -34,7 +34,7 @@
         self.router = Scout(deployment.router, seed)
         self.backend: Backend | None = None
         self.requests: dict[int, Request] = {}
-        self.engines: dict[int, i.Entry] = {}
+        self.engines: dict[int, i.Endpoint] = {}
         self.calls = [Calls() for _ in deployment.class_names]
         self.inflight = 0  # requests taken that have not ended
         self._probing: dict[int, int] = {}  # engines with a probe out, and since when
@@ -62,7 +62,7 @@
             return request
         request.backstop = self.deadlines.at(end, lambda: self._overdue(request))
         self._feed(
-            i.Arrived(
+            i.RequestArrived(
                 request.number,
                 ask.cls,
                 ask.tenant,
@@ -99,33 +99,33 @@
         if attempt and attempt.began:
             self.counters.left_in_answer += 1
             self._log_cut_answer(attempt, "client-left")
-        self._feed(i.Left(request.number))
+        self._feed(i.ClientDisconnected(request.number))
         if attempt and not attempt.over:
             self._call_off(attempt)
 
     # From the list of engines.
 
-    def listed(self, full: bool, entries: tuple[i.Entry, ...]) -> None:
+    def listed(self, full: bool, entries: tuple[i.Endpoint, ...]) -> None:
         if full:
             self.engines = {}
         for entry in entries:
-            self.engines[entry.engine] = entry
-            if entry.phase == i.GONE:
-                del self.engines[entry.engine]
+            self.engines[entry.replica] = entry
+            if entry.phase == i.Phase.GONE:
+                del self.engines[entry.replica]
         # What was chosen before this list and waits for its connection would be sent long after it.
         withdrawn = [
             a
             for r in self.requests.values()
             if (a := r.current) and not self._wanted(a.engine) and not self._backend.begun(a)
         ]
-        self._feed(i.Listed(full, entries))
+        self._feed(i.EndpointsUpdated(full, entries))
         for attempt in withdrawn:
-            self._stop(attempt, i.WITHDRAWN)
+            self._stop(attempt, i.Outcome.WITHDRAWN)
 
     def _wanted(self, engine: int) -> bool:
         """Whether the list has this engine as one that takes requests."""
         entry = self.engines.get(engine)
-        return entry is not None and entry.phase == i.READY
+        return entry is not None and entry.phase == i.Phase.READY
 
     def reconfigure(self, deployment: Deployment) -> None:
         """Other settings for the same classes, kinds and zones; requests, attempts and beliefs stay as they are."""
@@ -136,7 +136,7 @@
     def can_answer(self) -> bool:
         """Some engine that writes answers is listed as ready."""
         kinds = self.deployment.router.kinds
-        return any(e.phase == i.READY and kinds[e.kind].role != i.READER for e in self.engines.values())
+        return any(e.phase == i.Phase.READY and kinds[e.kind].role != i.Role.PREFILL for e in self.engines.values())
 
     # From a backend.
 
@@ -155,7 +155,7 @@
         one that has begun to be written nobody can say that it never ran."""
         if not attempt.over:
             sent = self._backend.cancel(attempt)
-            self.end(attempt, i.TIMEOUT if sent else i.WITHDRAWN, may_hold=sent)
+            self.end(attempt, i.Outcome.TIMEOUT if sent else i.Outcome.WITHDRAWN, may_hold=sent)
 
     def begin(self, attempt: Attempt) -> bool:
         if attempt.over or attempt.request.answered:
@@ -165,11 +165,19 @@
             attempt.stop_clock()
             self.deadlines.cancel(attempt.request.backstop)
             attempt.request.holders.clear()  # with the first event all else that is held goes by itself
-            self._feed(i.Began(attempt.request.number, attempt.index, attempt.engine, self.clock() - attempt.sent_at))
+            self._feed(
+                i.ResponseStarted(attempt.request.number, attempt.index, attempt.engine, self.clock() - attempt.sent_at)
+            )
         return True
 
     def end(
-        self, attempt: Attempt, outcome: str, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None
+        self,
+        attempt: Attempt,
+        outcome: i.Outcome,
+        kept: int = 0,
+        may_hold: bool = False,
+        rest: int = 0,
+        said: Any = None,
     ) -> None:
         if attempt.over:
             return
@@ -177,7 +185,7 @@
         attempt.stop_clock()
         request = attempt.request
         request.current = None
-        if outcome == i.WITHDRAWN:
+        if outcome == i.Outcome.WITHDRAWN:
             request.sends -= 1  # it was none
         self.counters.outcomes[outcome] += 1
         rtt = self.clock() - attempt.sent_at
@@ -194,15 +202,15 @@
         )
         if may_hold and not attempt.began:
             request.holders.add(attempt.engine)
-            request.interrupted = request.interrupted or outcome not in (i.READ, i.ERROR)
-        if outcome == i.READ:
+            request.interrupted = request.interrupted or outcome not in (i.Outcome.PREFILLED, i.Outcome.ERROR)
+        if outcome == i.Outcome.PREFILLED:
             request.reader = attempt.engine
-        if outcome not in i.NEVER_RAN and self._has_effect(attempt) and request.ran is None and attempt.entry:
+        if outcome not in i.NOT_EXECUTED and self._has_effect(attempt) and request.ran is None and attempt.entry:
             request.ran = Ran(attempt.entry.zone, attempt.entry.cell, attempt.sent_at)
         request.outcome = outcome
-        if not request.answered and (attempt.began or outcome == i.ANSWERED):
-            self._settle(request, SUCCESS if outcome == i.ANSWERED else FAILURE)
-            if outcome == i.ANSWERED:
+        if not request.answered and (attempt.began or outcome == i.Outcome.ANSWERED):
+            self._settle(request, SUCCESS if outcome == i.Outcome.ANSWERED else FAILURE)
+            if outcome == i.Outcome.ANSWERED:
                 self.counters.served += 1
                 request.client.finish()
             else:  # A broken answer that is ended in good order would pass for a whole one.
@@ -214,14 +222,16 @@
             self.counters.declined += 1
             request.client.decline(said)
         self._feed(
-            i.Ended(request.number, attempt.index, attempt.engine, outcome, request.answered, kept, rtt, None, rest)
+            i.AttemptEnded(
+                request.number, attempt.index, attempt.engine, outcome, request.answered, kept, rtt, None, rest
+            )
         )
 
-    def probed(self, engine: int, outcome: str, load: tuple[float, float] | None) -> None:
+    def probed(self, engine: int, outcome: i.Outcome, load: tuple[float, float] | None) -> None:
         """A probe has ended. The Router hears of it before this returns, unless it is busy: then after that."""
         self.counters.probes[outcome] += 1
         since = self._probing.pop(engine, self.clock())
-        self._feed(i.Probed(engine, outcome, self.clock() - since, load))
+        self._feed(i.HealthCheckEnded(engine, outcome, self.clock() - since, load))
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
         """No sign of its replica yet. What was written on a connection that has fallen silent has not arrived, and does
@@ -240,20 +250,26 @@
 
     def expire(self, attempt: Attempt) -> None:
         """Its time is over. The connection goes first, or the next send would be a second copy."""
-        self._stop(attempt, i.TIMEOUT)
+        self._stop(attempt, i.Outcome.TIMEOUT)
 
     # Inside.
 
     def _call_off(self, attempt: Attempt) -> None:
-        self._stop(attempt, i.CANCELLED)
+        self._stop(attempt, i.Outcome.CANCELLED)
 
-    def _stop(self, attempt: Attempt, outcome: str) -> None:
+    def _stop(self, attempt: Attempt, outcome: i.Outcome) -> None:
         if attempt.over:
             return
         request = attempt.request
         sent = self._backend.cancel(attempt)
         if not sent:  # a replica that the list took away is not to blame, nor is any for a client that has gone
-            outcome = i.WITHDRAWN if not self._wanted(attempt.engine) else i.MOOT if request.left else i.UNREACHABLE
+            outcome = (
+                i.Outcome.WITHDRAWN
+                if not self._wanted(attempt.engine)
+                else i.Outcome.NOT_SENT
+                if request.left
+                else i.Outcome.UNREACHABLE
+            )
         # A read may have ended well at the very moment of its closing, and its state stays pinned.
         self.end(attempt, outcome, may_hold=sent)
 
@@ -276,7 +292,7 @@
             return
         logger.error("request {request} reached its deadline without an answer from the router", request=request.number)
         self._fail(request, OVERDUE)
-        self._feed(i.Left(request.number))
+        self._feed(i.ClientDisconnected(request.number))
 
     def _feed(self, event: i.Event) -> None:
         """One event to the Router and its actions carried out, in order; events raised meanwhile wait."""
@@ -296,7 +312,7 @@
                     continue
                 for action in actions:
                     self._act(action)
-                if not isinstance(event, i.Listed | i.Due | i.Probed):
+                if not isinstance(event, i.EndpointsUpdated | i.TimerFired | i.HealthCheckEnded):
                     self._forget(event.request)
         finally:
             self._busy = False
@@ -311,12 +327,12 @@
     def _act(self, action: i.Action) -> None:
         match action:
             case i.SetTimer(timer, wait):
-                self.deadlines.after(wait, lambda: self._feed(i.Due(timer)))
+                self.deadlines.after(wait, lambda: self._feed(i.TimerFired(timer)))
                 return
-            case i.Report(text):
+            case i.LogMessage(text):
                 logger.info("router: {text}", text=text)
                 return
-            case i.Probe(engine):
+            case i.SendHealthCheck(engine):
                 self._probing[engine] = self.clock()
                 self._backend.probe(engine)
                 return
@@ -324,31 +340,31 @@
         if request is None:
             return
         match action:
-            case i.Send():
+            case i.SendAttempt():
                 self._send(request, action)
-            case i.CallOff(_, index):
+            case i.CancelAttempt(_, index):
                 attempt = request.current
                 if attempt and attempt.index == index and not attempt.began:
                     self._call_off(attempt)
-            case i.Refuse(_, stay_away, why):
+            case i.RejectRequest(_, stay_away, why):
                 if not request.answered:
                     self._refuse(request, stay_away, why)
-            case i.Fail(_, why):
+            case i.FailRequest(_, why):
                 if not request.answered:
                     self._fail(request, why)
-            case i.Release():
+            case i.ReleaseState():
                 self._release(request)
-            case i.Move():
+            case i.MigrateStream():
                 logger.warning("request {request}: streams are not moved here", request=request.number)
 
-    def _send(self, request: Request, send: i.Send) -> None:
-        now, engine = self.clock(), send.engine
+    def _send(self, request: Request, send: i.SendAttempt) -> None:
+        now, engine = self.clock(), send.replica
         if not request.answered and request.client.gone():  # before a connection is opened for nobody
             self.leave(request)
         index, request.sends = request.sends, request.sends + 1
-        deadline = min(now + send.patience, request.end)
+        deadline = min(now + send.attempt_timeout, request.end)
         entry = self.engines.get(engine)
-        attempt = Attempt(self, request, index, engine, now, deadline, send.by, send.held_until, entry)
+        attempt = Attempt(self, request, index, engine, now, deadline, send.send_before, send.release_at, entry)
         if denied := self._denied(attempt):
             if denied in VIOLATIONS:
                 self._violated(request, denied)
@@ -378,7 +394,7 @@
 
     def _has_effect(self, attempt: Attempt) -> bool:
         """Whether the replica answers the request: reading a prompt is no effect."""
-        return attempt.entry is not None and self.deployment.router.kinds[attempt.entry.kind].role != i.READER
+        return attempt.entry is not None and self.deployment.router.kinds[attempt.entry.kind].role != i.Role.PREFILL
 
     def _refuse(self, request: Request, stay_away: int, why: str) -> None:
         may_have_run = request.ran is not None or request.current is not None
@@ -424,7 +440,16 @@
         attempt.over = True
         attempt.stop_clock()
         self._feed(
-            i.Ended(attempt.request.number, attempt.index, attempt.engine, i.MOOT, attempt.request.answered, 0, 0, None)
+            i.AttemptEnded(
+                attempt.request.number,
+                attempt.index,
+                attempt.engine,
+                i.Outcome.NOT_SENT,
+                attempt.request.answered,
+                0,
+                0,
+                None,
+            )
         )
 
     def _release(self, request: Request) -> None:
--- a/pearhill/core/request.py
+++ b/pearhill/core/request.py
@@ -29,7 +29,7 @@
     repeat: bool = False
     resumed: bool = False
     kinds: tuple[int, ...] = ()
-    standing: str = ""
+    standing: i.AdmissionStatus = i.AdmissionStatus.NO_BUDGET
     away: int = 0
     id: str = ""  # the client's, for the log
 
@@ -100,7 +100,7 @@
         deadline: int,
         by: int = 0,
         held_until: int = 0,
-        entry: i.Entry | None = None,
+        entry: i.Endpoint | None = None,
     ) -> None:
         self.request, self.index, self.engine = request, index, engine
         self.sent_at, self.deadline = sent_at, deadline
@@ -130,7 +130,7 @@
         """The first event of the answer is here. False: the attempt is over, the event must not be passed on."""
         return self._owner.begin(self)
 
-    def end(self, outcome: str, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
+    def end(self, outcome: i.Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
         """The attempt is over. `may_hold`: the engine may hold a state for the request, however it ended. `rest`: for
         how long, in microseconds, it wants nothing more. `said`: words of the engine that are the client's final
         answer; what they are is a matter between the backend's dialect and the front."""
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -24,7 +24,7 @@
 CANCEL_WITHIN = 1_000_000
 FAILURES = (OSError, TimeoutError, ValueError, CannotConnect)
 
-OnList = Callable[[bool, tuple[i.Entry, ...], dict[int, Address]], None]
+OnList = Callable[[bool, tuple[i.Endpoint, ...], dict[int, Address]], None]
 
 
 class Eureka:
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -57,7 +57,7 @@
     def _registry(self, setup: ChatSetup) -> Eureka | None:
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self._told) if setup.eureka else None
 
-    def _told(self, full: bool, entries: tuple[i.Entry, ...], addresses: dict[int, Address]) -> None:
+    def _told(self, full: bool, entries: tuple[i.Endpoint, ...], addresses: dict[int, Address]) -> None:
         self.node.listed(full, entries, addresses)
         assert self._eureka
         first, newest, now = not self._newest, self._newest, time.monotonic()
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -55,7 +55,7 @@
 
 def marked(service: ChatService) -> Engine | None:
     """The writer at which one dispatcher leaves its marks: the same one at all that have the same list."""
-    return next(iter(service.node.dispatcher.router.router.ready[i.WRITER]), None)
+    return next(iter(service.node.dispatcher.router.router.ready[i.Role.DECODE]), None)
 
 
 def mark(service: ChatService, number: int) -> None:
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -40,8 +40,8 @@
 
     def apply(self, router: Router, rng: random.Random) -> None:
         """To the Router's own books of its work, where the talk and the reports take it from."""
-        self._set(router.ready[i.WRITER], rng.choice(self.writers), rng)
-        self._set(router.ready[i.READER], rng.choice(self.readers), rng)
+        self._set(router.ready[i.Role.DECODE], rng.choice(self.writers), rng)
+        self._set(router.ready[i.Role.PREFILL], rng.choice(self.readers), rng)
 
     @staticmethod
     def _set(engines: Sequence[Engine], gauges: list[tuple[int, int]], rng: random.Random) -> None:
@@ -95,15 +95,15 @@
             return
         kinds = self.dispatcher.deployment.router.kinds
         entry = self.dispatcher.engines[attempt.engine]
-        if kinds[entry.kind].role == i.READER:
+        if kinds[entry.kind].role == i.Role.PREFILL:
             wait = int(self.rng.expovariate(1 / LIGHT_READ_S) * 1e6)
-            self.deadlines.after(wait, lambda: attempt.end(i.READ, PROMPT // 2, may_hold=True))
+            self.deadlines.after(wait, lambda: attempt.end(i.Outcome.PREFILLED, PROMPT // 2, may_hold=True))
             return
 
         def begun() -> None:
             if attempt.begin():
                 answer = int(self.rng.expovariate(1 / (ANSWER * TOKEN_S)) * 1e6)
-                self.deadlines.after(answer, lambda: attempt.end(i.ANSWERED, PROMPT // 2))
+                self.deadlines.after(answer, lambda: attempt.end(i.Outcome.ANSWERED, PROMPT // 2))
 
         self.deadlines.after(int(TOKEN_S * 1e6), begun)
 
@@ -114,7 +114,7 @@
         return True
 
     def probe(self, engine: int) -> None:
-        self.deadlines.after(1_000, lambda: self.dispatcher.probed(engine, i.ANSWERED, (0.5, 1.0)))
+        self.deadlines.after(1_000, lambda: self.dispatcher.probed(engine, i.Outcome.ANSWERED, (0.5, 1.0)))
 
     def release(self, request: Request, engines: Collection[int]) -> None:
         pass
--- a/pearhill/lab/up.py
+++ b/pearhill/lab/up.py
@@ -29,7 +29,7 @@
     """A stand-in for each server of the file. ConfigError: one is elsewhere, and might be real."""
     tables = []
     for entry in setup.entries:
-        host, port = setup.addresses[entry.engine]
+        host, port = setup.addresses[entry.replica]
         try:
             here = ipaddress.ip_address("127.0.0.1" if host == "localhost" else host).is_loopback
         except ValueError:
--- a/pearhill/node.py
+++ b/pearhill/node.py
@@ -141,12 +141,12 @@
     def draining(self) -> bool:
         return self.drain.on
 
-    def listed(self, full: bool, entries: tuple[i.Entry, ...], addresses: dict[int, Address]) -> None:
+    def listed(self, full: bool, entries: tuple[i.Endpoint, ...], addresses: dict[int, Address]) -> None:
         """A list of servers, to be in force before the next send."""
         self.counters.lists += 1
         self._note_step()
         entries = self.start_times.place(self.deadlines.clock(), full, entries)
-        self.backend.locate(addresses, [entry.engine for entry in entries if entry.phase == i.GONE], full)
+        self.backend.locate(addresses, [entry.replica for entry in entries if entry.phase == i.Phase.GONE], full)
         self.dispatcher.listed(full, self.roster.listed(full, entries))
 
     def _observe_wall_clock(self) -> None:
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -34,21 +34,25 @@
     at: int
 
 
-def may_repeat(spec: i.ClassSpec, ran: Ran | None, zone: int, cell: int, now: int) -> Denied | None:
+def may_repeat(spec: i.RequestClass, ran: Ran | None, zone: int, cell: int, now: int) -> Denied | None:
     """Whether the effect may be asked of a replica in this zone and cell. None: it may."""
-    if ran is None or spec.effect == i.SAFE:
+    if ran is None or spec.idempotency == i.Idempotency.IDEMPOTENT:
         return None
-    if spec.effect == i.UNSAFE:
+    if spec.idempotency == i.Idempotency.UNSAFE:
         return Denied.MAY_HAVE_RUN
     same_group = {"all": True, "zone": zone == ran.zone, "cell": cell == ran.cell}
-    if not same_group[spec.group]:
+    if not same_group[spec.idempotency_scope]:
         return Denied.OTHER_GROUP
-    return None if now < ran.at + spec.window else Denied.WINDOW_OVER
+    return None if now < ran.at + spec.idempotency_window else Denied.WINDOW_OVER
 
 
-def may_refuse(spec: i.ClassSpec, may_have_run: bool) -> bool:
+def may_refuse(spec: i.RequestClass, may_have_run: bool) -> bool:
     """Whether the client may be told that trying again is harmless."""
-    return not may_have_run or spec.effect == i.SAFE or (spec.effect == i.KEYED and spec.group == "all")
+    return (
+        not may_have_run
+        or spec.idempotency == i.Idempotency.IDEMPOTENT
+        or (spec.idempotency == i.Idempotency.KEYED and spec.idempotency_scope == "all")
+    )
 
 
 def may_send(answered: bool, attempt_out: bool, ready: bool, attempts_left: int) -> Denied | None:
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -31,33 +31,33 @@
 class SlowStart:
     """One process's part in the slow start of replicas."""
 
-    def __init__(self, settings: i.Settings, roles: tuple[str, ...]) -> None:
+    def __init__(self, settings: i.RouterSettings, roles: tuple[str, ...]) -> None:
         self.settings = settings
         # By role: requests of mean work a microsecond that a unit of a warm replica's weight has finished.
         self.answer_rate = dict.fromkeys(roles, 0.0)
         self._answered = dict.fromkeys(roles, 0.0)
         self._steps = 0
 
-    def share(self, entry: i.Entry, now: int) -> float:
+    def share(self, entry: i.Endpoint, now: int) -> float:
         """The share of its capacity that a replica has surely reached; 1 once it is warm."""
-        age = max(0, now - entry.started) / self.settings.cold if entry.started else 1.0
-        return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
+        age = max(0, now - entry.started_at) / self.settings.slow_start_window if entry.started_at else 1.0
+        return min(1.0, self.settings.slow_start_initial_share + (1 - self.settings.slow_start_initial_share) * age)
 
-    def is_warm(self, entry: i.Entry, now: int) -> bool:
+    def is_warm(self, entry: i.Endpoint, now: int) -> bool:
         return self.share(entry, now) >= 1
 
-    def admits(self, entry: i.Entry, role: str, bucket: TokenBucket, now: int) -> bool:
+    def admits(self, entry: i.Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
         """Whether the replica may get one request more; where no answer tells a rate, all processes together send one
         in a window."""
         share, settings = self.share(entry, now), self.settings
         if share >= 1:
             return True
         rate = max(
-            settings.fall_multiple * share * self.answer_rate[role] * (entry.weight or 1) * RATE,
-            RATE / settings.fall / settings.instances,
+            settings.overload_multiple * share * self.answer_rate[role] * (entry.weight or 1) * RATE,
+            RATE / settings.overload_window / settings.instances,
         )
-        age = max(0, now - max(bucket.filled_at, entry.started))
-        most = max(rate * settings.fall / 2, 1)
+        age = max(0, now - max(bucket.filled_at, entry.started_at))
+        most = max(rate * settings.overload_window / 2, 1)
         bucket.tokens, bucket.filled_at = min(most, bucket.tokens + rate * age), now
         return bucket.tokens >= 1
 
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -43,7 +43,7 @@
         del self._epochs[:-MOST_EPOCHS]
         return step
 
-    def place(self, now: int, full: bool, entries: Iterable[i.Entry]) -> tuple[i.Entry, ...]:
+    def place(self, now: int, full: bool, entries: Iterable[i.Endpoint]) -> tuple[i.Endpoint, ...]:
         """The entries of a list with their starts on the own clock. `full`: all replicas are in it."""
         if full:
             before, self._placed = self._placed, {}
@@ -51,14 +51,14 @@
             before = self._placed
         placed = []
         for entry in entries:
-            told, at = before.get(entry.engine, (0, 0))
-            if entry.started != told:
-                at = self._start(now, entry.started)
-            if entry.phase == i.GONE:
-                self._placed.pop(entry.engine, None)
-            elif entry.started:
-                self._placed[entry.engine] = entry.started, at
-            placed.append(replace(entry, started=at if entry.started else 0))
+            told, at = before.get(entry.replica, (0, 0))
+            if entry.started_at != told:
+                at = self._start(now, entry.started_at)
+            if entry.phase == i.Phase.GONE:
+                self._placed.pop(entry.replica, None)
+            elif entry.started_at:
+                self._placed[entry.replica] = entry.started_at, at
+            placed.append(replace(entry, started_at=at if entry.started_at else 0))
         return tuple(placed)
 
     def _start(self, now: int, told: int) -> int:
--- a/pearhill/rules.py
+++ b/pearhill/rules.py
@@ -44,9 +44,9 @@
     return x ^ (x >> 31)
 
 
-def keys(req: i.Arrived) -> list[tuple[tuple[bool, int], int]]:
+def keys(req: i.RequestArrived) -> list[tuple[tuple[bool, int], int]]:
     """Where an engine's prefix table holds a prompt's session and prefix, and how long they are."""
-    both = ((False, req.session), req.prompt), ((True, req.prefix), req.prefix_len)
+    both = ((False, req.session), req.prompt_tokens), ((True, req.prefix), req.prefix_tokens)
     return [(key, tokens) for key, tokens in both if key[1]]
 
 
@@ -73,8 +73,8 @@
 class Engine:
     """What I know of one engine: its list entry, my work there and how it has treated me."""
 
-    def __init__(self, entry: i.Entry, kind: i.KindSpec, phase: float) -> None:
-        self.id, self.role, self.memory, self.entry = entry.engine, kind.role, max(1, kind.memory), entry
+    def __init__(self, entry: i.Endpoint, kind: i.MachineKind, phase: float) -> None:
+        self.id, self.role, self.memory, self.entry = entry.replica, kind.role, max(1, kind.memory_tokens), entry
         # The prefix table. In one table for all, prompts kept by engines long gone fill the memory.
         self.kept: OrderedDict[tuple[bool, int], tuple[int, int]] = OrderedDict()
         self.load = self.queue = self.since = 0  # my tokens: under way, to be read, sent since its report
@@ -92,8 +92,8 @@
 class Job:
     """One request, until its final answer and the end of its last attempt."""
 
-    def __init__(self, req: i.Arrived, end: int, aim_at: int) -> None:
-        self.req, self.end, self.aim_at, self.aim = req, end, aim_at, aim_at - end + req.ttl
+    def __init__(self, req: i.RequestArrived, end: int, aim_at: int) -> None:
+        self.req, self.end, self.aim_at, self.aim = req, end, aim_at, aim_at - end + req.timeout
         self.engine: Engine | None = None
         self.attempt = self.home = -1
         self.sent_at = self.weight = self.cost = self.load = self.known = self.held_at = 0
@@ -107,13 +107,13 @@
 class Router:
     """Decides for one node. Feed it every event with its time; do what it returns, in order."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: i.RouterSettings, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now, self.actions = 0, list[i.Action]()
-        self.slow_start = SlowStart(settings, (i.READER, i.WRITER, i.MIXED))
+        self.slow_start = SlowStart(settings, (i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED))
         self.reconfigure(settings)
         self.engines: dict[int, Engine] = {}
-        self.ready: dict[str, list[Engine]] = {i.READER: [], i.WRITER: [], i.MIXED: []}
+        self.ready: dict[str, list[Engine]] = {i.Role.PREFILL: [], i.Role.DECODE: [], i.Role.MIXED: []}
         self.jobs: dict[int, Job] = {}
         self.timers, self.timer = dict[int, int](), 0
         self.ratio, self.allowed, self.retries = RATIO_START, 0.0, float(RETRY_BURST)
@@ -122,8 +122,10 @@
         self.looks = frozenset[str]()  # roles at which the engines of a choice are asked before it
         self.drawn, self.drawn_all = dict[int, float](), 0.0  # tokens read, by prefix, over ten steps or so
         self.asked: dict[int, float] = {}  # by tenant, over the last five steps or so
-        least = min(spec.aim for spec in settings.classes) / SHORT  # until seen, reads are just quick enough
-        self.guess = [(0.0, least / (16 if kind.role == i.READER else 4)) for kind in settings.kinds]
+        least = (
+            min(spec.latency_objective for spec in settings.classes) / SHORT
+        )  # until seen, reads are just quick enough
+        self.guess = [(0.0, least / (16 if kind.role == i.Role.PREFILL else 4)) for kind in settings.kinds]
         self.paces = [(Faded(STEP_EVERY, 30), Faded(STEP_EVERY, 30)) for _ in settings.kinds]  # a kind's all
         self.helds = [Faded(STEP_EVERY, 30) for _ in settings.kinds]
         self.zones: dict[int, Faded] = {}  # failed attempts, by zone
@@ -131,18 +133,18 @@
         self.sends = dict.fromkeys(self.ready, 0.0)
         self.lengths, self.lasts = dict[int, Faded](), dict[int, Faded]()  # by class: prompts', answers'
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.Listed: self._listed,
-            i.Arrived: self._arrived,
-            i.Began: self._began,
-            i.Ended: self._ended,
-            i.Left: self._left,
-            i.Due: self._due,
-            i.Looked: self._looked,
+            i.EndpointsUpdated: self._listed,
+            i.RequestArrived: self._arrived,
+            i.ResponseStarted: self._began,
+            i.AttemptEnded: self._ended,
+            i.ClientDisconnected: self._left,
+            i.TimerFired: self._due,
+            i.LoadKnown: self._looked,
         }
 
-    def reconfigure(self, settings: i.Settings) -> None:
+    def reconfigure(self, settings: i.RouterSettings) -> None:
         """Other figures for the same classes, kinds and zones."""
-        self.s, self.best = settings, max(spec.worth for spec in settings.classes) or 1
+        self.s, self.best = settings, max(spec.priority_weight for spec in settings.classes) or 1
         self.slow_start.settings = settings
 
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
@@ -153,39 +155,41 @@
         self.handlers[type(event)](event)
         return self.actions
 
-    def _listed(self, event: i.Listed) -> None:
-        named = {entry.engine for entry in event.entries}
-        gone = [replace(e.entry, phase=i.GONE) for e in self.engines.values() if e.id not in named]
-        for entry in list(event.entries) + (gone if event.full else []):
-            e = self.engines.get(entry.engine)
+    def _listed(self, event: i.EndpointsUpdated) -> None:
+        named = {entry.replica for entry in event.endpoints}
+        gone = [replace(e.entry, phase=i.Phase.GONE) for e in self.engines.values() if e.id not in named]
+        for entry in list(event.endpoints) + (gone if event.full else []):
+            e = self.engines.get(entry.replica)
             # An engine that comes back empty would be believed to keep prompts, and to be as it was.
-            if e is None or entry.started > e.entry.started:
-                e = self.engines[entry.engine] = Engine(entry, self.s.kinds[entry.kind], self.rng.random())
+            if e is None or entry.started_at > e.entry.started_at:
+                e = self.engines[entry.replica] = Engine(entry, self.s.kinds[entry.kind], self.rng.random())
             e.entry = entry
-            if entry.phase == i.GONE:
+            if entry.phase == i.Phase.GONE:
                 del self.engines[e.id]  # its attempts still out hold it until they end
                 if self.s.may_cancel:  # Work at a lost engine would wait for its whole time-out.
-                    self.actions += [i.CallOff(job.req.request, job.attempt) for job in e.waiting.values()]
+                    self.actions += [i.CancelAttempt(job.req.request, job.attempt) for job in e.waiting.values()]
         for role in self.ready:
-            ready = [e for e in self.engines.values() if e.role == role and e.entry.phase == i.READY]
+            ready = [e for e in self.engines.values() if e.role == role and e.entry.phase == i.Phase.READY]
             before, self.ready[role] = len(self.ready[role]), sorted(ready, key=lambda e: e.id)
             # What fewer engines share comes in one step, and finds tokens that nobody had asked for.
             for e in self.ready[role] if self.rng.random() * before > len(self.ready[role]) else []:
                 e.bucket.tokens = min(e.bucket.tokens, self.rng.random())
 
-    def _belief(self, e: Engine, req: i.Arrived, home: int = -1) -> int:
+    def _belief(self, e: Engine, req: i.RequestArrived, home: int = -1) -> int:
         """Prompt tokens an engine should still keep: entries that its memory's worth of new tokens has not
         pushed out, or what reads found lately at the pair (home 1: the session's own one, 0: the other)."""
         # A prompt of many times the usual length is new text; believed kept, it jams all readers.
-        usual = GIANT * self.lengths[req.cls].value if req.cls in self.lengths else req.prompt
-        best = int(self.found[home].value * min(req.prompt, usual)) if home >= 0 else 0
+        usual = (
+            GIANT * self.lengths[req.request_class].value if req.request_class in self.lengths else req.prompt_tokens
+        )
+        best = int(self.found[home].value * min(req.prompt_tokens, usual)) if home >= 0 else 0
         for key, most in keys(req):
             tokens, at = e.kept.get(key, (0, 0))
             if (self.now - at) * self.sends[e.role] < e.memory:
                 best = max(best, min(tokens, most))
         return best
 
-    def _learn(self, e: Engine, req: i.Arrived) -> None:
+    def _learn(self, e: Engine, req: i.RequestArrived) -> None:
         for key, tokens in keys(req):
             e.kept[key] = (tokens, self.now)
             e.kept.move_to_end(key)
@@ -216,9 +220,9 @@
 
     def _legal(self, job: Job, e: Engine) -> bool:
         """Whether this request may be sent to this replica at all."""
-        if job.req.kinds and e.entry.kind not in job.req.kinds:
+        if job.req.allowed_kinds and e.entry.kind not in job.req.allowed_kinds:
             return False
-        spec = self.s.classes[job.req.cls]
+        spec = self.s.classes[job.req.request_class]
         return may_repeat(spec, job.ran, e.entry.zone, e.entry.cell, self.now) is None
 
     def _held(self, e: Engine, tokens: int) -> float:
@@ -232,7 +236,7 @@
 
     def _emptier(self, pool: list[Engine]) -> Engine:
         two = self.rng.sample(pool, min(2, len(pool)))
-        told = i.WRITER in self.looks  # then its own word of its memory says more than my part
+        told = i.Role.DECODE in self.looks  # then its own word of its memory says more than my part
         return min(
             two,
             key=lambda e: (
@@ -250,42 +254,47 @@
         usual = pool.over(self.now, self.guess[e.entry.kind][reads], 0.2)
         return weight * e.pace[reads].over(self.now, usual)
 
-    def _read_time(self, e: Engine, req: i.Arrived, home: int = -1) -> float:
-        return self._takes(e, self._ahead(e) + req.prompt - self._belief(e, req, home) + PAD)
+    def _read_time(self, e: Engine, req: i.RequestArrived, home: int = -1) -> float:
+        return self._takes(e, self._ahead(e) + req.prompt_tokens - self._belief(e, req, home) + PAD)
 
     def _ahead(self, e: Engine) -> float:
         """Tokens that all nodes have waiting there, as far as I am told. Taken for slow reading,
         others' queue at one engine has me refuse what the idle ones could read, long after it is gone."""
         return max(e.queue, e.told if e.told_at == self.now else self.waits[e.role].over(self.now, 0.0))
 
-    def _arrived(self, req: i.Arrived) -> None:
-        if req.standing in (i.OVER, i.DEBT):
-            return self.actions.append(i.Refuse(req.request, req.away if self.s.retry_hints else 0, "over-budget"))
-        aim = self.s.classes[req.cls].aim + self.s.classes[req.cls].aim_per_1000 * req.prompt / 1000
-        job = self.jobs[req.request] = Job(req, self.now + req.ttl, int(self.now + aim))
-        self.lengths.setdefault(req.cls, Faded(2 * STEP_EVERY, 30)).add(self.now, req.prompt)
-        self._timer(req.request, max(1, req.ttl - 4 * self.s.tick))
-        self.asked[req.tenant] = self.asked.get(req.tenant, 0.0) + (not req.repeat)
-        self.allowed = min(4 * SHORT, self.allowed + self.ratio * req.prompt)
+    def _arrived(self, req: i.RequestArrived) -> None:
+        if req.admission in (i.AdmissionStatus.OVER_LIMIT, i.AdmissionStatus.OVERDRAWN):
+            return self.actions.append(
+                i.RejectRequest(req.request, req.retry_after if self.s.retry_hints else 0, "over-budget")
+            )
+        aim = (
+            self.s.classes[req.request_class].latency_objective
+            + self.s.classes[req.request_class].latency_objective_per_1000_tokens * req.prompt_tokens / 1000
+        )
+        job = self.jobs[req.request] = Job(req, self.now + req.timeout, int(self.now + aim))
+        self.lengths.setdefault(req.request_class, Faded(2 * STEP_EVERY, 30)).add(self.now, req.prompt_tokens)
+        self._timer(req.request, max(1, req.timeout - 4 * self.s.tick))
+        self.asked[req.tenant] = self.asked.get(req.tenant, 0.0) + (not req.is_retry)
+        self.allowed = min(4 * SHORT, self.allowed + self.ratio * req.prompt_tokens)
         self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
         self._place(job)
 
     def _place(self, job: Job) -> None:
         """The ordinary path of a prompt that is not read yet."""
-        req, usual = job.req, self.lengths[job.req.cls].value
-        fair = int(min(req.prompt, usual))  # By its length what is long is refused by idle ones, too
-        roomy = [e for e in self._open(self.ready[i.WRITER], job) if self._held(e, fair) < FULL_MEMORY]
-        mixed = [e for e in self._order(self.ready[i.MIXED], job) if self._held(e, fair) < FULL_MEMORY]
+        req, usual = job.req, self.lengths[job.req.request_class].value
+        fair = int(min(req.prompt_tokens, usual))  # By its length what is long is refused by idle ones, too
+        roomy = [e for e in self._open(self.ready[i.Role.DECODE], job) if self._held(e, fair) < FULL_MEMORY]
+        mixed = [e for e in self._order(self.ready[i.Role.MIXED], job) if self._held(e, fair) < FULL_MEMORY]
         # Load shedding. A prompt that is read with no writer in sight is read for nothing.
         if job.attempt < 0 and not roomy and not mixed:
             return self._close(job, "no-room")
         if mixed and self._quick(whole := min(mixed[:2], key=lambda e: self._held(e, 0)), job):
             return None if self._look(job, mixed[:2]) else self._send(job, whole)  # long reads stall streams
-        if roomy and self.s.local_read and self.ratio and (local := self._local(job, roomy)):
-            self.allowed -= req.prompt - self._belief(local, req)
+        if roomy and self.s.local_prefill and self.ratio and (local := self._local(job, roomy)):
+            self.allowed -= req.prompt_tokens - self._belief(local, req)
             return self._send(job, local)
         # A prompt read by the last attempt that is allowed is read for nothing.
-        if (order := self._order(self.ready[i.READER], job)) and job.attempt + 2 < self.s.max_attempts:
+        if (order := self._order(self.ready[i.Role.PREFILL], job)) and job.attempt + 2 < self.s.max_attempts:
             line = (min(job.aim_at, job.end) - self.now) * SHED * (1 + self._worth(req) / self.best)
             # All nodes send a favourite to one pair, and each sees it idle. The more it draws, the
             # more homes; the pair among them is the session's own, so that most stay as the count changes.
@@ -296,7 +305,7 @@
             reader = min(pair, key=lambda e: (e.ejected_until > self.now, self._ahead(e)))  # or by session
             job.home = int(reader is pair[0])
             takes = self._read_time(reader, req, job.home)
-            line += self._takes(reader, max(0.0, req.prompt - self._belief(reader, req, job.home) - usual))
+            line += self._takes(reader, max(0.0, req.prompt_tokens - self._belief(reader, req, job.home) - usual))
             # A long prompt or a favourite jams its pair while others idle. Past a pair over the line
             # the next in order finds it kept; last come mixed servers, that it delays for half as long.
             quick = (e for e in order + mixed[:2] if self._read_time(e, req) <= line / (1 + (e in mixed)))
@@ -307,7 +316,7 @@
                 return self._close(job, "slow-reads")
             return self._send(job, reader)
         # No reader is left: the exception reads at a writer or mixed server, whatever the prompt's length.
-        rest = mixed + (roomy if self.s.local_read else [])
+        rest = mixed + (roomy if self.s.local_prefill else [])
         self._pick(job, rest) if rest else self._close(job, "no-replica")
 
     def _look(self, job: Job, pool: list[Engine]) -> bool:
@@ -315,7 +324,7 @@
         if len(pool) < 2 or pool[0].role not in self.looks or job.looked == (job.attempt, bool(job.held)):
             return False
         job.looked, job.among = (job.attempt, bool(job.held)), pool
-        self.actions.append(i.Look(job.req.request, tuple(e.id for e in pool)))
+        self.actions.append(i.QueryLoad(job.req.request, tuple(e.id for e in pool)))
         return True
 
     def _pick(self, job: Job, pool: list[Engine]) -> None:
@@ -324,13 +333,13 @@
         if not self._look(job, pool):
             self._send(job, self._emptier(pool))
 
-    def _looked(self, event: i.Looked) -> None:
-        for told in event.told:
-            if e := self.engines.get(told.engine):
-                e.ejected_until, e.told, e.told_at = told.ejected_until, told.waiting, self.now
-                if told.sure > 0.5:
-                    self.waits[e.role].add(self.now, told.waiting)
-                    self._reported(e, told.held)
+    def _looked(self, event: i.LoadKnown) -> None:
+        for told in event.reports:
+            if e := self.engines.get(told.replica):
+                e.ejected_until, e.told, e.told_at = told.ejected_until, told.queued_tokens, self.now
+                if told.confidence > 0.5:
+                    self.waits[e.role].add(self.now, told.queued_tokens)
+                    self._reported(e, told.memory_used)
         if (job := self.jobs.get(event.request)) and not job.closed and not job.out:
             (self._write if job.held else self._place)(job)
 
@@ -344,48 +353,48 @@
         key = job.req.prefix or job.req.session or job.req.request
         return sorted(self._open(pool, job), key=lambda e: mix(key, e.id))
 
-    def _homes(self, req: i.Arrived, readers: int) -> int:
+    def _homes(self, req: i.RequestArrived, readers: int) -> int:
         """How many readers share the prompts that begin alike, out of so many that are open: two, or what the
         prefix draws of all reading, as far as my few requests tell."""
-        least = DRAWN_LEAST * (PAD + max(0, req.prompt - req.prefix_len))  # a client may say any
+        least = DRAWN_LEAST * (PAD + max(0, req.prompt_tokens - req.prefix_tokens))  # a client may say any
         share = self.drawn.get(req.prefix, 0.0) / (self.drawn_all + least) if req.prefix else 0.0
         return max(2, math.ceil(WIDE * share * readers))
 
-    def _worth(self, req: i.Arrived) -> float:
+    def _worth(self, req: i.RequestArrived) -> float:
         """Worth of a request, less its tenant's part beyond its share, as far as my part of it tells."""
         # What is lent out must not crowd out a guarantee.
-        over, worth = float(req.standing == i.SPARE), self.s.classes[req.cls].worth
+        over, worth = float(req.admission == i.AdmissionStatus.BURST), self.s.classes[req.request_class].priority_weight
         if not over and req.tenant < len(self.s.quotas):  # five requests weigh, whatever my few say
             mine = self.s.quotas[req.tenant] / self.s.instances * 5 * STEP_EVERY / 1_000_000
             over = max(0.0, 1 - (mine + 5) / (self.asked.get(req.tenant, 0.0) + 5))
-        return worth * (1 - over * (1 - self.s.over_share_worth))
+        return worth * (1 - over * (1 - self.s.over_quota_weight))
 
     def _local(self, job: Job, pool: list[Engine]) -> Engine | None:
         """The writer that reads this prompt itself, if it is short there and the cap allows it."""
         e, req = max(pool, key=lambda e: self._belief(e, job.req)), job.req
         e = e if self._belief(e, req) else self._emptier(pool)
-        return e if req.prompt - self._belief(e, req) <= self.allowed and self._quick(e, job) else None
+        return e if req.prompt_tokens - self._belief(e, req) <= self.allowed and self._quick(e, job) else None
 
     def _quick(self, e: Engine, job: Job) -> bool:
         """A short read, to be done within a quarter of the aim, and no streams that it delays."""
         return (
-            job.req.prompt - self._belief(e, job.req) < SHORT
+            job.req.prompt_tokens - self._belief(e, job.req) < SHORT
             and e.stretch.over(self.now, 1.0) < STRETCH
             and self._read_time(e, job.req) < job.aim / 4
             and e.load <= self._crowd(job.req)
         )
 
-    def _crowd(self, req: i.Arrived) -> float:
+    def _crowd(self, req: i.RequestArrived) -> float:
         """My work at a writer past which it gets no more. A favourite, or the one that a release
         left in a cell, gets all, while others idle. How slow its answers are shows late, my work at once."""
-        pool = self.ready[i.WRITER] + self.ready[i.MIXED]
-        return CROWD * (sum(p.load for p in pool) / max(1, len(pool)) + req.prompt + req.max_out // 2)
+        pool = self.ready[i.Role.DECODE] + self.ready[i.Role.MIXED]
+        return CROWD * (sum(p.load for p in pool) / max(1, len(pool)) + req.prompt_tokens + req.max_output_tokens // 2)
 
     def _write(self, job: Job) -> None:
         """The state waits at a reader: pick a writer near it."""
         assert job.held is not None
-        at, pool = job.held.entry, self._open(self.ready[i.WRITER] + self.ready[i.MIXED], job)
-        roomy = [e for e in pool if self._held(e, job.req.prompt) < FULL_MEMORY] or pool  # exception: no room
+        at, pool = job.held.entry, self._open(self.ready[i.Role.DECODE] + self.ready[i.Role.MIXED], job)
+        roomy = [e for e in pool if self._held(e, job.req.prompt_tokens) < FULL_MEMORY] or pool  # exception: no room
         line = self._crowd(job.req)
         calm = [e for e in roomy if e.load <= line]
         cell = [e for e in calm if e.entry.cell == at.cell]
@@ -393,16 +402,16 @@
         self._pick(job, near) if near else self._close(job, "no-writer")
 
     def _send(self, job: Job, e: Engine) -> None:
-        req, left, spec = job.req, job.end - self.now, self.s.classes[job.req.cls]
-        job.reading, job.fetches, job.engine = e.role == i.READER, job.held is not None, e
+        req, left, spec = job.req, job.end - self.now, self.s.classes[job.req.request_class]
+        job.reading, job.fetches, job.engine = e.role == i.Role.PREFILL, job.held is not None, e
         job.known = 0 if job.fetches else self._belief(e, req)
-        job.cost = 0 if job.fetches else req.prompt - self._belief(e, req, job.home if job.reading else -1)
-        job.load = job.cost if job.reading else req.prompt + req.max_out // 2
+        job.cost = 0 if job.fetches else req.prompt_tokens - self._belief(e, req, job.home if job.reading else -1)
+        job.load = job.cost if job.reading else req.prompt_tokens + req.max_output_tokens // 2
         job.weight = int(self._ahead(e)) + job.cost + PAD
         job.attempt, job.sent_at, job.out = job.attempt + 1, self.now, True
         job.tried.append(e.id)
         e.queue += job.cost
-        e.load, e.since = e.load + job.load, e.since + (0 if job.reading else req.prompt)
+        e.load, e.since = e.load + job.load, e.since + (0 if job.reading else req.prompt_tokens)
         self.sends[e.role] += job.cost * self.s.instances / max(1, len(self.ready[e.role])) * 0.2 / STEP_EVERY
         e.waiting[req.request] = job
         e.bucket.tokens -= 1
@@ -410,69 +419,77 @@
         # client's time is too short: many short attempts would all be in vain.
         wait = max(PATIENCE * self._takes(e, job.weight, not job.fetches), job.aim / (2 - job.fetches))
         last = job.attempt + 1 >= self.s.max_attempts or wait > left
-        held_until = job.held_at + self.s.release_within if job.held else 0
+        held_until = job.held_at + self.s.state_hold_time if job.held else 0
         by = [held_until] if held_until else []  # its connection may come up late
-        by += [job.ran.at + spec.window] if job.ran and spec.effect == i.KEYED and not job.reading else []
+        by += (
+            [job.ran.at + spec.idempotency_window]
+            if job.ran and spec.idempotency == i.Idempotency.KEYED and not job.reading
+            else []
+        )
         patience = max(1, int(left if last else min(wait, left / 2)))
-        self.actions.append(i.Send(req.request, e.id, patience, min(by, default=0), held_until))
+        self.actions.append(i.SendAttempt(req.request, e.id, patience, min(by, default=0), held_until))
 
-    def _began(self, event: i.Began) -> None:
-        if (job := self.jobs.get(event.request)) and job.out and job.engine and job.engine.id == event.engine:
-            self._answers(job.engine, job, event.rtt)
-            if job.fetches and event.rtt > LATE_FETCH * job.aim:
+    def _began(self, event: i.ResponseStarted) -> None:
+        if (job := self.jobs.get(event.request)) and job.out and job.engine and job.engine.id == event.replica:
+            self._answers(job.engine, job, event.elapsed)
+            if job.fetches and event.elapsed > LATE_FETCH * job.aim:
                 self._filled(job.engine, job)
             job.streaming, job.held = True, None
 
-    def _ended(self, event: i.Ended) -> None:
+    def _ended(self, event: i.AttemptEnded) -> None:
         job = self.jobs.get(event.request)
-        if not job or not job.out or not (e := job.engine) or e.id != event.engine:
+        if not job or not job.out or not (e := job.engine) or e.id != event.replica:
             return
         job.out = job.streaming = False
         e.queue -= job.cost if e.waiting.pop(event.request, None) else 0
         e.load -= job.load
-        e.rest = max(e.rest, self.now + event.rest if event.rest else 0)
-        e.since -= job.req.prompt if not job.reading and job.sent_at >= e.reported else 0
+        e.rest = max(e.rest, self.now + event.retry_after if event.retry_after else 0)
+        e.since -= job.req.prompt_tokens if not job.reading and job.sent_at >= e.reported else 0
         if event.load:
             self._reported(e, event.load[0])
-        if event.outcome in (i.READ, i.ANSWERED):
+        if event.outcome in (i.Outcome.PREFILLED, i.Outcome.ANSWERED):
             self._finished(e, job)
-            if event.kept * 2 < job.known - PAD:
+            if event.cached_tokens * 2 < job.known - PAD:
                 e.kept.clear()  # It has lost what it kept, and I would read long prompts there.
             if job.reading and job.home >= 0:
-                self.found[job.home].add(self.now, min(1.0, event.kept / max(1, job.req.prompt)))
-            if e.role == i.WRITER and not job.fetches:
-                self.allowed += job.cost + event.kept - job.req.prompt
-        if event.outcome == i.READ:
+                self.found[job.home].add(self.now, min(1.0, event.cached_tokens / max(1, job.req.prompt_tokens)))
+            if e.role == i.Role.DECODE and not job.fetches:
+                self.allowed += job.cost + event.cached_tokens - job.req.prompt_tokens
+        if event.outcome == i.Outcome.PREFILLED:
             job.held = e
-            self._answers(e, job, event.rtt)
-            self.read_share.add(self.now, event.rtt / job.aim)
-            drawn = max(0, job.req.prompt - event.kept) + PAD
+            self._answers(e, job, event.elapsed)
+            self.read_share.add(self.now, event.elapsed / job.aim)
+            drawn = max(0, job.req.prompt_tokens - event.cached_tokens) + PAD
             self.drawn[job.req.prefix] = self.drawn.get(job.req.prefix, 0.0) + drawn
             self.drawn_all += drawn
-        elif event.outcome in (i.TIMEOUT, i.ERROR, i.UNREACHABLE, i.BROKEN):
-            if event.outcome == i.TIMEOUT:  # From what answers alone, a jam looks quick.
-                self._paced(e, job, event.rtt)
+        elif event.outcome in (i.Outcome.TIMEOUT, i.Outcome.ERROR, i.Outcome.UNREACHABLE, i.Outcome.TRUNCATED):
+            if event.outcome == i.Outcome.TIMEOUT:  # From what answers alone, a jam looks quick.
+                self._paced(e, job, event.elapsed)
                 if job.fetches:
                     e.held.add(self.now, 1.0, e.held.most)
                     self._filled(e, job)
-            if event.outcome != i.TIMEOUT or e.heard <= job.sent_at:
+            if event.outcome != i.Outcome.TIMEOUT or e.heard <= job.sent_at:
                 self._judged(e, 1.0, event.outcome)
-        job.held = None if event.outcome == i.NO_STATE else job.held
-        if event.outcome not in (i.UNREACHABLE, i.WITHDRAWN, i.MOOT):  # else the time of what is held runs on
+        job.held = None if event.outcome == i.Outcome.STATE_LOST else job.held
+        if event.outcome not in (
+            i.Outcome.UNREACHABLE,
+            i.Outcome.WITHDRAWN,
+            i.Outcome.NOT_SENT,
+        ):  # else the time of what is held runs on
             job.held_at = self.now
-        if event.outcome not in i.NEVER_RAN and not job.reading:
+        if event.outcome not in i.NOT_EXECUTED and not job.reading:
             job.ran = job.ran or Ran(e.entry.zone, e.entry.cell, job.sent_at)
-        if event.outcome == i.ANSWERED:
-            mean = self.lasts.setdefault(job.req.cls, Faded(2 * STEP_EVERY, 20, event.rtt))
-            mean.add(self.now, event.rtt)
-            e.stretch.add(self.now, event.rtt / max(1, mean.value))
-        if event.settled or job.closed:
-            self.actions.append(i.Release(event.request))
+        if event.outcome == i.Outcome.ANSWERED:
+            mean = self.lasts.setdefault(job.req.request_class, Faded(2 * STEP_EVERY, 20, event.elapsed))
+            mean.add(self.now, event.elapsed)
+            e.stretch.add(self.now, event.elapsed / max(1, mean.value))
+        if event.answered or job.closed:
+            self.actions.append(i.ReleaseState(event.request))
             del self.jobs[event.request]
-        elif event.outcome == i.READ:
+        elif event.outcome == i.Outcome.PREFILLED:
             self._write(job)
         else:
-            if event.outcome == i.WITHDRAWN:  # never begun: no attempt is spent, and no retry
+            if event.outcome == i.Outcome.WITHDRAWN:  # never begun: no attempt is spent, and no retry
                 job.attempt, self.retries = job.attempt - 1, self.retries + 1
             self._again(job)
 
@@ -484,33 +501,33 @@
         if self.retries < 1:
             return self._close(job, "retry-budget")
         self.retries -= 1
-        if job.held and self.now < job.held_at + self.s.release_within:
+        if job.held and self.now < job.held_at + self.s.state_hold_time:
             return self._write(job)
         job.held = None
         # A state may wait at a reader that was cut off, or while no writer's connection comes up.
-        self.actions.append(i.Release(job.req.request))
+        self.actions.append(i.ReleaseState(job.req.request))
         self._place(job)
 
     def _close(self, job: Job, why: str) -> None:
         """The final answer, and whatever is held goes with it. A refused client is told to stay away for as
         long as it heeds. Those who come back at once add to the jam that they were refused for."""
         # Even a read counts as one that may run until it has ended, and a refusal would be a lie.
-        spec, away = self.s.classes[job.req.cls], self.s.max_retry_after if self.s.retry_hints else 0
+        spec, away = self.s.classes[job.req.request_class], self.s.max_retry_after if self.s.retry_hints else 0
         if may_refuse(spec, job.ran is not None or job.out):
-            self.actions.append(i.Refuse(job.req.request, away, why))
+            self.actions.append(i.RejectRequest(job.req.request, away, why))
         else:
-            self.actions.append(i.Fail(job.req.request, why))
+            self.actions.append(i.FailRequest(job.req.request, why))
         self._drop(job)
 
     def _drop(self, job: Job) -> None:
         """A state that stays pinned. REFUSE, FAIL and a client's leaving let go of nothing."""
         job.closed = True
         if not job.out:
-            self.actions.append(i.Release(self.jobs.pop(job.req.request).req.request))
+            self.actions.append(i.ReleaseState(self.jobs.pop(job.req.request).req.request))
         elif self.s.may_cancel and not job.streaming:
-            self.actions.append(i.CallOff(job.req.request, job.attempt))
+            self.actions.append(i.CancelAttempt(job.req.request, job.attempt))
 
-    def _left(self, event: i.Left) -> None:
+    def _left(self, event: i.ClientDisconnected) -> None:
         if job := self.jobs.get(event.request):
             self._drop(job)
 
@@ -536,7 +553,7 @@
         mean, while warm ones of a role may get light ones above all: what they answer is not what a cold one bears."""
         if job.fetches:  # writing an answer takes what it takes, whatever was read before it
             return 1.0
-        return min(1.0, (job.req.prompt + PAD) / (self.lengths[job.req.cls].value + PAD))
+        return min(1.0, (job.req.prompt_tokens + PAD) / (self.lengths[job.req.request_class].value + PAD))
 
     def _filled(self, e: Engine, job: Job) -> None:
         """No slot or no memory came free in time: with less of my work there it may. One jam cuts once."""
@@ -555,14 +572,14 @@
         e.fails.add(self.now, failed)
         self.zones.setdefault(e.entry.zone, Faded(STEP_EVERY, 4)).add(self.now, failed)
         if bad != (e.fails.value > OUTLIER):
-            self.actions.append(i.Report(f"engine {e.id} {'out: ' + why if failed else 'is back'}"))
+            self.actions.append(i.LogMessage(f"engine {e.id} {'out: ' + why if failed else 'is back'}"))
 
     def _timer(self, what: int, wait: int) -> None:
         self.timer += 1
         self.timers[self.timer] = what
         self.actions.append(i.SetTimer(self.timer, wait))
 
-    def _due(self, event: i.Due) -> None:
+    def _due(self, event: i.TimerFired) -> None:
         if (what := self.timers.pop(event.timer, -2)) == -1:
             self._step()
         elif (job := self.jobs.get(what)) and not job.closed and not job.streaming:
@@ -571,7 +588,7 @@
     def _step(self) -> None:
         """The ratio's step. Reads still out count with their age. A hung reader looks fast."""
         self._timer(-1, STEP_EVERY)
-        for e in self.ready[i.READER]:
+        for e in self.ready[i.Role.PREFILL]:
             if oldest := next(iter(e.waiting.values()), None):
                 self.read_share.add(self.now, (self.now - oldest.sent_at) / oldest.aim)
         step = RATIO_STEP if (share := self.read_share.value) > 0.5 else -RATIO_STEP if share < 0.25 else 0.0
--- a/pearhill/service/roster.py
+++ b/pearhill/service/roster.py
@@ -14,20 +14,20 @@
 
     def __init__(self, wishes: Wishes) -> None:
         self.wishes = wishes
-        self.entries: dict[int, i.Entry] = {}
+        self.entries: dict[int, i.Endpoint] = {}
 
-    def listed(self, full: bool, entries: tuple[i.Entry, ...]) -> tuple[i.Entry, ...]:
+    def listed(self, full: bool, entries: tuple[i.Endpoint, ...]) -> tuple[i.Endpoint, ...]:
         """A list as discovery gives it; the same as the Router is told it."""
         if full:
             self.entries = {}
         for entry in entries:
-            if entry.phase == i.GONE:
-                self.entries.pop(entry.engine, None)
+            if entry.phase == i.Phase.GONE:
+                self.entries.pop(entry.replica, None)
             else:
-                self.entries[entry.engine] = entry
+                self.entries[entry.replica] = entry
         return tuple(self._told(entry) for entry in entries)
 
-    def again(self, engines: Iterable[int]) -> tuple[i.Entry, ...]:
+    def again(self, engines: Iterable[int]) -> tuple[i.Endpoint, ...]:
         """What to tell of these engines now that a wish has changed."""
         return tuple(self._told(self.entries[engine]) for engine in engines if engine in self.entries)
 
@@ -35,12 +35,12 @@
         """Somebody has this id: it is listed, or out by hand and may come back."""
         return engine in self.entries or self.wishes.is_out(engine)
 
-    def _told(self, entry: i.Entry) -> i.Entry:
-        if self.wishes.is_out(entry.engine):
-            return replace(entry, phase=i.DRAINING) if entry.phase == i.READY else entry
-        back = self.wishes.back(entry.engine)
+    def _told(self, entry: i.Endpoint) -> i.Endpoint:
+        if self.wishes.is_out(entry.replica):
+            return replace(entry, phase=i.Phase.DRAINING) if entry.phase == i.Phase.READY else entry
+        back = self.wishes.back(entry.replica)
         # Danger: operators restart what is out, and the list tells of it seconds late. Taken for warm, it is pushed
         # over. A start that the list names, during the absence or later, is the true one.
-        if back and entry.started < back.since:
-            return replace(entry, started=back.at)
+        if back and entry.started_at < back.since:
+            return replace(entry, started_at=back.at)
         return entry
--- a/pearhill/settings.py
+++ b/pearhill/settings.py
@@ -8,8 +8,12 @@
 
 from pearhill import interface as i
 
-ROLES = {"read": i.READER, "write": i.WRITER, "both": i.MIXED}
-EFFECTS = {"read_like": i.SAFE, "idempotency_key": i.KEYED, "non_idempotent": i.UNSAFE}
+ROLES = {"read": i.Role.PREFILL, "write": i.Role.DECODE, "both": i.Role.MIXED}
+EFFECTS = {
+    "read_like": i.Idempotency.IDEMPOTENT,
+    "idempotency_key": i.Idempotency.KEYED,
+    "non_idempotent": i.Idempotency.UNSAFE,
+}
 
 
 class SettingsError(ValueError):
@@ -20,7 +24,7 @@
 class Deployment:
     """The router's settings, with what only the node round it needs. Times are microseconds."""
 
-    router: i.Settings
+    router: i.RouterSettings
     load_at: tuple[int, int]  # where the two load values stand in a report (-1: not reported)
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
@@ -55,7 +59,7 @@
         per_k = extra.get("aim-us-per-1000-prompt-tokens") or [0.0] * n
         pace = extra.get("token-aim") or [0.0] * n
         classes = tuple(
-            i.ClassSpec(
+            i.RequestClass(
                 int(c["aim"]),
                 float(per_k[k]),
                 int(c["deadline"]),
@@ -69,35 +73,35 @@
             for k, c in enumerate(s["classes"])
         )
         kinds = tuple(
-            i.KindSpec(ROLES.get(role, role), int(memory))
+            i.MachineKind(ROLES.get(role, role), int(memory))
             for role, memory in zip(extra["role-by-kind"], extra["tokens-by-kind"], strict=True)
         )
         columns = s.get("report", {}).get("columns", [])
         load_at = tuple(columns.index(name) if name in columns else -1 for name in ("x0", "x1"))
-        router = i.Settings(
+        router = i.RouterSettings(
             instances=int(s["n-instances"]),
             zone=int(s["zone"]),
             classes=classes,
             kinds=kinds,
             quotas=tuple(float(t["quota-rps"]) for t in s.get("tenants", [])),
-            over_share_worth=float(s.get("over-share-worth", 1)),
-            release_within=int(extra["release-within"]),
-            local_read=bool(extra["local-read"]),
+            over_quota_weight=float(s.get("over-share-worth", 1)),
+            state_hold_time=int(extra["release-within"]),
+            local_prefill=bool(extra["local-read"]),
             may_cancel=bool(allowed["may-cancel"]),
-            second_copies=bool(allowed["second-copies"]),
-            may_move=bool(extra.get("resume", False)),
+            hedged_requests=bool(allowed["second-copies"]),
+            may_migrate=bool(extra.get("resume", False)),
             retry_hints=bool(allowed.get("retry-after", False)),
             max_retry_after=int(allowed.get("max-retry-after", 0)),
             max_attempts=int(allowed["max-attempts"]),
-            cold=int(rules["cold"]),
-            cold_from=float(rules["cold-from"]),
-            fall=int(rules["fall"]),
-            fall_multiple=float(rules["fall-multiple"]),
+            slow_start_window=int(rules["cold"]),
+            slow_start_initial_share=float(rules["cold-from"]),
+            overload_window=int(rules["fall"]),
+            overload_multiple=float(rules["fall-multiple"]),
             tick=int(s["tick"]),
-            probing=bool(allowed.get("probing", False))
+            health_checks=bool(allowed.get("probing", False))
             and min(load_at) >= 0
             and s["report"].get("via", "off") != "off",
-            probe_price=float(s.get("prices", {}).get("probe", 0)),
+            health_check_price=float(s.get("prices", {}).get("probe", 0)),
         )
         return Deployment(
             router,
--- a/pearhill/spread/reports.py
+++ b/pearhill/spread/reports.py
@@ -39,11 +39,11 @@
         last = self._last.get(engine)
         return last is not None and now - last[0] < FRESH
 
-    def told(self, now: int, engine: int, ejected_until: int = 0) -> i.Told:
+    def told(self, now: int, engine: int, ejected_until: int = 0) -> i.LoadReport:
         at, held, waiting = self._last.get(engine, (now, 0.0, 0.0))
         # Beyond a few halvings it is as good as nothing, and says so: an old word must not outvote fresh evidence.
         sure = 0.5 ** ((now - at) / FADE) if engine in self._last and now - at < 5 * FADE else 0.0
-        return i.Told(engine, held, waiting * sure, sure, ejected_until)
+        return i.LoadReport(engine, held, waiting * sure, sure, ejected_until)
 
     def keep(self, engines: Collection[int]) -> None:
         """Danger: where machines come and go under new names, what is kept of each fills the memory."""
--- a/pearhill/spread/scout.py
+++ b/pearhill/spread/scout.py
@@ -48,7 +48,7 @@
 class Scout:
     """Feed it every event with its time, as one would a Router; do what it returns, in order."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: i.RouterSettings, seed: int) -> None:
         self.router = Router(settings, seed)
         # Danger: dispatchers that found an engine silent at the same moment would all ask again at the same moment.
         self.rng = random.Random(seed ^ 0x5C007)
@@ -61,7 +61,7 @@
         self.timer = FIRST_TIMER
         self.reconfigure(settings)
 
-    def reconfigure(self, settings: i.Settings) -> None:
+    def reconfigure(self, settings: i.RouterSettings) -> None:
         """Other figures for the same classes, kinds and zones."""
         self.router.reconfigure(settings)
         self.probes = looks(settings)
@@ -69,7 +69,10 @@
         # Danger: a state that waits at a reader meanwhile must be taken or let go of in time.
         self.wait = max(
             settings.tick,
-            min(int(min(spec.aim for spec in settings.classes) * WAIT_SHARE), settings.release_within // 4),
+            min(
+                int(min(spec.latency_objective for spec in settings.classes) * WAIT_SHARE),
+                settings.state_hold_time // 4,
+            ),
         )
 
     def talk(self, peers: Peers | None) -> None:
@@ -96,11 +99,11 @@
         return {
             e.id
             for e in router.engines.values()
-            if e.entry.phase != i.READY or e.rest > now or e.fails.over(now, 0.0) >= line
+            if e.entry.phase != i.Phase.READY or e.rest > now or e.fails.over(now, 0.0) >= line
         }
 
     def _looks(self) -> None:
-        self.router.looks = frozenset((i.READER, i.WRITER, i.MIXED)) if self.peers else self.probes
+        self.router.looks = frozenset((i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED)) if self.peers else self.probes
 
     def avoided(self, now: int) -> int:
         return sum(avoided for _, _, avoided in self.figures(now).values())
@@ -108,17 +111,17 @@
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
         """One event in, the actions it asks for out."""
         match event:
-            case i.Probed():
+            case i.HealthCheckEnded():
                 return self._probed(now, event)
-            case i.Due() if event.timer >= FIRST_TIMER:
+            case i.TimerFired() if event.timer >= FIRST_TIMER:
                 request = self.timers.pop(event.timer, 0)
                 return self._seen(now, request) if request in self.looking else []
-            case i.Ended() if event.load:
-                self.reports.heard(now, event.engine, event.load)
-            case i.Left():
+            case i.AttemptEnded() if event.load:
+                self.reports.heard(now, event.replica, event.load)
+            case i.ClientDisconnected():
                 self.looking.pop(event.request, None)
         actions = self._answered(now, self.router.handle(now, event))
-        if isinstance(event, i.Listed):
+        if isinstance(event, i.EndpointsUpdated):
             self._listed()
         return actions
 
@@ -132,49 +135,51 @@
 
     def _answered(self, now: int, actions: list[i.Action]) -> list[i.Action]:
         """The Router's actions, its looks replaced by what they ask for, or by what it does when told at once."""
-        if not any(isinstance(action, i.Look) for action in actions):
+        if not any(isinstance(action, i.QueryLoad) for action in actions):
             return actions
         out: list[i.Action] = []
         for action in actions:
-            out += self._look(now, action) if isinstance(action, i.Look) else [action]
+            out += self._look(now, action) if isinstance(action, i.QueryLoad) else [action]
         return out
 
-    def _look(self, now: int, look: i.Look) -> list[i.Action]:
-        roles = {e: self.router.engines[e].role for e in look.engines}
+    def _look(self, now: int, look: i.QueryLoad) -> list[i.Action]:
+        roles = {e: self.router.engines[e].role for e in look.replicas}
         missing = {
             e
-            for e in look.engines
+            for e in look.replicas
             if roles[e] in self.probes and not self.reports.fresh(now, e) and not self._ejected_until(now, e)
         }
         if not missing:
-            return self._facts(now, look.request, look.engines)
-        probes: list[i.Action] = [i.Probe(e) for e in sorted(missing) if now - self.asked.get(e, -GIVEN_UP) >= GIVEN_UP]
+            return self._facts(now, look.request, look.replicas)
+        probes: list[i.Action] = [
+            i.SendHealthCheck(e) for e in sorted(missing) if now - self.asked.get(e, -GIVEN_UP) >= GIVEN_UP
+        ]
         for probe in probes:
-            assert isinstance(probe, i.Probe)
-            self.asked[probe.engine] = now
+            assert isinstance(probe, i.SendHealthCheck)
+            self.asked[probe.replica] = now
         self.timer += 1
         self.timers[self.timer] = look.request
-        self.looking[look.request] = Looking(look.engines, missing, self.timer)
+        self.looking[look.request] = Looking(look.replicas, missing, self.timer)
         return [*probes, i.SetTimer(self.timer, self.wait)]
 
     def _ejected_until(self, now: int, engine: int) -> int:
         silence = self.silences.get(engine)
         return silence.until if silence and silence.until > now else 0
 
-    def _probed(self, now: int, event: i.Probed) -> list[i.Action]:
-        self.asked.pop(event.engine, None)
-        if event.outcome == i.ANSWERED:
-            self.silences.pop(event.engine, None)
-            self.reports.heard(now, event.engine, event.load)
-        elif event.outcome != i.MOOT and event.engine in self.router.engines:
-            silence = self.silences.setdefault(event.engine, Silence())
+    def _probed(self, now: int, event: i.HealthCheckEnded) -> list[i.Action]:
+        self.asked.pop(event.replica, None)
+        if event.outcome == i.Outcome.ANSWERED:
+            self.silences.pop(event.replica, None)
+            self.reports.heard(now, event.replica, event.load)
+        elif event.outcome != i.Outcome.NOT_SENT and event.replica in self.router.engines:
+            silence = self.silences.setdefault(event.replica, Silence())
             wait = min(MOST_EJECTED, FIRST_EJECTED << min(8, silence.times))
             silence.times, silence.until = silence.times + 1, now + int(wait * self.rng.uniform(0.75, 1.25))
         out: list[i.Action] = []
-        waiting = [r for r, looking in self.looking.items() if event.engine in looking.missing]
+        waiting = [r for r, looking in self.looking.items() if event.replica in looking.missing]
         for request in waiting:
             looking = self.looking[request]
-            looking.missing.discard(event.engine)
+            looking.missing.discard(event.replica)
             if not looking.missing:
                 out += self._seen(now, request)
         return out
@@ -189,18 +194,18 @@
             silence.until = max(silence.until, now + self.wait)
         return self._facts(now, request, looking.engines)
 
-    def _told(self, now: int, engine: int) -> i.Told:
+    def _told(self, now: int, engine: int) -> i.LoadReport:
         """Its own word, or, where that says less, the sum of what all dispatchers have there."""
         told = self.reports.told(now, engine, self._ejected_until(now, engine))
-        if self.peers is None or (e := self.router.engines.get(engine)) is None or told.sure > 0.5:
+        if self.peers is None or (e := self.router.engines.get(engine)) is None or told.confidence > 0.5:
             return told
         waiting, load, sure = self.peers.others(now, engine, e.queue, e.load)
         # Danger: believed only while most of it is fresh, in a fleet of hundreds the sum would never count. What is not
         # fresh in it is assumed by the mean of what is, so that a small part tells as much as a sample does.
         if sure <= SAMPLE:
             return told
-        return i.Told(engine, min(1.0, (e.load + load) / e.memory), e.queue + waiting, 1.0, told.ejected_until)
+        return i.LoadReport(engine, min(1.0, (e.load + load) / e.memory), e.queue + waiting, 1.0, told.ejected_until)
 
     def _facts(self, now: int, request: int, engines: tuple[int, ...]) -> list[i.Action]:
         told = tuple(self._told(now, e) for e in engines)
-        return self._answered(now, self.router.handle(now, i.Looked(request, told)))
+        return self._answered(now, self.router.handle(now, i.LoadKnown(request, told)))
--- a/pearhill/spread/worth.py
+++ b/pearhill/spread/worth.py
@@ -18,10 +18,10 @@
 PROBES = 2  # engines to a choice
 
 
-def looks(settings: i.Settings) -> frozenset[str]:
+def looks(settings: i.RouterSettings) -> frozenset[str]:
     """The roles at which to look before each choice; none where engines tell nothing."""
-    if not settings.probing or settings.instances <= ALONE:
+    if not settings.health_checks or settings.instances <= ALONE:
         return frozenset()
-    gain, cost = GAIN * math.log(settings.instances / ALONE), PROBES * settings.probe_price
-    worth = {i.READER: gain, i.WRITER: gain * WRITERS}
+    gain, cost = GAIN * math.log(settings.instances / ALONE), PROBES * settings.health_check_price
+    worth = {i.Role.PREFILL: gain, i.Role.DECODE: gain * WRITERS}
     return frozenset(role for role, part in worth.items() if part > cost)
--- a/pearhill/wire.py
+++ b/pearhill/wire.py
@@ -9,17 +9,17 @@
 
 from pearhill import interface as i
 
-PHASES = {0: i.GONE, 1: i.READY, 2: i.DRAINING}
+PHASES = {0: i.Phase.GONE, 1: i.Phase.READY, 2: i.Phase.DRAINING}
 OUTCOMES = {
-    200: i.ANSWERED,
-    102: i.READ,
-    500: i.ERROR,
-    503: i.FULL,
-    504: i.TIMEOUT,
-    502: i.UNREACHABLE,
-    598: i.BROKEN,
-    499: i.CANCELLED,
-    410: i.MOOT,
+    200: i.Outcome.ANSWERED,
+    102: i.Outcome.PREFILLED,
+    500: i.Outcome.ERROR,
+    503: i.Outcome.FULL,
+    504: i.Outcome.TIMEOUT,
+    502: i.Outcome.UNREACHABLE,
+    598: i.Outcome.TRUNCATED,
+    499: i.Outcome.CANCELLED,
+    410: i.Outcome.NOT_SENT,
 }
 TURNED_AWAY = 503  # of a probe: the engine lives
 FULL_LIST, CACHED_LIST, FAILED_CALL = 0, 3, 4
@@ -68,7 +68,7 @@
     return int(value) if 0 <= value < 1e9 else 0
 
 
-def _listed(b: bytes) -> i.Listed | None:
+def _listed(b: bytes) -> i.EndpointsUpdated | None:
     _, mode, n = struct.unpack_from("<QBI", b)
     if mode == FAILED_CALL:
         return None
@@ -77,13 +77,13 @@
         engine, zone, kind, cell, phase, weight, started = _ENTRY.unpack_from(b, 13 + 22 * k)
         if phase not in PHASES:
             raise WireError(f"list entry {k} has the unknown phase {phase}")
-        entries.append(i.Entry(engine, zone, kind, cell, PHASES[phase], weight, started))
-    return i.Listed(mode in (FULL_LIST, CACHED_LIST), tuple(entries))
+        entries.append(i.Endpoint(engine, zone, kind, cell, PHASES[phase], weight, started))
+    return i.EndpointsUpdated(mode in (FULL_LIST, CACHED_LIST), tuple(entries))
 
 
-def _submit(b: bytes) -> i.Arrived:
+def _submit(b: bytes) -> i.RequestArrived:
     txn, _, prefix_len, prefix, prompt, cls, session, ttl, tenant, most, opts = _SUBMIT.unpack_from(b)
-    return i.Arrived(
+    return i.RequestArrived(
         txn,
         cls,
         tenant,
@@ -104,25 +104,25 @@
     return (report[x0], report[x1]) if min(load_at) >= 0 and max(load_at) < values else None
 
 
-def _probed(b: bytes, load_at: tuple[int, int]) -> i.Probed:
+def _probed(b: bytes, load_at: tuple[int, int]) -> i.HealthCheckEnded:
     rtt, engine, verdict, values = _PROBED.unpack_from(b)
-    outcome = i.ANSWERED if verdict == TURNED_AWAY else OUTCOMES.get(verdict, i.UNREACHABLE)
-    return i.Probed(engine, outcome, rtt, _load(b, _PROBED.size, values, load_at))
+    outcome = i.Outcome.ANSWERED if verdict == TURNED_AWAY else OUTCOMES.get(verdict, i.Outcome.UNREACHABLE)
+    return i.HealthCheckEnded(engine, outcome, rtt, _load(b, _PROBED.size, values, load_at))
 
 
-def _ended(b: bytes, load_at: tuple[int, int]) -> i.Ended:
+def _ended(b: bytes, load_at: tuple[int, int]) -> i.AttemptEnded:
     txn, detail, verdict, settled, rtt, engine, n, values = _ENDED.unpack_from(b)
     load = _load(b, _ENDED.size, values, load_at)
     if verdict not in OUTCOMES:
         raise WireError(f"ENDED has the unknown verdict {verdict}")
-    outcome = i.NO_STATE if verdict == 503 and detail == 1 else OUTCOMES[verdict]
+    outcome = i.Outcome.STATE_LOST if verdict == 503 and detail == 1 else OUTCOMES[verdict]
     kept = detail if verdict in (102, 200) else 0
-    return i.Ended(txn, n, engine, outcome, bool(settled), kept, rtt, load)
+    return i.AttemptEnded(txn, n, engine, outcome, bool(settled), kept, rtt, load)
 
 
-def _began(b: bytes) -> i.Began:
+def _began(b: bytes) -> i.ResponseStarted:
     txn, n, engine, rtt = _FIRST.unpack_from(b)
-    return i.Began(txn, n, engine, rtt)
+    return i.ResponseStarted(txn, n, engine, rtt)
 
 
 def _start(b: bytes) -> Start:
@@ -144,8 +144,8 @@
     10: _submit,
     7: _began,
     9: lambda b: Halt(),
-    1: lambda b: i.Due(_U32.unpack_from(b)[0]),
-    2: lambda b: i.Left(_U32.unpack_from(b)[0]),
+    1: lambda b: i.TimerFired(_U32.unpack_from(b)[0]),
+    2: lambda b: i.ClientDisconnected(_U32.unpack_from(b)[0]),
 }
 
 _REPORTING: dict[int, Callable[[bytes, tuple[int, int]], i.Event]] = {0: _probed, 8: _ended}  # may hold a report
@@ -210,25 +210,25 @@
 def encode_action(a: i.Action | Fault) -> bytes:
     """One action as one record."""
     match a:
-        case i.Send():
-            return struct.pack("<BIIIi", 64, 12, a.request, a.engine, a.patience)
+        case i.SendAttempt():
+            return struct.pack("<BIIIi", 64, 12, a.request, a.replica, a.attempt_timeout)
         case i.SetTimer():
-            return struct.pack("<BIII", 68, 8, a.timer, a.wait)
-        case i.CallOff():
+            return struct.pack("<BIII", 68, 8, a.timer, a.delay)
+        case i.CancelAttempt():
             return struct.pack("<BIIH", 67, 6, a.request, a.attempt)
-        case i.Refuse():
-            return struct.pack("<BIII", 65, 8, a.request, a.stay_away)
-        case i.Fail():
+        case i.RejectRequest():
+            return struct.pack("<BIII", 65, 8, a.request, a.retry_after)
+        case i.FailRequest():
             return struct.pack("<BII", 66, 4, a.request)
-        case i.Probe():
-            return struct.pack("<BII", 69, 4, a.engine)
-        case i.Release():
+        case i.SendHealthCheck():
+            return struct.pack("<BII", 69, 4, a.replica)
+        case i.ReleaseState():
             return struct.pack("<BII", 78, 4, a.request)
-        case i.Move():
+        case i.MigrateStream():
             return struct.pack("<BII", 76, 4, a.request)
-        case i.Report():
+        case i.LogMessage():
             return _text(72, a.text)
-        case i.Look():
+        case i.QueryLoad():
             raise WireError("a Look is answered inside, and has no record")
         case Fault():
             return _text(73, a.text)
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from pearhill.budgets import DEBT, OVER, WITHIN, Budgets, Limit, Plan, Prices, TenantPlan, Used
+from pearhill.budgets import AdmissionStatus, Budgets, Limit, Plan, Prices, TenantPlan, Used
 from pearhill.budgets.charges import Charge, pack, pack_state, rebuild
 from pearhill.budgets.limits import DAY, GRAINS, MILLI, month_name, month_of, periods
 
@@ -45,11 +45,11 @@
     def test_a_bucket_gives_its_burst_and_then_its_rate(self):
         b = budgets(a=plan(tokens_per_min=600, burst=1_000))
         first = b.admit(T0, WALL, "a", "", 500, 500)
-        self.assertEqual(first.kind, WITHIN)
+        self.assertEqual(first.kind, AdmissionStatus.WITHIN_LIMIT)
         second = b.admit(T0, WALL, "a", "", 50, 50)
-        self.assertEqual((second.kind, second.wait, second.reservation), (OVER, 10 * S, None))
+        self.assertEqual((second.kind, second.wait, second.reservation), (AdmissionStatus.OVER_LIMIT, 10 * S, None))
         self.assertEqual(b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).wait, 1)
-        self.assertEqual(b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).kind, WITHIN)
+        self.assertEqual(b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).kind, AdmissionStatus.WITHIN_LIMIT)
 
     def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
@@ -62,8 +62,8 @@
         b.settle(T0, held, Used(90, 0, 2_400))  # three times as long as reserved: served whole
         self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 1_600)
         standing = b.admit(T0, WALL, "a", "", 1, 1)
-        self.assertEqual((standing.kind, standing.wait), (DEBT, 1_602 * S))
-        self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).kind, WITHIN)
+        self.assertEqual((standing.kind, standing.wait), (AdmissionStatus.OVERDRAWN, 1_602 * S))
+        self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).kind, AdmissionStatus.WITHIN_LIMIT)
 
     def test_a_run_that_never_was_costs_nothing_and_settles_once(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, day=5_000, open=1))
@@ -92,13 +92,13 @@
                 b = Budgets(made, T0)
                 self.assertTrue(b.admit(T0, WALL, "a", "k1", 50, 30).admitted)
                 standing = b.admit(T0, WALL, "a", "k1", 50, 30)
-                self.assertEqual((standing.kind, standing.why[: len(why)]), (OVER, why))
+                self.assertEqual((standing.kind, standing.why[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
                 self.assertEqual(standing.lasting, name in ("day", "month"))
 
     def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         self.assertTrue(b.admit(T0, WALL, "a", "", 100, 50).admitted)
-        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).kind, DEBT)
+        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).kind, AdmissionStatus.OVERDRAWN)
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         self.assertTrue(b.admit(T0, WALL, "a", "", 100, 51).lasting)
 
@@ -214,9 +214,11 @@
         )
         for k in range(10_000):
             standing = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
-            self.assertEqual(standing.kind, WITHIN)
+            self.assertEqual(standing.kind, AdmissionStatus.WITHIN_LIMIT)
             b.settle(T0 + k * 100, standing.reservation, Used(90, 0, 10))
-        self.assertEqual(b.admit(T0 + S, WALL, "t1", "", 190, 10).kind, OVER)  # guaranteed work has taken all
+        self.assertEqual(
+            b.admit(T0 + S, WALL, "t1", "", 190, 10).kind, AdmissionStatus.OVER_LIMIT
+        )  # guaranteed work has taken all
         now = T0 + 30 * S
         for _ in range(1_000):
             now = b.tick(now)
@@ -323,8 +325,8 @@
             self.level -= amount
             self.held.append((standing.reservation, prompt, most))
         else:
-            assert standing.wait >= 0 and standing.kind in (OVER, DEBT)
-            assert (standing.kind == DEBT) == (level < 0 and standing.why.endswith("paid off"))
+            assert standing.wait >= 0 and standing.kind in (AdmissionStatus.OVER_LIMIT, AdmissionStatus.OVERDRAWN)
+            assert (standing.kind == AdmissionStatus.OVERDRAWN) == (level < 0 and standing.why.endswith("paid off"))
 
     @precondition(lambda self: self.held)
     @rule(data=st.data())
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -8,47 +8,53 @@
 from pearhill.rules import Router
 
 S = 1_000_000
-CLASS = i.ClassSpec(
-    aim=1 * S,
-    aim_per_1000=40_000.0,
+CLASS = i.RequestClass(
+    latency_objective=1 * S,
+    latency_objective_per_1000_tokens=40_000.0,
     deadline=4 * S,
-    worth=1.0,
-    late_worth=0.1,
-    effect=i.SAFE,
-    group="all",
-    window=5 * S,
-    token_aim=60_000.0,
+    priority_weight=1.0,
+    late_priority_weight=0.1,
+    idempotency=i.Idempotency.IDEMPOTENT,
+    idempotency_scope="all",
+    idempotency_window=5 * S,
+    token_latency_objective=60_000.0,
 )
-SETTINGS = i.Settings(
+SETTINGS = i.RouterSettings(
     instances=2,
     zone=0,
     classes=(CLASS,),
-    kinds=(i.KindSpec(i.READER, 200_000), i.KindSpec(i.WRITER, 150_000), i.KindSpec(i.MIXED, 200_000)),
+    kinds=(
+        i.MachineKind(i.Role.PREFILL, 200_000),
+        i.MachineKind(i.Role.DECODE, 150_000),
+        i.MachineKind(i.Role.MIXED, 200_000),
+    ),
     quotas=(),
-    over_share_worth=0.1,
-    release_within=300_000,
-    local_read=True,
+    over_quota_weight=0.1,
+    state_hold_time=300_000,
+    local_prefill=True,
     may_cancel=True,
-    second_copies=False,
-    may_move=True,
+    hedged_requests=False,
+    may_migrate=True,
     retry_hints=False,
     max_retry_after=2 * S,
     max_attempts=5,
-    cold=14 * S,
-    cold_from=0.25,
-    fall=S,
-    fall_multiple=2.5,
+    slow_start_window=14 * S,
+    slow_start_initial_share=0.25,
+    overload_window=S,
+    overload_multiple=2.5,
     tick=2000,
 )
 
 
-def settings(effect: str = i.SAFE, group: str = "all", **changes: object) -> i.Settings:
-    spec = replace(CLASS, effect=effect, group=group)
+def settings(effect: str = i.Idempotency.IDEMPOTENT, group: str = "all", **changes: object) -> i.RouterSettings:
+    spec = replace(CLASS, idempotency=effect, idempotency_scope=group)
     return replace(SETTINGS, classes=(spec,), **changes)
 
 
-def entry(engine: int, kind: int, cell: int = 0, zone: int = 0, phase: str = i.READY, started: int = 0) -> i.Entry:
-    return i.Entry(engine, zone, kind, cell, phase, 1.0, started)
+def entry(
+    engine: int, kind: int, cell: int = 0, zone: int = 0, phase: str = i.Phase.READY, started: int = 0
+) -> i.Endpoint:
+    return i.Endpoint(engine, zone, kind, cell, phase, 1.0, started)
 
 
 FLEET = tuple(entry(n, 0, cell=n % 2) for n in range(1, 7)) + tuple(entry(n, 1, cell=n % 2) for n in range(11, 17))
@@ -57,21 +63,21 @@
 class Drive:
     """One router, its clock, and the last attempt of each request."""
 
-    def __init__(self, s: i.Settings = SETTINGS, fleet: tuple[i.Entry, ...] = FLEET, seed: int = 1) -> None:
+    def __init__(self, s: i.RouterSettings = SETTINGS, fleet: tuple[i.Endpoint, ...] = FLEET, seed: int = 1) -> None:
         self.router, self.now, self.next = Router(s, seed), 100 * S, 1
-        self.sent: dict[int, i.Send] = {}
+        self.sent: dict[int, i.SendAttempt] = {}
         self.attempt: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
-        self.feed(i.Listed(True, fleet))
+        self.feed(i.EndpointsUpdated(True, fleet))
 
     def feed(self, event: i.Event) -> list[i.Action]:
         actions = self.router.handle(self.now, event)
         for a in actions:
-            if isinstance(a, i.Send):
+            if isinstance(a, i.SendAttempt):
                 self.sent[a.request] = a
                 self.attempt[a.request] = self.attempt.get(a.request, -1) + 1
             if isinstance(a, i.SetTimer):
-                self.timers.append((self.now + a.wait, a.timer))
+                self.timers.append((self.now + a.delay, a.timer))
         return actions
 
     def wait(self, micros: int) -> list[i.Action]:
@@ -81,7 +87,7 @@
             at, timer = min(self.timers)
             self.timers.remove((at, timer))
             self.now = max(self.now, at)
-            actions += self.feed(i.Due(timer))
+            actions += self.feed(i.TimerFired(timer))
         self.now = end
         return actions
 
@@ -98,7 +104,7 @@
     ) -> tuple[int, list[i.Action]]:
         request, self.next = self.next, self.next + 1
         return request, self.feed(
-            i.Arrived(request, cls, tenant, session, prefix, prefix_len, prompt, max_out, ttl, False, False)
+            i.RequestArrived(request, cls, tenant, session, prefix, prefix_len, prompt, max_out, ttl, False, False)
         )
 
     def end(
@@ -111,18 +117,20 @@
         load: tuple[float, float] | None = None,
     ) -> list[i.Action]:
         return self.feed(
-            i.Ended(request, self.attempt[request], self.sent[request].engine, outcome, settled, kept, rtt, load)
+            i.AttemptEnded(
+                request, self.attempt[request], self.sent[request].replica, outcome, settled, kept, rtt, load
+            )
         )
 
     def began(self, request: int, rtt: int = 30_000) -> list[i.Action]:
-        return self.feed(i.Began(request, self.attempt[request], self.sent[request].engine, rtt))
+        return self.feed(i.ResponseStarted(request, self.attempt[request], self.sent[request].replica, rtt))
 
     def serve(self, request: int, kept: int = 0, rtt: int = 50_000) -> None:
         """See a request through to its answer."""
-        if self.sent[request].engine < 11:
-            self.end(request, i.READ, kept=kept, rtt=rtt)
+        if self.sent[request].replica < 11:
+            self.end(request, i.Outcome.PREFILLED, kept=kept, rtt=rtt)
         self.began(request)
-        self.end(request, i.ANSWERED, settled=True, kept=kept)
+        self.end(request, i.Outcome.ANSWERED, settled=True, kept=kept)
 
 
 def of(kind: type, actions: list[i.Action]) -> list[i.Action]:
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -138,15 +138,15 @@
     return wire.encode_reply(
         12,
         [
-            (3, i.Send(21, 11, 1_500_000, 7, 8)),
+            (3, i.SendAttempt(21, 11, 1_500_000, 7, 8)),
             (3, i.SetTimer(77, 2_000_000)),
-            (3, i.CallOff(21, 1)),
-            (4, i.Refuse(22, 2_000_000, "slow-reads")),
-            (4, i.Fail(23, "deadline")),
-            (3, i.Probe(11)),
-            (3, i.Release(21)),
-            (3, i.Move(24)),
-            (3, i.Report("a line for the log")),
+            (3, i.CancelAttempt(21, 1)),
+            (4, i.RejectRequest(22, 2_000_000, "slow-reads")),
+            (4, i.FailRequest(23, "deadline")),
+            (3, i.SendHealthCheck(11)),
+            (3, i.ReleaseState(21)),
+            (3, i.MigrateStream(24)),
+            (3, i.LogMessage("a line for the log")),
             (3, wire.Fault("ValueError: no")),
         ],
     )
--- a/tests/service/test_by_hand.py
+++ b/tests/service/test_by_hand.py
@@ -12,21 +12,21 @@
 from tests.driver import S, entry
 
 
-def phases(entries: tuple[i.Entry, ...]) -> dict[int, str]:
-    return {e.engine: e.phase for e in entries}
+def phases(entries: tuple[i.Endpoint, ...]) -> dict[int, str]:
+    return {e.replica: e.phase for e in entries}
 
 
 def test_what_is_out_is_told_as_draining_whatever_the_list_says():
     roster = Roster(wishes := Wishes())
-    assert phases(roster.listed(True, (entry(1, 0), entry(2, 1)))) == {1: i.READY, 2: i.READY}
+    assert phases(roster.listed(True, (entry(1, 0), entry(2, 1)))) == {1: i.Phase.READY, 2: i.Phase.READY}
     wishes.set_out(1, 10 * S, True)
-    assert phases(roster.again({1})) == {1: i.DRAINING}
+    assert phases(roster.again({1})) == {1: i.Phase.DRAINING}
     for full in (False, True):
-        assert phases(roster.listed(full, (entry(1, 0), entry(2, 1)))) == {1: i.DRAINING, 2: i.READY}
-    roster.listed(False, (entry(1, 0, phase=i.GONE),))
+        assert phases(roster.listed(full, (entry(1, 0), entry(2, 1)))) == {1: i.Phase.DRAINING, 2: i.Phase.READY}
+    roster.listed(False, (entry(1, 0, phase=i.Phase.GONE),))
     assert roster.knows(1) and roster.again({1}) == ()  # not listed, and still out
-    moved = replace(entry(1, 0), started=11 * S, cell=5)
-    assert phases(roster.listed(False, (moved,))) == {1: i.DRAINING}
+    moved = replace(entry(1, 0), started_at=11 * S, cell=5)
+    assert phases(roster.listed(False, (moved,))) == {1: i.Phase.DRAINING}
     wishes.set_out(1, 12 * S, False)
     assert roster.again({1}) == (moved,)  # the list named its start
     roster.listed(True, ())
@@ -49,9 +49,9 @@
     roster.listed(True, (entry(1, 0, started=3 * S),))
     wishes.set_out(1, 10 * S, True)
     wishes.set_out(1, 20 * S, False)
-    assert roster.again({1})[0].started == 20 * S  # absence is not warmth
+    assert roster.again({1})[0].started_at == 20 * S  # absence is not warmth
     for start in (14 * S, 25 * S):
-        assert roster.listed(False, (entry(1, 0, started=start),))[0].started == start
+        assert roster.listed(False, (entry(1, 0, started=start),))[0].started_at == start
     wishes.forget(20 * S + FORGOTTEN_AFTER + 1)
     assert wishes.out == {}
 
--- a/tests/spread/test_scout.py
+++ b/tests/spread/test_scout.py
@@ -15,7 +15,7 @@
 from pearhill.spread.worth import looks
 from tests.driver import SETTINGS, Drive, S, entry
 
-BLIND = replace(SETTINGS, instances=60, probing=True, probe_price=0.0039)
+BLIND = replace(SETTINGS, instances=60, health_checks=True, health_check_price=0.0039)
 FLEET = tuple(entry(n, 0) for n in (1, 2)) + tuple(entry(n, 1) for n in (11, 12))
 MS = 1000
 
@@ -23,22 +23,26 @@
 class Asking(Drive):
     """A scout before two readers and two writers, and the probes that it has out."""
 
-    def __init__(self, s: i.Settings = BLIND, seed: int = 1) -> None:
+    def __init__(self, s: i.RouterSettings = BLIND, seed: int = 1) -> None:
         self.out: list[int] = []
         super().__init__(s, FLEET, seed)
         # The same driver, before the Router's own decisions: drop the one that it made, list the fleet anew.
         self.router: Any = Scout(s, seed)
         self.timers.clear()
-        self.feed(i.Listed(True, FLEET))
+        self.feed(i.EndpointsUpdated(True, FLEET))
 
     def feed(self, event: i.Event) -> list[i.Action]:
         actions = super().feed(event)
-        self.out += [a.engine for a in actions if isinstance(a, i.Probe)]
+        self.out += [a.replica for a in actions if isinstance(a, i.SendHealthCheck)]
         return actions
 
-    def tell(self, engine: int, held: float = 0.1, waiting: float = 0.0, outcome: str = i.ANSWERED) -> list[i.Action]:
+    def tell(
+        self, engine: int, held: float = 0.1, waiting: float = 0.0, outcome: str = i.Outcome.ANSWERED
+    ) -> list[i.Action]:
         self.out.remove(engine)
-        return self.feed(i.Probed(engine, outcome, MS, (held, waiting) if outcome == i.ANSWERED else None))
+        return self.feed(
+            i.HealthCheckEnded(engine, outcome, MS, (held, waiting) if outcome == i.Outcome.ANSWERED else None)
+        )
 
     def read(self, told: dict[int, float], session: int = 5) -> int:
         """The reader that a request goes to, when those that are asked tell so many thousands of tokens."""
@@ -49,9 +53,9 @@
 
     def gone(self, r: int) -> int:
         """The client leaves, and its work goes with it; where it had been sent."""
-        self.feed(i.Left(r))
-        self.end(r, i.CANCELLED, settled=True)
-        return self.sent[r].engine
+        self.feed(i.ClientDisconnected(r))
+        self.end(r, i.Outcome.CANCELLED, settled=True)
+        return self.sent[r].replica
 
 
 @pytest.mark.parametrize(
@@ -60,16 +64,16 @@
         (1, 0.0, True, ()),
         (3, 0.0039, True, ()),
         (5, 0.0, True, ()),
-        (8, 0.0039, True, (i.READER,)),
-        (12, 0.0039, True, (i.READER,)),
-        (60, 0.0039, True, (i.READER, i.WRITER)),
+        (8, 0.0039, True, (i.Role.PREFILL,)),
+        (12, 0.0039, True, (i.Role.PREFILL,)),
+        (60, 0.0039, True, (i.Role.PREFILL, i.Role.DECODE)),
         (60, 0.2, True, ()),
         (200, 0.0039, False, ()),
-        (8, 0.0, True, (i.READER, i.WRITER)),
+        (8, 0.0, True, (i.Role.PREFILL, i.Role.DECODE)),
     ],
 )
 def test_a_look_is_taken_only_where_it_pays(instances, price, probing, roles):
-    assert looks(replace(SETTINGS, instances=instances, probe_price=price, probing=probing)) == set(roles)
+    assert looks(replace(SETTINGS, instances=instances, health_check_price=price, health_checks=probing)) == set(roles)
 
 
 def test_the_emptier_of_the_pair_by_its_own_word_reads_whatever_i_have_there():
@@ -82,10 +86,10 @@
         d = Asking()
         d.arrive()
         d.tell(1), d.tell(2)
-        d.end(1, i.READ)
+        d.end(1, i.Outcome.PREFILLED)
         d.tell(roomy, held=0.2)
         d.tell(full, held=0.9)
-        assert d.sent[1].engine == roomy
+        assert d.sent[1].replica == roomy
 
 
 class Others:
@@ -108,11 +112,11 @@
         r, _ = d.arrive(session=5)
         assert not d.out
         if sure < 0.1:  # hardly a word of it is fresh: as if nothing was said
-            assert d.sent[r].engine == plain
+            assert d.sent[r].replica == plain
             continue
-        assert d.sent[r].engine == 3 - busy
-        d.end(r, i.READ)
-        assert d.sent[r].engine == 23 - (busy + 10)
+        assert d.sent[r].replica == 3 - busy
+        d.end(r, i.Outcome.PREFILLED)
+        assert d.sent[r].replica == 23 - (busy + 10)
 
 
 def test_one_probe_serves_all_that_wait_and_a_fresh_word_is_not_asked_for_again():
@@ -136,8 +140,8 @@
         d.tell(well, waiting=3.0)
         assert r not in d.sent
         d.wait(30 * MS)
-        assert d.sent[r].engine == well  # who says nothing is not empty
-        d.tell(silent, outcome=i.TIMEOUT)
+        assert d.sent[r].replica == well  # who says nothing is not empty
+        d.tell(silent, outcome=i.Outcome.TIMEOUT)
         for n in range(8):
             assert d.read({1: 9.0, 2: 9.0}, session=20 + n) == well
 
@@ -145,7 +149,7 @@
 def test_a_mute_engine_is_tried_by_a_probe_and_never_by_a_request_until_it_answers():
     d, asked, period = Asking(), 0, 0
     d.arrive()
-    d.tell(2), d.tell(1, outcome=i.UNREACHABLE)
+    d.tell(2), d.tell(1, outcome=i.Outcome.UNREACHABLE)
     for n in range(200):  # ten seconds of sessions, each at its own home
         d.wait(50 * MS)
         r, _ = d.arrive(session=100 + n)
@@ -153,7 +157,7 @@
             d.tell(2)
         if 1 in d.out:
             asked += 1
-            d.tell(1, outcome=i.TIMEOUT)
+            d.tell(1, outcome=i.Outcome.TIMEOUT)
         assert d.gone(r) == 2
     assert 4 <= asked <= 2 + math.log2(MOST_EJECTED / FIRST_EJECTED) + 10 * S / (0.75 * MOST_EJECTED)
     for n in range(200):
@@ -170,7 +174,7 @@
 def test_a_probe_that_was_never_sent_says_nothing_and_one_that_is_lost_is_not_waited_for():
     d = Asking()
     r, _ = d.arrive()
-    d.tell(1, outcome=i.MOOT), d.tell(2, outcome=i.MOOT)
+    d.tell(1, outcome=i.Outcome.NOT_SENT), d.tell(2, outcome=i.Outcome.NOT_SENT)
     d.gone(r)
     assert {d.read({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
     d.wait(S)
@@ -184,13 +188,13 @@
 def test_an_engine_that_leaves_while_it_is_asked_and_a_client_that_does():
     d = Asking()
     r, _ = d.arrive()
-    d.feed(i.Listed(False, (replace(FLEET[0], phase=i.GONE),)))
+    d.feed(i.EndpointsUpdated(False, (replace(FLEET[0], phase=i.Phase.GONE),)))
     d.tell(1), d.tell(2)
-    assert d.sent[r].engine == 2
+    assert d.sent[r].replica == 2
     d.wait(FRESH + 1)
-    d.feed(i.Listed(False, (FLEET[0],)))
+    d.feed(i.EndpointsUpdated(False, (FLEET[0],)))
     gone, _ = d.arrive(session=9)
-    d.feed(i.Left(gone))
+    d.feed(i.ClientDisconnected(gone))
     for engine in list(d.out):
         d.tell(engine)
     d.wait(S)
@@ -203,7 +207,14 @@
     for load in (None, (math.nan, 1.0), (0.1, math.inf), (-0.1, 1.0), (0.1, 1e9)):
         assert not reports.heard(FADE // 4, 1, load)
     fresh, old, gone = (reports.told(at, 1) for at in (0, FADE, 6 * FADE))
-    assert (fresh.waiting, fresh.sure, old.waiting, old.sure, gone.waiting, gone.sure) == (8000, 1, 4000, 0.5, 0, 0)
+    assert (
+        fresh.queued_tokens,
+        fresh.confidence,
+        old.queued_tokens,
+        old.confidence,
+        gone.queued_tokens,
+        gone.confidence,
+    ) == (8000, 1, 4000, 0.5, 0, 0)
     reports.keep([2])
     assert len(reports) == 0
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -36,18 +36,18 @@
     def fresh(self) -> Drive:
         self.next += 1
         drive = Drive(
-            settings(instances=self.count, local_read=False, fall=1_500_000, cold=RAMP),
+            settings(instances=self.count, local_prefill=False, overload_window=1_500_000, slow_start_window=RAMP),
             tuple(self.listed.values()),
             seed=self.rng.randrange(1 << 30),
         )
         drive.now = self.now
         return drive
 
-    def change(self, *entries: i.Entry) -> None:
-        self.listed |= {e.engine: e for e in entries}
+    def change(self, *entries: i.Endpoint) -> None:
+        self.listed |= {e.replica: e for e in entries}
         for node in self.nodes:
             node.wait(self.now - node.now)
-            node.feed(i.Listed(False, entries))
+            node.feed(i.EndpointsUpdated(False, entries))
 
     def run(self, until: int) -> None:
         while self.now < until:
@@ -55,10 +55,10 @@
             node = self.rng.choices(self.nodes, self.shares)[0]
             node.wait(self.now - node.now)
             r, out = node.arrive(prompt=3000, session=self.rng.randrange(1, 1 << 60))
-            while of(i.Send, out) and node.sent[r].engine in self.cut:
-                out = node.end(r, i.UNREACHABLE)
-            if of(i.Send, out):
-                self.sent.setdefault(node.sent[r].engine, []).append(self.now)
+            while of(i.SendAttempt, out) and node.sent[r].replica in self.cut:
+                out = node.end(r, i.Outcome.UNREACHABLE)
+            if of(i.SendAttempt, out):
+                self.sent.setdefault(node.sent[r].replica, []).append(self.now)
                 node.serve(r)
 
 
@@ -80,9 +80,11 @@
     s = fleet.nodes[0].router.s
     sent, over, fullest = [at for at in fleet.sent.get(engine, []) if started <= at < started + RAMP], 0, 0.0
     for k, at in enumerate(sent):
-        end = at + s.fall
-        part = min(1.0, s.cold_from + (1 - s.cold_from) * (at - started) / s.cold)
-        bears = s.fall_multiple * part * capacity * s.fall
+        end = at + s.overload_window
+        part = min(
+            1.0, s.slow_start_initial_share + (1 - s.slow_start_initial_share) * (at - started) / s.slow_start_window
+        )
+        bears = s.overload_multiple * part * capacity * s.overload_window
         got = bisect_left(sent, end) - k
         over += got > bears + chance(bears)
         fullest = max(fullest, got / bears)
@@ -115,7 +117,7 @@
             fleet.nodes[n] = fleet.fresh()
     if day == "late":
         fleet.run(start + 5 * S)
-        fleet.change(*(entry(n, 0, cell=n % 2, phase=i.DRAINING) for n in range(2, READERS + 1)))
+        fleet.change(*(entry(n, 0, cell=n % 2, phase=i.Phase.DRAINING) for n in range(2, READERS + 1)))
     if day == "cut":
         fleet.run(start + 5 * S)
         fleet.cut = set(range(2, READERS + 1))
@@ -144,8 +146,8 @@
             prompt = SHORT if self.rng.random() < SHORT_SHARE else LONG
             r, out = node.arrive(prompt=prompt, session=self.rng.randrange(1, 1 << 60))
             self.all_work, self.requests = self.all_work + prompt + PAD, self.requests + 1
-            if of(i.Send, out):
-                engine = node.sent[r].engine
+            if of(i.SendAttempt, out):
+                engine = node.sent[r].replica
                 self.sent.setdefault(engine, []).append(self.now)
                 self.work[engine] = self.work.get(engine, 0.0) + prompt + PAD
                 node.serve(r)
@@ -177,18 +179,20 @@
     """Servers that were empty begin answers far faster than they finish them (bench souss-helpdesk, throng,
     506155874871, whose burst falls into the first seconds)."""
     fleet = (*(entry(n, 0) for n in range(1, 4)), *(entry(n, kind) for n in range(first, first + 3)))
-    node = Drive(settings(instances=1, local_read=True, fall=1_500_000, cold=RAMP), fleet, seed=5)
+    node = Drive(
+        settings(instances=1, local_prefill=True, overload_window=1_500_000, slow_start_window=RAMP), fleet, seed=5
+    )
     role, open_still = node.router.s.kinds[kind].role, []
     for n in range(200):
         r, out = node.arrive(prompt=300, session=n + 1)
-        if of(i.Send, out) and node.sent[r].engine < 11:
-            node.end(r, i.READ)
-        if r in node.sent and node.sent[r].engine >= 11:
+        if of(i.SendAttempt, out) and node.sent[r].replica < 11:
+            node.end(r, i.Outcome.PREFILLED)
+        if r in node.sent and node.sent[r].replica >= 11:
             node.began(r)
             open_still.append(r)
         node.wait(20_000)
     assert open_still and node.router.slow_start.answer_rate[role] == 0
     for r in open_still:
-        node.end(r, i.ANSWERED, settled=True)
+        node.end(r, i.Outcome.ANSWERED, settled=True)
     node.wait(2 * S)
     assert node.router.slow_start.answer_rate[role] > 0
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,8 +17,8 @@
 from pearhill.spread.scout import Scout
 from tests.driver import CLASS, SETTINGS, S
 
-RUNS = (i.ERROR, i.TIMEOUT, i.BROKEN, i.CANCELLED)  # it may have run
-FINAL = (i.Refuse, i.Fail)
+RUNS = (i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.TRUNCATED, i.Outcome.CANCELLED)  # it may have run
+FINAL = (i.RejectRequest, i.FailRequest)
 
 
 @dataclass
@@ -27,27 +27,29 @@
 
     cls: int
     end: int
-    out: i.Send | None = None
-    at: i.Entry | None = None
+    out: i.SendAttempt | None = None
+    at: i.Endpoint | None = None
     attempts: int = 0
     began: bool = False
     answers: int = 0
-    ran: i.Entry | None = None
+    ran: i.Endpoint | None = None
     held: bool = False
 
 
 class Day:
     """One router before engines that do as they like. Checks each action as it comes."""
 
-    def __init__(self, s: i.Settings, zones: int, reports: bool, rng: random.Random) -> None:
+    def __init__(self, s: i.RouterSettings, zones: int, reports: bool, rng: random.Random) -> None:
         self.s, self.rng, self.reports = s, rng, reports
         self.now, self.heap, self.count = 100 * S, [], 0
         self.router, self.seen, self.probed = Scout(s, rng.randrange(1 << 60)), {}, set()
         self.listed = {}
         for n in range(1, rng.randrange(4, 16)):
             started, weight = 0 if rng.random() < 0.8 else self.now, rng.choice((0.0, 1.0, 2.5))
-            self.listed[n] = i.Entry(n, n % zones, n % len(s.kinds), n % zones * 10 + n % 2, i.READY, weight, started)
-        self.feed(i.Listed(True, tuple(self.listed.values())))
+            self.listed[n] = i.Endpoint(
+                n, n % zones, n % len(s.kinds), n % zones * 10 + n % 2, i.Phase.READY, weight, started
+            )
+        self.feed(i.EndpointsUpdated(True, tuple(self.listed.values())))
 
     def later(self, wait: int, event: Any) -> None:
         self.count += 1
@@ -59,83 +61,94 @@
 
     def audit(self, a: i.Action) -> None:
         if isinstance(a, i.SetTimer):
-            return self.later(a.wait, i.Due(a.timer))
-        if isinstance(a, i.Report):
+            return self.later(a.delay, i.TimerFired(a.timer))
+        if isinstance(a, i.LogMessage):
             return None
-        if isinstance(a, i.Probe):
-            assert self.s.probing and a.engine in self.listed and a.engine not in self.probed
-            took, end = int(self.rng.lognormvariate(9, 2)), self.rng.choice((i.ANSWERED,) * 6 + (i.MOOT, i.TIMEOUT))
+        if isinstance(a, i.SendHealthCheck):
+            assert self.s.health_checks and a.replica in self.listed and a.replica not in self.probed
+            took, end = (
+                int(self.rng.lognormvariate(9, 2)),
+                self.rng.choice((i.Outcome.ANSWERED,) * 6 + (i.Outcome.NOT_SENT, i.Outcome.TIMEOUT)),
+            )
             load = self.rng.choice((None, (0.4, 7.0), (0.99, 0.0), (math.nan, 1.0), (-1.0, math.inf)))
             if self.rng.random() < 0.98:  # or nobody ever says how it ended
-                self.probed.add(a.engine)
-                self.later(took, i.Probed(a.engine, end, took, load))
+                self.probed.add(a.replica)
+                self.later(took, i.HealthCheckEnded(a.replica, end, took, load))
             return None
         seen = self.seen[a.request]
         spec = self.s.classes[seen.cls]
-        if isinstance(a, i.Send):
+        if isinstance(a, i.SendAttempt):
             assert not seen.out and not seen.answers, "a second attempt, or one after the final answer"
-            assert seen.attempts < self.s.max_attempts and a.patience > 0
-            e = self.listed.get(a.engine)
-            assert e and e.phase == i.READY, "a send to an engine that the list does not call ready"
-            reads = self.s.kinds[e.kind].role == i.READER
+            assert seen.attempts < self.s.max_attempts and a.attempt_timeout > 0
+            e = self.listed.get(a.replica)
+            assert e and e.phase == i.Phase.READY, "a send to an engine that the list does not call ready"
+            reads = self.s.kinds[e.kind].role == i.Role.PREFILL
             if seen.ran:
-                assert spec.effect != i.UNSAFE, "an unsafe request that may have run went out again"
-                same = {"all": True, "zone": e.zone == seen.ran.zone, "cell": e.cell == seen.ran.cell}[spec.group]
-                assert spec.effect == i.SAFE or same or reads
+                assert spec.idempotency != i.Idempotency.UNSAFE, "an unsafe request that may have run went out again"
+                same = {"all": True, "zone": e.zone == seen.ran.zone, "cell": e.cell == seen.ran.cell}[
+                    spec.idempotency_scope
+                ]
+                assert spec.idempotency == i.Idempotency.IDEMPOTENT or same or reads
             if not reads and not seen.held:
-                assert self.s.local_read or self.s.kinds[e.kind].role == i.MIXED, "nothing to fetch, and none may read"
+                assert (
+                    self.s.local_prefill or self.s.kinds[e.kind].role == i.Role.MIXED
+                ), "nothing to fetch, and none may read"
             seen.out, seen.at, seen.attempts = a, e, seen.attempts + 1
             self.later(*self.fate(a, e, reads, seen))
         elif isinstance(a, FINAL):
             seen.answers += 1
             assert not seen.began and seen.answers == 1 and self.now <= seen.end
-            if isinstance(a, i.Refuse):
-                assert not (seen.ran and spec.effect == i.UNSAFE), "refused as harmless, and it may have run"
-                assert not (seen.out and spec.effect == i.UNSAFE)
-                assert 0 <= a.stay_away <= (self.s.max_retry_after if self.s.retry_hints else 0)
-        elif isinstance(a, i.CallOff):
+            if isinstance(a, i.RejectRequest):
+                assert not (
+                    seen.ran and spec.idempotency == i.Idempotency.UNSAFE
+                ), "refused as harmless, and it may have run"
+                assert not (seen.out and spec.idempotency == i.Idempotency.UNSAFE)
+                assert 0 <= a.retry_after <= (self.s.max_retry_after if self.s.retry_hints else 0)
+        elif isinstance(a, i.CancelAttempt):
             assert self.s.may_cancel and not seen.began
-        elif isinstance(a, i.Release):
+        elif isinstance(a, i.ReleaseState):
             seen.held = False
         else:
-            assert isinstance(a, i.Move) and self.s.may_move
+            assert isinstance(a, i.MigrateStream) and self.s.may_migrate
 
-    def fate(self, a: i.Send, e: i.Entry, reads: bool, seen: Seen) -> tuple[int, Any]:
+    def fate(self, a: i.SendAttempt, e: i.Endpoint, reads: bool, seen: Seen) -> tuple[int, Any]:
         """What becomes of an attempt, and when: it may also never be heard of again until its patience ends."""
         took = int(self.rng.lognormvariate(11.5, 1.2))
-        if took >= a.patience or self.rng.random() < 0.05:
-            return a.patience, (a, i.TIMEOUT)
-        usual = i.READ if reads else "began"
-        odd = (i.ERROR, i.BROKEN, i.FULL, i.UNREACHABLE) + (() if reads else (i.NO_STATE,))
+        if took >= a.attempt_timeout or self.rng.random() < 0.05:
+            return a.attempt_timeout, (a, i.Outcome.TIMEOUT)
+        usual = i.Outcome.PREFILLED if reads else "began"
+        odd = (i.Outcome.ERROR, i.Outcome.TRUNCATED, i.Outcome.FULL, i.Outcome.UNREACHABLE) + (
+            () if reads else (i.Outcome.STATE_LOST,)
+        )
         return took, (a, usual if self.rng.random() < 0.8 else self.rng.choice(odd))
 
-    def ended(self, a: i.Send, outcome: str) -> None:
+    def ended(self, a: i.SendAttempt, outcome: str) -> None:
         seen = self.seen[a.request]
         took = self.now - (seen.end - 4 * S)
         e = seen.at
         if outcome == "began":
             if seen.answers:  # too late: the client has its answer
-                outcome = i.CANCELLED
+                outcome = i.Outcome.CANCELLED
             else:
                 seen.began, seen.held = True, False
-                self.feed(i.Began(a.request, seen.attempts - 1, a.engine, max(1, took)))
-                end = i.ANSWERED if self.rng.random() < 0.9 else i.BROKEN
+                self.feed(i.ResponseStarted(a.request, seen.attempts - 1, a.replica, max(1, took)))
+                end = i.Outcome.ANSWERED if self.rng.random() < 0.9 else i.Outcome.TRUNCATED
                 return self.later(self.rng.randrange(1, 3 * S), (a, end))
         seen.out = None
-        reads = self.s.kinds[e.kind].role == i.READER
+        reads = self.s.kinds[e.kind].role == i.Role.PREFILL
         if outcome in RUNS and not reads:
             seen.ran = seen.ran or e
         settled = seen.began or bool(seen.answers)
-        seen.held = outcome == i.READ or (seen.held and outcome != i.NO_STATE)
+        seen.held = outcome == i.Outcome.PREFILLED or (seen.held and outcome != i.Outcome.STATE_LOST)
         load = (self.rng.random(), 5.0) if self.reports and self.rng.random() < 0.7 else None
         self.feed(
-            i.Ended(
+            i.AttemptEnded(
                 a.request,
                 seen.attempts - 1,
-                a.engine,
+                a.replica,
                 outcome,
                 settled,
-                self.rng.randrange(3000) if outcome in (i.READ, i.ANSWERED) else 0,
+                self.rng.randrange(3000) if outcome in (i.Outcome.PREFILLED, i.Outcome.ANSWERED) else 0,
                 max(1, took),
                 load,
                 self.rng.choice((0, 0, 0, S)),
@@ -150,16 +163,18 @@
         n = self.rng.choice(list(self.listed))
         kind = self.rng.randrange(4)
         if kind == 0 and len(self.listed) > 3:
-            gone = replace(self.listed.pop(n), phase=i.GONE)
-            self.feed(i.Listed(False, (gone,)))
+            gone = replace(self.listed.pop(n), phase=i.Phase.GONE)
+            self.feed(i.EndpointsUpdated(False, (gone,)))
         elif kind == 1:
-            self.listed[n] = replace(self.listed[n], phase=self.rng.choice((i.READY, i.DRAINING)), started=self.now)
-            self.feed(i.Listed(False, (self.listed[n],)))
+            self.listed[n] = replace(
+                self.listed[n], phase=self.rng.choice((i.Phase.READY, i.Phase.DRAINING)), started_at=self.now
+            )
+            self.feed(i.EndpointsUpdated(False, (self.listed[n],)))
         elif kind == 2 and self.seen:
             number = self.rng.choice(list(self.seen))
             if not self.seen[number].answers and not self.seen[number].began:
                 self.seen[number].answers = 1  # nothing is owed to it any more
-                self.feed(i.Left(number))
+                self.feed(i.ClientDisconnected(number))
         else:
             self.router.reconfigure(self.s)
 
@@ -174,7 +189,7 @@
                 cls, prompt = self.rng.randrange(len(self.s.classes)), self.rng.choice((40, 900, 5000, 60_000))
                 self.seen[-order] = Seen(cls, self.now + 4 * S)
                 self.feed(
-                    i.Arrived(
+                    i.RequestArrived(
                         -order,
                         cls,
                         self.rng.randrange(3),
@@ -185,15 +200,15 @@
                         self.rng.choice((0, 300)),
                         4 * S,
                         self.rng.random() < 0.1,
-                        self.s.may_move and self.rng.random() < 0.1,
+                        self.s.may_migrate and self.rng.random() < 0.1,
                     )
                 )
                 if self.rng.random() < 0.08:
                     self.disturb()
-            elif isinstance(event, i.Probed):
-                self.probed.discard(event.engine)
+            elif isinstance(event, i.HealthCheckEnded):
+                self.probed.discard(event.replica)
                 self.feed(event)
-            elif isinstance(event, i.Due):
+            elif isinstance(event, i.TimerFired):
                 self.feed(event)
             elif self.seen[event[0].request].out is event[0]:
                 self.ended(*event)
@@ -202,10 +217,10 @@
         assert all(e.load == e.queue == 0 for e in self.router.router.engines.values())
 
 
-ROLES = st.lists(st.sampled_from((i.READER, i.WRITER, i.MIXED)), min_size=1, max_size=4)
+ROLES = st.lists(st.sampled_from((i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED)), min_size=1, max_size=4)
 CLASSES = st.lists(
     st.tuples(
-        st.sampled_from((i.SAFE, i.KEYED, i.UNSAFE)),
+        st.sampled_from((i.Idempotency.IDEMPOTENT, i.Idempotency.KEYED, i.Idempotency.UNSAFE)),
         st.sampled_from(("all", "zone", "cell")),
         st.sampled_from((300_000, S, 3 * S)),
         st.sampled_from((0.0, 1.0, 5.0)),
@@ -237,23 +252,24 @@
 def test_a_day_of_trouble_keeps_the_rules_on_any_deployment(
     roles, classes, zones, instances, reports, probing, local, cancel, resume, hints, attempts, quotas, cold, day
 ):
-    kinds = tuple(i.KindSpec(role, 150_000) for role in roles)
+    kinds = tuple(i.MachineKind(role, 150_000) for role in roles)
     s = replace(
         SETTINGS,
         instances=instances,
         kinds=kinds,
         quotas=quotas,
         classes=tuple(
-            replace(CLASS, effect=effect, group=group, aim=aim, worth=worth) for effect, group, aim, worth in classes
+            replace(CLASS, idempotency=effect, idempotency_scope=group, latency_objective=aim, priority_weight=worth)
+            for effect, group, aim, worth in classes
         ),
-        probing=probing,
-        local_read=local,
+        health_checks=probing,
+        local_prefill=local,
         may_cancel=cancel,
-        may_move=resume,
+        may_migrate=resume,
         retry_hints=hints,
         max_attempts=attempts,
-        cold=cold[0],
-        cold_from=cold[1],
-        fall=cold[2],
+        slow_start_window=cold[0],
+        slow_start_initial_share=cold[1],
+        overload_window=cold[2],
     )
     Day(s, zones, reports, random.Random(day)).play(120)
--- a/tests/test_eureka.py
+++ b/tests/test_eureka.py
@@ -134,7 +134,7 @@
     def setUp(self) -> None:
         self.registry, self.deployment = Registry(), settings.parse(SETTINGS)
 
-    def entries(self) -> list[i.Entry]:
+    def entries(self) -> list[i.Endpoint]:
         return list(self.registry.servers(APP, self.deployment)[0])
 
     def test_metadata_gives_role_zone_and_cell(self):
@@ -155,7 +155,7 @@
         self.assertTrue(
             self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
         )
-        self.assertEqual(sorted(e.phase for e in self.entries()), [i.DRAINING, i.READY])
+        self.assertEqual(sorted(e.phase for e in self.entries()), [i.Phase.DRAINING, i.Phase.READY])
 
     def test_a_list_of_one_may_come_as_the_one_alone(self):
         told = answer(instance("a"))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -9,7 +9,17 @@
 from tests import test_core
 from tests.test_core import ADVICE, BOOKING
 
-ENDS = [i.ANSWERED, i.READ, i.ERROR, i.TIMEOUT, i.BROKEN, i.FULL, i.NO_STATE, i.UNREACHABLE, i.DECLINED]
+ENDS = [
+    i.Outcome.ANSWERED,
+    i.Outcome.PREFILLED,
+    i.Outcome.ERROR,
+    i.Outcome.TIMEOUT,
+    i.Outcome.TRUNCATED,
+    i.Outcome.FULL,
+    i.Outcome.STATE_LOST,
+    i.Outcome.UNREACHABLE,
+    i.Outcome.DECLINED,
+]
 STEP = st.one_of(
     st.tuples(st.just("take"), st.sampled_from((ADVICE, BOOKING)), st.integers(1, 6_000_000)),
     st.tuples(st.just("end"), st.sampled_from(ENDS), st.integers(0, 30)),
@@ -67,7 +77,7 @@
             if what == "begin":
                 attempt.begin()
             else:
-                attempt.end(which, said="no" if which == i.DECLINED and not attempt.began else None)
+                attempt.end(which, said="no" if which == i.Outcome.DECLINED and not attempt.began else None)
         ended = 0
         for cls in (ADVICE, BOOKING):
             told = core.calls[cls]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -21,11 +21,11 @@
         fail(d, 1, times=1)
         for other in (2, 3):
             d.router._judged(d.router.engines[other], 0.0, "")
-    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].engine != 1 for s in range(1, 9))
+    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica != 1 for s in range(1, 9))
     d.wait(12 * S)
-    hits = [r for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].engine == 1]
+    hits = [r for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     assert hits
-    d.end(hits[0], i.READ)
+    d.end(hits[0], i.Outcome.PREFILLED)
     assert d.router.engines[1].fails.value < OUTLIER
 
 
@@ -39,9 +39,9 @@
         new.router._judged(new.router.engines[engine], 0.0, "")
     for d in (new, known):
         fail(d, 1, times=1)
-    job = Job(i.Arrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
-    assert 1 not in [e.id for e in new.router._open(new.router.ready[i.READER], job)]
-    assert 1 in [e.id for e in known.router._open(known.router.ready[i.READER], job)]
+    job = Job(i.RequestArrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
+    assert 1 not in [e.id for e in new.router._open(new.router.ready[i.Role.PREFILL], job)]
+    assert 1 in [e.id for e in known.router._open(known.router.ready[i.Role.PREFILL], job)]
 
 
 def test_engines_of_a_zone_that_is_cut_are_left_together():
@@ -51,7 +51,7 @@
     for n in (1, 3):  # two failures in zone 1, one success in zone 0; 5 and 7 were never tried
         fail(d, n, times=1)
     d.router._judged(d.router.engines[2], 0.0, "")
-    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].engine % 2 == 0 for s in range(1, 20))
+    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica % 2 == 0 for s in range(1, 20))
 
 
 def test_panic_threshold_never_leaves_most_of_a_role():
@@ -59,24 +59,24 @@
     d.router.now = d.now
     for n in (1, 2, 3):
         fail(d, n)
-    used = {d.sent[r].engine for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 40)) if r in d.sent}
+    used = {d.sent[r].replica for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 40)) if r in d.sent}
     assert used & {1, 2, 3}
 
 
 def test_a_slow_engine_that_answers_others_is_not_silent():
     d = Drive(fleet=(entry(1, 0), entry(2, 0), entry(11, 1)))
-    slow = [r for r in (d.arrive(prompt=300, session=s)[0] for s in range(1, 30)) if d.sent[r].engine == 1]
+    slow = [r for r in (d.arrive(prompt=300, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     d.wait(10_000)
-    d.end(slow[0], i.READ)
+    d.end(slow[0], i.Outcome.PREFILLED)
     for r in slow[1:4]:
-        d.end(r, i.TIMEOUT)
+        d.end(r, i.Outcome.TIMEOUT)
     assert d.router.engines[1].fails.value == 0
 
 
 def test_an_attempt_leaves_time_for_another():
     d = Drive()
     _, out = d.arrive(ttl=2 * S)
-    assert of(i.Send, out)[0].patience <= S
+    assert of(i.SendAttempt, out)[0].attempt_timeout <= S
 
 
 def test_the_retry_budget_ends_a_storm():
@@ -85,7 +85,7 @@
     for n in range(100):
         r, _ = d.arrive(prompt=5000, session=n + 1)
         while r in d.router.jobs:
-            sends += len(of(i.Send, d.end(r, i.FULL)))
+            sends += len(of(i.SendAttempt, d.end(r, i.Outcome.FULL)))
     assert sends < 40
 
 
@@ -98,23 +98,23 @@
     used, refused = set(), 0
     for n in range(200):
         r, out = d.arrive(prompt=5000, session=500 + n, prefix=77, prefix_len=2000)
-        refused += len(of(i.Refuse, out))
-        used |= {a.engine for a in of(i.Send, out)}
-        assert len(used) > 2 or not of(i.Refuse, out)
+        refused += len(of(i.RejectRequest, out))
+        used |= {a.replica for a in of(i.SendAttempt, out)}
+        assert len(used) > 2 or not of(i.RejectRequest, out)
     assert used >= {1, 2, 3, 4, 5, 6} and refused > 100
 
 
 def test_leaving_an_engine_calls_nothing_off():
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=1)
-    out = fail(d, d.sent[r].engine, times=1)
-    assert of(i.Report, out) and not of(i.CallOff, out)
+    out = fail(d, d.sent[r].replica, times=1)
+    assert of(i.LogMessage, out) and not of(i.CancelAttempt, out)
 
 
 def test_a_hasty_clients_time_is_not_cut_into_attempts_that_are_all_in_vain():
     d = Drive()
     _, out = d.arrive(ttl=240_000)
-    assert of(i.Send, out)[0].patience == 240_000
+    assert of(i.SendAttempt, out)[0].attempt_timeout == 240_000
 
 
 def test_refused_at_once_when_the_clients_time_is_shorter_than_the_read():
@@ -122,4 +122,4 @@
     for n in range(60):
         d.serve(d.arrive(prompt=5000, session=n + 1)[0], rtt=400_000)
     _, out = d.arrive(prompt=5000, session=99, ttl=300_000)
-    assert of(i.Refuse, out) and not of(i.Send, out)
+    assert of(i.RejectRequest, out) and not of(i.SendAttempt, out)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,12 +12,12 @@
     aim = 1 * S + 40 * prompt
     for n in range(6):
         r, _ = d.arrive(prompt=prompt, session=900 + n)
-        if d.sent[r].engine > 10:
+        if d.sent[r].replica > 10:
             d.serve(r)
             continue
-        d.end(r, i.READ, rtt=int(share * aim))
+        d.end(r, i.Outcome.PREFILLED, rtt=int(share * aim))
         d.began(r)
-        d.end(r, i.ANSWERED, settled=True)
+        d.end(r, i.Outcome.ANSWERED, settled=True)
     d.wait(2 * S)
 
 
@@ -53,7 +53,7 @@
     for n in range(100):
         r, _ = d.arrive(prompt=1000, session=n + 1)
         total += 1000
-        at_writers += 1000 * (d.sent[r].engine >= 11)
+        at_writers += 1000 * (d.sent[r].replica >= 11)
         assert at_writers <= RATIO_START * total
         d.serve(r)
     assert at_writers > 0.1 * total
@@ -63,7 +63,7 @@
     d = Drive()
     for n in range(1, 20):
         r, _ = d.arrive(prompt=5000, session=n)
-        assert d.sent[r].engine < 11
+        assert d.sent[r].replica < 11
         d.serve(r)
 
 
@@ -73,36 +73,36 @@
         d.serve(d.arrive(prompt=9000, session=50 + n)[0])
     r, _ = d.arrive(prompt=1500, session=7)
     d.serve(r)
-    home = d.sent[r].engine
+    home = d.sent[r].replica
     assert home >= 11
     q, _ = d.arrive(prompt=2900, session=7)
-    assert d.sent[q].engine == home
-    d.end(q, i.ANSWERED, settled=True, kept=0)
-    assert d.sent[d.arrive(prompt=5600, session=7)[0]].engine < 11
+    assert d.sent[q].replica == home
+    d.end(q, i.Outcome.ANSWERED, settled=True, kept=0)
+    assert d.sent[d.arrive(prompt=5600, session=7)[0]].replica < 11
 
 
 def test_a_prompt_whose_state_was_fetched_is_not_believed_to_be_kept_at_the_writer():
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=7)
     d.serve(r)
-    assert d.sent[r].engine > 10
-    assert d.sent[d.arrive(prompt=5400, session=7)[0]].engine < 11
+    assert d.sent[r].replica > 10
+    assert d.sent[d.arrive(prompt=5400, session=7)[0]].replica < 11
 
 
 def test_local_reading_only_where_the_settings_allow_it_and_memory_is_free():
-    off = Drive(replace(SETTINGS, local_read=False))
-    assert all(off.sent[off.arrive(prompt=500, session=n)[0]].engine < 11 for n in range(1, 20))
+    off = Drive(replace(SETTINGS, local_prefill=False))
+    assert all(off.sent[off.arrive(prompt=500, session=n)[0]].replica < 11 for n in range(1, 20))
     full = Drive()
-    full_writers = [e for e in full.router.engines.values() if e.role == i.WRITER]
+    full_writers = [e for e in full.router.engines.values() if e.role == i.Role.DECODE]
     full.router.helds[1].add(full.now, 0.97)  # a deployment with reports
     for e in full_writers:
         e.held.add(full.now, 0.97, 4)
     _, out = full.arrive(prompt=500, session=99)
-    assert of(i.Refuse, out) and not of(i.Send, out)
+    assert of(i.RejectRequest, out) and not of(i.SendAttempt, out)
     full_writers[0].held.value = 0.5
     r, _ = full.arrive(prompt=6000, session=99)
-    full.end(r, i.READ)
-    assert full.sent[r].engine == full_writers[0].id
+    full.end(r, i.Outcome.PREFILLED)
+    assert full.sent[r].replica == full_writers[0].id
 
 
 def test_same_reader_pair_at_every_node_whatever_the_seed():
@@ -111,7 +111,7 @@
         d = Drive(seed=seed)
         for prefix in range(1, 30):
             both = [d.arrive(prompt=6000, prefix=prefix, prefix_len=3000)[0] for _ in range(2)]
-            seen.setdefault(prefix, set()).update(d.sent[r].engine for r in both)
+            seen.setdefault(prefix, set()).update(d.sent[r].replica for r in both)
             for r in both:
                 d.serve(r)
     assert all(len(pair) <= 2 for pair in seen.values())
@@ -122,10 +122,10 @@
 def test_past_a_lost_reader_the_next_in_hash_order_takes_over():
     d = Drive()
     r, _ = d.arrive(prompt=6000, prefix=5, prefix_len=3000)
-    home = d.sent[r].engine
-    d.feed(i.Listed(False, (entry(home, 0, phase=i.DRAINING),)))
+    home = d.sent[r].replica
+    d.feed(i.EndpointsUpdated(False, (entry(home, 0, phase=i.Phase.DRAINING),)))
     q, _ = d.arrive(prompt=6000, prefix=5, prefix_len=3000)
-    assert d.sent[q].engine != home
+    assert d.sent[q].replica != home
 
 
 def test_writer_in_the_readers_cell_then_its_zone_then_anywhere():
@@ -133,10 +133,10 @@
     d = Drive(fleet=fleet)
     for lost, expected in ((None, 11), (11, 12), (12, 13)):
         if lost:
-            d.feed(i.Listed(False, (replace(fleet[lost - 10], phase=i.GONE),)))
+            d.feed(i.EndpointsUpdated(False, (replace(fleet[lost - 10], phase=i.Phase.GONE),)))
         r, _ = d.arrive(prompt=6000)
-        d.end(r, i.READ)
-        assert d.sent[r].engine == expected
+        d.end(r, i.Outcome.PREFILLED)
+        assert d.sent[r].replica == expected
 
 
 def test_mixed_servers_take_their_share_whole():
@@ -145,15 +145,15 @@
     engines = []
     for n in range(1, 41):
         r, _ = d.arrive(prompt=1500, session=n)
-        engines.append(d.sent[r].engine)
+        engines.append(d.sent[r].replica)
         if engines[-1] < 11:
-            d.end(r, i.READ)
-    assert d.sent[d.arrive(prompt=9000)[0]].engine < 11
+            d.end(r, i.Outcome.PREFILLED)
+    assert d.sent[d.arrive(prompt=9000)[0]].replica < 11
     whole = sum(e > 20 for e in engines)
     assert 0 < whole < 40
     r = next(n for n, e in enumerate(engines, 1) if e > 20)
     d.began(r)
-    assert not of(i.Send, d.end(r, i.ANSWERED, settled=True))
+    assert not of(i.SendAttempt, d.end(r, i.Outcome.ANSWERED, settled=True))
 
 
 def test_identical_events_give_identical_actions():
@@ -169,18 +169,18 @@
     for hints, most, away in ((True, 2 * S, 2 * S), (True, 300_000, 300_000), (False, 2 * S, 0)):
         d = Drive(settings(retry_hints=hints, max_retry_after=most), fleet=())
         _, out = d.arrive()
-        assert [a.stay_away for a in of(i.Refuse, out)] == [away]
+        assert [a.retry_after for a in of(i.RejectRequest, out)] == [away]
 
 
 def test_a_giant_prompt_is_not_believed_as_kept_as_usual_ones():
     d = Drive()
     for n in range(20):  # reads find nearly all of each prompt kept
         r, _ = d.arrive(prompt=5000, session=n + 1, prefix=7, prefix_len=4000)
-        d.end(r, i.READ, kept=4500)
+        d.end(r, i.Outcome.PREFILLED, kept=4500)
         d.began(r)
-        d.end(r, i.ANSWERED, settled=True)
+        d.end(r, i.Outcome.ANSWERED, settled=True)
     reader = d.router.engines[1]
-    usual, giant = (i.Arrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
+    usual, giant = (i.RequestArrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
     assert d.router._belief(reader, usual, 1) > 3000
     assert d.router._belief(reader, giant, 1) < 12_000
 
@@ -196,21 +196,21 @@
     at = []
     for n in range(40):
         r, _ = d.arrive(prompt=3000, session=n + 1)
-        if d.sent[r].engine < 10:
-            d.end(r, i.READ)
+        if d.sent[r].replica < 10:
+            d.end(r, i.Outcome.PREFILLED)
         d.began(r)  # and goes on streaming
-        at.append(d.sent[r].engine)
+        at.append(d.sent[r].replica)
     assert at[0] == 11  # near, while it is no worse than the others
     assert 8 <= at.count(11) <= 16, at  # of forty, among five
 
 
 def test_a_mixed_server_takes_its_share_whole_and_not_everything():
-    fleet = (*FLEET, entry(21, 2), entry(22, 2, phase=i.DRAINING))
+    fleet = (*FLEET, entry(21, 2), entry(22, 2, phase=i.Phase.DRAINING))
     d = Drive(SETTINGS, fleet)
     for n in range(60):
         r, _ = d.arrive(prompt=1000, session=n + 1)
-        if d.sent[r].engine < 10:
-            d.end(r, i.READ)
+        if d.sent[r].replica < 10:
+            d.end(r, i.Outcome.PREFILLED)
         d.began(r)
-    work = {e.id: e.load for e in d.router.engines.values() if e.role != i.READER}
+    work = {e.id: e.load for e in d.router.engines.values() if e.role != i.Role.PREFILL}
     assert work[21] <= 2 * sum(work.values()) / (len(work) - 1) + 1050, work
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -10,32 +10,42 @@
 from pearhill import interface as i
 from tests.driver import FLEET, Drive, entry, settings
 
-OUTCOMES = (i.READ, i.FULL, i.NO_STATE, i.TIMEOUT, i.UNREACHABLE, i.BROKEN, i.ERROR, i.CANCELLED, i.MOOT)
+OUTCOMES = (
+    i.Outcome.PREFILLED,
+    i.Outcome.FULL,
+    i.Outcome.STATE_LOST,
+    i.Outcome.TIMEOUT,
+    i.Outcome.UNREACHABLE,
+    i.Outcome.TRUNCATED,
+    i.Outcome.ERROR,
+    i.Outcome.CANCELLED,
+    i.Outcome.NOT_SENT,
+)
 
 
-def play(seed: int, effect: str = i.SAFE) -> list[str]:
+def play(seed: int, effect: str = i.Idempotency.IDEMPOTENT) -> list[str]:
     """Drive one router through 600 random events; assert the invariants; return all actions as text."""
     rng, d = random.Random(seed), Drive(settings(effect, "cell"), FLEET + (entry(21, 2),), seed=seed)
     out: dict[int, int] = {}
     ended: set[int] = set()
     open_: dict[int, int] = {}
     held: set[int] = set()
-    phases = {e.engine: e.phase for e in FLEET}
+    phases = {e.replica: e.phase for e in FLEET}
     text = []
 
     def check(actions: list[i.Action]) -> None:
         for a in actions:
             text.append(repr(a))
-            if isinstance(a, i.Send):
+            if isinstance(a, i.SendAttempt):
                 assert a.request not in out and a.request not in ended
-                assert phases.get(a.engine, i.READY) == i.READY
-                out[a.request] = a.engine
+                assert phases.get(a.replica, i.Phase.READY) == i.Phase.READY
+                out[a.request] = a.replica
                 held.discard(a.request)
-            elif isinstance(a, i.Refuse | i.Fail):
+            elif isinstance(a, i.RejectRequest | i.FailRequest):
                 assert a.request in open_ and a.request not in ended
                 ended.add(a.request)
                 del open_[a.request]
-            elif isinstance(a, i.Release):
+            elif isinstance(a, i.ReleaseState):
                 held.discard(a.request)
         assert not {r for r in held if r not in out}
 
@@ -54,40 +64,44 @@
         elif roll < 0.75 and out:
             r = rng.choice(sorted(out))
             outcome = rng.choice(OUTCOMES)
-            if outcome == i.READ and out[r] > 10:
-                outcome = i.FULL
+            if outcome == i.Outcome.PREFILLED and out[r] > 10:
+                outcome = i.Outcome.FULL
             engine = out.pop(r)
-            if outcome == i.READ:
+            if outcome == i.Outcome.PREFILLED:
                 held.add(r)
-            check(d.feed(i.Ended(r, d.attempt[r], engine, outcome, r in ended, 0, 9000, (rng.random(), 1.0))))
+            check(d.feed(i.AttemptEnded(r, d.attempt[r], engine, outcome, r in ended, 0, 9000, (rng.random(), 1.0))))
         elif roll < 0.8 and open_:
             r = rng.choice(sorted(open_))
             del open_[r]
             ended.add(r)
-            check(d.feed(i.Left(r)))
+            check(d.feed(i.ClientDisconnected(r)))
         elif roll < 0.85:
             engine = rng.choice(FLEET)
-            phase = rng.choice((i.READY, i.READY, i.DRAINING, i.GONE))
-            phases[engine.engine] = phase
+            phase = rng.choice((i.Phase.READY, i.Phase.READY, i.Phase.DRAINING, i.Phase.GONE))
+            phases[engine.replica] = phase
             check(
                 d.feed(
-                    i.Listed(
+                    i.EndpointsUpdated(
                         False,
                         (
                             entry(
-                                engine.engine,
+                                engine.replica,
                                 engine.kind,
                                 engine.cell,
                                 phase=phase,
-                                started=d.now if phase == i.READY else 0,
+                                started=d.now if phase == i.Phase.READY else 0,
                             ),
                         ),
                     )
                 )
             )
         elif roll < 0.9:
-            check(d.feed(i.Began(999_999, 0, 1, 5)) + d.feed(i.Left(999_999)) + d.feed(i.Due(888_888)))
-            check(d.feed(i.Ended(999_999, 0, 777, i.TIMEOUT, False, 0, 5, None)))
+            check(
+                d.feed(i.ResponseStarted(999_999, 0, 1, 5))
+                + d.feed(i.ClientDisconnected(999_999))
+                + d.feed(i.TimerFired(888_888))
+            )
+            check(d.feed(i.AttemptEnded(999_999, 0, 777, i.Outcome.TIMEOUT, False, 0, 5, None)))
         else:
             check(d.wait(rng.randrange(500_000)))
         assert all(deadline >= d.now for deadline in open_.values())
@@ -96,7 +110,7 @@
     return text
 
 
-@pytest.mark.parametrize("effect", [i.SAFE, i.KEYED, i.UNSAFE])
+@pytest.mark.parametrize("effect", [i.Idempotency.IDEMPOTENT, i.Idempotency.KEYED, i.Idempotency.UNSAFE])
 @pytest.mark.parametrize("seed", range(6))
 def test_invariants_hold_through_odd_events(seed, effect):
     assert len(play(seed, effect)) > 300
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -402,8 +402,8 @@
     def test_a_target_is_an_engine_that_started_on_the_programs_clock(self):
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = entries_of([self.TARGET], deployment)
-        self.assertEqual(entry, i.Entry(engine_of("s-1"), 1, 1, 3, i.READY, 1.5, 1_764_600_000_000_000))
-        self.assertEqual(addresses, {entry.engine: ("127.0.0.1", 8080)})
+        self.assertEqual(entry, i.Endpoint(engine_of("s-1"), 1, 1, 3, i.Phase.READY, 1.5, 1_764_600_000_000_000))
+        self.assertEqual(addresses, {entry.replica: ("127.0.0.1", 8080)})
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
         self.assertLess(abs(start_clock()() - time.time() * 1e6), 60e6)
 
@@ -418,8 +418,8 @@
     def test_an_unreadable_entry_that_says_that_a_known_replica_leaves_counts_for_that(self):
         deployment = settings.parse(SETTINGS)
         (entry,), _ = entries_of([self.TARGET], deployment)
-        known = {entry.engine: entry}
-        for state, phase in (("leaving", i.DRAINING), ("left", i.GONE)):
+        known = {entry.replica: entry}
+        for state, phase in (("leaving", i.Phase.DRAINING), ("left", i.Phase.GONE)):
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
                 self.assertEqual(entries_of([target], deployment, known)[0], (replace(entry, phase=phase),))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
 
 
-def nodes(count: int, fleet: tuple[i.Entry, ...] = FLEET) -> list[Drive]:
+def nodes(count: int, fleet: tuple[i.Endpoint, ...] = FLEET) -> list[Drive]:
     return [Drive(settings(instances=count), fleet, seed=n) for n in range(count)]
 
 
@@ -24,16 +24,16 @@
         d.serve(d.arrive(prompt=5000, session=1)[0])
         assert all(d.router._held(e, 5000) < 0.2 for e in d.router.engines.values())
         r, out = d.arrive(prompt=5000, session=2)
-        assert r in d.sent and not of(i.Refuse, out)
+        assert r in d.sent and not of(i.RejectRequest, out)
 
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_a_kept_prompt_is_still_believed_after_one_send(count):
     d = nodes(count)[0]
     r, _ = d.arrive(prompt=5000, session=7)
-    e = d.router.engines[d.sent[r].engine]
+    e = d.router.engines[d.sent[r].replica]
     d.serve(r)
-    req = i.Arrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
+    req = i.RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
     d.serve(d.arrive(prompt=5000, session=8)[0])
     assert d.router._belief(e, req) == 5000
 
@@ -46,7 +46,7 @@
         d = fleet[rng.randrange(count)]
         r, _ = d.arrive(prompt=1000, session=n + 1)
         total += 1000
-        at_writers += 1000 * (d.sent[r].engine > 10)
+        at_writers += 1000 * (d.sent[r].replica > 10)
         d.serve(r)
     assert 0.6 * RATIO_START * total < at_writers <= RATIO_START * total
 
@@ -63,11 +63,11 @@
         if n == 6000:
             for each in fleet:
                 each.wait(max(0, at - each.now))
-                each.feed(i.Listed(False, (entry(3, 0, cell=1, started=at),)))
+                each.feed(i.EndpointsUpdated(False, (entry(3, 0, cell=1, started=at),)))
         r, _ = d.arrive(prompt=3000, session=n + 1)
         if r in d.sent:
-            served += d.sent[r].engine < 11
-            sent += n >= 6000 and d.sent[r].engine == 3 and at < start + 61 * S + 3 * S
+            served += d.sent[r].replica < 11
+            sent += n >= 6000 and d.sent[r].replica == 3 and at < start + 61 * S + 3 * S
             d.serve(r)
     # Four seconds. A warm reader carries a sixth of what readers get; the cold one may have 2.5 times a quarter of it.
     share = served / 90 / 6
@@ -81,7 +81,7 @@
             d.serve(d.arrive(prompt=3000, session=n + 1)[0])
         _, out = d.arrive(prompt=3000, session=99)
         # First-token aim of 1.12 s; a read takes 50 ms.
-        assert of(i.Send, out)[0].patience <= 0.6 * S
+        assert of(i.SendAttempt, out)[0].attempt_timeout <= 0.6 * S
 
 
 READERS = tuple(entry(n, 0, cell=n % 2) for n in range(1, 11)) + FLEET[6:]
@@ -91,7 +91,7 @@
     """Nodes that have each seen some 60 requests, of which so large a share begins alike; the rest are many."""
     rng, seen = (
         random.Random(seed),
-        [Drive(settings(instances=count, local_read=False), READERS, seed=n) for n in range(count)],
+        [Drive(settings(instances=count, local_prefill=False), READERS, seed=n) for n in range(count)],
     )
     for _ in range(60 * count):
         d, prefix = rng.choice(seen), 5 if rng.random() < share else rng.randrange(100, 300)
@@ -107,7 +107,7 @@
     out = []
     for d in seen:
         r, _ = d.arrive(prompt=5000, session=session, prefix=prefix, prefix_len=3000)
-        out.append(d.sent[r].engine)
+        out.append(d.sent[r].replica)
         d.serve(r, kept=3000)
     return out
 
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("share, least, most", [(0.01, 2, 2), (0.2, 3, 6), (0.45, 7, 10)])
 def test_the_more_of_all_reading_a_prefix_draws_the_more_readers_share_it(share, least, most):
     seen, rng = crowd(share)
-    ask = i.Arrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
+    ask = i.RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
     assert least <= sum(d.router._homes(ask, 10) for d in seen) / len(seen) <= most
     used = {engine for d in seen for engine in homes([d], rng.randrange(1, 1 << 60))}
     assert least <= len(used) <= most
@@ -130,7 +130,7 @@
 def test_a_prefix_said_to_be_longer_than_its_prompt_ends_nothing():
     d = Drive()
     for said in (1_000, 2**31):
-        ask = i.Arrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
+        ask = i.RequestArrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
         d.router.drawn_all = 10.0 * (said - 1_000)
         assert d.router._homes(ask, 10) == 2
 
@@ -144,7 +144,9 @@
             )
             d.serve(r, kept=3000)
             d.wait(400_000)
-    assert all(d.router._homes(i.Arrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2 for d in seen)
+    assert all(
+        d.router._homes(i.RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2 for d in seen
+    )
 
 
 def test_without_a_favourite_all_nodes_take_one_reader_for_a_session_and_two_for_a_prefix():
@@ -159,16 +161,16 @@
         r, _ = d.arrive(prompt=5000, session=n + 1)
         if r in d.sent:
             d.serve(r, rtt=900_000)
-    assert of(i.Refuse, d.arrive(prompt=5000, session=98)[1])
+    assert of(i.RejectRequest, d.arrive(prompt=5000, session=98)[1])
     d.wait(30 * S)
-    assert of(i.Send, d.arrive(prompt=5000, session=99)[1])
+    assert of(i.SendAttempt, d.arrive(prompt=5000, session=99)[1])
 
 
 def in_flight(d: Drive, count: int, prompt: int = 5000) -> list[int]:
     """So many requests whose states wait to be fetched at a writer."""
     out = [d.arrive(prompt=prompt, session=d.next)[0] for _ in range(count)]
     for r in out:
-        d.end(r, i.READ)
+        d.end(r, i.Outcome.PREFILLED)
     return out
 
 
@@ -180,14 +182,14 @@
     d = Drive(fleet=ONE_WRITER)
     out = in_flight(d, 4)
     if late == "timeout":
-        d.end(out[0], i.TIMEOUT)
+        d.end(out[0], i.Outcome.TIMEOUT)
     else:
         d.began(out[0], rtt=900_000)
-    assert of(i.Refuse, d.arrive(prompt=5000, session=98)[1])
+    assert of(i.RejectRequest, d.arrive(prompt=5000, session=98)[1])
     for r in out[1:]:  # what was under way there ends, nothing else is heard: the jam is over, at once
         d.began(r)
-        d.end(r, i.ANSWERED, settled=True)
-    assert of(i.Send, d.arrive(prompt=5000, session=99)[1])
+        d.end(r, i.Outcome.ANSWERED, settled=True)
+    assert of(i.SendAttempt, d.arrive(prompt=5000, session=99)[1])
 
 
 def test_a_bound_grows_back_while_nothing_is_heard_and_for_ever():
@@ -205,30 +207,30 @@
 def test_with_reports_a_late_fetch_is_remembered_beside_them():
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=1)
-    d.end(r, i.READ, load=(0.2, 0.0))
+    d.end(r, i.Outcome.PREFILLED, load=(0.2, 0.0))
     d.router.helds[1].add(d.now, 0.2)
-    full = d.router.engines[d.sent[r].engine]
-    d.end(r, i.TIMEOUT)
-    assert d.router._held(full, 0) > 0.9 and d.sent[r].engine != full.id
+    full = d.router.engines[d.sent[r].replica]
+    d.end(r, i.Outcome.TIMEOUT)
+    assert d.router._held(full, 0) > 0.9 and d.sent[r].replica != full.id
 
 
 def test_a_mixed_server_with_room_writes_late():
     fleet = (entry(1, 0), entry(2, 0), entry(11, 1), entry(21, 2))
-    d = Drive(settings(local_read=False), fleet)
+    d = Drive(settings(local_prefill=False), fleet)
     d.router.helds[1].add(d.now, 0.97)
     d.router.engines[11].held.add(d.now, 0.97, 4)
     r, _ = d.arrive(prompt=5000, session=1)
-    assert d.sent[r].engine < 3
-    d.end(r, i.READ)
-    assert d.sent[r].engine == 21
+    assert d.sent[r].replica < 3
+    d.end(r, i.Outcome.PREFILLED)
+    assert d.sent[r].replica == 21
 
 
 def test_a_fleet_replaced_in_waves_goes_on_serving_and_leaves_nothing_behind():
     d, refused, total = Drive(), 0, 0
-    live = {e.engine: e for e in FLEET}
+    live = {e.replica: e for e in FLEET}
     fresh = 100
     r, _ = d.arrive(prompt=3000, session=1)
-    reader = d.router.engines[d.sent[r].engine]
+    reader = d.router.engines[d.sent[r].replica]
     d.serve(r)
     assert (False, 1) in reader.kept
     table = weakref.ref(reader.kept)
@@ -237,21 +239,21 @@
         for n in range(12):
             r, out = d.arrive(prompt=3000, session=wave * 20 + n + 1)
             total += 1
-            refused += bool(of(i.Refuse, out))
+            refused += bool(of(i.RejectRequest, out))
             if r in d.sent:
-                kind = live[d.sent[r].engine].kind
+                kind = live[d.sent[r].replica].kind
                 if kind == 0:
-                    d.end(r, i.READ)
+                    d.end(r, i.Outcome.PREFILLED)
                 if r in d.router.jobs:
                     d.began(r)
-                    d.end(r, i.ANSWERED, settled=True)
+                    d.end(r, i.Outcome.ANSWERED, settled=True)
             d.wait(300_000)
         if wave < 100:
             old = min(live)
             e = live.pop(old)
             fresh += 1
             live[fresh] = entry(fresh, e.kind, cell=e.cell, started=d.now)
-            d.feed(i.Listed(False, (entry(old, e.kind, phase=i.GONE), live[fresh])))
+            d.feed(i.EndpointsUpdated(False, (entry(old, e.kind, phase=i.Phase.GONE), live[fresh])))
     assert refused < 0.2 * total
     d.wait(700 * S)
     d.serve(d.arrive(prompt=3000, session=1)[0]) if d.arrive(prompt=3000, session=1)[0] in d.sent else None
@@ -265,23 +267,23 @@
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=7)
     d.serve(r)
-    home = d.sent[r].engine
-    d.feed(i.Listed(False, (entry(home, 1 if home > 10 else 0, phase=i.GONE),)))
-    d.feed(i.Listed(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
-    assert d.router._belief(d.router.engines[home], i.Arrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
-    assert isinstance(Job(i.Arrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), Job)
+    home = d.sent[r].replica
+    d.feed(i.EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=i.Phase.GONE),)))
+    d.feed(i.EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
+    assert d.router._belief(d.router.engines[home], i.RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
+    assert isinstance(Job(i.RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), Job)
 
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_under_pressure_over_share_and_least_worth_go_first_and_without_pressure_neither(count):
-    dear, cheap = replace(CLASS, worth=2.0), CLASS
-    s = replace(settings(instances=count), classes=(dear, cheap), quotas=(2.0 * count,) * 2, over_share_worth=0.05)
+    dear, cheap = replace(CLASS, priority_weight=2.0), CLASS
+    s = replace(settings(instances=count), classes=(dear, cheap), quotas=(2.0 * count,) * 2, over_quota_weight=0.05)
 
     def ask(d: Drive, n: int, cls: int, tenant: int, rtt: int) -> bool:
         r, out = d.arrive(prompt=5000, session=n, cls=cls, tenant=tenant)
         if r in d.sent:
             d.serve(r, rtt=rtt)
-        return bool(of(i.Refuse, out))
+        return bool(of(i.RejectRequest, out))
 
     calm, jam = Drive(s), Drive(s)
     # Tenant 1 asks five times its share.
@@ -309,10 +311,10 @@
         try:
             for n in range(20):
                 r, _ = d.arrive(prompt=3000, session=n + 1)
-                if d.router.engines[d.sent[r].engine].role == i.READER:
-                    d.end(r, i.READ)
+                if d.router.engines[d.sent[r].replica].role == i.Role.PREFILL:
+                    d.end(r, i.Outcome.PREFILLED)
                 d.began(r)
-                d.end(r, i.ANSWERED, settled=True)
+                d.end(r, i.Outcome.ANSWERED, settled=True)
         finally:
             sys.setprofile(None)
         return count
@@ -331,7 +333,7 @@
         d.wait(500_000)
     for prompt in (3000, 12_000):
         r, out = d.arrive(prompt=prompt, session=100 + prompt)
-        assert not of(i.Refuse, out) and r in d.sent
+        assert not of(i.RejectRequest, out) and r in d.sent
         d.serve(r, rtt=400_000)
 
 
@@ -342,6 +344,6 @@
     d.began(out[0], rtt=900_000)  # late: what is under way there is what it bears, and four fifths of it
     for r in out[1:4]:
         d.began(r)
-        d.end(r, i.ANSWERED, settled=True)
-    taken = [not of(i.Refuse, d.arrive(prompt=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
+        d.end(r, i.Outcome.ANSWERED, settled=True)
+    taken = [not of(i.RejectRequest, d.arrive(prompt=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
     assert taken == [True, True]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -130,11 +130,15 @@
         [d.shared_discovery for d in parsed],
         [len(d.zone_names) for d in parsed],
         [bool(d.tenant_names) for d in parsed],
-        [d.router.probing for d in parsed],
+        [d.router.health_checks for d in parsed],
         [d.drain_grace for d in parsed],
-        [d.router.fall for d in parsed],
+        [d.router.overload_window for d in parsed],
     ):
         assert facts[0] != facts[1]
-    assert {c.effect for d in parsed for c in d.router.classes} == {i.SAFE, i.KEYED, i.UNSAFE}
+    assert {c.idempotency for d in parsed for c in d.router.classes} == {
+        i.Idempotency.IDEMPOTENT,
+        i.Idempotency.KEYED,
+        i.Idempotency.UNSAFE,
+    }
     for d in parsed:
         assert Drive(d.router).router.s is d.router
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -59,21 +59,21 @@
     assert (got.seq, got.clock) == (12, 0x805C5A)
     (a, arrived), (b, due), (c, left) = got.events
     assert (a, b, c) == (3, 3, 5)
-    assert arrived == i.Arrived(
+    assert arrived == i.RequestArrived(
         0x5D3A91C4, 0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 1200, 1800, 256, 240000, False, False
     )
-    assert (due, left) == (i.Due(77), i.Left(0x0E6F2B19))
+    assert (due, left) == (i.TimerFired(77), i.ClientDisconnected(0x0E6F2B19))
 
 
 def test_a_probe_and_its_answer():
     ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
-    assert (who, done) == (3, i.Probed(0x2C9011F2, i.ANSWERED, 1400, None))
+    assert (who, done) == (3, i.HealthCheckEnded(0x2C9011F2, i.Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == i.Probed(7, i.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
+    assert away[1] == i.HealthCheckEnded(7, i.Outcome.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
-    assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == i.TIMEOUT
-    assert wire.encode_action(i.Probe(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
+    assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == i.Outcome.TIMEOUT
+    assert wire.encode_action(i.SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
 
 
 def test_worked_outcome_and_list():
@@ -83,18 +83,26 @@
         "f211902c 01 0000 0000 01 0000c03f 20145d0000000000"
     )
     got = read(frame(record(5, b"\x03\0\0\0") + b"\x08" + ended + b"\x03" + listed, 3))
-    assert got.events[0][1] == i.Ended(
-        0x5D3A91C4, 0, 0x03124A07, i.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
+    assert got.events[0][1] == i.AttemptEnded(
+        0x5D3A91C4, 0, 0x03124A07, i.Outcome.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
     )
-    assert got.events[1][1] == i.Listed(
-        True, (i.Entry(0x03124A07, 0, 0, 0, i.READY, 1.0, 0), i.Entry(0x2C9011F2, 1, 0, 0, i.READY, 1.5, 0x5D1420))
+    assert got.events[1][1] == i.EndpointsUpdated(
+        True,
+        (
+            i.Endpoint(0x03124A07, 0, 0, 0, i.Phase.READY, 1.0, 0),
+            i.Endpoint(0x2C9011F2, 1, 0, 0, i.Phase.READY, 1.5, 0x5D1420),
+        ),
     )
 
 
 def test_worked_actions():
     got = wire.encode_reply(
         12,
-        [(3, i.Send(0x5D3A91C4, 0x03124A07, 80000)), (3, i.SetTimer(77, 500000)), (5, i.Report("two servers known"))],
+        [
+            (3, i.SendAttempt(0x5D3A91C4, 0x03124A07, 80000)),
+            (3, i.SetTimer(77, 500000)),
+            (5, i.LogMessage("two servers known")),
+        ],
     )
     assert got == bytes.fromhex(
         "0c000000 05000000 48000000 4f 04000000 03000000 40 0c000000 c4913a5d 074a1203 80380100"
@@ -106,11 +114,11 @@
 @pytest.mark.parametrize(
     "action,code,fields",
     [
-        (i.CallOff(7, 2), 67, "<IH"),
-        (i.Refuse(7, 9), 65, "<II"),
-        (i.Fail(7), 66, "<I"),
-        (i.Release(7), 78, "<I"),
-        (i.Move(7), 76, "<I"),
+        (i.CancelAttempt(7, 2), 67, "<IH"),
+        (i.RejectRequest(7, 9), 65, "<II"),
+        (i.FailRequest(7), 66, "<I"),
+        (i.ReleaseState(7), 78, "<I"),
+        (i.MigrateStream(7), 76, "<I"),
     ],
 )
 def test_every_other_action_reads_back(action, code, fields):
@@ -119,7 +127,7 @@
     assert list(struct.unpack(fields, raw[5:])) == [
         getattr(action, name)
         for name in action.__slots__
-        if name != "why"  # for the log alone, on no wire
+        if name != "reason"  # for the log alone, on no wire
     ]
 
 
@@ -130,26 +138,26 @@
 @pytest.mark.parametrize(
     "verdict,detail,outcome",
     [
-        (102, 40, i.READ),
-        (503, 0, i.FULL),
-        (503, 1, i.NO_STATE),
-        (504, 0, i.TIMEOUT),
-        (502, 0, i.UNREACHABLE),
-        (598, 0, i.BROKEN),
-        (499, 0, i.CANCELLED),
-        (410, 0, i.MOOT),
-        (500, 0, i.ERROR),
+        (102, 40, i.Outcome.PREFILLED),
+        (503, 0, i.Outcome.FULL),
+        (503, 1, i.Outcome.STATE_LOST),
+        (504, 0, i.Outcome.TIMEOUT),
+        (502, 0, i.Outcome.UNREACHABLE),
+        (598, 0, i.Outcome.TRUNCATED),
+        (499, 0, i.Outcome.CANCELLED),
+        (410, 0, i.Outcome.NOT_SENT),
+        (500, 0, i.Outcome.ERROR),
     ],
 )
 def test_outcomes(verdict, detail, outcome):
     body = struct.pack("<IIHBIIHB", 1, detail, verdict, 0, 9, 4, 0, 0)
     event = read(frame(record(5, b"\0\0\0\0") + record(8, body), 2)).events[0][1]
-    assert event.outcome == outcome and event.load is None and event.kept == (40 if verdict == 102 else 0)
+    assert event.outcome == outcome and event.load is None and event.cached_tokens == (40 if verdict == 102 else 0)
 
 
 def test_first_token_reads_back():
     event = read(frame(record(5, b"\0\0\0\0") + record(7, struct.pack("<IHII", 1, 2, 3, 4)), 2)).events[0][1]
-    assert event == i.Began(1, 2, 3, 4)
+    assert event == i.ResponseStarted(1, 2, 3, 4)
 
 
 def test_end_of_input_between_frames_is_the_end():
