--- a/pearhill/adapter.py
+++ b/pearhill/adapter.py
@@ -6,12 +6,13 @@
 import sys
 from typing import BinaryIO
 
-from pearhill import interface as i
 from pearhill import settings, wire
+from pearhill.routing.actions import Action
+from pearhill.routing.settings import RouterSettings
 from pearhill.spread.scout import Scout
 
 
-def settings_of(raw: bytes) -> tuple[i.RouterSettings, tuple[int, int]]:
+def settings_of(raw: bytes) -> tuple[RouterSettings, tuple[int, int]]:
     """The settings, and where the two load values stand in a report (-1: not reported)."""
     try:
         deployment = settings.parse(json.loads(raw))
@@ -31,7 +32,7 @@
         return self.load_at.get(instance, (-1, -1))
 
     def answer(self, frame: wire.Frame) -> bytes:
-        actions: list[tuple[int, i.Action | wire.Fault]] = []
+        actions: list[tuple[int, Action | wire.Fault]] = []
         for who, event in frame.events:
             if isinstance(event, wire.Start):
                 told, self.load_at[who] = settings_of(event.settings)
--- a/pearhill/budgets/limits.py
+++ b/pearhill/budgets/limits.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from pearhill.interface import AdmissionStatus
+from pearhill.routing.events import AdmissionStatus
 
 MILLI = 1_000
 GRAINS = 60_000_000  # in a milli
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -23,7 +23,6 @@
 import msgspec
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.chat.answers import Answer, Heart, Spawn
 from pearhill.chat.endpoints import ENDPOINTS
 from pearhill.chat.errors import AUTHENTICATION, JSON, PERMISSION, RATE, ApiError, invalid, retry_headers
@@ -40,6 +39,7 @@
 from pearhill.core.request import Ask, Request
 from pearhill.http1.handler import Pending, Reply
 from pearhill.http1.messages import Headers, RequestMessage
+from pearhill.routing.settings import Idempotency
 
 MODELS, USAGE = "/v1/models", "/v1/usage"
 CALLS = {**dict.fromkeys(ENDPOINTS, "POST"), MODELS: "GET", USAGE: "GET", "/ready": "GET", "/counters": "GET"}
@@ -280,7 +280,7 @@
         return ask, spender, self._payload(asked, meter)
 
     def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: Ask) -> Answer:
-        safe = self.dispatcher.deployment.router.classes[ask.cls].idempotency == i.Idempotency.IDEMPOTENT
+        safe = self.dispatcher.deployment.router.classes[ask.cls].idempotency == Idempotency.IDEMPOTENT
         heart = Heart(self.dispatcher.deadlines, self.spawn, self.reading.heartbeat)
         made = Made(asked.id, model.name, int(time.time()))
         return Answer(asked.reply, prompt.words(made), prompt.stream, safe, asked.headers, heart, asked.over)
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -9,7 +9,6 @@
 import msgspec
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.chat.collected import DONE
 from pearhill.chat.errors import SERVER, ApiError, Said
 from pearhill.chat.meter import Meter
@@ -17,6 +16,7 @@
 from pearhill.http1 import messages
 from pearhill.http1.sse import BadEvents, EventParser
 from pearhill.net.backend import Malformed, Verdict
+from pearhill.routing.outcomes import Outcome
 
 PATH = "/v1/chat/completions"
 HOST = "pearhill"
@@ -158,9 +158,9 @@
                 _error.decode(body)
             except (msgspec.DecodeError, RecursionError):
                 return None  # not in the API's words: it may come from anywhere, and proves nothing
-            return Verdict(i.Outcome.DECLINED, said=Said(status, body))
+            return Verdict(Outcome.DECLINED, said=Said(status, body))
         if status == 429:
-            return Verdict(i.Outcome.FULL, rest=rest_of(headers))
+            return Verdict(Outcome.FULL, rest=rest_of(headers))
         if status in BARRED:
             logger.error(
                 "a server answers {status}: its key in the operator's file is wrong, or missing", status=status
@@ -171,5 +171,5 @@
                 "server_credentials",
                 type=SERVER,
             )
-            return Verdict(i.Outcome.ERROR, said=Said(error.status, error.body()))
+            return Verdict(Outcome.ERROR, said=Said(error.status, error.body()))
         return None
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -9,7 +9,6 @@
 from fnmatch import fnmatchcase
 from typing import Any
 
-from pearhill import interface as i
 from pearhill import settings
 from pearhill.budgets import Limit, Plan, Prices, TenantPlan
 from pearhill.chat import file as f
@@ -21,6 +20,7 @@
 from pearhill.membership.reporter import AggregatorSite
 from pearhill.net.address import Address
 from pearhill.net.fleet import FleetSetup
+from pearhill.routing.topology import Endpoint, Phase, Role
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     keyring: Keyring
     store_bytes: int
     store_keep: int
-    entries: tuple[i.Endpoint, ...]
+    entries: tuple[Endpoint, ...]
     addresses: dict[int, Address]
     server_keys: dict[int, str]
     server_key: str
@@ -124,7 +124,7 @@
             table.owned_by,
             table.created,
         )
-        writes = any(deployment.router.kinds[kind].role != i.Role.PREFILL for kind in model.kinds)
+        writes = any(deployment.router.kinds[kind].role != Role.PREFILL for kind in model.kinds)
         if model.kinds and not writes:
             raise typed.complaint(f"{path}.kinds", table.kinds, "at least one kind that writes answers")
         declare(f"{path}.name", table.name, model)
@@ -292,12 +292,12 @@
         if engine in addresses:
             raise typed.complaint(f"{path}.uid", server.uid, "a uid that no other server has")
         entries.append(
-            i.Endpoint(
+            Endpoint(
                 engine,
                 _choice(f"{path}.zone", server.zone or zones[0], zones),
                 _choice(f"{path}.kind", server.kind, deployment.kind_names),
                 server.cell,
-                i.Phase.READY,
+                Phase.READY,
                 server.capacity,
                 0,
             )
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -11,12 +11,35 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.ports import Backend, Client
 from pearhill.core.request import Ask, Attempt, Request
 from pearhill.counters import BUSY, FAILURE, SUCCESS, Calls, Counters
+from pearhill.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateStream,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
 from pearhill.routing.permissions import Denied, Ran, may_begin, may_refuse, may_repeat, may_send
+from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
 from pearhill.spread.scout import Scout
 
@@ -34,11 +57,11 @@
         self.router = Scout(deployment.router, seed)
         self.backend: Backend | None = None
         self.requests: dict[int, Request] = {}
-        self.engines: dict[int, i.Endpoint] = {}
+        self.engines: dict[int, Endpoint] = {}
         self.calls = [Calls() for _ in deployment.class_names]
         self.inflight = 0  # requests taken that have not ended
         self._probing: dict[int, int] = {}  # engines with a probe out, and since when
-        self._next, self._events, self._busy = 1, deque[i.Event](), False
+        self._next, self._events, self._busy = 1, deque[Event](), False
 
     @property
     def _backend(self) -> Backend:
@@ -62,7 +85,7 @@
             return request
         request.backstop = self.deadlines.at(end, lambda: self._overdue(request))
         self._feed(
-            i.RequestArrived(
+            RequestArrived(
                 request.number,
                 ask.cls,
                 ask.tenant,
@@ -99,18 +122,18 @@
         if attempt and attempt.began:
             self.counters.left_in_answer += 1
             self._log_cut_answer(attempt, "client-left")
-        self._feed(i.ClientDisconnected(request.number))
+        self._feed(ClientDisconnected(request.number))
         if attempt and not attempt.over:
             self._call_off(attempt)
 
     # From the list of engines.
 
-    def listed(self, full: bool, entries: tuple[i.Endpoint, ...]) -> None:
+    def listed(self, full: bool, entries: tuple[Endpoint, ...]) -> None:
         if full:
             self.engines = {}
         for entry in entries:
             self.engines[entry.replica] = entry
-            if entry.phase == i.Phase.GONE:
+            if entry.phase == Phase.GONE:
                 del self.engines[entry.replica]
         # What was chosen before this list and waits for its connection would be sent long after it.
         withdrawn = [
@@ -118,14 +141,14 @@
             for r in self.requests.values()
             if (a := r.current) and not self._wanted(a.engine) and not self._backend.begun(a)
         ]
-        self._feed(i.EndpointsUpdated(full, entries))
+        self._feed(EndpointsUpdated(full, entries))
         for attempt in withdrawn:
-            self._stop(attempt, i.Outcome.WITHDRAWN)
+            self._stop(attempt, Outcome.WITHDRAWN)
 
     def _wanted(self, engine: int) -> bool:
         """Whether the list has this engine as one that takes requests."""
         entry = self.engines.get(engine)
-        return entry is not None and entry.phase == i.Phase.READY
+        return entry is not None and entry.phase == Phase.READY
 
     def reconfigure(self, deployment: Deployment) -> None:
         """Other settings for the same classes, kinds and zones; requests, attempts and beliefs stay as they are."""
@@ -136,7 +159,7 @@
     def can_answer(self) -> bool:
         """Some engine that writes answers is listed as ready."""
         kinds = self.deployment.router.kinds
-        return any(e.phase == i.Phase.READY and kinds[e.kind].role != i.Role.PREFILL for e in self.engines.values())
+        return any(e.phase == Phase.READY and kinds[e.kind].role != Role.PREFILL for e in self.engines.values())
 
     # From a backend.
 
@@ -155,7 +178,7 @@
         one that has begun to be written nobody can say that it never ran."""
         if not attempt.over:
             sent = self._backend.cancel(attempt)
-            self.end(attempt, i.Outcome.TIMEOUT if sent else i.Outcome.WITHDRAWN, may_hold=sent)
+            self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold=sent)
 
     def begin(self, attempt: Attempt) -> bool:
         if attempt.over or attempt.request.answered:
@@ -166,14 +189,14 @@
             self.deadlines.cancel(attempt.request.backstop)
             attempt.request.holders.clear()  # with the first event all else that is held goes by itself
             self._feed(
-                i.ResponseStarted(attempt.request.number, attempt.index, attempt.engine, self.clock() - attempt.sent_at)
+                ResponseStarted(attempt.request.number, attempt.index, attempt.engine, self.clock() - attempt.sent_at)
             )
         return True
 
     def end(
         self,
         attempt: Attempt,
-        outcome: i.Outcome,
+        outcome: Outcome,
         kept: int = 0,
         may_hold: bool = False,
         rest: int = 0,
@@ -185,7 +208,7 @@
         attempt.stop_clock()
         request = attempt.request
         request.current = None
-        if outcome == i.Outcome.WITHDRAWN:
+        if outcome == Outcome.WITHDRAWN:
             request.sends -= 1  # it was none
         self.counters.outcomes[outcome] += 1
         rtt = self.clock() - attempt.sent_at
@@ -202,15 +225,15 @@
         )
         if may_hold and not attempt.began:
             request.holders.add(attempt.engine)
-            request.interrupted = request.interrupted or outcome not in (i.Outcome.PREFILLED, i.Outcome.ERROR)
-        if outcome == i.Outcome.PREFILLED:
+            request.interrupted = request.interrupted or outcome not in (Outcome.PREFILLED, Outcome.ERROR)
+        if outcome == Outcome.PREFILLED:
             request.reader = attempt.engine
-        if outcome not in i.NOT_EXECUTED and self._has_effect(attempt) and request.ran is None and attempt.entry:
+        if outcome not in NOT_EXECUTED and self._has_effect(attempt) and request.ran is None and attempt.entry:
             request.ran = Ran(attempt.entry.zone, attempt.entry.cell, attempt.sent_at)
         request.outcome = outcome
-        if not request.answered and (attempt.began or outcome == i.Outcome.ANSWERED):
-            self._settle(request, SUCCESS if outcome == i.Outcome.ANSWERED else FAILURE)
-            if outcome == i.Outcome.ANSWERED:
+        if not request.answered and (attempt.began or outcome == Outcome.ANSWERED):
+            self._settle(request, SUCCESS if outcome == Outcome.ANSWERED else FAILURE)
+            if outcome == Outcome.ANSWERED:
                 self.counters.served += 1
                 request.client.finish()
             else:  # A broken answer that is ended in good order would pass for a whole one.
@@ -222,16 +245,16 @@
             self.counters.declined += 1
             request.client.decline(said)
         self._feed(
-            i.AttemptEnded(
+            AttemptEnded(
                 request.number, attempt.index, attempt.engine, outcome, request.answered, kept, rtt, None, rest
             )
         )
 
-    def probed(self, engine: int, outcome: i.Outcome, load: tuple[float, float] | None) -> None:
+    def probed(self, engine: int, outcome: Outcome, load: tuple[float, float] | None) -> None:
         """A probe has ended. The Router hears of it before this returns, unless it is busy: then after that."""
         self.counters.probes[outcome] += 1
         since = self._probing.pop(engine, self.clock())
-        self._feed(i.HealthCheckEnded(engine, outcome, self.clock() - since, load))
+        self._feed(HealthCheckEnded(engine, outcome, self.clock() - since, load))
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
         """No sign of its replica yet. What was written on a connection that has fallen silent has not arrived, and does
@@ -250,25 +273,25 @@
 
     def expire(self, attempt: Attempt) -> None:
         """Its time is over. The connection goes first, or the next send would be a second copy."""
-        self._stop(attempt, i.Outcome.TIMEOUT)
+        self._stop(attempt, Outcome.TIMEOUT)
 
     # Inside.
 
     def _call_off(self, attempt: Attempt) -> None:
-        self._stop(attempt, i.Outcome.CANCELLED)
+        self._stop(attempt, Outcome.CANCELLED)
 
-    def _stop(self, attempt: Attempt, outcome: i.Outcome) -> None:
+    def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.over:
             return
         request = attempt.request
         sent = self._backend.cancel(attempt)
         if not sent:  # a replica that the list took away is not to blame, nor is any for a client that has gone
             outcome = (
-                i.Outcome.WITHDRAWN
+                Outcome.WITHDRAWN
                 if not self._wanted(attempt.engine)
-                else i.Outcome.NOT_SENT
+                else Outcome.NOT_SENT
                 if request.left
-                else i.Outcome.UNREACHABLE
+                else Outcome.UNREACHABLE
             )
         # A read may have ended well at the very moment of its closing, and its state stays pinned.
         self.end(attempt, outcome, may_hold=sent)
@@ -292,9 +315,9 @@
             return
         logger.error("request {request} reached its deadline without an answer from the router", request=request.number)
         self._fail(request, OVERDUE)
-        self._feed(i.ClientDisconnected(request.number))
+        self._feed(ClientDisconnected(request.number))
 
-    def _feed(self, event: i.Event) -> None:
+    def _feed(self, event: Event) -> None:
         """One event to the Router and its actions carried out, in order; events raised meanwhile wait."""
         self._events.append(event)
         if self._busy:
@@ -312,7 +335,7 @@
                     continue
                 for action in actions:
                     self._act(action)
-                if not isinstance(event, i.EndpointsUpdated | i.TimerFired | i.HealthCheckEnded):
+                if not isinstance(event, EndpointsUpdated | TimerFired | HealthCheckEnded):
                     self._forget(event.request)
         finally:
             self._busy = False
@@ -324,15 +347,15 @@
             if request.holders:  # Whatever path led here, a state must not stay pinned.
                 self._release(request)
 
-    def _act(self, action: i.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case i.SetTimer(timer, wait):
-                self.deadlines.after(wait, lambda: self._feed(i.TimerFired(timer)))
+            case SetTimer(timer, wait):
+                self.deadlines.after(wait, lambda: self._feed(TimerFired(timer)))
                 return
-            case i.LogMessage(text):
+            case LogMessage(text):
                 logger.info("router: {text}", text=text)
                 return
-            case i.SendHealthCheck(engine):
+            case SendHealthCheck(engine):
                 self._probing[engine] = self.clock()
                 self._backend.probe(engine)
                 return
@@ -340,24 +363,24 @@
         if request is None:
             return
         match action:
-            case i.SendAttempt():
+            case SendAttempt():
                 self._send(request, action)
-            case i.CancelAttempt(_, index):
+            case CancelAttempt(_, index):
                 attempt = request.current
                 if attempt and attempt.index == index and not attempt.began:
                     self._call_off(attempt)
-            case i.RejectRequest(_, stay_away, why):
+            case RejectRequest(_, stay_away, why):
                 if not request.answered:
                     self._refuse(request, stay_away, why)
-            case i.FailRequest(_, why):
+            case FailRequest(_, why):
                 if not request.answered:
                     self._fail(request, why)
-            case i.ReleaseState():
+            case ReleaseState():
                 self._release(request)
-            case i.MigrateStream():
+            case MigrateStream():
                 logger.warning("request {request}: streams are not moved here", request=request.number)
 
-    def _send(self, request: Request, send: i.SendAttempt) -> None:
+    def _send(self, request: Request, send: SendAttempt) -> None:
         now, engine = self.clock(), send.replica
         if not request.answered and request.client.gone():  # before a connection is opened for nobody
             self.leave(request)
@@ -394,7 +417,7 @@
 
     def _has_effect(self, attempt: Attempt) -> bool:
         """Whether the replica answers the request: reading a prompt is no effect."""
-        return attempt.entry is not None and self.deployment.router.kinds[attempt.entry.kind].role != i.Role.PREFILL
+        return attempt.entry is not None and self.deployment.router.kinds[attempt.entry.kind].role != Role.PREFILL
 
     def _refuse(self, request: Request, stay_away: int, why: str) -> None:
         may_have_run = request.ran is not None or request.current is not None
@@ -440,11 +463,11 @@
         attempt.over = True
         attempt.stop_clock()
         self._feed(
-            i.AttemptEnded(
+            AttemptEnded(
                 attempt.request.number,
                 attempt.index,
                 attempt.engine,
-                i.Outcome.NOT_SENT,
+                Outcome.NOT_SENT,
                 attempt.request.answered,
                 0,
                 0,
--- a/pearhill/core/request.py
+++ b/pearhill/core/request.py
@@ -5,10 +5,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from pearhill import interface as i
 from pearhill.core.deadlines import Key
 from pearhill.core.ports import Client
+from pearhill.routing.events import AdmissionStatus
+from pearhill.routing.outcomes import Outcome
 from pearhill.routing.permissions import Ran
+from pearhill.routing.topology import Endpoint
 
 if TYPE_CHECKING:
     from pearhill.core.dispatcher import Dispatcher
@@ -29,7 +31,7 @@
     repeat: bool = False
     resumed: bool = False
     kinds: tuple[int, ...] = ()
-    standing: i.AdmissionStatus = i.AdmissionStatus.NO_BUDGET
+    standing: AdmissionStatus = AdmissionStatus.NO_BUDGET
     away: int = 0
     id: str = ""  # the client's, for the log
 
@@ -100,7 +102,7 @@
         deadline: int,
         by: int = 0,
         held_until: int = 0,
-        entry: i.Endpoint | None = None,
+        entry: Endpoint | None = None,
     ) -> None:
         self.request, self.index, self.engine = request, index, engine
         self.sent_at, self.deadline = sent_at, deadline
@@ -130,7 +132,7 @@
         """The first event of the answer is here. False: the attempt is over, the event must not be passed on."""
         return self._owner.begin(self)
 
-    def end(self, outcome: i.Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
+    def end(self, outcome: Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
         """The attempt is over. `may_hold`: the engine may hold a state for the request, however it ended. `rest`: for
         how long, in microseconds, it wants nothing more. `said`: words of the engine that are the client's final
         answer; what they are is a matter between the backend's dialect and the front."""
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -10,13 +10,13 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.eureka.registry import BadRegistry, Registry
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.http1 import messages
 from pearhill.net.address import Address
 from pearhill.net.pool import CannotConnect, Pool, call
 from pearhill.net.turns import pause
+from pearhill.routing.topology import Endpoint
 from pearhill.settings import Deployment
 
 ANSWER_WITHIN = 5_000_000
@@ -24,7 +24,7 @@
 CANCEL_WITHIN = 1_000_000
 FAILURES = (OSError, TimeoutError, ValueError, CannotConnect)
 
-OnList = Callable[[bool, tuple[i.Endpoint, ...], dict[int, Address]], None]
+OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
 
 class Eureka:
--- a/pearhill/eureka/registry.py
+++ b/pearhill/eureka/registry.py
@@ -8,9 +8,9 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.core.engines import engine_of
 from pearhill.net.address import Address, parse_address
+from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
 
 
@@ -88,7 +88,7 @@
         counts = Counter(row.status for row in self.instances.values())
         return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
-    def servers(self, app: str, deployment: Deployment) -> tuple[tuple[i.Endpoint, ...], dict[int, Address]]:
+    def servers(self, app: str, deployment: Deployment) -> tuple[tuple[Endpoint, ...], dict[int, Address]]:
         """One application's instances as engines. UP takes requests, every other state gets nothing new."""
         entries, addresses = [], {}
         for row in self.instances.values():
@@ -103,14 +103,14 @@
         return tuple(entries), addresses
 
 
-def _entry(engine: int, row: Instance, deployment: Deployment) -> i.Endpoint:
+def _entry(engine: int, row: Instance, deployment: Deployment) -> Endpoint:
     roles = {
-        "reader": i.Role.PREFILL,
-        "read": i.Role.PREFILL,
-        "writer": i.Role.DECODE,
-        "write": i.Role.DECODE,
-        "mixed": i.Role.MIXED,
-        "both": i.Role.MIXED,
+        "reader": Role.PREFILL,
+        "read": Role.PREFILL,
+        "writer": Role.DECODE,
+        "write": Role.DECODE,
+        "mixed": Role.MIXED,
+        "both": Role.MIXED,
     }
     metadata, kinds = row.metadata, deployment.router.kinds
     if (name := metadata.get("kind")) in deployment.kind_names:
@@ -123,12 +123,12 @@
     zone = metadata.get("zone", deployment.zone_names[0])
     if zone not in deployment.zone_names:
         raise ValueError(f"the zone {zone!r} is not in the settings")
-    return i.Endpoint(
+    return Endpoint(
         engine,
         deployment.zone_names.index(zone),
         kind,
         int(metadata.get("cell", "0")),
-        i.Phase.READY if row.status == "UP" else i.Phase.DRAINING,
+        Phase.READY if row.status == "UP" else Phase.DRAINING,
         float(metadata.get("capacity", "1")),
         row.started_ms * 1000,
     )
--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -14,10 +14,13 @@
 import tracemalloc
 from typing import Any
 
-from pearhill import interface as i
 from pearhill import settings
 from pearhill.lab.scale.child import Handle, run
 from pearhill.lab.scale.files import SETTINGS
+from pearhill.routing.actions import SendAttempt
+from pearhill.routing.events import AttemptEnded, EndpointsUpdated, RequestArrived, ResponseStarted
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.rules import Router
 
 STEP = 22_000  # microseconds between two arrivals: 45 a second
@@ -31,9 +34,9 @@
     readers = max(2, round(replicas * READERS))
     made.handle(
         1,
-        i.EndpointsUpdated(
+        EndpointsUpdated(
             True,
-            tuple(i.Endpoint(k + 1, k % 6, int(k >= readers), k % 6, i.Phase.READY, 1.0, 0) for k in range(replicas)),
+            tuple(Endpoint(k + 1, k % 6, int(k >= readers), k % 6, Phase.READY, 1.0, 0) for k in range(replicas)),
         ),
     )
     return made
@@ -50,25 +53,23 @@
         self.now, self.number, rng = self.now + STEP, self.number + 1, self.rng
         prompt = max(2_500, int(rng.expovariate(1 / 4_000)))  # read at a reader: two choices
         session, prefix = rng.getrandbits(40) + 1, rng.getrandbits(40) + 1
-        arrived = i.RequestArrived(
-            self.number, 0, 0, session, prefix, prompt // 2, prompt, 400, 8_000_000, False, False
-        )
+        arrived = RequestArrived(self.number, 0, 0, session, prefix, prompt // 2, prompt, 400, 8_000_000, False, False)
         began = time.thread_time()
         actions = self.router.handle(self.now, arrived)
         spent = time.thread_time() - began
-        send = next((a for a in actions if isinstance(a, i.SendAttempt)), None)
-        if send and self.router.engines[send.replica].role == i.Role.PREFILL:
-            ended = i.AttemptEnded(self.number, 0, send.replica, i.Outcome.PREFILLED, False, 0, 60_000, None)
+        send = next((a for a in actions if isinstance(a, SendAttempt)), None)
+        if send and self.router.engines[send.replica].role == Role.PREFILL:
+            ended = AttemptEnded(self.number, 0, send.replica, Outcome.PREFILLED, False, 0, 60_000, None)
             began = time.thread_time()
             actions = self.router.handle(self.now + 60_000, ended)
             spent += time.thread_time() - began
-            send = next((a for a in actions if isinstance(a, i.SendAttempt)), None)
+            send = next((a for a in actions if isinstance(a, SendAttempt)), None)
             attempt = 1
         else:
             attempt = 0
         if send:
-            self.router.handle(self.now + 70_000, i.ResponseStarted(self.number, attempt, send.replica, 10_000))
-            ended = i.AttemptEnded(self.number, attempt, send.replica, i.Outcome.ANSWERED, True, 0, 20_000, None)
+            self.router.handle(self.now + 70_000, ResponseStarted(self.number, attempt, send.replica, 10_000))
+            ended = AttemptEnded(self.number, attempt, send.replica, Outcome.ANSWERED, True, 0, 20_000, None)
             self.router.handle(self.now + 80_000, ended)
         return spent
 
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -20,7 +20,6 @@
 
 import psutil
 
-from pearhill import interface as i
 from pearhill.chat.service import ChatService
 from pearhill.chat.setup import ChatSetup, loads
 from pearhill.core.engines import engine_of
@@ -31,6 +30,7 @@
 from pearhill.lab.scale.measure import encoded
 from pearhill.lab.scale.work import Arrivals, Drawn
 from pearhill.net.address import Address
+from pearhill.routing.topology import Endpoint
 from pearhill.spread.digests import Row
 
 TICK_S = 0.25  # as often as a talk beats
@@ -57,7 +57,7 @@
     def _registry(self, setup: ChatSetup) -> Eureka | None:
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self._told) if setup.eureka else None
 
-    def _told(self, full: bool, entries: tuple[i.Endpoint, ...], addresses: dict[int, Address]) -> None:
+    def _told(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
         self.node.listed(full, entries, addresses)
         assert self._eureka
         first, newest, now = not self._newest, self._newest, time.monotonic()
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, cast
 
-from pearhill import interface as i
 from pearhill.chat.service import ChatService
 from pearhill.membership.gauges import TOKENS, encode
 from pearhill.net.address import Address
+from pearhill.routing.topology import Role
 from pearhill.rules import Engine
 
 HEADERS = 28  # bytes of IP and UDP round each datagram, counted with it
@@ -55,7 +55,7 @@
 
 def marked(service: ChatService) -> Engine | None:
     """The writer at which one dispatcher leaves its marks: the same one at all that have the same list."""
-    return next(iter(service.node.dispatcher.router.router.ready[i.Role.DECODE]), None)
+    return next(iter(service.node.dispatcher.router.router.ready[Role.DECODE]), None)
 
 
 def mark(service: ChatService, number: int) -> None:
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -8,10 +8,11 @@
 
 import numpy
 
-from pearhill import interface as i
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Ask, Attempt, Request
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Role
 from pearhill.rules import Engine, Router
 
 SETS = 24  # of drawn gauges, of which each beat takes one, turned by a drawn number of engines
@@ -40,8 +41,8 @@
 
     def apply(self, router: Router, rng: random.Random) -> None:
         """To the Router's own books of its work, where the talk and the reports take it from."""
-        self._set(router.ready[i.Role.DECODE], rng.choice(self.writers), rng)
-        self._set(router.ready[i.Role.PREFILL], rng.choice(self.readers), rng)
+        self._set(router.ready[Role.DECODE], rng.choice(self.writers), rng)
+        self._set(router.ready[Role.PREFILL], rng.choice(self.readers), rng)
 
     @staticmethod
     def _set(engines: Sequence[Engine], gauges: list[tuple[int, int]], rng: random.Random) -> None:
@@ -95,15 +96,15 @@
             return
         kinds = self.dispatcher.deployment.router.kinds
         entry = self.dispatcher.engines[attempt.engine]
-        if kinds[entry.kind].role == i.Role.PREFILL:
+        if kinds[entry.kind].role == Role.PREFILL:
             wait = int(self.rng.expovariate(1 / LIGHT_READ_S) * 1e6)
-            self.deadlines.after(wait, lambda: attempt.end(i.Outcome.PREFILLED, PROMPT // 2, may_hold=True))
+            self.deadlines.after(wait, lambda: attempt.end(Outcome.PREFILLED, PROMPT // 2, may_hold=True))
             return
 
         def begun() -> None:
             if attempt.begin():
                 answer = int(self.rng.expovariate(1 / (ANSWER * TOKEN_S)) * 1e6)
-                self.deadlines.after(answer, lambda: attempt.end(i.Outcome.ANSWERED, PROMPT // 2))
+                self.deadlines.after(answer, lambda: attempt.end(Outcome.ANSWERED, PROMPT // 2))
 
         self.deadlines.after(int(TOKEN_S * 1e6), begun)
 
@@ -114,7 +115,7 @@
         return True
 
     def probe(self, engine: int) -> None:
-        self.deadlines.after(1_000, lambda: self.dispatcher.probed(engine, i.Outcome.ANSWERED, (0.5, 1.0)))
+        self.deadlines.after(1_000, lambda: self.dispatcher.probed(engine, Outcome.ANSWERED, (0.5, 1.0)))
 
     def release(self, request: Request, engines: Collection[int]) -> None:
         pass
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -12,7 +12,6 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.core.deadlines import Key
 from pearhill.core.request import Attempt, Request
 from pearhill.http1.client import MAX_CHUNK, Data, End, Event, Head, Lost
@@ -21,6 +20,7 @@
 from pearhill.net.probes import ProbeDialect, Probes, Told
 from pearhill.net.releases import ReleaseDialect, Releases
 from pearhill.net.turns import pause
+from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
 
 STALL = 4_500_000  # a stream that is silent for so long is given up: its client may not wait 5 s for nothing
 KEEP_LEFT = 60_000_000  # the address of an engine that has left the list: attempts and releases may still need it
@@ -58,7 +58,7 @@
     """What an answer that is no stream means in its dialect. `rest`: microseconds for which the server wants nothing
     more; `said`: the client's final answer, in the dialect's own form."""
 
-    outcome: i.Outcome
+    outcome: Outcome
     rest: int = 0
     said: Any = None
 
@@ -101,12 +101,12 @@
             if address is None:
                 raise CannotConnect("the engine has no address")
             if not await self.backend.releases.may_replace(attempt.request):
-                return self.over(i.Outcome.NOT_SENT)
+                return self.over(Outcome.NOT_SENT)
             connection = self.connection = await self._connect(address)
         except NoRoom:  # Taken for the engine's failure, a crowd here would eject every engine in turn.
-            return self.over(i.Outcome.NOT_SENT)
+            return self.over(Outcome.NOT_SENT)
         except CannotConnect:
-            return self.over(i.Outcome.UNREACHABLE)
+            return self.over(Outcome.UNREACHABLE)
         if not attempt.may_begin():
             return
         self.backend.releases.close_unread(attempt.request)  # Or it were a second copy
@@ -115,10 +115,10 @@
             await connection.send(self, self._request)
         except OSError:  # its last byte was never written
             connection.close("send-failed")
-            return self.over(i.Outcome.UNREACHABLE)
+            return self.over(Outcome.UNREACHABLE)
         pool.counters.written += 1
         if connection.closed:
-            self.over(i.Outcome.TRUNCATED, may_hold=True)
+            self.over(Outcome.TRUNCATED, may_hold=True)
 
     def _request(self) -> bytes:
         """What is written, with the time that is left now."""
@@ -153,7 +153,7 @@
                 self.status, self.never_ran = status, headers.get("not-started") == "1"
                 self.headers = headers
                 if status == 200 and not self.backend.dialect.accepts(headers):
-                    self._give_up("no-stream", i.Outcome.ERROR, f"an answer of type {headers.get('content-type')}")
+                    self._give_up("no-stream", Outcome.ERROR, f"an answer of type {headers.get('content-type')}")
             case Data(data):
                 self.body += data[: MAX_BODY - len(self.body)]
             case End(_, clean):
@@ -161,14 +161,14 @@
             case Lost():
                 # While the request is being written only the writer can tell whether its last byte went out.
                 if self.connection and not self.connection.writing:
-                    self.over(i.Outcome.TRUNCATED, may_hold=True)
+                    self.over(Outcome.TRUNCATED, may_hold=True)
 
     async def _stream(self, data: bytes) -> None:
         deadlines = self.backend.pool.deadlines
         try:
             ready = self.stream.feed(data)
         except Malformed as e:
-            return self._give_up("malformed", i.Outcome.TRUNCATED if self.attempt.began else i.Outcome.ERROR, str(e))
+            return self._give_up("malformed", Outcome.TRUNCATED if self.attempt.began else Outcome.ERROR, str(e))
         if ready and not self.attempt.over:
             # Only what is passed on shows progress; bytes that never make an event could trickle for ever.
             if not self.attempt.begin():
@@ -180,7 +180,7 @@
             if self.stall is None and not self.attempt.over:
                 self.stall = deadlines.at(self.attempt.passed_at + STALL, self._silent)
         if self.stream.whole and not self.attempt.over:
-            self.over(i.Outcome.ANSWERED, self.stream.kept)
+            self.over(Outcome.ANSWERED, self.stream.kept)
             deadlines.after(END_WITHIN, self._no_end)
 
     def _silent(self) -> None:
@@ -189,7 +189,7 @@
         if self.attempt.over or self.passing:
             return
         if self.backend.pool.deadlines.clock() >= self.attempt.passed_at + STALL:
-            return self._give_up("stalled", i.Outcome.TRUNCATED)
+            return self._give_up("stalled", Outcome.TRUNCATED)
         self.stall = self.backend.pool.deadlines.at(self.attempt.passed_at + STALL, self._silent)
 
     def _no_end(self) -> None:
@@ -197,7 +197,7 @@
         if self.connection and self.connection.exchange is self:
             self.connection.close("no-last-chunk")
 
-    def _give_up(self, reason: str, outcome: i.Outcome, detail: str = "") -> None:
+    def _give_up(self, reason: str, outcome: Outcome, detail: str = "") -> None:
         """A machine that vanished in mid-stream says nothing, and its client would wait for ever; one that
         talks nonsense may go on for as long."""
         if detail:
@@ -211,21 +211,21 @@
         dialect = self.backend.dialect
         plain = clean and self.status not in (200, 202)
         if plain and (v := dialect.verdict(self.status, self.headers, bytes(self.body))):
-            return self.over(v.outcome, may_hold=v.outcome not in i.NOT_EXECUTED, rest=v.rest, said=v.said)
+            return self.over(v.outcome, may_hold=v.outcome not in NOT_EXECUTED, rest=v.rest, said=v.said)
         if self.status == 200:
             well = self.attempt.began and self.stream.ends_well()
             self.over(
-                i.Outcome.ANSWERED if well else i.Outcome.TRUNCATED if self.attempt.began else i.Outcome.ERROR,
+                Outcome.ANSWERED if well else Outcome.TRUNCATED if self.attempt.began else Outcome.ERROR,
                 self.stream.kept,
             )
         elif self.status == 202:
-            self.over(i.Outcome.PREFILLED, self._kept_read(), may_hold=True)
+            self.over(Outcome.PREFILLED, self._kept_read(), may_hold=True)
         elif clean and self.status in (503, 504) and self.never_ran:
-            self.over(i.Outcome.FULL)
+            self.over(Outcome.FULL)
         elif clean and self.status == 410 and self.never_ran:
-            self.over(i.Outcome.STATE_LOST)
+            self.over(Outcome.STATE_LOST)
         else:
-            self.over(i.Outcome.ERROR, may_hold=True)
+            self.over(Outcome.ERROR, may_hold=True)
 
     def _kept_read(self) -> int:
         try:
@@ -233,7 +233,7 @@
         except (ValueError, KeyError, TypeError):
             return 0
 
-    def over(self, outcome: i.Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
+    def over(self, outcome: Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
         self._forget_deadlines()
         self.backend.calls.pop(self.attempt, None)
         self.attempt.end(outcome, kept, may_hold, rest, said)
--- a/pearhill/net/probes.py
+++ b/pearhill/net/probes.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from pearhill import interface as i
 from pearhill.net.address import Address
 from pearhill.net.pool import REQUESTS, CannotConnect, NoRoom, Pool, call
+from pearhill.routing.outcomes import Outcome
 
 PROBE_WAIT = 250_000  # for an answer, in microseconds
 MOST_OUT = 64  # at once: probes must not take the descriptors that requests need
 MAX_REPORT = 4 * 1024  # bytes of an answer
 TRIES = 2  # Danger: a kept connection that the server has closed is reset at its next use. That is no silence.
 
-Told = Callable[[int, i.Outcome, "tuple[float, float] | None"], None]
+Told = Callable[[int, Outcome, "tuple[float, float] | None"], None]
 
 
 class ProbeDialect(Protocol):
@@ -35,32 +35,32 @@
     def send(self, engine: int) -> None:
         address = self.addresses.get(engine)
         if address is None or self.out >= MOST_OUT:
-            return self.told(engine, i.Outcome.NOT_SENT, None)  # never asked: that says nothing of the engine
+            return self.told(engine, Outcome.NOT_SENT, None)  # never asked: that says nothing of the engine
         self.out += 1
         self.pool.spawn(self._probe(engine, address))
 
     async def _probe(self, engine: int, address: Address) -> None:
-        outcome, load = i.Outcome.UNREACHABLE, None
+        outcome, load = Outcome.UNREACHABLE, None
         try:
             for _ in range(TRIES):
                 try:
                     ask = self.dialect.probe()
                     status, body = await call(self.pool, address, ask, PROBE_WAIT, MAX_REPORT, use=REQUESTS)
-                    outcome, load = i.Outcome.ANSWERED, self.dialect.load(status, body)
+                    outcome, load = Outcome.ANSWERED, self.dialect.load(status, body)
                     break
                 except TimeoutError:
-                    outcome = i.Outcome.TIMEOUT
+                    outcome = Outcome.TIMEOUT
                     break
                 except NoRoom:
-                    outcome = i.Outcome.NOT_SENT
+                    outcome = Outcome.NOT_SENT
                     break
                 except CannotConnect:
                     break
                 except ValueError:  # it talks, though not to the point
-                    outcome = i.Outcome.ANSWERED
+                    outcome = Outcome.ANSWERED
                     break
                 except OSError:
-                    outcome = i.Outcome.UNREACHABLE
+                    outcome = Outcome.UNREACHABLE
         finally:
             self.out -= 1
         self.told(engine, outcome, load)
--- a/pearhill/node.py
+++ b/pearhill/node.py
@@ -11,7 +11,6 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.config import ConfigError
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.core.dispatcher import Dispatcher
@@ -25,6 +24,7 @@
 from pearhill.net.pool import Pool
 from pearhill.net.turns import Turns, pause
 from pearhill.routing.start_times import StartTimes
+from pearhill.routing.topology import Endpoint, Phase
 from pearhill.service.drain import NO_IDLE, OPEN, Drain
 from pearhill.service.roster import Roster
 from pearhill.service.wishes import Wishes
@@ -141,12 +141,12 @@
     def draining(self) -> bool:
         return self.drain.on
 
-    def listed(self, full: bool, entries: tuple[i.Endpoint, ...], addresses: dict[int, Address]) -> None:
+    def listed(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
         """A list of servers, to be in force before the next send."""
         self.counters.lists += 1
         self._note_step()
         entries = self.start_times.place(self.deadlines.clock(), full, entries)
-        self.backend.locate(addresses, [entry.replica for entry in entries if entry.phase == i.Phase.GONE], full)
+        self.backend.locate(addresses, [entry.replica for entry in entries if entry.phase == Phase.GONE], full)
         self.dispatcher.listed(full, self.roster.listed(full, entries))
 
     def _observe_wall_clock(self) -> None:
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -12,21 +12,21 @@
 
 from loguru import logger
 
-from pearhill import interface as i
 from pearhill.core.deadlines import Key
 from pearhill.core.engines import engine_of
 from pearhill.http1 import messages
 from pearhill.net.address import Address, parse_address
 from pearhill.net.pool import LISTS, CannotConnect, Pool, call
 from pearhill.platform.schedule import CallSchedule
+from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
 
 PATH = "/v1/endpoints"
-STATES = {"active": i.Phase.READY, "leaving": i.Phase.DRAINING, "left": i.Phase.GONE}
+STATES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
 
 EXPECTED = (OSError, TimeoutError, ValueError, KeyError, TypeError, CannotConnect)  # ways in which a call fails
 
-OnList = Callable[[bool, tuple[i.Endpoint, ...], dict[int, Address]], None]
+OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
 
 def _index(value: Any, names: tuple[str, ...], bound: int) -> int:
@@ -44,15 +44,15 @@
 def entries_of(
     targets: Any,
     deployment: Deployment,
-    known: Mapping[int, i.Endpoint] = MappingProxyType({}),
-) -> tuple[tuple[i.Endpoint, ...], dict[int, Address]]:
+    known: Mapping[int, Endpoint] = MappingProxyType({}),
+) -> tuple[tuple[Endpoint, ...], dict[int, Address]]:
     """The targets of an answer. One that makes no sense is left out: the others still count. `known`: the last list."""
     entries, addresses, left_out = [], {}, []
     kinds, zones = deployment.router.kinds, max(1, len(deployment.zone_names))
     for target in targets:
         try:
             engine = engine_of(str(target["uid"]))
-            entry = i.Endpoint(
+            entry = Endpoint(
                 engine,
                 _index(target["az"], deployment.zone_names, zones),
                 _index(target["model"], deployment.kind_names, len(kinds)),
@@ -96,7 +96,7 @@
         self.schedule = schedule
         self.heard = False  # discovery has answered since the start
         self.rev = 0
-        self.entries: dict[int, i.Endpoint] = {}  # as last listed
+        self.entries: dict[int, Endpoint] = {}  # as last listed
         if known.get("targets"):
             self.apply(known)
         # Danger: where all ask one service, whole lists by the dozen keep it busy for seconds, and nobody hears more.
@@ -139,7 +139,7 @@
             self.entries = {} if whole else self.entries
             self.entries.update((e.replica, e) for e in entries)
             for entry in entries:
-                if entry.phase == i.Phase.GONE:
+                if entry.phase == Phase.GONE:
                     self.entries.pop(entry.replica, None)
             self.on_list(whole, entries, addresses)
 
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -9,7 +9,7 @@
 import enum
 from dataclasses import dataclass
 
-from pearhill import interface as i
+from pearhill.routing.settings import Idempotency, RequestClass
 
 
 class Denied(enum.StrEnum):
@@ -34,11 +34,11 @@
     at: int
 
 
-def may_repeat(spec: i.RequestClass, ran: Ran | None, zone: int, cell: int, now: int) -> Denied | None:
+def may_repeat(spec: RequestClass, ran: Ran | None, zone: int, cell: int, now: int) -> Denied | None:
     """Whether the effect may be asked of a replica in this zone and cell. None: it may."""
-    if ran is None or spec.idempotency == i.Idempotency.IDEMPOTENT:
+    if ran is None or spec.idempotency == Idempotency.IDEMPOTENT:
         return None
-    if spec.idempotency == i.Idempotency.UNSAFE:
+    if spec.idempotency == Idempotency.UNSAFE:
         return Denied.MAY_HAVE_RUN
     same_group = {"all": True, "zone": zone == ran.zone, "cell": cell == ran.cell}
     if not same_group[spec.idempotency_scope]:
@@ -46,12 +46,12 @@
     return None if now < ran.at + spec.idempotency_window else Denied.WINDOW_OVER
 
 
-def may_refuse(spec: i.RequestClass, may_have_run: bool) -> bool:
+def may_refuse(spec: RequestClass, may_have_run: bool) -> bool:
     """Whether the client may be told that trying again is harmless."""
     return (
         not may_have_run
-        or spec.idempotency == i.Idempotency.IDEMPOTENT
-        or (spec.idempotency == i.Idempotency.KEYED and spec.idempotency_scope == "all")
+        or spec.idempotency == Idempotency.IDEMPOTENT
+        or (spec.idempotency == Idempotency.KEYED and spec.idempotency_scope == "all")
     )
 
 
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -12,7 +12,8 @@
 
 from dataclasses import dataclass
 
-from pearhill import interface as i
+from pearhill.routing.settings import RouterSettings
+from pearhill.routing.topology import Endpoint
 
 STEP_EVERY = 2_000_000  # between two calls of `step`
 RATE = 0.9  # of my part of what a cold replica bears
@@ -31,22 +32,22 @@
 class SlowStart:
     """One process's part in the slow start of replicas."""
 
-    def __init__(self, settings: i.RouterSettings, roles: tuple[str, ...]) -> None:
+    def __init__(self, settings: RouterSettings, roles: tuple[str, ...]) -> None:
         self.settings = settings
         # By role: requests of mean work a microsecond that a unit of a warm replica's weight has finished.
         self.answer_rate = dict.fromkeys(roles, 0.0)
         self._answered = dict.fromkeys(roles, 0.0)
         self._steps = 0
 
-    def share(self, entry: i.Endpoint, now: int) -> float:
+    def share(self, entry: Endpoint, now: int) -> float:
         """The share of its capacity that a replica has surely reached; 1 once it is warm."""
         age = max(0, now - entry.started_at) / self.settings.slow_start_window if entry.started_at else 1.0
         return min(1.0, self.settings.slow_start_initial_share + (1 - self.settings.slow_start_initial_share) * age)
 
-    def is_warm(self, entry: i.Endpoint, now: int) -> bool:
+    def is_warm(self, entry: Endpoint, now: int) -> bool:
         return self.share(entry, now) >= 1
 
-    def admits(self, entry: i.Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
+    def admits(self, entry: Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
         """Whether the replica may get one request more; where no answer tells a rate, all processes together send one
         in a window."""
         share, settings = self.share(entry, now), self.settings
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from pearhill import interface as i
+from pearhill.routing.topology import Endpoint, Phase
 
 STEP = 50_000  # microseconds between two observations past which the wall clock was stepped, and not merely adjusted
 MOST_EPOCHS = 8  # steps that are remembered; a start before them is long past
@@ -43,7 +43,7 @@
         del self._epochs[:-MOST_EPOCHS]
         return step
 
-    def place(self, now: int, full: bool, entries: Iterable[i.Endpoint]) -> tuple[i.Endpoint, ...]:
+    def place(self, now: int, full: bool, entries: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """The entries of a list with their starts on the own clock. `full`: all replicas are in it."""
         if full:
             before, self._placed = self._placed, {}
@@ -54,7 +54,7 @@
             told, at = before.get(entry.replica, (0, 0))
             if entry.started_at != told:
                 at = self._start(now, entry.started_at)
-            if entry.phase == i.Phase.GONE:
+            if entry.phase == Phase.GONE:
                 self._placed.pop(entry.replica, None)
             elif entry.started_at:
                 self._placed[entry.replica] = entry.started_at, at
--- a/pearhill/rules.py
+++ b/pearhill/rules.py
@@ -1,4 +1,4 @@
-"""All of pearhill's decisions. The types of its settings, events and actions: `pearhill/interface.py`.
+"""All of pearhill's decisions. The types of its settings, events and actions are in `pearhill/routing/`.
 
 The ordinary path: a capped share of the prompt tokens, only short or kept prompts, is read directly at
 writers; all other prompts go to the emptier of two readers hashed from their prefix, and a nearby writer is
@@ -15,9 +15,33 @@
 from dataclasses import replace
 from typing import Any
 
-from pearhill import interface as i
+from pearhill.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    QueryLoad,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SetTimer,
+)
+from pearhill.routing.events import (
+    AdmissionStatus,
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    LoadKnown,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
 from pearhill.routing.permissions import Ran, may_refuse, may_repeat
+from pearhill.routing.settings import Idempotency, RouterSettings
 from pearhill.routing.slow_start import STEP_EVERY, SlowStart, TokenBucket
+from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
 
 RATIO_START, RATIO_STEP, RATIO_MAX = 0.2, 0.1, 0.3  # design; it moves at each step, every two seconds
 SHORT = 2_000  # design: fewer uncached tokens than this may be read at a writer
@@ -44,7 +68,7 @@
     return x ^ (x >> 31)
 
 
-def keys(req: i.RequestArrived) -> list[tuple[tuple[bool, int], int]]:
+def keys(req: RequestArrived) -> list[tuple[tuple[bool, int], int]]:
     """Where an engine's prefix table holds a prompt's session and prefix, and how long they are."""
     both = ((False, req.session), req.prompt_tokens), ((True, req.prefix), req.prefix_tokens)
     return [(key, tokens) for key, tokens in both if key[1]]
@@ -73,7 +97,7 @@
 class Engine:
     """What I know of one engine: its list entry, my work there and how it has treated me."""
 
-    def __init__(self, entry: i.Endpoint, kind: i.MachineKind, phase: float) -> None:
+    def __init__(self, entry: Endpoint, kind: MachineKind, phase: float) -> None:
         self.id, self.role, self.memory, self.entry = entry.replica, kind.role, max(1, kind.memory_tokens), entry
         # The prefix table. In one table for all, prompts kept by engines long gone fill the memory.
         self.kept: OrderedDict[tuple[bool, int], tuple[int, int]] = OrderedDict()
@@ -92,7 +116,7 @@
 class Job:
     """One request, until its final answer and the end of its last attempt."""
 
-    def __init__(self, req: i.RequestArrived, end: int, aim_at: int) -> None:
+    def __init__(self, req: RequestArrived, end: int, aim_at: int) -> None:
         self.req, self.end, self.aim_at, self.aim = req, end, aim_at, aim_at - end + req.timeout
         self.engine: Engine | None = None
         self.attempt = self.home = -1
@@ -107,13 +131,13 @@
 class Router:
     """Decides for one node. Feed it every event with its time; do what it returns, in order."""
 
-    def __init__(self, settings: i.RouterSettings, seed: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.now, self.actions = 0, list[i.Action]()
-        self.slow_start = SlowStart(settings, (i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED))
+        self.now, self.actions = 0, list[Action]()
+        self.slow_start = SlowStart(settings, (Role.PREFILL, Role.DECODE, Role.MIXED))
         self.reconfigure(settings)
         self.engines: dict[int, Engine] = {}
-        self.ready: dict[str, list[Engine]] = {i.Role.PREFILL: [], i.Role.DECODE: [], i.Role.MIXED: []}
+        self.ready: dict[str, list[Engine]] = {Role.PREFILL: [], Role.DECODE: [], Role.MIXED: []}
         self.jobs: dict[int, Job] = {}
         self.timers, self.timer = dict[int, int](), 0
         self.ratio, self.allowed, self.retries = RATIO_START, 0.0, float(RETRY_BURST)
@@ -125,7 +149,7 @@
         least = (
             min(spec.latency_objective for spec in settings.classes) / SHORT
         )  # until seen, reads are just quick enough
-        self.guess = [(0.0, least / (16 if kind.role == i.Role.PREFILL else 4)) for kind in settings.kinds]
+        self.guess = [(0.0, least / (16 if kind.role == Role.PREFILL else 4)) for kind in settings.kinds]
         self.paces = [(Faded(STEP_EVERY, 30), Faded(STEP_EVERY, 30)) for _ in settings.kinds]  # a kind's all
         self.helds = [Faded(STEP_EVERY, 30) for _ in settings.kinds]
         self.zones: dict[int, Faded] = {}  # failed attempts, by zone
@@ -133,21 +157,21 @@
         self.sends = dict.fromkeys(self.ready, 0.0)
         self.lengths, self.lasts = dict[int, Faded](), dict[int, Faded]()  # by class: prompts', answers'
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.EndpointsUpdated: self._listed,
-            i.RequestArrived: self._arrived,
-            i.ResponseStarted: self._began,
-            i.AttemptEnded: self._ended,
-            i.ClientDisconnected: self._left,
-            i.TimerFired: self._due,
-            i.LoadKnown: self._looked,
+            EndpointsUpdated: self._listed,
+            RequestArrived: self._arrived,
+            ResponseStarted: self._began,
+            AttemptEnded: self._ended,
+            ClientDisconnected: self._left,
+            TimerFired: self._due,
+            LoadKnown: self._looked,
         }
 
-    def reconfigure(self, settings: i.RouterSettings) -> None:
+    def reconfigure(self, settings: RouterSettings) -> None:
         """Other figures for the same classes, kinds and zones."""
         self.s, self.best = settings, max(spec.priority_weight for spec in settings.classes) or 1
         self.slow_start.settings = settings
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """One event in, the actions it asks for out."""
         self.now, self.actions = now, []
         if not self.timer:
@@ -155,27 +179,27 @@
         self.handlers[type(event)](event)
         return self.actions
 
-    def _listed(self, event: i.EndpointsUpdated) -> None:
+    def _listed(self, event: EndpointsUpdated) -> None:
         named = {entry.replica for entry in event.endpoints}
-        gone = [replace(e.entry, phase=i.Phase.GONE) for e in self.engines.values() if e.id not in named]
+        gone = [replace(e.entry, phase=Phase.GONE) for e in self.engines.values() if e.id not in named]
         for entry in list(event.endpoints) + (gone if event.full else []):
             e = self.engines.get(entry.replica)
             # An engine that comes back empty would be believed to keep prompts, and to be as it was.
             if e is None or entry.started_at > e.entry.started_at:
                 e = self.engines[entry.replica] = Engine(entry, self.s.kinds[entry.kind], self.rng.random())
             e.entry = entry
-            if entry.phase == i.Phase.GONE:
+            if entry.phase == Phase.GONE:
                 del self.engines[e.id]  # its attempts still out hold it until they end
                 if self.s.may_cancel:  # Work at a lost engine would wait for its whole time-out.
-                    self.actions += [i.CancelAttempt(job.req.request, job.attempt) for job in e.waiting.values()]
+                    self.actions += [CancelAttempt(job.req.request, job.attempt) for job in e.waiting.values()]
         for role in self.ready:
-            ready = [e for e in self.engines.values() if e.role == role and e.entry.phase == i.Phase.READY]
+            ready = [e for e in self.engines.values() if e.role == role and e.entry.phase == Phase.READY]
             before, self.ready[role] = len(self.ready[role]), sorted(ready, key=lambda e: e.id)
             # What fewer engines share comes in one step, and finds tokens that nobody had asked for.
             for e in self.ready[role] if self.rng.random() * before > len(self.ready[role]) else []:
                 e.bucket.tokens = min(e.bucket.tokens, self.rng.random())
 
-    def _belief(self, e: Engine, req: i.RequestArrived, home: int = -1) -> int:
+    def _belief(self, e: Engine, req: RequestArrived, home: int = -1) -> int:
         """Prompt tokens an engine should still keep: entries that its memory's worth of new tokens has not
         pushed out, or what reads found lately at the pair (home 1: the session's own one, 0: the other)."""
         # A prompt of many times the usual length is new text; believed kept, it jams all readers.
@@ -189,7 +213,7 @@
                 best = max(best, min(tokens, most))
         return best
 
-    def _learn(self, e: Engine, req: i.RequestArrived) -> None:
+    def _learn(self, e: Engine, req: RequestArrived) -> None:
         for key, tokens in keys(req):
             e.kept[key] = (tokens, self.now)
             e.kept.move_to_end(key)
@@ -236,7 +260,7 @@
 
     def _emptier(self, pool: list[Engine]) -> Engine:
         two = self.rng.sample(pool, min(2, len(pool)))
-        told = i.Role.DECODE in self.looks  # then its own word of its memory says more than my part
+        told = Role.DECODE in self.looks  # then its own word of its memory says more than my part
         return min(
             two,
             key=lambda e: (
@@ -254,7 +278,7 @@
         usual = pool.over(self.now, self.guess[e.entry.kind][reads], 0.2)
         return weight * e.pace[reads].over(self.now, usual)
 
-    def _read_time(self, e: Engine, req: i.RequestArrived, home: int = -1) -> float:
+    def _read_time(self, e: Engine, req: RequestArrived, home: int = -1) -> float:
         return self._takes(e, self._ahead(e) + req.prompt_tokens - self._belief(e, req, home) + PAD)
 
     def _ahead(self, e: Engine) -> float:
@@ -262,10 +286,10 @@
         others' queue at one engine has me refuse what the idle ones could read, long after it is gone."""
         return max(e.queue, e.told if e.told_at == self.now else self.waits[e.role].over(self.now, 0.0))
 
-    def _arrived(self, req: i.RequestArrived) -> None:
-        if req.admission in (i.AdmissionStatus.OVER_LIMIT, i.AdmissionStatus.OVERDRAWN):
+    def _arrived(self, req: RequestArrived) -> None:
+        if req.admission in (AdmissionStatus.OVER_LIMIT, AdmissionStatus.OVERDRAWN):
             return self.actions.append(
-                i.RejectRequest(req.request, req.retry_after if self.s.retry_hints else 0, "over-budget")
+                RejectRequest(req.request, req.retry_after if self.s.retry_hints else 0, "over-budget")
             )
         aim = (
             self.s.classes[req.request_class].latency_objective
@@ -283,8 +307,8 @@
         """The ordinary path of a prompt that is not read yet."""
         req, usual = job.req, self.lengths[job.req.request_class].value
         fair = int(min(req.prompt_tokens, usual))  # By its length what is long is refused by idle ones, too
-        roomy = [e for e in self._open(self.ready[i.Role.DECODE], job) if self._held(e, fair) < FULL_MEMORY]
-        mixed = [e for e in self._order(self.ready[i.Role.MIXED], job) if self._held(e, fair) < FULL_MEMORY]
+        roomy = [e for e in self._open(self.ready[Role.DECODE], job) if self._held(e, fair) < FULL_MEMORY]
+        mixed = [e for e in self._order(self.ready[Role.MIXED], job) if self._held(e, fair) < FULL_MEMORY]
         # Load shedding. A prompt that is read with no writer in sight is read for nothing.
         if job.attempt < 0 and not roomy and not mixed:
             return self._close(job, "no-room")
@@ -294,7 +318,7 @@
             self.allowed -= req.prompt_tokens - self._belief(local, req)
             return self._send(job, local)
         # A prompt read by the last attempt that is allowed is read for nothing.
-        if (order := self._order(self.ready[i.Role.PREFILL], job)) and job.attempt + 2 < self.s.max_attempts:
+        if (order := self._order(self.ready[Role.PREFILL], job)) and job.attempt + 2 < self.s.max_attempts:
             line = (min(job.aim_at, job.end) - self.now) * SHED * (1 + self._worth(req) / self.best)
             # All nodes send a favourite to one pair, and each sees it idle. The more it draws, the
             # more homes; the pair among them is the session's own, so that most stay as the count changes.
@@ -324,7 +348,7 @@
         if len(pool) < 2 or pool[0].role not in self.looks or job.looked == (job.attempt, bool(job.held)):
             return False
         job.looked, job.among = (job.attempt, bool(job.held)), pool
-        self.actions.append(i.QueryLoad(job.req.request, tuple(e.id for e in pool)))
+        self.actions.append(QueryLoad(job.req.request, tuple(e.id for e in pool)))
         return True
 
     def _pick(self, job: Job, pool: list[Engine]) -> None:
@@ -333,7 +357,7 @@
         if not self._look(job, pool):
             self._send(job, self._emptier(pool))
 
-    def _looked(self, event: i.LoadKnown) -> None:
+    def _looked(self, event: LoadKnown) -> None:
         for told in event.reports:
             if e := self.engines.get(told.replica):
                 e.ejected_until, e.told, e.told_at = told.ejected_until, told.queued_tokens, self.now
@@ -353,17 +377,17 @@
         key = job.req.prefix or job.req.session or job.req.request
         return sorted(self._open(pool, job), key=lambda e: mix(key, e.id))
 
-    def _homes(self, req: i.RequestArrived, readers: int) -> int:
+    def _homes(self, req: RequestArrived, readers: int) -> int:
         """How many readers share the prompts that begin alike, out of so many that are open: two, or what the
         prefix draws of all reading, as far as my few requests tell."""
         least = DRAWN_LEAST * (PAD + max(0, req.prompt_tokens - req.prefix_tokens))  # a client may say any
         share = self.drawn.get(req.prefix, 0.0) / (self.drawn_all + least) if req.prefix else 0.0
         return max(2, math.ceil(WIDE * share * readers))
 
-    def _worth(self, req: i.RequestArrived) -> float:
+    def _worth(self, req: RequestArrived) -> float:
         """Worth of a request, less its tenant's part beyond its share, as far as my part of it tells."""
         # What is lent out must not crowd out a guarantee.
-        over, worth = float(req.admission == i.AdmissionStatus.BURST), self.s.classes[req.request_class].priority_weight
+        over, worth = float(req.admission == AdmissionStatus.BURST), self.s.classes[req.request_class].priority_weight
         if not over and req.tenant < len(self.s.quotas):  # five requests weigh, whatever my few say
             mine = self.s.quotas[req.tenant] / self.s.instances * 5 * STEP_EVERY / 1_000_000
             over = max(0.0, 1 - (mine + 5) / (self.asked.get(req.tenant, 0.0) + 5))
@@ -384,16 +408,16 @@
             and e.load <= self._crowd(job.req)
         )
 
-    def _crowd(self, req: i.RequestArrived) -> float:
+    def _crowd(self, req: RequestArrived) -> float:
         """My work at a writer past which it gets no more. A favourite, or the one that a release
         left in a cell, gets all, while others idle. How slow its answers are shows late, my work at once."""
-        pool = self.ready[i.Role.DECODE] + self.ready[i.Role.MIXED]
+        pool = self.ready[Role.DECODE] + self.ready[Role.MIXED]
         return CROWD * (sum(p.load for p in pool) / max(1, len(pool)) + req.prompt_tokens + req.max_output_tokens // 2)
 
     def _write(self, job: Job) -> None:
         """The state waits at a reader: pick a writer near it."""
         assert job.held is not None
-        at, pool = job.held.entry, self._open(self.ready[i.Role.DECODE] + self.ready[i.Role.MIXED], job)
+        at, pool = job.held.entry, self._open(self.ready[Role.DECODE] + self.ready[Role.MIXED], job)
         roomy = [e for e in pool if self._held(e, job.req.prompt_tokens) < FULL_MEMORY] or pool  # exception: no room
         line = self._crowd(job.req)
         calm = [e for e in roomy if e.load <= line]
@@ -403,7 +427,7 @@
 
     def _send(self, job: Job, e: Engine) -> None:
         req, left, spec = job.req, job.end - self.now, self.s.classes[job.req.request_class]
-        job.reading, job.fetches, job.engine = e.role == i.Role.PREFILL, job.held is not None, e
+        job.reading, job.fetches, job.engine = e.role == Role.PREFILL, job.held is not None, e
         job.known = 0 if job.fetches else self._belief(e, req)
         job.cost = 0 if job.fetches else req.prompt_tokens - self._belief(e, req, job.home if job.reading else -1)
         job.load = job.cost if job.reading else req.prompt_tokens + req.max_output_tokens // 2
@@ -423,20 +447,20 @@
         by = [held_until] if held_until else []  # its connection may come up late
         by += (
             [job.ran.at + spec.idempotency_window]
-            if job.ran and spec.idempotency == i.Idempotency.KEYED and not job.reading
+            if job.ran and spec.idempotency == Idempotency.KEYED and not job.reading
             else []
         )
         patience = max(1, int(left if last else min(wait, left / 2)))
-        self.actions.append(i.SendAttempt(req.request, e.id, patience, min(by, default=0), held_until))
+        self.actions.append(SendAttempt(req.request, e.id, patience, min(by, default=0), held_until))
 
-    def _began(self, event: i.ResponseStarted) -> None:
+    def _began(self, event: ResponseStarted) -> None:
         if (job := self.jobs.get(event.request)) and job.out and job.engine and job.engine.id == event.replica:
             self._answers(job.engine, job, event.elapsed)
             if job.fetches and event.elapsed > LATE_FETCH * job.aim:
                 self._filled(job.engine, job)
             job.streaming, job.held = True, None
 
-    def _ended(self, event: i.AttemptEnded) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         job = self.jobs.get(event.request)
         if not job or not job.out or not (e := job.engine) or e.id != event.replica:
             return
@@ -447,49 +471,49 @@
         e.since -= job.req.prompt_tokens if not job.reading and job.sent_at >= e.reported else 0
         if event.load:
             self._reported(e, event.load[0])
-        if event.outcome in (i.Outcome.PREFILLED, i.Outcome.ANSWERED):
+        if event.outcome in (Outcome.PREFILLED, Outcome.ANSWERED):
             self._finished(e, job)
             if event.cached_tokens * 2 < job.known - PAD:
                 e.kept.clear()  # It has lost what it kept, and I would read long prompts there.
             if job.reading and job.home >= 0:
                 self.found[job.home].add(self.now, min(1.0, event.cached_tokens / max(1, job.req.prompt_tokens)))
-            if e.role == i.Role.DECODE and not job.fetches:
+            if e.role == Role.DECODE and not job.fetches:
                 self.allowed += job.cost + event.cached_tokens - job.req.prompt_tokens
-        if event.outcome == i.Outcome.PREFILLED:
+        if event.outcome == Outcome.PREFILLED:
             job.held = e
             self._answers(e, job, event.elapsed)
             self.read_share.add(self.now, event.elapsed / job.aim)
             drawn = max(0, job.req.prompt_tokens - event.cached_tokens) + PAD
             self.drawn[job.req.prefix] = self.drawn.get(job.req.prefix, 0.0) + drawn
             self.drawn_all += drawn
-        elif event.outcome in (i.Outcome.TIMEOUT, i.Outcome.ERROR, i.Outcome.UNREACHABLE, i.Outcome.TRUNCATED):
-            if event.outcome == i.Outcome.TIMEOUT:  # From what answers alone, a jam looks quick.
+        elif event.outcome in (Outcome.TIMEOUT, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.TRUNCATED):
+            if event.outcome == Outcome.TIMEOUT:  # From what answers alone, a jam looks quick.
                 self._paced(e, job, event.elapsed)
                 if job.fetches:
                     e.held.add(self.now, 1.0, e.held.most)
                     self._filled(e, job)
-            if event.outcome != i.Outcome.TIMEOUT or e.heard <= job.sent_at:
+            if event.outcome != Outcome.TIMEOUT or e.heard <= job.sent_at:
                 self._judged(e, 1.0, event.outcome)
-        job.held = None if event.outcome == i.Outcome.STATE_LOST else job.held
+        job.held = None if event.outcome == Outcome.STATE_LOST else job.held
         if event.outcome not in (
-            i.Outcome.UNREACHABLE,
-            i.Outcome.WITHDRAWN,
-            i.Outcome.NOT_SENT,
+            Outcome.UNREACHABLE,
+            Outcome.WITHDRAWN,
+            Outcome.NOT_SENT,
         ):  # else the time of what is held runs on
             job.held_at = self.now
-        if event.outcome not in i.NOT_EXECUTED and not job.reading:
+        if event.outcome not in NOT_EXECUTED and not job.reading:
             job.ran = job.ran or Ran(e.entry.zone, e.entry.cell, job.sent_at)
-        if event.outcome == i.Outcome.ANSWERED:
+        if event.outcome == Outcome.ANSWERED:
             mean = self.lasts.setdefault(job.req.request_class, Faded(2 * STEP_EVERY, 20, event.elapsed))
             mean.add(self.now, event.elapsed)
             e.stretch.add(self.now, event.elapsed / max(1, mean.value))
         if event.answered or job.closed:
-            self.actions.append(i.ReleaseState(event.request))
+            self.actions.append(ReleaseState(event.request))
             del self.jobs[event.request]
-        elif event.outcome == i.Outcome.PREFILLED:
+        elif event.outcome == Outcome.PREFILLED:
             self._write(job)
         else:
-            if event.outcome == i.Outcome.WITHDRAWN:  # never begun: no attempt is spent, and no retry
+            if event.outcome == Outcome.WITHDRAWN:  # never begun: no attempt is spent, and no retry
                 job.attempt, self.retries = job.attempt - 1, self.retries + 1
             self._again(job)
 
@@ -505,7 +529,7 @@
             return self._write(job)
         job.held = None
         # A state may wait at a reader that was cut off, or while no writer's connection comes up.
-        self.actions.append(i.ReleaseState(job.req.request))
+        self.actions.append(ReleaseState(job.req.request))
         self._place(job)
 
     def _close(self, job: Job, why: str) -> None:
@@ -514,20 +538,20 @@
         # Even a read counts as one that may run until it has ended, and a refusal would be a lie.
         spec, away = self.s.classes[job.req.request_class], self.s.max_retry_after if self.s.retry_hints else 0
         if may_refuse(spec, job.ran is not None or job.out):
-            self.actions.append(i.RejectRequest(job.req.request, away, why))
+            self.actions.append(RejectRequest(job.req.request, away, why))
         else:
-            self.actions.append(i.FailRequest(job.req.request, why))
+            self.actions.append(FailRequest(job.req.request, why))
         self._drop(job)
 
     def _drop(self, job: Job) -> None:
         """A state that stays pinned. REFUSE, FAIL and a client's leaving let go of nothing."""
         job.closed = True
         if not job.out:
-            self.actions.append(i.ReleaseState(self.jobs.pop(job.req.request).req.request))
+            self.actions.append(ReleaseState(self.jobs.pop(job.req.request).req.request))
         elif self.s.may_cancel and not job.streaming:
-            self.actions.append(i.CancelAttempt(job.req.request, job.attempt))
+            self.actions.append(CancelAttempt(job.req.request, job.attempt))
 
-    def _left(self, event: i.ClientDisconnected) -> None:
+    def _left(self, event: ClientDisconnected) -> None:
         if job := self.jobs.get(event.request):
             self._drop(job)
 
@@ -572,14 +596,14 @@
         e.fails.add(self.now, failed)
         self.zones.setdefault(e.entry.zone, Faded(STEP_EVERY, 4)).add(self.now, failed)
         if bad != (e.fails.value > OUTLIER):
-            self.actions.append(i.LogMessage(f"engine {e.id} {'out: ' + why if failed else 'is back'}"))
+            self.actions.append(LogMessage(f"engine {e.id} {'out: ' + why if failed else 'is back'}"))
 
     def _timer(self, what: int, wait: int) -> None:
         self.timer += 1
         self.timers[self.timer] = what
-        self.actions.append(i.SetTimer(self.timer, wait))
+        self.actions.append(SetTimer(self.timer, wait))
 
-    def _due(self, event: i.TimerFired) -> None:
+    def _due(self, event: TimerFired) -> None:
         if (what := self.timers.pop(event.timer, -2)) == -1:
             self._step()
         elif (job := self.jobs.get(what)) and not job.closed and not job.streaming:
@@ -588,7 +612,7 @@
     def _step(self) -> None:
         """The ratio's step. Reads still out count with their age. A hung reader looks fast."""
         self._timer(-1, STEP_EVERY)
-        for e in self.ready[i.Role.PREFILL]:
+        for e in self.ready[Role.PREFILL]:
             if oldest := next(iter(e.waiting.values()), None):
                 self.read_share.add(self.now, (self.now - oldest.sent_at) / oldest.aim)
         step = RATIO_STEP if (share := self.read_share.value) > 0.5 else -RATIO_STEP if share < 0.25 else 0.0
--- a/pearhill/service/roster.py
+++ b/pearhill/service/roster.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from pearhill import interface as i
+from pearhill.routing.topology import Endpoint, Phase
 from pearhill.service.wishes import Wishes
 
 
@@ -14,20 +14,20 @@
 
     def __init__(self, wishes: Wishes) -> None:
         self.wishes = wishes
-        self.entries: dict[int, i.Endpoint] = {}
+        self.entries: dict[int, Endpoint] = {}
 
-    def listed(self, full: bool, entries: tuple[i.Endpoint, ...]) -> tuple[i.Endpoint, ...]:
+    def listed(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
         """A list as discovery gives it; the same as the Router is told it."""
         if full:
             self.entries = {}
         for entry in entries:
-            if entry.phase == i.Phase.GONE:
+            if entry.phase == Phase.GONE:
                 self.entries.pop(entry.replica, None)
             else:
                 self.entries[entry.replica] = entry
         return tuple(self._told(entry) for entry in entries)
 
-    def again(self, engines: Iterable[int]) -> tuple[i.Endpoint, ...]:
+    def again(self, engines: Iterable[int]) -> tuple[Endpoint, ...]:
         """What to tell of these engines now that a wish has changed."""
         return tuple(self._told(self.entries[engine]) for engine in engines if engine in self.entries)
 
@@ -35,9 +35,9 @@
         """Somebody has this id: it is listed, or out by hand and may come back."""
         return engine in self.entries or self.wishes.is_out(engine)
 
-    def _told(self, entry: i.Endpoint) -> i.Endpoint:
+    def _told(self, entry: Endpoint) -> Endpoint:
         if self.wishes.is_out(entry.replica):
-            return replace(entry, phase=i.Phase.DRAINING) if entry.phase == i.Phase.READY else entry
+            return replace(entry, phase=Phase.DRAINING) if entry.phase == Phase.READY else entry
         back = self.wishes.back(entry.replica)
         # Danger: operators restart what is out, and the list tells of it seconds late. Taken for warm, it is pushed
         # over. A start that the list names, during the absence or later, is the true one.
--- a/pearhill/settings.py
+++ b/pearhill/settings.py
@@ -6,13 +6,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pearhill import interface as i
+from pearhill.routing.settings import Idempotency, RequestClass, RouterSettings
+from pearhill.routing.topology import MachineKind, Role
 
-ROLES = {"read": i.Role.PREFILL, "write": i.Role.DECODE, "both": i.Role.MIXED}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.MIXED}
 EFFECTS = {
-    "read_like": i.Idempotency.IDEMPOTENT,
-    "idempotency_key": i.Idempotency.KEYED,
-    "non_idempotent": i.Idempotency.UNSAFE,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.UNSAFE,
 }
 
 
@@ -24,7 +25,7 @@
 class Deployment:
     """The router's settings, with what only the node round it needs. Times are microseconds."""
 
-    router: i.RouterSettings
+    router: RouterSettings
     load_at: tuple[int, int]  # where the two load values stand in a report (-1: not reported)
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
@@ -59,7 +60,7 @@
         per_k = extra.get("aim-us-per-1000-prompt-tokens") or [0.0] * n
         pace = extra.get("token-aim") or [0.0] * n
         classes = tuple(
-            i.RequestClass(
+            RequestClass(
                 int(c["aim"]),
                 float(per_k[k]),
                 int(c["deadline"]),
@@ -73,12 +74,12 @@
             for k, c in enumerate(s["classes"])
         )
         kinds = tuple(
-            i.MachineKind(ROLES.get(role, role), int(memory))
+            MachineKind(ROLES.get(role, role), int(memory))
             for role, memory in zip(extra["role-by-kind"], extra["tokens-by-kind"], strict=True)
         )
         columns = s.get("report", {}).get("columns", [])
         load_at = tuple(columns.index(name) if name in columns else -1 for name in ("x0", "x1"))
-        router = i.RouterSettings(
+        router = RouterSettings(
             instances=int(s["n-instances"]),
             zone=int(s["zone"]),
             classes=classes,
--- a/pearhill/spread/reports.py
+++ b/pearhill/spread/reports.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Collection
 
-from pearhill import interface as i
+from pearhill.routing.events import LoadReport
 
 FADE = 400_000  # microseconds after which half of a report still holds: reads take 0.1 to 0.5 s each
 FRESH = 300_000  # engines renew their reports about so often: asked again sooner, they would say the same
@@ -39,11 +39,11 @@
         last = self._last.get(engine)
         return last is not None and now - last[0] < FRESH
 
-    def told(self, now: int, engine: int, ejected_until: int = 0) -> i.LoadReport:
+    def told(self, now: int, engine: int, ejected_until: int = 0) -> LoadReport:
         at, held, waiting = self._last.get(engine, (now, 0.0, 0.0))
         # Beyond a few halvings it is as good as nothing, and says so: an old word must not outvote fresh evidence.
         sure = 0.5 ** ((now - at) / FADE) if engine in self._last and now - at < 5 * FADE else 0.0
-        return i.LoadReport(engine, held, waiting * sure, sure, ejected_until)
+        return LoadReport(engine, held, waiting * sure, sure, ejected_until)
 
     def keep(self, engines: Collection[int]) -> None:
         """Danger: where machines come and go under new names, what is kept of each fills the memory."""
--- a/pearhill/spread/scout.py
+++ b/pearhill/spread/scout.py
@@ -11,7 +11,20 @@
 import random
 from typing import Protocol
 
-from pearhill import interface as i
+from pearhill.routing.actions import Action, QueryLoad, SendHealthCheck, SetTimer
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    HealthCheckEnded,
+    LoadKnown,
+    LoadReport,
+    TimerFired,
+)
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import RouterSettings
+from pearhill.routing.topology import Phase, Role
 from pearhill.rules import OUTLIER, Router
 from pearhill.spread.reports import Reports
 from pearhill.spread.worth import looks
@@ -48,7 +61,7 @@
 class Scout:
     """Feed it every event with its time, as one would a Router; do what it returns, in order."""
 
-    def __init__(self, settings: i.RouterSettings, seed: int) -> None:
+    def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.router = Router(settings, seed)
         # Danger: dispatchers that found an engine silent at the same moment would all ask again at the same moment.
         self.rng = random.Random(seed ^ 0x5C007)
@@ -61,7 +74,7 @@
         self.timer = FIRST_TIMER
         self.reconfigure(settings)
 
-    def reconfigure(self, settings: i.RouterSettings) -> None:
+    def reconfigure(self, settings: RouterSettings) -> None:
         """Other figures for the same classes, kinds and zones."""
         self.router.reconfigure(settings)
         self.probes = looks(settings)
@@ -99,29 +112,29 @@
         return {
             e.id
             for e in router.engines.values()
-            if e.entry.phase != i.Phase.READY or e.rest > now or e.fails.over(now, 0.0) >= line
+            if e.entry.phase != Phase.READY or e.rest > now or e.fails.over(now, 0.0) >= line
         }
 
     def _looks(self) -> None:
-        self.router.looks = frozenset((i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED)) if self.peers else self.probes
+        self.router.looks = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
 
     def avoided(self, now: int) -> int:
         return sum(avoided for _, _, avoided in self.figures(now).values())
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """One event in, the actions it asks for out."""
         match event:
-            case i.HealthCheckEnded():
+            case HealthCheckEnded():
                 return self._probed(now, event)
-            case i.TimerFired() if event.timer >= FIRST_TIMER:
+            case TimerFired() if event.timer >= FIRST_TIMER:
                 request = self.timers.pop(event.timer, 0)
                 return self._seen(now, request) if request in self.looking else []
-            case i.AttemptEnded() if event.load:
+            case AttemptEnded() if event.load:
                 self.reports.heard(now, event.replica, event.load)
-            case i.ClientDisconnected():
+            case ClientDisconnected():
                 self.looking.pop(event.request, None)
         actions = self._answered(now, self.router.handle(now, event))
-        if isinstance(event, i.EndpointsUpdated):
+        if isinstance(event, EndpointsUpdated):
             self._listed()
         return actions
 
@@ -133,16 +146,16 @@
         for gone in self.asked.keys() - there:  # its Probed may still come, and then finds nobody waiting
             del self.asked[gone]
 
-    def _answered(self, now: int, actions: list[i.Action]) -> list[i.Action]:
+    def _answered(self, now: int, actions: list[Action]) -> list[Action]:
         """The Router's actions, its looks replaced by what they ask for, or by what it does when told at once."""
-        if not any(isinstance(action, i.QueryLoad) for action in actions):
+        if not any(isinstance(action, QueryLoad) for action in actions):
             return actions
-        out: list[i.Action] = []
+        out: list[Action] = []
         for action in actions:
-            out += self._look(now, action) if isinstance(action, i.QueryLoad) else [action]
+            out += self._look(now, action) if isinstance(action, QueryLoad) else [action]
         return out
 
-    def _look(self, now: int, look: i.QueryLoad) -> list[i.Action]:
+    def _look(self, now: int, look: QueryLoad) -> list[Action]:
         roles = {e: self.router.engines[e].role for e in look.replicas}
         missing = {
             e
@@ -151,31 +164,31 @@
         }
         if not missing:
             return self._facts(now, look.request, look.replicas)
-        probes: list[i.Action] = [
-            i.SendHealthCheck(e) for e in sorted(missing) if now - self.asked.get(e, -GIVEN_UP) >= GIVEN_UP
+        probes: list[Action] = [
+            SendHealthCheck(e) for e in sorted(missing) if now - self.asked.get(e, -GIVEN_UP) >= GIVEN_UP
         ]
         for probe in probes:
-            assert isinstance(probe, i.SendHealthCheck)
+            assert isinstance(probe, SendHealthCheck)
             self.asked[probe.replica] = now
         self.timer += 1
         self.timers[self.timer] = look.request
         self.looking[look.request] = Looking(look.replicas, missing, self.timer)
-        return [*probes, i.SetTimer(self.timer, self.wait)]
+        return [*probes, SetTimer(self.timer, self.wait)]
 
     def _ejected_until(self, now: int, engine: int) -> int:
         silence = self.silences.get(engine)
         return silence.until if silence and silence.until > now else 0
 
-    def _probed(self, now: int, event: i.HealthCheckEnded) -> list[i.Action]:
+    def _probed(self, now: int, event: HealthCheckEnded) -> list[Action]:
         self.asked.pop(event.replica, None)
-        if event.outcome == i.Outcome.ANSWERED:
+        if event.outcome == Outcome.ANSWERED:
             self.silences.pop(event.replica, None)
             self.reports.heard(now, event.replica, event.load)
-        elif event.outcome != i.Outcome.NOT_SENT and event.replica in self.router.engines:
+        elif event.outcome != Outcome.NOT_SENT and event.replica in self.router.engines:
             silence = self.silences.setdefault(event.replica, Silence())
             wait = min(MOST_EJECTED, FIRST_EJECTED << min(8, silence.times))
             silence.times, silence.until = silence.times + 1, now + int(wait * self.rng.uniform(0.75, 1.25))
-        out: list[i.Action] = []
+        out: list[Action] = []
         waiting = [r for r, looking in self.looking.items() if event.replica in looking.missing]
         for request in waiting:
             looking = self.looking[request]
@@ -184,7 +197,7 @@
                 out += self._seen(now, request)
         return out
 
-    def _seen(self, now: int, request: int) -> list[i.Action]:
+    def _seen(self, now: int, request: int) -> list[Action]:
         looking = self.looking.pop(request)
         self.timers.pop(looking.timer, None)
         # Danger: of an engine that has not answered in time nothing is known, and so it would look the emptier of the
@@ -194,7 +207,7 @@
             silence.until = max(silence.until, now + self.wait)
         return self._facts(now, request, looking.engines)
 
-    def _told(self, now: int, engine: int) -> i.LoadReport:
+    def _told(self, now: int, engine: int) -> LoadReport:
         """Its own word, or, where that says less, the sum of what all dispatchers have there."""
         told = self.reports.told(now, engine, self._ejected_until(now, engine))
         if self.peers is None or (e := self.router.engines.get(engine)) is None or told.confidence > 0.5:
@@ -204,8 +217,8 @@
         # fresh in it is assumed by the mean of what is, so that a small part tells as much as a sample does.
         if sure <= SAMPLE:
             return told
-        return i.LoadReport(engine, min(1.0, (e.load + load) / e.memory), e.queue + waiting, 1.0, told.ejected_until)
+        return LoadReport(engine, min(1.0, (e.load + load) / e.memory), e.queue + waiting, 1.0, told.ejected_until)
 
-    def _facts(self, now: int, request: int, engines: tuple[int, ...]) -> list[i.Action]:
+    def _facts(self, now: int, request: int, engines: tuple[int, ...]) -> list[Action]:
         told = tuple(self._told(now, e) for e in engines)
-        return self._answered(now, self.router.handle(now, i.LoadKnown(request, told)))
+        return self._answered(now, self.router.handle(now, LoadKnown(request, told)))
--- a/pearhill/spread/worth.py
+++ b/pearhill/spread/worth.py
@@ -10,7 +10,8 @@
 
 import math
 
-from pearhill import interface as i
+from pearhill.routing.settings import RouterSettings
+from pearhill.routing.topology import Role
 
 ALONE = 5  # dispatchers, up to which my own work tells as much as an old report
 GAIN = 0.02  # of all worth, for each e-fold of dispatchers beyond, where readers are looked at
@@ -18,10 +19,10 @@
 PROBES = 2  # engines to a choice
 
 
-def looks(settings: i.RouterSettings) -> frozenset[str]:
+def looks(settings: RouterSettings) -> frozenset[str]:
     """The roles at which to look before each choice; none where engines tell nothing."""
     if not settings.health_checks or settings.instances <= ALONE:
         return frozenset()
     gain, cost = GAIN * math.log(settings.instances / ALONE), PROBES * settings.health_check_price
-    worth = {i.Role.PREFILL: gain, i.Role.DECODE: gain * WRITERS}
+    worth = {Role.PREFILL: gain, Role.DECODE: gain * WRITERS}
     return frozenset(role for role, part in worth.items() if part > cost)
--- a/pearhill/wire.py
+++ b/pearhill/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's frames and the types of `pearhill.interface`. It decides nothing."""
+"""The codec between the simulator's frames and the router's events and actions. It decides nothing."""
 
 from __future__ import annotations
 
@@ -7,19 +7,43 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from pearhill import interface as i
-
-PHASES = {0: i.Phase.GONE, 1: i.Phase.READY, 2: i.Phase.DRAINING}
+from pearhill.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateStream,
+    QueryLoad,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase
+
+PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
 OUTCOMES = {
-    200: i.Outcome.ANSWERED,
-    102: i.Outcome.PREFILLED,
-    500: i.Outcome.ERROR,
-    503: i.Outcome.FULL,
-    504: i.Outcome.TIMEOUT,
-    502: i.Outcome.UNREACHABLE,
-    598: i.Outcome.TRUNCATED,
-    499: i.Outcome.CANCELLED,
-    410: i.Outcome.NOT_SENT,
+    200: Outcome.ANSWERED,
+    102: Outcome.PREFILLED,
+    500: Outcome.ERROR,
+    503: Outcome.FULL,
+    504: Outcome.TIMEOUT,
+    502: Outcome.UNREACHABLE,
+    598: Outcome.TRUNCATED,
+    499: Outcome.CANCELLED,
+    410: Outcome.NOT_SENT,
 }
 TURNED_AWAY = 503  # of a probe: the engine lives
 FULL_LIST, CACHED_LIST, FAILED_CALL = 0, 3, 4
@@ -60,7 +84,7 @@
 class Frame:
     seq: int
     clock: int
-    events: tuple[tuple[int, i.Event | Start | Halt], ...]
+    events: tuple[tuple[int, Event | Start | Halt], ...]
 
 
 def _whole(value: float) -> int:
@@ -68,7 +92,7 @@
     return int(value) if 0 <= value < 1e9 else 0
 
 
-def _listed(b: bytes) -> i.EndpointsUpdated | None:
+def _listed(b: bytes) -> EndpointsUpdated | None:
     _, mode, n = struct.unpack_from("<QBI", b)
     if mode == FAILED_CALL:
         return None
@@ -77,13 +101,13 @@
         engine, zone, kind, cell, phase, weight, started = _ENTRY.unpack_from(b, 13 + 22 * k)
         if phase not in PHASES:
             raise WireError(f"list entry {k} has the unknown phase {phase}")
-        entries.append(i.Endpoint(engine, zone, kind, cell, PHASES[phase], weight, started))
-    return i.EndpointsUpdated(mode in (FULL_LIST, CACHED_LIST), tuple(entries))
+        entries.append(Endpoint(engine, zone, kind, cell, PHASES[phase], weight, started))
+    return EndpointsUpdated(mode in (FULL_LIST, CACHED_LIST), tuple(entries))
 
 
-def _submit(b: bytes) -> i.RequestArrived:
+def _submit(b: bytes) -> RequestArrived:
     txn, _, prefix_len, prefix, prompt, cls, session, ttl, tenant, most, opts = _SUBMIT.unpack_from(b)
-    return i.RequestArrived(
+    return RequestArrived(
         txn,
         cls,
         tenant,
@@ -104,25 +128,25 @@
     return (report[x0], report[x1]) if min(load_at) >= 0 and max(load_at) < values else None
 
 
-def _probed(b: bytes, load_at: tuple[int, int]) -> i.HealthCheckEnded:
+def _probed(b: bytes, load_at: tuple[int, int]) -> HealthCheckEnded:
     rtt, engine, verdict, values = _PROBED.unpack_from(b)
-    outcome = i.Outcome.ANSWERED if verdict == TURNED_AWAY else OUTCOMES.get(verdict, i.Outcome.UNREACHABLE)
-    return i.HealthCheckEnded(engine, outcome, rtt, _load(b, _PROBED.size, values, load_at))
+    outcome = Outcome.ANSWERED if verdict == TURNED_AWAY else OUTCOMES.get(verdict, Outcome.UNREACHABLE)
+    return HealthCheckEnded(engine, outcome, rtt, _load(b, _PROBED.size, values, load_at))
 
 
-def _ended(b: bytes, load_at: tuple[int, int]) -> i.AttemptEnded:
+def _ended(b: bytes, load_at: tuple[int, int]) -> AttemptEnded:
     txn, detail, verdict, settled, rtt, engine, n, values = _ENDED.unpack_from(b)
     load = _load(b, _ENDED.size, values, load_at)
     if verdict not in OUTCOMES:
         raise WireError(f"ENDED has the unknown verdict {verdict}")
-    outcome = i.Outcome.STATE_LOST if verdict == 503 and detail == 1 else OUTCOMES[verdict]
+    outcome = Outcome.STATE_LOST if verdict == 503 and detail == 1 else OUTCOMES[verdict]
     kept = detail if verdict in (102, 200) else 0
-    return i.AttemptEnded(txn, n, engine, outcome, bool(settled), kept, rtt, load)
+    return AttemptEnded(txn, n, engine, outcome, bool(settled), kept, rtt, load)
 
 
-def _began(b: bytes) -> i.ResponseStarted:
+def _began(b: bytes) -> ResponseStarted:
     txn, n, engine, rtt = _FIRST.unpack_from(b)
-    return i.ResponseStarted(txn, n, engine, rtt)
+    return ResponseStarted(txn, n, engine, rtt)
 
 
 def _start(b: bytes) -> Start:
@@ -136,7 +160,7 @@
     """NOTE and DATAGRAM answer what is never asked for here."""
 
 
-_EVENTS: dict[int, Callable[[bytes], i.Event | Start | Halt | None]] = {
+_EVENTS: dict[int, Callable[[bytes], Event | Start | Halt | None]] = {
     6: _skip,
     11: _skip,
     3: _listed,
@@ -144,11 +168,11 @@
     10: _submit,
     7: _began,
     9: lambda b: Halt(),
-    1: lambda b: i.TimerFired(_U32.unpack_from(b)[0]),
-    2: lambda b: i.ClientDisconnected(_U32.unpack_from(b)[0]),
+    1: lambda b: TimerFired(_U32.unpack_from(b)[0]),
+    2: lambda b: ClientDisconnected(_U32.unpack_from(b)[0]),
 }
 
-_REPORTING: dict[int, Callable[[bytes, tuple[int, int]], i.Event]] = {0: _probed, 8: _ended}  # may hold a report
+_REPORTING: dict[int, Callable[[bytes, tuple[int, int]], Event]] = {0: _probed, 8: _ended}  # may hold a report
 
 
 def read_frame(stream: BinaryIO, load_at: Callable[[int], tuple[int, int]]) -> Frame | None:
@@ -172,7 +196,7 @@
     body: bytes,
     count: int,
     load_at: Callable[[int], tuple[int, int]],
-) -> Iterator[tuple[int, i.Event | Start | Halt]]:
+) -> Iterator[tuple[int, Event | Start | Halt]]:
     at, instance = 0, -1
     for k in range(count):
         where = f"frame {seq}, record {k} at byte {at}"
@@ -207,34 +231,34 @@
     return _RECORD.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
 
 
-def encode_action(a: i.Action | Fault) -> bytes:
+def encode_action(a: Action | Fault) -> bytes:
     """One action as one record."""
     match a:
-        case i.SendAttempt():
+        case SendAttempt():
             return struct.pack("<BIIIi", 64, 12, a.request, a.replica, a.attempt_timeout)
-        case i.SetTimer():
+        case SetTimer():
             return struct.pack("<BIII", 68, 8, a.timer, a.delay)
-        case i.CancelAttempt():
+        case CancelAttempt():
             return struct.pack("<BIIH", 67, 6, a.request, a.attempt)
-        case i.RejectRequest():
+        case RejectRequest():
             return struct.pack("<BIII", 65, 8, a.request, a.retry_after)
-        case i.FailRequest():
+        case FailRequest():
             return struct.pack("<BII", 66, 4, a.request)
-        case i.SendHealthCheck():
+        case SendHealthCheck():
             return struct.pack("<BII", 69, 4, a.replica)
-        case i.ReleaseState():
+        case ReleaseState():
             return struct.pack("<BII", 78, 4, a.request)
-        case i.MigrateStream():
+        case MigrateStream():
             return struct.pack("<BII", 76, 4, a.request)
-        case i.LogMessage():
+        case LogMessage():
             return _text(72, a.text)
-        case i.QueryLoad():
+        case QueryLoad():
             raise WireError("a Look is answered inside, and has no record")
         case Fault():
             return _text(73, a.text)
 
 
-def encode_reply(seq: int, actions: list[tuple[int, i.Action | Fault]]) -> bytes:
+def encode_reply(seq: int, actions: list[tuple[int, Action | Fault]]) -> bytes:
     """The reply to one frame: the actions in order, each run of them behind a FOR record."""
     parts, instance = [], -1
     for who, action in actions:
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -4,29 +4,33 @@
 
 from dataclasses import replace
 
-from pearhill import interface as i
+from pearhill.routing.actions import Action, SendAttempt, SetTimer
+from pearhill.routing.events import AttemptEnded, EndpointsUpdated, Event, RequestArrived, ResponseStarted, TimerFired
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import Idempotency, RequestClass, RouterSettings
+from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
 from pearhill.rules import Router
 
 S = 1_000_000
-CLASS = i.RequestClass(
+CLASS = RequestClass(
     latency_objective=1 * S,
     latency_objective_per_1000_tokens=40_000.0,
     deadline=4 * S,
     priority_weight=1.0,
     late_priority_weight=0.1,
-    idempotency=i.Idempotency.IDEMPOTENT,
+    idempotency=Idempotency.IDEMPOTENT,
     idempotency_scope="all",
     idempotency_window=5 * S,
     token_latency_objective=60_000.0,
 )
-SETTINGS = i.RouterSettings(
+SETTINGS = RouterSettings(
     instances=2,
     zone=0,
     classes=(CLASS,),
     kinds=(
-        i.MachineKind(i.Role.PREFILL, 200_000),
-        i.MachineKind(i.Role.DECODE, 150_000),
-        i.MachineKind(i.Role.MIXED, 200_000),
+        MachineKind(Role.PREFILL, 200_000),
+        MachineKind(Role.DECODE, 150_000),
+        MachineKind(Role.MIXED, 200_000),
     ),
     quotas=(),
     over_quota_weight=0.1,
@@ -46,15 +50,13 @@
 )
 
 
-def settings(effect: str = i.Idempotency.IDEMPOTENT, group: str = "all", **changes: object) -> i.RouterSettings:
+def settings(effect: str = Idempotency.IDEMPOTENT, group: str = "all", **changes: object) -> RouterSettings:
     spec = replace(CLASS, idempotency=effect, idempotency_scope=group)
     return replace(SETTINGS, classes=(spec,), **changes)
 
 
-def entry(
-    engine: int, kind: int, cell: int = 0, zone: int = 0, phase: str = i.Phase.READY, started: int = 0
-) -> i.Endpoint:
-    return i.Endpoint(engine, zone, kind, cell, phase, 1.0, started)
+def entry(engine: int, kind: int, cell: int = 0, zone: int = 0, phase: str = Phase.READY, started: int = 0) -> Endpoint:
+    return Endpoint(engine, zone, kind, cell, phase, 1.0, started)
 
 
 FLEET = tuple(entry(n, 0, cell=n % 2) for n in range(1, 7)) + tuple(entry(n, 1, cell=n % 2) for n in range(11, 17))
@@ -63,31 +65,31 @@
 class Drive:
     """One router, its clock, and the last attempt of each request."""
 
-    def __init__(self, s: i.RouterSettings = SETTINGS, fleet: tuple[i.Endpoint, ...] = FLEET, seed: int = 1) -> None:
+    def __init__(self, s: RouterSettings = SETTINGS, fleet: tuple[Endpoint, ...] = FLEET, seed: int = 1) -> None:
         self.router, self.now, self.next = Router(s, seed), 100 * S, 1
-        self.sent: dict[int, i.SendAttempt] = {}
+        self.sent: dict[int, SendAttempt] = {}
         self.attempt: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
-        self.feed(i.EndpointsUpdated(True, fleet))
+        self.feed(EndpointsUpdated(True, fleet))
 
-    def feed(self, event: i.Event) -> list[i.Action]:
+    def feed(self, event: Event) -> list[Action]:
         actions = self.router.handle(self.now, event)
         for a in actions:
-            if isinstance(a, i.SendAttempt):
+            if isinstance(a, SendAttempt):
                 self.sent[a.request] = a
                 self.attempt[a.request] = self.attempt.get(a.request, -1) + 1
-            if isinstance(a, i.SetTimer):
+            if isinstance(a, SetTimer):
                 self.timers.append((self.now + a.delay, a.timer))
         return actions
 
-    def wait(self, micros: int) -> list[i.Action]:
+    def wait(self, micros: int) -> list[Action]:
         """Let time pass, with the timers that fall due."""
         end, actions = self.now + micros, []
         while self.timers and min(self.timers)[0] <= end:
             at, timer = min(self.timers)
             self.timers.remove((at, timer))
             self.now = max(self.now, at)
-            actions += self.feed(i.TimerFired(timer))
+            actions += self.feed(TimerFired(timer))
         self.now = end
         return actions
 
@@ -101,10 +103,10 @@
         cls: int = 0,
         tenant: int = 0,
         max_out: int = 100,
-    ) -> tuple[int, list[i.Action]]:
+    ) -> tuple[int, list[Action]]:
         request, self.next = self.next, self.next + 1
         return request, self.feed(
-            i.RequestArrived(request, cls, tenant, session, prefix, prefix_len, prompt, max_out, ttl, False, False)
+            RequestArrived(request, cls, tenant, session, prefix, prefix_len, prompt, max_out, ttl, False, False)
         )
 
     def end(
@@ -115,23 +117,21 @@
         kept: int = 0,
         rtt: int = 50_000,
         load: tuple[float, float] | None = None,
-    ) -> list[i.Action]:
+    ) -> list[Action]:
         return self.feed(
-            i.AttemptEnded(
-                request, self.attempt[request], self.sent[request].replica, outcome, settled, kept, rtt, load
-            )
+            AttemptEnded(request, self.attempt[request], self.sent[request].replica, outcome, settled, kept, rtt, load)
         )
 
-    def began(self, request: int, rtt: int = 30_000) -> list[i.Action]:
-        return self.feed(i.ResponseStarted(request, self.attempt[request], self.sent[request].replica, rtt))
+    def began(self, request: int, rtt: int = 30_000) -> list[Action]:
+        return self.feed(ResponseStarted(request, self.attempt[request], self.sent[request].replica, rtt))
 
     def serve(self, request: int, kept: int = 0, rtt: int = 50_000) -> None:
         """See a request through to its answer."""
         if self.sent[request].replica < 11:
-            self.end(request, i.Outcome.PREFILLED, kept=kept, rtt=rtt)
+            self.end(request, Outcome.PREFILLED, kept=kept, rtt=rtt)
         self.began(request)
-        self.end(request, i.Outcome.ANSWERED, settled=True, kept=kept)
+        self.end(request, Outcome.ANSWERED, settled=True, kept=kept)
 
 
-def of(kind: type, actions: list[i.Action]) -> list[i.Action]:
+def of(kind: type, actions: list[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from pearhill import interface as i
 from pearhill import wire
 from pearhill.admin.door import Door
 from pearhill.bill.files import SCHEMA
@@ -23,6 +22,17 @@
 from pearhill.membership.datagram import Codec
 from pearhill.membership.frames import FrameCodec, Hello, HelloAck, Part, Report, Roster, Sums, Superseded
 from pearhill.membership.members import ALIVE, DEAD, SUSPECT, Ack, Ask, Ping, Rumour
+from pearhill.routing.actions import (
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateStream,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
 from pearhill.service.handover import Note
 from pearhill.service.wishes import Wish
 from pearhill.spread.digests import Row
@@ -138,15 +148,15 @@
     return wire.encode_reply(
         12,
         [
-            (3, i.SendAttempt(21, 11, 1_500_000, 7, 8)),
-            (3, i.SetTimer(77, 2_000_000)),
-            (3, i.CancelAttempt(21, 1)),
-            (4, i.RejectRequest(22, 2_000_000, "slow-reads")),
-            (4, i.FailRequest(23, "deadline")),
-            (3, i.SendHealthCheck(11)),
-            (3, i.ReleaseState(21)),
-            (3, i.MigrateStream(24)),
-            (3, i.LogMessage("a line for the log")),
+            (3, SendAttempt(21, 11, 1_500_000, 7, 8)),
+            (3, SetTimer(77, 2_000_000)),
+            (3, CancelAttempt(21, 1)),
+            (4, RejectRequest(22, 2_000_000, "slow-reads")),
+            (4, FailRequest(23, "deadline")),
+            (3, SendHealthCheck(11)),
+            (3, ReleaseState(21)),
+            (3, MigrateStream(24)),
+            (3, LogMessage("a line for the log")),
             (3, wire.Fault("ValueError: no")),
         ],
     )
--- a/tests/service/test_by_hand.py
+++ b/tests/service/test_by_hand.py
@@ -5,28 +5,28 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill import interface as i
+from pearhill.routing.topology import Endpoint, Phase
 from pearhill.service.drain import KEEP_OPEN, LAST_ANSWERS, NO_IDLE, OPEN, Drain
 from pearhill.service.roster import Roster
 from pearhill.service.wishes import FORGOTTEN_AFTER, Wishes
 from tests.driver import S, entry
 
 
-def phases(entries: tuple[i.Endpoint, ...]) -> dict[int, str]:
+def phases(entries: tuple[Endpoint, ...]) -> dict[int, str]:
     return {e.replica: e.phase for e in entries}
 
 
 def test_what_is_out_is_told_as_draining_whatever_the_list_says():
     roster = Roster(wishes := Wishes())
-    assert phases(roster.listed(True, (entry(1, 0), entry(2, 1)))) == {1: i.Phase.READY, 2: i.Phase.READY}
+    assert phases(roster.listed(True, (entry(1, 0), entry(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
     wishes.set_out(1, 10 * S, True)
-    assert phases(roster.again({1})) == {1: i.Phase.DRAINING}
+    assert phases(roster.again({1})) == {1: Phase.DRAINING}
     for full in (False, True):
-        assert phases(roster.listed(full, (entry(1, 0), entry(2, 1)))) == {1: i.Phase.DRAINING, 2: i.Phase.READY}
-    roster.listed(False, (entry(1, 0, phase=i.Phase.GONE),))
+        assert phases(roster.listed(full, (entry(1, 0), entry(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
+    roster.listed(False, (entry(1, 0, phase=Phase.GONE),))
     assert roster.knows(1) and roster.again({1}) == ()  # not listed, and still out
     moved = replace(entry(1, 0), started_at=11 * S, cell=5)
-    assert phases(roster.listed(False, (moved,))) == {1: i.Phase.DRAINING}
+    assert phases(roster.listed(False, (moved,))) == {1: Phase.DRAINING}
     wishes.set_out(1, 12 * S, False)
     assert roster.again({1}) == (moved,)  # the list named its start
     roster.listed(True, ())
--- a/tests/spread/test_scout.py
+++ b/tests/spread/test_scout.py
@@ -8,8 +8,12 @@
 
 import pytest
 
-from pearhill import interface as i
 from pearhill.platform.replica import load_of
+from pearhill.routing.actions import Action, SendHealthCheck
+from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import RouterSettings
+from pearhill.routing.topology import Phase, Role
 from pearhill.spread.reports import FADE, FRESH, Reports
 from pearhill.spread.scout import FIRST_EJECTED, MOST_EJECTED, Scout
 from pearhill.spread.worth import looks
@@ -23,25 +27,25 @@
 class Asking(Drive):
     """A scout before two readers and two writers, and the probes that it has out."""
 
-    def __init__(self, s: i.RouterSettings = BLIND, seed: int = 1) -> None:
+    def __init__(self, s: RouterSettings = BLIND, seed: int = 1) -> None:
         self.out: list[int] = []
         super().__init__(s, FLEET, seed)
         # The same driver, before the Router's own decisions: drop the one that it made, list the fleet anew.
         self.router: Any = Scout(s, seed)
         self.timers.clear()
-        self.feed(i.EndpointsUpdated(True, FLEET))
+        self.feed(EndpointsUpdated(True, FLEET))
 
-    def feed(self, event: i.Event) -> list[i.Action]:
+    def feed(self, event: Event) -> list[Action]:
         actions = super().feed(event)
-        self.out += [a.replica for a in actions if isinstance(a, i.SendHealthCheck)]
+        self.out += [a.replica for a in actions if isinstance(a, SendHealthCheck)]
         return actions
 
     def tell(
-        self, engine: int, held: float = 0.1, waiting: float = 0.0, outcome: str = i.Outcome.ANSWERED
-    ) -> list[i.Action]:
+        self, engine: int, held: float = 0.1, waiting: float = 0.0, outcome: str = Outcome.ANSWERED
+    ) -> list[Action]:
         self.out.remove(engine)
         return self.feed(
-            i.HealthCheckEnded(engine, outcome, MS, (held, waiting) if outcome == i.Outcome.ANSWERED else None)
+            HealthCheckEnded(engine, outcome, MS, (held, waiting) if outcome == Outcome.ANSWERED else None)
         )
 
     def read(self, told: dict[int, float], session: int = 5) -> int:
@@ -53,8 +57,8 @@
 
     def gone(self, r: int) -> int:
         """The client leaves, and its work goes with it; where it had been sent."""
-        self.feed(i.ClientDisconnected(r))
-        self.end(r, i.Outcome.CANCELLED, settled=True)
+        self.feed(ClientDisconnected(r))
+        self.end(r, Outcome.CANCELLED, settled=True)
         return self.sent[r].replica
 
 
@@ -64,12 +68,12 @@
         (1, 0.0, True, ()),
         (3, 0.0039, True, ()),
         (5, 0.0, True, ()),
-        (8, 0.0039, True, (i.Role.PREFILL,)),
-        (12, 0.0039, True, (i.Role.PREFILL,)),
-        (60, 0.0039, True, (i.Role.PREFILL, i.Role.DECODE)),
+        (8, 0.0039, True, (Role.PREFILL,)),
+        (12, 0.0039, True, (Role.PREFILL,)),
+        (60, 0.0039, True, (Role.PREFILL, Role.DECODE)),
         (60, 0.2, True, ()),
         (200, 0.0039, False, ()),
-        (8, 0.0, True, (i.Role.PREFILL, i.Role.DECODE)),
+        (8, 0.0, True, (Role.PREFILL, Role.DECODE)),
     ],
 )
 def test_a_look_is_taken_only_where_it_pays(instances, price, probing, roles):
@@ -86,7 +90,7 @@
         d = Asking()
         d.arrive()
         d.tell(1), d.tell(2)
-        d.end(1, i.Outcome.PREFILLED)
+        d.end(1, Outcome.PREFILLED)
         d.tell(roomy, held=0.2)
         d.tell(full, held=0.9)
         assert d.sent[1].replica == roomy
@@ -115,7 +119,7 @@
             assert d.sent[r].replica == plain
             continue
         assert d.sent[r].replica == 3 - busy
-        d.end(r, i.Outcome.PREFILLED)
+        d.end(r, Outcome.PREFILLED)
         assert d.sent[r].replica == 23 - (busy + 10)
 
 
@@ -141,7 +145,7 @@
         assert r not in d.sent
         d.wait(30 * MS)
         assert d.sent[r].replica == well  # who says nothing is not empty
-        d.tell(silent, outcome=i.Outcome.TIMEOUT)
+        d.tell(silent, outcome=Outcome.TIMEOUT)
         for n in range(8):
             assert d.read({1: 9.0, 2: 9.0}, session=20 + n) == well
 
@@ -149,7 +153,7 @@
 def test_a_mute_engine_is_tried_by_a_probe_and_never_by_a_request_until_it_answers():
     d, asked, period = Asking(), 0, 0
     d.arrive()
-    d.tell(2), d.tell(1, outcome=i.Outcome.UNREACHABLE)
+    d.tell(2), d.tell(1, outcome=Outcome.UNREACHABLE)
     for n in range(200):  # ten seconds of sessions, each at its own home
         d.wait(50 * MS)
         r, _ = d.arrive(session=100 + n)
@@ -157,7 +161,7 @@
             d.tell(2)
         if 1 in d.out:
             asked += 1
-            d.tell(1, outcome=i.Outcome.TIMEOUT)
+            d.tell(1, outcome=Outcome.TIMEOUT)
         assert d.gone(r) == 2
     assert 4 <= asked <= 2 + math.log2(MOST_EJECTED / FIRST_EJECTED) + 10 * S / (0.75 * MOST_EJECTED)
     for n in range(200):
@@ -174,7 +178,7 @@
 def test_a_probe_that_was_never_sent_says_nothing_and_one_that_is_lost_is_not_waited_for():
     d = Asking()
     r, _ = d.arrive()
-    d.tell(1, outcome=i.Outcome.NOT_SENT), d.tell(2, outcome=i.Outcome.NOT_SENT)
+    d.tell(1, outcome=Outcome.NOT_SENT), d.tell(2, outcome=Outcome.NOT_SENT)
     d.gone(r)
     assert {d.read({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
     d.wait(S)
@@ -188,13 +192,13 @@
 def test_an_engine_that_leaves_while_it_is_asked_and_a_client_that_does():
     d = Asking()
     r, _ = d.arrive()
-    d.feed(i.EndpointsUpdated(False, (replace(FLEET[0], phase=i.Phase.GONE),)))
+    d.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
     d.tell(1), d.tell(2)
     assert d.sent[r].replica == 2
     d.wait(FRESH + 1)
-    d.feed(i.EndpointsUpdated(False, (FLEET[0],)))
+    d.feed(EndpointsUpdated(False, (FLEET[0],)))
     gone, _ = d.arrive(session=9)
-    d.feed(i.ClientDisconnected(gone))
+    d.feed(ClientDisconnected(gone))
     for engine in list(d.out):
         d.tell(engine)
     d.wait(S)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -8,7 +8,10 @@
 
 import pytest
 
-from pearhill import interface as i
+from pearhill.routing.actions import SendAttempt
+from pearhill.routing.events import EndpointsUpdated
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import Drive, S, entry, of, settings
 
 READERS, WRITERS, RATE = 8, 6, 80  # requests a second at the fleet
@@ -43,11 +46,11 @@
         drive.now = self.now
         return drive
 
-    def change(self, *entries: i.Endpoint) -> None:
+    def change(self, *entries: Endpoint) -> None:
         self.listed |= {e.replica: e for e in entries}
         for node in self.nodes:
             node.wait(self.now - node.now)
-            node.feed(i.EndpointsUpdated(False, entries))
+            node.feed(EndpointsUpdated(False, entries))
 
     def run(self, until: int) -> None:
         while self.now < until:
@@ -55,9 +58,9 @@
             node = self.rng.choices(self.nodes, self.shares)[0]
             node.wait(self.now - node.now)
             r, out = node.arrive(prompt=3000, session=self.rng.randrange(1, 1 << 60))
-            while of(i.SendAttempt, out) and node.sent[r].replica in self.cut:
-                out = node.end(r, i.Outcome.UNREACHABLE)
-            if of(i.SendAttempt, out):
+            while of(SendAttempt, out) and node.sent[r].replica in self.cut:
+                out = node.end(r, Outcome.UNREACHABLE)
+            if of(SendAttempt, out):
                 self.sent.setdefault(node.sent[r].replica, []).append(self.now)
                 node.serve(r)
 
@@ -117,7 +120,7 @@
             fleet.nodes[n] = fleet.fresh()
     if day == "late":
         fleet.run(start + 5 * S)
-        fleet.change(*(entry(n, 0, cell=n % 2, phase=i.Phase.DRAINING) for n in range(2, READERS + 1)))
+        fleet.change(*(entry(n, 0, cell=n % 2, phase=Phase.DRAINING) for n in range(2, READERS + 1)))
     if day == "cut":
         fleet.run(start + 5 * S)
         fleet.cut = set(range(2, READERS + 1))
@@ -146,7 +149,7 @@
             prompt = SHORT if self.rng.random() < SHORT_SHARE else LONG
             r, out = node.arrive(prompt=prompt, session=self.rng.randrange(1, 1 << 60))
             self.all_work, self.requests = self.all_work + prompt + PAD, self.requests + 1
-            if of(i.SendAttempt, out):
+            if of(SendAttempt, out):
                 engine = node.sent[r].replica
                 self.sent.setdefault(engine, []).append(self.now)
                 self.work[engine] = self.work.get(engine, 0.0) + prompt + PAD
@@ -185,14 +188,14 @@
     role, open_still = node.router.s.kinds[kind].role, []
     for n in range(200):
         r, out = node.arrive(prompt=300, session=n + 1)
-        if of(i.SendAttempt, out) and node.sent[r].replica < 11:
-            node.end(r, i.Outcome.PREFILLED)
+        if of(SendAttempt, out) and node.sent[r].replica < 11:
+            node.end(r, Outcome.PREFILLED)
         if r in node.sent and node.sent[r].replica >= 11:
             node.began(r)
             open_still.append(r)
         node.wait(20_000)
     assert open_still and node.router.slow_start.answer_rate[role] == 0
     for r in open_still:
-        node.end(r, i.Outcome.ANSWERED, settled=True)
+        node.end(r, Outcome.ANSWERED, settled=True)
     node.wait(2 * S)
     assert node.router.slow_start.answer_rate[role] > 0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,6 @@
 from typing import Any
 from unittest.mock import Mock, patch
 
-from pearhill import interface as i
 from pearhill import settings
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
@@ -25,6 +24,9 @@
 from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, NoRoom, Pool
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
+from pearhill.routing.actions import Action, RejectRequest, SendAttempt
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import SETTINGS
 
 ADVICE, BOOKING = 0, 1
@@ -65,7 +67,7 @@
         self.core = Dispatcher(settings.parse(SETTINGS), 1, self.deadlines, Counters())
         self.core.backend = self
         self.core.listed(
-            True, tuple(i.Endpoint(n, 0, kind, 0, i.Phase.READY, 1.0, 0) for n, kind in ((1, 0), (2, 1), (3, 1)))
+            True, tuple(Endpoint(n, 0, kind, 0, Phase.READY, 1.0, 0) for n, kind in ((1, 0), (2, 1), (3, 1)))
         )
 
     def send(self, attempt: Attempt) -> None:
@@ -98,76 +100,74 @@
 
     def test_two_stages_then_one_answer(self):
         client = self.take()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.assertEqual([a.engine for a in self.sent][0], 1)
         self.assertTrue(self.sent[1].begin())
-        self.sent[1].end(i.Outcome.ANSWERED)
-        self.sent[1].end(i.Outcome.TRUNCATED)  # one end counts
+        self.sent[1].end(Outcome.ANSWERED)
+        self.sent[1].end(Outcome.TRUNCATED)  # one end counts
         self.assertEqual((client.told, self.released, self.core.requests), (["finish"], [], {}))
 
     def test_what_waits_for_its_connection_goes_elsewhere_when_the_list_takes_its_engine_away(self):
         """Not when bytes of it are out: then it may run, and two would be out. Nothing is spent on it: with as many
         attempts as are allowed, more engines go than that."""
         most = SETTINGS["allowed"]["max-attempts"]
-        for phase, reached in ((i.Phase.DRAINING, False), (i.Phase.GONE, False), (i.Phase.DRAINING, True)):
+        for phase, reached in ((Phase.DRAINING, False), (Phase.GONE, False), (Phase.DRAINING, True)):
             with self.subTest(phase=phase, reached=reached):
                 self.setUp()
                 self.reached = reached
-                self.core.listed(
-                    True, tuple(i.Endpoint(n, 0, 2, 0, i.Phase.READY, 1.0, 0) for n in range(10, most + 13))
-                )
+                self.core.listed(True, tuple(Endpoint(n, 0, 2, 0, Phase.READY, 1.0, 0) for n in range(10, most + 13)))
                 client = self.take(BOOKING)
                 for _ in range(most + 2):
                     at = self.sent[-1].engine
-                    self.core.listed(False, (i.Endpoint(at, 0, 2, 0, phase, 1.0, 0),))
+                    self.core.listed(False, (Endpoint(at, 0, 2, 0, phase, 1.0, 0),))
                 self.assertEqual(client.told, [])
                 self.assertEqual(len({a.engine for a in self.sent}), 1 if reached else most + 3)
-                self.assertEqual(self.core.counters.outcomes[i.Outcome.WITHDRAWN], 0 if reached else most + 2)
+                self.assertEqual(self.core.counters.outcomes[Outcome.WITHDRAWN], 0 if reached else most + 2)
                 self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
                 self.sent[-1].begin()
-                self.sent[-1].end(i.Outcome.ANSWERED)
+                self.sent[-1].end(Outcome.ANSWERED)
                 self.assertEqual((client.told, self.released, self.core.requests), (["finish"], [], {}))
 
     def test_nothing_is_begun_for_a_client_that_is_seen_to_have_gone(self):
         """Neither at the choice nor at the first byte; what was held for it is let go of."""
         client = self.take()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.assertTrue(self.sent[1].may_begin())
         client.closed, self.reached = True, False
         self.assertFalse(self.sent[1].may_begin())
         self.assertEqual((client.told, self.released, self.core.requests, self.core.counters.left), ([], [{1}], {}, 1))
         client = self.take()
         client.closed = True
-        self.sent[2].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[2].end(Outcome.PREFILLED, may_hold=True)
         self.assertEqual((len(self.sent), client.told, self.released, self.core.counters.left), (3, [], [{1}, {1}], 2))
         self.assertEqual(self.core.requests, {})
 
     def test_an_attempt_whose_time_to_be_written_is_over_never_ran_and_blames_nobody(self):
         """A state is fetched within `release-within` or let go; it waits for a connection until then."""
         client = self.take(BOOKING)
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         within = SETTINGS["extra"]["release-within"]
         self.assertEqual(self.sent[1].by, self.now + within)
         self.reached = False
         self.now += within
         self.assertFalse(self.sent[1].may_begin())
-        self.assertEqual((self.core.counters.outcomes[i.Outcome.WITHDRAWN], self.released, client.told), (1, [{1}], []))
+        self.assertEqual((self.core.counters.outcomes[Outcome.WITHDRAWN], self.released, client.told), (1, [{1}], []))
         self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.value])
         self.assertEqual(self.sent[2].engine, 1)  # read anew: it has run nowhere
 
     def test_a_booking_that_was_being_written_when_its_time_was_over_may_have_run(self):
         """Its last byte may have left in the very turn; refused, or sent elsewhere, it would run twice."""
         client = self.take(BOOKING)
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.now = self.sent[1].by
         self.sent[1].withdraw()
         self.assertEqual((client.told, len(self.sent), self.released), (["fail"], 2, [{1, self.sent[1].engine}]))
-        self.assertEqual(self.core.counters.outcomes[i.Outcome.WITHDRAWN], 0)
+        self.assertEqual(self.core.counters.outcomes[Outcome.WITHDRAWN], 0)
 
     def test_what_a_fetch_without_a_sign_is_for_is_let_go_of_in_time_and_once_more_at_its_end(self):
         within = SETTINGS["extra"]["release-within"]
         client = self.take()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.wait(within - 1)
         self.assertEqual(self.reminded, [])
         self.wait(1)
@@ -177,7 +177,7 @@
 
     def test_a_fetch_that_has_begun_in_time_needs_no_release(self):
         self.take()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.sent[1].begin()
         self.wait(SETTINGS["extra"]["release-within"])
         self.assertEqual((self.reminded, self.released), ([], []))
@@ -187,7 +187,7 @@
         self.core.router.handle = lambda now, event: [  # type: ignore[method-assign]
             action
             for sent in handle(now, event)
-            for action in ([sent, replace(sent, replica=3)] if isinstance(sent, i.SendAttempt) else [sent])
+            for action in ([sent, replace(sent, replica=3)] if isinstance(sent, SendAttempt) else [sent])
         ]
         self.take(BOOKING)
         self.assertEqual(len(self.sent), 1)
@@ -195,13 +195,13 @@
     def test_an_effect_is_not_repeated_nor_its_request_refused_whatever_the_router_wants(self):
         """Both are counted as violations; the client hears that it failed."""
         client = self.take(BOOKING)
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         number, writer = client.request.number, self.sent[1].engine
-        wanted: list[i.Action] = [i.SendAttempt(number, writer, 10**6)]
+        wanted: list[Action] = [SendAttempt(number, writer, 10**6)]
         self.core.router.handle = lambda now, event: [wanted.pop()] if wanted else []  # type: ignore[method-assign]
-        self.sent[1].end(i.Outcome.TRUNCATED, may_hold=True)
+        self.sent[1].end(Outcome.TRUNCATED, may_hold=True)
         self.assertEqual(len(self.sent), 2)
-        wanted.append(i.RejectRequest(number, 0))
+        wanted.append(RejectRequest(number, 0))
         self.core.listed(False, ())
         self.assertEqual(client.told, ["fail"])
         self.assertEqual(dict(self.core.counters.violations), {"may-have-run": 1, "refused-after-effect": 1})
@@ -211,7 +211,7 @@
         for _ in range(5):
             client = self.take()
             self.core.leave(client.request)
-        self.assertEqual(self.core.counters.outcomes, {i.Outcome.NOT_SENT: 5})
+        self.assertEqual(self.core.counters.outcomes, {Outcome.NOT_SENT: 5})
         self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
 
     def test_a_request_whose_time_was_over_before_its_turn_is_refused_and_not_sent(self):
@@ -221,7 +221,7 @@
         self.assertEqual(self.core.counters.refusals, {"expired": 1})
 
     def test_an_engine_that_the_list_does_not_name_as_ready_gets_nothing_whatever_the_router_wants(self):
-        for phase in (i.Phase.DRAINING, i.Phase.GONE):
+        for phase in (Phase.DRAINING, Phase.GONE):
             self.setUp()
             self.core.engines = {n: replace(e, phase=phase) for n, e in self.core.engines.items()}
             client = self.take()
@@ -243,16 +243,16 @@
 
     def test_the_clock_stops_with_the_first_event_and_a_break_is_no_end(self):
         client = self.take()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.sent[1].begin()
         self.wait(20_000_000)
         self.assertEqual(client.told, [])
-        self.sent[1].end(i.Outcome.TRUNCATED)
+        self.sent[1].end(Outcome.TRUNCATED)
         self.assertEqual((client.told, len(self.sent)), (["abort"], 2))
 
     def test_the_old_attempt_is_closed_before_the_next_is_sent(self):
         client, order = self.take(), list[str]()
-        self.sent[0].end(i.Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         self.on_cancel = lambda attempt: order.append(f"close {len(self.sent)}")
         self.wait(4_900_000)
         self.assertEqual(order[0], "close 2")
@@ -261,7 +261,7 @@
 
     def test_an_outcome_in_hand_wins_over_a_call_off(self):
         client = self.take()
-        self.on_cancel = lambda attempt: attempt.end(i.Outcome.PREFILLED, kept=7, may_hold=True)
+        self.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, kept=7, may_hold=True)
         self.core.leave(client.request)
         self.assertEqual(self.core.counters.outcomes, {"read": 1})
         self.assertEqual(self.released, [{1}])
@@ -277,14 +277,14 @@
         self.core.listed(
             False,
             (
-                i.Endpoint(1, 0, 0, 0, i.Phase.GONE, 1.0, 0),
-                i.Endpoint(5, 0, 2, 0, i.Phase.READY, 1.0, 0),
-                i.Endpoint(6, 0, 2, 0, i.Phase.READY, 1.0, 0),
+                Endpoint(1, 0, 0, 0, Phase.GONE, 1.0, 0),
+                Endpoint(5, 0, 2, 0, Phase.READY, 1.0, 0),
+                Endpoint(6, 0, 2, 0, Phase.READY, 1.0, 0),
             ),
         )
         self.take(BOOKING)
         first, self.reached = self.sent[-1], False
-        self.core.listed(False, (i.Endpoint(first.engine, 0, 2, 0, i.Phase.GONE, 1.0, 0),))
+        self.core.listed(False, (Endpoint(first.engine, 0, 2, 0, Phase.GONE, 1.0, 0),))
         self.assertEqual(len({a.engine for a in self.sent}), 2)
 
 
@@ -481,7 +481,7 @@
         attempt = Mock(engine=1, deadline=10**6, by=0)
         backend.send(attempt)
         await backend.calls[attempt].task
-        attempt.end.assert_called_once_with(i.Outcome.NOT_SENT, 0, False, 0, None)
+        attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_engines(self):
         """Neither is an attempt spent on it at once: it may be over in a moment."""
@@ -499,7 +499,7 @@
                 while not task.done():
                     self.deadlines.sweep()
                     await asyncio.sleep(0)
-            attempt.end.assert_called_once_with(i.Outcome.NOT_SENT, 0, False, 0, None)
+            attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_an_attempt_whose_last_byte_is_not_written_when_its_time_is_over_is_taken_back(self):
         """A server that reads slowly would run it only then."""
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,12 +13,36 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from pearhill import interface as i
+from pearhill.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateStream,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import Idempotency, RouterSettings
+from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
 from pearhill.spread.scout import Scout
 from tests.driver import CLASS, SETTINGS, S
 
-RUNS = (i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.TRUNCATED, i.Outcome.CANCELLED)  # it may have run
-FINAL = (i.RejectRequest, i.FailRequest)
+RUNS = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.TRUNCATED, Outcome.CANCELLED)  # it may have run
+FINAL = (RejectRequest, FailRequest)
 
 
 @dataclass
@@ -27,128 +51,128 @@
 
     cls: int
     end: int
-    out: i.SendAttempt | None = None
-    at: i.Endpoint | None = None
+    out: SendAttempt | None = None
+    at: Endpoint | None = None
     attempts: int = 0
     began: bool = False
     answers: int = 0
-    ran: i.Endpoint | None = None
+    ran: Endpoint | None = None
     held: bool = False
 
 
 class Day:
     """One router before engines that do as they like. Checks each action as it comes."""
 
-    def __init__(self, s: i.RouterSettings, zones: int, reports: bool, rng: random.Random) -> None:
+    def __init__(self, s: RouterSettings, zones: int, reports: bool, rng: random.Random) -> None:
         self.s, self.rng, self.reports = s, rng, reports
         self.now, self.heap, self.count = 100 * S, [], 0
         self.router, self.seen, self.probed = Scout(s, rng.randrange(1 << 60)), {}, set()
         self.listed = {}
         for n in range(1, rng.randrange(4, 16)):
             started, weight = 0 if rng.random() < 0.8 else self.now, rng.choice((0.0, 1.0, 2.5))
-            self.listed[n] = i.Endpoint(
-                n, n % zones, n % len(s.kinds), n % zones * 10 + n % 2, i.Phase.READY, weight, started
+            self.listed[n] = Endpoint(
+                n, n % zones, n % len(s.kinds), n % zones * 10 + n % 2, Phase.READY, weight, started
             )
-        self.feed(i.EndpointsUpdated(True, tuple(self.listed.values())))
+        self.feed(EndpointsUpdated(True, tuple(self.listed.values())))
 
     def later(self, wait: int, event: Any) -> None:
         self.count += 1
         heapq.heappush(self.heap, (self.now + wait, self.count, event))
 
-    def feed(self, event: i.Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.router.handle(self.now, event):
             self.audit(action)
 
-    def audit(self, a: i.Action) -> None:
-        if isinstance(a, i.SetTimer):
-            return self.later(a.delay, i.TimerFired(a.timer))
-        if isinstance(a, i.LogMessage):
+    def audit(self, a: Action) -> None:
+        if isinstance(a, SetTimer):
+            return self.later(a.delay, TimerFired(a.timer))
+        if isinstance(a, LogMessage):
             return None
-        if isinstance(a, i.SendHealthCheck):
+        if isinstance(a, SendHealthCheck):
             assert self.s.health_checks and a.replica in self.listed and a.replica not in self.probed
             took, end = (
                 int(self.rng.lognormvariate(9, 2)),
-                self.rng.choice((i.Outcome.ANSWERED,) * 6 + (i.Outcome.NOT_SENT, i.Outcome.TIMEOUT)),
+                self.rng.choice((Outcome.ANSWERED,) * 6 + (Outcome.NOT_SENT, Outcome.TIMEOUT)),
             )
             load = self.rng.choice((None, (0.4, 7.0), (0.99, 0.0), (math.nan, 1.0), (-1.0, math.inf)))
             if self.rng.random() < 0.98:  # or nobody ever says how it ended
                 self.probed.add(a.replica)
-                self.later(took, i.HealthCheckEnded(a.replica, end, took, load))
+                self.later(took, HealthCheckEnded(a.replica, end, took, load))
             return None
         seen = self.seen[a.request]
         spec = self.s.classes[seen.cls]
-        if isinstance(a, i.SendAttempt):
+        if isinstance(a, SendAttempt):
             assert not seen.out and not seen.answers, "a second attempt, or one after the final answer"
             assert seen.attempts < self.s.max_attempts and a.attempt_timeout > 0
             e = self.listed.get(a.replica)
-            assert e and e.phase == i.Phase.READY, "a send to an engine that the list does not call ready"
-            reads = self.s.kinds[e.kind].role == i.Role.PREFILL
+            assert e and e.phase == Phase.READY, "a send to an engine that the list does not call ready"
+            reads = self.s.kinds[e.kind].role == Role.PREFILL
             if seen.ran:
-                assert spec.idempotency != i.Idempotency.UNSAFE, "an unsafe request that may have run went out again"
+                assert spec.idempotency != Idempotency.UNSAFE, "an unsafe request that may have run went out again"
                 same = {"all": True, "zone": e.zone == seen.ran.zone, "cell": e.cell == seen.ran.cell}[
                     spec.idempotency_scope
                 ]
-                assert spec.idempotency == i.Idempotency.IDEMPOTENT or same or reads
+                assert spec.idempotency == Idempotency.IDEMPOTENT or same or reads
             if not reads and not seen.held:
                 assert (
-                    self.s.local_prefill or self.s.kinds[e.kind].role == i.Role.MIXED
+                    self.s.local_prefill or self.s.kinds[e.kind].role == Role.MIXED
                 ), "nothing to fetch, and none may read"
             seen.out, seen.at, seen.attempts = a, e, seen.attempts + 1
             self.later(*self.fate(a, e, reads, seen))
         elif isinstance(a, FINAL):
             seen.answers += 1
             assert not seen.began and seen.answers == 1 and self.now <= seen.end
-            if isinstance(a, i.RejectRequest):
+            if isinstance(a, RejectRequest):
                 assert not (
-                    seen.ran and spec.idempotency == i.Idempotency.UNSAFE
+                    seen.ran and spec.idempotency == Idempotency.UNSAFE
                 ), "refused as harmless, and it may have run"
-                assert not (seen.out and spec.idempotency == i.Idempotency.UNSAFE)
+                assert not (seen.out and spec.idempotency == Idempotency.UNSAFE)
                 assert 0 <= a.retry_after <= (self.s.max_retry_after if self.s.retry_hints else 0)
-        elif isinstance(a, i.CancelAttempt):
+        elif isinstance(a, CancelAttempt):
             assert self.s.may_cancel and not seen.began
-        elif isinstance(a, i.ReleaseState):
+        elif isinstance(a, ReleaseState):
             seen.held = False
         else:
-            assert isinstance(a, i.MigrateStream) and self.s.may_migrate
+            assert isinstance(a, MigrateStream) and self.s.may_migrate
 
-    def fate(self, a: i.SendAttempt, e: i.Endpoint, reads: bool, seen: Seen) -> tuple[int, Any]:
+    def fate(self, a: SendAttempt, e: Endpoint, reads: bool, seen: Seen) -> tuple[int, Any]:
         """What becomes of an attempt, and when: it may also never be heard of again until its patience ends."""
         took = int(self.rng.lognormvariate(11.5, 1.2))
         if took >= a.attempt_timeout or self.rng.random() < 0.05:
-            return a.attempt_timeout, (a, i.Outcome.TIMEOUT)
-        usual = i.Outcome.PREFILLED if reads else "began"
-        odd = (i.Outcome.ERROR, i.Outcome.TRUNCATED, i.Outcome.FULL, i.Outcome.UNREACHABLE) + (
-            () if reads else (i.Outcome.STATE_LOST,)
+            return a.attempt_timeout, (a, Outcome.TIMEOUT)
+        usual = Outcome.PREFILLED if reads else "began"
+        odd = (Outcome.ERROR, Outcome.TRUNCATED, Outcome.FULL, Outcome.UNREACHABLE) + (
+            () if reads else (Outcome.STATE_LOST,)
         )
         return took, (a, usual if self.rng.random() < 0.8 else self.rng.choice(odd))
 
-    def ended(self, a: i.SendAttempt, outcome: str) -> None:
+    def ended(self, a: SendAttempt, outcome: str) -> None:
         seen = self.seen[a.request]
         took = self.now - (seen.end - 4 * S)
         e = seen.at
         if outcome == "began":
             if seen.answers:  # too late: the client has its answer
-                outcome = i.Outcome.CANCELLED
+                outcome = Outcome.CANCELLED
             else:
                 seen.began, seen.held = True, False
-                self.feed(i.ResponseStarted(a.request, seen.attempts - 1, a.replica, max(1, took)))
-                end = i.Outcome.ANSWERED if self.rng.random() < 0.9 else i.Outcome.TRUNCATED
+                self.feed(ResponseStarted(a.request, seen.attempts - 1, a.replica, max(1, took)))
+                end = Outcome.ANSWERED if self.rng.random() < 0.9 else Outcome.TRUNCATED
                 return self.later(self.rng.randrange(1, 3 * S), (a, end))
         seen.out = None
-        reads = self.s.kinds[e.kind].role == i.Role.PREFILL
+        reads = self.s.kinds[e.kind].role == Role.PREFILL
         if outcome in RUNS and not reads:
             seen.ran = seen.ran or e
         settled = seen.began or bool(seen.answers)
-        seen.held = outcome == i.Outcome.PREFILLED or (seen.held and outcome != i.Outcome.STATE_LOST)
+        seen.held = outcome == Outcome.PREFILLED or (seen.held and outcome != Outcome.STATE_LOST)
         load = (self.rng.random(), 5.0) if self.reports and self.rng.random() < 0.7 else None
         self.feed(
-            i.AttemptEnded(
+            AttemptEnded(
                 a.request,
                 seen.attempts - 1,
                 a.replica,
                 outcome,
                 settled,
-                self.rng.randrange(3000) if outcome in (i.Outcome.PREFILLED, i.Outcome.ANSWERED) else 0,
+                self.rng.randrange(3000) if outcome in (Outcome.PREFILLED, Outcome.ANSWERED) else 0,
                 max(1, took),
                 load,
                 self.rng.choice((0, 0, 0, S)),
@@ -163,18 +187,18 @@
         n = self.rng.choice(list(self.listed))
         kind = self.rng.randrange(4)
         if kind == 0 and len(self.listed) > 3:
-            gone = replace(self.listed.pop(n), phase=i.Phase.GONE)
-            self.feed(i.EndpointsUpdated(False, (gone,)))
+            gone = replace(self.listed.pop(n), phase=Phase.GONE)
+            self.feed(EndpointsUpdated(False, (gone,)))
         elif kind == 1:
             self.listed[n] = replace(
-                self.listed[n], phase=self.rng.choice((i.Phase.READY, i.Phase.DRAINING)), started_at=self.now
+                self.listed[n], phase=self.rng.choice((Phase.READY, Phase.DRAINING)), started_at=self.now
             )
-            self.feed(i.EndpointsUpdated(False, (self.listed[n],)))
+            self.feed(EndpointsUpdated(False, (self.listed[n],)))
         elif kind == 2 and self.seen:
             number = self.rng.choice(list(self.seen))
             if not self.seen[number].answers and not self.seen[number].began:
                 self.seen[number].answers = 1  # nothing is owed to it any more
-                self.feed(i.ClientDisconnected(number))
+                self.feed(ClientDisconnected(number))
         else:
             self.router.reconfigure(self.s)
 
@@ -189,7 +213,7 @@
                 cls, prompt = self.rng.randrange(len(self.s.classes)), self.rng.choice((40, 900, 5000, 60_000))
                 self.seen[-order] = Seen(cls, self.now + 4 * S)
                 self.feed(
-                    i.RequestArrived(
+                    RequestArrived(
                         -order,
                         cls,
                         self.rng.randrange(3),
@@ -205,10 +229,10 @@
                 )
                 if self.rng.random() < 0.08:
                     self.disturb()
-            elif isinstance(event, i.HealthCheckEnded):
+            elif isinstance(event, HealthCheckEnded):
                 self.probed.discard(event.replica)
                 self.feed(event)
-            elif isinstance(event, i.TimerFired):
+            elif isinstance(event, TimerFired):
                 self.feed(event)
             elif self.seen[event[0].request].out is event[0]:
                 self.ended(*event)
@@ -217,10 +241,10 @@
         assert all(e.load == e.queue == 0 for e in self.router.router.engines.values())
 
 
-ROLES = st.lists(st.sampled_from((i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED)), min_size=1, max_size=4)
+ROLES = st.lists(st.sampled_from((Role.PREFILL, Role.DECODE, Role.MIXED)), min_size=1, max_size=4)
 CLASSES = st.lists(
     st.tuples(
-        st.sampled_from((i.Idempotency.IDEMPOTENT, i.Idempotency.KEYED, i.Idempotency.UNSAFE)),
+        st.sampled_from((Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.UNSAFE)),
         st.sampled_from(("all", "zone", "cell")),
         st.sampled_from((300_000, S, 3 * S)),
         st.sampled_from((0.0, 1.0, 5.0)),
@@ -252,7 +276,7 @@
 def test_a_day_of_trouble_keeps_the_rules_on_any_deployment(
     roles, classes, zones, instances, reports, probing, local, cancel, resume, hints, attempts, quotas, cold, day
 ):
-    kinds = tuple(i.MachineKind(role, 150_000) for role in roles)
+    kinds = tuple(MachineKind(role, 150_000) for role in roles)
     s = replace(
         SETTINGS,
         instances=instances,
--- a/tests/test_eureka.py
+++ b/tests/test_eureka.py
@@ -6,9 +6,9 @@
 from collections import Counter
 from typing import Any
 
-from pearhill import interface as i
 from pearhill import settings
 from pearhill.eureka.registry import BadRegistry, Registry
+from pearhill.routing.topology import Endpoint, Phase
 from tests.chat.test_front import PATH, body, operator_file, write_file
 from tests.standins import SETTINGS, Program, Standin
 
@@ -134,7 +134,7 @@
     def setUp(self) -> None:
         self.registry, self.deployment = Registry(), settings.parse(SETTINGS)
 
-    def entries(self) -> list[i.Endpoint]:
+    def entries(self) -> list[Endpoint]:
         return list(self.registry.servers(APP, self.deployment)[0])
 
     def test_metadata_gives_role_zone_and_cell(self):
@@ -155,7 +155,7 @@
         self.assertTrue(
             self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
         )
-        self.assertEqual(sorted(e.phase for e in self.entries()), [i.Phase.DRAINING, i.Phase.READY])
+        self.assertEqual(sorted(e.phase for e in self.entries()), [Phase.DRAINING, Phase.READY])
 
     def test_a_list_of_one_may_come_as_the_one_alone(self):
         told = answer(instance("a"))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -4,21 +4,21 @@
 from hypothesis import settings as rounds
 from hypothesis import strategies as st
 
-from pearhill import interface as i
 from pearhill.core.request import Ask
+from pearhill.routing.outcomes import Outcome
 from tests import test_core
 from tests.test_core import ADVICE, BOOKING
 
 ENDS = [
-    i.Outcome.ANSWERED,
-    i.Outcome.PREFILLED,
-    i.Outcome.ERROR,
-    i.Outcome.TIMEOUT,
-    i.Outcome.TRUNCATED,
-    i.Outcome.FULL,
-    i.Outcome.STATE_LOST,
-    i.Outcome.UNREACHABLE,
-    i.Outcome.DECLINED,
+    Outcome.ANSWERED,
+    Outcome.PREFILLED,
+    Outcome.ERROR,
+    Outcome.TIMEOUT,
+    Outcome.TRUNCATED,
+    Outcome.FULL,
+    Outcome.STATE_LOST,
+    Outcome.UNREACHABLE,
+    Outcome.DECLINED,
 ]
 STEP = st.one_of(
     st.tuples(st.just("take"), st.sampled_from((ADVICE, BOOKING)), st.integers(1, 6_000_000)),
@@ -77,7 +77,7 @@
             if what == "begin":
                 attempt.begin()
             else:
-                attempt.end(which, said="no" if which == i.Outcome.DECLINED and not attempt.began else None)
+                attempt.end(which, said="no" if which == Outcome.DECLINED and not attempt.began else None)
         ended = 0
         for cls in (ADVICE, BOOKING):
             told = core.calls[cls]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,7 +2,8 @@
 
 import random
 
-from pearhill import interface as i
+from pearhill.routing.events import EndpointsUpdated
+from pearhill.routing.topology import Phase
 from tests.driver import Drive, S, entry, settings
 
 NODES, RATE = 40, 60  # routers, requests a second for all of them
@@ -21,10 +22,10 @@
         at = start + n * S // RATE
         if n == RATE * 30:  # warm until then
             fresh = tuple(entry(100 + k, 0, cell=k % 4, started=at - S) for k in range(10))
-            gone = tuple(entry(k, 0, cell=k % 4, phase=i.Phase.DRAINING) for k in range(1, 11))
+            gone = tuple(entry(k, 0, cell=k % 4, phase=Phase.DRAINING) for k in range(1, 11))
             for each in fleet:
                 each.wait(max(0, at - each.now))
-                each.feed(i.EndpointsUpdated(False, fresh + gone))
+                each.feed(EndpointsUpdated(False, fresh + gone))
         d = fleet[rng.randrange(NODES)]
         d.wait(max(0, at - d.now))
         r, _ = d.arrive(prompt=3000, session=n + 1)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,6 +1,9 @@
 """Guards: outliers, time-outs, storms."""
 
-from pearhill import interface as i
+from pearhill.routing.actions import CancelAttempt, LogMessage, RejectRequest, SendAttempt
+from pearhill.routing.events import RequestArrived
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Role
 from pearhill.rules import OUTLIER, Job
 from tests.driver import Drive, S, entry, of, settings
 
@@ -25,7 +28,7 @@
     d.wait(12 * S)
     hits = [r for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     assert hits
-    d.end(hits[0], i.Outcome.PREFILLED)
+    d.end(hits[0], Outcome.PREFILLED)
     assert d.router.engines[1].fails.value < OUTLIER
 
 
@@ -39,9 +42,9 @@
         new.router._judged(new.router.engines[engine], 0.0, "")
     for d in (new, known):
         fail(d, 1, times=1)
-    job = Job(i.RequestArrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
-    assert 1 not in [e.id for e in new.router._open(new.router.ready[i.Role.PREFILL], job)]
-    assert 1 in [e.id for e in known.router._open(known.router.ready[i.Role.PREFILL], job)]
+    job = Job(RequestArrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
+    assert 1 not in [e.id for e in new.router._open(new.router.ready[Role.PREFILL], job)]
+    assert 1 in [e.id for e in known.router._open(known.router.ready[Role.PREFILL], job)]
 
 
 def test_engines_of_a_zone_that_is_cut_are_left_together():
@@ -67,16 +70,16 @@
     d = Drive(fleet=(entry(1, 0), entry(2, 0), entry(11, 1)))
     slow = [r for r in (d.arrive(prompt=300, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     d.wait(10_000)
-    d.end(slow[0], i.Outcome.PREFILLED)
+    d.end(slow[0], Outcome.PREFILLED)
     for r in slow[1:4]:
-        d.end(r, i.Outcome.TIMEOUT)
+        d.end(r, Outcome.TIMEOUT)
     assert d.router.engines[1].fails.value == 0
 
 
 def test_an_attempt_leaves_time_for_another():
     d = Drive()
     _, out = d.arrive(ttl=2 * S)
-    assert of(i.SendAttempt, out)[0].attempt_timeout <= S
+    assert of(SendAttempt, out)[0].attempt_timeout <= S
 
 
 def test_the_retry_budget_ends_a_storm():
@@ -85,7 +88,7 @@
     for n in range(100):
         r, _ = d.arrive(prompt=5000, session=n + 1)
         while r in d.router.jobs:
-            sends += len(of(i.SendAttempt, d.end(r, i.Outcome.FULL)))
+            sends += len(of(SendAttempt, d.end(r, Outcome.FULL)))
     assert sends < 40
 
 
@@ -98,9 +101,9 @@
     used, refused = set(), 0
     for n in range(200):
         r, out = d.arrive(prompt=5000, session=500 + n, prefix=77, prefix_len=2000)
-        refused += len(of(i.RejectRequest, out))
-        used |= {a.replica for a in of(i.SendAttempt, out)}
-        assert len(used) > 2 or not of(i.RejectRequest, out)
+        refused += len(of(RejectRequest, out))
+        used |= {a.replica for a in of(SendAttempt, out)}
+        assert len(used) > 2 or not of(RejectRequest, out)
     assert used >= {1, 2, 3, 4, 5, 6} and refused > 100
 
 
@@ -108,13 +111,13 @@
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=1)
     out = fail(d, d.sent[r].replica, times=1)
-    assert of(i.LogMessage, out) and not of(i.CancelAttempt, out)
+    assert of(LogMessage, out) and not of(CancelAttempt, out)
 
 
 def test_a_hasty_clients_time_is_not_cut_into_attempts_that_are_all_in_vain():
     d = Drive()
     _, out = d.arrive(ttl=240_000)
-    assert of(i.SendAttempt, out)[0].attempt_timeout == 240_000
+    assert of(SendAttempt, out)[0].attempt_timeout == 240_000
 
 
 def test_refused_at_once_when_the_clients_time_is_shorter_than_the_read():
@@ -122,4 +125,4 @@
     for n in range(60):
         d.serve(d.arrive(prompt=5000, session=n + 1)[0], rtt=400_000)
     _, out = d.arrive(prompt=5000, session=99, ttl=300_000)
-    assert of(i.RejectRequest, out) and not of(i.SendAttempt, out)
+    assert of(RejectRequest, out) and not of(SendAttempt, out)
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -40,7 +40,6 @@
                     "counters",
                     "durable",
                     "http1",
-                    "interface",
                     "net",
                     "node",
                     "operations",
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -2,7 +2,10 @@
 
 from dataclasses import replace
 
-from pearhill import interface as i
+from pearhill.routing.actions import RejectRequest, SendAttempt
+from pearhill.routing.events import EndpointsUpdated, RequestArrived
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Phase, Role
 from pearhill.rules import RATIO_MAX, RATIO_START, Router
 from tests.driver import FLEET, SETTINGS, Drive, S, entry, of, settings
 
@@ -15,9 +18,9 @@
         if d.sent[r].replica > 10:
             d.serve(r)
             continue
-        d.end(r, i.Outcome.PREFILLED, rtt=int(share * aim))
+        d.end(r, Outcome.PREFILLED, rtt=int(share * aim))
         d.began(r)
-        d.end(r, i.Outcome.ANSWERED, settled=True)
+        d.end(r, Outcome.ANSWERED, settled=True)
     d.wait(2 * S)
 
 
@@ -77,7 +80,7 @@
     assert home >= 11
     q, _ = d.arrive(prompt=2900, session=7)
     assert d.sent[q].replica == home
-    d.end(q, i.Outcome.ANSWERED, settled=True, kept=0)
+    d.end(q, Outcome.ANSWERED, settled=True, kept=0)
     assert d.sent[d.arrive(prompt=5600, session=7)[0]].replica < 11
 
 
@@ -93,15 +96,15 @@
     off = Drive(replace(SETTINGS, local_prefill=False))
     assert all(off.sent[off.arrive(prompt=500, session=n)[0]].replica < 11 for n in range(1, 20))
     full = Drive()
-    full_writers = [e for e in full.router.engines.values() if e.role == i.Role.DECODE]
+    full_writers = [e for e in full.router.engines.values() if e.role == Role.DECODE]
     full.router.helds[1].add(full.now, 0.97)  # a deployment with reports
     for e in full_writers:
         e.held.add(full.now, 0.97, 4)
     _, out = full.arrive(prompt=500, session=99)
-    assert of(i.RejectRequest, out) and not of(i.SendAttempt, out)
+    assert of(RejectRequest, out) and not of(SendAttempt, out)
     full_writers[0].held.value = 0.5
     r, _ = full.arrive(prompt=6000, session=99)
-    full.end(r, i.Outcome.PREFILLED)
+    full.end(r, Outcome.PREFILLED)
     assert full.sent[r].replica == full_writers[0].id
 
 
@@ -123,7 +126,7 @@
     d = Drive()
     r, _ = d.arrive(prompt=6000, prefix=5, prefix_len=3000)
     home = d.sent[r].replica
-    d.feed(i.EndpointsUpdated(False, (entry(home, 0, phase=i.Phase.DRAINING),)))
+    d.feed(EndpointsUpdated(False, (entry(home, 0, phase=Phase.DRAINING),)))
     q, _ = d.arrive(prompt=6000, prefix=5, prefix_len=3000)
     assert d.sent[q].replica != home
 
@@ -133,9 +136,9 @@
     d = Drive(fleet=fleet)
     for lost, expected in ((None, 11), (11, 12), (12, 13)):
         if lost:
-            d.feed(i.EndpointsUpdated(False, (replace(fleet[lost - 10], phase=i.Phase.GONE),)))
+            d.feed(EndpointsUpdated(False, (replace(fleet[lost - 10], phase=Phase.GONE),)))
         r, _ = d.arrive(prompt=6000)
-        d.end(r, i.Outcome.PREFILLED)
+        d.end(r, Outcome.PREFILLED)
         assert d.sent[r].replica == expected
 
 
@@ -147,13 +150,13 @@
         r, _ = d.arrive(prompt=1500, session=n)
         engines.append(d.sent[r].replica)
         if engines[-1] < 11:
-            d.end(r, i.Outcome.PREFILLED)
+            d.end(r, Outcome.PREFILLED)
     assert d.sent[d.arrive(prompt=9000)[0]].replica < 11
     whole = sum(e > 20 for e in engines)
     assert 0 < whole < 40
     r = next(n for n, e in enumerate(engines, 1) if e > 20)
     d.began(r)
-    assert not of(i.SendAttempt, d.end(r, i.Outcome.ANSWERED, settled=True))
+    assert not of(SendAttempt, d.end(r, Outcome.ANSWERED, settled=True))
 
 
 def test_identical_events_give_identical_actions():
@@ -169,18 +172,18 @@
     for hints, most, away in ((True, 2 * S, 2 * S), (True, 300_000, 300_000), (False, 2 * S, 0)):
         d = Drive(settings(retry_hints=hints, max_retry_after=most), fleet=())
         _, out = d.arrive()
-        assert [a.retry_after for a in of(i.RejectRequest, out)] == [away]
+        assert [a.retry_after for a in of(RejectRequest, out)] == [away]
 
 
 def test_a_giant_prompt_is_not_believed_as_kept_as_usual_ones():
     d = Drive()
     for n in range(20):  # reads find nearly all of each prompt kept
         r, _ = d.arrive(prompt=5000, session=n + 1, prefix=7, prefix_len=4000)
-        d.end(r, i.Outcome.PREFILLED, kept=4500)
+        d.end(r, Outcome.PREFILLED, kept=4500)
         d.began(r)
-        d.end(r, i.Outcome.ANSWERED, settled=True)
+        d.end(r, Outcome.ANSWERED, settled=True)
     reader = d.router.engines[1]
-    usual, giant = (i.RequestArrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
+    usual, giant = (RequestArrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
     assert d.router._belief(reader, usual, 1) > 3000
     assert d.router._belief(reader, giant, 1) < 12_000
 
@@ -197,7 +200,7 @@
     for n in range(40):
         r, _ = d.arrive(prompt=3000, session=n + 1)
         if d.sent[r].replica < 10:
-            d.end(r, i.Outcome.PREFILLED)
+            d.end(r, Outcome.PREFILLED)
         d.began(r)  # and goes on streaming
         at.append(d.sent[r].replica)
     assert at[0] == 11  # near, while it is no worse than the others
@@ -205,12 +208,12 @@
 
 
 def test_a_mixed_server_takes_its_share_whole_and_not_everything():
-    fleet = (*FLEET, entry(21, 2), entry(22, 2, phase=i.Phase.DRAINING))
+    fleet = (*FLEET, entry(21, 2), entry(22, 2, phase=Phase.DRAINING))
     d = Drive(SETTINGS, fleet)
     for n in range(60):
         r, _ = d.arrive(prompt=1000, session=n + 1)
         if d.sent[r].replica < 10:
-            d.end(r, i.Outcome.PREFILLED)
+            d.end(r, Outcome.PREFILLED)
         d.began(r)
-    work = {e.id: e.load for e in d.router.engines.values() if e.role != i.Role.PREFILL}
+    work = {e.id: e.load for e in d.router.engines.values() if e.role != Role.PREFILL}
     assert work[21] <= 2 * sum(work.values()) / (len(work) - 1) + 1050, work
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -7,23 +7,27 @@
 
 import pytest
 
-from pearhill import interface as i
+from pearhill.routing.actions import Action, FailRequest, RejectRequest, ReleaseState, SendAttempt
+from pearhill.routing.events import AttemptEnded, ClientDisconnected, EndpointsUpdated, ResponseStarted, TimerFired
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import Idempotency
+from pearhill.routing.topology import Phase
 from tests.driver import FLEET, Drive, entry, settings
 
 OUTCOMES = (
-    i.Outcome.PREFILLED,
-    i.Outcome.FULL,
-    i.Outcome.STATE_LOST,
-    i.Outcome.TIMEOUT,
-    i.Outcome.UNREACHABLE,
-    i.Outcome.TRUNCATED,
-    i.Outcome.ERROR,
-    i.Outcome.CANCELLED,
-    i.Outcome.NOT_SENT,
+    Outcome.PREFILLED,
+    Outcome.FULL,
+    Outcome.STATE_LOST,
+    Outcome.TIMEOUT,
+    Outcome.UNREACHABLE,
+    Outcome.TRUNCATED,
+    Outcome.ERROR,
+    Outcome.CANCELLED,
+    Outcome.NOT_SENT,
 )
 
 
-def play(seed: int, effect: str = i.Idempotency.IDEMPOTENT) -> list[str]:
+def play(seed: int, effect: str = Idempotency.IDEMPOTENT) -> list[str]:
     """Drive one router through 600 random events; assert the invariants; return all actions as text."""
     rng, d = random.Random(seed), Drive(settings(effect, "cell"), FLEET + (entry(21, 2),), seed=seed)
     out: dict[int, int] = {}
@@ -33,19 +37,19 @@
     phases = {e.replica: e.phase for e in FLEET}
     text = []
 
-    def check(actions: list[i.Action]) -> None:
+    def check(actions: list[Action]) -> None:
         for a in actions:
             text.append(repr(a))
-            if isinstance(a, i.SendAttempt):
+            if isinstance(a, SendAttempt):
                 assert a.request not in out and a.request not in ended
-                assert phases.get(a.replica, i.Phase.READY) == i.Phase.READY
+                assert phases.get(a.replica, Phase.READY) == Phase.READY
                 out[a.request] = a.replica
                 held.discard(a.request)
-            elif isinstance(a, i.RejectRequest | i.FailRequest):
+            elif isinstance(a, RejectRequest | FailRequest):
                 assert a.request in open_ and a.request not in ended
                 ended.add(a.request)
                 del open_[a.request]
-            elif isinstance(a, i.ReleaseState):
+            elif isinstance(a, ReleaseState):
                 held.discard(a.request)
         assert not {r for r in held if r not in out}
 
@@ -64,24 +68,24 @@
         elif roll < 0.75 and out:
             r = rng.choice(sorted(out))
             outcome = rng.choice(OUTCOMES)
-            if outcome == i.Outcome.PREFILLED and out[r] > 10:
-                outcome = i.Outcome.FULL
+            if outcome == Outcome.PREFILLED and out[r] > 10:
+                outcome = Outcome.FULL
             engine = out.pop(r)
-            if outcome == i.Outcome.PREFILLED:
+            if outcome == Outcome.PREFILLED:
                 held.add(r)
-            check(d.feed(i.AttemptEnded(r, d.attempt[r], engine, outcome, r in ended, 0, 9000, (rng.random(), 1.0))))
+            check(d.feed(AttemptEnded(r, d.attempt[r], engine, outcome, r in ended, 0, 9000, (rng.random(), 1.0))))
         elif roll < 0.8 and open_:
             r = rng.choice(sorted(open_))
             del open_[r]
             ended.add(r)
-            check(d.feed(i.ClientDisconnected(r)))
+            check(d.feed(ClientDisconnected(r)))
         elif roll < 0.85:
             engine = rng.choice(FLEET)
-            phase = rng.choice((i.Phase.READY, i.Phase.READY, i.Phase.DRAINING, i.Phase.GONE))
+            phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING, Phase.GONE))
             phases[engine.replica] = phase
             check(
                 d.feed(
-                    i.EndpointsUpdated(
+                    EndpointsUpdated(
                         False,
                         (
                             entry(
@@ -89,7 +93,7 @@
                                 engine.kind,
                                 engine.cell,
                                 phase=phase,
-                                started=d.now if phase == i.Phase.READY else 0,
+                                started=d.now if phase == Phase.READY else 0,
                             ),
                         ),
                     )
@@ -97,11 +101,11 @@
             )
         elif roll < 0.9:
             check(
-                d.feed(i.ResponseStarted(999_999, 0, 1, 5))
-                + d.feed(i.ClientDisconnected(999_999))
-                + d.feed(i.TimerFired(888_888))
+                d.feed(ResponseStarted(999_999, 0, 1, 5))
+                + d.feed(ClientDisconnected(999_999))
+                + d.feed(TimerFired(888_888))
             )
-            check(d.feed(i.AttemptEnded(999_999, 0, 777, i.Outcome.TIMEOUT, False, 0, 5, None)))
+            check(d.feed(AttemptEnded(999_999, 0, 777, Outcome.TIMEOUT, False, 0, 5, None)))
         else:
             check(d.wait(rng.randrange(500_000)))
         assert all(deadline >= d.now for deadline in open_.values())
@@ -110,7 +114,7 @@
     return text
 
 
-@pytest.mark.parametrize("effect", [i.Idempotency.IDEMPOTENT, i.Idempotency.KEYED, i.Idempotency.UNSAFE])
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.UNSAFE])
 @pytest.mark.parametrize("seed", range(6))
 def test_invariants_hold_through_odd_events(seed, effect):
     assert len(play(seed, effect)) > 300
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,11 +17,11 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pearhill import interface as i
 from pearhill import settings
 from pearhill.core.engines import engine_of
 from pearhill.net.clock import start_clock
 from pearhill.platform.discovery import entries_of
+from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import (
     LAST,
     ROOT,
@@ -402,7 +402,7 @@
     def test_a_target_is_an_engine_that_started_on_the_programs_clock(self):
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = entries_of([self.TARGET], deployment)
-        self.assertEqual(entry, i.Endpoint(engine_of("s-1"), 1, 1, 3, i.Phase.READY, 1.5, 1_764_600_000_000_000))
+        self.assertEqual(entry, Endpoint(engine_of("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000))
         self.assertEqual(addresses, {entry.replica: ("127.0.0.1", 8080)})
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
         self.assertLess(abs(start_clock()() - time.time() * 1e6), 60e6)
@@ -419,7 +419,7 @@
         deployment = settings.parse(SETTINGS)
         (entry,), _ = entries_of([self.TARGET], deployment)
         known = {entry.replica: entry}
-        for state, phase in (("leaving", i.Phase.DRAINING), ("left", i.Phase.GONE)):
+        for state, phase in (("leaving", Phase.DRAINING), ("left", Phase.GONE)):
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
                 self.assertEqual(entries_of([target], deployment, known)[0], (replace(entry, phase=phase),))
--- a/tests/test_rules_five.py
+++ b/tests/test_rules_five.py
@@ -2,12 +2,24 @@
 
 import pytest
 
-from pearhill import interface as i
+from pearhill.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    QueryLoad,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+)
+from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, LoadKnown, LoadReport
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.settings import Idempotency
+from pearhill.routing.topology import Phase, Role
 from tests.driver import FLEET, Drive, S, entry, of, settings
 
 
 def final(actions):
-    return of(i.RejectRequest, actions) + of(i.FailRequest, actions)
+    return of(RejectRequest, actions) + of(FailRequest, actions)
 
 
 def test_a_request_that_nobody_answers_gets_one_final_answer_in_time():
@@ -15,14 +27,14 @@
     r, _ = d.arrive(ttl=2 * S)
     out = d.wait(2 * S - 1)
     assert len(final(out)) == 1
-    d.end(r, i.Outcome.CANCELLED)
+    d.end(r, Outcome.CANCELLED)
     assert not final(d.wait(5 * S))
 
 
 def test_a_stream_that_began_outlives_the_deadline():
     d = Drive()
     r, _ = d.arrive(ttl=2 * S)
-    d.end(r, i.Outcome.PREFILLED)
+    d.end(r, Outcome.PREFILLED)
     d.began(r)
     assert not final(d.wait(5 * S))
 
@@ -30,17 +42,17 @@
 @pytest.mark.parametrize(
     "effect,group,answer",
     [
-        (i.Idempotency.UNSAFE, "all", i.FailRequest),
-        (i.Idempotency.KEYED, "cell", i.FailRequest),
-        (i.Idempotency.KEYED, "all", i.RejectRequest),
-        (i.Idempotency.IDEMPOTENT, "all", i.RejectRequest),
+        (Idempotency.UNSAFE, "all", FailRequest),
+        (Idempotency.KEYED, "cell", FailRequest),
+        (Idempotency.KEYED, "all", RejectRequest),
+        (Idempotency.IDEMPOTENT, "all", RejectRequest),
     ],
 )
 def test_refused_only_where_trying_again_is_harmless(effect, group, answer):
     d = Drive(settings(effect, group, max_attempts=2))
     r, _ = d.arrive()
-    d.end(r, i.Outcome.PREFILLED)
-    out = d.end(r, i.Outcome.TIMEOUT)
+    d.end(r, Outcome.PREFILLED)
+    out = d.end(r, Outcome.TIMEOUT)
     assert [type(a) for a in final(out)] == [answer]
 
 
@@ -48,8 +60,8 @@
     d = Drive()
     r, _ = d.arrive()
     lost = d.sent[r].replica
-    out = d.feed(i.EndpointsUpdated(False, (entry(lost, 0, phase=i.Phase.GONE),)))
-    assert of(i.CancelAttempt, out) == [i.CancelAttempt(r, 0)]
+    out = d.feed(EndpointsUpdated(False, (entry(lost, 0, phase=Phase.GONE),)))
+    assert of(CancelAttempt, out) == [CancelAttempt(r, 0)]
 
 
 def test_cold_engine_gets_no_more_than_its_part():
@@ -57,7 +69,7 @@
     for n in range(200):
         d.serve(d.arrive(prompt=3000, session=n + 1)[0])
         d.wait(50_000)
-    d.feed(i.EndpointsUpdated(False, (entry(3, 0, cell=1, started=d.now),)))
+    d.feed(EndpointsUpdated(False, (entry(3, 0, cell=1, started=d.now),)))
     to_cold = 0
     for n in range(100):
         r, _ = d.arrive(prompt=3000, session=1000 + n)
@@ -73,12 +85,12 @@
     for n in range(120):
         d.serve(d.arrive(prompt=3000, session=n + 1)[0])
         d.wait(50_000)
-    d.feed(i.EndpointsUpdated(False, tuple(entry(n, 0, cell=n % 2, started=d.now) for n in range(1, 6))))
+    d.feed(EndpointsUpdated(False, tuple(entry(n, 0, cell=n % 2, started=d.now) for n in range(1, 6))))
     d.arrive(prompt=60_000, session=500)
     to_cold = 0
     for n in range(100):
         r, out = d.arrive(prompt=3000, session=1000 + n)
-        to_cold += sum(a.replica < 6 for a in of(i.SendAttempt, out))
+        to_cold += sum(a.replica < 6 for a in of(SendAttempt, out))
         if r in d.sent:
             d.serve(r)
         d.wait(10_000)
@@ -93,7 +105,7 @@
     sent = 0
     for n in range(100):
         r, out = d.arrive(prompt=3000, session=n + 1)
-        to_reader = [a for a in of(i.SendAttempt, out) if a.replica < 11]
+        to_reader = [a for a in of(SendAttempt, out) if a.replica < 11]
         sent += len(to_reader)
         d.serve(r)
         d.wait(40_000)
@@ -107,82 +119,82 @@
         able.serve(able.arrive(session=n + 1)[0])
         r, _ = storm.arrive(session=n + 1)
         if r in storm.sent:
-            storm.end(r, i.Outcome.TIMEOUT)
-            storm.feed(i.ClientDisconnected(r))
+            storm.end(r, Outcome.TIMEOUT)
+            storm.feed(ClientDisconnected(r))
         able.wait(50_000)
         storm.wait(50_000)
-    assert able.router.slow_start.answer_rate[i.Role.PREFILL] > 0
-    assert storm.router.slow_start.answer_rate[i.Role.PREFILL] == 0
+    assert able.router.slow_start.answer_rate[Role.PREFILL] > 0
+    assert storm.router.slow_start.answer_rate[Role.PREFILL] == 0
 
 
 def test_nothing_is_read_with_no_writer_in_sight():
     d = Drive(fleet=FLEET[:6])
     _, out = d.arrive()
-    assert final(out) and not of(i.SendAttempt, out)
+    assert final(out) and not of(SendAttempt, out)
 
 
 def test_state_is_released_when_the_client_leaves_or_is_refused():
     d = Drive()
     r, _ = d.arrive()
-    d.end(r, i.Outcome.PREFILLED)
-    d.feed(i.ClientDisconnected(r))
-    assert of(i.ReleaseState, d.end(r, i.Outcome.CANCELLED)) == [i.ReleaseState(r)]
+    d.end(r, Outcome.PREFILLED)
+    d.feed(ClientDisconnected(r))
+    assert of(ReleaseState, d.end(r, Outcome.CANCELLED)) == [ReleaseState(r)]
     q, _ = d.arrive()
-    d.feed(i.ClientDisconnected(q))
-    assert of(i.ReleaseState, d.end(q, i.Outcome.PREFILLED)) == [i.ReleaseState(q)]
+    d.feed(ClientDisconnected(q))
+    assert of(ReleaseState, d.end(q, Outcome.PREFILLED)) == [ReleaseState(q)]
 
 
 def test_state_at_a_reader_that_was_cut_off_is_released_before_the_next_read():
     d = Drive()
     r, _ = d.arrive()
-    d.end(r, i.Outcome.PREFILLED)
-    out = d.end(r, i.Outcome.STATE_LOST)
-    assert of(i.ReleaseState, out) and of(i.SendAttempt, out)
+    d.end(r, Outcome.PREFILLED)
+    out = d.end(r, Outcome.STATE_LOST)
+    assert of(ReleaseState, out) and of(SendAttempt, out)
 
 
 def test_a_read_state_is_taken_at_once_or_let_go():
     d = Drive()
     r, _ = d.arrive()
-    assert of(i.SendAttempt, d.end(r, i.Outcome.PREFILLED))
+    assert of(SendAttempt, d.end(r, Outcome.PREFILLED))
     q, _ = d.arrive(prompt=9000)
-    d.feed(i.EndpointsUpdated(True, FLEET[:6]))
-    out = d.end(q, i.Outcome.PREFILLED)
-    assert of(i.ReleaseState, out) and final(out)
+    d.feed(EndpointsUpdated(True, FLEET[:6]))
+    out = d.end(q, Outcome.PREFILLED)
+    assert of(ReleaseState, out) and final(out)
 
 
 def test_an_unsafe_request_is_not_refused_while_its_read_is_still_out():
-    d = Drive(settings(i.Idempotency.UNSAFE))
+    d = Drive(settings(Idempotency.UNSAFE))
     r, _ = d.arrive(prompt=5000)
     out = d.wait(4 * S)
     assert r in d.sent and d.sent[r].replica < 11
-    assert of(i.FailRequest, out) and not of(i.RejectRequest, out)
+    assert of(FailRequest, out) and not of(RejectRequest, out)
 
 
 def test_a_state_is_let_go_in_time_while_one_writer_after_another_cannot_be_reached():
     """Each try takes a connection's whole time. A writer that was reached, though it had no room, starts it anew."""
-    for outcome, least in ((i.Outcome.UNREACHABLE, 0), (i.Outcome.FULL, 3)):
+    for outcome, least in ((Outcome.UNREACHABLE, 0), (Outcome.FULL, 3)):
         d = Drive(settings(local_prefill=False))
         r, _ = d.arrive(prompt=5000)
-        d.end(r, i.Outcome.PREFILLED)
+        d.end(r, Outcome.PREFILLED)
         held, writers = d.now, 0
         while d.sent[r].replica > 10 and writers < 3:
             writers += 1
             d.now += 250_000
             actions = d.end(r, outcome, rtt=250_000)
-        if outcome == i.Outcome.UNREACHABLE:
-            assert of(i.ReleaseState, actions) and d.now <= held + d.router.s.state_hold_time + 300_000
+        if outcome == Outcome.UNREACHABLE:
+            assert of(ReleaseState, actions) and d.now <= held + d.router.s.state_hold_time + 300_000
         assert writers >= least
 
 
-@pytest.mark.parametrize("effect", [i.Idempotency.IDEMPOTENT, i.Idempotency.KEYED, i.Idempotency.UNSAFE])
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.UNSAFE])
 def test_what_was_withdrawn_spends_no_attempt_no_retry_and_blames_nobody(effect):
     d = Drive(settings(effect))
     r, _ = d.arrive()
     for _ in range(d.router.s.max_attempts + 1):
         at, retries = d.sent[r].replica, d.router.retries
-        actions = d.end(r, i.Outcome.WITHDRAWN)
+        actions = d.end(r, Outcome.WITHDRAWN)
         d.attempt[r] -= 1  # the next one has its number
-        assert [a.replica for a in of(i.SendAttempt, actions)] == [d.sent[r].replica] and d.sent[r].replica != at
+        assert [a.replica for a in of(SendAttempt, actions)] == [d.sent[r].replica] and d.sent[r].replica != at
         assert d.router.retries == retries and not d.router.engines[at].fails.weight
         assert d.router.jobs[r].ran is None and d.router.jobs[r].attempt == 0
 
@@ -192,12 +204,12 @@
     """Others' queues made reads late. Who then tells that nothing waits is idle, and who tells more is not, however
     quick reads were: between a jam of the few and idle servers that came since, only their word tells."""
     d = Drive(settings(local_prefill=False, instances=200, health_checks=True), seed=3)
-    d.router.looks = frozenset((i.Role.PREFILL,))
+    d.router.looks = frozenset((Role.PREFILL,))
 
-    def ask(tokens: float) -> tuple[int, list[i.Action]]:
+    def ask(tokens: float) -> tuple[int, list[Action]]:
         r, out = d.arrive(prompt=3000)
-        (look,) = of(i.QueryLoad, out)
-        return r, d.feed(i.LoadKnown(r, tuple(i.LoadReport(e, 0.1, tokens, 1.0, 0) for e in look.replicas)))
+        (look,) = of(QueryLoad, out)
+        return r, d.feed(LoadKnown(r, tuple(LoadReport(e, 0.1, tokens, 1.0, 0) for e in look.replicas)))
 
     before = 40_000 if idle else 0
     for _ in range(20):
@@ -206,4 +218,4 @@
             d.wait(100_000)
             d.serve(r, rtt=(before + 3500) * 50)  # 20,000 tokens a second
     r, out = ask(waiting)
-    assert bool(of(i.SendAttempt, out)) is idle and len(final(out)) == (not idle)
+    assert bool(of(SendAttempt, out)) is idle and len(final(out)) == (not idle)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,12 +9,15 @@
 
 import pytest
 
-from pearhill import interface as i
+from pearhill.routing.actions import RejectRequest, SendAttempt
+from pearhill.routing.events import EndpointsUpdated, RequestArrived
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.rules import RATIO_START, Job
 from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
 
 
-def nodes(count: int, fleet: tuple[i.Endpoint, ...] = FLEET) -> list[Drive]:
+def nodes(count: int, fleet: tuple[Endpoint, ...] = FLEET) -> list[Drive]:
     return [Drive(settings(instances=count), fleet, seed=n) for n in range(count)]
 
 
@@ -24,7 +27,7 @@
         d.serve(d.arrive(prompt=5000, session=1)[0])
         assert all(d.router._held(e, 5000) < 0.2 for e in d.router.engines.values())
         r, out = d.arrive(prompt=5000, session=2)
-        assert r in d.sent and not of(i.RejectRequest, out)
+        assert r in d.sent and not of(RejectRequest, out)
 
 
 @pytest.mark.parametrize("count", [2, 200])
@@ -33,7 +36,7 @@
     r, _ = d.arrive(prompt=5000, session=7)
     e = d.router.engines[d.sent[r].replica]
     d.serve(r)
-    req = i.RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
+    req = RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
     d.serve(d.arrive(prompt=5000, session=8)[0])
     assert d.router._belief(e, req) == 5000
 
@@ -63,7 +66,7 @@
         if n == 6000:
             for each in fleet:
                 each.wait(max(0, at - each.now))
-                each.feed(i.EndpointsUpdated(False, (entry(3, 0, cell=1, started=at),)))
+                each.feed(EndpointsUpdated(False, (entry(3, 0, cell=1, started=at),)))
         r, _ = d.arrive(prompt=3000, session=n + 1)
         if r in d.sent:
             served += d.sent[r].replica < 11
@@ -81,7 +84,7 @@
             d.serve(d.arrive(prompt=3000, session=n + 1)[0])
         _, out = d.arrive(prompt=3000, session=99)
         # First-token aim of 1.12 s; a read takes 50 ms.
-        assert of(i.SendAttempt, out)[0].attempt_timeout <= 0.6 * S
+        assert of(SendAttempt, out)[0].attempt_timeout <= 0.6 * S
 
 
 READERS = tuple(entry(n, 0, cell=n % 2) for n in range(1, 11)) + FLEET[6:]
@@ -115,7 +118,7 @@
 @pytest.mark.parametrize("share, least, most", [(0.01, 2, 2), (0.2, 3, 6), (0.45, 7, 10)])
 def test_the_more_of_all_reading_a_prefix_draws_the_more_readers_share_it(share, least, most):
     seen, rng = crowd(share)
-    ask = i.RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
+    ask = RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
     assert least <= sum(d.router._homes(ask, 10) for d in seen) / len(seen) <= most
     used = {engine for d in seen for engine in homes([d], rng.randrange(1, 1 << 60))}
     assert least <= len(used) <= most
@@ -130,7 +133,7 @@
 def test_a_prefix_said_to_be_longer_than_its_prompt_ends_nothing():
     d = Drive()
     for said in (1_000, 2**31):
-        ask = i.RequestArrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
+        ask = RequestArrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
         d.router.drawn_all = 10.0 * (said - 1_000)
         assert d.router._homes(ask, 10) == 2
 
@@ -144,9 +147,7 @@
             )
             d.serve(r, kept=3000)
             d.wait(400_000)
-    assert all(
-        d.router._homes(i.RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2 for d in seen
-    )
+    assert all(d.router._homes(RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2 for d in seen)
 
 
 def test_without_a_favourite_all_nodes_take_one_reader_for_a_session_and_two_for_a_prefix():
@@ -161,16 +162,16 @@
         r, _ = d.arrive(prompt=5000, session=n + 1)
         if r in d.sent:
             d.serve(r, rtt=900_000)
-    assert of(i.RejectRequest, d.arrive(prompt=5000, session=98)[1])
+    assert of(RejectRequest, d.arrive(prompt=5000, session=98)[1])
     d.wait(30 * S)
-    assert of(i.SendAttempt, d.arrive(prompt=5000, session=99)[1])
+    assert of(SendAttempt, d.arrive(prompt=5000, session=99)[1])
 
 
 def in_flight(d: Drive, count: int, prompt: int = 5000) -> list[int]:
     """So many requests whose states wait to be fetched at a writer."""
     out = [d.arrive(prompt=prompt, session=d.next)[0] for _ in range(count)]
     for r in out:
-        d.end(r, i.Outcome.PREFILLED)
+        d.end(r, Outcome.PREFILLED)
     return out
 
 
@@ -182,14 +183,14 @@
     d = Drive(fleet=ONE_WRITER)
     out = in_flight(d, 4)
     if late == "timeout":
-        d.end(out[0], i.Outcome.TIMEOUT)
+        d.end(out[0], Outcome.TIMEOUT)
     else:
         d.began(out[0], rtt=900_000)
-    assert of(i.RejectRequest, d.arrive(prompt=5000, session=98)[1])
+    assert of(RejectRequest, d.arrive(prompt=5000, session=98)[1])
     for r in out[1:]:  # what was under way there ends, nothing else is heard: the jam is over, at once
         d.began(r)
-        d.end(r, i.Outcome.ANSWERED, settled=True)
-    assert of(i.SendAttempt, d.arrive(prompt=5000, session=99)[1])
+        d.end(r, Outcome.ANSWERED, settled=True)
+    assert of(SendAttempt, d.arrive(prompt=5000, session=99)[1])
 
 
 def test_a_bound_grows_back_while_nothing_is_heard_and_for_ever():
@@ -207,10 +208,10 @@
 def test_with_reports_a_late_fetch_is_remembered_beside_them():
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=1)
-    d.end(r, i.Outcome.PREFILLED, load=(0.2, 0.0))
+    d.end(r, Outcome.PREFILLED, load=(0.2, 0.0))
     d.router.helds[1].add(d.now, 0.2)
     full = d.router.engines[d.sent[r].replica]
-    d.end(r, i.Outcome.TIMEOUT)
+    d.end(r, Outcome.TIMEOUT)
     assert d.router._held(full, 0) > 0.9 and d.sent[r].replica != full.id
 
 
@@ -221,7 +222,7 @@
     d.router.engines[11].held.add(d.now, 0.97, 4)
     r, _ = d.arrive(prompt=5000, session=1)
     assert d.sent[r].replica < 3
-    d.end(r, i.Outcome.PREFILLED)
+    d.end(r, Outcome.PREFILLED)
     assert d.sent[r].replica == 21
 
 
@@ -239,21 +240,21 @@
         for n in range(12):
             r, out = d.arrive(prompt=3000, session=wave * 20 + n + 1)
             total += 1
-            refused += bool(of(i.RejectRequest, out))
+            refused += bool(of(RejectRequest, out))
             if r in d.sent:
                 kind = live[d.sent[r].replica].kind
                 if kind == 0:
-                    d.end(r, i.Outcome.PREFILLED)
+                    d.end(r, Outcome.PREFILLED)
                 if r in d.router.jobs:
                     d.began(r)
-                    d.end(r, i.Outcome.ANSWERED, settled=True)
+                    d.end(r, Outcome.ANSWERED, settled=True)
             d.wait(300_000)
         if wave < 100:
             old = min(live)
             e = live.pop(old)
             fresh += 1
             live[fresh] = entry(fresh, e.kind, cell=e.cell, started=d.now)
-            d.feed(i.EndpointsUpdated(False, (entry(old, e.kind, phase=i.Phase.GONE), live[fresh])))
+            d.feed(EndpointsUpdated(False, (entry(old, e.kind, phase=Phase.GONE), live[fresh])))
     assert refused < 0.2 * total
     d.wait(700 * S)
     d.serve(d.arrive(prompt=3000, session=1)[0]) if d.arrive(prompt=3000, session=1)[0] in d.sent else None
@@ -268,10 +269,10 @@
     r, _ = d.arrive(prompt=5000, session=7)
     d.serve(r)
     home = d.sent[r].replica
-    d.feed(i.EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=i.Phase.GONE),)))
-    d.feed(i.EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
-    assert d.router._belief(d.router.engines[home], i.RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
-    assert isinstance(Job(i.RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), Job)
+    d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=Phase.GONE),)))
+    d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
+    assert d.router._belief(d.router.engines[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
+    assert isinstance(Job(RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), Job)
 
 
 @pytest.mark.parametrize("count", [2, 200])
@@ -283,7 +284,7 @@
         r, out = d.arrive(prompt=5000, session=n, cls=cls, tenant=tenant)
         if r in d.sent:
             d.serve(r, rtt=rtt)
-        return bool(of(i.RejectRequest, out))
+        return bool(of(RejectRequest, out))
 
     calm, jam = Drive(s), Drive(s)
     # Tenant 1 asks five times its share.
@@ -311,10 +312,10 @@
         try:
             for n in range(20):
                 r, _ = d.arrive(prompt=3000, session=n + 1)
-                if d.router.engines[d.sent[r].replica].role == i.Role.PREFILL:
-                    d.end(r, i.Outcome.PREFILLED)
+                if d.router.engines[d.sent[r].replica].role == Role.PREFILL:
+                    d.end(r, Outcome.PREFILLED)
                 d.began(r)
-                d.end(r, i.Outcome.ANSWERED, settled=True)
+                d.end(r, Outcome.ANSWERED, settled=True)
         finally:
             sys.setprofile(None)
         return count
@@ -333,7 +334,7 @@
         d.wait(500_000)
     for prompt in (3000, 12_000):
         r, out = d.arrive(prompt=prompt, session=100 + prompt)
-        assert not of(i.RejectRequest, out) and r in d.sent
+        assert not of(RejectRequest, out) and r in d.sent
         d.serve(r, rtt=400_000)
 
 
@@ -344,6 +345,6 @@
     d.began(out[0], rtt=900_000)  # late: what is under way there is what it bears, and four fifths of it
     for r in out[1:4]:
         d.began(r)
-        d.end(r, i.Outcome.ANSWERED, settled=True)
-    taken = [not of(i.RejectRequest, d.arrive(prompt=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
+        d.end(r, Outcome.ANSWERED, settled=True)
+    taken = [not of(RejectRequest, d.arrive(prompt=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
     assert taken == [True, True]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pearhill import interface as i
+from pearhill.routing.settings import Idempotency
 from pearhill.settings import parse
 from tests.driver import Drive
 from tests.standins import LAST, TOKENS, Discovery, Standin, platform
@@ -136,9 +136,9 @@
     ):
         assert facts[0] != facts[1]
     assert {c.idempotency for d in parsed for c in d.router.classes} == {
-        i.Idempotency.IDEMPOTENT,
-        i.Idempotency.KEYED,
-        i.Idempotency.UNSAFE,
+        Idempotency.IDEMPOTENT,
+        Idempotency.KEYED,
+        Idempotency.UNSAFE,
     }
     for d in parsed:
         assert Drive(d.router).router.s is d.router
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,16 +4,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill import interface as i
 from pearhill.routing.start_times import STEP, StartTimes
+from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import S
 
 NOW = 1_000_000 * S
 HOUR = 3600 * S
 
 
-def entry(started: int, engine: int = 1, phase: str = i.Phase.READY) -> i.Endpoint:
-    return i.Endpoint(engine, 0, 0, 0, phase, 1.0, started)
+def entry(started: int, engine: int = 1, phase: str = Phase.READY) -> Endpoint:
+    return Endpoint(engine, 0, 0, 0, phase, 1.0, started)
 
 
 def started(times: StartTimes, now: int, told: int, full: bool = False) -> int:
@@ -69,7 +69,7 @@
 def test_replicas_that_are_gone_are_forgotten():
     times = StartTimes(NOW, NOW)
     times.place(NOW, True, [entry(NOW - S, n) for n in range(5)])
-    times.place(NOW, False, [entry(NOW - S, 0, i.Phase.GONE)])
+    times.place(NOW, False, [entry(NOW - S, 0, Phase.GONE)])
     assert set(times._placed) == {1, 2, 3, 4}
     times.place(NOW, True, [entry(NOW - S, 4)])
     assert set(times._placed) == {4}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,9 +8,30 @@
 
 import pytest
 
-from pearhill import interface as i
 from pearhill import wire
 from pearhill.adapter import Adapter, settings_of
+from pearhill.routing.actions import (
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    MigrateStream,
+    RejectRequest,
+    ReleaseState,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+)
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    HealthCheckEnded,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase
 
 EXAMPLE = bytes.fromhex(
     "0c0000005a5c8000000000005900000005000000 05 04000000 03000000"
@@ -59,21 +80,21 @@
     assert (got.seq, got.clock) == (12, 0x805C5A)
     (a, arrived), (b, due), (c, left) = got.events
     assert (a, b, c) == (3, 3, 5)
-    assert arrived == i.RequestArrived(
+    assert arrived == RequestArrived(
         0x5D3A91C4, 0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 1200, 1800, 256, 240000, False, False
     )
-    assert (due, left) == (i.TimerFired(77), i.ClientDisconnected(0x0E6F2B19))
+    assert (due, left) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
 
 
 def test_a_probe_and_its_answer():
     ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
-    assert (who, done) == (3, i.HealthCheckEnded(0x2C9011F2, i.Outcome.ANSWERED, 1400, None))
+    assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == i.HealthCheckEnded(7, i.Outcome.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
+    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
-    assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == i.Outcome.TIMEOUT
-    assert wire.encode_action(i.SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
+    assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == Outcome.TIMEOUT
+    assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
 
 
 def test_worked_outcome_and_list():
@@ -83,14 +104,14 @@
         "f211902c 01 0000 0000 01 0000c03f 20145d0000000000"
     )
     got = read(frame(record(5, b"\x03\0\0\0") + b"\x08" + ended + b"\x03" + listed, 3))
-    assert got.events[0][1] == i.AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, i.Outcome.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
+    assert got.events[0][1] == AttemptEnded(
+        0x5D3A91C4, 0, 0x03124A07, Outcome.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
     )
-    assert got.events[1][1] == i.EndpointsUpdated(
+    assert got.events[1][1] == EndpointsUpdated(
         True,
         (
-            i.Endpoint(0x03124A07, 0, 0, 0, i.Phase.READY, 1.0, 0),
-            i.Endpoint(0x2C9011F2, 1, 0, 0, i.Phase.READY, 1.5, 0x5D1420),
+            Endpoint(0x03124A07, 0, 0, 0, Phase.READY, 1.0, 0),
+            Endpoint(0x2C9011F2, 1, 0, 0, Phase.READY, 1.5, 0x5D1420),
         ),
     )
 
@@ -99,9 +120,9 @@
     got = wire.encode_reply(
         12,
         [
-            (3, i.SendAttempt(0x5D3A91C4, 0x03124A07, 80000)),
-            (3, i.SetTimer(77, 500000)),
-            (5, i.LogMessage("two servers known")),
+            (3, SendAttempt(0x5D3A91C4, 0x03124A07, 80000)),
+            (3, SetTimer(77, 500000)),
+            (5, LogMessage("two servers known")),
         ],
     )
     assert got == bytes.fromhex(
@@ -114,11 +135,11 @@
 @pytest.mark.parametrize(
     "action,code,fields",
     [
-        (i.CancelAttempt(7, 2), 67, "<IH"),
-        (i.RejectRequest(7, 9), 65, "<II"),
-        (i.FailRequest(7), 66, "<I"),
-        (i.ReleaseState(7), 78, "<I"),
-        (i.MigrateStream(7), 76, "<I"),
+        (CancelAttempt(7, 2), 67, "<IH"),
+        (RejectRequest(7, 9), 65, "<II"),
+        (FailRequest(7), 66, "<I"),
+        (ReleaseState(7), 78, "<I"),
+        (MigrateStream(7), 76, "<I"),
     ],
 )
 def test_every_other_action_reads_back(action, code, fields):
@@ -138,15 +159,15 @@
 @pytest.mark.parametrize(
     "verdict,detail,outcome",
     [
-        (102, 40, i.Outcome.PREFILLED),
-        (503, 0, i.Outcome.FULL),
-        (503, 1, i.Outcome.STATE_LOST),
-        (504, 0, i.Outcome.TIMEOUT),
-        (502, 0, i.Outcome.UNREACHABLE),
-        (598, 0, i.Outcome.TRUNCATED),
-        (499, 0, i.Outcome.CANCELLED),
-        (410, 0, i.Outcome.NOT_SENT),
-        (500, 0, i.Outcome.ERROR),
+        (102, 40, Outcome.PREFILLED),
+        (503, 0, Outcome.FULL),
+        (503, 1, Outcome.STATE_LOST),
+        (504, 0, Outcome.TIMEOUT),
+        (502, 0, Outcome.UNREACHABLE),
+        (598, 0, Outcome.TRUNCATED),
+        (499, 0, Outcome.CANCELLED),
+        (410, 0, Outcome.NOT_SENT),
+        (500, 0, Outcome.ERROR),
     ],
 )
 def test_outcomes(verdict, detail, outcome):
@@ -157,7 +178,7 @@
 
 def test_first_token_reads_back():
     event = read(frame(record(5, b"\0\0\0\0") + record(7, struct.pack("<IHII", 1, 2, 3, 4)), 2)).events[0][1]
-    assert event == i.ResponseStarted(1, 2, 3, 4)
+    assert event == ResponseStarted(1, 2, 3, 4)
 
 
 def test_end_of_input_between_frames_is_the_end():
