--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent))
 from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
-from pearhill.structures.hitters import HeavyHitters
+from pearhill.structures.heavy_hitters import HeavyHitters
 
 TENANTS, ACTIVE, ROUNDS = 100_000, 2_000, 100_000
 S, WALL = 1_000_000, 1_796_083_200
--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -22,14 +22,14 @@
 import time
 from dataclasses import dataclass, field
 
+from pearhill.load_reports.peer_loads import Row
 from pearhill.membership import aggregator
+from pearhill.membership.aggregation_messages import Frame, FrameCodec
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.council import Council
-from pearhill.membership.datagram import Codec
-from pearhill.membership.frames import Frame, FrameCodec
+from pearhill.membership.gossip import Council
+from pearhill.membership.gossip_messages import Codec
 from pearhill.membership.members import BEAT
 from pearhill.membership.reporter import HEADERS, AggregatorSite, Reporter
-from pearhill.spread.digests import Row
 
 S = 1_000_000
 TOKENS, HOLD, WARM = 1000, 0.5, 5  # of a request; mean seconds that it holds an engine; seconds not counted
--- a/pearhill/__main__.py
+++ b/pearhill/__main__.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pearhill.config import load
-from pearhill.process import run
+from pearhill.node.process import run
 
 
 def _work(arguments: argparse.Namespace) -> Coroutine[Any, Any, None]:
--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -10,19 +10,19 @@
 
 from loguru import logger
 
-from pearhill.admin.door import JSON, TEXT, Calls
+from pearhill.admin.endpoint import JSON, TEXT, Calls
 from pearhill.aggregator.setup import AggregatorSetup
 from pearhill.config import ConfigError, for_next_start
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.http1.handler import Reply
+from pearhill.membership.aggregation_messages import FrameCodec
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.frames import FrameCodec
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.clock import start_clock
 from pearhill.net.datagrams import Datagrams
 from pearhill.net.listener import Listener
-from pearhill.net.turns import Turns
+from pearhill.net.ticks import Turns
 
 DOOR, DOOR_BODY = 16, 4096  # connections of operators, and bytes of a call that has no use for any
 RECEIVE_BUFFER = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -6,7 +6,9 @@
 from dataclasses import replace
 from typing import Any
 
+from pearhill.budgets.burst import Spare
 from pearhill.budgets.estimate import Answers
+from pearhill.budgets.level import Node
 from pearhill.budgets.limits import (
     DAY,
     GRAINS,
@@ -20,9 +22,7 @@
     Used,
     periods,
 )
-from pearhill.budgets.node import Node
-from pearhill.budgets.spare import Spare
-from pearhill.structures.hitters import HeavyHitters, Hitter
+from pearhill.structures.heavy_hitters import HeavyHitters, Hitter
 
 TICK = 10_000_000  # microseconds between looks for what may be forgotten
 LOOK = 500  # nodes that one tick looks at: bounded work, whatever their number
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -24,6 +24,7 @@
 from loguru import logger
 
 from pearhill.chat.answers import Answer, Heart, Spawn
+from pearhill.chat.budget_accounting import Desk, Spender, turned_away
 from pearhill.chat.endpoints import ENDPOINTS
 from pearhill.chat.errors import AUTHENTICATION, JSON, PERMISSION, RATE, ApiError, invalid, retry_headers
 from pearhill.chat.keys import ANYONE, Keyring, Tenant, key_number
@@ -34,7 +35,6 @@
 from pearhill.chat.schema.answers import ModelCard, ModelList, UsageReport
 from pearhill.chat.servers import ChatPayload
 from pearhill.chat.setup import Model, Reading
-from pearhill.chat.spending import Desk, Spender, turned_away
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Ask, Request
 from pearhill.http1.handler import Pending, Reply
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -7,19 +7,19 @@
 
 from loguru import logger
 
-from pearhill.admin.door import Door
+from pearhill.admin.endpoint import Door
+from pearhill.chat.budget_accounting import Corrupt, Desk
 from pearhill.chat.front import ChatFront
 from pearhill.chat.records import Store
 from pearhill.chat.servers import ChatDialect
 from pearhill.chat.setup import ChatSetup
-from pearhill.chat.spending import Corrupt, Desk
 from pearhill.config import for_next_start
 from pearhill.eureka.client import Eureka
+from pearhill.load_reports.peer_loads import Row
 from pearhill.net.address import Address
 from pearhill.net.fleet import Fleet
-from pearhill.node import Limits, Node
-from pearhill.operations import Operations
-from pearhill.spread.digests import Row
+from pearhill.node.node import Limits, Node
+from pearhill.node.operations import Operations
 
 SEND_BUFFER = 64 * 1024  # a stream is some KB a second; more than that is a client that does not read
 
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -12,10 +12,10 @@
 from pearhill import settings
 from pearhill.budgets import Limit, Plan, Prices, TenantPlan
 from pearhill.chat import file as f
+from pearhill.chat.budget_accounting import SpendingSetup
 from pearhill.chat.keys import BadKey, Keyring, Tenant
-from pearhill.chat.spending import SpendingSetup
 from pearhill.config import ConfigError, typed, values
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.membership.reporter import AggregatorSite
 from pearhill.net.address import Address
--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from pearhill.spread.evenness import evenness
+from pearhill.load_reports.evenness import evenness
 
 MOST_BYTES = 4 << 20
 AT_ONCE = 32
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -19,7 +19,7 @@
 from pearhill.chat.file import OperatorFile
 from pearhill.cli import lab
 from pearhill.config import ConfigError
-from pearhill.process import run
+from pearhill.node.process import run
 
 app = typer.Typer(
     name="pearhill",
--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from pearhill.config import ConfigError, typed
-from pearhill.membership.datagram import LEAST_KEY
+from pearhill.membership.gossip_messages import LEAST_KEY
 from pearhill.net import address as net
 
 Text = Annotated[str, Meta(min_length=1)]
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -15,6 +15,7 @@
 from pearhill.core.ports import Backend, Client
 from pearhill.core.request import Ask, Attempt, Request
 from pearhill.counters import BUSY, FAILURE, SUCCESS, Calls, Counters
+from pearhill.load_reports.load_aware_router import Scout
 from pearhill.routing.actions import (
     Action,
     CancelAttempt,
@@ -41,7 +42,6 @@
 from pearhill.routing.permissions import Denied, Ran, may_begin, may_refuse, may_repeat, may_send
 from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
-from pearhill.spread.scout import Scout
 
 TOO_MANY_OPEN = "too-many-open"
 EXPIRED, OVERDUE = "expired", "overdue"  # its time was over before its turn; the router has not answered in time
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -15,7 +15,7 @@
 from pearhill.http1 import messages
 from pearhill.net.address import Address
 from pearhill.net.pool import CannotConnect, Pool, call
-from pearhill.net.turns import pause
+from pearhill.net.ticks import pause
 from pearhill.routing.topology import Endpoint
 from pearhill.settings import Deployment
 
--- a/pearhill/eureka/registry.py
+++ b/pearhill/eureka/registry.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.net.address import Address, parse_address
 from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -24,13 +24,15 @@
 
 from pearhill.chat.file import EurekaTable
 from pearhill.config import ConfigError, typed
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.http1 import messages
+from pearhill.load_reports.peer_loads import ROWS, Row
+from pearhill.load_reports.reports import FRESH
+from pearhill.membership.aggregation_messages import LEASE, MOVED, PART_LEASE, Frame, FrameCodec, Part
 from pearhill.membership.aggregator import BEAT as PART_EVERY
 from pearhill.membership.aggregator import CUT, IDLE, ROSTER_EVERY, SILENT, SNAPSHOT, SNAPSHOT_SLOT, Aggregator
-from pearhill.membership.council import Message
-from pearhill.membership.datagram import TAG, Codec
-from pearhill.membership.frames import LEASE, MOVED, PART_LEASE, Frame, FrameCodec, Part
+from pearhill.membership.gossip import Message
+from pearhill.membership.gossip_messages import TAG, Codec
 from pearhill.membership.members import ALIVE, BEAT, LEAST_PINGS, MOST_PINGS, ROUND, Ping, Rumour
 from pearhill.membership.reporter import (
     ANSWER_WAIT,
@@ -48,15 +50,13 @@
     AggregatorSite,
     Reporter,
 )
+from pearhill.net.health_checks import MOST_OUT
 from pearhill.net.pool import MAX_ANSWER
-from pearhill.net.probes import MOST_OUT
 from pearhill.net.releases import UNANSWERED as RELEASES
-from pearhill.node import SPARE
+from pearhill.node.node import SPARE
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
+from pearhill.routing.router import KEEP, KEYS, RATIO_MAX, SHED
 from pearhill.routing.slow_start import STEP_EVERY
-from pearhill.rules import KEEP, KEYS, RATIO_MAX, SHED
-from pearhill.spread.digests import ROWS, Row
-from pearhill.spread.reports import FRESH
 
 RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
 NOT_MEASURED = "not measured"
@@ -855,7 +855,7 @@
         ("aggregator", "memory", "memory_bytes", size.machine_bytes, amount),
     ]
     ways = (
-        (TALK, "full talk", "`pearhill/membership/council.py`"),
+        (TALK, "full talk", "`pearhill/membership/gossip.py`"),
         (AGGREGATORS, "reports to control machines", "`pearhill/membership/aggregator.py`"),
     )
     for way, name, file in ways:
@@ -905,7 +905,7 @@
                 "1 core",
                 cores,
                 source,
-                "`pearhill/rules.py`",
+                "`pearhill/routing/router.py`",
             )
         )
         if few := runs.choice_at(60):
@@ -916,7 +916,7 @@
                     "2",
                     one.ms / few.ms / 2,
                     source,
-                    "`pearhill/rules.py`",
+                    "`pearhill/routing/router.py`",
                 )
             )
     made.append(
--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -20,7 +20,7 @@
 from pearhill.lab.relay import Relay
 from pearhill.lab.run import operator_file, servers
 from pearhill.lab.scenario import FleetFault, FleetTable, Scenario
-from pearhill.spread.evenness import evenness
+from pearhill.load_reports.evenness import evenness
 
 UP_WITHIN_S, LOOK_S = 120.0, 0.05
 WINDOW_S = 1.0
--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -20,8 +20,8 @@
 from pearhill.routing.actions import SendAttempt
 from pearhill.routing.events import AttemptEnded, EndpointsUpdated, RequestArrived, ResponseStarted
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import Router
 from pearhill.routing.topology import Endpoint, Phase, Role
-from pearhill.rules import Router
 
 STEP = 22_000  # microseconds between two arrivals: 45 a second
 WARM, REMEMBERED = 60, 1_500
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -25,7 +25,7 @@
 from pearhill.lab.scale.files import HERE, Place, filled
 from pearhill.lab.scale.measure import LATE_P99_US, Taken, encoded, slope, spread_ms, taken
 from pearhill.lab.scale.plan import FleetSize, ScaleTable
-from pearhill.spread.evenness import evenness
+from pearhill.load_reports.evenness import evenness
 
 UP_WITHIN_S, LOOK_S = 60.0, 0.25
 STARTS_AT_ONCE = 4
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -22,16 +22,16 @@
 
 from pearhill.chat.service import ChatService
 from pearhill.chat.setup import ChatSetup, loads
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.eureka.client import Eureka
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.child import Handle, run
 from pearhill.lab.scale.files import Place, filled
 from pearhill.lab.scale.measure import encoded
 from pearhill.lab.scale.work import Arrivals, Drawn
+from pearhill.load_reports.peer_loads import Row
 from pearhill.net.address import Address
 from pearhill.routing.topology import Endpoint
-from pearhill.spread.digests import Row
 
 TICK_S = 0.25  # as often as a talk beats
 TURNS = 5  # ticks of a process in that time, so that no beat waits for all of its dispatchers
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -11,8 +11,8 @@
 from pearhill.chat.service import ChatService
 from pearhill.membership.gauges import TOKENS, encode
 from pearhill.net.address import Address
+from pearhill.routing.router import Engine
 from pearhill.routing.topology import Role
-from pearhill.rules import Engine
 
 HEADERS = 28  # bytes of IP and UDP round each datagram, counted with it
 # Marks: one dispatcher's gauge at one writer, where nobody else has work, says how often it was read. Talk carries it
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pearhill
-from pearhill.lab.scale import fit, troubles
+from pearhill.lab.scale import faults, fit
 from pearhill.lab.scale.child import Child, Failed
 from pearhill.lab.scale.files import filled
 from pearhill.lab.scale.fleet import RunningFleet
@@ -107,7 +107,7 @@
     async def _troubles(self, table: TroublesTable, size: FleetSize, folder: pathlib.Path) -> None:
         async with RunningFleet(size, self.plan.scale, folder, self.told, cuttable=True) as self.fleet:
             await self._settled(self.fleet)
-            await troubles.run(table.event, size, self.fleet, self.plan.scale, self.told, self.troubles)
+            await faults.run(table.event, size, self.fleet, self.plan.scale, self.told, self.troubles)
 
     async def _settled(self, fleet: RunningFleet) -> bool:
         """Whether the fleet came to a right count of itself. Without one, a figure is of a fleet that isn't whole."""
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -12,8 +12,8 @@
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Ask, Attempt, Request
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import Engine, Router
 from pearhill.routing.topology import Role
-from pearhill.rules import Engine, Router
 
 SETS = 24  # of drawn gauges, of which each beat takes one, turned by a drawn number of engines
 READ_S = 0.45  # a read's time at the size that is planned for, with what it waits
--- a/pearhill/service/roster.py
+++ b/pearhill/lifecycle/endpoint_overrides.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
+from pearhill.lifecycle.overrides import Wishes
 from pearhill.routing.topology import Endpoint, Phase
-from pearhill.service.wishes import Wishes
 
 
 class Roster:
--- a/pearhill/service/handover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from pearhill.service.wishes import MOST, Wish, Wishes
+from pearhill.lifecycle.overrides import MOST, Wish, Wishes
 
 VERSION = 1
 MARK = f"pearhill-note {VERSION} ".encode()
--- a/pearhill/spread/scout.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -11,6 +11,8 @@
 import random
 from typing import Protocol
 
+from pearhill.load_reports.query_policy import looks
+from pearhill.load_reports.reports import Reports
 from pearhill.routing.actions import Action, QueryLoad, SendHealthCheck, SetTimer
 from pearhill.routing.events import (
     AttemptEnded,
@@ -23,11 +25,9 @@
     TimerFired,
 )
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import OUTLIER, Router
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
-from pearhill.rules import OUTLIER, Router
-from pearhill.spread.reports import Reports
-from pearhill.spread.worth import looks
 
 WAIT_SHARE = 1 / 40  # of the shortest aim: so long a request waits for what it asked
 FIRST_TIMER = 1 << 31  # the Router counts its own up from 1
--- a/pearhill/membership/frames.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from pearhill.membership import gauges
-from pearhill.membership.datagram import MAX_BYTES, MOST_COUNT, TAG, Rejected, Sealer
+from pearhill.membership.gossip_messages import MAX_BYTES, MOST_COUNT, TAG, Rejected, Sealer
 
 VERSION = 2
 CHUNK = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -21,7 +21,7 @@
 from itertools import compress
 from typing import Any, TypeVar
 
-from pearhill.membership.frames import (
+from pearhill.membership.aggregation_messages import (
     CHUNK,
     ENTRIES,
     LEASE,
@@ -43,7 +43,7 @@
     Superseded,
 )
 from pearhill.membership.gauges import TOKENS, encode, pack, unpack
-from pearhill.membership.window import ReplayWindow
+from pearhill.membership.replay_window import ReplayWindow
 
 BEAT = 100_000  # between two beats
 LATE = 750_000  # between two beats of mine
--- a/pearhill/membership/council.py
+++ b/pearhill/membership/gossip.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from pearhill.load_reports.peer_loads import Row, Work, cut
 from pearhill.membership.members import DEAD, Members, Rumour, Say
-from pearhill.membership.window import ReplayWindow
-from pearhill.spread.digests import Row, Work, cut
+from pearhill.membership.replay_window import ReplayWindow
 
 LOST_AT_ONCE = 1 / 3  # of the fleet: more than that, gone together, is a cut and not so many deaths
 BELIEVED = 60_000_000  # after so long even a cut counts as a loss
--- a/pearhill/membership/datagram.py
+++ b/pearhill/membership/gossip_messages.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from pearhill.membership.council import Message
+from pearhill.load_reports.peer_loads import ROWS, Row
+from pearhill.membership.gossip import Message
 from pearhill.membership.members import RUMOURS, Ack, Ask, Ping, Rumour
-from pearhill.spread.digests import ROWS, Row
 
 VERSION = 1
 MAX_BYTES = 1400
--- a/pearhill/membership/sources.py
+++ b/pearhill/membership/peer_load_source.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearhill.membership.council import Council
+from pearhill.membership.gossip import Council
 from pearhill.membership.reporter import GONE, Reporter
 
 SUMS, TALK = "sums", "talk"
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -16,7 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pearhill.membership.frames import (
+from pearhill.load_reports.peer_loads import Row
+from pearhill.membership.aggregation_messages import (
     CHUNK,
     MOVED,
     NEWS,
@@ -30,8 +31,7 @@
     Superseded,
 )
 from pearhill.membership.gauges import TOKENS, encode, pack, unpack
-from pearhill.membership.window import ReplayWindow
-from pearhill.spread.digests import Row
+from pearhill.membership.replay_window import ReplayWindow
 
 PACE, JITTER = 100_000, 0.1  # between two reports at the least, and the share of it that is drawn
 BYTES_PER_S, HEADERS = 6000, 28  # both ways together; IPv4 and UDP headers of a datagram
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -16,9 +16,9 @@
 from pearhill.http1.handler import Pending
 from pearhill.http1.messages import Headers, RequestMessage
 from pearhill.http1.server import ContinueWanted, Rejected, ServerConnection
-from pearhill.net.arrivals import waited_us
-from pearhill.net.incoming import Incoming, passes
-from pearhill.net.outgoing import Outgoing
+from pearhill.net.accept_queue import waited_us
+from pearhill.net.socket_reader import Incoming, passes
+from pearhill.net.socket_writer import Outgoing
 from pearhill.routing.permissions import Use, may_close
 
 if TYPE_CHECKING:
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from pearhill.core.deadlines import Deadlines, Key
+from pearhill.membership.aggregation_messages import VERSION, Frame, FrameCodec
 from pearhill.membership.aggregator import BEAT, Aggregator
-from pearhill.membership.frames import VERSION, Frame, FrameCodec
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -16,10 +16,10 @@
 from pearhill.core.request import Attempt, Request
 from pearhill.http1.client import MAX_CHUNK, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
+from pearhill.net.health_checks import ProbeDialect, Probes, Told
 from pearhill.net.pool import MAX_CONNECT, CannotConnect, Connection, Exhausted, NoRoom, Pool
-from pearhill.net.probes import ProbeDialect, Probes, Told
 from pearhill.net.releases import ReleaseDialect, Releases
-from pearhill.net.turns import pause
+from pearhill.net.ticks import pause
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
 
 STALL = 4_500_000  # a stream that is silent for so long is given up: its client may not wait 5 s for nothing
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.datagram import Rejected
+from pearhill.membership.gossip_messages import Rejected
 from pearhill.net.address import Address
 
 TOLD_EVERY = 60_000_000  # at most one line for datagrams that are not taken
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -11,20 +11,20 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines
-from pearhill.membership.council import Council
-from pearhill.membership.datagram import Codec
-from pearhill.membership.frames import FrameCodec
+from pearhill.load_reports.evenness import evenness
+from pearhill.load_reports.peer_loads import Row
+from pearhill.membership.aggregation_messages import FrameCodec
+from pearhill.membership.gossip import Council
+from pearhill.membership.gossip_messages import Codec
+from pearhill.membership.peer_load_source import Sources
 from pearhill.membership.reporter import AggregatorSite, Reporter
-from pearhill.membership.sources import Sources
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
+from pearhill.net.gossip import Talk
 from pearhill.net.reporting import Reporting
-from pearhill.net.talk import Talk
-from pearhill.spread.digests import Row
-from pearhill.spread.evenness import evenness
 
 if TYPE_CHECKING:
-    from pearhill.node import Node
+    from pearhill.node.node import Node
 
 SILENT = 3_000_000  # without fresh sums; a move to another aggregator takes less
 
--- a/pearhill/net/talk.py
+++ b/pearhill/net/gossip.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.council import Council, Message
-from pearhill.membership.datagram import VERSION, Codec
+from pearhill.membership.gossip import Council, Message
+from pearhill.membership.gossip_messages import VERSION, Codec
 from pearhill.membership.members import BEAT
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -15,10 +15,10 @@
 from pearhill.counters import Counters
 from pearhill.http1.client import ClientConnection, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
-from pearhill.net.incoming import Incoming
-from pearhill.net.outgoing import Outgoing
+from pearhill.net.socket_reader import Incoming
+from pearhill.net.socket_writer import Outgoing
 from pearhill.net.tasks import Tasks
-from pearhill.net.turns import time_limit
+from pearhill.net.ticks import time_limit
 
 BUFFER = 8 * 1024
 MAX_ANSWER = 4 << 20  # of a list of servers
--- a/pearhill/net/releases.py
+++ b/pearhill/net/releases.py
@@ -17,7 +17,7 @@
 from pearhill.http1.client import MAX_CHUNK, Event
 from pearhill.net.address import Address
 from pearhill.net.pool import CannotConnect, Connection, Pool, call
-from pearhill.net.turns import pause
+from pearhill.net.ticks import pause
 
 RELEASE_FOR = 20_000_000  # how long a release is tried again
 # For the answer to a release, and for its connection, before it is tried again on a new one: the first waits least. One
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.frames import VERSION, Frame, FrameCodec
+from pearhill.membership.aggregation_messages import VERSION, Frame, FrameCodec
 from pearhill.membership.reporter import AggregatorSite, Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
--- a/pearhill/net/outgoing.py
+++ b/pearhill/net/socket_writer.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from pearhill.net.incoming import SHORTAGE_AGAIN_S, passes
+from pearhill.net.socket_reader import SHORTAGE_AGAIN_S, passes
 
 
 class Outgoing:
--- a/pearhill/node.py
+++ b/pearhill/node/node.py
@@ -17,17 +17,17 @@
 from pearhill.counters import Counters, Figures
 from pearhill.http1.handler import Handler
 from pearhill.http1.server import MAX_BODY
+from pearhill.lifecycle.drain import NO_IDLE, OPEN, Drain
+from pearhill.lifecycle.endpoint_overrides import Roster
+from pearhill.lifecycle.overrides import Wishes
 from pearhill.net.address import Address
 from pearhill.net.backend import Dialect, HttpBackend
 from pearhill.net.clock import start_clock, wall_clock
 from pearhill.net.listener import EXHAUSTED, Listener
 from pearhill.net.pool import Pool
-from pearhill.net.turns import Turns, pause
+from pearhill.net.ticks import Turns, pause
 from pearhill.routing.start_times import StartTimes
 from pearhill.routing.topology import Endpoint, Phase
-from pearhill.service.drain import NO_IDLE, OPEN, Drain
-from pearhill.service.roster import Roster
-from pearhill.service.wishes import Wishes
 from pearhill.settings import Deployment
 
 SPARE = 48  # descriptors for the log, the loop, the listener, and
--- a/pearhill/operations.py
+++ b/pearhill/node/operations.py
@@ -7,9 +7,9 @@
 
 from loguru import logger
 
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.counters import Figures
-from pearhill.node import Node
+from pearhill.node.node import Node
 
 
 class Operations:
--- a/pearhill/upgrade.py
+++ b/pearhill/node/takeover.py
@@ -9,11 +9,11 @@
 
 from loguru import logger
 
-from pearhill.durable.notes import Notes
+from pearhill.durable.message_folder import Notes
+from pearhill.lifecycle.takeover import YES_BY, BadNote, Handover, Note, decode
 from pearhill.net.clock import origin
-from pearhill.net.turns import pause
-from pearhill.node import Node
-from pearhill.service.handover import YES_BY, BadNote, Handover, Note, decode
+from pearhill.net.ticks import pause
+from pearhill.node.node import Node
 
 LOOK_EVERY = 100_000  # a call at either process holds for both within this
 
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -5,16 +5,16 @@
 import random
 from collections.abc import Callable
 
-from pearhill.admin.door import Door
+from pearhill.admin.endpoint import Door
 from pearhill.config import Config, for_next_start
 from pearhill.net.listener import listening
-from pearhill.node import Limits, Node
-from pearhill.operations import Operations
+from pearhill.node.node import Limits, Node
+from pearhill.node.operations import Operations
+from pearhill.node.takeover import Upgrade
 from pearhill.platform.discovery import Watch
 from pearhill.platform.front import PlatformFront
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.platform.schedule import CallSchedule
-from pearhill.upgrade import Upgrade
 
 KNOWN_AFTER = 1_000_000  # how long discovery may stay silent before the list known at the start must do
 
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Key
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.http1 import messages
 from pearhill.net.address import Address, parse_address
 from pearhill.net.pool import LISTS, CannotConnect, Pool, call
--- a/pearhill/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -6,10 +6,11 @@
 import sys
 from typing import BinaryIO
 
-from pearhill import settings, wire
+from pearhill import settings
+from pearhill.load_reports.load_aware_router import Scout
 from pearhill.routing.actions import Action
 from pearhill.routing.settings import RouterSettings
-from pearhill.spread.scout import Scout
+from pearhill.simulator import wire
 
 
 def settings_of(raw: bytes) -> tuple[RouterSettings, tuple[int, int]]:
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_endpoint.py
@@ -9,8 +9,8 @@
 import unittest
 from typing import Any
 
+from tests.platform.test_daemon import BODY, PATH, headers
 from tests.standins import LAST, ROOT, TOKENS, Discovery, Standin, platform, platform_file
-from tests.test_platform import BODY, PATH, headers
 
 
 def call(address: str, method: str, path: str) -> tuple[int, dict[str, str], bytes]:
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -11,8 +11,8 @@
 
 from pearhill.bill.statement import read_folder, sum_up
 from pearhill.budgets.limits import month_name, periods
+from pearhill.chat.budget_accounting import duration
 from pearhill.chat.setup import load
-from pearhill.chat.spending import duration
 from pearhill.config import typed
 from tests.chat.test_front import PATH, ChatCase, body, operator_file, write_file
 from tests.chat.test_keys import A, B, tenants
--- a/tests/chat/test_door.py
+++ b/tests/chat/test_door.py
@@ -1,6 +1,6 @@
 """The same door at the chat front's daemon, set in the operator's file."""
 
-from tests.admin.test_door import call
+from tests.admin.test_endpoint import call
 from tests.chat.test_front import ChatCase, body
 
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -7,9 +7,9 @@
 from pearhill.routing.actions import Action, SendAttempt, SetTimer
 from pearhill.routing.events import AttemptEnded, EndpointsUpdated, Event, RequestArrived, ResponseStarted, TimerFired
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import Router
 from pearhill.routing.settings import Idempotency, RequestClass, RouterSettings
 from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
-from pearhill.rules import Router
 
 S = 1_000_000
 CLASS = RequestClass(
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -8,8 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pearhill import wire
-from pearhill.admin.door import Door
+from pearhill.admin.endpoint import Door
 from pearhill.bill.files import SCHEMA
 from pearhill.bill.statement import sum_up
 from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
@@ -17,10 +16,13 @@
 from pearhill.budgets.limits import month_of
 from pearhill.counters import Calls, Counters, Figures
 from pearhill.durable.frames import frame
+from pearhill.lifecycle.overrides import Wish
+from pearhill.lifecycle.takeover import Note
+from pearhill.load_reports.peer_loads import Row
 from pearhill.membership import gauges
-from pearhill.membership.council import Message
-from pearhill.membership.datagram import Codec
-from pearhill.membership.frames import FrameCodec, Hello, HelloAck, Part, Report, Roster, Sums, Superseded
+from pearhill.membership.aggregation_messages import FrameCodec, Hello, HelloAck, Part, Report, Roster, Sums, Superseded
+from pearhill.membership.gossip import Message
+from pearhill.membership.gossip_messages import Codec
 from pearhill.membership.members import ALIVE, DEAD, SUSPECT, Ack, Ask, Ping, Rumour
 from pearhill.routing.actions import (
     CancelAttempt,
@@ -33,9 +35,7 @@
     SendHealthCheck,
     SetTimer,
 )
-from pearhill.service.handover import Note
-from pearhill.service.wishes import Wish
-from pearhill.spread.digests import Row
+from pearhill.simulator import wire
 from tests.golden import transcripts
 
 FILES = pathlib.Path(__file__).with_name("files")
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -8,9 +8,9 @@
 
 from pearhill.budgets.charges import rebuild, unpack
 from pearhill.durable.journal import frames_of, recover
-from pearhill.membership.datagram import Codec
-from pearhill.membership.frames import FrameCodec
-from pearhill.service.handover import decode
+from pearhill.lifecycle.takeover import decode
+from pearhill.membership.aggregation_messages import FrameCodec
+from pearhill.membership.gossip_messages import Codec
 from tests.golden import samples
 from tests.golden.samples import AGGREGATION, CHARGES, FILES, GOSSIP, KEY, NOTES, NOW, SAMPLES, SECOND, WALL
 
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -10,13 +10,13 @@
 
 from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
 from pearhill.core.deadlines import Deadlines
+from pearhill.load_reports.peer_loads import Row
+from pearhill.membership.aggregation_messages import FrameCodec
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.council import Council
-from pearhill.membership.datagram import Codec
-from pearhill.membership.frames import FrameCodec
+from pearhill.membership.gossip import Council
+from pearhill.membership.gossip_messages import Codec
 from pearhill.membership.reporter import AggregatorSite, Reporter
 from pearhill.net.fleet import Fleet, FleetSetup
-from pearhill.spread.digests import Row
 
 KEY = [b"golden-files-have-a-public-key"]
 START, SECOND, STEP = 1_796_083_200_000_000, 1_000_000, 25_000
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -19,7 +19,7 @@
 
 from pearhill.config import ConfigError
 from pearhill.eureka.registry import Registry as Client
-from pearhill.lab.scale import fit, fleet, measure, observe, plan, report, run, troubles
+from pearhill.lab.scale import faults, fit, fleet, measure, observe, plan, report, run
 from pearhill.lab.scale.discovery import Registry
 from pearhill.membership import gauges
 from tests.standins import ROOT
@@ -224,11 +224,11 @@
         )
 
     def test_how_long_things_were_wrong_in_a_trouble(self):
-        def look(at: float, right: float = 1.0, sums: float = 0.9) -> troubles.Look:
-            return troubles.Look(at, 6, right, sums, 100.0, 2.0, 1.0)
+        def look(at: float, right: float = 1.0, sums: float = 0.9) -> faults.Look:
+            return faults.Look(at, 6, right, sums, 100.0, 2.0, 1.0)
 
         quiet = [look(0.5 * k) for k in range(8)]
-        made = troubles.figures(quiet, [look(4), look(4.5, 0.5), look(5, 0.9, 0.5), look(5.5, 1, 0.5), look(6)])
+        made = faults.figures(quiet, [look(4), look(4.5, 0.5), look(5, 0.9, 0.5), look(5.5, 1, 0.5), look(6)])
         self.assertEqual((made["count_wrong_s"], made["sums_wrong_s"], made["right_at_the_end"]), (1.0, 1.0, True))
         self.assertEqual((made["least_share_right"], made["sums_least"]), (0.5, 0.556))
 
--- a/tests/service/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.service.drain import (
+from pearhill.lifecycle.drain import (
     HELD_UP,
     KILL_AFTER_DEADLINE,
     LONGEST_DEADLINE,
--- a/tests/service/test_by_hand.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from pearhill.lifecycle.drain import KEEP_OPEN, LAST_ANSWERS, NO_IDLE, OPEN, Drain
+from pearhill.lifecycle.endpoint_overrides import Roster
+from pearhill.lifecycle.overrides import FORGOTTEN_AFTER, Wishes
 from pearhill.routing.topology import Endpoint, Phase
-from pearhill.service.drain import KEEP_OPEN, LAST_ANSWERS, NO_IDLE, OPEN, Drain
-from pearhill.service.roster import Roster
-from pearhill.service.wishes import FORGOTTEN_AFTER, Wishes
 from tests.driver import S, entry
 
 
--- a/tests/service/test_handover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.service.handover import ALIVE, BEAT, LEFT, YES_BY, BadNote, Handover, Note, decode
-from pearhill.service.wishes import Wish, Wishes
+from pearhill.lifecycle.overrides import Wish, Wishes
+from pearhill.lifecycle.takeover import ALIVE, BEAT, LEFT, YES_BY, BadNote, Handover, Note, decode
 from tests.driver import S
 
 NOTE = Note("n3", 5 * S, 6 * S, True, False, False, {7: Wish(5 * S, True, 4 * S)}, Wish(6 * S, False, 6 * S))
--- a/tests/spread/test_scout.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -8,15 +8,15 @@
 
 import pytest
 
+from pearhill.load_reports.load_aware_router import FIRST_EJECTED, MOST_EJECTED, Scout
+from pearhill.load_reports.query_policy import looks
+from pearhill.load_reports.reports import FADE, FRESH, Reports
 from pearhill.platform.replica import load_of
 from pearhill.routing.actions import Action, SendHealthCheck
 from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
-from pearhill.spread.reports import FADE, FRESH, Reports
-from pearhill.spread.scout import FIRST_EJECTED, MOST_EJECTED, Scout
-from pearhill.spread.worth import looks
 from tests.driver import SETTINGS, Drive, S, entry
 
 BLIND = replace(SETTINGS, instances=60, health_checks=True, health_check_price=0.0039)
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -14,10 +14,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
+from pearhill.load_reports.peer_loads import Row
 from pearhill.membership import gauges, reporter
-from pearhill.membership.aggregator import BEAT, CUT, IDLE, SILENT, Aggregator
-from pearhill.membership.datagram import MAX_BYTES, Rejected
-from pearhill.membership.frames import (
+from pearhill.membership.aggregation_messages import (
     ENTRIES,
     LEASE,
     MOST_SLOTS,
@@ -33,9 +32,10 @@
     Sums,
     Superseded,
 )
+from pearhill.membership.aggregator import BEAT, CUT, IDLE, SILENT, Aggregator
+from pearhill.membership.gossip_messages import MAX_BYTES, Rejected
+from pearhill.membership.replay_window import WINDOW, ReplayWindow
 from pearhill.membership.reporter import BYTES_PER_S, GONE, HEADERS, AggregatorSite, Reporter
-from pearhill.membership.window import WINDOW, ReplayWindow
-from pearhill.spread.digests import Row
 
 S = 1_000_000
 KEY = b"k" * 32
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from pearhill.lab.relay import Relay
-from tests.admin.test_door import call
+from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
 from tests.cli.test_cli import Served, run
 from tests.standins import LAST, ROOT, TOKENS, Program, Standin
--- a/tests/membership/test_council.py
+++ b/tests/membership/test_gossip.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from pearhill.membership.council import Council, Message
-from pearhill.membership.datagram import MAX_BYTES, Codec, Rejected
+from pearhill.load_reports.peer_loads import FADE, ROWS, Row, Work, cut
+from pearhill.membership.gossip import Council, Message
+from pearhill.membership.gossip_messages import MAX_BYTES, Codec, Rejected
 from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, Ask, Ping, Rumour
-from pearhill.spread.digests import FADE, ROWS, Row, Work, cut
 
 S = 1_000_000
 KEY = b"k" * 32
--- a/tests/membership/test_sources.py
+++ b/tests/membership/test_peer_load_source.py
@@ -3,8 +3,8 @@
 import unittest
 from typing import Any
 
+from pearhill.membership.peer_load_source import Sources
 from pearhill.membership.reporter import GONE
-from pearhill.membership.sources import Sources
 
 
 class Way:
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pearhill.lab.relay import Relay
-from tests.admin.test_door import call
+from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
 from tests.standins import LAST, TOKENS, Program, Standin
 
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -11,7 +11,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.net.listener import Listener
-from pearhill.net.turns import Turns
+from pearhill.net.ticks import Turns
 from tests.virtual import VirtualLoop
 
 OWED_S = 3.0  # a client that says nothing, or stops half-way, is sent away by then
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -8,9 +8,9 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines
+from pearhill.membership.aggregation_messages import FrameCodec, Hello, HelloAck
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.datagram import Rejected
-from pearhill.membership.frames import FrameCodec, Hello, HelloAck
+from pearhill.membership.gossip_messages import Rejected
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.datagrams import TOLD_EVERY, Datagrams
 from pearhill.net.reporting import LEAST_WAIT, Reporting
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -11,7 +11,7 @@
 from pearhill.counters import Counters
 from pearhill.net.clock import start_clock
 from pearhill.net.listener import Listener
-from pearhill.net.turns import Turns
+from pearhill.net.ticks import Turns
 
 MOST, CROWD = 64, 400
 
--- a/tests/net/test_incoming.py
+++ b/tests/net/test_socket_reader.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from pearhill.net.incoming import READS_A_TURN, SHORTAGE_AGAIN_S, Incoming
+from pearhill.net.socket_reader import READS_A_TURN, SHORTAGE_AGAIN_S, Incoming
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
--- a/tests/net/test_outgoing.py
+++ b/tests/net/test_socket_writer.py
@@ -7,7 +7,7 @@
 
 import uvloop
 
-from pearhill.net.outgoing import Outgoing
+from pearhill.net.socket_writer import Outgoing
 
 
 class Scripted:
--- a/tests/test_upgrade.py
+++ b/tests/node/test_takeover.py
@@ -13,10 +13,10 @@
 from collections import Counter
 from typing import Any
 
-from pearhill.service.handover import YES_BY
-from tests.admin.test_door import call
+from pearhill.lifecycle.takeover import YES_BY
+from tests.admin.test_endpoint import call
+from tests.platform.test_daemon import BODY, PATH, headers
 from tests.standins import LAST, ROOT, TOKENS, Discovery, Program, Standin, platform_file
-from tests.test_platform import BODY, PATH, headers
 
 
 class UpgradeCase(unittest.TestCase):
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from pearhill.service.handover import YES_BY
+from pearhill.lifecycle.takeover import YES_BY
+from tests.node.test_takeover import UpgradeCase
 from tests.platform.test_owed import BODY, PATH
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform_file
-from tests.test_upgrade import UpgradeCase
 
 HOUR_S = 3600
 ASKED = 24
--- a/tests/test_platform.py
+++ b/tests/platform/test_daemon.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from pearhill import settings
-from pearhill.core.engines import engine_of
+from pearhill.core.replica_ids import engine_of
 from pearhill.net.clock import start_clock
 from pearhill.platform.discovery import entries_of
 from pearhill.routing.topology import Endpoint, Phase
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-import pearhill.node
+import pearhill.node.node
 from pearhill.http1.messages import RequestMessage, answer
 from pearhill.http1.server import ServerConnection
 from pearhill.net.address import Address
-from pearhill.node import Limits, Node
+from pearhill.node.node import Limits, Node
 from pearhill.platform.front import PlatformFront
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.topology import Endpoint, Phase
@@ -169,7 +169,7 @@
 def loop(monkeypatch: pytest.MonkeyPatch) -> Any:
     made = VirtualLoop()
     asyncio.set_event_loop(made)
-    monkeypatch.setattr(pearhill.node, "start_clock", lambda: made.micros)
+    monkeypatch.setattr(pearhill.node.node, "start_clock", lambda: made.micros)
     yield made
     for task in (left := asyncio.all_tasks(made)):  # releases that are still being tried
         task.cancel()
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -18,7 +18,7 @@
 from pearhill import settings as deployments
 from pearhill.core.deadlines import Deadlines
 from pearhill.net.tasks import Tasks
-from pearhill.net.turns import Turns
+from pearhill.net.ticks import Turns
 from pearhill.platform import discovery
 from pearhill.platform.schedule import CallSchedule
 from tests.standins import SETTINGS
--- a/tests/test_scale.py
+++ b/tests/routing/test_many_routers.py
@@ -12,8 +12,8 @@
 from pearhill.routing.actions import RejectRequest, SendAttempt
 from pearhill.routing.events import EndpointsUpdated, RequestArrived
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import RATIO_START, Job
 from pearhill.routing.topology import Endpoint, Phase, Role
-from pearhill.rules import RATIO_START, Job
 from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
 
 
--- a/tests/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -121,7 +121,7 @@
 
 
 def test_same_actions_in_processes_with_different_hash_seeds():
-    code = "from tests.test_odd_events import play; print('\\n'.join(play(3)))"
+    code = "from tests.routing.test_odd_events import play; print('\\n'.join(play(3)))"
     runs = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_health.py
+++ b/tests/routing/test_outlier_detection.py
@@ -3,8 +3,8 @@
 from pearhill.routing.actions import CancelAttempt, LogMessage, RejectRequest, SendAttempt
 from pearhill.routing.events import RequestArrived
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import OUTLIER, Job
 from pearhill.routing.topology import Role
-from pearhill.rules import OUTLIER, Job
 from tests.driver import Drive, S, entry, of, settings
 
 
--- a/tests/test_mechanism.py
+++ b/tests/routing/test_router.py
@@ -5,8 +5,8 @@
 from pearhill.routing.actions import RejectRequest, SendAttempt
 from pearhill.routing.events import EndpointsUpdated, RequestArrived
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import RATIO_MAX, RATIO_START, Router
 from pearhill.routing.topology import Phase, Role
-from pearhill.rules import RATIO_MAX, RATIO_START, Router
 from tests.driver import FLEET, SETTINGS, Drive, S, entry, of, settings
 
 
--- a/tests/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -8,8 +8,6 @@
 
 import pytest
 
-from pearhill import wire
-from pearhill.adapter import Adapter, settings_of
 from pearhill.routing.actions import (
     CancelAttempt,
     FailRequest,
@@ -32,6 +30,8 @@
 )
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Endpoint, Phase
+from pearhill.simulator import wire
+from pearhill.simulator.adapter import Adapter, settings_of
 
 EXAMPLE = bytes.fromhex(
     "0c0000005a5c8000000000005900000005000000 05 04000000 03000000"
@@ -186,7 +186,9 @@
 
 
 def run(raw: bytes) -> subprocess.CompletedProcess:
-    return subprocess.run([sys.executable, "-m", "pearhill.adapter"], input=raw, capture_output=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "pearhill.simulator.adapter"], input=raw, capture_output=True, timeout=60
+    )
 
 
 def test_adapter_answers_every_frame_and_exits_in_order():
@@ -231,7 +233,7 @@
     def broken(self, now, event):
         raise KeyError("gone wrong")
 
-    monkeypatch.setattr("pearhill.rules.Router.handle", broken)
+    monkeypatch.setattr("pearhill.routing.router.Router.handle", broken)
     adapter, due = Adapter(), record(5, b"\x03\0\0\0") + record(1, b"\x01\0\0\0")
     adapter.answer(read(frame(start(), 2)))
     assert wire.encode_action(wire.Fault("KeyError: 'gone wrong'")) in adapter.answer(read(frame(due, 2)))
--- a/tests/structures/test_hitters.py
+++ b/tests/structures/test_hitters.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.structures.hitters import HeavyHitters
+from pearhill.structures.heavy_hitters import HeavyHitters
 
 
 class Hitters(unittest.TestCase):
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,6 +13,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
+from pearhill.load_reports.load_aware_router import Scout
 from pearhill.routing.actions import (
     Action,
     CancelAttempt,
@@ -38,7 +39,6 @@
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import Idempotency, RouterSettings
 from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
-from pearhill.spread.scout import Scout
 from tests.driver import CLASS, SETTINGS, S
 
 RUNS = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.TRUNCATED, Outcome.CANCELLED)  # it may have run
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -6,8 +6,8 @@
 
 from pearhill.core.request import Ask
 from pearhill.routing.outcomes import Outcome
-from tests import test_core
-from tests.test_core import ADVICE, BOOKING
+from tests.core import test_dispatcher
+from tests.core.test_dispatcher import ADVICE, BOOKING
 
 ENDS = [
     Outcome.ANSWERED,
@@ -56,7 +56,7 @@
 @rounds(deadline=None)
 @given(st.lists(STEP, max_size=60))
 def test_each_request_is_counted_once_at_its_end(steps):
-    case = test_core.Core("run")
+    case = test_dispatcher.Core("run")
     case.setUp()
     core, clients, away, left = case.core, [], [0, 0], 0
     for what, which, number in steps:
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -40,17 +40,13 @@
                     "counters",
                     "durable",
                     "http1",
+                    "lifecycle",
+                    "load_reports",
                     "net",
                     "node",
-                    "operations",
                     "platform",
-                    "process",
                     "routing",
-                    "rules",
-                    "service",
                     "settings",
-                    "spread",
-                    "upgrade",
                 )
             },
         )
@@ -58,8 +54,8 @@
         self.assertFalse(
             loaded
             & {
-                "pearhill.spread.digests",
-                *(f"pearhill.net.{name}" for name in ("talk", "datagrams", "reporting", "aggregation", "fleet")),
+                "pearhill.load_reports.peer_loads",
+                *(f"pearhill.net.{name}" for name in ("gossip", "datagrams", "reporting", "aggregation", "fleet")),
             }
         )
         self.assertFalse([name for name in loaded if name.startswith(("pearhill.membership", "pearhill.aggregator"))])
@@ -71,6 +67,6 @@
         named = [pathlib.Path(path) for path in told["policy"] + told["node"]]
         self.assertEqual({str(p) for p in loaded if not any(p.is_relative_to(name) for name in named)}, set())
         self.assertEqual({str(name) for name in named if not any(p.is_relative_to(name) for p in loaded)}, set())
-        for key, module in (("run", "pearhill"), ("sim", "pearhill.adapter")):
+        for key, module in (("run", "pearhill"), ("sim", "pearhill.simulator.adapter")):
             # One process at the end: whatever starts it must not stand between it and the platform's signals.
             self.assertEqual(told[key], f"exec .venv/bin/python -m {module}")
