--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -17,7 +17,7 @@
 from collections import Counter
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent))
-from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
+from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Usage
 from pearhill.structures.heavy_hitters import HeavyHitters
 
 TENANTS, ACTIVE, ROUNDS = 100_000, 2_000, 100_000
@@ -45,7 +45,7 @@
     for name in names:  # each has asked once
         standing = budgets.admit(now, WALL, name, f"k{name}", 10, 10)
         assert standing.reservation
-        budgets.settle(now, standing.reservation, Used(10, 0, 5))
+        budgets.settle(now, standing.reservation, Usage(10, 0, 5))
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     print(f"memory: {held / TENANTS:.0f} bytes a tenant that has used something today, its key and history included")
@@ -59,7 +59,7 @@
         admits.append(time.perf_counter_ns() - at)
         if standing.reservation:
             at = time.perf_counter_ns()
-            budgets.settle(now, standing.reservation, Used(20, 0, 60))
+            budgets.settle(now, standing.reservation, Usage(20, 0, 60))
             settles.append(time.perf_counter_ns() - at)
     print(f"standing, three levels: {spread(admits)}; settlement: {spread(settles)}")
     ticks = []
--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -22,12 +22,12 @@
 import time
 from dataclasses import dataclass, field
 
-from pearhill.load_reports.peer_loads import Row
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership import aggregator
-from pearhill.membership.aggregation_messages import Frame, FrameCodec
+from pearhill.membership.aggregation_messages import AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.gossip import Council
-from pearhill.membership.gossip_messages import Codec
+from pearhill.membership.gossip import GossipProtocol
+from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.members import BEAT
 from pearhill.membership.reporter import HEADERS, AggregatorSite, Reporter
 
@@ -48,7 +48,7 @@
 
 def play(way: str, n: int, engines: int, rate: float, seconds: int, seed: int) -> Result:
     rng, net = random.Random(seed), random.Random(seed + 1)
-    start, codec, names = 1_000 * S, Codec([b"k" * 32]), [f"d{k}" for k in range(n)]
+    start, codec, names = 1_000 * S, GossipCodec([b"k" * 32]), [f"d{k}" for k in range(n)]
     shares = [10.0 if k % 20 == 0 else 1.0 for k in range(n)]
     mine = [[0] * engines for _ in range(n)]
     total, area, seen = [0] * engines, [0.0] * engines, [start] * engines
@@ -56,16 +56,16 @@
     councils = []
     if way in ("told", "cut"):
         councils = [
-            Council(
+            GossipProtocol(
                 name,
                 names,
                 start,
                 random.Random(seed * n + k),
-                lambda k=k: [Row(e, t, t) for e, t in enumerate(mine[k]) if t],
+                lambda k=k: [ReplicaLoad(e, t, t) for e, t in enumerate(mine[k]) if t],
             )  # type: ignore[misc]
             for k, name in enumerate(names)
         ]
-    frames, reporters, aggregators = FrameCodec([b"k" * 32]), list[Reporter](), dict[str, Aggregator]()
+    frames, reporters, aggregators = AggregationCodec([b"k" * 32]), list[Reporter](), dict[str, Aggregator]()
     if way == "sums":
         reporters = [
             Reporter(
@@ -74,14 +74,14 @@
                 SITES,
                 start,
                 random.Random(seed * n + k),
-                lambda k=k: [Row(e, t, t) for e, t in enumerate(mine[k]) if t],
+                lambda k=k: [ReplicaLoad(e, t, t) for e, t in enumerate(mine[k]) if t],
             )  # type: ignore[misc]
             for k, name in enumerate(names)
         ]
         aggregators = {
             site.name: Aggregator(site.name, [s.name for s in SITES], start, random.Random(seed)) for site in SITES
         }
-    peers: list[Council] | list[Reporter] = councils or reporters
+    peers: list[GossipProtocol] | list[Reporter] = councils or reporters
     heap: list[tuple[int, int, str, object]] = []
     count, out, spent, choices = 0, Result(), 0.0, 0
 
@@ -94,7 +94,7 @@
         area[engine] += total[engine] * (now - seen[engine])
         total[engine], seen[engine] = total[engine] + tokens, now
 
-    def send(now: int, made: list[Frame]) -> None:
+    def send(now: int, made: list[AggregationMessage]) -> None:
         for f in made:
             data = frames.pack(f)
             if f.sender in index:
@@ -106,7 +106,7 @@
     for k in range(len(councils)):
         at(start + net.randrange(BEAT), "beat", k)
     for k in range(len(reporters)):
-        at(reporters[k].next_beat(start), "report", k)
+        at(reporters[k].next_tick(start), "report", k)
     for name in aggregators:
         at(start + net.randrange(aggregator.BEAT), "aggregate", name)
     for w in range(WARM, seconds + 1):
@@ -149,30 +149,30 @@
                 out.peaks.append(max(area) * engines / max(1.0, sum(area)))
             area = [0.0] * engines
         elif what == "aggregate":
-            send(now, aggregators[thing].beat(now))  # type: ignore[index]
+            send(now, aggregators[thing].tick(now))  # type: ignore[index]
             at(now + aggregator.BEAT, "aggregate", thing)
         elif what == "report":
             reporter = reporters[thing]  # type: ignore[index]
-            if now >= reporter.next_beat(now):
-                send(now, reporter.beat(now))
-            at(max(now + 1, reporter.next_beat(now)), "report", thing)
+            if now >= reporter.next_tick(now):
+                send(now, reporter.tick(now))
+            at(max(now + 1, reporter.next_tick(now)), "report", thing)
         elif what == "frame":
             to, data = thing  # type: ignore[misc]
             if to in aggregators:
-                send(now, aggregators[to].heard(now, frames.unpack(data, to)))
+                send(now, aggregators[to].receive(now, frames.unpack(data, to)))
             else:
                 out.bytes += len(data) + HEADERS
-                send(now, reporters[index[to]].heard(now, frames.unpack(data, to), len(data)))
+                send(now, reporters[index[to]].receive(now, frames.unpack(data, to), len(data)))
         else:
             if what == "beat":
-                sender, messages = thing, councils[thing].beat(now)  # type: ignore[index]
+                sender, messages = thing, councils[thing].tick(now)  # type: ignore[index]
                 at(now + BEAT, "beat", thing)
             else:
                 sender, data = thing  # type: ignore[misc]
                 out.bytes += len(data) + HEADERS
-                messages = councils[sender].heard(now, codec.unpack(data, names[sender]))
+                messages = councils[sender].receive(now, codec.unpack(data, names[sender]))
             for m in messages:
-                to, data, out.datagrams = index[m.say.to], codec.pack(m), out.datagrams + 1
+                to, data, out.datagrams = index[m.payload.to], codec.pack(m), out.datagrams + 1
                 out.bytes += len(data) + HEADERS
                 if net.random() < LOST or (way == "cut" and (to < n // 2) != (sender < n // 2)):
                     continue
--- a/pearhill/admin/endpoint.py
+++ b/pearhill/admin/endpoint.py
@@ -15,12 +15,12 @@
 JSON: Headers = (("Content-Type", "application/json"), ("Cache-Control", "no-store"))
 
 
-class Operated(Protocol):
+class AdminTarget(Protocol):
     """What the door works on."""
 
     def can_serve(self) -> bool: ...
     def figures(self) -> Figures: ...
-    def take_out(self, uid: str, out: bool) -> bool:
+    def set_replica_down(self, uid: str, out: bool) -> bool:
         """False: nobody has this id."""
 
     def drain(self, on: bool) -> None: ...
@@ -28,7 +28,7 @@
         """What is known of the other dispatchers and of the work of all. None: this one talks to nobody."""
 
 
-class BadCall(Exception):
+class InvalidCallError(Exception):
     """A call that cannot be read; the text is for its caller."""
 
 
@@ -38,17 +38,17 @@
             value for name, value in parse_qsl(query, keep_blank_values=True, max_num_fields=16) if name == "target"
         ]
     except ValueError:
-        raise BadCall("too many parameters; allowed: one, target=ID") from None
+        raise InvalidCallError("too many parameters; allowed: one, target=ID") from None
     if len(values) != 1 or not values[0]:
         found = "none" if not values else f"{len(values)}" if len(values) > 1 else "an empty one"
-        raise BadCall(f"target: found {found}; allowed: one id of a replica, as in ?target=ID")
+        raise InvalidCallError(f"target: found {found}; allowed: one id of a replica, as in ?target=ID")
     return values[0]
 
 
 Call = Callable[[str, Reply], None]  # gets the query
 
 
-class Calls:
+class CallTable:
     """What answers calls, by path: the method, and what is done."""
 
     def __init__(self, calls: Mapping[str, tuple[str, Call]]) -> None:
@@ -64,15 +64,15 @@
         else:
             try:
                 call(query, reply)
-            except BadCall as e:
+            except InvalidCallError as e:
                 reply.answer(400, TEXT, f"{e}\n".encode())
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
         return TEXT, f"{why}\n".encode()
 
 
-class Door(Calls):
-    def __init__(self, operated: Operated) -> None:
+class AdminEndpoint(CallTable):
+    def __init__(self, operated: AdminTarget) -> None:
         self.operated = operated
         super().__init__(
             {
@@ -100,7 +100,7 @@
         reply.answer(200, JSON, json.dumps(told).encode() + b"\n")
 
     def _replica(self, query: str, reply: Reply, out: bool) -> None:
-        if self.operated.take_out(_target(query), out):
+        if self.operated.set_replica_down(_target(query), out):
             reply.answer(200, TEXT, b"out\n" if out else b"in use\n")
         else:
             reply.answer(404, TEXT, b"no replica has this id\n")
--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -10,38 +10,38 @@
 
 from loguru import logger
 
-from pearhill.admin.endpoint import JSON, TEXT, Calls
+from pearhill.admin.endpoint import JSON, TEXT, CallTable
 from pearhill.aggregator.setup import AggregatorSetup
 from pearhill.config import ConfigError, for_next_start
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.http1.handler import Reply
-from pearhill.membership.aggregation_messages import FrameCodec
+from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.aggregator import Aggregator
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.clock import start_clock
 from pearhill.net.datagrams import Datagrams
 from pearhill.net.listener import Listener
-from pearhill.net.ticks import Turns
+from pearhill.net.ticks import EventLoopTicks
 
 DOOR, DOOR_BODY = 16, 4096  # connections of operators, and bytes of a call that has no use for any
 RECEIVE_BUFFER = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
 LOOK_EVERY, SILENT = 1_000_000, 2_000_000  # at the count and the other aggregators, for the log
 
 
-class AggregatorDaemon(Calls):
+class AggregatorDaemon(CallTable):
     """Belongs to the running event loop. `read_anew` reads the control machine's file once more."""
 
     def __init__(self, setup: AggregatorSetup, read_anew: Callable[[], AggregatorSetup]) -> None:
         self.setup, self.read_anew = setup, read_anew
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
-        self.turns = Turns(self.loop, self.deadlines)
+        self.turns = EventLoopTicks(self.loop, self.deadlines)
         self.datagrams = Datagrams(self.deadlines, "aggregator", RECEIVE_BUFFER)
         started = self.deadlines.clock()  # its incarnation too
         self.aggregator = Aggregator(setup.name, setup.peers, started, random.Random(started))
         self.aggregation = Aggregation(
-            self.aggregator, FrameCodec(list(setup.keys)), setup.peers, self.deadlines, self.datagrams
+            self.aggregator, AggregationCodec(list(setup.keys)), setup.peers, self.deadlines, self.datagrams
         )
         self.aggregation.on_beat = self._look
         self.stopped = asyncio.Event()
@@ -98,7 +98,7 @@
             logger.warning("reload: the old configuration stays: {error}", error=str(e))
             return
         before, self.setup = self.setup, fresh
-        self.aggregation.reconfigure(FrameCodec(list(fresh.keys)), fresh.peers)
+        self.aggregation.reconfigure(AggregationCodec(list(fresh.keys)), fresh.peers)
         logger.info(
             "reload: done, {result}",
             result=f"{len(fresh.peers)} other aggregators"
--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -45,7 +45,7 @@
         self.messages.put_nowait({"type": "http.response.body", "body": body})
         self.messages.put_nowait(None)
 
-    def turn_away(self, status: int, headers: Headers, body: bytes) -> None:
+    def reject(self, status: int, headers: Headers, body: bytes) -> None:
         self.answer(status, (*headers, ("Connection", "close")), body)
 
     def start(self, status: int, headers: Headers = ()) -> None:
@@ -61,7 +61,7 @@
         self.messages.put_nowait({"type": "http.response.body", "body": data, "more_body": True})
         await self._room.acquire()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return self.left
 
     def sent(self) -> None:
@@ -133,7 +133,7 @@
         if len(body) > most:
             service.node.counters.rejected += 1
             extra, text = service.front.rejected(413, "the body is too large")
-            reply.turn_away(413, extra, text)
+            reply.reject(413, extra, text)
             return await self._pump(reply, send)
         pending = service.front.handle(RequestMessage(scope["method"], target, headers, body), reply)
         watch = asyncio.create_task(self._watch(receive, pending, reply))
--- a/pearhill/budgets/__init__.py
+++ b/pearhill/budgets/__init__.py
@@ -2,14 +2,14 @@
 
 from pearhill.budgets.budgets import Budgets
 from pearhill.budgets.limits import (
+    AdmissionDecision,
     AdmissionStatus,
     Limit,
     Plan,
     Prices,
     Reservation,
-    Standing,
     TenantPlan,
-    Used,
+    Usage,
 )
 
 __all__ = [
@@ -19,7 +19,7 @@
     "Plan",
     "Prices",
     "Reservation",
-    "Standing",
+    "AdmissionDecision",
     "TenantPlan",
-    "Used",
+    "Usage",
 ]
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -6,23 +6,23 @@
 from dataclasses import replace
 from typing import Any
 
-from pearhill.budgets.burst import Spare
+from pearhill.budgets.burst import BurstCapacity
 from pearhill.budgets.estimate import Answers
-from pearhill.budgets.level import Node
+from pearhill.budgets.level import BudgetLevel
 from pearhill.budgets.limits import (
     DAY,
     GRAINS,
     MILLI,
+    AdmissionDecision,
     AdmissionStatus,
     Limit,
     Plan,
     Reservation,
-    Standing,
     TenantPlan,
-    Used,
+    Usage,
     periods,
 )
-from pearhill.structures.heavy_hitters import HeavyHitters, Hitter
+from pearhill.structures.heavy_hitters import HeavyHitter, HeavyHitters
 
 TICK = 10_000_000  # microseconds between looks for what may be forgotten
 LOOK = 500  # nodes that one tick looks at: bounded work, whatever their number
@@ -30,7 +30,7 @@
 OPEN_WAIT = 1_000_000  # after which an open request may have ended
 HITTERS, SAMPLED = 64, 7  # places of the sketch; it is shown one arrival in eight
 
-Index = dict[Any, Node]
+Index = dict[Any, BudgetLevel]
 
 
 class Budgets:
@@ -44,9 +44,11 @@
         self.keys: Index = {}  # by (tenant, key): a key that moves to another tenant begins anew there
         self.answers: dict[str, Answers] = {}
         self.open: dict[int, Reservation] = {}
-        self.spare = Spare(plan.capacity, plan.capacity_burst, now)
+        self.spare = BurstCapacity(plan.capacity, plan.capacity_burst, now)
         self.hitters: HeavyHitters[str] = HeavyHitters(HITTERS)
-        self._paths: dict[tuple[str, str], tuple[TenantPlan, tuple[Node, ...]]] = {}  # what was looked up of late
+        self._paths: dict[
+            tuple[str, str], tuple[TenantPlan, tuple[BudgetLevel, ...]]
+        ] = {}  # what was looked up of late
         self._next, self._due, self._asked = 1, now + TICK, 0
         self._sweep: list[Any] = []  # keys of the index that is being looked through
         self._swept = 0  # which of the three that is
@@ -54,20 +56,20 @@
 
     # Levels.
 
-    def _node(self, index: Index, key: Any, limit: Limit, now: int) -> Node:
+    def _node(self, index: Index, key: Any, limit: Limit, now: int) -> BudgetLevel:
         node = index.get(key)
         if node is None:
-            node = index[key] = Node(key if isinstance(key, str) else key[1], limit, now)
+            node = index[key] = BudgetLevel(key if isinstance(key, str) else key[1], limit, now)
         return node
 
-    def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, tuple[Node, ...]]:
+    def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, tuple[BudgetLevel, ...]]:
         plan = self.plan.tenants.get(tenant) or self.plan.default
         if len(self._paths) >= PATHS:
             self._paths.clear()
         found = self._paths[tenant, key] = plan, self._path(tenant, key, plan, now)
         return found
 
-    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> tuple[Node, ...]:
+    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> tuple[BudgetLevel, ...]:
         """The tenant first, then whatever else bounds it."""
         nodes = [self._node(self.tenants, tenant, plan.limit, now)]
         if plan.account:
@@ -78,7 +80,9 @@
 
     # Admission.
 
-    def admit(self, now: int, wall: int, tenant: str, key: str, prompt: int, most: int, hint: int = 0) -> Standing:
+    def admit(
+        self, now: int, wall: int, tenant: str, key: str, prompt: int, most: int, hint: int = 0
+    ) -> AdmissionDecision:
         """How a request stands, and its reservation where it may be sent. `prompt` and `most` (its longest answer) are
         tokens; `hint` is how long its answer is likely to be, where somebody knows."""
         plan, path = self._paths.get((tenant, key)) or self._find(tenant, key, now)
@@ -111,15 +115,15 @@
                 return standing
             if short and (later := node.wait_for(amount)):
                 if node is not path[0]:
-                    return Standing(AdmissionStatus.OVER_LIMIT, later, f"{node.name}: tokens a minute")
+                    return AdmissionDecision(AdmissionStatus.OVER_LIMIT, later, f"{node.name}: tokens a minute")
                 wait = later
         borrows = False
         if wait:
             if not (plan.weight and self.spare.rate):
-                return Standing(AdmissionStatus.OVER_LIMIT, wait, f"{path[0].name}: tokens a minute")
+                return AdmissionDecision(AdmissionStatus.OVER_LIMIT, wait, f"{path[0].name}: tokens a minute")
             self.spare.refill(now)
             if later := self.spare.borrow(now, tenant, plan.weight, amount):
-                return Standing(
+                return AdmissionDecision(
                     AdmissionStatus.OVER_LIMIT,
                     min(wait, later),
                     f"{path[0].name}: tokens a minute, and nothing is spare",
@@ -141,11 +145,11 @@
             node.open += 1
             node.day_used += amount
             node.month_used += amount
-        return Standing(AdmissionStatus.BURST if borrows else AdmissionStatus.WITHIN_LIMIT, reservation=made)
+        return AdmissionDecision(AdmissionStatus.BURST if borrows else AdmissionStatus.WITHIN_LIMIT, reservation=made)
 
     # Settlement.
 
-    def settle(self, now: int, held: Reservation, used: Used | None) -> int:
+    def settle(self, now: int, held: Reservation, used: Usage | None) -> int:
         """A request is over; what it is charged, in milli. None: it never ran. A reservation settles once."""
         if held.settled:
             return 0
@@ -154,7 +158,7 @@
         charge = self.plan.prices.of(used.prompt, used.cached, used.answer) if used else 0
         plan = self.plan.tenant(held.tenant)
         for k, node in enumerate(held.nodes):
-            assert isinstance(node, Node)
+            assert isinstance(node, BudgetLevel)
             node.refill(now)
             borrowed = held.spare and not k
             level = node.level
@@ -176,7 +180,7 @@
         plan = self.plan.tenant(tenant)
         node = self.tenants.get(tenant)
         if node is None:
-            node = Node(tenant, plan.limit, now)
+            node = BudgetLevel(tenant, plan.limit, now)
         node.refill(now)
         node.turn(*self.period(wall))
         lacking = node.cap - node.level
@@ -194,7 +198,7 @@
             "month_limit": plan.limit.month,
         }
 
-    def top(self, most: int = 10) -> list[Hitter[str]]:
+    def top(self, most: int = 10) -> list[HeavyHitter[str]]:
         """The tenants that have asked for most of late, in milli."""
         return self.hitters.top(most)
 
@@ -265,7 +269,7 @@
         held: dict[int, list[int]] = {}  # by node: what is reserved out of its bucket, its day and its month
         for one in self.open.values():
             for k, node in enumerate(one.nodes):
-                assert isinstance(node, Node)
+                assert isinstance(node, BudgetLevel)
                 sums = held.setdefault(id(node), [0, 0, 0])
                 sums[0] += 0 if one.spare and not k else one.amount
                 sums[1] += one.amount if one.day == node.day else 0
@@ -333,24 +337,26 @@
 _NONE = Limit()
 
 
-def _spent(node: Node, amount: int, worst: int, wall: int, day: int) -> Standing | None:
+def _spent(node: BudgetLevel, amount: int, worst: int, wall: int, day: int) -> AdmissionDecision | None:
     """Why a level lets nothing more in, whatever is spare."""
     limit = node.limit
     if limit.open and node.open >= limit.open:
-        return Standing(AdmissionStatus.OVER_LIMIT, OPEN_WAIT, f"{node.name}: requests open at once")
+        return AdmissionDecision(AdmissionStatus.OVER_LIMIT, OPEN_WAIT, f"{node.name}: requests open at once")
     if node.rate and node.level < 0:
-        return Standing(AdmissionStatus.OVERDRAWN, node.wait_for(amount), f"{node.name}: a debt is to be paid off")
+        return AdmissionDecision(
+            AdmissionStatus.OVERDRAWN, node.wait_for(amount), f"{node.name}: a debt is to be paid off"
+        )
     if limit.day and node.day_used + amount > limit.day * MILLI:
-        return Standing(
+        return AdmissionDecision(
             AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a day", True
         )
     if limit.month and node.month_used + amount > limit.month * MILLI:
-        return Standing(
+        return AdmissionDecision(
             AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a month", True
         )
     # What is larger than the burst is let in on a full bucket, as far as the debt allows.
     if node.rate and amount * GRAINS > node.cap and worst + node.exposure > limit.burst * MILLI + node.debt:
-        return Standing(
+        return AdmissionDecision(
             AdmissionStatus.OVER_LIMIT,
             OPEN_WAIT if node.exposure else 0,
             f"{node.name}: more than the burst and the debt allow",
--- a/pearhill/budgets/burst.py
+++ b/pearhill/budgets/burst.py
@@ -17,7 +17,7 @@
 LATELY = 1_000_000  # microseconds
 
 
-class Borrower:
+class BurstBorrower:
     """`at`: its virtual time, grains over weight. `asked`: when it last did. `refused`: it has been, of late."""
 
     __slots__ = ("who", "at", "asked", "refused")
@@ -26,15 +26,15 @@
         self.who, self.at, self.asked, self.refused = who, 0.0, 0, False
 
 
-class Spare:
+class BurstCapacity:
     """`level` is grains. Guaranteed work takes whatever it needs, down to minus one burst."""
 
     __slots__ = ("rate", "cap", "level", "at", "time", "borrowers", "_order")
 
     def __init__(self, capacity: int, burst: int, now: int) -> None:
         self.at, self.time = now, 0.0
-        self.borrowers: dict[str, Borrower] = {}
-        self._order: SortedKeyList[Borrower, tuple[float, str]] = SortedKeyList(key=lambda one: (one.at, one.who))
+        self.borrowers: dict[str, BurstBorrower] = {}
+        self._order: SortedKeyList[BurstBorrower, tuple[float, str]] = SortedKeyList(key=lambda one: (one.at, one.who))
         self.rate = self.cap = self.level = 0
         self.set_capacity(capacity, burst)
         self.level = self.cap
@@ -55,7 +55,7 @@
         """0: it has got that much. Else the microseconds after which it may."""
         wanted = min(amount * GRAINS, self.cap)  # what is larger than the burst gets it when no more is to be had
         lead = self.cap * AHEAD / weight
-        entry = self.borrowers.get(who) or Borrower(who)
+        entry = self.borrowers.get(who) or BurstBorrower(who)
         self.borrowers[who] = entry
         while self._order and self._order[0].asked < now - LATELY:
             self._order.pop(0).refused = False
@@ -77,7 +77,7 @@
             self._order.add(entry)
         return wait
 
-    def _move(self, entry: Borrower, by: float) -> None:
+    def _move(self, entry: BurstBorrower, by: float) -> None:
         if entry.refused:
             self._order.remove(entry)
         entry.at += by
--- a/pearhill/budgets/level.py
+++ b/pearhill/budgets/level.py
@@ -7,7 +7,7 @@
 NEVER = 1 << 62
 
 
-class Node:
+class BudgetLevel:
     """Its bucket, its counts by period, and what is open. Amounts are milli, the bucket's level is grains."""
 
     __slots__ = (
--- a/pearhill/budgets/limits.py
+++ b/pearhill/budgets/limits.py
@@ -82,14 +82,14 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class AdmissionDecision:
     """How an arrival stands. `wait`: microseconds until it would be let in, as far as can be told. `why`: the level
     and the limit that speak against it. `lasting`: a quota is used up, and coming back soon is of no use."""
 
-    kind: AdmissionStatus
-    wait: int = 0
-    why: str = ""
-    lasting: bool = False
+    status: AdmissionStatus
+    retry_after: int = 0
+    reason: str = ""
+    quota_exhausted: bool = False
     reservation: Reservation | None = None
 
     @property
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
+class Usage:
     """What a run has used, in tokens. `cached` are among the prompt's."""
 
     prompt: int = 0
@@ -168,9 +168,9 @@
     "Plan",
     "Prices",
     "Reservation",
-    "Standing",
+    "AdmissionDecision",
     "TenantPlan",
-    "Used",
+    "Usage",
     "month_name",
     "month_of",
     "periods",
--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -91,7 +91,7 @@
             retry = ("X-Should-Retry", "true" if again else "false")
             self.reply.answer(error.status, (*JSON, *self.headers, retry, *more), error.body())
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self.error(self.refusal, self.refusal.type != "insufficient_quota", retry_headers(stay_away))
 
     def fail(self) -> None:
@@ -101,7 +101,7 @@
         if self._end(said.status, "declined"):
             self.reply.answer(said.status, (*JSON, *self.headers, ("X-Should-Retry", "false")), said.body)
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         if self.over:
             return
         try:
@@ -142,8 +142,8 @@
         if self._end(502, BROKEN.code):
             self.reply.abort(self.words.broken(BROKEN))
 
-    def gone(self) -> bool:
-        return self.reply.gone()
+    def has_disconnected(self) -> bool:
+        return self.reply.has_disconnected()
 
     def left(self) -> None:
         """The client has gone."""
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from pearhill.budgets import AdmissionStatus, Budgets, Plan, Reservation, Standing, Used
+from pearhill.budgets import AdmissionDecision, AdmissionStatus, Budgets, Plan, Reservation, Usage
 from pearhill.budgets import charges as c
 from pearhill.chat.answers import Answer
 from pearhill.chat.errors import RATE, ApiError, Said
@@ -20,7 +20,7 @@
 from pearhill.chat.records import Record
 from pearhill.chat.schema.answers import RequestsUsed, TokensUsed, UsageReport
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.durable.journal import Corrupt, Journal, recover
+from pearhill.durable.journal import CorruptJournalError, Journal, recover
 from pearhill.http1.messages import Headers
 
 SNAPSHOT_EVERY = 10_000  # charges
@@ -58,16 +58,16 @@
     def settle(self, outcome: str) -> None:
         meter = self._meter
         if meter.told:
-            used: Used | None = Used(meter.prompt, meter.cached, meter.answer)
+            used: Usage | None = Usage(meter.prompt, meter.cached, meter.answer)
         elif meter.events:  # broken before its usage came: by what was seen, an event a token
-            used = Used(self._prompt, 0, meter.events)
+            used = Usage(self._prompt, 0, meter.events)
         else:
-            used = Used() if outcome != c.REFUSED else None
+            used = Usage() if outcome != c.REFUSED else None
         self._desk.settle(self._held, used, outcome, self._id, self._model, self._path)
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self.settle(c.REFUSED)
-        self.inner.refuse(stay_away)
+        self.inner.reject(stay_away)
 
     def fail(self) -> None:
         self.settle(c.FAILED)
@@ -77,8 +77,8 @@
         self.settle(c.DECLINED)
         self.inner.decline(said)
 
-    async def pass_on(self, data: bytes) -> None:
-        await self.inner.pass_on(data)
+    async def forward(self, data: bytes) -> None:
+        await self.inner.forward(data)
 
     def finish(self) -> None:
         self.settle(c.ANSWERED)
@@ -88,8 +88,8 @@
         self.settle(c.BROKEN)
         self.inner.abort()
 
-    def gone(self) -> bool:
-        return self.inner.gone()
+    def has_disconnected(self) -> bool:
+        return self.inner.has_disconnected()
 
     def left(self) -> None:
         """Its client has gone, and nobody sees it through."""
@@ -131,7 +131,7 @@
                 "budgets: {count} charges replayed behind snapshot {snapshot}, {cut} torn bytes cut",
                 count=count,
                 snapshot=found.state_seq,
-                cut=found.cut,
+                cut=found.torn_bytes,
             )
             loop = asyncio.get_running_loop()
 
@@ -199,9 +199,9 @@
 
     # For the front.
 
-    def admit(self, tenant: str, key: str, prompt: int, most: int, hint: int = 0) -> Standing:
+    def admit(self, tenant: str, key: str, prompt: int, most: int, hint: int = 0) -> AdmissionDecision:
         if self.failing and self.uncounted >= self.setup.uncounted * 1000:
-            return Standing(AdmissionStatus.OVER_LIMIT, 1_000_000, "the journal cannot be written")
+            return AdmissionDecision(AdmissionStatus.OVER_LIMIT, 1_000_000, "the journal cannot be written")
         return self.budgets.admit(self._deadlines.clock(), self._wall(), tenant, key, prompt, most, hint)
 
     def refused(self, tenant: str, key: str) -> None:
@@ -212,12 +212,12 @@
     ) -> Spender:
         return Spender(self, held, meter, prompt, id, model, path, inner)
 
-    def settle(self, held: Reservation, used: Used | None, outcome: str, id: str, model: str, path: str) -> None:
+    def settle(self, held: Reservation, used: Usage | None, outcome: str, id: str, model: str, path: str) -> None:
         if held.settled:
             return
         now = self._deadlines.clock()
         milli = self.budgets.settle(now, held, used)
-        used = used or Used()
+        used = used or Usage()
         if self.failing:
             self.uncounted += milli
         self._put(
@@ -312,23 +312,23 @@
                 logger.error("budgets: not every charge could be written before the end")
 
 
-def turned_away(standing: Standing, headers: Headers = ()) -> ApiError:
+def turned_away(standing: AdmissionDecision, headers: Headers = ()) -> ApiError:
     """The answer to a request that its budget does not let in."""
-    if standing.lasting:
+    if standing.quota_exhausted:
         return ApiError(
             429,
-            f"The quota is used up ({standing.why}); nothing was done.",
+            f"The quota is used up ({standing.reason}); nothing was done.",
             "insufficient_quota",
             type="insufficient_quota",
             headers=headers,
         )
     return ApiError(
         429,
-        f"The rate limit is reached ({standing.why}); nothing was done.",
+        f"The rate limit is reached ({standing.reason}); nothing was done.",
         "rate_limit_exceeded",
         type=RATE,
         headers=headers,
     )
 
 
-__all__ = ["Corrupt", "Desk", "Meter", "Spender", "SpendingSetup", "turned_away"]
+__all__ = ["CorruptJournalError", "Desk", "Meter", "Spender", "SpendingSetup", "turned_away"]
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -36,7 +36,7 @@
 from pearhill.chat.servers import ChatPayload
 from pearhill.chat.setup import Model, Reading
 from pearhill.core.dispatcher import Dispatcher
-from pearhill.core.request import Ask, Request
+from pearhill.core.request import Request, RequestSpec
 from pearhill.http1.handler import Pending, Reply
 from pearhill.http1.messages import Headers, RequestMessage
 from pearhill.routing.settings import Idempotency
@@ -70,7 +70,7 @@
         if self.spender:
             self.spender.left()
         if self.request:
-            self._dispatcher.leave(self.request)
+            self._dispatcher.disconnect(self.request)
 
 
 class _Asked:
@@ -97,7 +97,7 @@
         if self.front.desk:
             self._limits = self.front.desk.headers(self.tenant.name)
 
-    def turn_away(self, error: ApiError) -> None:
+    def reject(self, error: ApiError) -> None:
         """Answer what was not taken. The message's end is known, so that its connection goes on."""
         self.front.dispatcher.counters.rejected += 1
         self.over(error.status, error.code)
@@ -145,7 +145,7 @@
                 return self._take(asked)
             self._look(asked)
         except ApiError as e:
-            asked.turn_away(e)
+            asked.reject(e)
         return None
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
@@ -243,23 +243,23 @@
         answer = self._answer(asked, prompt, model, ask)
         if key:
             return self._once(key, asked, ask, answer)
-        if not self._has_room(asked, ask.cls):
+        if not self._has_room(asked, ask.request_class):
             return None
         if answer.repeatable:
             direct = _Direct(self.dispatcher, answer)
             ask, client, payload = self._reserve(asked, ask, answer, answer)
             direct.spender = client if isinstance(client, Spender) else None
-            direct.request = self.dispatcher.take(ask, client, payload, message.arrived)
+            direct.request = self.dispatcher.accept(ask, client, payload, message.arrived)
             return direct
         return self._run(Record(asked.id, b"", self.spawn), asked, ask, answer)
 
     def _reserve(
         self,
         asked: _Asked,
-        ask: Ask,
+        ask: RequestSpec,
         answer: Answer,
         inner: Answer | Record,
-    ) -> tuple[Ask, Answer | Record | Spender, ChatPayload]:
+    ) -> tuple[RequestSpec, Answer | Record | Spender, ChatPayload]:
         """What its budget says goes with the request, as a fact. The Router refuses what is not to be let in."""
         desk, model = self.desk, asked.model
         if desk is None:
@@ -267,8 +267,8 @@
         assert model
         told = asked.message.headers.get(HINT, "")
         hint = int(told) if re.fullmatch("[0-9]{1,7}", told) else 0
-        standing = desk.admit(asked.tenant.name, asked.key, ask.prompt, ask.max_out, hint)
-        ask = replace(ask, standing=standing.kind, away=standing.wait)
+        standing = desk.admit(asked.tenant.name, asked.key, ask.prompt_tokens, ask.max_output_tokens, hint)
+        ask = replace(ask, admission=standing.status, retry_after=standing.retry_after)
         if standing.reservation is None:
             desk.refused(asked.tenant.name, asked.key)
             answer.refusal = turned_away(standing)
@@ -276,11 +276,13 @@
         asked.count_in()
         answer.headers = tuple(asked.headers)
         meter = Meter()
-        spender = desk.spender(standing.reservation, meter, ask.prompt, asked.id, model.name, asked.message.path, inner)
+        spender = desk.spender(
+            standing.reservation, meter, ask.prompt_tokens, asked.id, model.name, asked.message.path, inner
+        )
         return ask, spender, self._payload(asked, meter)
 
-    def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: Ask) -> Answer:
-        safe = self.dispatcher.deployment.router.classes[ask.cls].idempotency == Idempotency.IDEMPOTENT
+    def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: RequestSpec) -> Answer:
+        safe = self.dispatcher.deployment.router.classes[ask.request_class].idempotency == Idempotency.IDEMPOTENT
         heart = Heart(self.dispatcher.deadlines, self.spawn, self.reading.heartbeat)
         made = Made(asked.id, model.name, int(time.time()))
         return Answer(asked.reply, prompt.words(made), prompt.stream, safe, asked.headers, heart, asked.over)
@@ -306,7 +308,7 @@
         dispatcher = self.dispatcher
         if len(dispatcher.requests) < dispatcher.deployment.most_held:
             return True
-        dispatcher.turned_away(cls)
+        dispatcher.record_rejection(cls)
         error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=RATE)
         asked.over(429, error.code)
         asked.reply.answer(
@@ -314,14 +316,14 @@
         )
         return False
 
-    def _run(self, record: Record, asked: _Asked, ask: Ask, answer: Answer) -> Pending:
+    def _run(self, record: Record, asked: _Asked, ask: RequestSpec, answer: Answer) -> Pending:
         """Danger: a booking whose client leaves in mid-stream may have run. It is seen through to one outcome."""
         follower = record.follow(answer)
         ask, client, payload = self._reserve(asked, ask, answer, record)
-        self.dispatcher.take(ask, client, payload, asked.message.arrived)
+        self.dispatcher.accept(ask, client, payload, asked.message.arrived)
         return follower
 
-    def _once(self, key: str, asked: _Asked, ask: Ask, answer: Answer) -> Pending | None:
+    def _once(self, key: str, asked: _Asked, ask: RequestSpec, answer: Answer) -> Pending | None:
         """The run that this key stands for: the one there is, else a new one."""
         message = asked.message
         # Danger: keys are each client's own; two clients that pick the same must not read each other's answers.
@@ -342,16 +344,16 @@
                 )
             self.dispatcher.counters.replayed += 1
             return record.follow(answer)
-        if not self._has_room(asked, ask.cls):
+        if not self._has_room(asked, ask.request_class):
             return None
         record = Record(asked.id, digest, self.spawn)
         if not self.store.add(name, record):
-            self.dispatcher.turned_away(ask.cls)
-            answer.refuse(self.dispatcher.deployment.router.max_retry_after)
+            self.dispatcher.record_rejection(ask.request_class)
+            answer.reject(self.dispatcher.deployment.router.max_retry_after)
             return None
         return self._run(record, asked, ask, answer)
 
-    def _ask(self, asked: _Asked, prompt: Prompt, model: Model) -> Ask:
+    def _ask(self, asked: _Asked, prompt: Prompt, model: Model) -> RequestSpec:
         """What the Router is told of a request. ApiError: it asks for more than there is."""
         reading, headers = self.reading, asked.message.headers
         rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
@@ -385,16 +387,16 @@
         conversation = (
             headers.get(reading.conversation_header) or prompt.metadata.get(reading.conversation_field) or talk
         )
-        return Ask(
+        return RequestSpec(
             cls,
             self._time(headers, cls, rule.deadline if rule else 0),
             tokens,
             prompt.count * (prompt.max_out or most or reading.max_out),
             session=_number_of(conversation),
             prefix=_number_of(opening) if opening else 0,
-            prefix_len=int(len(opening) / reading.chars_per_token),
+            prefix_tokens=int(len(opening) / reading.chars_per_token),
             tenant=asked.tenant.number,
-            kinds=model.kinds,
+            allowed_kinds=model.kinds,
         )
 
     def _time(self, headers: dict[str, str], cls: int, rule: int) -> int:
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -38,7 +38,7 @@
 
     # The core's client.
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self.stay_away = stay_away
         self._end(REFUSED)
 
@@ -49,7 +49,7 @@
         self.said = said
         self._end(DECLINED)
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         if self.store:
             self.store.grow(len(data))
         elif not self.followers:
@@ -64,7 +64,7 @@
     def abort(self) -> None:
         self._end(BROKEN)
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False  # it is seen through for whoever asks for it again
 
     # Inside.
@@ -98,12 +98,12 @@
                 data = self.parts[at - 1]
                 if self.store is None and not self.key:  # nobody else can ask for what this client has read
                     self.parts[at - 1] = b""
-                await answer.pass_on(data)
+                await answer.forward(data)
             if self.state != OPEN:
                 break
             await self._news.wait()
         if self.state == REFUSED:
-            answer.refuse(self.stay_away)
+            answer.reject(self.stay_away)
         elif self.state == FAILED:
             answer.fail()
         elif self.state == BROKEN:
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -15,7 +15,7 @@
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
 from pearhill.http1.sse import BadEvents, EventParser
-from pearhill.net.backend import Malformed, Verdict
+from pearhill.net.backend import MalformedResponseError, Verdict
 from pearhill.routing.outcomes import Outcome
 
 PATH = "/v1/chat/completions"
@@ -43,7 +43,7 @@
     """Passes on whole events that make sense, unchanged, and is whole with `[DONE]`."""
 
     def __init__(self, wants_usage: bool, most: int, meter: Meter | None = None) -> None:
-        self.kept, self._whole, self._chunks = 0, False, 0
+        self.cached_tokens, self._whole, self._chunks = 0, False, 0
         self._wants_usage, self._room = wants_usage, most
         self._parser = EventParser()
         self._meter = meter
@@ -56,7 +56,7 @@
 
     def feed(self, data: bytes) -> bytes:
         if self._whole:
-            raise Malformed("events after the last one")
+            raise MalformedResponseError("events after the last one")
         ready = []
         try:
             for event in self._parser.feed(data):
@@ -64,7 +64,7 @@
                     continue  # a comment: it keeps the connection alive and tells nothing
                 if event.data == DONE:
                     if not self._chunks:
-                        raise Malformed("an end without an answer")
+                        raise MalformedResponseError("an end without an answer")
                     self._whole = True
                     ready.append(event.raw)
                     break  # whatever stands behind it is nobody's
@@ -72,26 +72,26 @@
                     continue
                 ready.append(event.raw)
         except BadEvents as e:
-            raise Malformed(str(e)) from None
+            raise MalformedResponseError(str(e)) from None
         except msgspec.ValidationError as e:
-            raise Malformed(f"an event is no chunk of an answer: {e}") from None
+            raise MalformedResponseError(f"an event is no chunk of an answer: {e}") from None
         except (msgspec.DecodeError, RecursionError):
-            raise Malformed("an event is no JSON") from None
+            raise MalformedResponseError("an event is no JSON") from None
         passed = b"".join(ready)
         self._room -= len(passed)
         if self._room < 0:  # Danger: what must be kept for repeats would grow for as long as a server likes.
-            raise Malformed("the answer is too large")
+            raise MalformedResponseError("the answer is too large")
         return passed
 
     def _read(self, chunk: Chunk) -> bool:
         """Whether the client is to see this chunk."""
         if chunk.error is not msgspec.UNSET and chunk.error is not None:
-            raise Malformed("the server reports an error in its stream")
+            raise MalformedResponseError("the server reports an error in its stream")
         if chunk.usage is not None:
             details = chunk.usage.prompt_tokens_details
-            self.kept = details.cached_tokens or self.kept if details else self.kept
+            self.cached_tokens = details.cached_tokens or self.cached_tokens if details else self.cached_tokens
             if self._meter:
-                self._meter.usage(chunk.usage.prompt_tokens, self.kept, chunk.usage.completion_tokens)
+                self._meter.usage(chunk.usage.prompt_tokens, self.cached_tokens, chunk.usage.completion_tokens)
         if chunk.choices:
             self._chunks += 1
             if self._meter:
@@ -135,7 +135,7 @@
         ]
         return messages.request("POST", PATH, HOST, headers, payload.body)
 
-    def probe(self) -> bytes:
+    def health_check(self) -> bytes:
         """Nothing of the API tells a server's load: settings for it never ask (`Settings.probing`)."""
         return messages.request("GET", "/health", HOST)
 
@@ -158,9 +158,9 @@
                 _error.decode(body)
             except (msgspec.DecodeError, RecursionError):
                 return None  # not in the API's words: it may come from anywhere, and proves nothing
-            return Verdict(Outcome.DECLINED, said=Said(status, body))
+            return Verdict(Outcome.DECLINED, replica_error=Said(status, body))
         if status == 429:
-            return Verdict(Outcome.FULL, rest=rest_of(headers))
+            return Verdict(Outcome.FULL, retry_after=rest_of(headers))
         if status in BARRED:
             logger.error(
                 "a server answers {status}: its key in the operator's file is wrong, or missing", status=status
@@ -171,5 +171,5 @@
                 "server_credentials",
                 type=SERVER,
             )
-            return Verdict(Outcome.ERROR, said=Said(error.status, error.body()))
+            return Verdict(Outcome.ERROR, replica_error=Said(error.status, error.body()))
         return None
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -7,15 +7,15 @@
 
 from loguru import logger
 
-from pearhill.admin.endpoint import Door
-from pearhill.chat.budget_accounting import Corrupt, Desk
+from pearhill.admin.endpoint import AdminEndpoint
+from pearhill.chat.budget_accounting import CorruptJournalError, Desk
 from pearhill.chat.front import ChatFront
 from pearhill.chat.records import Store
 from pearhill.chat.servers import ChatDialect
 from pearhill.chat.setup import ChatSetup
 from pearhill.config import for_next_start
 from pearhill.eureka.client import Eureka
-from pearhill.load_reports.peer_loads import Row
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
 from pearhill.net.fleet import Fleet
 from pearhill.node.node import Limits, Node
@@ -30,7 +30,9 @@
     def __init__(self, setup: ChatSetup) -> None:
         self.setup = setup
         self.dialect = ChatDialect(setup.server_keys, setup.server_key)
-        limits = Limits(setup.sockets, setup.seed, setup.max_body, SEND_BUFFER, door=setup.admin is not None)
+        limits = Limits(
+            setup.sockets, setup.seed, setup.max_body, SEND_BUFFER, has_admin_endpoint=setup.admin is not None
+        )
         self.node = node = Node(setup.deployment, self.dialect, limits)
         self.store = Store(node.deadlines, setup.store_bytes, setup.store_keep)
         self.desk = Desk(setup.spending, node.deadlines) if setup.spending else None
@@ -47,11 +49,13 @@
         self._fetching: asyncio.Task[None] | None = None
         self._registering: asyncio.Task[None] | None = None
 
-    def _work(self) -> list[Row]:
-        return [Row(*row) for row in self.node.dispatcher.router.work()]
+    def _work(self) -> list[ReplicaLoad]:
+        return [ReplicaLoad(*row) for row in self.node.dispatcher.router.own_load()]
 
     def _registry(self, setup: ChatSetup) -> Eureka | None:
-        return Eureka(self.node.pool, setup.eureka, setup.deployment, self.node.listed) if setup.eureka else None
+        return (
+            Eureka(self.node.pool, setup.eureka, setup.deployment, self.node.update_endpoints) if setup.eureka else None
+        )
 
     def is_ready(self) -> bool:
         return not self.node.drain.away and self.node.dispatcher.can_answer
@@ -61,7 +65,7 @@
         if self.desk:
             try:
                 self.desk.open()
-            except (Corrupt, ValueError) as e:
+            except (CorruptJournalError, ValueError) as e:
                 raise OSError(f"budgets.folder: {self.setup.spending and self.setup.spending.folder}: {e}") from None
         if self.fleet:
             name, address = self.fleet.setup.name, self.fleet.setup.listen
@@ -69,10 +73,10 @@
                 host, port = await self.fleet.open()
             except OSError as e:
                 raise OSError(f"fleet.listen: {address[0]}:{address[1]}: {e.strerror or e}") from None
-            self.node.dispatcher.router.talk(self.fleet.sources)
+            self.node.dispatcher.router.use_peers(self.fleet.sources)
             logger.info("fleet: {name} talks on {host}:{port}", name=name, host=host, port=port)
         if self.setup.entries:
-            self.node.listed(True, self.setup.entries, self.setup.addresses)
+            self.node.update_endpoints(True, self.setup.entries, self.setup.addresses)
         if self._eureka:
             self._fetching = self.node.pool.spawn(self._eureka.follow())
 
@@ -104,7 +108,7 @@
         elif self._eureka:
             self._eureka.deployment = fresh.deployment
         if not fresh.eureka:
-            node.listed(True, fresh.entries, fresh.addresses)
+            node.update_endpoints(True, fresh.entries, fresh.addresses)
         return f"{len(fresh.reading.rules)} rules, {len(fresh.keyring.tenants)} tenants" + for_next_start(
             ("chat.listen", before.listen, fresh.listen),
             ("chat.admin_addr", before.admin, fresh.admin),
@@ -166,6 +170,6 @@
         lambda: service.reload(read_anew()),
         service.register,
         service.deregister,
-        door=(setup.admin, Door(operations)) if setup.admin else None,
+        door=(setup.admin, AdminEndpoint(operations)) if setup.admin else None,
     )
     await service.close()
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -15,7 +15,7 @@
 from pearhill.chat.budget_accounting import SpendingSetup
 from pearhill.chat.keys import BadKey, Keyring, Tenant
 from pearhill.config import ConfigError, typed, values
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.membership.reporter import AggregatorSite
 from pearhill.net.address import Address
@@ -288,7 +288,7 @@
     chat, zones = told.chat, deployment.zone_names
     entries, addresses, keys = [], dict[int, Address](), dict[int, str]()
     for k, server in enumerate(told.server):
-        path, engine = f"server[{k}]", engine_of(server.uid)
+        path, engine = f"server[{k}]", replica_id(server.uid)
         if engine in addresses:
             raise typed.complaint(f"{path}.uid", server.uid, "a uid that no other server has")
         entries.append(
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -168,13 +168,13 @@
 ) -> None:
     """Write the bill of a month: every charge as Parquet, statements as HTML and CSV."""
     from pearhill.bill import statement
-    from pearhill.durable.journal import Corrupt
+    from pearhill.durable.journal import CorruptJournalError
 
     if not folder.is_dir():
         _fail(f"{folder}: is no folder")
     try:
         made = statement.sum_up(statement.read_folder(folder), period, tenant)
-    except (Corrupt, OSError, ValueError) as e:
+    except (CorruptJournalError, OSError, ValueError) as e:
         _fail(str(e))
     try:
         from pearhill.bill import files
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -13,9 +13,9 @@
 
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.ports import Backend, Client
-from pearhill.core.request import Ask, Attempt, Request
+from pearhill.core.request import Attempt, Request, RequestSpec
 from pearhill.counters import BUSY, FAILURE, SUCCESS, Calls, Counters
-from pearhill.load_reports.load_aware_router import Scout
+from pearhill.load_reports.load_aware_router import LoadAwareRouter
 from pearhill.routing.actions import (
     Action,
     CancelAttempt,
@@ -39,28 +39,31 @@
     TimerFired,
 )
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
-from pearhill.routing.permissions import Denied, Ran, may_begin, may_refuse, may_repeat, may_send
+from pearhill.routing.permissions import Denied, Execution, may_reject, may_retry, may_send, may_start
 from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
 
 TOO_MANY_OPEN = "too-many-open"
-EXPIRED, OVERDUE = "expired", "overdue"  # its time was over before its turn; the router has not answered in time
-REFUSED_AFTER_EFFECT = "refused-after-effect"
+EXPIRED, DEADLINE_EXCEEDED = (
+    "expired",
+    "overdue",
+)  # its time was over before its turn; the router has not answered in time
+REJECTED_AFTER_EXECUTION = "refused-after-effect"
 # Whoever asks for these has lost count. The others are crossings of events, and no fault.
-VIOLATIONS = (Denied.ATTEMPT_OUT, Denied.MAY_HAVE_RUN, Denied.OTHER_GROUP)
+VIOLATIONS = (Denied.ATTEMPT_IN_FLIGHT, Denied.MAY_HAVE_EXECUTED, Denied.OUT_OF_SCOPE)
 
 
 class Dispatcher:
     def __init__(self, deployment: Deployment, seed: int, deadlines: Deadlines, counters: Counters) -> None:
         self.deployment, self.deadlines, self.counters = deployment, deadlines, counters
         self.clock = deadlines.clock
-        self.router = Scout(deployment.router, seed)
+        self.router = LoadAwareRouter(deployment.router, seed)
         self.backend: Backend | None = None
         self.requests: dict[int, Request] = {}
-        self.engines: dict[int, Endpoint] = {}
-        self.calls = [Calls() for _ in deployment.class_names]
+        self.endpoints: dict[int, Endpoint] = {}
+        self.calls_by_class = [Calls() for _ in deployment.class_names]
         self.inflight = 0  # requests taken that have not ended
-        self._probing: dict[int, int] = {}  # engines with a probe out, and since when
+        self._health_checks: dict[int, int] = {}  # engines with a probe out, and since when
         self._next, self._events, self._busy = 1, deque[Event](), False
 
     @property
@@ -70,84 +73,84 @@
 
     # From a front.
 
-    def take(self, ask: Ask, client: Client, payload: Any, arrived: int | None = None) -> Request:
+    def accept(self, spec: RequestSpec, client: Client, payload: Any, arrived: int | None = None) -> Request:
         """Take a request. `arrived` is the time of its last byte: its deadline runs from there."""
         now = self.clock()
-        end = (now if arrived is None else arrived) + ask.ttl
-        request = Request(self._next, ask.cls, client, payload, end, ask.id)
+        end = (now if arrived is None else arrived) + spec.timeout
+        request = Request(self._next, spec.request_class, client, payload, end, spec.id)
         self._next += 1
         self.requests[request.number] = request
         self.counters.taken += 1
         self.inflight += 1
         if end <= now:  # it was read long before its turn: whatever was begun for it now would come too late
-            self._refuse(request, 0, EXPIRED)
+            self._reject(request, 0, EXPIRED)
             del self.requests[request.number]
             return request
-        request.backstop = self.deadlines.at(end, lambda: self._overdue(request))
+        request.deadline_timer = self.deadlines.at(end, lambda: self._deadline_exceeded(request))
         self._feed(
             RequestArrived(
                 request.number,
-                ask.cls,
-                ask.tenant,
-                ask.session,
-                ask.prefix,
-                ask.prefix_len,
-                ask.prompt,
-                ask.max_out,
+                spec.request_class,
+                spec.tenant,
+                spec.session,
+                spec.prefix,
+                spec.prefix_tokens,
+                spec.prompt_tokens,
+                spec.max_output_tokens,
                 max(1, end - now),
-                ask.repeat,
-                ask.resumed,
-                ask.kinds,
-                ask.standing,
-                ask.away,
+                spec.is_retry,
+                spec.resumed,
+                spec.allowed_kinds,
+                spec.admission,
+                spec.retry_after,
             )
         )
         return request
 
-    def turned_away(self, cls: int, why: str = TOO_MANY_OPEN) -> None:
+    def record_rejection(self, request_class: int, reason: str = TOO_MANY_OPEN) -> None:
         """A front has refused a request that it did not take."""
-        self.counters.refusals[why] += 1
+        self.counters.refusals[reason] += 1
         self.counters.refused += 1
-        self._count(cls, BUSY)
+        self._count(request_class, BUSY)
 
-    def leave(self, request: Request) -> None:
+    def disconnect(self, request: Request) -> None:
         """The client has gone. Its attempt is called off, even one whose answer has begun: nobody reads it."""
         if request.answered:
             return
-        request.left = True
-        self._settle(request, "")
+        request.client_disconnected = True
+        self._finish(request, "")
         self.counters.left += 1
-        attempt = request.current
+        attempt = request.current_attempt
         self._log(request, "left", "")
-        if attempt and attempt.began:
+        if attempt and attempt.response_started:
             self.counters.left_in_answer += 1
             self._log_cut_answer(attempt, "client-left")
         self._feed(ClientDisconnected(request.number))
-        if attempt and not attempt.over:
-            self._call_off(attempt)
+        if attempt and not attempt.ended:
+            self._cancel_attempt(attempt)
 
     # From the list of engines.
 
-    def listed(self, full: bool, entries: tuple[Endpoint, ...]) -> None:
+    def update_endpoints(self, full: bool, endpoints: tuple[Endpoint, ...]) -> None:
         if full:
-            self.engines = {}
-        for entry in entries:
-            self.engines[entry.replica] = entry
+            self.endpoints = {}
+        for entry in endpoints:
+            self.endpoints[entry.replica] = entry
             if entry.phase == Phase.GONE:
-                del self.engines[entry.replica]
+                del self.endpoints[entry.replica]
         # What was chosen before this list and waits for its connection would be sent long after it.
         withdrawn = [
             a
             for r in self.requests.values()
-            if (a := r.current) and not self._wanted(a.engine) and not self._backend.begun(a)
+            if (a := r.current_attempt) and not self._accepts_requests(a.replica) and not self._backend.has_started(a)
         ]
-        self._feed(EndpointsUpdated(full, entries))
+        self._feed(EndpointsUpdated(full, endpoints))
         for attempt in withdrawn:
             self._stop(attempt, Outcome.WITHDRAWN)
 
-    def _wanted(self, engine: int) -> bool:
+    def _accepts_requests(self, engine: int) -> bool:
         """Whether the list has this engine as one that takes requests."""
-        entry = self.engines.get(engine)
+        entry = self.endpoints.get(engine)
         return entry is not None and entry.phase == Phase.READY
 
     def reconfigure(self, deployment: Deployment) -> None:
@@ -159,37 +162,37 @@
     def can_answer(self) -> bool:
         """Some engine that writes answers is listed as ready."""
         kinds = self.deployment.router.kinds
-        return any(e.phase == Phase.READY and kinds[e.kind].role != Role.PREFILL for e in self.engines.values())
+        return any(e.phase == Phase.READY and kinds[e.kind].role != Role.PREFILL for e in self.endpoints.values())
 
     # From a backend.
 
-    def may_begin(self, attempt: Attempt) -> bool:
+    def may_start(self, attempt: Attempt) -> bool:
         """Between a choice and the first byte a connection comes up. Meanwhile the client goes, or the window
         ends in which the effect may be repeated; and a busy loop has read neither the one nor the other's deadline.
         (What the list takes away meanwhile is withdrawn by `listed`.)"""
-        if not attempt.over and attempt.request.client.gone():
-            self.leave(attempt.request)
-        if may_begin(self.clock(), attempt.by):
+        if not attempt.ended and attempt.request.client.has_disconnected():
+            self.disconnect(attempt.request)
+        if may_start(self.clock(), attempt.send_before):
             self.withdraw(attempt)
-        return not attempt.over
+        return not attempt.ended
 
     def withdraw(self, attempt: Attempt) -> None:
         """Its last byte may have gone out in the loop's own turn, before whoever waits for that hears of it. Of
         one that has begun to be written nobody can say that it never ran."""
-        if not attempt.over:
+        if not attempt.ended:
             sent = self._backend.cancel(attempt)
             self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold=sent)
 
-    def begin(self, attempt: Attempt) -> bool:
-        if attempt.over or attempt.request.answered:
+    def start_response(self, attempt: Attempt) -> bool:
+        if attempt.ended or attempt.request.answered:
             return False
-        if not attempt.began:
-            attempt.began = True
-            attempt.stop_clock()
-            self.deadlines.cancel(attempt.request.backstop)
-            attempt.request.holders.clear()  # with the first event all else that is held goes by itself
+        if not attempt.response_started:
+            attempt.response_started = True
+            attempt.cancel_timers()
+            self.deadlines.cancel(attempt.request.deadline_timer)
+            attempt.request.state_holders.clear()  # with the first event all else that is held goes by itself
             self._feed(
-                ResponseStarted(attempt.request.number, attempt.index, attempt.engine, self.clock() - attempt.sent_at)
+                ResponseStarted(attempt.request.number, attempt.index, attempt.replica, self.clock() - attempt.sent_at)
             )
         return True
 
@@ -197,19 +200,19 @@
         self,
         attempt: Attempt,
         outcome: Outcome,
-        kept: int = 0,
+        cached_tokens: int = 0,
         may_hold: bool = False,
-        rest: int = 0,
-        said: Any = None,
+        retry_after: int = 0,
+        replica_error: Any = None,
     ) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
-        attempt.over = True
-        attempt.stop_clock()
+        attempt.ended = True
+        attempt.cancel_timers()
         request = attempt.request
-        request.current = None
+        request.current_attempt = None
         if outcome == Outcome.WITHDRAWN:
-            request.sends -= 1  # it was none
+            request.attempts -= 1  # it was none
         self.counters.outcomes[outcome] += 1
         rtt = self.clock() - attempt.sent_at
         logger.debug(
@@ -217,22 +220,22 @@
             "patience_us={patience_us}",
             request=request.number,
             n=attempt.index,
-            engine=attempt.engine,
+            engine=attempt.replica,
             outcome=outcome,
-            began=attempt.began,
+            began=attempt.response_started,
             rtt_us=rtt,
-            patience_us=attempt.patience,
+            patience_us=attempt.timeout,
         )
-        if may_hold and not attempt.began:
-            request.holders.add(attempt.engine)
+        if may_hold and not attempt.response_started:
+            request.state_holders.add(attempt.replica)
             request.interrupted = request.interrupted or outcome not in (Outcome.PREFILLED, Outcome.ERROR)
         if outcome == Outcome.PREFILLED:
-            request.reader = attempt.engine
-        if outcome not in NOT_EXECUTED and self._has_effect(attempt) and request.ran is None and attempt.entry:
-            request.ran = Ran(attempt.entry.zone, attempt.entry.cell, attempt.sent_at)
-        request.outcome = outcome
-        if not request.answered and (attempt.began or outcome == Outcome.ANSWERED):
-            self._settle(request, SUCCESS if outcome == Outcome.ANSWERED else FAILURE)
+            request.prefill_replica = attempt.replica
+        if outcome not in NOT_EXECUTED and self._has_effect(attempt) and request.execution is None and attempt.endpoint:
+            request.execution = Execution(attempt.endpoint.zone, attempt.endpoint.cell, attempt.sent_at)
+        request.last_outcome = outcome
+        if not request.answered and (attempt.response_started or outcome == Outcome.ANSWERED):
+            self._finish(request, SUCCESS if outcome == Outcome.ANSWERED else FAILURE)
             if outcome == Outcome.ANSWERED:
                 self.counters.served += 1
                 request.client.finish()
@@ -240,20 +243,28 @@
                 self.counters.broken += 1
                 self._log_cut_answer(attempt, outcome)
                 request.client.abort()
-        elif not request.answered and said is not None:
-            self._settle(request, FAILURE)
+        elif not request.answered and replica_error is not None:
+            self._finish(request, FAILURE)
             self.counters.declined += 1
-            request.client.decline(said)
+            request.client.decline(replica_error)
         self._feed(
             AttemptEnded(
-                request.number, attempt.index, attempt.engine, outcome, request.answered, kept, rtt, None, rest
+                request.number,
+                attempt.index,
+                attempt.replica,
+                outcome,
+                request.answered,
+                cached_tokens,
+                rtt,
+                None,
+                retry_after,
             )
         )
 
-    def probed(self, engine: int, outcome: Outcome, load: tuple[float, float] | None) -> None:
+    def health_check_ended(self, engine: int, outcome: Outcome, load: tuple[float, float] | None) -> None:
         """A probe has ended. The Router hears of it before this returns, unless it is busy: then after that."""
         self.counters.probes[outcome] += 1
-        since = self._probing.pop(engine, self.clock())
+        since = self._health_checks.pop(engine, self.clock())
         self._feed(HealthCheckEnded(engine, outcome, self.clock() - since, load))
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
@@ -261,15 +272,15 @@
         not stop the clock of what is held: it has to be let go of now. Where the attempt did arrive, the holders keep
         the state for it whatever they are told."""
         request = attempt.request
-        if not attempt.over and self._backend.begun(attempt) and request.holders:
+        if not attempt.ended and self._backend.has_started(attempt) and request.state_holders:
             self.counters.unconfirmed += 1
             logger.debug(
                 "attempt request={request} n={n} engine={engine} shows no sign: what is held for it is released",
                 request=request.number,
                 n=attempt.index,
-                engine=attempt.engine,
+                engine=attempt.replica,
             )
-            self._backend.release_unless_fetched(request, set(request.holders))
+            self._backend.release_unless_fetched(request, set(request.state_holders))
 
     def expire(self, attempt: Attempt) -> None:
         """Its time is over. The connection goes first, or the next send would be a second copy."""
@@ -277,44 +288,44 @@
 
     # Inside.
 
-    def _call_off(self, attempt: Attempt) -> None:
+    def _cancel_attempt(self, attempt: Attempt) -> None:
         self._stop(attempt, Outcome.CANCELLED)
 
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
         request = attempt.request
         sent = self._backend.cancel(attempt)
         if not sent:  # a replica that the list took away is not to blame, nor is any for a client that has gone
             outcome = (
                 Outcome.WITHDRAWN
-                if not self._wanted(attempt.engine)
+                if not self._accepts_requests(attempt.replica)
                 else Outcome.NOT_SENT
-                if request.left
+                if request.client_disconnected
                 else Outcome.UNREACHABLE
             )
         # A read may have ended well at the very moment of its closing, and its state stays pinned.
         self.end(attempt, outcome, may_hold=sent)
 
     def _count(self, cls: int, end: str) -> None:
-        calls = self.calls[cls]
+        calls = self.calls_by_class[cls]
         setattr(calls, end, getattr(calls, end) + 1)
 
-    def _settle(self, request: Request, end: str) -> None:
+    def _finish(self, request: Request, end: str) -> None:
         """The one place where a request ends; `end` is empty where its client went first."""
         request.answered = True
         self.inflight -= 1
         if end:
-            self._count(request.cls, end)
-        self.deadlines.cancel(request.backstop)
+            self._count(request.request_class, end)
+        self.deadlines.cancel(request.deadline_timer)
 
-    def _overdue(self, request: Request) -> None:
+    def _deadline_exceeded(self, request: Request) -> None:
         """A fault elsewhere must not leave a client without an answer. The Router is told as of a
         client that has left, since nothing is owed any more."""
         if request.answered:
             return
         logger.error("request {request} reached its deadline without an answer from the router", request=request.number)
-        self._fail(request, OVERDUE)
+        self._fail(request, DEADLINE_EXCEEDED)
         self._feed(ClientDisconnected(request.number))
 
     def _feed(self, event: Event) -> None:
@@ -342,9 +353,9 @@
 
     def _forget(self, number: int) -> None:
         request = self.requests.get(number)
-        if request and request.answered and request.current is None:
+        if request and request.answered and request.current_attempt is None:
             del self.requests[number]
-            if request.holders:  # Whatever path led here, a state must not stay pinned.
+            if request.state_holders:  # Whatever path led here, a state must not stay pinned.
                 self._release(request)
 
     def _act(self, action: Action) -> None:
@@ -356,8 +367,8 @@
                 logger.info("router: {text}", text=text)
                 return
             case SendHealthCheck(engine):
-                self._probing[engine] = self.clock()
-                self._backend.probe(engine)
+                self._health_checks[engine] = self.clock()
+                self._backend.check_health(engine)
                 return
         request = self.requests.get(action.request)
         if request is None:
@@ -366,12 +377,12 @@
             case SendAttempt():
                 self._send(request, action)
             case CancelAttempt(_, index):
-                attempt = request.current
-                if attempt and attempt.index == index and not attempt.began:
-                    self._call_off(attempt)
+                attempt = request.current_attempt
+                if attempt and attempt.index == index and not attempt.response_started:
+                    self._cancel_attempt(attempt)
             case RejectRequest(_, stay_away, why):
                 if not request.answered:
-                    self._refuse(request, stay_away, why)
+                    self._reject(request, stay_away, why)
             case FailRequest(_, why):
                 if not request.answered:
                     self._fail(request, why)
@@ -382,21 +393,21 @@
 
     def _send(self, request: Request, send: SendAttempt) -> None:
         now, engine = self.clock(), send.replica
-        if not request.answered and request.client.gone():  # before a connection is opened for nobody
-            self.leave(request)
-        index, request.sends = request.sends, request.sends + 1
-        deadline = min(now + send.attempt_timeout, request.end)
-        entry = self.engines.get(engine)
+        if not request.answered and request.client.has_disconnected():  # before a connection is opened for nobody
+            self.disconnect(request)
+        index, request.attempts = request.attempts, request.attempts + 1
+        deadline = min(now + send.attempt_timeout, request.deadline)
+        entry = self.endpoints.get(engine)
         attempt = Attempt(self, request, index, engine, now, deadline, send.send_before, send.release_at, entry)
         if denied := self._denied(attempt):
             if denied in VIOLATIONS:
-                self._violated(request, denied)
+                self._record_violation(request, denied)
             return self.end_unsent(attempt)
-        request.current = attempt
+        request.current_attempt = attempt
         self.counters.sent += 1
         if index:
-            self.counters.retries[request.outcome] += 1
-        self._log(request, "sent", f"n={index} engine={engine} after={request.outcome or 'arrival'}")
+            self.counters.retries[request.last_outcome] += 1
+        self._log(request, "sent", f"n={index} engine={engine} after={request.last_outcome or 'arrival'}")
         self._backend.send(attempt)
 
     def _denied(self, attempt: Attempt) -> Denied | None:
@@ -405,39 +416,39 @@
         request, router = attempt.request, self.deployment.router
         if denied := may_send(
             request.answered,
-            request.current is not None,
-            self._wanted(attempt.engine),
+            request.current_attempt is not None,
+            self._accepts_requests(attempt.replica),
             router.max_attempts - attempt.index,
         ):
             return denied
-        entry = attempt.entry
+        entry = attempt.endpoint
         if entry is None or not self._has_effect(attempt):
             return None
-        return may_repeat(router.classes[request.cls], request.ran, entry.zone, entry.cell, self.clock())
+        return may_retry(router.classes[request.request_class], request.execution, entry.zone, entry.cell, self.clock())
 
     def _has_effect(self, attempt: Attempt) -> bool:
         """Whether the replica answers the request: reading a prompt is no effect."""
-        return attempt.entry is not None and self.deployment.router.kinds[attempt.entry.kind].role != Role.PREFILL
+        return attempt.endpoint is not None and self.deployment.router.kinds[attempt.endpoint.kind].role != Role.PREFILL
 
-    def _refuse(self, request: Request, stay_away: int, why: str) -> None:
-        may_have_run = request.ran is not None or request.current is not None
-        if not may_refuse(self.deployment.router.classes[request.cls], may_have_run):
-            self._violated(request, REFUSED_AFTER_EFFECT)
+    def _reject(self, request: Request, stay_away: int, why: str) -> None:
+        may_have_run = request.execution is not None or request.current_attempt is not None
+        if not may_reject(self.deployment.router.classes[request.request_class], may_have_run):
+            self._record_violation(request, REJECTED_AFTER_EXECUTION)
             return self._fail(request, why)
-        self._settle(request, BUSY)
+        self._finish(request, BUSY)
         self.counters.refused += 1
         self.counters.refusals[why] += 1
         self._log(request, "refused", why)
-        request.client.refuse(stay_away)
+        request.client.reject(stay_away)
 
     def _fail(self, request: Request, why: str) -> None:
-        self._settle(request, FAILURE)
+        self._finish(request, FAILURE)
         self.counters.failed += 1
         self.counters.failures[why] += 1
         self._log(request, "failed", why)
         request.client.fail()
 
-    def _violated(self, request: Request, rule: str) -> None:
+    def _record_violation(self, request: Request, rule: str) -> None:
         """Something was asked for that no rule allows, and is not done. The log names the request."""
         self.counters.violations[rule] += 1
         logger.error("violation rule={rule} request={number} id={id}", rule=rule, number=request.number, id=request.id)
@@ -453,20 +464,20 @@
             "answer cut request={request} id={id} engine={engine} why={why} silent_us={silent_us}",
             request=attempt.request.number,
             id=attempt.request.id,
-            engine=attempt.engine,
+            engine=attempt.replica,
             why=why,
-            silent_us=self.clock() - attempt.passed_at if attempt.passed_at else 0,
+            silent_us=self.clock() - attempt.last_forwarded_at if attempt.last_forwarded_at else 0,
         )
 
     def end_unsent(self, attempt: Attempt) -> None:
         """Not sent: the request is over, bound to another attempt, or out of attempts."""
-        attempt.over = True
-        attempt.stop_clock()
+        attempt.ended = True
+        attempt.cancel_timers()
         self._feed(
             AttemptEnded(
                 attempt.request.number,
                 attempt.index,
-                attempt.engine,
+                attempt.replica,
                 Outcome.NOT_SENT,
                 attempt.request.answered,
                 0,
@@ -476,7 +487,7 @@
         )
 
     def _release(self, request: Request) -> None:
-        engines, request.holders = request.holders, set()
+        engines, request.state_holders = request.state_holders, set()
         if engines:
             self.counters.released += len(engines)
             self._backend.release(request, engines)
--- a/pearhill/core/ports.py
+++ b/pearhill/core/ports.py
@@ -12,16 +12,16 @@
 class Client(Protocol):
     """Where a request came from. The core calls exactly one of `refuse`, `fail`, `decline`, `finish` and `abort`."""
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """Final: not done, trying again is harmless, in `stay_away` microseconds (0: no advice)."""
 
     def fail(self) -> None:
         """Final: failed, nothing is promised."""
 
-    def decline(self, said: Any) -> None:
+    def decline(self, replica_error: Any) -> None:
         """Final: an engine found fault with the request itself, in these words of its dialect."""
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         """A piece of the answer, unchanged; returns when there is room for more."""
 
     def finish(self) -> None:
@@ -30,7 +30,7 @@
     def abort(self) -> None:
         """The answer has begun and will not be whole."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has gone, seen now: nothing more is begun for it."""
 
 
@@ -43,10 +43,10 @@
     def cancel(self, attempt: Attempt) -> bool:
         """Close the attempt's connection before returning. False: the engine surely never had the whole request."""
 
-    def begun(self, attempt: Attempt) -> bool:
+    def has_started(self, attempt: Attempt) -> bool:
         """Whether any byte of the attempt may have been written."""
 
-    def probe(self, engine: int) -> None:
+    def check_health(self, engine: int) -> None:
         """Ask an engine for its load; `Dispatcher.probed` is called once with what came of it."""
 
     def release(self, request: Request, engines: Collection[int]) -> None:
--- a/pearhill/durable/frames.py
+++ b/pearhill/durable/frames.py
@@ -22,12 +22,12 @@
     body: bytes
 
 
-class Torn(Exception):
+class TornFrameError(Exception):
     """The bytes from `at` on are no frame."""
 
     def __init__(self, at: int, why: str) -> None:
         super().__init__(f"at byte {at}: {why}")
-        self.at = at
+        self.offset = at
 
 
 def frame(seq: int, body: bytes, largest: int = LARGEST) -> bytes:
@@ -42,12 +42,12 @@
     at = 0
     while at < len(data):
         if len(data) - at < HEAD.size:
-            raise Torn(at, "the head of a frame is not whole")
+            raise TornFrameError(at, "the head of a frame is not whole")
         length, digest, seq = HEAD.unpack_from(data, at)
         body = data[at + HEAD.size : at + HEAD.size + length]
         if length > largest or len(body) < length:
-            raise Torn(at, "a frame is not whole")
+            raise TornFrameError(at, "a frame is not whole")
         if xxhash.xxh3_64_intdigest(_SEQ.pack(seq) + body) != digest:
-            raise Torn(at, "a checksum does not fit")
+            raise TornFrameError(at, "a checksum does not fit")
         yield Frame(seq, body)
         at += HEAD.size + length
--- a/pearhill/durable/journal.py
+++ b/pearhill/durable/journal.py
@@ -18,7 +18,7 @@
 
 from loguru import logger
 
-from pearhill.durable.frames import Frame, Torn, frame, read
+from pearhill.durable.frames import Frame, TornFrameError, frame, read
 
 SEGMENT = 64 << 20  # bytes after which a new one begins
 RETRY = 1.0  # seconds between tries of a disk that fails
@@ -26,18 +26,18 @@
 LARGEST_STATE = 1 << 30
 
 
-class Corrupt(Exception):
+class CorruptJournalError(Exception):
     """The folder holds what this journal did not write, or a file is damaged in its middle."""
 
 
-class Found(NamedTuple):
+class RecoveredJournal(NamedTuple):
     """What a folder held. `cut`: bytes of a torn tail, which were moved aside."""
 
     seq: int
     state: bytes | None
     state_seq: int
     frames: list[Frame]
-    cut: int
+    torn_bytes: int
 
 
 def _sync_folder(folder: pathlib.Path) -> None:
@@ -60,11 +60,11 @@
         try:
             for one in read(path.read_bytes()):
                 found.setdefault(one.seq, one.body)
-        except Torn as e:
+        except TornFrameError as e:
             # A torn end is what a crash leaves: of the last segment, or of one that was given up after an error, whose
             # frames then stand again in the next.
             if path is not paths[-1] and not _goes_on(found, paths[paths.index(path) + 1]):
-                raise Corrupt(f"{path.name}: {e}") from None
+                raise CorruptJournalError(f"{path.name}: {e}") from None
     return [Frame(seq, found[seq]) for seq in sorted(found)]
 
 
@@ -73,7 +73,7 @@
     return int(following.stem) <= max(found, default=0) + 1
 
 
-def recover(folder: pathlib.Path) -> Found:
+def recover(folder: pathlib.Path) -> RecoveredJournal:
     """Make a folder fit for writing on: cut a torn tail (kept beside it as `.torn`), find the latest good snapshot.
     Corrupt: it is damaged in its middle. OSError: it cannot be read or written."""
     folder.mkdir(parents=True, exist_ok=True)
@@ -84,30 +84,30 @@
         try:
             for _ in read(data):
                 pass
-        except Torn as e:
-            cut = len(data) - e.at
+        except TornFrameError as e:
+            cut = len(data) - e.offset
             with open(paths[-1].with_suffix(".torn"), "ab") as aside:
-                aside.write(data[e.at :])
-            os.truncate(paths[-1], e.at)
+                aside.write(data[e.offset :])
+            os.truncate(paths[-1], e.offset)
     state, state_seq = None, 0
     for path in sorted(folder.glob("[0-9]" * 20 + ".state"), reverse=True):
         try:
             (one,) = read(path.read_bytes(), LARGEST_STATE)
-        except (Torn, ValueError):
+        except (TornFrameError, ValueError):
             logger.warning("journal: snapshot {name} is not whole and is passed over", name=path.name)
             continue
         state, state_seq = one.body, one.seq
         break
     if state is None and not frames_ and any(folder.glob("[0-9]" * 20 + ".state")):
-        raise Corrupt("no snapshot is whole, and there are no segments")
+        raise CorruptJournalError("no snapshot is whole, and there are no segments")
     for before, after in zip(frames_, frames_[1:], strict=False):
         if after.seq != before.seq + 1 and after.seq > state_seq + 1:
-            raise Corrupt(f"charges {before.seq + 1} to {after.seq - 1} are missing")
+            raise CorruptJournalError(f"charges {before.seq + 1} to {after.seq - 1} are missing")
     first = frames_[0].seq if frames_ else 1
     if first > state_seq + 1:
-        raise Corrupt(f"charges {state_seq + 1} to {first - 1} are missing, and no snapshot holds them")
+        raise CorruptJournalError(f"charges {state_seq + 1} to {first - 1} are missing, and no snapshot holds them")
     last = frames_[-1].seq if frames_ else 0
-    return Found(max(last, state_seq), state, state_seq, [f for f in frames_ if f.seq > state_seq], cut)
+    return RecoveredJournal(max(last, state_seq), state, state_seq, [f for f in frames_ if f.seq > state_seq], cut)
 
 
 class Journal:
--- a/pearhill/durable/message_folder.py
+++ b/pearhill/durable/message_folder.py
@@ -12,7 +12,7 @@
 MOST_FILES = 16
 
 
-class Notes:
+class MessageFolder:
     """`name` may be any text, and several names may share the folder. OSError: the folder cannot be used."""
 
     def __init__(self, folder: str, name: str, start: int) -> None:
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -14,7 +14,7 @@
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.http1 import messages
 from pearhill.net.address import Address
-from pearhill.net.pool import CannotConnect, Pool, call
+from pearhill.net.pool import ConnectError, Pool, call
 from pearhill.net.ticks import pause
 from pearhill.routing.topology import Endpoint
 from pearhill.settings import Deployment
@@ -22,7 +22,7 @@
 ANSWER_WITHIN = 5_000_000
 RETRY = 1_000_000  # after a call that failed, or the fetch period where that is shorter
 CANCEL_WITHIN = 1_000_000
-FAILURES = (OSError, TimeoutError, ValueError, CannotConnect)
+FAILURES = (OSError, TimeoutError, ValueError, ConnectError)
 
 OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
--- a/pearhill/eureka/registry.py
+++ b/pearhill/eureka/registry.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.net.address import Address, parse_address
 from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
@@ -95,7 +95,7 @@
             if row.app != app:
                 continue
             try:
-                engine = engine_of(row.id)
+                engine = replica_id(row.id)
                 addresses[engine] = parse_address(row.endpoint)
                 entries.append(_entry(engine, row, deployment))
             except ValueError as e:
--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -20,7 +20,7 @@
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None: ...
 
-    def turn_away(self, status: int, headers: Headers, body: bytes) -> None:
+    def reject(self, status: int, headers: Headers, body: bytes) -> None:
         """Answer bad input. Danger: what follows it on its connection may be a part of it; none of that is served."""
 
     def start(self, status: int, headers: Headers = ()) -> None:
@@ -33,7 +33,7 @@
     def abort(self, last: bytes = b"") -> None:
         """The answer ends without its end, after these last bytes."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has gone, seen now; its `Pending` has been told then, or is as soon as there is one."""
 
 
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -24,16 +24,23 @@
 
 from pearhill.chat.file import EurekaTable
 from pearhill.config import ConfigError, typed
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
-from pearhill.load_reports.peer_loads import ROWS, Row
+from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.load_reports.reports import FRESH
-from pearhill.membership.aggregation_messages import LEASE, MOVED, PART_LEASE, Frame, FrameCodec, Part
+from pearhill.membership.aggregation_messages import (
+    LEASE,
+    MOVED,
+    PART_LEASE,
+    AggregationCodec,
+    AggregationMessage,
+    PartialSum,
+)
 from pearhill.membership.aggregator import BEAT as PART_EVERY
 from pearhill.membership.aggregator import CUT, IDLE, ROSTER_EVERY, SILENT, SNAPSHOT, SNAPSHOT_SLOT, Aggregator
-from pearhill.membership.gossip import Message
-from pearhill.membership.gossip_messages import TAG, Codec
-from pearhill.membership.members import ALIVE, BEAT, LEAST_PINGS, MOST_PINGS, ROUND, Ping, Rumour
+from pearhill.membership.gossip import GossipMessage
+from pearhill.membership.gossip_messages import TAG, GossipCodec
+from pearhill.membership.members import ALIVE, BEAT, LEAST_PINGS, MOST_PINGS, ROUND, MemberUpdate, Ping
 from pearhill.membership.reporter import (
     ANSWER_WAIT,
     BYTES_PER_S,
@@ -417,16 +424,19 @@
     prompts to be read at some of them, and another one whose work is as the fleet's, if requests fall anywhere alike.
     Counted once the table is told."""
     sites = [AggregatorSite("control-1", "r1"), AggregatorSite("control-2", "r2")]
-    start, codec, rng = 1_796_187_600 * S, FrameCodec([b"k" * 32]), random.Random(1)
+    start, codec, rng = 1_796_187_600 * S, AggregationCodec([b"k" * 32]), random.Random(1)
     hubs = {site.name: Aggregator(site.name, [s.name for s in sites], start, random.Random(2)) for site in sites}
 
-    def rows(count: int, reading: int, each: float) -> list[Row]:
+    def rows(count: int, reading: int, each: float) -> list[ReplicaLoad]:
         """`each`: requests at one engine. Danger: alike to the token, gauges would be packed into nothing."""
         drawn = [
             sum(rng.uniform(0.6, 1.4) for _ in range(max(1, round(rng.gauss(each, each**0.5))))) * STREAM_TOKENS
             for _ in range(count)
         ]
-        return [Row(engine_of(f"s-{k}"), int(load) if k < reading else 0, int(load)) for k, load in enumerate(drawn)]
+        return [
+            ReplicaLoad(replica_id(f"s-{k}"), int(load) if k < reading else 0, int(load))
+            for k, load in enumerate(drawn)
+        ]
 
     mine, all_ = rows(work, reads, 1.0), rows(engines, readers, FLEET_STREAMS)
     me, control = "dispatcher-123", "control-1"
@@ -437,13 +447,13 @@
     sent: Counter[str] = Counter()
     sizes: Counter[str] = Counter()
 
-    def pass_on(now: int, frames: list[Frame]) -> None:
+    def pass_on(now: int, frames: list[AggregationMessage]) -> None:
         for frame in frames:
             size = len(codec.pack(frame))
             if frame.sender in reporters:
                 reporters[frame.sender].sent(size)
             if now >= start + WARM and (
-                me in (frame.sender, frame.to) or (frame.sender == control and isinstance(frame, Part))
+                me in (frame.sender, frame.to) or (frame.sender == control and isinstance(frame, PartialSum))
             ):
                 kind = type(frame).__name__
                 sent[kind] += 1
@@ -451,15 +461,17 @@
                 sizes[kind] += size + HEADERS
             pass_on(
                 now,
-                hubs[frame.to].heard(now, frame) if frame.to in hubs else reporters[frame.to].heard(now, frame, size),
+                hubs[frame.to].receive(now, frame)
+                if frame.to in hubs
+                else reporters[frame.to].receive(now, frame, size),
             )
 
     for now in range(start, start + WARM + COUNTED, TURN):
         for reporter in reporters.values():
-            if reporter.next_beat(now) <= now:
-                pass_on(now, reporter.beat(now))
+            if reporter.next_tick(now) <= now:
+                pass_on(now, reporter.tick(now))
         for hub in hubs.values() if not (now - start) % PART_EVERY else ():
-            pass_on(now, hub.beat(now))
+            pass_on(now, hub.tick(now))
     assert hubs[control].figures(start + WARM)["engines"] == engines, "the table is not told yet"
     reports, seconds_ = sent["Reports"], COUNTED / S
     return Told(
@@ -467,8 +479,8 @@
         (sent["Report"] + sent["Sums"]) / seconds_,
         sizes["Report"] / reports,
         sizes["Sums"] / reports,
-        sent["Part"] / sent["Parts"],
-        sizes["Part"] / sent["Parts"],
+        sent["PartialSum"] / sent["PartialSums"],
+        sizes["PartialSum"] / sent["PartialSums"],
     )
 
 
@@ -479,17 +491,17 @@
 
 def talk_bytes(rows: int) -> int:
     """Bytes on the wire of one datagram of today's talk with a digest of so many rows."""
-    digest = tuple(Row(engine_of(f"s-{k}"), 3_815, 41_210) for k in range(rows))
+    digest = tuple(ReplicaLoad(replica_id(f"s-{k}"), 3_815, 41_210) for k in range(rows))
     started = 1_796_187_600_000_000
-    message = Message(
+    message = GossipMessage(
         "dispatcher-123",
         started,
         1 << 20,
         Ping("dispatcher-321", 1 << 47),
-        (Rumour("dispatcher-123", started, ALIVE),),
+        (MemberUpdate("dispatcher-123", started, ALIVE),),
         digest,
     )
-    return len(Codec([b"k" * 32]).pack(message)) + HEADERS
+    return len(GossipCodec([b"k" * 32]).pack(message)) + HEADERS
 
 
 @dataclass(frozen=True)
@@ -634,7 +646,7 @@
     @property
     def talk_bytes_s(self) -> float:
         """Both ways: each ping and its answer, mine and the others'."""
-        return 4 * self.pings * talk_bytes(ROWS)
+        return 4 * self.pings * talk_bytes(MAX_ROWS)
 
     def told(self, times: float = 1.0) -> Told:
         """What a dispatcher with so many times the mean's traffic tells its control machine, and hears."""
@@ -742,8 +754,8 @@
         made = []
         seen = f"of {self.busy_engines()[0]:.0f} engines where a dispatcher has work"
         for name, rows, pings in (
-            ("full talk, as today", ROWS, self.pings),
-            ("talk thinned to the bound", ROWS, budget / 4 / talk_bytes(ROWS)),
+            ("full talk, as today", MAX_ROWS, self.pings),
+            ("talk thinned to the bound", MAX_ROWS, budget / 4 / talk_bytes(MAX_ROWS)),
             ("the same with shorter digests", 12, budget / 4 / talk_bytes(12)),
         ):
             turn = (size.dispatchers - 1) / pings  # a round, in which each is heard twice, at any time of it
@@ -1108,7 +1120,7 @@
         "RATIO_MAX": RATIO_MAX,
         "FRESH": FRESH / S,
         "MOST_OUT": MOST_OUT,
-        "ROWS": ROWS,
+        "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
         "FETCH": EUREKA.fetch_s,
         "PACE": PACE / S,
@@ -1143,7 +1155,7 @@
             NOT_MEASURED=NOT_MEASURED,
             TALK=TALK,
             AGGREGATORS=AGGREGATORS,
-            talk_datagram=talk_bytes(ROWS),
+            talk_datagram=talk_bytes(MAX_ROWS),
         )
     )
     return re.sub(r"\n{3,}", "\n\n", text)
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -22,14 +22,14 @@
 
 from pearhill.chat.service import ChatService
 from pearhill.chat.setup import ChatSetup, loads
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.client import Eureka
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.child import Handle, run
 from pearhill.lab.scale.files import Place, filled
 from pearhill.lab.scale.measure import encoded
 from pearhill.lab.scale.work import Arrivals, Drawn
-from pearhill.load_reports.peer_loads import Row
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
 from pearhill.routing.topology import Endpoint
 
@@ -48,7 +48,7 @@
         self.read_at: list[int] | None = None  # when its gauges were read, while it leaves marks
         super().__init__(setup)
 
-    def _work(self) -> list[Row]:
+    def _work(self) -> list[ReplicaLoad]:
         if self.read_at is not None:
             observe.mark(self, len(self.read_at))
             self.read_at.append(time.monotonic_ns() // 1000)
@@ -58,7 +58,7 @@
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self._told) if setup.eureka else None
 
     def _told(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
-        self.node.listed(full, entries, addresses)
+        self.node.update_endpoints(full, entries, addresses)
         assert self._eureka
         first, newest, now = not self._newest, self._newest, time.monotonic()
         for row in self._eureka.registry.instances.values():
@@ -255,7 +255,7 @@
     def _look(self, told: dict[str, Any]) -> dict[str, Any]:
         """How things stand now: counts, traffic since the start, and for a few, the sums as they see them."""
         counts, total, own = [], Counter[str](), dict.fromkeys(told["engines"], 0.0)
-        numbers = [engine_of(name) for name in told["engines"]]
+        numbers = [replica_id(name) for name in told["engines"]]
         late = max(self.window.late, default=0)
         self.window.late = array("q")
         sums = []
@@ -268,7 +268,7 @@
                 own[name] += engines[number].load if number in engines else 0.0
             if k % 8 == 0:
                 sums.append(observe.seen(hollow.service, now, numbers))
-        lists = [len(hollow.service.node.dispatcher.engines) for hollow in self.hollows.values()]
+        lists = [len(hollow.service.node.dispatcher.endpoints) for hollow in self.hollows.values()]
         return {
             "at": time.monotonic(),
             "names": list(self.hollows),
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -61,7 +61,7 @@
 def mark(service: ChatService, number: int) -> None:
     """Have the gauge at the marked writer say this number, from now on."""
     if (engine := marked(service)) and service.fleet:
-        engine.load = TALK_MARK + number if service.fleet.talk else int(TOKENS[FIRST_CODE + number % CODES])
+        engine.load = TALK_MARK + number if service.fleet.gossip else int(TOKENS[FIRST_CODE + number % CODES])
 
 
 def read_mark(service: ChatService, now: int, marker: str) -> int:
@@ -69,13 +69,13 @@
     engine, fleet = marked(service), service.fleet
     if engine is None or fleet is None:
         return -1
-    if fleet.talk:
-        known = fleet.talk.council.work._last.get(marker)
+    if fleet.gossip:
+        known = fleet.gossip.protocol.work._last.get(marker)
         row = known[2].get(engine.id) if known else None
-        return row.load - TALK_MARK if row else -1
+        return row.total_tokens - TALK_MARK if row else -1
     assert fleet.reporting
     theirs = fleet.reporting.reporter.theirs(now, engine.id)
-    return max(-1, encode(theirs.load) - FIRST_CODE) if theirs else -1
+    return max(-1, encode(theirs.total_tokens) - FIRST_CODE) if theirs else -1
 
 
 def mark_ages(read_at: list[int], seen: Iterable[tuple[int, int]], talk: bool) -> list[int]:
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -10,7 +10,7 @@
 
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
-from pearhill.core.request import Ask, Attempt, Request
+from pearhill.core.request import Attempt, Request, RequestSpec
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.router import Engine, Router
 from pearhill.routing.topology import Role
@@ -62,7 +62,7 @@
     def __init__(self, ended: Callable[[str], None]) -> None:
         self._ended = ended
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, retry_after: int) -> None:
         self._ended("refused")
 
     def fail(self) -> None:
@@ -71,7 +71,7 @@
     def decline(self, said: Any) -> None:
         self._ended("failed")
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         pass
 
     def finish(self) -> None:
@@ -80,7 +80,7 @@
     def abort(self) -> None:
         self._ended("failed")
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
@@ -92,17 +92,17 @@
         self.dispatcher, self.deadlines, self.rng = dispatcher, deadlines, rng
 
     def send(self, attempt: Attempt) -> None:
-        if not attempt.may_begin():
+        if not attempt.may_start():
             return
         kinds = self.dispatcher.deployment.router.kinds
-        entry = self.dispatcher.engines[attempt.engine]
+        entry = self.dispatcher.endpoints[attempt.replica]
         if kinds[entry.kind].role == Role.PREFILL:
             wait = int(self.rng.expovariate(1 / LIGHT_READ_S) * 1e6)
             self.deadlines.after(wait, lambda: attempt.end(Outcome.PREFILLED, PROMPT // 2, may_hold=True))
             return
 
         def begun() -> None:
-            if attempt.begin():
+            if attempt.start_response():
                 answer = int(self.rng.expovariate(1 / (ANSWER * TOKEN_S)) * 1e6)
                 self.deadlines.after(answer, lambda: attempt.end(Outcome.ANSWERED, PROMPT // 2))
 
@@ -111,11 +111,11 @@
     def cancel(self, attempt: Attempt) -> bool:
         return True
 
-    def begun(self, attempt: Attempt) -> bool:
+    def has_started(self, attempt: Attempt) -> bool:
         return True
 
-    def probe(self, engine: int) -> None:
-        self.deadlines.after(1_000, lambda: self.dispatcher.probed(engine, Outcome.ANSWERED, (0.5, 1.0)))
+    def check_health(self, engine: int) -> None:
+        self.deadlines.after(1_000, lambda: self.dispatcher.health_check_ended(engine, Outcome.ANSWERED, (0.5, 1.0)))
 
     def release(self, request: Request, engines: Collection[int]) -> None:
         pass
@@ -143,7 +143,7 @@
         if self._stopped:
             return
         rng = self.rng
-        ask = Ask(
+        ask = RequestSpec(
             0,
             8_000_000,
             max(64, int(rng.expovariate(1 / PROMPT))),
@@ -153,7 +153,7 @@
             PROMPT // 2,
             rng.randrange(760),
         )
-        self.dispatcher.take(ask, NoClient(self._count), None)
+        self.dispatcher.accept(ask, NoClient(self._count), None)
         self._next()
 
     def _count(self, how: str) -> None:
--- a/pearhill/lifecycle/drain.py
+++ b/pearhill/lifecycle/drain.py
@@ -49,7 +49,7 @@
         self.yielding: int | None = None
         self.times = ShutdownTimes.for_deadline(LONGEST_DEADLINE)  # of the shutdown, once it has begun
 
-    def ask(self, now: int, on: bool) -> None:
+    def request(self, now: int, on: bool) -> None:
         """Operators' call. Asked for twice, it is one drain; ended without a beginning, it is none."""
         if not on:
             self.by_hand = None
@@ -65,7 +65,7 @@
         elif times.end_by < self.times.end_by:
             self.times = times
 
-    def give_way(self, now: int, on: bool) -> None:
+    def yield_to_successor(self, now: int, on: bool) -> None:
         """Another process takes the clients, or, having gone, no longer does."""
         self.yielding = None if not on else now if self.yielding is None else self.yielding
 
--- a/pearhill/lifecycle/endpoint_overrides.py
+++ b/pearhill/lifecycle/endpoint_overrides.py
@@ -5,42 +5,42 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from pearhill.lifecycle.overrides import Wishes
+from pearhill.lifecycle.overrides import OperatorOverrides
 from pearhill.routing.topology import Endpoint, Phase
 
 
-class Roster:
+class EndpointOverrides:
     """The list as it came, apart from what is told of it: an engine that is put back is what the list then says."""
 
-    def __init__(self, wishes: Wishes) -> None:
-        self.wishes = wishes
-        self.entries: dict[int, Endpoint] = {}
+    def __init__(self, wishes: OperatorOverrides) -> None:
+        self.overrides = wishes
+        self.endpoints: dict[int, Endpoint] = {}
 
-    def listed(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
+    def update(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
         """A list as discovery gives it; the same as the Router is told it."""
         if full:
-            self.entries = {}
+            self.endpoints = {}
         for entry in entries:
             if entry.phase == Phase.GONE:
-                self.entries.pop(entry.replica, None)
+                self.endpoints.pop(entry.replica, None)
             else:
-                self.entries[entry.replica] = entry
+                self.endpoints[entry.replica] = entry
         return tuple(self._told(entry) for entry in entries)
 
-    def again(self, engines: Iterable[int]) -> tuple[Endpoint, ...]:
+    def reapply(self, engines: Iterable[int]) -> tuple[Endpoint, ...]:
         """What to tell of these engines now that a wish has changed."""
-        return tuple(self._told(self.entries[engine]) for engine in engines if engine in self.entries)
+        return tuple(self._told(self.endpoints[engine]) for engine in engines if engine in self.endpoints)
 
     def knows(self, engine: int) -> bool:
         """Somebody has this id: it is listed, or out by hand and may come back."""
-        return engine in self.entries or self.wishes.is_out(engine)
+        return engine in self.endpoints or self.overrides.is_down(engine)
 
     def _told(self, entry: Endpoint) -> Endpoint:
-        if self.wishes.is_out(entry.replica):
+        if self.overrides.is_down(entry.replica):
             return replace(entry, phase=Phase.DRAINING) if entry.phase == Phase.READY else entry
-        back = self.wishes.back(entry.replica)
+        back = self.overrides.restored(entry.replica)
         # Danger: operators restart what is out, and the list tells of it seconds late. Taken for warm, it is pushed
         # over. A start that the list names, during the absence or later, is the true one.
         if back and entry.started_at < back.since:
-            return replace(entry, started_at=back.at)
+            return replace(entry, started_at=back.set_at)
         return entry
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from pearhill.lifecycle.overrides import MOST, Wish, Wishes
+from pearhill.lifecycle.overrides import MOST, OperatorOverrides, Override
 
 VERSION = 1
 MARK = f"pearhill-note {VERSION} ".encode()
@@ -18,15 +18,15 @@
 BEAT = 300_000  # between two writings of a note that says nothing new
 # A successor has 6 s from its start to its yes, and soon after the yes the elder is ended with all that it still
 # answers. Until this age it takes the clients, but leaves the elder the time.
-YES_BY = 5_200_000
+READY_BY = 5_200_000
 
 
-class BadNote(ValueError):
+class TakeoverMessageError(ValueError):
     """Not a note, or none that can be believed; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class TakeoverMessage:
     """`start`: of its process, which tells the two apart; `at`: when it was written; `serving`: it takes clients'
     connections; `quiet`: it answers nobody any more; `ended`: it will not be written again."""
 
@@ -36,12 +36,12 @@
     serving: bool
     quiet: bool
     ended: bool
-    out: dict[int, Wish]
-    drain: Wish | None
+    down: dict[int, Override]
+    drain: Override | None
     origin: int = 0  # how far its writer's clock is ahead of the monotonic clock that all processes of a boot share
     boot: str = ""  # which boot; empty: the writer could not tell
 
-    def aligned(self, origin: int, boot: str) -> Note:
+    def aligned(self, origin: int, boot: str) -> TakeoverMessage:
         """Its times by the reader's clock. The wall clock may have been stepped between the starts of the two."""
         by = origin - self.origin
         if not boot or boot != self.boot or not by:
@@ -50,7 +50,7 @@
             self,
             start=self.start + by,
             at=self.at + by,
-            out={engine: wish.shifted(by) for engine, wish in self.out.items()},
+            down={engine: wish.shifted(by) for engine, wish in self.down.items()},
             drain=self.drain and self.drain.shifted(by),
             origin=origin,
         )
@@ -63,8 +63,8 @@
             "serving": self.serving,
             "quiet": self.quiet,
             "ended": self.ended,
-            "out": {f"{engine:x}": [w.at, w.on, w.since] for engine, w in self.out.items()},
-            "drain": self.drain and [self.drain.at, self.drain.on, self.drain.since],
+            "out": {f"{engine:x}": [w.set_at, w.on, w.since] for engine, w in self.down.items()},
+            "drain": self.drain and [self.drain.set_at, self.drain.on, self.drain.since],
             "origin": self.origin,
             "boot": self.boot,
         }
@@ -72,25 +72,25 @@
         return MARK + b"%08x\n" % zlib.crc32(body) + body
 
 
-def _wish(told: object) -> Wish:
+def _wish(told: object) -> Override:
     match told:
         case [int(at), bool(on), int(since)] if at >= 0 and since >= 0:
-            return Wish(at, on, since)
-    raise BadNote("a wish that is none")
+            return Override(at, on, since)
+    raise TakeoverMessageError("a wish that is none")
 
 
-def decode(data: bytes, name: str) -> Note:
+def decode(data: bytes, name: str) -> TakeoverMessage:
     """BadNote: torn, of another version, of another dispatcher, or nonsense. Nothing of it is taken then."""
     head, newline, body = data.partition(b"\n")
     if not head.startswith(MARK):
-        raise BadNote("of another version" if head.startswith(b"pearhill-note ") else "no note")
+        raise TakeoverMessageError("of another version" if head.startswith(b"pearhill-note ") else "no note")
     if not newline or head[len(MARK) :] != b"%08x" % zlib.crc32(body):
-        raise BadNote("torn")
+        raise TakeoverMessageError("torn")
     try:
         told = json.loads(body)
         out = {int(engine, 16): _wish(wish) for engine, wish in told["out"].items()}
         drain = told["drain"] and _wish(told["drain"])
-        note = Note(
+        note = TakeoverMessage(
             str(told["name"]),
             int(told["start"]),
             int(told["at"]),
@@ -103,61 +103,61 @@
             str(told.get("boot", "")),
         )
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError) as e:
-        raise BadNote(f"unreadable: {e!r}") from None
+        raise TakeoverMessageError(f"unreadable: {e!r}") from None
     if note.name != name:
-        raise BadNote("of another dispatcher")
+        raise TakeoverMessageError("of another dispatcher")
     if len(out) > MOST:
-        raise BadNote("too many wishes")
+        raise TakeoverMessageError("too many wishes")
     return note
 
 
-class Handover:
+class Takeover:
     """One process's side. `parts`: how many processes share the limits now; `succeeded`: another one that started
     later takes clients' connections, so that none need be taken here; `elder`: an earlier one still lives, `awaited`:
     and still answers."""
 
-    def __init__(self, name: str, start: int, wishes: Wishes, origin: int = 0, boot: str = "") -> None:
-        self.name, self.start, self.wishes, self.origin, self.boot = name, start, wishes, origin, boot
-        self.parts, self.succeeded, self.elder, self.awaited = 1, False, False, False
-        self._written: Note | None = None
+    def __init__(self, name: str, start: int, wishes: OperatorOverrides, origin: int = 0, boot: str = "") -> None:
+        self.name, self.start, self.overrides, self.origin, self.boot = name, start, wishes, origin, boot
+        self.process_count, self.succeeded, self.predecessor_alive, self.predecessor_serving = 1, False, False, False
+        self._written: TakeoverMessage | None = None
 
-    def alive(self, note: Note, now: int) -> bool:
+    def alive(self, note: TakeoverMessage, now: int) -> bool:
         return not note.ended and abs(now - note.at) < ALIVE
 
-    def over(self, note: Note, now: int) -> bool:
+    def expired(self, note: TakeoverMessage, now: int) -> bool:
         """Nobody will need it any more: all that it tells is taken over here, or too old."""
         return abs(now - note.at) > LEFT or (note.start < self.start and not self.alive(note, now))
 
-    def heard(self, now: int, notes: Iterable[Note]) -> tuple[set[int], bool]:
+    def receive(self, now: int, notes: Iterable[TakeoverMessage]) -> tuple[set[int], bool]:
         """The others' notes as they stand: the engines whose wishes have changed, and whether the drain's has."""
         engines, drain = set[int](), False
         living = [note for note in notes if note.start != self.start and self.alive(note, now)]
-        self.parts = 1 + min(1, len(living))
-        self.elder = any(note.start < self.start for note in living)
-        self.awaited = any(note.start < self.start and not note.quiet for note in living)
+        self.process_count = 1 + min(1, len(living))
+        self.predecessor_alive = any(note.start < self.start for note in living)
+        self.predecessor_serving = any(note.start < self.start and not note.quiet for note in living)
         self.succeeded = any(note.start > self.start and note.serving for note in living)
         for note in notes:
             if note.start == self.start or abs(now - note.at) > LEFT:
                 continue
             # Danger: what is out stays out over any restart, but a drain that outlived its process would keep the
             # next one from ever being ready, long after whoever asked for it has gone.
-            changed, later = self.wishes.merge(note.out, note.drain if note in living else None)
+            changed, later = self.overrides.merge(note.down, note.drain if note in living else None)
             engines, drain = engines | changed, drain or later
-        self.wishes.forget(now)
+        self.overrides.forget(now)
         return engines, drain
 
-    def says_yes(self, age: int) -> bool:
+    def reports_ready(self, age: int) -> bool:
         """Whether a process of this age, which serves, lets the platform go on: that ends the elder."""
-        return not self.awaited or age >= YES_BY
+        return not self.predecessor_serving or age >= READY_BY
 
-    def not_written(self) -> None:
+    def write_failed(self) -> None:
         """The last note did not reach the folder: the next one has to be written whatever it says."""
         self._written = None
 
-    def note(self, now: int, serving: bool, quiet: bool, ended: bool = False) -> Note | None:
+    def message(self, now: int, serving: bool, quiet: bool, ended: bool = False) -> TakeoverMessage | None:
         """What to write now; None: what was last written will do."""
-        out, drain = dict(self.wishes.out), self.wishes.drain
-        note = Note(self.name, self.start, now, serving, quiet, ended, out, drain, self.origin, self.boot)
+        out, drain = dict(self.overrides.down), self.overrides.drain
+        note = TakeoverMessage(self.name, self.start, now, serving, quiet, ended, out, drain, self.origin, self.boot)
         last = self._written
         if last and now - last.at < BEAT and replace(note, at=last.at) == last:
             return None
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -11,7 +11,7 @@
 import random
 from typing import Protocol
 
-from pearhill.load_reports.query_policy import looks
+from pearhill.load_reports.query_policy import roles_worth_querying
 from pearhill.load_reports.reports import Reports
 from pearhill.routing.actions import Action, QueryLoad, SendHealthCheck, SetTimer
 from pearhill.routing.events import (
@@ -37,28 +37,28 @@
 GIVEN_UP = 2_000_000  # a probe whose end nobody told; the driver ends each much sooner
 
 
-class Looking:
+class PendingQuery:
     """One request that waits for what was asked on its behalf."""
 
     def __init__(self, engines: tuple[int, ...], missing: set[int], timer: int) -> None:
         self.engines, self.missing, self.timer = engines, missing, timer
 
 
-class Silence:
+class UnansweredChecks:
     """How long an engine has answered nobody here."""
 
     def __init__(self) -> None:
         self.times, self.until = 0, 0
 
 
-class Peers(Protocol):
+class PeerLoadSource(Protocol):
     """Other dispatchers that say what work they have (`pearhill.membership`)."""
 
     def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
         """Their tokens at an engine where I have this much: yet to be read, under way in all; and how sure that is."""
 
 
-class Scout:
+class LoadAwareRouter:
     """Feed it every event with its time, as one would a Router; do what it returns, in order."""
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
@@ -66,10 +66,10 @@
         # Danger: dispatchers that found an engine silent at the same moment would all ask again at the same moment.
         self.rng = random.Random(seed ^ 0x5C007)
         self.reports = Reports()
-        self.peers: Peers | None = None
+        self.peers: PeerLoadSource | None = None
         self.asked: dict[int, int] = {}  # engines with a probe out, and since when
-        self.looking: dict[int, Looking] = {}
-        self.silences: dict[int, Silence] = {}
+        self.looking: dict[int, PendingQuery] = {}
+        self.silences: dict[int, UnansweredChecks] = {}
         self.timers: dict[int, int] = {}  # the request that each is for
         self.timer = FIRST_TIMER
         self.reconfigure(settings)
@@ -77,7 +77,7 @@
     def reconfigure(self, settings: RouterSettings) -> None:
         """Other figures for the same classes, kinds and zones."""
         self.router.reconfigure(settings)
-        self.probes = looks(settings)
+        self.probes = roles_worth_querying(settings)
         self._looks()
         # Danger: a state that waits at a reader meanwhile must be taken or let go of in time.
         self.wait = max(
@@ -88,16 +88,16 @@
             ),
         )
 
-    def talk(self, peers: Peers | None) -> None:
+    def use_peers(self, peers: PeerLoadSource | None) -> None:
         """From now on these say what they have. What they say costs nothing more, so that every choice is looked at."""
         self.peers = peers
         self._looks()
 
-    def work(self) -> list[tuple[int, int, int]]:
+    def own_load(self) -> list[tuple[int, int, int]]:
         """My tokens at each engine: its number, yet to be read there, under way there in all."""
         return [(e.id, e.queue, e.load) for e in self.router.engines.values() if e.queue or e.load]
 
-    def figures(self, now: int) -> dict[int, tuple[int, int, bool]]:
+    def loads(self, now: int) -> dict[int, tuple[int, int, bool]]:
         """Of each listed engine: my tokens yet to be read there, mine under way there in all, whether I avoid it."""
         ejected = self._ejected(now)
         return {
@@ -118,8 +118,8 @@
     def _looks(self) -> None:
         self.router.looks = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
 
-    def avoided(self, now: int) -> int:
-        return sum(avoided for _, _, avoided in self.figures(now).values())
+    def avoided_count(self, now: int) -> int:
+        return sum(avoided for _, _, avoided in self.loads(now).values())
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """One event in, the actions it asks for out."""
@@ -130,7 +130,7 @@
                 request = self.timers.pop(event.timer, 0)
                 return self._seen(now, request) if request in self.looking else []
             case AttemptEnded() if event.load:
-                self.reports.heard(now, event.replica, event.load)
+                self.reports.receive(now, event.replica, event.load)
             case ClientDisconnected():
                 self.looking.pop(event.request, None)
         actions = self._answered(now, self.router.handle(now, event))
@@ -172,7 +172,7 @@
             self.asked[probe.replica] = now
         self.timer += 1
         self.timers[self.timer] = look.request
-        self.looking[look.request] = Looking(look.replicas, missing, self.timer)
+        self.looking[look.request] = PendingQuery(look.replicas, missing, self.timer)
         return [*probes, SetTimer(self.timer, self.wait)]
 
     def _ejected_until(self, now: int, engine: int) -> int:
@@ -183,9 +183,9 @@
         self.asked.pop(event.replica, None)
         if event.outcome == Outcome.ANSWERED:
             self.silences.pop(event.replica, None)
-            self.reports.heard(now, event.replica, event.load)
+            self.reports.receive(now, event.replica, event.load)
         elif event.outcome != Outcome.NOT_SENT and event.replica in self.router.engines:
-            silence = self.silences.setdefault(event.replica, Silence())
+            silence = self.silences.setdefault(event.replica, UnansweredChecks())
             wait = min(MOST_EJECTED, FIRST_EJECTED << min(8, silence.times))
             silence.times, silence.until = silence.times + 1, now + int(wait * self.rng.uniform(0.75, 1.25))
         out: list[Action] = []
@@ -203,13 +203,13 @@
         # Danger: of an engine that has not answered in time nothing is known, and so it would look the emptier of the
         # two: the silent one would get the request. Until its probe ends it is ejected for as long as was waited.
         for late in looking.missing:
-            silence = self.silences.setdefault(late, Silence())
+            silence = self.silences.setdefault(late, UnansweredChecks())
             silence.until = max(silence.until, now + self.wait)
         return self._facts(now, request, looking.engines)
 
     def _told(self, now: int, engine: int) -> LoadReport:
         """Its own word, or, where that says less, the sum of what all dispatchers have there."""
-        told = self.reports.told(now, engine, self._ejected_until(now, engine))
+        told = self.reports.report(now, engine, self._ejected_until(now, engine))
         if self.peers is None or (e := self.router.engines.get(engine)) is None or told.confidence > 0.5:
             return told
         waiting, load, sure = self.peers.others(now, engine, e.queue, e.load)
--- a/pearhill/load_reports/query_policy.py
+++ b/pearhill/load_reports/query_policy.py
@@ -19,7 +19,7 @@
 PROBES = 2  # engines to a choice
 
 
-def looks(settings: RouterSettings) -> frozenset[str]:
+def roles_worth_querying(settings: RouterSettings) -> frozenset[str]:
     """The roles at which to look before each choice; none where engines tell nothing."""
     if not settings.health_checks or settings.instances <= ALONE:
         return frozenset()
--- a/pearhill/load_reports/reports.py
+++ b/pearhill/load_reports/reports.py
@@ -26,7 +26,7 @@
     def __len__(self) -> int:
         return len(self._last)
 
-    def heard(self, now: int, engine: int, load: tuple[float, float] | None) -> bool:
+    def receive(self, now: int, engine: int, load: tuple[float, float] | None) -> bool:
         """A report has come. False: it tells nothing that can be so, and what was known stays."""
         # Danger: a figure that is no number compares as neither more nor less, and would win every choice.
         if load is None or not all(math.isfinite(x) and x >= 0 for x in load) or load[1] > MOST_WAITING:
@@ -39,7 +39,7 @@
         last = self._last.get(engine)
         return last is not None and now - last[0] < FRESH
 
-    def told(self, now: int, engine: int, ejected_until: int = 0) -> LoadReport:
+    def report(self, now: int, engine: int, ejected_until: int = 0) -> LoadReport:
         at, held, waiting = self._last.get(engine, (now, 0.0, 0.0))
         # Beyond a few halvings it is as good as nothing, and says so: an old word must not outvote fresh evidence.
         sure = 0.5 ** ((now - at) / FADE) if engine in self._last and now - at < 5 * FADE else 0.0
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from pearhill.membership import gauges
-from pearhill.membership.gossip_messages import MAX_BYTES, MOST_COUNT, TAG, Rejected, Sealer
+from pearhill.membership.gossip_messages import MAX_BYTES, MOST_COUNT, TAG, MessageAuthenticator, MessageRejectedError
 
 VERSION = 2
 CHUNK = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
@@ -37,7 +37,7 @@
 Member = tuple[Name, Count, Count, Maybe]  # name, incarnation, attach, silent_ms (-1: it left)
 
 
-class Frame(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What all have; `sequence` grows with each frame of a sender, whoever it is for."""
 
     sender: Name
@@ -46,7 +46,7 @@
     sequence: Count
 
 
-class Report(Frame, frozen=True, tag=0):
+class Report(AggregationMessage, frozen=True, tag=0):
     """A dispatcher's work, whole: packed gauges of the slots from `first` on, and engines that have none. `echo`: the
     newest of its reports to which this aggregator's answer has come, by which the aggregator knows how old this is."""
 
@@ -66,7 +66,7 @@
     echo: Maybe = -1
 
 
-class Sums(Frame, frozen=True, tag=1):
+class Sums(AggregationMessage, frozen=True, tag=1):
     """The answer to a report: the work of `heard` dispatchers of the `counted`. `settled`: that is no fresh start's."""
 
     answers: Count
@@ -85,7 +85,7 @@
     settled: bool = True
 
 
-class Part(Frame, frozen=True, tag=2):
+class PartialSum(AggregationMessage, frozen=True, tag=2):
     """The work of an aggregator's own dispatchers, to another aggregator. `echo`: the newest of the addressee's that
     has come, by the sequence of its first frame."""
 
@@ -105,7 +105,7 @@
     echo: Maybe = -1
 
 
-class Roster(Frame, frozen=True, tag=3):
+class MemberList(AggregationMessage, frozen=True, tag=3):
     """Whom an aggregator counts of its own."""
 
     part: PartNumber
@@ -113,52 +113,52 @@
     members: tuple[Member, ...]
 
 
-class Hello(Frame, frozen=True, tag=4):
+class Hello(AggregationMessage, frozen=True, tag=4):
     """Are you there? Answered by a HelloAck of the same number."""
 
     number: Count
 
 
-class HelloAck(Frame, frozen=True, tag=5):
+class HelloAck(AggregationMessage, frozen=True, tag=5):
     number: Count
 
 
-class Superseded(Frame, frozen=True, tag=6):
+class Superseded(AggregationMessage, frozen=True, tag=6):
     """A newer incarnation of the addressee's name is, or was, here."""
 
     known: Count
 
 
-_Any = Report | Sums | Part | Roster | Hello | HelloAck | Superseded
+_Any = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[_Any] = msgspec.msgpack.Decoder(_Any)
 
 
-class FrameCodec(Sealer):
+class AggregationCodec(MessageAuthenticator):
     version = VERSION
 
-    def pack(self, message: Frame) -> bytes:
+    def pack(self, message: AggregationMessage) -> bytes:
         """ValueError: it does not fit a datagram (who makes frames bounds them)."""
         body = _encoder.encode(message)
         if len(body) + 1 + TAG > MAX_BYTES:
             raise ValueError(f"{type(message).__name__} to {message.to}: {len(body)} bytes are too many")
         return self._seal(body)
 
-    def unpack(self, data: bytes, me: str) -> Frame:
+    def unpack(self, data: bytes, me: str) -> AggregationMessage:
         """Rejected: it is foreign, forged, torn, or for somebody else."""
         try:
             frame = _decoder.decode(self._open(data))
         except (msgspec.DecodeError, RecursionError):
-            raise Rejected("malformed") from None
+            raise MessageRejectedError("malformed") from None
         if frame.to != me:
-            raise Rejected("not-for-me")  # Danger: replayed to another, a report would be counted twice.
-        if isinstance(frame, Report | Sums | Part | Roster) and frame.part >= frame.parts:
-            raise Rejected("malformed")
-        if isinstance(frame, Report | Sums | Part):
+            raise MessageRejectedError("not-for-me")  # Danger: replayed to another, a report would be counted twice.
+        if isinstance(frame, Report | Sums | PartialSum | MemberList) and frame.part >= frame.parts:
+            raise MessageRejectedError("malformed")
+        if isinstance(frame, Report | Sums | PartialSum):
             try:
                 gauges.unpack(frame.loads, frame.slots), gauges.unpack(frame.waits, frame.slots)
             except ValueError:
-                raise Rejected("malformed") from None
+                raise MessageRejectedError("malformed") from None
             if frame.first + frame.slots > MOST_SLOTS:
-                raise Rejected("malformed")
+                raise MessageRejectedError("malformed")
         return frame
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -31,14 +31,14 @@
     PART_LEASE,
     ROOM,
     ROSTER_BYTES,
+    AggregationMessage,
     Entry,
-    Frame,
     Hello,
     HelloAck,
     Member,
-    Part,
+    MemberList,
+    PartialSum,
     Report,
-    Roster,
     Sums,
     Superseded,
 )
@@ -61,7 +61,7 @@
 UNFINISHED = 3  # messages of one sender whose parts are waited for
 
 Stay = tuple[int, int]  # incarnation, attach: the larger is the newer
-F = TypeVar("F", Report, Part)
+F = TypeVar("F", Report, PartialSum)
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
     engines: list[int] = field(default_factory=list)  # by its slots; -1: not known yet
     sent: OrderedDict[int, int] = field(default_factory=OrderedDict)  # sequence of a Part's first frame: when
     echo: int = -1  # the newest of its own that came
-    parts: dict[int, dict[int, Part]] = field(default_factory=dict)
+    parts: dict[int, dict[int, PartialSum]] = field(default_factory=dict)
     base: int = -1  # the newest that was taken
     lease: int = -1
     heard: int = 0
@@ -152,14 +152,14 @@
 
     # What comes in.
 
-    def heard(self, now: int, frame: Frame) -> list[Frame]:
+    def receive(self, now: int, frame: AggregationMessage) -> list[AggregationMessage]:
         """An authentic frame, whenever it comes and however often. The answers to it."""
         if isinstance(frame, Report | Hello):
             if frame.sender in self.peers or frame.sender == self.me:
                 return []
             if (superseded := self._superseded(now, frame)) is not None:
                 return superseded
-        elif not (isinstance(frame, Part | Roster) and frame.sender in self.peers):
+        elif not (isinstance(frame, PartialSum | MemberList) and frame.sender in self.peers):
             return []
         if not self._window.first_time(frame.sender, frame.incarnation, frame.sequence):
             return []
@@ -172,9 +172,9 @@
             self.peers[frame.sender] = peer = _Peer(frame.incarnation)
             self._roster_due = now
         peer.heard_at = now
-        if isinstance(frame, Part):
+        if isinstance(frame, PartialSum):
             self._part(now, peer, frame)
-        elif isinstance(frame, Roster):
+        elif isinstance(frame, MemberList):
             self._roster(now, frame)
         return []
 
@@ -182,7 +182,7 @@
         self._sequence += 1
         return self.me, to, self.incarnation, self._sequence
 
-    def _superseded(self, now: int, frame: Report | Hello) -> list[Frame] | None:
+    def _superseded(self, now: int, frame: Report | Hello) -> list[AggregationMessage] | None:
         """What to say when a newer incarnation of the sender's name is known; None: none is."""
         known, caller = self.known.get(frame.sender), self._callers.get(frame.sender)
         # What another aggregator tells of it comes each 2 s, if it comes.
@@ -199,7 +199,7 @@
             return [HelloAck(*self._head(frame.sender), frame.number)]
         return [] if frame.part or frame.leaving else [Superseded(*self._head(frame.sender), newest)]
 
-    def _report(self, now: int, r: Report) -> list[Frame]:
+    def _report(self, now: int, r: Report) -> list[AggregationMessage]:
         caller, stay = self._callers.get(r.sender), (r.incarnation, r.attach)
         if caller is None or caller.incarnation != r.incarnation:
             caller = self._callers[r.sender] = _Caller(r.incarnation)
@@ -355,7 +355,7 @@
         self._snapshot = _Snapshot(now, heard + len(included), included, _chunks(loads, waits))
         return self._snapshot
 
-    def _answer(self, now: int, r: Report) -> list[Frame]:
+    def _answer(self, now: int, r: Report) -> list[AggregationMessage]:
         snap = self._snap(now)
         known_version = r.known_version if r.known_incarnation == self.incarnation else 0
         entries = self._entries(known_version)
@@ -389,7 +389,7 @@
 
     # Other aggregators.
 
-    def _part(self, now: int, peer: _Peer, p: Part) -> None:
+    def _part(self, now: int, peer: _Peer, p: PartialSum) -> None:
         base = p.sequence - p.part
         if base > peer.echo:
             peer.echo = base
@@ -417,7 +417,7 @@
                     loads[mine], waits[mine] = TOKENS[load], TOKENS[wait]
         peer.loads, peer.waits = loads, waits
 
-    def _roster(self, now: int, frame: Roster) -> None:
+    def _roster(self, now: int, frame: MemberList) -> None:
         for name, incarnation, attach, silent_ms in frame.members:
             left, silent = silent_ms < 0, max(0, silent_ms) * 1000
             # One that is told of though silent for longer is kept as cut off.
@@ -430,7 +430,7 @@
 
     # Beats.
 
-    def beat(self, now: int) -> list[Frame]:
+    def tick(self, now: int) -> list[AggregationMessage]:
         """One beat: what has run out, and what the other aggregators are to know."""
         if now - self._beat_at > LATE:
             # Danger: it is I who stood still. What they had to say waits unread, and all would be held for silent.
@@ -445,7 +445,7 @@
             self._sweep(now)
         chunks = _chunks(self._loads, self._waits)
         heard = sum(m.lease >= 0 for m in self.members.values())
-        frames: list[Frame] = []
+        frames: list[AggregationMessage] = []
         for name, peer in self.peers.items():
             frames += self._parts(now, name, peer, chunks, heard)
         told = frozenset((name, k.stay, k.left) for name, k in self.known.items())
@@ -459,13 +459,13 @@
 
     def _parts(
         self, now: int, name: str, peer: _Peer, chunks: list[tuple[int, int, bytes, bytes]], heard: int
-    ) -> list[Frame]:
+    ) -> list[AggregationMessage]:
         entries = self._entries(peer.known_version)
         if entries or not chunks:
             chunks = [(0, 0, b"\0", b"\0"), *chunks]
         _remember(peer.sent, self._sequence + 1, now)
         return [
-            Part(
+            PartialSum(
                 *self._head(name),
                 heard,
                 len(self.members),
@@ -485,7 +485,7 @@
             for k, (first, slots, loads, waits) in enumerate(chunks)
         ]
 
-    def _rosters(self, now: int, to: str) -> list[Frame]:
+    def _rosters(self, now: int, to: str) -> list[AggregationMessage]:
         pieces: list[list[Member]] = [[]]
         size = 0
         for name, k in self.known.items():
@@ -496,7 +496,7 @@
                 size = len(name.encode()) + 22
             if size <= ROSTER_BYTES:
                 pieces[-1].append((name, *k.stay, silent))
-        return [Roster(*self._head(to), n, len(pieces), tuple(piece)) for n, piece in enumerate(pieces)]
+        return [MemberList(*self._head(to), n, len(pieces), tuple(piece)) for n, piece in enumerate(pieces)]
 
     def _forget(self, now: int) -> None:
         """Whoever has been silent for long, unless so many fell silent together that it is a cut."""
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from pearhill.load_reports.peer_loads import Row, Work, cut
-from pearhill.membership.members import DEAD, Members, Rumour, Say
+from pearhill.load_reports.peer_loads import PeerLoads, ReplicaLoad, largest_loads
+from pearhill.membership.members import DEAD, Members, MemberUpdate, Payload
 from pearhill.membership.replay_window import ReplayWindow
 
 LOST_AT_ONCE = 1 / 3  # of the fleet: more than that, gone together, is a cut and not so many deaths
@@ -16,53 +16,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class GossipMessage:
     """What one dispatcher sends another; `sequence` grows with each, whoever it is for."""
 
     sender: str
     incarnation: int
     sequence: int
-    say: Say
-    rumours: tuple[Rumour, ...]
-    rows: tuple[Row, ...]
+    payload: Payload
+    updates: tuple[MemberUpdate, ...]
+    loads: tuple[ReplicaLoad, ...]
 
 
-class Council:
+class GossipProtocol:
     """`work` tells my own tokens at each engine, as they are now."""
 
     def __init__(
-        self, me: str, peers: Iterable[str], started: int, rng: random.Random, work: Callable[[], Iterable[Row]]
+        self, me: str, peers: Iterable[str], started: int, rng: random.Random, work: Callable[[], Iterable[ReplicaLoad]]
     ) -> None:
-        self.members, self.work, self._mine = Members(me, peers, started, started, rng), Work(), work
+        self.members, self.work, self._mine = Members(me, peers, started, started, rng), PeerLoads(), work
         self._sequence = 0
         self._peers = set(self.members.members)  # counted, as of the last beat
         self._window = ReplayWindow()
 
-    def beat(self, now: int) -> list[Message]:
-        says = self.members.beat(now)
+    def tick(self, now: int) -> list[GossipMessage]:
+        says = self.members.tick(now)
         self._peers = self.counted(now)
         self.work.weigh(now, self._peers)
         return self._messages(says)
 
-    def heard(self, now: int, message: Message) -> list[Message]:
+    def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
         """An authentic message, whenever it comes and however often. The answers to it."""
         # Danger: sent again, the words of a dead dispatcher would be signs of its life.
         if message.sender not in self.members.members or not self._window.first_time(
             message.sender, message.incarnation, message.sequence
         ):
             return []
-        self.work.heard(now, message.sender, (message.incarnation, message.sequence), message.rows)
+        self.work.receive(now, message.sender, (message.incarnation, message.sequence), message.loads)
         return self._messages(
-            self.members.heard(now, message.sender, message.incarnation, message.say, message.rumours)
+            self.members.receive(now, message.sender, message.incarnation, message.payload, message.updates)
         )
 
-    def _messages(self, says: list[Say]) -> list[Message]:
-        rows = tuple(cut(self._mine())) if says else ()
+    def _messages(self, says: list[Payload]) -> list[GossipMessage]:
+        rows = tuple(largest_loads(self._mine())) if says else ()
         made = []
         for say in says:
             self._sequence += 1
             made.append(
-                Message(
+                GossipMessage(
                     self.members.me,
                     self.members.incarnation,
                     self._sequence,
@@ -90,8 +90,8 @@
     def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
         """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
         much of that is fresh word."""
-        told = self.work.others(now, engine, self._peers, Row(engine, waiting, load))
-        return told.waiting, told.load, told.sure
+        told = self.work.others(now, engine, self._peers, ReplicaLoad(engine, waiting, load))
+        return told.queued_tokens, told.total_tokens, told.confidence
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         self.members.reconfigure(peers, now)
--- a/pearhill/membership/gossip_messages.py
+++ b/pearhill/membership/gossip_messages.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from pearhill.load_reports.peer_loads import ROWS, Row
-from pearhill.membership.gossip import Message
-from pearhill.membership.members import RUMOURS, Ack, Ask, Ping, Rumour
+from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
+from pearhill.membership.gossip import GossipMessage
+from pearhill.membership.members import MAX_UPDATES, Ack, MemberUpdate, Ping, PingRequest
 
 VERSION = 1
 MAX_BYTES = 1400
@@ -21,7 +21,7 @@
 PING, ACK, ASK = 0, 1, 2
 
 
-class Rejected(Exception):
+class MessageRejectedError(Exception):
     """A datagram that is not taken; the text is its reason code."""
 
 
@@ -41,7 +41,7 @@
 _decoder: msgspec.msgpack.Decoder[_Body] = msgspec.msgpack.Decoder(_Body)
 
 
-class Sealer:
+class MessageAuthenticator:
     """Datagrams of one version with a keyed checksum. `keys`: the first one signs, any of them is accepted, so that a
     key is changed without a gap."""
 
@@ -58,12 +58,12 @@
     def _open(self, data: bytes) -> bytes:
         """The body. Rejected: it is foreign, forged or torn."""
         if len(data) > MAX_BYTES or len(data) <= 1 + TAG:
-            raise Rejected("size")
+            raise MessageRejectedError("size")
         if data[0] != self.version:
-            raise Rejected("version")
+            raise MessageRejectedError("version")
         tag, body = data[1 : 1 + TAG], data[1 + TAG :]
         if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self.keys):
-            raise Rejected("forged")
+            raise MessageRejectedError("forged")
         return body
 
     @classmethod
@@ -71,46 +71,48 @@
         return hmac.digest(key, bytes((cls.version,)) + body, hashlib.sha256)[:TAG]
 
 
-class Codec(Sealer):
+class GossipCodec(MessageAuthenticator):
     version = VERSION
 
-    def pack(self, m: Message) -> bytes:
+    def pack(self, m: GossipMessage) -> bytes:
         """Danger: a digest of many engines does not fit. Its smallest rows go, then the last rumours."""
-        kind, target = {Ping: (PING, ""), Ack: (ACK, ""), Ask: (ASK, "")}[type(m.say)]
-        if isinstance(m.say, Ask):
-            target = m.say.target
-        rumours = [(r.name, r.incarnation, r.state) for r in m.rumours]
-        rows = [(r.engine, r.waiting, r.load) for r in m.rows]
+        kind, target = {Ping: (PING, ""), Ack: (ACK, ""), PingRequest: (ASK, "")}[type(m.payload)]
+        if isinstance(m.payload, PingRequest):
+            target = m.payload.target
+        rumours = [(r.name, r.incarnation, r.state) for r in m.updates]
+        rows = [(r.replica, r.queued_tokens, r.total_tokens) for r in m.loads]
         while True:
             body = _encoder.encode(
-                _Body(m.sender, m.say.to, m.incarnation, m.sequence, kind, m.say.number, target, rumours, rows)
+                _Body(m.sender, m.payload.to, m.incarnation, m.sequence, kind, m.payload.number, target, rumours, rows)
             )
             if len(body) + 1 + TAG <= MAX_BYTES or not (rows or rumours):
                 break
             (rows or rumours).pop()
         return self._seal(body)
 
-    def unpack(self, data: bytes, me: str) -> Message:
+    def unpack(self, data: bytes, me: str) -> GossipMessage:
         """Rejected: it is foreign, forged, torn, or for somebody else."""
         try:
             b = _decoder.decode(self._open(data))
         except (msgspec.DecodeError, RecursionError):
-            raise Rejected("malformed") from None
+            raise MessageRejectedError("malformed") from None
         if b.to != me:
-            raise Rejected("not-for-me")  # Danger: replayed to another, an ack would clear a ping that it never saw.
+            raise MessageRejectedError(
+                "not-for-me"
+            )  # Danger: replayed to another, an ack would clear a ping that it never saw.
         if (
-            len(b.rumours) > RUMOURS
-            or len(b.rows) > ROWS
+            len(b.rumours) > MAX_UPDATES
+            or len(b.rows) > MAX_ROWS
             or b.kind not in (PING, ACK, ASK)
             or any(not 0 <= n <= MOST_COUNT for n in (b.incarnation, b.sequence, *(r[1] for r in b.rumours)))
         ):
-            raise Rejected("malformed")
-        say = Ask(me, b.number, b.target) if b.kind == ASK else (Ack if b.kind == ACK else Ping)(me, b.number)
-        return Message(
+            raise MessageRejectedError("malformed")
+        say = PingRequest(me, b.number, b.target) if b.kind == ASK else (Ack if b.kind == ACK else Ping)(me, b.number)
+        return GossipMessage(
             b.sender,
             b.incarnation,
             b.sequence,
             say,
-            tuple(Rumour(*r) for r in b.rumours),
-            tuple(Row(*r) for r in b.rows),
+            tuple(MemberUpdate(*r) for r in b.rumours),
+            tuple(ReplicaLoad(*r) for r in b.rows),
         )
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -21,12 +21,12 @@
 HELPERS = 3
 LATE = 3 * BEAT  # between two beats of mine
 SUSPECT_FOR = 2_000_000  # to object in
-RUMOURS = 12  # carried by one message
+MAX_UPDATES = 12  # carried by one message
 _RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
 
 
 @dataclass(frozen=True, slots=True)
-class Rumour:
+class MemberUpdate:
     name: str
     incarnation: int
     state: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PingRequest:
     """Please ping `target` for me."""
 
     to: str
@@ -55,7 +55,7 @@
     target: str
 
 
-Say = Ping | Ack | Ask
+Payload = Ping | Ack | PingRequest
 
 
 @dataclass(slots=True)
@@ -101,7 +101,7 @@
         self._out = {n: out for n, out in self._out.items() if out.to in names}
         self._news = {name: times for name, times in self._news.items() if name in names or name == self.me}
 
-    def beat(self, now: int) -> list[Say]:
+    def tick(self, now: int) -> list[Payload]:
         """One beat: what is due of pings that are out, and the next ones."""
         if now - self._beat_at > LATE:
             # Danger: it is I who stood still. What a suspect has to say waits unread, and it would be held for dead.
@@ -127,14 +127,14 @@
         self._out[self._number] = _Out(to, now, bool(asker), asker, number)
         return Ping(to, self._number)
 
-    def _overdue(self, now: int) -> list[Say]:
-        says: list[Say] = []
+    def _overdue(self, now: int) -> list[Payload]:
+        says: list[Payload] = []
         for number, out in list(self._out.items()):
             if not out.asked and now - out.at >= ACK_WAIT:
                 out.asked = True
                 able = [n for n, m in self.members.items() if m.state == ALIVE and n != out.to]
                 helpers = self.rng.sample(able, min(HELPERS, len(able)))
-                says += [Ask(helper, number, out.to) for helper in helpers]
+                says += [PingRequest(helper, number, out.to) for helper in helpers]
             elif now - out.at >= 2 * ACK_WAIT:
                 del self._out[number]
                 m = self.members[out.to]
@@ -142,17 +142,19 @@
                     self._set(now, out.to, m.incarnation, SUSPECT)
         return says
 
-    def heard(self, now: int, name: str, incarnation: int, said: Say | None, rumours: Iterable[Rumour]) -> list[Say]:
+    def receive(
+        self, now: int, name: str, incarnation: int, said: Payload | None, rumours: Iterable[MemberUpdate]
+    ) -> list[Payload]:
         """An authentic message of a peer that has not come before. What to say to it."""
         if name not in self.members:
             return []
-        self._rumour(now, Rumour(name, incarnation, ALIVE))
+        self._rumour(now, MemberUpdate(name, incarnation, ALIVE))
         for rumour in rumours:
             self._rumour(now, rumour)
         match said:
             case Ping(_, number):
                 return [Ack(name, number)]
-            case Ask(_, number, target) if target in self.members and target != name:
+            case PingRequest(_, number, target) if target in self.members and target != name:
                 return [self._ping(now, target, name, number)]
             case Ack(_, number) if (out := self._out.get(number)) and out.to == name:
                 del self._out[number]
@@ -161,23 +163,23 @@
                 del self._out[number]  # a helper's word that the target has answered it
         return []
 
-    def rumours(self, to: str) -> list[Rumour]:
+    def rumours(self, to: str) -> list[MemberUpdate]:
         """What the next message carries on: my own state, what I hold of its addressee if that is amiss, then the news
         told least often."""
         most = 3 * math.ceil(math.log2(len(self.members) + 2))
-        told = [Rumour(self.me, self.incarnation, ALIVE)]
+        told = [MemberUpdate(self.me, self.incarnation, ALIVE)]
         if (about := self.members.get(to)) and about.state != ALIVE:  # it must hear of it to object
-            told.append(Rumour(to, about.incarnation, about.state))
-        for name in sorted(self._news, key=lambda n: self._news[n])[: RUMOURS - len(told)]:
+            told.append(MemberUpdate(to, about.incarnation, about.state))
+        for name in sorted(self._news, key=lambda n: self._news[n])[: MAX_UPDATES - len(told)]:
             if name in self.members and name != to:
                 m = self.members[name]
-                told.append(Rumour(name, m.incarnation, m.state))
+                told.append(MemberUpdate(name, m.incarnation, m.state))
             self._news[name] += 1
             if self._news[name] >= most:
                 del self._news[name]
         return told
 
-    def _rumour(self, now: int, r: Rumour) -> None:
+    def _rumour(self, now: int, r: MemberUpdate) -> None:
         if r.name == self.me:
             # Danger: a word of my death that nobody objects to spreads, and all the others reckon without me.
             if r.state != ALIVE and r.incarnation >= self.incarnation:
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pearhill.load_reports.peer_loads import Row
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
     CHUNK,
     MOVED,
     NEWS,
     ROOM,
+    AggregationMessage,
     Entry,
-    Frame,
     Hello,
     HelloAck,
     Report,
@@ -108,11 +108,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Theirs:
+class PeerLoad:
     """Others' tokens at an engine, of how many of them, and since when."""
 
-    waiting: float
-    load: float
+    queued_tokens: float
+    total_tokens: float
     heard: int
     at: int
 
@@ -128,7 +128,7 @@
         aggregators: Iterable[AggregatorSite],
         started: int,
         rng: random.Random,
-        work: Callable[[], Iterable[Row]],
+        work: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
         self.me, self.region, self.incarnation, self.rng, self._mine = me, region, started, rng, work
         self._window, self._sequence = ReplayWindow(), 0
@@ -174,7 +174,7 @@
 
     # Reports.
 
-    def next_beat(self, now: int) -> int:
+    def next_tick(self, now: int) -> int:
         """When `beat` is to be called next; it may change with each frame that is heard."""
         due = max(self._due, self._debt)
         return max(now, min(due, self._hello_due) if self._away() else due)
@@ -182,7 +182,7 @@
     def _away(self) -> bool:
         return bool(self._order) and self.current != self._order[0]
 
-    def beat(self, now: int) -> list[Frame]:
+    def tick(self, now: int) -> list[AggregationMessage]:
         """What is due by now, be it nothing."""
         if not self._order:
             self._due = now + PACE
@@ -190,7 +190,7 @@
         if now - max(self._due, self._debt) > STOOD_STILL and self._waiting_since >= 0:
             self._waiting_since = now  # Danger: the answers wait unread, and a good aggregator would be left
         self._now = now
-        frames: list[Frame] = []
+        frames: list[AggregationMessage] = []
         if self._away() and now >= self._hello_due:
             self._hello_due = now + self._hello_wait()
             if self._hello_number >= 0:
@@ -242,19 +242,19 @@
         """When the last report to another aggregator than this went out."""
         return max((at for name, at in self._last_report.items() if name != self.current), default=-MOVED - GONE)
 
-    def _report(self, now: int) -> list[Frame]:
+    def _report(self, now: int) -> list[AggregationMessage]:
         table = self._tables[self.current]
         n = len(table.engines)
         loads, waits, fresh, codes = bytearray(n), bytearray(n), list[tuple[int, int, int]](), Codes()
         for row in self._mine():
-            load, waiting = encode(row.load), encode(row.waiting)
+            load, waiting = encode(row.total_tokens), encode(row.queued_tokens)
             if not load and not waiting:
                 continue
-            if (slot := table.slot_of.get(row.engine)) is not None:
+            if (slot := table.slot_of.get(row.replica)) is not None:
                 loads[slot], waits[slot] = load, waiting
-                codes[row.engine] = waiting, load
+                codes[row.replica] = waiting, load
             else:
-                fresh.append((load, waiting, row.engine))
+                fresh.append((load, waiting, row.replica))
         fresh.sort(reverse=True)
         # What has no slot here most likely has one, of which the next answers tell.
         some = NEWS if table.whole else NEWS_AT_FIRST
@@ -276,7 +276,7 @@
 
     def _parts(
         self, now: int, table: _Table, loads: bytes, waits: bytes, news: tuple[tuple[int, int, int], ...]
-    ) -> list[Frame]:
+    ) -> list[AggregationMessage]:
         """One part if it fits; else chunks of slots, and the news by itself."""
         packed = pack(loads), pack(waits)
         if len(packed[0]) + len(packed[1]) + len(news) * NEWS_BYTES <= ROOM:
@@ -315,7 +315,7 @@
             for k, (first, slots, some, waiting, told) in enumerate(pieces)
         ]
 
-    def leave(self, now: int) -> list[Frame]:
+    def leave(self, now: int) -> list[AggregationMessage]:
         """The last word: nobody is to count me any more."""
         if not self._order:
             return []
@@ -348,7 +348,7 @@
 
     # Answers.
 
-    def heard(self, now: int, frame: Frame, size: int) -> list[Frame]:
+    def receive(self, now: int, frame: AggregationMessage, size: int) -> list[AggregationMessage]:
         """An authentic frame, whenever it comes and however often; `size`: bytes of its datagram."""
         self._now = max(self._now, now)
         self._bytes["in"] += size + HEADERS
@@ -439,12 +439,12 @@
         heard = worth * min(theirs.heard, others)
         scale = (1 + others) / (1 + heard)
         return (
-            max(0.0, (waiting + worth * theirs.waiting) * scale - waiting),
-            max(0.0, (load + worth * theirs.load) * scale - load),
+            max(0.0, (waiting + worth * theirs.queued_tokens) * scale - waiting),
+            max(0.0, (load + worth * theirs.total_tokens) * scale - load),
             heard / others,
         )
 
-    def theirs(self, now: int, engine: int) -> Theirs | None:
+    def theirs(self, now: int, engine: int) -> PeerLoad | None:
         """What the others said that they have at an engine; None: no sums of it are known, or they are too old."""
         table = self._tables.get(self._sums_of)
         slot = table.slot_of.get(engine) if table else None
@@ -453,12 +453,12 @@
         if table is None or not table.whole or chunk is None or now - chunk.at >= GONE:
             return None
         if slot is None:
-            return Theirs(0.0, 0.0, chunk.heard, chunk.at) if table.version >= table.latest else None
+            return PeerLoad(0.0, 0.0, chunk.heard, chunk.at) if table.version >= table.latest else None
         if table.since[slot] > chunk.version:
             return None  # these are another engine's
         mine = chunk.mine.get(engine, (0, 0))
         waiting, load = TOKENS[chunk.waits[slot - chunk.first]], TOKENS[chunk.loads[slot - chunk.first]]
-        return Theirs(max(0.0, waiting - TOKENS[mine[0]]), max(0.0, load - TOKENS[mine[1]]), chunk.heard, chunk.at)
+        return PeerLoad(max(0.0, waiting - TOKENS[mine[0]]), max(0.0, load - TOKENS[mine[1]]), chunk.heard, chunk.at)
 
     def figures(self, now: int) -> dict[str, Any]:
         """For operators."""
--- a/pearhill/net/accept_queue.py
+++ b/pearhill/net/accept_queue.py
@@ -8,7 +8,7 @@
 LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv of struct tcp_info (linux/tcp.h): milliseconds
 
 
-def waited_us(sock: socket.socket) -> int:
+def accept_queue_wait_us(sock: socket.socket) -> int:
     """Microseconds since the last data came on this connection; 0 where the system does not tell."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -16,10 +16,10 @@
 from pearhill.http1.handler import Pending
 from pearhill.http1.messages import Headers, RequestMessage
 from pearhill.http1.server import ContinueWanted, Rejected, ServerConnection
-from pearhill.net.accept_queue import waited_us
-from pearhill.net.socket_reader import Incoming, passes
-from pearhill.net.socket_writer import Outgoing
-from pearhill.routing.permissions import Use, may_close
+from pearhill.net.accept_queue import accept_queue_wait_us
+from pearhill.net.socket_reader import SocketReader, passes
+from pearhill.net.socket_writer import SocketWriter
+from pearhill.routing.permissions import ConnectionUse, may_close
 
 if TYPE_CHECKING:
     from pearhill.net.listener import Listener
@@ -50,7 +50,7 @@
     def __init__(self, listener: Listener, sock: socket.socket, peer: Any, waited: bool = False) -> None:
         self.listener, self.sock, self.peer = listener, sock, peer
         self.machine = ServerConnection(listener.max_body)
-        self.incoming, self.outgoing = Incoming(listener.loop, sock), Outgoing(listener.loop, sock)
+        self.incoming, self.outgoing = SocketReader(listener.loop, sock), SocketWriter(listener.loop, sock)
         self.waiting: deque[RequestMessage | Rejected] = deque()
         self.pending: Pending | None = None
         self.answering = self.closed = self.ending = False
@@ -80,21 +80,21 @@
         return not (self.answering or self.waiting or self._out or (self._writer and not self._writer.done()))
 
     @property
-    def use(self) -> Use:
+    def use(self) -> ConnectionUse:
         """What it is good for now."""
         if self.closed or not self.idle_but_reading:
-            return Use.NEEDED
+            return ConnectionUse.ANSWERING
         if self.ending:
-            return Use.SPENT
+            return ConnectionUse.FINISHED
         if self.machine.in_message:
-            return Use.HALF
-        return Use.IDLE if self.requests else Use.SILENT
+            return ConnectionUse.PARTIAL_REQUEST
+        return ConnectionUse.IDLE if self.requests else ConnectionUse.UNUSED
 
     @property
     def may_close(self) -> bool:
         """Whether it may make room for another."""
         use = self.use
-        looks = use not in (Use.SPENT, Use.NEEDED)  # a system call: only where it can matter
+        looks = use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING)  # a system call: only where it can matter
         unread = looks and self._unread() != Unread.NONE
         return may_close(use, unread, self.listener.deadlines.clock() - self.since)
 
@@ -114,7 +114,7 @@
 
     # Reply.
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed, half-closed or reset its connection, by the socket itself. A busy loop
         has not come to read it, or its end stands behind more that it has sent, and its request would be sent on."""
         looked = 0
@@ -136,7 +136,7 @@
         self._put(messages.answer(status, headers, body, close=not self._keeps()))
         self._done()
 
-    def turn_away(self, status: int, headers: Headers, body: bytes) -> None:
+    def reject(self, status: int, headers: Headers, body: bytes) -> None:
         self._keep, self._reason = False, f"rejected-{status}"
         self.answer(status, headers, body)
 
@@ -225,7 +225,7 @@
 
     def _reject(self, message: Rejected) -> None:
         self.listener.counters.rejected += 1
-        self.turn_away(message.status, *self.listener.handler.rejected(message.status, message.why))
+        self.reject(message.status, *self.listener.handler.rejected(message.status, message.why))
 
     def _watch(self) -> None:
         """One deadline a connection: for a half-sent request, or for the next one to begin. Were it set anew
@@ -304,7 +304,7 @@
     def _unread_for(self) -> int:
         """How long what was read just now had been there, where it was the system that kept it from being read."""
         waited, self._waited = self._waited, False
-        return max(int(self.incoming.delayed_s * 1e6), waited_us(self.sock) if waited else 0)
+        return max(int(self.incoming.delayed_s * 1e6), accept_queue_wait_us(self.sock) if waited else 0)
 
     @property
     def _floods(self) -> bool:
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.aggregation_messages import VERSION, Frame, FrameCodec
+from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator import BEAT, Aggregator
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
@@ -23,7 +23,7 @@
     def __init__(
         self,
         aggregator: Aggregator,
-        codec: FrameCodec,
+        codec: AggregationCodec,
         peers: Mapping[str, Address],
         deadlines: Deadlines,
         datagrams: Datagrams,
@@ -38,7 +38,7 @@
         self.datagrams.takers[VERSION] = self._take
         self._beat()
 
-    def reconfigure(self, codec: FrameCodec, peers: Mapping[str, Address]) -> None:
+    def reconfigure(self, codec: AggregationCodec, peers: Mapping[str, Address]) -> None:
         """Other keys, other peers; what is known of those that stay, stays."""
         self.codec, self.peers = codec, peers
         self.aggregator.reconfigure(peers, self.deadlines.clock())
@@ -46,17 +46,17 @@
     def _beat(self) -> None:
         now = self.deadlines.clock()
         self._beat_key = self.deadlines.at(now + BEAT, self._beat)
-        for frame in self.aggregator.beat(now):
+        for frame in self.aggregator.tick(now):
             if address := self.peers.get(frame.to):
                 self._send(frame, address)
         self.on_beat(now)
 
     def _take(self, data: bytes, address: Address) -> None:
         frame = self.codec.unpack(data, self.aggregator.me)
-        for answer in self.aggregator.heard(self.deadlines.clock(), frame):
+        for answer in self.aggregator.receive(self.deadlines.clock(), frame):
             self._send(answer, address)
 
-    def _send(self, frame: Frame, address: Address) -> None:
+    def _send(self, frame: AggregationMessage, address: Address) -> None:
         self.datagrams.send(self.codec.pack(frame), address)
 
     def told(self) -> dict[str, Any]:
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -16,8 +16,8 @@
 from pearhill.core.request import Attempt, Request
 from pearhill.http1.client import MAX_CHUNK, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
-from pearhill.net.health_checks import ProbeDialect, Probes, Told
-from pearhill.net.pool import MAX_CONNECT, CannotConnect, Connection, Exhausted, NoRoom, Pool
+from pearhill.net.health_checks import HealthCheckCallback, HealthCheckDialect, HealthChecks
+from pearhill.net.pool import MAX_CONNECT, ConnectError, Connection, Pool, PoolExhaustedError, SystemResourceError
 from pearhill.net.releases import ReleaseDialect, Releases
 from pearhill.net.ticks import pause
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
@@ -31,7 +31,7 @@
 MAX_BODY = 64 * 1024  # of an answer that is no stream
 
 
-class Malformed(Exception):
+class MalformedResponseError(Exception):
     """A stream that does not follow its form."""
 
 
@@ -39,7 +39,7 @@
     """One answer's stream, fed what comes."""
 
     @property
-    def kept(self) -> int:
+    def cached_tokens(self) -> int:
         """Prompt tokens found kept, as far as the stream has told."""
 
     def feed(self, data: bytes) -> bytes:
@@ -59,11 +59,11 @@
     more; `said`: the client's final answer, in the dialect's own form."""
 
     outcome: Outcome
-    rest: int = 0
-    said: Any = None
+    retry_after: int = 0
+    replica_error: Any = None
 
 
-class Dialect(ProbeDialect, ReleaseDialect, Protocol):
+class Dialect(HealthCheckDialect, ReleaseDialect, Protocol):
     def request(self, payload: Any, engine: int, wait_ms: int) -> bytes: ...
 
     def stream(self, payload: Any) -> Stream: ...
@@ -75,7 +75,7 @@
         """What an answer other than 200 and 202 means. None: as the platform's protocol has it."""
 
 
-class Call:
+class AttemptExchange:
     """One attempt on its connection."""
 
     most_chunk = MAX_CHUNK
@@ -91,25 +91,25 @@
         self.body = bytearray()
         self.stream = backend.dialect.stream(attempt.request.payload)
         self.stall: Key | None = None
-        self.window = backend.pool.deadlines.at(attempt.by, self._too_late) if attempt.by else None
+        self.window = backend.pool.deadlines.at(attempt.send_before, self._too_late) if attempt.send_before else None
         self.task: asyncio.Task[None] | None = backend.pool.spawn(self._open())
 
     async def _open(self) -> None:
         attempt, pool = self.attempt, self.backend.pool
-        address = self.backend.addresses.get(attempt.engine)
+        address = self.backend.addresses.get(attempt.replica)
         try:
             if address is None:
-                raise CannotConnect("the engine has no address")
+                raise ConnectError("the engine has no address")
             if not await self.backend.releases.may_replace(attempt.request):
                 return self.over(Outcome.NOT_SENT)
             connection = self.connection = await self._connect(address)
-        except NoRoom:  # Taken for the engine's failure, a crowd here would eject every engine in turn.
+        except PoolExhaustedError:  # Taken for the engine's failure, a crowd here would eject every engine in turn.
             return self.over(Outcome.NOT_SENT)
-        except CannotConnect:
+        except ConnectError:
             return self.over(Outcome.UNREACHABLE)
-        if not attempt.may_begin():
+        if not attempt.may_start():
             return
-        self.backend.releases.close_unread(attempt.request)  # Or it were a second copy
+        self.backend.releases.close_discarded(attempt.request)  # Or it were a second copy
         self.tried = True
         try:
             await connection.send(self, self._request)
@@ -124,7 +124,7 @@
         """What is written, with the time that is left now."""
         attempt = self.attempt
         wait_ms = max(1, (attempt.deadline - self.backend.pool.deadlines.clock()) // 1000)
-        return self.backend.dialect.request(attempt.request.payload, attempt.engine, wait_ms)
+        return self.backend.dialect.request(attempt.request.payload, attempt.replica, wait_ms)
 
     async def _connect(self, address: Address) -> Connection:
         """A shortage of the system may be over in a moment: what is spent on it is time, as on a connection that comes
@@ -133,8 +133,10 @@
         give_up = pool.deadlines.clock() + pool.connect_timeout
         while True:
             try:
-                return await pool.acquire(address, within=HELD_CONNECT if self.attempt.request.holders else MAX_CONNECT)
-            except Exhausted:
+                return await pool.acquire(
+                    address, within=HELD_CONNECT if self.attempt.request.state_holders else MAX_CONNECT
+                )
+            except SystemResourceError:
                 if pool.deadlines.clock() >= give_up:
                     raise
             await pause(pool.deadlines, SHORTAGE_AGAIN)
@@ -167,30 +169,32 @@
         deadlines = self.backend.pool.deadlines
         try:
             ready = self.stream.feed(data)
-        except Malformed as e:
-            return self._give_up("malformed", Outcome.TRUNCATED if self.attempt.began else Outcome.ERROR, str(e))
-        if ready and not self.attempt.over:
+        except MalformedResponseError as e:
+            return self._give_up(
+                "malformed", Outcome.TRUNCATED if self.attempt.response_started else Outcome.ERROR, str(e)
+            )
+        if ready and not self.attempt.ended:
             # Only what is passed on shows progress; bytes that never make an event could trickle for ever.
-            if not self.attempt.begin():
+            if not self.attempt.start_response():
                 return
             self.passing = True
-            await self.attempt.request.client.pass_on(ready)
+            await self.attempt.request.client.forward(ready)
             # Counted from here, so a slow client is not taken for a silent server.
-            self.passing, self.attempt.passed_at = False, deadlines.clock()
-            if self.stall is None and not self.attempt.over:
-                self.stall = deadlines.at(self.attempt.passed_at + STALL, self._silent)
-        if self.stream.whole and not self.attempt.over:
-            self.over(Outcome.ANSWERED, self.stream.kept)
+            self.passing, self.attempt.last_forwarded_at = False, deadlines.clock()
+            if self.stall is None and not self.attempt.ended:
+                self.stall = deadlines.at(self.attempt.last_forwarded_at + STALL, self._silent)
+        if self.stream.whole and not self.attempt.ended:
+            self.over(Outcome.ANSWERED, self.stream.cached_tokens)
             deadlines.after(END_WITHIN, self._no_end)
 
     def _silent(self) -> None:
         """One deadline a stream, moved on when it is due: moved by each event it would cost more than the event."""
         self.stall = None
-        if self.attempt.over or self.passing:
+        if self.attempt.ended or self.passing:
             return
-        if self.backend.pool.deadlines.clock() >= self.attempt.passed_at + STALL:
+        if self.backend.pool.deadlines.clock() >= self.attempt.last_forwarded_at + STALL:
             return self._give_up("stalled", Outcome.TRUNCATED)
-        self.stall = self.backend.pool.deadlines.at(self.attempt.passed_at + STALL, self._silent)
+        self.stall = self.backend.pool.deadlines.at(self.attempt.last_forwarded_at + STALL, self._silent)
 
     def _no_end(self) -> None:
         """A server that never sends the last chunk would keep this connection for good."""
@@ -201,7 +205,7 @@
         """A machine that vanished in mid-stream says nothing, and its client would wait for ever; one that
         talks nonsense may go on for as long."""
         if detail:
-            logger.warning("engine {engine}: {reason}: {why}", engine=self.attempt.engine, reason=reason, why=detail)
+            logger.warning("engine {engine}: {reason}: {why}", engine=self.attempt.replica, reason=reason, why=detail)
         if self.connection:
             self.connection.close(reason)
         self.over(outcome)
@@ -211,12 +215,14 @@
         dialect = self.backend.dialect
         plain = clean and self.status not in (200, 202)
         if plain and (v := dialect.verdict(self.status, self.headers, bytes(self.body))):
-            return self.over(v.outcome, may_hold=v.outcome not in NOT_EXECUTED, rest=v.rest, said=v.said)
+            return self.over(
+                v.outcome, may_hold=v.outcome not in NOT_EXECUTED, rest=v.retry_after, said=v.replica_error
+            )
         if self.status == 200:
-            well = self.attempt.began and self.stream.ends_well()
+            well = self.attempt.response_started and self.stream.ends_well()
             self.over(
-                Outcome.ANSWERED if well else Outcome.TRUNCATED if self.attempt.began else Outcome.ERROR,
-                self.stream.kept,
+                Outcome.ANSWERED if well else Outcome.TRUNCATED if self.attempt.response_started else Outcome.ERROR,
+                self.stream.cached_tokens,
             )
         elif self.status == 202:
             self.over(Outcome.PREFILLED, self._kept_read(), may_hold=True)
@@ -252,10 +258,10 @@
             # release would reach them in time. While the connection is open the attempt is out. A read, before which
             # nothing is held, has to be over: its request may be refused, and nothing that may run may be out then.
             if (
-                self.attempt.request.holders
+                self.attempt.request.state_holders
                 and connection.sent
                 and connection.exchange is self
-                and not self.attempt.began
+                and not self.attempt.response_started
             ):
                 self.backend.releases.keep_open(self.attempt.request, connection)
             else:
@@ -264,15 +270,17 @@
 
 
 class HttpBackend:
-    def __init__(self, pool: Pool, dialect: Dialect, probed: Told = lambda engine, outcome, load: None) -> None:
+    def __init__(
+        self, pool: Pool, dialect: Dialect, probed: HealthCheckCallback = lambda engine, outcome, load: None
+    ) -> None:
         self.pool, self.dialect = pool, dialect
         self.addresses: dict[int, Address] = {}
-        self.probe = Probes(pool, dialect, self.addresses, probed).send
+        self.check_health = HealthChecks(pool, dialect, self.addresses, probed).send
         self.leaving: dict[int, Key] = {}  # engines off the list, whose addresses go when their time is over
-        self.calls: dict[Attempt, Call] = {}
+        self.calls: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
-    def locate(self, addresses: dict[int, Address], gone: Collection[int], full: bool) -> None:
+    def update_addresses(self, addresses: dict[int, Address], gone: Collection[int], full: bool) -> None:
         """Where engines listen; those that are gone, or missing from a full list, have left. No connections are
         kept to an engine that has left or moved."""
         for engine, address in addresses.items():
@@ -290,9 +298,9 @@
         del self.addresses[engine], self.leaving[engine]
 
     def send(self, attempt: Attempt) -> None:
-        self.calls[attempt] = Call(self, attempt)
+        self.calls[attempt] = AttemptExchange(self, attempt)
 
-    def begun(self, attempt: Attempt) -> bool:
+    def has_started(self, attempt: Attempt) -> bool:
         call = self.calls.get(attempt)
         return call is not None and call.tried
 
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.gossip_messages import Rejected
+from pearhill.membership.gossip_messages import MessageRejectedError
 from pearhill.net.address import Address
 
 TOLD_EVERY = 60_000_000  # at most one line for datagrams that are not taken
@@ -50,12 +50,12 @@
         self.counts["bytes_in"] += len(data)
         try:
             if not data:
-                raise Rejected("size")
+                raise MessageRejectedError("size")
             if (taker := self.takers.get(data[0])) is None:
-                raise Rejected("version")
+                raise MessageRejectedError("version")
             taker(data, addr)
             self.counts["taken"] += 1
-        except Rejected as e:
+        except MessageRejectedError as e:
             self.counts[f"rejected {e}"] += 1
             self._rejected[str(e)] += 1
             self._from = "{}:{}".format(*addr[:2])
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -12,15 +12,15 @@
 
 from pearhill.core.deadlines import Deadlines
 from pearhill.load_reports.evenness import evenness
-from pearhill.load_reports.peer_loads import Row
-from pearhill.membership.aggregation_messages import FrameCodec
-from pearhill.membership.gossip import Council
-from pearhill.membership.gossip_messages import Codec
-from pearhill.membership.peer_load_source import Sources
+from pearhill.load_reports.peer_loads import ReplicaLoad
+from pearhill.membership.aggregation_messages import AggregationCodec
+from pearhill.membership.gossip import GossipProtocol
+from pearhill.membership.gossip_messages import GossipCodec
+from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.membership.reporter import AggregatorSite, Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
-from pearhill.net.gossip import Talk
+from pearhill.net.gossip import Gossip
 from pearhill.net.reporting import Reporting
 
 if TYPE_CHECKING:
@@ -45,10 +45,12 @@
 class Fleet:
     """`work` tells my own tokens at each engine, as they are now. `sources` is for the Router's `talk`."""
 
-    def __init__(self, setup: FleetSetup, seed: int, deadlines: Deadlines, work: Callable[[], Iterable[Row]]) -> None:
+    def __init__(
+        self, setup: FleetSetup, seed: int, deadlines: Deadlines, work: Callable[[], Iterable[ReplicaLoad]]
+    ) -> None:
         self.setup, self.seed, self.deadlines, self._work = setup, seed, deadlines, work
-        self.datagrams, self.sources = Datagrams(deadlines), Sources()
-        self.talk: Talk | None = None
+        self.datagrams, self.sources = Datagrams(deadlines), CombinedLoadSource()
+        self.gossip: Gossip | None = None
         self.reporting: Reporting | None = None
         self.on_count: Callable[[int], None] = lambda count: None  # told how many dispatchers share the work
         self._count: int | None = None
@@ -75,24 +77,24 @@
         started = deadlines.clock()
         rng, keys = random.Random(started ^ self.seed), list(setup.keys)
         talks, reports = bool(setup.peers) or not setup.sites, bool(setup.sites)
-        if self.talk and talks:
-            self.talk.reconfigure(Codec(keys), setup.peers)
+        if self.gossip and talks:
+            self.gossip.reconfigure(GossipCodec(keys), setup.peers)
         elif talks:
-            council = Council(setup.name, setup.peers, started, rng, self._work)
-            self.sources.council = council
-            self.talk = Talk(council, Codec(keys), setup.peers, deadlines, self.datagrams)
-            self.talk.on_count = self._recount
-            self.talk.start()
-        elif self.talk:
-            self.talk.close()
-            self.talk = self.sources.council = None
+            council = GossipProtocol(setup.name, setup.peers, started, rng, self._work)
+            self.sources.gossip = council
+            self.gossip = Gossip(council, GossipCodec(keys), setup.peers, deadlines, self.datagrams)
+            self.gossip.on_count = self._recount
+            self.gossip.start()
+        elif self.gossip:
+            self.gossip.close()
+            self.gossip = self.sources.gossip = None
         addresses = setup.aggregators or {}
         if self.reporting and reports:
-            self.reporting.reconfigure(FrameCodec(keys), setup.sites, addresses)
+            self.reporting.reconfigure(AggregationCodec(keys), setup.sites, addresses)
         elif reports:
             reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._work)
             self.sources.reporter = reporter
-            self.reporting = Reporting(reporter, FrameCodec(keys), addresses, deadlines, self.datagrams)
+            self.reporting = Reporting(reporter, AggregationCodec(keys), addresses, deadlines, self.datagrams)
             self.reporting.on_count, self.reporting.on_turn = self._recount, self._look
             self.reporting.start()
         elif self.reporting:
@@ -113,7 +115,7 @@
 
     def _heard(self) -> int:
         """Dispatchers of which there is word, this one among them."""
-        there = len(self.talk.council.members.there()) if self.talk else 1
+        there = len(self.gossip.protocol.members.there()) if self.gossip else 1
         return max(there, self.reporting.reporter.figures(self.deadlines.clock())["heard"]) if self.reporting else there
 
     def _look(self, now: int) -> None:
@@ -131,7 +133,7 @@
             self._reports_to = None
             logger.warning(
                 "fleet: no aggregator answers: {what}",
-                what="the talk goes on" if self.talk else "each goes by its own work and the last count",
+                what="the talk goes on" if self.gossip else "each goes by its own work and the last count",
             )
 
     def told(self, node: Node) -> dict[str, Any]:
@@ -139,7 +141,7 @@
         the like are divided; 0: as many as the settings say."""
         now, sources, scout = self.deadlines.clock(), self.sources, node.dispatcher.router
         engines, total = list[dict[str, Any]](), dict[str, float]()
-        for engine, (waiting, load, avoided) in scout.figures(now).items():
+        for engine, (waiting, load, avoided) in scout.loads(now).items():
             theirs = sources.others(now, engine, waiting, load)
             address = "{}:{}".format(*node.backend.addresses.get(engine, ("", 0)))
             total[address] = load + theirs[1]
@@ -152,7 +154,7 @@
                 }
             )
         even = evenness(total)
-        members = self.talk.council.members.members if self.talk else {}
+        members = self.gossip.protocol.members.members if self.gossip else {}
         return {
             "name": self.setup.name,
             "count": sources.count(now),
@@ -172,6 +174,6 @@
         """At the end: nothing is taken or sent any more."""
         if self.reporting:
             self.reporting.close()
-        if self.talk:
-            self.talk.close()
+        if self.gossip:
+            self.gossip.close()
         self.datagrams.close()
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -5,18 +5,23 @@
 from collections.abc import Callable, Mapping
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.gossip import Council, Message
-from pearhill.membership.gossip_messages import VERSION, Codec
+from pearhill.membership.gossip import GossipMessage, GossipProtocol
+from pearhill.membership.gossip_messages import VERSION, GossipCodec
 from pearhill.membership.members import BEAT
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
 
-class Talk:
+class Gossip:
     def __init__(
-        self, council: Council, codec: Codec, peers: Mapping[str, Address], deadlines: Deadlines, datagrams: Datagrams
+        self,
+        council: GossipProtocol,
+        codec: GossipCodec,
+        peers: Mapping[str, Address],
+        deadlines: Deadlines,
+        datagrams: Datagrams,
     ) -> None:
-        self.council, self.codec, self.peers, self.deadlines = council, codec, peers, deadlines
+        self.protocol, self.codec, self.peers, self.deadlines = council, codec, peers, deadlines
         self.datagrams = datagrams
         self._beat_key: Key | None = None
         self._count = 0
@@ -27,26 +32,26 @@
         self.datagrams.takers[VERSION] = self._take
         self._beat()
 
-    def reconfigure(self, codec: Codec, peers: Mapping[str, Address]) -> None:
+    def reconfigure(self, codec: GossipCodec, peers: Mapping[str, Address]) -> None:
         """Other keys, other peers; what is known of those that stay, stays."""
         self.codec, self.peers = codec, peers
-        self.council.reconfigure(peers, self.deadlines.clock())
+        self.protocol.reconfigure(peers, self.deadlines.clock())
 
     def _beat(self) -> None:
         now = self.deadlines.clock()
         self._beat_key = self.deadlines.at(now + BEAT, self._beat)
-        self._send(self.council.beat(now))
-        if (count := self.council.count(now)) != self._count:
+        self._send(self.protocol.tick(now))
+        if (count := self.protocol.count(now)) != self._count:
             self._count = count
             self.on_count()
 
     def _take(self, data: bytes, address: Address) -> None:
-        message = self.codec.unpack(data, self.council.members.me)
-        self._send(self.council.heard(self.deadlines.clock(), message))
+        message = self.codec.unpack(data, self.protocol.members.me)
+        self._send(self.protocol.receive(self.deadlines.clock(), message))
 
-    def _send(self, messages: list[Message]) -> None:
+    def _send(self, messages: list[GossipMessage]) -> None:
         for message in messages:
-            if address := self.peers.get(message.say.to):
+            if address := self.peers.get(message.payload.to):
                 self.datagrams.send(self.codec.pack(message), address)
 
     def close(self) -> None:
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from pearhill.net.address import Address
-from pearhill.net.pool import REQUESTS, CannotConnect, NoRoom, Pool, call
+from pearhill.net.pool import REQUESTS, ConnectError, Pool, PoolExhaustedError, call
 from pearhill.routing.outcomes import Outcome
 
 PROBE_WAIT = 250_000  # for an answer, in microseconds
@@ -14,21 +14,23 @@
 MAX_REPORT = 4 * 1024  # bytes of an answer
 TRIES = 2  # Danger: a kept connection that the server has closed is reset at its next use. That is no silence.
 
-Told = Callable[[int, Outcome, "tuple[float, float] | None"], None]
+HealthCheckCallback = Callable[[int, Outcome, "tuple[float, float] | None"], None]
 
 
-class ProbeDialect(Protocol):
-    def probe(self) -> bytes:
+class HealthCheckDialect(Protocol):
+    def health_check(self) -> bytes:
         """The call that asks for the load."""
 
     def load(self, status: int, body: bytes) -> tuple[float, float] | None:
         """What the answer tells: memory share, thousands of tokens waiting. None: nothing that can be used."""
 
 
-class Probes:
+class HealthChecks:
     """`told` gets each probe's end once: the engine, the outcome and the load it reported."""
 
-    def __init__(self, pool: Pool, dialect: ProbeDialect, addresses: Mapping[int, Address], told: Told) -> None:
+    def __init__(
+        self, pool: Pool, dialect: HealthCheckDialect, addresses: Mapping[int, Address], told: HealthCheckCallback
+    ) -> None:
         self.pool, self.dialect, self.addresses, self.told = pool, dialect, addresses, told
         self.out = 0
 
@@ -44,17 +46,17 @@
         try:
             for _ in range(TRIES):
                 try:
-                    ask = self.dialect.probe()
+                    ask = self.dialect.health_check()
                     status, body = await call(self.pool, address, ask, PROBE_WAIT, MAX_REPORT, use=REQUESTS)
                     outcome, load = Outcome.ANSWERED, self.dialect.load(status, body)
                     break
                 except TimeoutError:
                     outcome = Outcome.TIMEOUT
                     break
-                except NoRoom:
+                except PoolExhaustedError:
                     outcome = Outcome.NOT_SENT
                     break
-                except CannotConnect:
+                except ConnectError:
                     break
                 except ValueError:  # it talks, though not to the point
                     outcome = Outcome.ANSWERED
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -19,7 +19,7 @@
 from pearhill.net.accepted import AcceptedConnection
 from pearhill.net.address import Address
 from pearhill.net.tasks import Tasks
-from pearhill.routing.permissions import Use
+from pearhill.routing.permissions import ConnectionUse
 
 BACKLOG = 1024  # connections that may wait at the door
 ACCEPT_AT_ONCE = 16  # connections taken in one turn
@@ -47,7 +47,7 @@
     """One that can go, as it was when it was found; `at_once`: so many of its kind in one go."""
 
     link: AcceptedConnection
-    use: Use
+    use: ConnectionUse
     since: int
     at_once: int
 
@@ -160,7 +160,7 @@
                 return
 
     def _close_spent(self) -> None:
-        for link in [link for link in self.links if link.use == Use.SPENT]:
+        for link in [link for link in self.links if link.use == ConnectionUse.FINISHED]:
             link.close("room-needed")
 
     def _accept_later(self) -> None:
@@ -201,11 +201,18 @@
 
     def _least_useful(self) -> list[Found]:
         """Of one kind, the first of which there are any that can go."""
-        kinds: list[list[AcceptedConnection]] = [[] for _ in Use]  # by index: a walk over a crowd hashes no member
+        kinds: list[list[AcceptedConnection]] = [
+            [] for _ in ConnectionUse
+        ]  # by index: a walk over a crowd hashes no member
         for link in self.links:
             kinds[link.use].append(link)
         some = max(2, min(ACCEPT_AT_ONCE, self.most // 8))  # several at once where they are cheap to lose
-        for use, at_once in (Use.SPENT, some), (Use.SILENT, some), (Use.IDLE, 1), (Use.HALF, 1):
+        for use, at_once in (
+            (ConnectionUse.FINISHED, some),
+            (ConnectionUse.UNUSED, some),
+            (ConnectionUse.IDLE, 1),
+            (ConnectionUse.PARTIAL_REQUEST, 1),
+        ):
             oldest = nsmallest(4 * some, kinds[use], key=lambda link: link.since)
             if found := [Found(link, use, link.since, at_once) for link in oldest if link.may_close]:
                 return found
@@ -236,7 +243,7 @@
     def refuse_half_requests(self) -> None:
         """Whoever has sent a part of a request gets its refusal, and its connection ends."""
         for link in list(self.links):
-            if link.use == Use.HALF:
+            if link.use == ConnectionUse.PARTIAL_REQUEST:
                 link.refuse_half_request()
 
     def stop_accepting(self, leave: bool = False) -> None:
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -15,8 +15,8 @@
 from pearhill.counters import Counters
 from pearhill.http1.client import ClientConnection, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
-from pearhill.net.socket_reader import Incoming
-from pearhill.net.socket_writer import Outgoing
+from pearhill.net.socket_reader import SocketReader
+from pearhill.net.socket_writer import SocketWriter
 from pearhill.net.tasks import Tasks
 from pearhill.net.ticks import time_limit
 
@@ -30,15 +30,15 @@
 REQUESTS, BOOKS, LISTS = range(3)  # what a connection is for; each may take what those before it may, and more
 
 
-class CannotConnect(Exception):
+class ConnectError(Exception):
     """No connection came up; nothing was sent."""
 
 
-class NoRoom(CannotConnect):
+class PoolExhaustedError(ConnectError):
     """It was not even tried: this process has no descriptor for it. That says nothing of the server."""
 
 
-class Exhausted(NoRoom):
+class SystemResourceError(PoolExhaustedError):
     """The system has no descriptor, memory or port for it at this moment."""
 
 
@@ -65,7 +65,7 @@
     def __init__(self, pool: Pool, address: Address, sock: socket.socket) -> None:
         self.pool, self.address, self.sock = pool, address, sock
         self.machine = ClientConnection()
-        self.outgoing = Outgoing(pool.loop, sock)
+        self.writer = SocketWriter(pool.loop, sock)
         self.exchange: Exchange | None = None
         self.writing = self.sent = False  # the exchange's request is being written; its last byte is written
         self.exchanges = 0
@@ -94,12 +94,12 @@
         self.exchange, self.writing, self.sent = exchange, True, False
         self.exchanges += 1
         self.machine.expect(exchange.most_chunk)
-        await self.outgoing.send_all(make)
+        await self.writer.send_all(make)
         self.writing, self.sent = False, True
 
     async def _read(self) -> None:
         buffer = bytearray(BUFFER)
-        view, incoming = memoryview(buffer), Incoming(self.pool.loop, self.sock)
+        view, incoming = memoryview(buffer), SocketReader(self.pool.loop, self.sock)
         reason = "reader-failed"
         try:
             while not self.closed:
@@ -135,7 +135,7 @@
             self.exchange = None
             # An answer that comes before the whole request was sent leaves the rest on the wire.
             if event.reusable and self.sent and not self.closed:
-                self.pool.put_back(self, rests=not isinstance(exchange, Gathered))
+                self.pool.put_back(self, rests=not isinstance(exchange, CollectedResponse))
             else:
                 self.close("server-asked")
         if exchange is None:
@@ -215,7 +215,7 @@
         # Requests by the hundred would leave no descriptor for releases and for the list of servers.
         most = self.most + (0, self.spare - FOR_LISTS, self.spare)[use]
         if len(self.open) + self._connecting >= most and not self._drop_oldest():
-            raise NoRoom("every descriptor set aside for servers is in use")
+            raise PoolExhaustedError("every descriptor set aside for servers is in use")
         self._connecting += 1
         sock: socket.socket | None = None
         try:
@@ -229,8 +229,8 @@
                 sock.close()
             if isinstance(e, OSError) and e.errno in SHORTAGES:
                 self.counters.shortages += 1
-                raise Exhausted(str(e)) from None
-            raise CannotConnect(f"{address[0]}:{address[1]}: {e or 'timed out'}") from None
+                raise SystemResourceError(str(e)) from None
+            raise ConnectError(f"{address[0]}:{address[1]}: {e or 'timed out'}") from None
         except asyncio.CancelledError:
             if sock:
                 sock.close()
@@ -289,7 +289,7 @@
             connection.close("shutdown")
 
 
-class Gathered:
+class CollectedResponse:
     """An exchange whose whole answer is wanted, up to a size."""
 
     request_id = ""
@@ -330,7 +330,7 @@
     """One request and its whole answer; `timeout` is for its connection, and again for its answer. OSError,
     TimeoutError, ValueError or CannotConnect where there is none."""
     connection = await pool.acquire(address, use, timeout, fresh)
-    gathered = Gathered(pool.loop, most)
+    gathered = CollectedResponse(pool.loop, most)
     try:
         async with time_limit(pool.deadlines, timeout):
             await connection.send(gathered, lambda: data)
