--- a/pearhill/net/releases.py
+++ b/pearhill/net/releases.py
@@ -16,7 +16,7 @@
 from pearhill.core.request import Request
 from pearhill.http1.client import MAX_CHUNK, Event
 from pearhill.net.address import Address
-from pearhill.net.pool import CannotConnect, Connection, Pool, call
+from pearhill.net.pool import ConnectError, Connection, Pool, call
 from pearhill.net.ticks import pause
 
 RELEASE_FOR = 20_000_000  # how long a release is tried again
@@ -35,7 +35,7 @@
         """The call that lets go of what is held for a request."""
 
 
-class Unread:
+class DiscardedResponse:
     """The exchange of an attempt that was given up and whose connection stays open for now: nobody reads what comes."""
 
     most_chunk = MAX_CHUNK
@@ -52,7 +52,7 @@
         self.pool, self.dialect, self.addresses = pool, dialect, addresses
         self.pending = 0
         # Both by the request's number: the request itself holds its prompt, and through a cut there are hundreds.
-        self._unread: dict[int, list[tuple[Connection, Unread]]] = {}
+        self._unread: dict[int, list[tuple[Connection, DiscardedResponse]]] = {}
         self._owed: dict[int, Collection[int]] = {}  # replicas that have yet to let go
 
     def release(self, request: Request, engines: Collection[int]) -> None:
@@ -110,7 +110,7 @@
                 return
             except TimeoutError:
                 unanswered += 1
-            except (OSError, ValueError, CannotConnect):
+            except (OSError, ValueError, ConnectError):
                 pass
             pool.counters.release_retries += 1
             await pause(pool.deadlines, wait)
@@ -121,15 +121,15 @@
 
     def keep_open(self, request: Request, connection: Connection) -> None:
         """Until the request is sent on, or everything that is held for it is let go: one of these always follows."""
-        connection.exchange = exchange = Unread()
+        connection.exchange = exchange = DiscardedResponse()
         self._unread.setdefault(request.number, []).append((connection, exchange))
         self.pool.unread[connection] = None
 
-    def close_unread(self, request: Request) -> None:
+    def close_discarded(self, request: Request) -> None:
         """Another attempt begins: those that were given up end now."""
         self._close(request.number, self._unread.get(request.number, ()))
 
-    def _close(self, number: int, unread: Iterable[tuple[Connection, Unread]]) -> None:
+    def _close(self, number: int, unread: Iterable[tuple[Connection, DiscardedResponse]]) -> None:
         for connection, exchange in list(unread):
             self.pool.unread.pop(connection, None)
             if connection.exchange is exchange:  # else it has been answered, and may serve another request
@@ -144,7 +144,7 @@
         answer now; a writer that was asked hangs, as a rule, and answers nothing, but it has to be there."""
         if not self._unread.get(request.number):
             return True
-        holders = {*request.holders, *self._owed.get(request.number, ())}
+        holders = {*request.state_holders, *self._owed.get(request.number, ())}
         found = await asyncio.gather(*(self._reaches(request, engine) for engine in holders))
         return all(found)
 
@@ -158,8 +158,8 @@
                 await call(self.pool, address, self.dialect.release(request.payload, engine), within, fresh=fresh)
                 return True
             except TimeoutError:  # a connection was there, and nothing came on it
-                if fresh and engine != request.reader:
+                if fresh and engine != request.prefill_replica:
                     return True
-            except (OSError, ValueError, CannotConnect):
+            except (OSError, ValueError, ConnectError):
                 pass
         return False
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.aggregation_messages import VERSION, Frame, FrameCodec
+from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.reporter import AggregatorSite, Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
@@ -20,7 +20,7 @@
     def __init__(
         self,
         reporter: Reporter,
-        codec: FrameCodec,
+        codec: AggregationCodec,
         addresses: Mapping[str, Address],
         deadlines: Deadlines,
         datagrams: Datagrams,
@@ -39,7 +39,9 @@
         self.datagrams.takers[VERSION] = self._take
         self._beat()
 
-    def reconfigure(self, codec: FrameCodec, sites: Iterable[AggregatorSite], addresses: Mapping[str, Address]) -> None:
+    def reconfigure(
+        self, codec: AggregationCodec, sites: Iterable[AggregatorSite], addresses: Mapping[str, Address]
+    ) -> None:
         """Other keys, other aggregators; the one in use stays in use if it is still named."""
         self.codec, self.addresses = codec, addresses
         self.reporter.reconfigure(sites, self.deadlines.clock())
@@ -49,21 +51,21 @@
         now = self._last_beat = self.deadlines.clock()
         self._beat_at = None
         try:
-            self._send(self.reporter.beat(now))
+            self._send(self.reporter.tick(now))
         finally:
             self._arm(now)
         self._turn(now)
 
     def _take(self, data: bytes, address: Address) -> None:
         now, frame = self.deadlines.clock(), self.codec.unpack(data, self.reporter.me)
-        self._send(self.reporter.heard(now, frame, len(data)))
+        self._send(self.reporter.receive(now, frame, len(data)))
         self._arm(now)
         self._turn(now)
 
     def _arm(self, now: int) -> None:
         # Danger: a beat that is due at once, over and over, would be all that this process does. Counted from now and
         # not from the last one, each datagram that comes in would put it off.
-        at = max(self._last_beat + LEAST_WAIT, self.reporter.next_beat(now))
+        at = max(self._last_beat + LEAST_WAIT, self.reporter.next_tick(now))
         if at != self._beat_at:
             self.deadlines.cancel(self._beat_key)
             self._beat_key, self._beat_at = self.deadlines.at(at, self._beat), at
@@ -74,7 +76,7 @@
             self.on_count()
         self.on_turn(now)
 
-    def _send(self, frames: list[Frame]) -> None:
+    def _send(self, frames: list[AggregationMessage]) -> None:
         for frame in frames:
             data, address = self.codec.pack(frame), self.addresses.get(frame.to)
             if address and self.datagrams.send(data, address):
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -27,7 +27,7 @@
     return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGES
 
 
-class Incoming:
+class SocketReader:
     """One reader at a time. Close it before the socket: a closed number that is still polled may be another's."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -9,7 +9,7 @@
 from pearhill.net.socket_reader import SHORTAGE_AGAIN_S, passes
 
 
-class Outgoing:
+class SocketWriter:
     """One writer at a time. `loop.sock_sendall` would not tell how much had gone out when a call failed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -9,7 +9,7 @@
 from pearhill.core.deadlines import Deadlines
 
 
-class Turns:
+class EventLoopTicks:
     def __init__(self, loop: asyncio.AbstractEventLoop, deadlines: Deadlines) -> None:
         self._loop, self._deadlines = loop, deadlines
         self._handle: asyncio.TimerHandle | None = None
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -18,14 +18,14 @@
 from pearhill.http1.handler import Handler
 from pearhill.http1.server import MAX_BODY
 from pearhill.lifecycle.drain import NO_IDLE, OPEN, Drain
-from pearhill.lifecycle.endpoint_overrides import Roster
-from pearhill.lifecycle.overrides import Wishes
+from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
+from pearhill.lifecycle.overrides import OperatorOverrides
 from pearhill.net.address import Address
 from pearhill.net.backend import Dialect, HttpBackend
 from pearhill.net.clock import start_clock, wall_clock
 from pearhill.net.listener import EXHAUSTED, Listener
 from pearhill.net.pool import Pool
-from pearhill.net.ticks import Turns, pause
+from pearhill.net.ticks import EventLoopTicks, pause
 from pearhill.routing.start_times import StartTimes
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
@@ -52,7 +52,7 @@
     seed: int
     max_body: int = MAX_BODY  # bytes of a request
     send_buffer: int = 0  # bytes that the system may hold for one client; 0: as it likes
-    door: bool = False  # operators have an address of their own
+    has_admin_endpoint: bool = False  # operators have an address of their own
 
 
 class Node:
@@ -63,12 +63,12 @@
         self.loop = loop
         self.counters = Counters()
         self.deadlines = Deadlines(start_clock())
-        self.turns = Turns(loop, self.deadlines)
+        self.ticks = EventLoopTicks(loop, self.deadlines)
         self.start_times = StartTimes(self.deadlines.clock(), wall_clock())
         self._observe_wall_clock()
         self.limits = limits
         self.dispatchers = 0  # that share the work, where somebody here counts them; 0: as the settings say
-        self.parts = 1  # processes that share the limits and this dispatcher's part of all else
+        self.process_count = 1  # processes that share the limits and this dispatcher's part of all else
         self.settings = deployment
         self.pool = Pool(
             loop,
@@ -76,14 +76,14 @@
             self.counters,
             connect_timeout=deployment.connect_timeout,
             keep_idle=_keep_idle(deployment),
-            most=self.room,
+            most=self.connection_limit,
             spare=FOR_BOOKS,
         )
         self.dispatcher = Dispatcher(deployment, limits.seed, self.deadlines, self.counters)
-        self.backend = HttpBackend(self.pool, dialect, self.dispatcher.probed)
+        self.backend = HttpBackend(self.pool, dialect, self.dispatcher.health_check_ended)
         self.dispatcher.backend = self.backend
-        self.wishes = Wishes()
-        self.roster = Roster(self.wishes)
+        self.overrides = OperatorOverrides()
+        self.endpoint_overrides = EndpointOverrides(self.overrides)
         self.drain = Drain()
         self.listener: Listener | None = None
         self._drain_key: Key | None = None
@@ -91,26 +91,29 @@
         self.on_report: Callable[[], None] = lambda: None  # told when the counters are logged
 
     @property
-    def room(self) -> int:
+    def connection_limit(self) -> int:
         """Descriptors for clients, and as many for requests at servers."""
-        return max(LEAST_ROOM, (self.limits.sockets // self.parts - SPARE - DOOR * self.limits.door) // 2)
+        return max(
+            LEAST_ROOM, (self.limits.sockets // self.process_count - SPARE - DOOR * self.limits.has_admin_endpoint) // 2
+        )
 
-    def share(self, parts: int) -> None:
+    def share_limits(self, parts: int) -> None:
         """So many processes are this dispatcher now. Each would hold what all of them may hold, and send a
         cold engine what all of them may send it."""
-        if parts == self.parts:
+        if parts == self.process_count:
             return
-        self.parts = parts
-        self.pool.bound(self.room)
+        self.process_count = parts
+        self.pool.bound(self.connection_limit)
         if self.listener:
-            self.listener.bound(self.room)
+            self.listener.bound(self.connection_limit)
         self._settle()
 
     def _settle(self) -> None:
         router = self.settings.router
         self.dispatcher.reconfigure(
             replace(
-                self.settings, router=replace(router, instances=(self.dispatchers or router.instances) * self.parts)
+                self.settings,
+                router=replace(router, instances=(self.dispatchers or router.instances) * self.process_count),
             )
         )
 
@@ -129,10 +132,10 @@
         """Nobody is being answered."""
         return not self.dispatcher.requests and (self.listener is None or self.listener.quiet)
 
-    def give_way(self, on: bool) -> None:
+    def yield_to_successor(self, on: bool) -> None:
         """Another process takes this dispatcher's clients, or has gone before this one did."""
         if on != (self.drain.yielding is not None):
-            self.drain.give_way(self.deadlines.clock(), on)
+            self.drain.yield_to_successor(self.deadlines.clock(), on)
             if self.listener:
                 self.listener.pause(on)
             self._drained()
@@ -141,13 +144,15 @@
     def draining(self) -> bool:
         return self.drain.on
 
-    def listed(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
+    def update_endpoints(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
         """A list of servers, to be in force before the next send."""
         self.counters.lists += 1
         self._note_step()
         entries = self.start_times.place(self.deadlines.clock(), full, entries)
-        self.backend.locate(addresses, [entry.replica for entry in entries if entry.phase == Phase.GONE], full)
-        self.dispatcher.listed(full, self.roster.listed(full, entries))
+        self.backend.update_addresses(
+            addresses, [entry.replica for entry in entries if entry.phase == Phase.GONE], full
+        )
+        self.dispatcher.update_endpoints(full, self.endpoint_overrides.update(full, entries))
 
     def _observe_wall_clock(self) -> None:
         self._note_step()
@@ -163,36 +168,36 @@
     def figures(self) -> Figures:
         core = self.dispatcher
         return Figures(
-            dict(zip(core.deployment.class_names, core.calls, strict=True)),
+            dict(zip(core.deployment.class_names, core.calls_by_class, strict=True)),
             core.inflight,
             self.counters.written,
-            len(core.engines),
-            core.router.avoided(self.deadlines.clock()),
+            len(core.endpoints),
+            core.router.avoided_count(self.deadlines.clock()),
         )
 
-    def take_out(self, engine: int, out: bool) -> bool:
+    def set_replica_down(self, engine: int, out: bool) -> bool:
         """Take a server out, or use it again, until the other is asked for. False: nobody has this number."""
-        if not self.roster.knows(engine):
+        if not self.endpoint_overrides.knows(engine):
             return False
-        self.wishes.set_out(engine, self.deadlines.clock(), out)
-        self.wished({engine}, False)
+        self.overrides.set_down(engine, self.deadlines.clock(), out)
+        self.apply_overrides({engine}, False)
         return True
 
-    def ask_drain(self, on: bool) -> None:
-        self.wishes.set_drain(self.deadlines.clock(), on)
-        self.wished(set(), True)
+    def request_drain(self, on: bool) -> None:
+        self.overrides.set_drain(self.deadlines.clock(), on)
+        self.apply_overrides(set(), True)
 
-    def wished(self, engines: set[int], drain: bool) -> None:
+    def apply_overrides(self, engines: set[int], drain: bool) -> None:
         """These wishes have changed, here or at another process."""
-        if drain and (wish := self.wishes.drain):
-            self.drain.ask(self.deadlines.clock(), wish.on)
+        if drain and (wish := self.overrides.drain):
+            self.drain.request(self.deadlines.clock(), wish.on)
             self._drained()
         for engine in engines:
             # It is restarted while it is out. A request on a connection from before ends as a reset.
             if address := self.backend.addresses.get(engine):
                 self.pool.drop_idle(address)
-        if told := self.roster.again(engines):
-            self.dispatcher.listed(False, told)
+        if told := self.endpoint_overrides.reapply(engines):
+            self.dispatcher.update_endpoints(False, told)
 
     def _drained(self) -> None:
         """Do what the drain's stage asks for."""
@@ -259,7 +264,13 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGUSR1})
         operators = self._open_door(*door) if door else None
         listener = self.listener = Listener(
-            self.loop, self.deadlines, self.counters, handler, self.room, self.limits.max_body, self.limits.send_buffer
+            self.loop,
+            self.deadlines,
+            self.counters,
+            handler,
+            self.connection_limit,
+            self.limits.max_body,
+            self.limits.send_buffer,
         )
         while not (free := may_accept()) and not stopped.is_set():
             await pause(self.deadlines, LOOK_AGAIN)
@@ -339,7 +350,7 @@
 
     def close(self) -> None:
         self.pool.close()
-        self.turns.close()
+        self.ticks.close()
         self.report()
 
     def report(self) -> None:
--- a/pearhill/node/operations.py
+++ b/pearhill/node/operations.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.counters import Figures
 from pearhill.node.node import Node
 
@@ -21,8 +21,8 @@
     def figures(self) -> Figures:
         return self.node.figures()
 
-    def take_out(self, uid: str, out: bool) -> bool:
-        known = self.node.take_out(engine_of(uid), out)
+    def set_replica_down(self, uid: str, out: bool) -> bool:
+        known = self.node.set_replica_down(replica_id(uid), out)
         if known:
             logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if out else "in use again")
         else:
@@ -31,4 +31,4 @@
 
     def drain(self, on: bool) -> None:
         logger.info("operators: the drain {what}", what="begins" if on else "is over")
-        self.node.ask_drain(on)
+        self.node.request_drain(on)
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -9,8 +9,8 @@
 
 from loguru import logger
 
-from pearhill.durable.message_folder import Notes
-from pearhill.lifecycle.takeover import YES_BY, BadNote, Handover, Note, decode
+from pearhill.durable.message_folder import MessageFolder
+from pearhill.lifecycle.takeover import READY_BY, Takeover, TakeoverMessage, TakeoverMessageError, decode
 from pearhill.net.clock import origin
 from pearhill.net.ticks import pause
 from pearhill.node.node import Node
@@ -39,15 +39,15 @@
         return ""
 
 
-class Upgrade:
+class TakeoverTask:
     """Looks once when it is made, so that what is out is known before the first list. Nothing needs the folder: without
     it the process serves alone. Danger: a disk may take a second over a small file, and the loop would stand still;
     once the process serves, a thread reads and writes."""
 
     def __init__(self, node: Node, folder: str, name: str) -> None:
         self.node, self.start = node, node.deadlines.clock()
-        self.notes = Notes(folder, name, self.start)
-        self.handover = Handover(name, self.start, node.wishes, origin(node.deadlines.clock), _boot())
+        self.messages = MessageFolder(folder, name, self.start)
+        self.takeover = Takeover(name, self.start, node.overrides, origin(node.deadlines.clock), _boot())
         self.told_to_serve = False  # others can read by now that this process takes the clients
         self._failed = False  # the last note could not be written
         self._complaints = set[str]()
@@ -62,21 +62,21 @@
             self._heard(await self.node.loop.run_in_executor(None, self._exchange, note))
             self.told_to_serve = self.told_to_serve or (note is not None and note.serving and not self._failed)
 
-    def _note(self, ended: bool = False) -> Note | None:
-        return self.handover.note(self.node.deadlines.clock(), self.node.accepting, self.node.quiet, ended)
+    def _note(self, ended: bool = False) -> TakeoverMessage | None:
+        return self.takeover.message(self.node.deadlines.clock(), self.node.accepting, self.node.quiet, ended)
 
-    def _exchange(self, note: Note | None) -> list[tuple[pathlib.Path, bytes]]:
+    def _exchange(self, note: TakeoverMessage | None) -> list[tuple[pathlib.Path, bytes]]:
         """Write ours, read theirs. Runs in the thread: it touches files and nothing else."""
         try:
             if note:
                 self._failed = True
-                self.notes.write(note.encode())
+                self.messages.write(note.encode())
                 self._failed = False
         except OSError as e:
-            self.handover.not_written()
+            self.takeover.write_failed()
             self._complain(f"the note cannot be written, so another process will not know of this one: {e}")
         try:
-            return list(self.notes.others())
+            return list(self.messages.others())
         except OSError as e:
             self._complain(f"the folder for notes cannot be read, so this process serves alone: {e}")
             return []
@@ -88,40 +88,40 @@
             logger.warning("upgrade: {what}", what=what)
 
     def _heard(self, files: list[tuple[pathlib.Path, bytes]]) -> None:
-        handover, now = self.handover, self.node.deadlines.clock()
-        found: list[tuple[pathlib.Path, Note]] = []
+        handover, now = self.takeover, self.node.deadlines.clock()
+        found: list[tuple[pathlib.Path, TakeoverMessage]] = []
         for path, data in files:
             try:
                 found.append((path, decode(data, handover.name).aligned(handover.origin, handover.boot)))
-            except BadNote as e:
+            except TakeoverMessageError as e:
                 self._complain(f"{path.name} is left aside: {e}")
-        before = handover.parts, handover.succeeded
-        engines, drain = handover.heard(now, [note for _, note in found])
+        before = handover.process_count, handover.succeeded
+        engines, drain = handover.receive(now, [note for _, note in found])
         for path, note in found:
-            if handover.over(note, now):
-                self.notes.remove(path)
-        if (handover.parts, handover.succeeded) != before:
+            if handover.expired(note, now):
+                self.messages.remove(path)
+        if (handover.process_count, handover.succeeded) != before:
             logger.info(
                 "upgrade: {parts} processes serve, {what}",
-                parts=handover.parts,
+                parts=handover.process_count,
                 what="another takes the clients" if handover.succeeded else "this one takes clients",
             )
-        self.node.share(handover.parts)
-        self.node.give_way(handover.succeeded)
-        self.node.wished(engines, drain)
+        self.node.share_limits(handover.process_count)
+        self.node.yield_to_successor(handover.succeeded)
+        self.node.apply_overrides(engines, drain)
 
     def _succeeded(self) -> bool:
         """Danger: the signal to end may come a moment after the successor's yes, before the next look."""
         self._heard(self._exchange(None))
-        return self.handover.succeeded
+        return self.takeover.succeeded
 
     def may_accept(self, can_serve: bool) -> bool:
         """Danger: taken before this process can serve, clients would be refused whom the other one serves well."""
-        return can_serve or not self.handover.elder
+        return can_serve or not self.takeover.predecessor_alive
 
-    def says_yes(self) -> bool:
+    def reports_ready(self) -> bool:
         age = _age()
-        return (self.told_to_serve or age >= YES_BY) and self.handover.says_yes(age)
+        return (self.told_to_serve or age >= READY_BY) and self.takeover.reports_ready(age)
 
     def end(self) -> None:
         self._task.cancel()
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -5,12 +5,12 @@
 import random
 from collections.abc import Callable
 
-from pearhill.admin.endpoint import Door
+from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.config import Config, for_next_start
 from pearhill.net.listener import listening
 from pearhill.node.node import Limits, Node
 from pearhill.node.operations import Operations
-from pearhill.node.takeover import Upgrade
+from pearhill.node.takeover import TakeoverTask
 from pearhill.platform.discovery import Watch
 from pearhill.platform.front import PlatformFront
 from pearhill.platform.replica import ReplicaDialect
@@ -23,7 +23,11 @@
 
 async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
     """`read_anew` gives the configuration that follows the one in force."""
-    node = Node(config.deployment, ReplicaDialect(), Limits(config.sockets, config.seed, door=config.admin is not None))
+    node = Node(
+        config.deployment,
+        ReplicaDialect(),
+        Limits(config.sockets, config.seed, has_admin_endpoint=config.admin is not None),
+    )
     deployment = config.deployment
     # The seed is this start's own. Danger: drawn from one that all share, what is spread would be in step.
     schedule = CallSchedule(
@@ -32,7 +36,7 @@
         deployment.drain_grace,
         random.Random(config.seed ^ SCHEDULE),
     )
-    watch = Watch(node.pool, config.discovery, deployment, node.listed, schedule, config.known)
+    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known)
     known_until = node.deadlines.clock() + KNOWN_AFTER
 
     def told() -> bool:
@@ -45,7 +49,7 @@
     def is_ready() -> bool:
         return can_serve() and not node.drain.away
 
-    upgrade = Upgrade(node, config.notes, config.name) if config.passed is not None and config.notes else None
+    upgrade = TakeoverTask(node, config.notes, config.name) if config.passed is not None and config.notes else None
 
     def may_accept() -> bool:
         """Danger: what discovery has counts as told from the process's first moment. A request taken before its
@@ -73,9 +77,9 @@
     watch.start()
 
     def says_yes() -> bool:
-        return can_serve() and node.accepting and (upgrade is None or upgrade.says_yes())
+        return can_serve() and node.accepting and (upgrade is None or upgrade.reports_ready())
 
-    door = (config.admin, Door(Operations(node, says_yes))) if config.admin else None
+    door = (config.admin, AdminEndpoint(Operations(node, says_yes))) if config.admin else None
     clients = config.listen if config.passed is None else listening(config.passed)
     await node.serve(
         clients,
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -13,10 +13,10 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Key
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
 from pearhill.net.address import Address, parse_address
-from pearhill.net.pool import LISTS, CannotConnect, Pool, call
+from pearhill.net.pool import LISTS, ConnectError, Pool, call
 from pearhill.platform.schedule import CallSchedule
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
@@ -24,7 +24,7 @@
 PATH = "/v1/endpoints"
 STATES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
 
-EXPECTED = (OSError, TimeoutError, ValueError, KeyError, TypeError, CannotConnect)  # ways in which a call fails
+EXPECTED = (OSError, TimeoutError, ValueError, KeyError, TypeError, ConnectError)  # ways in which a call fails
 
 OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
@@ -51,7 +51,7 @@
     kinds, zones = deployment.router.kinds, max(1, len(deployment.zone_names))
     for target in targets:
         try:
-            engine = engine_of(str(target["uid"]))
+            engine = replica_id(str(target["uid"]))
             entry = Endpoint(
                 engine,
                 _index(target["az"], deployment.zone_names, zones),
@@ -66,7 +66,7 @@
         except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as e:
             left_out.append((e, target))
             # Danger: left out of a change that says that it leaves, one would go on getting requests.
-            old = known.get(engine_of(str(target.get("uid")))) if isinstance(target, Mapping) else None
+            old = known.get(replica_id(str(target.get("uid")))) if isinstance(target, Mapping) else None
             if old and target.get("state") in ("leaving", "left"):
                 entries.append(replace(old, phase=STATES[target["state"]]))
     if left_out:  # Danger: a line for each of a thousand that are all wrong would fill the log
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from pearhill.core.dispatcher import Dispatcher
-from pearhill.core.request import Ask, Request
+from pearhill.core.request import Request, RequestSpec
 from pearhill.http1.handler import Pending, Reply
 from pearhill.http1.messages import Headers, RequestMessage
 
@@ -70,7 +70,7 @@
         self.request = None
         self.on_over()
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self._over()
         self.reply.answer(503, (*TEXT, *retry_after(stay_away)), b"refused: trying again is harmless\n")
 
@@ -82,7 +82,7 @@
         """The platform's replicas have no such answer; were there one, nothing would be promised."""
         self.fail()
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         if not self.started:
             self.started = True
             self.reply.start(200, EVENTS)
@@ -96,14 +96,14 @@
         self._over()
         self.reply.abort()
 
-    def gone(self) -> bool:
-        return self.reply.gone()
+    def has_disconnected(self) -> bool:
+        return self.reply.has_disconnected()
 
     def left(self) -> None:
         request = self.request
         self._over()
         if request:
-            self.dispatcher.leave(request)
+            self.dispatcher.disconnect(request)
 
 
 class PlatformFront:
@@ -145,18 +145,18 @@
             id, ask = self._read(message)
         except BadRequest as e:
             dispatcher.counters.rejected += 1
-            reply.turn_away(400, TEXT, f"{e}\n".encode())
+            reply.reject(400, TEXT, f"{e}\n".encode())
             return None
         if id in self.open:  # Two requests of one id could not be told apart at a replica.
             dispatcher.counters.rejected += 1
-            reply.turn_away(409, TEXT, b"a request with this Request-Id is open\n")
+            reply.reject(409, TEXT, b"a request with this Request-Id is open\n")
             return None
         if len(dispatcher.requests) >= dispatcher.deployment.most_held:
-            dispatcher.turned_away(ask.cls)
+            dispatcher.record_rejection(ask.request_class)
             reply.answer(503, (*TEXT, *retry_after(dispatcher.deployment.router.max_retry_after)), b"too many open\n")
             return None
         if message.arrived is not None and self.refuses(message.arrived):
-            dispatcher.turned_away(ask.cls, "ending")
+            dispatcher.record_rejection(ask.request_class, "ending")
             reply.answer(503, (*TEXT, *retry_after(0)), b"this process ends: trying again elsewhere is harmless\n")
             return None
         self.open.add(id)
@@ -169,11 +169,11 @@
             message.headers.get("content-type", "application/json"),
             message.headers.get("idempotency-key", ""),
         )
-        request = dispatcher.take(ask, client, payload, message.arrived)
+        request = dispatcher.accept(ask, client, payload, message.arrived)
         client.request = None if request.answered else request
         return client
 
-    def _read(self, message: RequestMessage) -> tuple[str, Ask]:
+    def _read(self, message: RequestMessage) -> tuple[str, RequestSpec]:
         headers = message.headers
         for name in ("Request-Id", "Request-Class", "Request-Timeout-Ms"):
             if not headers.get(name.lower()):
@@ -202,16 +202,16 @@
         prompt = _number("prompt_len", info.get("prompt_len", str(len(message.body) // 4)))
         max_out = _number("max_out", info.get("max_out", "0"))
         tenant = self._tenants.get(headers.get("tenant", ""), 0)
-        return id, Ask(
+        return id, RequestSpec(
             cls,
             max(1, ttl - SLACK),
             prompt,
             max_out,
             session=key_of(headers.get("affinity-key", "")),
             prefix=key_of(info.get("prefix", "")),
-            prefix_len=_number("prefix_len", info.get("prefix_len", "0")),
+            prefix_tokens=_number("prefix_len", info.get("prefix_len", "0")),
             tenant=tenant,
-            repeat=headers.get("client-retry") == "1",
+            is_retry=headers.get("client-retry") == "1",
             resumed=headers.get("client-retry") == "again",
             id=id,
         )
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -7,7 +7,7 @@
 
 from pearhill.http1 import messages
 from pearhill.http1.sse import BadEvents, EventParser
-from pearhill.net.backend import Malformed
+from pearhill.net.backend import MalformedResponseError
 from pearhill.platform.front import Payload
 
 HOST = "app.svc"
@@ -36,7 +36,7 @@
         self._parser = EventParser()
 
     @property
-    def kept(self) -> int:
+    def cached_tokens(self) -> int:
         found = _KEPT.findall(self._tail)
         return int(found[-1]) if found else 0
 
@@ -49,7 +49,7 @@
         try:
             ready = b"".join(event.raw for event in self._parser.feed(data))
         except BadEvents as e:
-            raise Malformed(str(e)) from None
+            raise MalformedResponseError(str(e)) from None
         self._tail = (self._tail + ready)[-TAIL:]
         return ready
 
@@ -71,7 +71,7 @@
     def release(self, payload: Payload, engine: int) -> bytes:
         return messages.request("DELETE", f"/state/{payload.id}", HOST)
 
-    def probe(self) -> bytes:
+    def health_check(self) -> bytes:
         return messages.request("GET", "/status/load", HOST)
 
     def load(self, status: int, body: bytes) -> tuple[float, float] | None:
--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -38,7 +38,7 @@
     TimerFired,
 )
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
-from pearhill.routing.permissions import Ran, may_refuse, may_repeat
+from pearhill.routing.permissions import Execution, may_reject, may_retry
 from pearhill.routing.settings import Idempotency, RouterSettings
 from pearhill.routing.slow_start import STEP_EVERY, SlowStart, TokenBucket
 from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
@@ -123,7 +123,7 @@
         self.sent_at = self.weight = self.cost = self.load = self.known = self.held_at = 0
         self.reading = self.fetches = self.streaming = self.closed = self.out = False
         self.held: Engine | None = None
-        self.ran: Ran | None = None
+        self.ran: Execution | None = None
         self.tried: list[int] = []
         self.looked, self.among = (-2, False), list[Engine]()  # the choice asked for, and between whom
 
@@ -247,7 +247,7 @@
         if job.req.allowed_kinds and e.entry.kind not in job.req.allowed_kinds:
             return False
         spec = self.s.classes[job.req.request_class]
-        return may_repeat(spec, job.ran, e.entry.zone, e.entry.cell, self.now) is None
+        return may_retry(spec, job.ran, e.entry.zone, e.entry.cell, self.now) is None
 
     def _held(self, e: Engine, tokens: int) -> float:
         """The share of its memory held there: as reported, the older the more its kind's, and sent since.
@@ -446,7 +446,7 @@
         held_until = job.held_at + self.s.state_hold_time if job.held else 0
         by = [held_until] if held_until else []  # its connection may come up late
         by += (
-            [job.ran.at + spec.idempotency_window]
+            [job.ran.sent_at + spec.idempotency_window]
             if job.ran and spec.idempotency == Idempotency.KEYED and not job.reading
             else []
         )
@@ -502,7 +502,7 @@
         ):  # else the time of what is held runs on
             job.held_at = self.now
         if event.outcome not in NOT_EXECUTED and not job.reading:
-            job.ran = job.ran or Ran(e.entry.zone, e.entry.cell, job.sent_at)
+            job.ran = job.ran or Execution(e.entry.zone, e.entry.cell, job.sent_at)
         if event.outcome == Outcome.ANSWERED:
             mean = self.lasts.setdefault(job.req.request_class, Faded(2 * STEP_EVERY, 20, event.elapsed))
             mean.add(self.now, event.elapsed)
@@ -537,7 +537,7 @@
         long as it heeds. Those who come back at once add to the jam that they were refused for."""
         # Even a read counts as one that may run until it has ended, and a refusal would be a lie.
         spec, away = self.s.classes[job.req.request_class], self.s.max_retry_after if self.s.retry_hints else 0
-        if may_refuse(spec, job.ran is not None or job.out):
+        if may_reject(spec, job.ran is not None or job.out):
             self.actions.append(RejectRequest(job.req.request, away, why))
         else:
             self.actions.append(FailRequest(job.req.request, why))
--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -7,7 +7,7 @@
 from typing import BinaryIO
 
 from pearhill import settings
-from pearhill.load_reports.load_aware_router import Scout
+from pearhill.load_reports.load_aware_router import LoadAwareRouter
 from pearhill.routing.actions import Action
 from pearhill.routing.settings import RouterSettings
 from pearhill.simulator import wire
@@ -26,7 +26,7 @@
     """The routers of one process."""
 
     def __init__(self) -> None:
-        self.routers: dict[int, Scout] = {}
+        self.routers: dict[int, LoadAwareRouter] = {}
         self.load_at: dict[int, tuple[int, int]] = {}
 
     def _columns(self, instance: int) -> tuple[int, int]:
@@ -37,7 +37,7 @@
         for who, event in frame.events:
             if isinstance(event, wire.Start):
                 told, self.load_at[who] = settings_of(event.settings)
-                self.routers[who] = Scout(told, event.seed)
+                self.routers[who] = LoadAwareRouter(told, event.seed)
             elif isinstance(event, wire.Halt):
                 self.routers.pop(who, None)
             elif who not in self.routers:
--- a/pearhill/structures/heavy_hitters.py
+++ b/pearhill/structures/heavy_hitters.py
@@ -14,7 +14,7 @@
 K = TypeVar("K", bound=Hashable)
 
 
-class Hitter(NamedTuple, Generic[K]):
+class HeavyHitter(NamedTuple, Generic[K]):
     key: K
     weight: int  # never less than the true weight
     error: int  # the true weight is at least weight - error
@@ -69,6 +69,6 @@
         for key, (count, error) in kept.items():
             self._put(key, count, error)
 
-    def top(self, most: int) -> list[Hitter[K]]:
+    def top(self, most: int) -> list[HeavyHitter[K]]:
         ranked = heapq.nlargest(most, self._counts.items(), key=lambda item: item[1][0])
-        return [Hitter(key, count, error) for key, (count, error) in ranked]
+        return [HeavyHitter(key, count, error) for key, (count, error) in ranked]
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from pearhill.budgets import AdmissionStatus, Budgets, Limit, Plan, Prices, TenantPlan, Used
+from pearhill.budgets import AdmissionStatus, Budgets, Limit, Plan, Prices, TenantPlan, Usage
 from pearhill.budgets.charges import Charge, pack, pack_state, rebuild
 from pearhill.budgets.limits import DAY, GRAINS, MILLI, month_name, month_of, periods
 
@@ -45,31 +45,33 @@
     def test_a_bucket_gives_its_burst_and_then_its_rate(self):
         b = budgets(a=plan(tokens_per_min=600, burst=1_000))
         first = b.admit(T0, WALL, "a", "", 500, 500)
-        self.assertEqual(first.kind, AdmissionStatus.WITHIN_LIMIT)
+        self.assertEqual(first.status, AdmissionStatus.WITHIN_LIMIT)
         second = b.admit(T0, WALL, "a", "", 50, 50)
-        self.assertEqual((second.kind, second.wait, second.reservation), (AdmissionStatus.OVER_LIMIT, 10 * S, None))
-        self.assertEqual(b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).wait, 1)
-        self.assertEqual(b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).kind, AdmissionStatus.WITHIN_LIMIT)
+        self.assertEqual(
+            (second.status, second.retry_after, second.reservation), (AdmissionStatus.OVER_LIMIT, 10 * S, None)
+        )
+        self.assertEqual(b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).retry_after, 1)
+        self.assertEqual(b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).status, AdmissionStatus.WITHIN_LIMIT)
 
     def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
         b.answers.clear()
         held = b.admit(T0, WALL, "a", "", 100, 100, hint=50).reservation
-        self.assertEqual(b.settle(T0, held, Used(100, 0, 10)), 110 * MILLI)
+        self.assertEqual(b.settle(T0, held, Usage(100, 0, 10)), 110 * MILLI)
         self.assertEqual(b.balance(T0, WALL, "a")["remaining_tokens"], 890)
         held = b.admit(T0, WALL, "a", "", 90, 2_400, hint=800).reservation
         self.assertEqual(held.amount, 890 * MILLI)
-        b.settle(T0, held, Used(90, 0, 2_400))  # three times as long as reserved: served whole
+        b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved: served whole
         self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 1_600)
         standing = b.admit(T0, WALL, "a", "", 1, 1)
-        self.assertEqual((standing.kind, standing.wait), (AdmissionStatus.OVERDRAWN, 1_602 * S))
-        self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).kind, AdmissionStatus.WITHIN_LIMIT)
+        self.assertEqual((standing.status, standing.retry_after), (AdmissionStatus.OVERDRAWN, 1_602 * S))
+        self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status, AdmissionStatus.WITHIN_LIMIT)
 
     def test_a_run_that_never_was_costs_nothing_and_settles_once(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, day=5_000, open=1))
         held = b.admit(T0, WALL, "a", "", 500, 100).reservation
-        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).why, "a: requests open at once")
-        self.assertEqual((b.settle(T0, held, None), b.settle(T0, held, Used(9, 0, 9))), (0, 0))
+        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).reason, "a: requests open at once")
+        self.assertEqual((b.settle(T0, held, None), b.settle(T0, held, Usage(9, 0, 9))), (0, 0))
         told = b.balance(T0, WALL, "a")
         self.assertEqual((told["remaining_tokens"], told["day_tokens"], told["open_requests"]), (1_000, 0, 0))
 
@@ -77,7 +79,7 @@
         b = Budgets(Plan({"a": plan(tokens_per_min=60, burst=10_000)}, prices=Prices(cached=100, answer=4_000)), T0)
         held = b.admit(T0, WALL, "a", "", 1_000, 10).reservation
         self.assertEqual(held.amount, 1_040 * MILLI)
-        self.assertEqual(b.settle(T0, held, Used(1_000, 800, 5)), (200 + 80 + 20) * MILLI)
+        self.assertEqual(b.settle(T0, held, Usage(1_000, 800, 5)), (200 + 80 + 20) * MILLI)
 
     def test_levels_nest(self):
         cases = (
@@ -92,21 +94,21 @@
                 b = Budgets(made, T0)
                 self.assertTrue(b.admit(T0, WALL, "a", "k1", 50, 30).admitted)
                 standing = b.admit(T0, WALL, "a", "k1", 50, 30)
-                self.assertEqual((standing.kind, standing.why[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
-                self.assertEqual(standing.lasting, name in ("day", "month"))
+                self.assertEqual((standing.status, standing.reason[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
+                self.assertEqual(standing.quota_exhausted, name in ("day", "month"))
 
     def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         self.assertTrue(b.admit(T0, WALL, "a", "", 100, 50).admitted)
-        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).kind, AdmissionStatus.OVERDRAWN)
+        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).status, AdmissionStatus.OVERDRAWN)
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
-        self.assertTrue(b.admit(T0, WALL, "a", "", 100, 51).lasting)
+        self.assertTrue(b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted)
 
     def test_answers_are_reserved_by_what_they_have_been(self):
         b = budgets(a=plan(tokens_per_min=10**6, burst=10**6, debt=10**6))
         for _ in range(20):
             held = b.admit(T0, WALL, "a", "", 10, 1_000).reservation
-            b.settle(T0, held, Used(10, 0, 100))
+            b.settle(T0, held, Usage(10, 0, 100))
         self.assertEqual(b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount, 110 * MILLI)
         self.assertEqual(b.admit(T0, WALL, "a", "", 10, 50).reservation.amount, 60 * MILLI)
 
@@ -116,12 +118,12 @@
         held = b.admit(T0, end - 1, "a", "", 900, 100).reservation
         after = b.admit(T0 + S, end, "a", "", 800, 100)
         self.assertTrue(after.admitted)
-        b.settle(T0 + 2 * S, held, Used(900, 0, 100))  # of yesterday: today's count is not touched
+        b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
         self.assertEqual(b.balance(T0, end, "a")["day_tokens"], 900)
         self.assertEqual((held.day, after.reservation.day), (end // DAY - 1, end // DAY))
         stepped = b.admit(T0 + 3 * S, end - 5, "a", "", 50, 10)  # the calendar steps back over midnight
         self.assertEqual(stepped.reservation.day, end // DAY)
-        self.assertEqual(b.admit(T0 + 3 * S, end, "a", "", 90, 10).why, "a: tokens a day")
+        self.assertEqual(b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason, "a: tokens a day")
 
     def test_a_clock_that_goes_back_gives_and_takes_nothing(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100))
@@ -135,7 +137,7 @@
         held = b.admit(T0, WALL, "a", "", 600, 100).reservation
         b.reconfigure(Plan({"a": plan(tokens_per_min=60, burst=100)}), T0)
         self.assertEqual(b.balance(T0, WALL, "a")["remaining_tokens"], 100)
-        b.settle(T0, held, Used(600, 0, 350))
+        b.settle(T0, held, Usage(600, 0, 350))
         self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 150)
 
     def test_a_key_that_moves_settles_where_it_was_taken(self):
@@ -144,7 +146,7 @@
         held = b.admit(T0, WALL, "a", "k", 500, 100).reservation
         moved = b.admit(T0, WALL, "b", "k", 900, 100)
         self.assertTrue(moved.admitted)
-        b.settle(T0, held, Used(100))
+        b.settle(T0, held, Usage(100))
         self.assertEqual([node.level // (MILLI * GRAINS) for node in (b.keys["a", "k"], b.keys["b", "k"])], [900, 0])
 
 
@@ -168,7 +170,7 @@
         for now, name in events:
             standing = b.admit(now, WALL, name, "", 90, 10)
             if standing.reservation:
-                b.settle(now, standing.reservation, Used(90, 0, 10))
+                b.settle(now, standing.reservation, Usage(90, 0, 10))
                 served[name] += 100 if now > warm else 0
             else:
                 refused[name] += 1
@@ -214,10 +216,10 @@
         )
         for k in range(10_000):
             standing = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
-            self.assertEqual(standing.kind, AdmissionStatus.WITHIN_LIMIT)
-            b.settle(T0 + k * 100, standing.reservation, Used(90, 0, 10))
+            self.assertEqual(standing.status, AdmissionStatus.WITHIN_LIMIT)
+            b.settle(T0 + k * 100, standing.reservation, Usage(90, 0, 10))
         self.assertEqual(
-            b.admit(T0 + S, WALL, "t1", "", 190, 10).kind, AdmissionStatus.OVER_LIMIT
+            b.admit(T0 + S, WALL, "t1", "", 190, 10).status, AdmissionStatus.OVER_LIMIT
         )  # guaranteed work has taken all
         now = T0 + 30 * S
         for _ in range(1_000):
@@ -255,7 +257,7 @@
                 now += rng.randrange(3 * S)
                 tenant = rng.choice("ab")
                 if held := live.admit(now, WALL, tenant, "k", rng.randrange(1, 200), 50).reservation:
-                    used = Used(rng.randrange(200), 0, rng.randrange(50))
+                    used = Usage(rng.randrange(200), 0, rng.randrange(50))
                     milli = live.settle(now, held, used)
                     journal.append(
                         pack(
@@ -325,8 +327,13 @@
             self.level -= amount
             self.held.append((standing.reservation, prompt, most))
         else:
-            assert standing.wait >= 0 and standing.kind in (AdmissionStatus.OVER_LIMIT, AdmissionStatus.OVERDRAWN)
-            assert (standing.kind == AdmissionStatus.OVERDRAWN) == (level < 0 and standing.why.endswith("paid off"))
+            assert standing.retry_after >= 0 and standing.status in (
+                AdmissionStatus.OVER_LIMIT,
+                AdmissionStatus.OVERDRAWN,
+            )
+            assert (standing.status == AdmissionStatus.OVERDRAWN) == (
+                level < 0 and standing.reason.endswith("paid off")
+            )
 
     @precondition(lambda self: self.held)
     @rule(data=st.data())
@@ -334,12 +341,12 @@
         held, prompt, most = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
         ran = data.draw(st.booleans())
         answer = data.draw(st.integers(0, most))
-        charge = self.budgets.settle(self.now, held, Used(prompt, 0, answer) if ran else None)
+        charge = self.budgets.settle(self.now, held, Usage(prompt, 0, answer) if ran else None)
         assert charge == ((prompt + answer) * MILLI if ran else 0)
         self.model()
         self.level = min(Fraction(300), self.level + Fraction(held.amount - charge, MILLI))
         self.charged += Fraction(charge, MILLI)
-        assert self.budgets.settle(self.now, held, Used(1, 0, 1)) == 0
+        assert self.budgets.settle(self.now, held, Usage(1, 0, 1)) == 0
 
     @rule(micros=st.integers(-5 * S, 20 * S))
     def wait(self, micros):
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -14,14 +14,14 @@
 from pearhill import settings
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
-from pearhill.core.request import Ask, Attempt
+from pearhill.core.request import Attempt, RequestSpec
 from pearhill.counters import Counters
 from pearhill.http1.client import ClientConnection, Data, End, Head, Lost
 from pearhill.http1.messages import RequestMessage
 from pearhill.http1.server import Rejected, ServerConnection
 from pearhill.http1.sse import BadEvents, EventParser
 from pearhill.net.backend import HttpBackend
-from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, NoRoom, Pool
+from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, Pool, PoolExhaustedError
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.actions import Action, RejectRequest, SendAttempt
@@ -39,13 +39,13 @@
         self.told: list[str] = []
         self.closed = False  # unseen until somebody looks
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self.told.append("refuse")
 
     def fail(self) -> None:
         self.told.append("fail")
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         raise AssertionError("no data here")
 
     def finish(self) -> None:
@@ -54,7 +54,7 @@
     def abort(self) -> None:
         self.told.append("abort")
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return self.closed
 
 
@@ -66,7 +66,7 @@
         self.deadlines = Deadlines(lambda: self.now)
         self.core = Dispatcher(settings.parse(SETTINGS), 1, self.deadlines, Counters())
         self.core.backend = self
-        self.core.listed(
+        self.core.update_endpoints(
             True, tuple(Endpoint(n, 0, kind, 0, Phase.READY, 1.0, 0) for n, kind in ((1, 0), (2, 1), (3, 1)))
         )
 
@@ -77,7 +77,7 @@
         self.on_cancel(attempt)
         return self.reached
 
-    def begun(self, attempt: Attempt) -> bool:
+    def has_started(self, attempt: Attempt) -> bool:
         return self.reached
 
     def release(self, request: Any, engines: set[int]) -> None:
@@ -88,7 +88,9 @@
 
     def take(self, cls: int = ADVICE, ttl: int = 5_000_000) -> Client:
         client = Client()
-        client.request = self.core.take(Ask(cls, ttl, prompt=3000, max_out=100), client, None)
+        client.request = self.core.accept(
+            RequestSpec(cls, ttl, prompt_tokens=3000, max_output_tokens=100), client, None
+        )
         return client
 
     def wait(self, micros: int) -> None:
@@ -101,8 +103,8 @@
     def test_two_stages_then_one_answer(self):
         client = self.take()
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        self.assertEqual([a.engine for a in self.sent][0], 1)
-        self.assertTrue(self.sent[1].begin())
+        self.assertEqual([a.replica for a in self.sent][0], 1)
+        self.assertTrue(self.sent[1].start_response())
         self.sent[1].end(Outcome.ANSWERED)
         self.sent[1].end(Outcome.TRUNCATED)  # one end counts
         self.assertEqual((client.told, self.released, self.core.requests), (["finish"], [], {}))
@@ -115,16 +117,18 @@
             with self.subTest(phase=phase, reached=reached):
                 self.setUp()
                 self.reached = reached
-                self.core.listed(True, tuple(Endpoint(n, 0, 2, 0, Phase.READY, 1.0, 0) for n in range(10, most + 13)))
+                self.core.update_endpoints(
+                    True, tuple(Endpoint(n, 0, 2, 0, Phase.READY, 1.0, 0) for n in range(10, most + 13))
+                )
                 client = self.take(BOOKING)
                 for _ in range(most + 2):
-                    at = self.sent[-1].engine
-                    self.core.listed(False, (Endpoint(at, 0, 2, 0, phase, 1.0, 0),))
+                    at = self.sent[-1].replica
+                    self.core.update_endpoints(False, (Endpoint(at, 0, 2, 0, phase, 1.0, 0),))
                 self.assertEqual(client.told, [])
-                self.assertEqual(len({a.engine for a in self.sent}), 1 if reached else most + 3)
+                self.assertEqual(len({a.replica for a in self.sent}), 1 if reached else most + 3)
                 self.assertEqual(self.core.counters.outcomes[Outcome.WITHDRAWN], 0 if reached else most + 2)
                 self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
-                self.sent[-1].begin()
+                self.sent[-1].start_response()
                 self.sent[-1].end(Outcome.ANSWERED)
                 self.assertEqual((client.told, self.released, self.core.requests), (["finish"], [], {}))
 
@@ -132,9 +136,9 @@
         """Neither at the choice nor at the first byte; what was held for it is let go of."""
         client = self.take()
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        self.assertTrue(self.sent[1].may_begin())
+        self.assertTrue(self.sent[1].may_start())
         client.closed, self.reached = True, False
-        self.assertFalse(self.sent[1].may_begin())
+        self.assertFalse(self.sent[1].may_start())
         self.assertEqual((client.told, self.released, self.core.requests, self.core.counters.left), ([], [{1}], {}, 1))
         client = self.take()
         client.closed = True
@@ -147,21 +151,21 @@
         client = self.take(BOOKING)
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         within = SETTINGS["extra"]["release-within"]
-        self.assertEqual(self.sent[1].by, self.now + within)
+        self.assertEqual(self.sent[1].send_before, self.now + within)
         self.reached = False
         self.now += within
-        self.assertFalse(self.sent[1].may_begin())
+        self.assertFalse(self.sent[1].may_start())
         self.assertEqual((self.core.counters.outcomes[Outcome.WITHDRAWN], self.released, client.told), (1, [{1}], []))
         self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.value])
-        self.assertEqual(self.sent[2].engine, 1)  # read anew: it has run nowhere
+        self.assertEqual(self.sent[2].replica, 1)  # read anew: it has run nowhere
 
     def test_a_booking_that_was_being_written_when_its_time_was_over_may_have_run(self):
         """Its last byte may have left in the very turn; refused, or sent elsewhere, it would run twice."""
         client = self.take(BOOKING)
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        self.now = self.sent[1].by
+        self.now = self.sent[1].send_before
         self.sent[1].withdraw()
-        self.assertEqual((client.told, len(self.sent), self.released), (["fail"], 2, [{1, self.sent[1].engine}]))
+        self.assertEqual((client.told, len(self.sent), self.released), (["fail"], 2, [{1, self.sent[1].replica}]))
         self.assertEqual(self.core.counters.outcomes[Outcome.WITHDRAWN], 0)
 
     def test_what_a_fetch_without_a_sign_is_for_is_let_go_of_in_time_and_once_more_at_its_end(self):
@@ -172,13 +176,13 @@
         self.assertEqual(self.reminded, [])
         self.wait(1)
         self.assertEqual((self.reminded, self.released, len(self.sent)), ([{1}], [], 2))
-        self.core.leave(client.request)
-        self.assertEqual((self.released, client.request.interrupted), ([{1, self.sent[1].engine}], True))
+        self.core.disconnect(client.request)
+        self.assertEqual((self.released, client.request.interrupted), ([{1, self.sent[1].replica}], True))
 
     def test_a_fetch_that_has_begun_in_time_needs_no_release(self):
         self.take()
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        self.sent[1].begin()
+        self.sent[1].start_response()
         self.wait(SETTINGS["extra"]["release-within"])
         self.assertEqual((self.reminded, self.released), ([], []))
 
@@ -196,13 +200,13 @@
         """Both are counted as violations; the client hears that it failed."""
         client = self.take(BOOKING)
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        number, writer = client.request.number, self.sent[1].engine
+        number, writer = client.request.number, self.sent[1].replica
         wanted: list[Action] = [SendAttempt(number, writer, 10**6)]
         self.core.router.handle = lambda now, event: [wanted.pop()] if wanted else []  # type: ignore[method-assign]
         self.sent[1].end(Outcome.TRUNCATED, may_hold=True)
         self.assertEqual(len(self.sent), 2)
         wanted.append(RejectRequest(number, 0))
-        self.core.listed(False, ())
+        self.core.update_endpoints(False, ())
         self.assertEqual(client.told, ["fail"])
         self.assertEqual(dict(self.core.counters.violations), {"may-have-run": 1, "refused-after-effect": 1})
 
@@ -210,20 +214,22 @@
         self.reached = False
         for _ in range(5):
             client = self.take()
-            self.core.leave(client.request)
+            self.core.disconnect(client.request)
         self.assertEqual(self.core.counters.outcomes, {Outcome.NOT_SENT: 5})
         self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
 
     def test_a_request_whose_time_was_over_before_its_turn_is_refused_and_not_sent(self):
         client = Client()
-        self.core.take(Ask(BOOKING, 1000, prompt=3000, max_out=100), client, None, arrived=self.now - 1000)
+        self.core.accept(
+            RequestSpec(BOOKING, 1000, prompt_tokens=3000, max_output_tokens=100), client, None, arrived=self.now - 1000
+        )
         self.assertEqual((client.told, self.sent, self.core.requests), (["refuse"], [], {}))
         self.assertEqual(self.core.counters.refusals, {"expired": 1})
 
     def test_an_engine_that_the_list_does_not_name_as_ready_gets_nothing_whatever_the_router_wants(self):
         for phase in (Phase.DRAINING, Phase.GONE):
             self.setUp()
-            self.core.engines = {n: replace(e, phase=phase) for n, e in self.core.engines.items()}
+            self.core.endpoints = {n: replace(e, phase=phase) for n, e in self.core.endpoints.items()}
             client = self.take()
             self.assertEqual((self.sent, client.told), ([], ["refuse"]))
 
@@ -244,7 +250,7 @@
     def test_the_clock_stops_with_the_first_event_and_a_break_is_no_end(self):
         client = self.take()
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
-        self.sent[1].begin()
+        self.sent[1].start_response()
         self.wait(20_000_000)
         self.assertEqual(client.told, [])
         self.sent[1].end(Outcome.TRUNCATED)
@@ -257,12 +263,12 @@
         self.wait(4_900_000)
         self.assertEqual(order[0], "close 2")
         self.assertGreater(len(self.sent), 2)
-        self.assertEqual(len({a.request for a in self.sent if not a.over}), 0 if client.told else 1)
+        self.assertEqual(len({a.request for a in self.sent if not a.ended}), 0 if client.told else 1)
 
     def test_an_outcome_in_hand_wins_over_a_call_off(self):
         client = self.take()
-        self.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, kept=7, may_hold=True)
-        self.core.leave(client.request)
+        self.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold=True)
+        self.core.disconnect(client.request)
         self.assertEqual(self.core.counters.outcomes, {"read": 1})
         self.assertEqual(self.released, [{1}])
 
@@ -270,11 +276,11 @@
         for self.reached, released in ((True, [{1}]), (False, [])):
             self.released.clear()
             client = self.take()
-            self.core.leave(client.request)
+            self.core.disconnect(client.request)
             self.assertEqual((self.released, client.told, self.core.requests), (released, [], {}))
 
     def test_a_booking_that_was_called_off_before_it_was_sent_may_go_elsewhere(self):
-        self.core.listed(
+        self.core.update_endpoints(
             False,
             (
                 Endpoint(1, 0, 0, 0, Phase.GONE, 1.0, 0),
@@ -284,8 +290,8 @@
         )
         self.take(BOOKING)
         first, self.reached = self.sent[-1], False
-        self.core.listed(False, (Endpoint(first.engine, 0, 2, 0, Phase.GONE, 1.0, 0),))
-        self.assertEqual(len({a.engine for a in self.sent}), 2)
+        self.core.update_endpoints(False, (Endpoint(first.replica, 0, 2, 0, Phase.GONE, 1.0, 0),))
+        self.assertEqual(len({a.replica for a in self.sent}), 2)
 
 
 class Due(unittest.TestCase):
@@ -471,14 +477,14 @@
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
-                with self.assertRaises(NoRoom):
+                with self.assertRaises(PoolExhaustedError):
                     await self.pool.acquire(self.address, no_more)
 
     async def test_a_shortage_of_descriptors_here_is_no_fault_of_the_engines(self):
         backend = HttpBackend(self.pool, ReplicaDialect())
-        backend.locate({1: self.address}, [], full=True)
+        backend.update_addresses({1: self.address}, [], full=True)
         await self.pool.acquire(self.address)
-        attempt = Mock(engine=1, deadline=10**6, by=0)
+        attempt = Mock(replica=1, deadline=10**6, send_before=0)
         backend.send(attempt)
         await backend.calls[attempt].task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
@@ -486,9 +492,9 @@
     async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_engines(self):
         """Neither is an attempt spent on it at once: it may be over in a moment."""
         backend = HttpBackend(self.pool, ReplicaDialect())
-        backend.locate({1: self.address}, [], full=True)
+        backend.update_addresses({1: self.address}, [], full=True)
         for number in (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
-            attempt = Mock(engine=1, deadline=self.now + 10**7, by=0, over=False, may_begin=lambda: False)
+            attempt = Mock(replica=1, deadline=self.now + 10**7, send_before=0, ended=False, may_start=lambda: False)
             with patch("pearhill.net.pool.socket.socket", side_effect=OSError(number, os.strerror(number))):
                 backend.send(attempt)
                 task = backend.calls[attempt].task
@@ -504,36 +510,36 @@
     async def test_an_attempt_whose_last_byte_is_not_written_when_its_time_is_over_is_taken_back(self):
         """A server that reads slowly would run it only then."""
         backend = HttpBackend(self.pool, ReplicaDialect())
-        backend.locate({1: self.address}, [], full=True)
-        request = Mock(number=1, holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
-        attempt = Mock(engine=1, deadline=10**9, by=500_000, request=request)
+        backend.update_addresses({1: self.address}, [], full=True)
+        request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
+        attempt = Mock(replica=1, deadline=10**9, send_before=500_000, request=request)
         backend.send(attempt)
         while not backend.calls[attempt].tried:
             await asyncio.sleep(0)
-        self.now = attempt.by - 1
+        self.now = attempt.send_before - 1
         self.deadlines.sweep()
         attempt.withdraw.assert_not_called()
-        self.now = attempt.by
+        self.now = attempt.send_before
         self.deadlines.sweep()
         attempt.withdraw.assert_called_once_with()
-        self.assertTrue(backend.begun(attempt))
+        self.assertTrue(backend.has_started(attempt))
         self.assertTrue(backend.cancel(attempt))
 
     async def test_servers_that_have_left_are_forgotten_once_nothing_is_owed_to_them(self):
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
-            backend.locate({n: self.address}, [], full=True)  # each list names one server, and a new one
+            backend.update_addresses({n: self.address}, [], full=True)  # each list names one server, and a new one
             self.assertIn(n - 1 if n else n, backend.addresses)  # a release may still be owed to the last one
             self.now += 1_000_000
             self.deadlines.sweep()
         self.assertLess(len(backend.addresses), 100)
-        backend.locate({}, [999], full=False)
-        backend.locate({999: self.address}, [], full=False)  # it is back
+        backend.update_addresses({}, [999], full=False)
+        backend.update_addresses({999: self.address}, [], full=False)  # it is back
         self.now += 100_000_000
         self.deadlines.sweep()
         self.assertEqual(set(backend.addresses), {999})
         connection = await self.pool.acquire(self.address)
         self.pool.put_back(connection)
         self.assertEqual(list(self.pool.idle), [self.address])
-        backend.locate({}, [999], full=False)
+        backend.update_addresses({}, [999], full=False)
         self.assertEqual((self.pool.idle, connection.closed), ({}, True))
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -11,8 +11,8 @@
 import unittest
 from unittest.mock import patch
 
-from pearhill.durable.frames import HEAD, Torn, frame, read
-from pearhill.durable.journal import Corrupt, Journal, frames_of, recover, segments
+from pearhill.durable.frames import HEAD, TornFrameError, frame, read
+from pearhill.durable.journal import CorruptJournalError, Journal, frames_of, recover, segments
 from tests.standins import ROOT
 
 SEED = 20261201
@@ -76,9 +76,9 @@
             whole = sum(end <= cut for end in ends) - 1
             found = recover(self.folder)
             self.assertEqual([f.body for f in found.frames], wanted[:whole])
-            self.assertEqual((found.seq, found.cut), (whole, cut - ends[whole]))
+            self.assertEqual((found.seq, found.torn_bytes), (whole, cut - ends[whole]))
             self.assertEqual(path.stat().st_size, ends[whole])
-            if found.cut:  # nothing is thrown away
+            if found.torn_bytes:  # nothing is thrown away
                 self.assertEqual(path.with_suffix(".torn").read_bytes(), data[ends[whole] : cut])
             again = Journal(self.folder, found.seq, self.told, self.failed)
             again.append(b"after")
@@ -93,7 +93,7 @@
         for at in range(len(data)):
             spoilt = bytearray(data)
             spoilt[at] ^= 1
-            with self.subTest(at=at), self.assertRaises(Torn):
+            with self.subTest(at=at), self.assertRaises(TornFrameError):
                 list(read(bytes(spoilt)))
 
     def test_damage_in_the_middle_is_not_cut_away(self):
@@ -106,7 +106,7 @@
         data = bytearray(first.read_bytes())
         data[-1] ^= 1
         first.write_bytes(bytes(data))
-        with self.assertRaises(Corrupt):
+        with self.assertRaises(CorruptJournalError):
             recover(self.folder)
         self.assertEqual(first.read_bytes(), bytes(data))
 
@@ -126,11 +126,11 @@
         self.assertEqual((found.state, len(found.frames)), (None, 6))
         for lost in (0, -1):
             segments(self.folder)[lost].unlink()
-            with self.assertRaises(Corrupt):
+            with self.assertRaises(CorruptJournalError):
                 recover(self.folder)
         for path in segments(self.folder):
             path.unlink()
-        with self.assertRaises(Corrupt):
+        with self.assertRaises(CorruptJournalError):
             recover(self.folder)
 
 
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -8,22 +8,31 @@
 from collections.abc import Callable
 from typing import Any
 
-from pearhill.admin.endpoint import Door
+from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.bill.files import SCHEMA
 from pearhill.bill.statement import sum_up
-from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
+from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Usage
 from pearhill.budgets.charges import Charge, pack, pack_state
 from pearhill.budgets.limits import month_of
 from pearhill.counters import Calls, Counters, Figures
 from pearhill.durable.frames import frame
-from pearhill.lifecycle.overrides import Wish
-from pearhill.lifecycle.takeover import Note
-from pearhill.load_reports.peer_loads import Row
+from pearhill.lifecycle.overrides import Override
+from pearhill.lifecycle.takeover import TakeoverMessage
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership import gauges
-from pearhill.membership.aggregation_messages import FrameCodec, Hello, HelloAck, Part, Report, Roster, Sums, Superseded
-from pearhill.membership.gossip import Message
-from pearhill.membership.gossip_messages import Codec
-from pearhill.membership.members import ALIVE, DEAD, SUSPECT, Ack, Ask, Ping, Rumour
+from pearhill.membership.aggregation_messages import (
+    AggregationCodec,
+    Hello,
+    HelloAck,
+    MemberList,
+    PartialSum,
+    Report,
+    Sums,
+    Superseded,
+)
+from pearhill.membership.gossip import GossipMessage
+from pearhill.membership.gossip_messages import GossipCodec
+from pearhill.membership.members import ALIVE, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
 from pearhill.routing.actions import (
     CancelAttempt,
     FailRequest,
@@ -43,12 +52,12 @@
 NOW, WALL, SECOND = 1_796_083_200_000_000, 1_796_083_200, 1_000_000
 MONTH = month_of("2026-12")
 
-RUMOURS = (Rumour("n1", 7, ALIVE), Rumour("n2", 1 << 40, SUSPECT), Rumour("n4", 0, DEAD))
-ROWS = (Row(11, 1_200, 4_800), Row((1 << 64) - 1, 0, 5))
+RUMOURS = (MemberUpdate("n1", 7, ALIVE), MemberUpdate("n2", 1 << 40, SUSPECT), MemberUpdate("n4", 0, DEAD))
+ROWS = (ReplicaLoad(11, 1_200, 4_800), ReplicaLoad((1 << 64) - 1, 0, 5))
 GOSSIP = {
-    "ping": Message("n1", NOW, 42, Ping("n2", 9), RUMOURS, ROWS),
-    "ack": Message("n2", NOW + 1, 43, Ack("n1", 9), (), ()),
-    "ping-request": Message("n1", NOW, 44, Ask("n3", 10, "n2"), RUMOURS[:1], ROWS[1:]),
+    "ping": GossipMessage("n1", NOW, 42, Ping("n2", 9), RUMOURS, ROWS),
+    "ack": GossipMessage("n2", NOW + 1, 43, Ack("n1", 9), (), ()),
+    "ping-request": GossipMessage("n1", NOW, 44, PingRequest("n3", 10, "n2"), RUMOURS[:1], ROWS[1:]),
 }
 
 LOADS = gauges.pack(bytes(range(40)))
@@ -58,27 +67,27 @@
     "report": Report("n1", "a1", NOW, 5, 17, 0, 1, 2, 250, False, 3, 4, 0, LOADS, WAITS, ((99, 7, 8),), 40, 16),
     "report-leaving": Report("n1", "a1", NOW, 6, 18, 1, 2, 2, -1, True, 3, 4, 0, b"\0", b"\0", ()),
     "sums": Sums("a1", "n1", NOW, 7, 17, -1, 3, 4, 2, 1, 0, 1, 0, LOADS, WAITS, TABLE, 40, False),
-    "part": Part("a1", "a2", NOW, 8, 3, 4, 5, 6, 7, 8, 0, 1, 0, LOADS, WAITS, TABLE, 40, 12),
-    "roster": Roster("a1", "a2", NOW, 9, 0, 1, (("n1", NOW, 2, 100), ("n2", NOW, 1, -1))),
+    "part": PartialSum("a1", "a2", NOW, 8, 3, 4, 5, 6, 7, 8, 0, 1, 0, LOADS, WAITS, TABLE, 40, 12),
+    "roster": MemberList("a1", "a2", NOW, 9, 0, 1, (("n1", NOW, 2, 100), ("n2", NOW, 1, -1))),
     "hello": Hello("n1", "a2", NOW, 10, 3),
     "hello-ack": HelloAck("a2", "n1", NOW, 11, 3),
     "superseded": Superseded("a2", "n1", NOW, 12, NOW + 5),
 }
 
 NOTES = {
-    "note": Note(
+    "note": TakeoverMessage(
         "n1",
         NOW,
         NOW + 9,
         True,
         False,
         False,
-        {0xABC: Wish(NOW + 1, True, NOW), 0x1F: Wish(NOW + 3, False, NOW + 2)},
-        Wish(NOW + 4, True, NOW + 4),
+        {0xABC: Override(NOW + 1, True, NOW), 0x1F: Override(NOW + 3, False, NOW + 2)},
+        Override(NOW + 4, True, NOW + 4),
         123_456,
         "boot-1",
     ),
-    "note-ended": Note("n1", NOW, NOW + 10, False, True, True, {}, None),
+    "note-ended": TakeoverMessage("n1", NOW, NOW + 10, False, True, True, {}, None),
 }
 
 
@@ -186,7 +195,7 @@
     budgets = new_budgets()
     for tenant, key, prompt, answer in (("ada", "k1", 1_000, 128), ("bob", "", 300, 10)):
         held = budgets.admit(NOW, WALL, tenant, key, prompt, answer).reservation
-        budgets.settle(NOW + SECOND, held, Used(prompt, 100, answer // 2))
+        budgets.settle(NOW + SECOND, held, Usage(prompt, 100, answer // 2))
     budgets.admit(NOW + SECOND, WALL + 1, "ada", "", 50, 50)
     return budgets
 
@@ -206,7 +215,7 @@
     def figures(self) -> Figures:
         return Figures({"chat": Calls(3, 2, 1), "batch": Calls()}, 5, 17, 4, 1)
 
-    def take_out(self, uid: str, out: bool) -> bool:
+    def set_replica_down(self, uid: str, out: bool) -> bool:
         return uid == "r-1"
 
     def drain(self, on: bool) -> None: ...
@@ -247,7 +256,7 @@
     found = {}
     for method, target in CALLS:
         reply = _Reply()
-        Door(_Operated()).handle(_Call(method, target), reply)
+        AdminEndpoint(_Operated()).handle(_Call(method, target), reply)
         found[f"{method} {target}"] = reply.answers
     return json.dumps(found, indent=1).encode()
 
@@ -267,8 +276,8 @@
     "transcript-aggregation.txt": transcripts.aggregation,
     "transcript-budgets.txt": transcripts.budgets,
     "fleet-keys.json": transcripts.fleet_keys,
-    **{f"gossip-{name}.bin": lambda m=m: Codec(KEY).pack(m) for name, m in GOSSIP.items()},
-    **{f"aggregation-{name}.bin": lambda m=m: FrameCodec(KEY).pack(m) for name, m in AGGREGATION.items()},
+    **{f"gossip-{name}.bin": lambda m=m: GossipCodec(KEY).pack(m) for name, m in GOSSIP.items()},
+    **{f"aggregation-{name}.bin": lambda m=m: AggregationCodec(KEY).pack(m) for name, m in AGGREGATION.items()},
     **{f"{name}.txt": lambda n=n: n.encode() for name, n in NOTES.items()},
     "simulator-events.bin": event_frame,
     "simulator-events.json": decoded_events,
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -9,8 +9,8 @@
 from pearhill.budgets.charges import rebuild, unpack
 from pearhill.durable.journal import frames_of, recover
 from pearhill.lifecycle.takeover import decode
-from pearhill.membership.aggregation_messages import FrameCodec
-from pearhill.membership.gossip_messages import Codec
+from pearhill.membership.aggregation_messages import AggregationCodec
+from pearhill.membership.gossip_messages import GossipCodec
 from tests.golden import samples
 from tests.golden.samples import AGGREGATION, CHARGES, FILES, GOSSIP, KEY, NOTES, NOW, SAMPLES, SECOND, WALL
 
@@ -28,13 +28,13 @@
 @pytest.mark.parametrize("name", GOSSIP)
 def test_gossip_is_read(name):
     message = GOSSIP[name]
-    assert Codec(KEY).unpack((FILES / f"gossip-{name}.bin").read_bytes(), message.say.to) == message
+    assert GossipCodec(KEY).unpack((FILES / f"gossip-{name}.bin").read_bytes(), message.payload.to) == message
 
 
 @pytest.mark.parametrize("name", AGGREGATION)
 def test_messages_of_aggregators_are_read(name):
     message = AGGREGATION[name]
-    assert FrameCodec(KEY).unpack((FILES / f"aggregation-{name}.bin").read_bytes(), message.to) == message
+    assert AggregationCodec(KEY).unpack((FILES / f"aggregation-{name}.bin").read_bytes(), message.to) == message
 
 
 @pytest.mark.parametrize("name", NOTES)
@@ -50,7 +50,7 @@
     folder = tmp_path / "journal"
     shutil.copytree(FILES / "journal", folder)
     found = recover(folder)
-    assert (found.seq, found.state_seq, found.cut, len(found.frames)) == (6, 2, 25, 4)
+    assert (found.seq, found.state_seq, found.torn_bytes, len(found.frames)) == (6, 2, 25, 4)
     assert [unpack(one.body) for one in frames_of(folder)] == list(CHARGES)
     budgets = samples.new_budgets()
     assert rebuild(budgets, found.state, [one.body for one in found.frames], NOW + 9 * SECOND) == 4
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -8,13 +8,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Used
+from pearhill.budgets import Budgets, Limit, Plan, TenantPlan, Usage
 from pearhill.core.deadlines import Deadlines
-from pearhill.load_reports.peer_loads import Row
-from pearhill.membership.aggregation_messages import FrameCodec
+from pearhill.load_reports.peer_loads import ReplicaLoad
+from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.gossip import Council
-from pearhill.membership.gossip_messages import Codec
+from pearhill.membership.gossip import GossipProtocol
+from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.reporter import AggregatorSite, Reporter
 from pearhill.net.fleet import Fleet, FleetSetup
 
@@ -59,22 +59,22 @@
         return self.arriving
 
 
-def _rows(rng: random.Random, engines: int) -> list[Row]:
+def _rows(rng: random.Random, engines: int) -> list[ReplicaLoad]:
     rows = []
     for engine in range(engines):
         waiting = rng.choice((0, 0, rng.randrange(1, 200_000)))
-        rows.append(Row((engine + 1) * 1_000_003, waiting, waiting + rng.randrange(1, 50_000)))
+        rows.append(ReplicaLoad((engine + 1) * 1_000_003, waiting, waiting + rng.randrange(1, 50_000)))
     return rows
 
 
 def gossip() -> bytes:
     """Five dispatchers for 40 seconds; one is gone from second 15 to 25, one starts again at 30."""
-    network, codec = Network(1), Codec(KEY)
+    network, codec = Network(1), GossipCodec(KEY)
     names = [f"n{k}" for k in range(5)]
 
-    def start(name: str, now: int) -> Council:
+    def start(name: str, now: int) -> GossipProtocol:
         rng = random.Random(f"{name} {now}")
-        return Council(name, [n for n in names if n != name], now, rng, lambda: _rows(rng, 6))
+        return GossipProtocol(name, [n for n in names if n != name], now, rng, lambda: _rows(rng, 6))
 
     councils = {name: start(name, START + k) for k, name in enumerate(names)}
     for now in range(START, START + 40 * SECOND, STEP):
@@ -82,14 +82,14 @@
         for to, data in network.step():
             if to == "n1" and 15 <= second < 25:
                 continue
-            for answer in councils[to].heard(now, codec.unpack(data, to)):
-                network.send(answer.say.to, codec.pack(answer))
+            for answer in councils[to].receive(now, codec.unpack(data, to)):
+                network.send(answer.payload.to, codec.pack(answer))
         if second == 30:
             councils["n2"] = start("n2", now)
         for name, council in councils.items():
             if (now - START) % 250_000 == 0 and not (name == "n1" and 15 <= second < 25):
-                for message in council.beat(now):
-                    network.send(message.say.to, codec.pack(message))
+                for message in council.tick(now):
+                    network.send(message.payload.to, codec.pack(message))
         if (now - START) % SECOND == 0:
             for council in councils.values():
                 others = council.others(now, 2 * 1_000_003, 10, 30)  # sums over sets: their last digits vary
@@ -101,7 +101,7 @@
 def aggregation() -> bytes:
     """Six dispatchers and three aggregators for 60 seconds: an aggregator is gone from second 20 to 40 and starts
     again, a dispatcher leaves at 30, one starts again at 45."""
-    network, codec = Network(2), FrameCodec(KEY)
+    network, codec = Network(2), AggregationCodec(KEY)
     sites = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
 
     def report(name: str, now: int) -> Reporter:
@@ -128,9 +128,9 @@
             if to in gone:
                 continue
             if to in aggregators:
-                send(aggregators[to].heard(now, codec.unpack(data, to)))
+                send(aggregators[to].receive(now, codec.unpack(data, to)))
             else:
-                send(reporters[to].heard(now, codec.unpack(data, to), len(data)), reporters[to])
+                send(reporters[to].receive(now, codec.unpack(data, to), len(data)), reporters[to])
         if second == 20:
             gone.add("a1")
         elif second == 40:
@@ -144,10 +144,10 @@
         if (now - START) % 100_000 == 0:
             for name, aggregator in aggregators.items():
                 if name not in gone:
-                    send(aggregator.beat(now))
+                    send(aggregator.tick(now))
         for name, reporter in reporters.items():
-            if name not in gone and reporter.next_beat(now) <= now:
-                send(reporter.beat(now), reporter)
+            if name not in gone and reporter.next_tick(now) <= now:
+                send(reporter.tick(now), reporter)
         if (now - START) % SECOND == 0:
             for reporter in reporters.values():
                 network.transcript.add(reporter.count(now), reporter.others(now, 2 * 1_000_003, 10, 30))
@@ -177,13 +177,13 @@
         tenant, key = rng.choice("aaabbcdde"), rng.choice(("", "k1", "k2"))
         prompt, answer = rng.randrange(1, 3_000), rng.randrange(1, 1_000)
         found = books.admit(now, wall, tenant, key, prompt, answer, rng.choice((0, 0, answer // 3)))
-        transcript.add(found.kind, found.wait, found.why, found.lasting)
+        transcript.add(found.status, found.retry_after, found.reason, found.quota_exhausted)
         if found.reservation:
             transcript.add(found.reservation.amount, found.reservation.spare)
             held.append((found.reservation, prompt, answer))
         if held and rng.random() < 0.6:
             reservation, prompt, answer = held.pop(rng.randrange(len(held)))
-            used = Used(prompt, prompt // 3, rng.randrange(answer * 2)) if rng.random() < 0.9 else None
+            used = Usage(prompt, prompt // 3, rng.randrange(answer * 2)) if rng.random() < 0.9 else None
             transcript.add(books.settle(now, reservation, used))
         if step % 100 == 0:
             transcript.add(*(books.balance(now, wall, name) for name in "abcde"))
@@ -204,7 +204,7 @@
     setup = FleetSetup("n1", ("127.0.0.1", 1), tuple(KEY), {"n2": ("127.0.0.1", 2)})
     fleet = Fleet(setup, 1, deadlines, list)
     fleet._settle()
-    scout = SimpleNamespace(figures=lambda now: {11: (5, 9, False)})
+    scout = SimpleNamespace(loads=lambda now: {11: (5, 9, False)})
     node = SimpleNamespace(
         dispatcher=SimpleNamespace(router=scout),
         backend=SimpleNamespace(addresses={11: ("127.0.0.1", 3)}),
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -37,7 +37,7 @@
 
 def test_what_is_half_sent_is_ended_only_when_the_process_ends():
     drain = Drain()
-    drain.ask(0, True)
+    drain.request(0, True)
     assert not drain.ends_all(100 * S)
     drain.end_process(S, S)
     assert not drain.ends_all(S + drain.times.end_by - 1)
--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from pearhill.lifecycle.drain import KEEP_OPEN, LAST_ANSWERS, NO_IDLE, OPEN, Drain
-from pearhill.lifecycle.endpoint_overrides import Roster
-from pearhill.lifecycle.overrides import FORGOTTEN_AFTER, Wishes
+from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
+from pearhill.lifecycle.overrides import FORGOTTEN_AFTER, OperatorOverrides
 from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import S, entry
 
@@ -17,50 +17,50 @@
 
 
 def test_what_is_out_is_told_as_draining_whatever_the_list_says():
-    roster = Roster(wishes := Wishes())
-    assert phases(roster.listed(True, (entry(1, 0), entry(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
-    wishes.set_out(1, 10 * S, True)
-    assert phases(roster.again({1})) == {1: Phase.DRAINING}
+    roster = EndpointOverrides(wishes := OperatorOverrides())
+    assert phases(roster.update(True, (entry(1, 0), entry(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
+    wishes.set_down(1, 10 * S, True)
+    assert phases(roster.reapply({1})) == {1: Phase.DRAINING}
     for full in (False, True):
-        assert phases(roster.listed(full, (entry(1, 0), entry(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
-    roster.listed(False, (entry(1, 0, phase=Phase.GONE),))
-    assert roster.knows(1) and roster.again({1}) == ()  # not listed, and still out
+        assert phases(roster.update(full, (entry(1, 0), entry(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
+    roster.update(False, (entry(1, 0, phase=Phase.GONE),))
+    assert roster.knows(1) and roster.reapply({1}) == ()  # not listed, and still out
     moved = replace(entry(1, 0), started_at=11 * S, cell=5)
-    assert phases(roster.listed(False, (moved,))) == {1: Phase.DRAINING}
-    wishes.set_out(1, 12 * S, False)
-    assert roster.again({1}) == (moved,)  # the list named its start
-    roster.listed(True, ())
+    assert phases(roster.update(False, (moved,))) == {1: Phase.DRAINING}
+    wishes.set_down(1, 12 * S, False)
+    assert roster.reapply({1}) == (moved,)  # the list named its start
+    roster.update(True, ())
     assert not roster.knows(1)
 
 
 def test_two_calls_out_need_one_back_and_a_call_back_alone_is_none():
-    wishes = Wishes()
-    wishes.set_out(1, 5 * S, False)
-    assert wishes.out == {}  # or an engine that was never out would be taken for a cold one
+    wishes = OperatorOverrides()
+    wishes.set_down(1, 5 * S, False)
+    assert wishes.down == {}  # or an engine that was never out would be taken for a cold one
     for at in (10 * S, 11 * S):
-        wishes.set_out(1, at, True)
-    wishes.set_out(1, 12 * S, False)
-    assert not wishes.is_out(1)
-    assert wishes.back(1) and wishes.back(1).since == 10 * S
+        wishes.set_down(1, at, True)
+    wishes.set_down(1, 12 * S, False)
+    assert not wishes.is_down(1)
+    assert wishes.restored(1) and wishes.restored(1).since == 10 * S
 
 
 def test_what_is_back_counts_as_cold_until_the_list_tells_its_true_start():
-    roster = Roster(wishes := Wishes())
-    roster.listed(True, (entry(1, 0, started=3 * S),))
-    wishes.set_out(1, 10 * S, True)
-    wishes.set_out(1, 20 * S, False)
-    assert roster.again({1})[0].started_at == 20 * S  # absence is not warmth
+    roster = EndpointOverrides(wishes := OperatorOverrides())
+    roster.update(True, (entry(1, 0, started=3 * S),))
+    wishes.set_down(1, 10 * S, True)
+    wishes.set_down(1, 20 * S, False)
+    assert roster.reapply({1})[0].started_at == 20 * S  # absence is not warmth
     for start in (14 * S, 25 * S):
-        assert roster.listed(False, (entry(1, 0, started=start),))[0].started_at == start
+        assert roster.update(False, (entry(1, 0, started=start),))[0].started_at == start
     wishes.forget(20 * S + FORGOTTEN_AFTER + 1)
-    assert wishes.out == {}
+    assert wishes.down == {}
 
 
 def test_wishes_that_stand_are_never_forgotten():
-    wishes = Wishes()
-    wishes.set_out(1, S, True)
+    wishes = OperatorOverrides()
+    wishes.set_down(1, S, True)
     wishes.forget(100 * FORGOTTEN_AFTER)
-    assert wishes.is_out(1)
+    assert wishes.is_down(1)
 
 
 CALLS = st.lists(st.tuples(st.integers(0, 1), st.integers(1, 3), st.integers(0, 20), st.booleans()), max_size=30)
@@ -69,34 +69,34 @@
 @given(CALLS)
 def test_of_two_processes_both_end_with_the_wish_that_came_last(calls):
     """Each call reaches one of two; each takes over the other's after it, whatever their clocks say."""
-    both = Wishes(), Wishes()
+    both = OperatorOverrides(), OperatorOverrides()
     last: dict[int, bool] = {}
     for who, engine, at, on in calls:
-        both[who].set_out(engine, at, on)
+        both[who].set_down(engine, at, on)
         last[engine] = on
-        both[1 - who].merge(both[who].out, both[who].drain)
-        both[who].merge(both[1 - who].out, both[1 - who].drain)
-    assert both[0].out == both[1].out
-    assert {engine: both[0].is_out(engine) for engine in last} == last
+        both[1 - who].merge(both[who].down, both[who].drain)
+        both[who].merge(both[1 - who].down, both[1 - who].drain)
+    assert both[0].down == both[1].down
+    assert {engine: both[0].is_down(engine) for engine in last} == last
 
 
 def test_a_drain_goes_through_its_stages_and_back():
     drain = Drain()
     assert drain.stage(S) == OPEN and drain.tick(S) is None
-    drain.ask(S, True)
+    drain.request(S, True)
     assert (drain.stage(S), drain.tick(S)) == (LAST_ANSWERS, S + KEEP_OPEN)
-    drain.ask(S + KEEP_OPEN - 1, True)  # asked for twice, it does not begin anew
+    drain.request(S + KEEP_OPEN - 1, True)  # asked for twice, it does not begin anew
     assert (drain.stage(S + KEEP_OPEN), drain.tick(S + KEEP_OPEN)) == (NO_IDLE, None)
-    drain.ask(9 * S, False)
-    drain.ask(9 * S, False)
+    drain.request(9 * S, False)
+    drain.request(9 * S, False)
     assert not drain.on and drain.stage(9 * S) == OPEN
 
 
 def test_the_end_of_the_operators_drain_does_not_undo_the_end_of_the_process():
     drain = Drain()
-    drain.ask(S, True)
+    drain.request(S, True)
     drain.end_process(2 * S, 6 * S)
-    drain.ask(3 * S, False)
+    drain.request(3 * S, False)
     assert drain.on and drain.stage(2 * S + KEEP_OPEN) == NO_IDLE
     drain.end_process(9 * S, 6 * S)
     assert drain.stage(3 * S) == NO_IDLE  # a second signal does not begin it anew
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from pearhill.load_reports.load_aware_router import FIRST_EJECTED, MOST_EJECTED, Scout
-from pearhill.load_reports.query_policy import looks
+from pearhill.load_reports.load_aware_router import FIRST_EJECTED, MOST_EJECTED, LoadAwareRouter
+from pearhill.load_reports.query_policy import roles_worth_querying
 from pearhill.load_reports.reports import FADE, FRESH, Reports
 from pearhill.platform.replica import load_of
 from pearhill.routing.actions import Action, SendHealthCheck
@@ -31,7 +31,7 @@
         self.out: list[int] = []
         super().__init__(s, FLEET, seed)
         # The same driver, before the Router's own decisions: drop the one that it made, list the fleet anew.
-        self.router: Any = Scout(s, seed)
+        self.router: Any = LoadAwareRouter(s, seed)
         self.timers.clear()
         self.feed(EndpointsUpdated(True, FLEET))
 
@@ -53,9 +53,9 @@
         r, _ = self.arrive(session=session)
         for engine in list(self.out):
             self.tell(engine, waiting=told[engine])
-        return self.gone(r)
+        return self.has_disconnected(r)
 
-    def gone(self, r: int) -> int:
+    def has_disconnected(self, r: int) -> int:
         """The client leaves, and its work goes with it; where it had been sent."""
         self.feed(ClientDisconnected(r))
         self.end(r, Outcome.CANCELLED, settled=True)
@@ -77,7 +77,9 @@
     ],
 )
 def test_a_look_is_taken_only_where_it_pays(instances, price, probing, roles):
-    assert looks(replace(SETTINGS, instances=instances, health_check_price=price, health_checks=probing)) == set(roles)
+    assert roles_worth_querying(
+        replace(SETTINGS, instances=instances, health_check_price=price, health_checks=probing)
+    ) == set(roles)
 
 
 def test_the_emptier_of_the_pair_by_its_own_word_reads_whatever_i_have_there():
@@ -112,7 +114,7 @@
     plain = Asking(mute).read({})
     for busy in (1, 2):
         d = Asking(mute)
-        d.router.talk(Others({busy: 9000.0, busy + 10: 9000.0}, sure))
+        d.router.use_peers(Others({busy: 9000.0, busy + 10: 9000.0}, sure))
         r, _ = d.arrive(session=5)
         assert not d.out
         if sure < 0.1:  # hardly a word of it is fresh: as if nothing was said
@@ -162,7 +164,7 @@
         if 1 in d.out:
             asked += 1
             d.tell(1, outcome=Outcome.TIMEOUT)
-        assert d.gone(r) == 2
+        assert d.has_disconnected(r) == 2
     assert 4 <= asked <= 2 + math.log2(MOST_EJECTED / FIRST_EJECTED) + 10 * S / (0.75 * MOST_EJECTED)
     for n in range(200):
         d.wait(50 * MS)
@@ -170,7 +172,7 @@
         period += 1
         for engine in list(d.out):
             d.tell(engine)
-        if d.gone(r) == 1:
+        if d.has_disconnected(r) == 1:
             break
     assert period * 50 * MS < 1.3 * MOST_EJECTED
 
@@ -179,7 +181,7 @@
     d = Asking()
     r, _ = d.arrive()
     d.tell(1, outcome=Outcome.NOT_SENT), d.tell(2, outcome=Outcome.NOT_SENT)
-    d.gone(r)
+    d.has_disconnected(r)
     assert {d.read({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
     d.wait(S)
     d.arrive(session=50)
@@ -207,10 +209,10 @@
 
 def test_a_word_fades_and_one_that_cannot_be_so_changes_nothing():
     reports = Reports()
-    assert reports.heard(0, 1, (0.5, 8.0))
+    assert reports.receive(0, 1, (0.5, 8.0))
     for load in (None, (math.nan, 1.0), (0.1, math.inf), (-0.1, 1.0), (0.1, 1e9)):
-        assert not reports.heard(FADE // 4, 1, load)
-    fresh, old, gone = (reports.told(at, 1) for at in (0, FADE, 6 * FADE))
+        assert not reports.receive(FADE // 4, 1, load)
+    fresh, old, gone = (reports.report(at, 1) for at in (0, FADE, 6 * FADE))
     assert (
         fresh.queued_tokens,
         fresh.confidence,
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from pearhill.load_reports.peer_loads import Row
+from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership import gauges, reporter
 from pearhill.membership.aggregation_messages import (
     ENTRIES,
@@ -22,18 +22,18 @@
     MOST_SLOTS,
     MOVED,
     PART_LEASE,
-    Frame,
-    FrameCodec,
+    AggregationCodec,
+    AggregationMessage,
     Hello,
     HelloAck,
-    Part,
+    MemberList,
+    PartialSum,
     Report,
-    Roster,
     Sums,
     Superseded,
 )
 from pearhill.membership.aggregator import BEAT, CUT, IDLE, SILENT, Aggregator
-from pearhill.membership.gossip_messages import MAX_BYTES, Rejected
+from pearhill.membership.gossip_messages import MAX_BYTES, MessageRejectedError
 from pearhill.membership.replay_window import WINDOW, ReplayWindow
 from pearhill.membership.reporter import BYTES_PER_S, GONE, HEADERS, AggregatorSite, Reporter
 
@@ -52,12 +52,12 @@
         self.said: list[tuple[int, int]] = []
         self.reporter = Reporter(name, region, SITES, incarnation, random.Random(world.rng.random()), self.rows)
         self.reporter._due = world.now + world.rng.randrange(500_000)
-        self.received: list[tuple[Frame, object]] = []  # while it stands still
+        self.received: list[tuple[AggregationMessage, object]] = []  # while it stands still
         self.up, self.stalled, self.known = True, False, set[object]()
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[ReplicaLoad]:
         self.said.append((self.world.now, self.load))
-        return [Row(self.engine, self.load // 2, self.load)]
+        return [ReplicaLoad(self.engine, self.load // 2, self.load)]
 
     def most_lately(self, now: int) -> int:
         return max((load for at, load in self.said if now - at < LATELY), default=0)
@@ -69,12 +69,14 @@
         self.rng, self.now, self.events, self.size = random.Random(seed), 1_000 * S, 0, size
         self.heap: list[tuple[int, int, str, object]] = []
         self.drop = self.double = 0.0
-        self.delay, self.cuts, self.codec = 2_000, set[tuple[str, str]](), FrameCodec([KEY])
+        self.delay, self.cuts, self.codec = 2_000, set[tuple[str, str]](), AggregationCodec([KEY])
         self.processes: list[Process] = []
         self.aggregators: dict[str, Aggregator] = {}
-        self.stalled: dict[str, list[tuple[Frame, object]]] = {}  # aggregators, and what waits in their sockets
+        self.stalled: dict[
+            str, list[tuple[AggregationMessage, object]]
+        ] = {}  # aggregators, and what waits in their sockets
         self.addresses: dict[tuple[str, str], Process] = {}  # as each aggregator has learnt them
-        self.replayable: list[tuple[object, Frame]] = []
+        self.replayable: list[tuple[object, AggregationMessage]] = []
         self.arrivals: list[tuple[int, str]] = []
         self.most_moves = Counter[int]()
         for site in SITES:
@@ -104,7 +106,7 @@
     def side(self, thing: object) -> str:
         return thing.region if isinstance(thing, Process) else "r" + str(thing)[1:]
 
-    def send(self, sender: object, frames: list[Frame]) -> None:
+    def send(self, sender: object, frames: list[AggregationMessage]) -> None:
         for f in frames:
             if isinstance(sender, Process):
                 sender.reporter.sent(self.size)
@@ -117,16 +119,16 @@
             for _ in range(1 + (self.rng.random() < self.double)):
                 self.at(self.rng.randrange(1, 2 * self.delay), "frame", (to, f, sender))
 
-    def take(self, to: object, f: Frame, sender: object) -> None:
+    def take(self, to: object, f: AggregationMessage, sender: object) -> None:
         if isinstance(to, Process):
             if to.up and to.stalled:
                 to.received.append((f, sender))
             elif to.up:
-                self.send(to, to.reporter.heard(self.now, f, self.size))
+                self.send(to, to.reporter.receive(self.now, f, self.size))
         elif to in self.stalled:
             self.stalled[to].append((f, sender))
         elif to in self.aggregators:
-            answers = self.aggregators[to].heard(self.now, f)
+            answers = self.aggregators[to].receive(self.now, f)
             if answers and isinstance(sender, Process):
                 self.addresses[to, f.sender] = sender
             self.arrivals += [(self.now, to)] * isinstance(f, Report)
@@ -140,15 +142,15 @@
                 name, made = thing
                 if self.aggregators.get(name) is made:
                     if name not in self.stalled:
-                        self.send(name, made.beat(self.now))
+                        self.send(name, made.tick(self.now))
                     self.at(BEAT, "beat", thing)
             elif what == "report":
                 if thing.up:
-                    if not thing.stalled and self.now >= thing.reporter.next_beat(self.now):
+                    if not thing.stalled and self.now >= thing.reporter.next_tick(self.now):
                         moves = thing.reporter.moves
-                        self.send(thing, thing.reporter.beat(self.now))
+                        self.send(thing, thing.reporter.tick(self.now))
                         self.most_moves[self.now // 250_000] += thing.reporter.moves - moves
-                    self.at(max(1_000, min(BEAT, thing.reporter.next_beat(self.now) - self.now)), "report", thing)
+                    self.at(max(1_000, min(BEAT, thing.reporter.next_tick(self.now) - self.now)), "report", thing)
             else:
                 self.take(*thing)
         self.now = end
@@ -183,7 +185,7 @@
             for other in self.processes:
                 told = p.reporter.theirs(self.now, other.engine)
                 load = other.load if other.up and other is not p else 0
-                if told is None or not load / STEP <= told.load <= load * STEP:
+                if told is None or not load / STEP <= told.total_tokens <= load * STEP:
                     wrong.append(f"{p.name} {p.reporter.figures(self.now)}: {told} of {other.name}, who has {load}")
         return wrong
 
@@ -194,7 +196,7 @@
                 if told is not None:
                     most = other.most_lately(self.now) if other is not p else 0
                     assert (
-                        told.load <= most * STEP and told.waiting <= most / 2 * STEP
+                        told.total_tokens <= most * STEP and told.queued_tokens <= most / 2 * STEP
                     ), f"{p.name} at {p.reporter.current}: {told} of {other.name}, who said {most}"
         named = {p.name for p in self.processes}
         for a in self.aggregators.values():
@@ -461,13 +463,13 @@
         self.assertEqual((world.counts(), world.astray()), ({6}, []))
 
     def test_bytes_stay_within_the_budget_while_a_large_table_is_told(self):
-        rows = [Row(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
+        rows = [ReplicaLoad(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
         with mock.patch.object(Process, "rows", lambda self: rows):
-            world, codec = World(3, 9), FrameCodec([KEY])
+            world, codec = World(3, 9), AggregationCodec([KEY])
             total, seen = Counter[str](), list[tuple[int, int]]()
             pack = codec.pack
 
-            def send(sender: object, frames: list[Frame]) -> None:
+            def send(sender: object, frames: list[AggregationMessage]) -> None:
                 for f in frames:
                     size = len(pack(f))  # ValueError: too long
                     if isinstance(sender, Process) and sender.name == "d0" or f.to == "d0":
@@ -498,21 +500,21 @@
 class Alone(unittest.TestCase):
     def test_what_is_sent_again_puts_no_report_off(self):
         r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(8), lambda: [])
-        at = r.next_beat(S)
-        (report,) = r.beat(at)
+        at = r.next_tick(S)
+        (report,) = r.tick(at)
         sums = Sums(SITES[0].name, "d1", 1, 1, report.number, -1, 1, 1, 0, 0, 0, 1, 0, b"\0", b"\0", ())
-        r.heard(at, sums, 1400)
-        due = r.next_beat(at)
+        r.receive(at, sums, 1400)
+        due = r.next_tick(at)
         for _ in range(1000):
-            r.heard(at, sums, 1400)
-        self.assertEqual(r.next_beat(at), due)
+            r.receive(at, sums, 1400)
+        self.assertEqual(r.next_tick(at), due)
 
     def test_a_count_is_no_count_before_one_that_surely_knew_has_told_it(self):
         r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(9), lambda: [])
         for n, (counted, settled, count) in enumerate(((2, False, None), (9, True, 9), (3, False, 9), (3, True, 3))):
-            at = r.next_beat(S * (n + 1))
-            (report,) = r.beat(at)
-            r.heard(
+            at = r.next_tick(S * (n + 1))
+            (report,) = r.tick(at)
+            r.receive(
                 at,
                 Sums(
                     SITES[0].name,
@@ -541,13 +543,13 @@
         now = 1_000 * S
         r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
         for _ in range(5):
-            now = r.next_beat(now)
-            self.assertEqual(r.beat(now)[0].to, "a0")
+            now = r.next_tick(now)
+            self.assertEqual(r.tick(now)[0].to, "a0")
         now += 6 * S
-        self.assertEqual((r.beat(now)[0].to, r.attach), ("a0", 1))
+        self.assertEqual((r.tick(now)[0].to, r.attach), ("a0", 1))
         for _ in range(30):
-            now = r.next_beat(now)
-            r.beat(now)
+            now = r.next_tick(now)
+            r.tick(now)
         self.assertEqual((r.current != "a0", r.attach, r.moves), (True, 2, 1))
 
     def test_half_a_table_tells_nothing(self):
@@ -555,18 +557,18 @@
         r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
         loads = gauges.pack(bytes((100,) * 4))
         for k, (entries, told) in enumerate(((((0, 70, 1), (1, 71, 2)), False), (((2, 72, 3), (3, 73, 4)), True))):
-            now = r.next_beat(now)
-            (asked,) = r.beat(now)
-            r.heard(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
+            now = r.next_tick(now)
+            (asked,) = r.tick(now)
+            r.receive(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
             for engine in (70, 73, 99):
                 self.assertEqual(r.theirs(now, engine) is not None, told)
                 if not told:
                     self.assertEqual(r.others(now, engine, 2, 3), (8.0, 12.0, 0.0))
-        now = r.next_beat(now)
-        (asked,) = r.beat(now)
-        r.heard(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
+        now = r.next_tick(now)
+        (asked,) = r.tick(now)
+        r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
         self.assertIsNone(r.theirs(now, 80))  # the last sums of slot 0 were engine 70's
-        self.assertEqual((r.theirs(now, 70).load, r.theirs(now, 71).load), (0, gauges.TOKENS[100]))
+        self.assertEqual((r.theirs(now, 70).total_tokens, r.theirs(now, 71).total_tokens), (0, gauges.TOKENS[100]))
 
 
 def report(number: int = 1, **changed: object) -> Report:
@@ -596,21 +598,23 @@
 class Tables(unittest.TestCase):
     def test_a_slot_gets_another_engine_and_old_words_of_it_count_nowhere(self):
         now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
-        a.heard(now, report(1))
-        a.heard(now, report(2, known_incarnation=now, echo=1, news=((7, 100, 150),)))
+        a.receive(now, report(1))
+        a.receive(now, report(2, known_incarnation=now, echo=1, news=((7, 100, 150),)))
         self.assertEqual(a._loads, [gauges.TOKENS[150]])
-        a.heard(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
+        a.receive(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
         later = now + S
         for k in range(4, 44):
             later += S
-            a.heard(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
-            a.beat(later)
-        a.heard(later, report(50, known_incarnation=now, echo=43, known_version=1, news=((8, 9, 99),)))
+            a.receive(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
+            a.tick(later)
+        a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, news=((8, 9, 99),)))
         self.assertEqual((a._engines, a.version, a.reused), ([8], 2, 2))
         packed = gauges.pack(bytes((120,)))
-        a.heard(later, report(51, known_incarnation=now, echo=50, known_version=1, slots=1, loads=packed, waits=packed))
+        a.receive(
+            later, report(51, known_incarnation=now, echo=50, known_version=1, slots=1, loads=packed, waits=packed)
+        )
         self.assertEqual(a._loads, [0])  # it meant engine 7
-        (answer,) = a.heard(
+        (answer,) = a.receive(
             later, report(52, known_incarnation=now, echo=50, known_version=2, slots=1, loads=packed, waits=packed)
         )
         self.assertEqual((a._loads, answer.entries), ([gauges.TOKENS[120]], ()))
@@ -629,77 +633,77 @@
                 a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
                 for k in range(wait // S + 2):
                     at = now + max(0, k - 1) * S
-                    a.heard(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, news=news))
-                a.heard(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, news=news))
+                    a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, news=news))
+                a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, news=news))
                 self.assertEqual(sum(a._loads) > 0, counts)
 
     def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        a.heard(now, report(1))
-        a.heard(now, report(4, known_incarnation=now, echo=1, news=((7, 100, 150),)))
-        a.heard(now, report(3, known_incarnation=now, echo=1, news=((7, 50, 60),)))  # it was overtaken
+        a.receive(now, report(1))
+        a.receive(now, report(4, known_incarnation=now, echo=1, news=((7, 100, 150),)))
+        a.receive(now, report(3, known_incarnation=now, echo=1, news=((7, 50, 60),)))  # it was overtaken
         self.assertEqual(a._loads, [gauges.TOKENS[150]])
         for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
-            a.heard(now, Roster("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
+            a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
             self.assertEqual((a._loads, a.count(now)), ([load], 1))
-        a.heard(now, report(5, known_incarnation=now, echo=4, news=((7, 100, 150),)))  # late, of the stay before
+        a.receive(now, report(5, known_incarnation=now, echo=4, news=((7, 100, 150),)))  # late, of the stay before
         self.assertEqual((a._loads, list(a.members)), ([0], []))
-        a.heard(now, Roster("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
+        a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
         self.assertEqual((a.count(now), sorted(a.known)), (0, ["d0"]))
 
     def test_an_aggregator_that_stood_still_forgets_nobody_for_that(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        a.beat(now)
-        a.heard(now, report(1))
-        a.heard(now, report(2, known_incarnation=now, echo=1))
+        a.tick(now)
+        a.receive(now, report(1))
+        a.receive(now, report(2, known_incarnation=now, echo=1))
         for wait in (2 * SILENT, SILENT, BEAT):
             now += wait
-            a.beat(now)
+            a.tick(now)
             self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 0))
         for _ in range(SILENT // BEAT + 1):
             now += BEAT
-            a.beat(now)
+            a.tick(now)
         self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 1))  # all that there were fell silent: a cut
 
     def test_who_is_read_before_the_first_beat_after_a_stand_is_forgotten_in_time(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         for n in range(1, 6):
-            a.heard(now, report(1, sender=f"d{n}"))
-            a.heard(now, report(2, sender=f"d{n}", known_incarnation=1_000 * S, echo=1))
+            a.receive(now, report(1, sender=f"d{n}"))
+            a.receive(now, report(2, sender=f"d{n}", known_incarnation=1_000 * S, echo=1))
         now += 60 * S  # it stands still; what waited is read before its beat
         for n in range(1, 6):
-            a.heard(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
-            a.heard(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
-        a.beat(now)
+            a.receive(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
+            a.receive(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
+        a.tick(now)
         for k in range((SILENT + S) // BEAT):
             now += BEAT
             for n in range(2, 6):  # one is dead by now
                 at = 5 + k
-                a.heard(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
-            a.beat(now)
+                a.receive(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
+            a.tick(now)
         self.assertEqual(a.count(now), 4)
 
     def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        a.heard(now, report(1))
+        a.receive(now, report(1))
         for wait, answers in ((LEASE // 2, []), (LEASE, [HelloAck])):
             hello = Hello("d0", "a0", 4, 1, 77)  # a report's incarnation is 5
-            self.assertEqual([type(f) for f in a.heard(now + wait, hello)], answers)
-        self.assertEqual([type(f) for f in a.heard(now + 2 * LEASE, report(2, incarnation=4))], [Superseded])
+            self.assertEqual([type(f) for f in a.receive(now + wait, hello)], answers)
+        self.assertEqual([type(f) for f in a.receive(now + 2 * LEASE, report(2, incarnation=4))], [Superseded])
 
     def test_what_comes_twice_or_from_strangers_is_not_taken(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        self.assertEqual(len(a.heard(now, report(1))), 1)
-        self.assertEqual(a.heard(now, report(1)), [])
+        self.assertEqual(len(a.receive(now, report(1))), 1)
+        self.assertEqual(a.receive(now, report(1)), [])
         hello = Hello("d1", "a0", 5, 1, 77)
-        self.assertEqual(a.heard(now, hello), [HelloAck("a0", "d1", now, 2, 77)])
-        self.assertEqual(a.heard(now, hello), [])
+        self.assertEqual(a.receive(now, hello), [HelloAck("a0", "d1", now, 2, 77)])
+        self.assertEqual(a.receive(now, hello), [])
         for frame in (
-            Roster("a9", "a0", 5, 1, 0, 1, (("x", 1, 1, 0),)),
+            MemberList("a9", "a0", 5, 1, 0, 1, (("x", 1, 1, 0),)),
             Superseded("d1", "a0", 5, 2, 9),
             report(2, sender="a1"),
         ):
-            self.assertEqual(a.heard(now, frame), [])
+            self.assertEqual(a.receive(now, frame), [])
         self.assertEqual(a.count(now), 0)
         window = ReplayWindow()
         for incarnation, sequence, first in (
@@ -735,21 +739,21 @@
     FRAMES = (
         report(3, loads=ONE, waits=TWO, slots=40, news=(((1 << 64) - 1, 1, 255),)),
         Sums("a0", "d0", 1 << 50, 7, 3, -1, 330, 330, 9, 8, 0, 2, 512, ONE, TWO, ((0, 1 << 63, 9),), 40, False),
-        Part("a0", "a1", 1 << 50, 8, 110, 110, 1 << 50, 3, 9, 8, 1, 2, 512, ONE, TWO, (), 40, 6),
-        Roster("a0", "a1", 5, 9, 0, 1, (("d0", 1 << 50, 2, -1),)),
+        PartialSum("a0", "a1", 1 << 50, 8, 110, 110, 1 << 50, 3, 9, 8, 1, 2, 512, ONE, TWO, (), 40, 6),
+        MemberList("a0", "a1", 5, 9, 0, 1, (("d0", 1 << 50, 2, -1),)),
         Hello("d0", "a0", 5, 1, 77),
         HelloAck("a0", "d0", 5, 2, 77),
         Superseded("a0", "d0", 5, 3, 1 << 50),
     )
 
     def test_frames_come_back_as_they_were_and_the_largest_fit(self):
-        codec, noise = FrameCodec([KEY]), random.Random(1).randbytes(512)
+        codec, noise = AggregationCodec([KEY]), random.Random(1).randbytes(512)
         a, b, version = "x" * 96, "y" * 96, 1 << 40
         entries = tuple((MOST_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(ENTRIES))
         raw = gauges.pack(noise)
         most = 1 << 31
         largest = (
-            Part(
+            PartialSum(
                 a,
                 b,
                 1 << 60,
@@ -777,10 +781,10 @@
             codec.pack(report(loads=bytes(1_400)))
 
     def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(self):
-        codec, good = FrameCodec([KEY]), FrameCodec([KEY]).pack(report())
+        codec, good = AggregationCodec([KEY]), AggregationCodec([KEY]).pack(report())
 
         def signed(body: bytes) -> bytes:
-            return b"\x02" + FrameCodec._tag(KEY, body) + body
+            return b"\x02" + AggregationCodec._tag(KEY, body) + body
 
         bad = (
             report(loads=b"\0x"),
@@ -806,22 +810,25 @@
             (b"\x01" + good[1:], "version"),
             (good[:-1], "forged"),
             (good + b"\0", "forged"),
-            (FrameCodec([b"j" * 32]).pack(report()), "forged"),
+            (AggregationCodec([b"j" * 32]).pack(report()), "forged"),
             (signed(b"\xc1" * 9), "malformed"),
             (signed(b"\x93\x01\x02\x03"), "malformed"),
             (signed(b"\x91" * 900), "malformed"),
             (codec.pack(report(to="a1")), "not-for-me"),
             *((codec.pack(frame), "malformed") for frame in bad),
         ):
-            with self.subTest(data=data[:60], reason=reason), self.assertRaisesRegex(Rejected, f"^{reason}$"):
+            with (
+                self.subTest(data=data[:60], reason=reason),
+                self.assertRaisesRegex(MessageRejectedError, f"^{reason}$"),
+            ):
                 codec.unpack(data, "a0")
         for n in range(len(good)):
-            with self.assertRaises(Rejected):
+            with self.assertRaises(MessageRejectedError):
                 codec.unpack(good[:n] + bytes((good[n] ^ 0x20,)) + good[n + 1 :], "a0")
-        self.assertEqual(FrameCodec([b"new" * 9, KEY]).unpack(good, "a0"), report())
+        self.assertEqual(AggregationCodec([b"new" * 9, KEY]).unpack(good, "a0"), report())
         for keys in ([], [b"short"]):
             with self.assertRaisesRegex(ValueError, "at least 16 bytes"):
-                FrameCodec(keys)
+                AggregationCodec(keys)
 
     @given(st.binary(max_size=900), st.floats(0, 1), st.integers(0, 1 << 30))
     @examples(max_examples=150, deadline=None, database=None, derandomize=True)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from pearhill.load_reports.peer_loads import FADE, ROWS, Row, Work, cut
-from pearhill.membership.gossip import Council, Message
-from pearhill.membership.gossip_messages import MAX_BYTES, Codec, Rejected
-from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, Ask, Ping, Rumour
+from pearhill.load_reports.peer_loads import FADE, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
+from pearhill.membership.gossip import GossipMessage, GossipProtocol
+from pearhill.membership.gossip_messages import MAX_BYTES, GossipCodec, MessageRejectedError
+from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
 
 S = 1_000_000
 KEY = b"k" * 32
@@ -29,9 +29,9 @@
         self.heap: list[tuple[int, int, str, object]] = []
         self.drop = self.double = 0.0
         self.delay, self.cuts = 2_000, set[tuple[str, str]]()
-        self.up: dict[str, Council] = {}
+        self.up: dict[str, GossipProtocol] = {}
         self.stalled: set[str] = set()
-        self.codec = Codec([KEY])
+        self.codec = GossipCodec([KEY])
         self.replayable: list[tuple[str, bytes]] = []
         for name in self.names:
             self.start(name)
@@ -42,25 +42,25 @@
 
     def start(self, name: str) -> None:
         # Each has so many tokens at engine 1: its own power of ten, so that a sum shows whose it holds.
-        rows = [Row(1, 0, 10 ** self.names.index(name))]
-        self.up[name] = Council(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
+        rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
+        self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
         self.at(self.rng.randrange(BEAT), "beat", (name, self.up[name]))
 
-    def send(self, sender: str, messages: list[Message]) -> None:
+    def send(self, sender: str, messages: list[GossipMessage]) -> None:
         for m in messages:
             data = self.codec.pack(m)
-            self.replayable = [*self.replayable[-200:], (m.say.to, data)]
-            if (sender, m.say.to) in self.cuts or self.rng.random() < self.drop:
+            self.replayable = [*self.replayable[-200:], (m.payload.to, data)]
+            if (sender, m.payload.to) in self.cuts or self.rng.random() < self.drop:
                 continue
             for _ in range(1 + (self.rng.random() < self.double)):
-                self.at(self.rng.randrange(1, 2 * self.delay), "datagram", (m.say.to, data))
+                self.at(self.rng.randrange(1, 2 * self.delay), "datagram", (m.payload.to, data))
 
     def take(self, to: str, data: bytes) -> None:
         if to not in self.up:
             return
         if to in self.stalled:
             return self.at(2 * BEAT, "datagram", (to, data))  # its socket keeps it, past its next beat
-        self.send(to, self.up[to].heard(self.now, self.codec.unpack(data, to)))
+        self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
         end = self.now + micros
@@ -70,7 +70,7 @@
                 name, council = thing
                 if self.up.get(name) is council:
                     if name not in self.stalled:
-                        self.send(name, council.beat(self.now))
+                        self.send(name, council.tick(self.now))
                     self.at(BEAT, "beat", thing)
             else:
                 self.take(*thing)
@@ -137,11 +137,11 @@
     @invariant()
     def no_work_is_counted_twice(self):
         for name, council in getattr(self, "net", Net(0, 0)).up.items():
-            others = council.work.others(self.net.now, 1, list(self.net.names), Row(1, 0, 0))
+            others = council.work.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in council.work._last if n != name)
             # Fresh word alone, without what is assumed of those who say nothing: never more than each has said.
             worth = 1 + sum(council.work._sure(self.net.now, n) for n in self.net.names)
-            assert others.load * worth / (len(self.net.names) + 1) <= known + 1e-6
+            assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self):
         """Whatever has happened: soon after it is over all agree, on the living and on the dead."""
@@ -216,12 +216,12 @@
 def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start():
     net = Net(2, 5)
     first, second = net.up["d0"], net.up["d1"]
-    ping = first.beat(net.now)[0]
-    (ack,) = second.heard(net.now, ping)
-    assert isinstance(ack.say, Ack) and second.heard(net.now, ping) == []
-    anew = Council("d0", net.names, net.now + S, random.Random(8), lambda: [])
-    anew.beat(net.now + S)
-    anew.heard(net.now + S, ack)
+    ping = first.tick(net.now)[0]
+    (ack,) = second.receive(net.now, ping)
+    assert isinstance(ack.payload, Ack) and second.receive(net.now, ping) == []
+    anew = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
+    anew.tick(net.now + S)
+    anew.receive(net.now + S, ack)
     assert len(anew.members._out) == 1
 
 
@@ -235,38 +235,42 @@
 
 
 def test_the_silent_still_send_as_far_as_anybody_knows():
-    work, mine = Work(), Row(7, 100, 100)
-    assert work.others(0, 7, ["a", "b", "c"], mine).load == 300  # nothing is known: as much as I have, each
+    work, mine = PeerLoads(), ReplicaLoad(7, 100, 100)
+    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300  # nothing is known: as much as I have, each
     for name in "abc":
-        work.heard(0, name, (1, 1), [Row(7, 400, 400)])
+        work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
     now = work.others(0, 7, ["a", "b", "c"], mine)
-    assert (now.load, now.sure) == (1200, 1)
-    work.heard(6 * FADE, "a", (1, 2), [Row(7, 0, 0)])
+    assert (now.total_tokens, now.confidence) == (1200, 1)
+    work.receive(6 * FADE, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
     later = work.others(8 * FADE, 7, ["a", "b", "c"], mine)
-    assert later.sure < 0.1 and 100 < later.load < 300
-    assert not work.heard(9 * FADE, "a", (1, 2), [Row(7, 9, 9)]) and not work.heard(9 * FADE, "a", (0, 9), [])
+    assert later.confidence < 0.1 and 100 < later.total_tokens < 300
+    assert not work.receive(9 * FADE, "a", (1, 2), [ReplicaLoad(7, 9, 9)]) and not work.receive(
+        9 * FADE, "a", (0, 9), []
+    )
 
 
 PLAIN = Ping("d2", 9)
 
 
-def message(rows: int = 3, rumours: int = 2, say: Ping | Ack | Ask = PLAIN) -> Message:
-    return Message(
+def message(rows: int = 3, rumours: int = 2, say: Ping | Ack | PingRequest = PLAIN) -> GossipMessage:
+    return GossipMessage(
         "d1",
         1 << 50,
         77,
         say,
-        tuple(Rumour(f"d{n}", 1 << 50, ALIVE) for n in range(rumours)),
-        tuple(cut(Row((1 << 63) + n, 40_000 + n, 1 << 39) for n in range(rows))),
+        tuple(MemberUpdate(f"d{n}", 1 << 50, ALIVE) for n in range(rumours)),
+        tuple(largest_loads(ReplicaLoad((1 << 63) + n, 40_000 + n, 1 << 39) for n in range(rows))),
     )
 
 
 def test_a_message_comes_back_as_it_was_and_the_largest_fits_one_datagram():
-    for m in (message(), message(say=Ack("d2", 5)), message(say=Ask("d2", 5, "d3")), message(0, 0)):
-        assert Codec([KEY]).unpack(Codec([KEY]).pack(m), "d2") == m
-    packed = Codec([KEY]).pack(message(ROWS, 12))
-    back = Codec([KEY]).unpack(packed, "d2")
-    assert len(packed) <= MAX_BYTES and len(back.rows) >= 40 and back.rows == message(ROWS).rows[: len(back.rows)]
+    for m in (message(), message(say=Ack("d2", 5)), message(say=PingRequest("d2", 5, "d3")), message(0, 0)):
+        assert GossipCodec([KEY]).unpack(GossipCodec([KEY]).pack(m), "d2") == m
+    packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
+    back = GossipCodec([KEY]).unpack(packed, "d2")
+    assert (
+        len(packed) <= MAX_BYTES and len(back.loads) >= 40 and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
+    )
 
 
 @pytest.mark.parametrize(
@@ -278,24 +282,24 @@
         (lambda d: b"\x02" + d[1:], "version"),
         (lambda d: d[:-1], "forged"),
         (lambda d: d + b"\0", "forged"),
-        (lambda d: Codec([b"j" * 32]).pack(message()), "forged"),
-        (lambda d: Codec([KEY]).pack(message(say=Ping("d3", 1))), "not-for-me"),
-        (lambda d: b"\x01" + Codec._tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
-        (lambda d: b"\x01" + Codec._tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
-        (lambda d: Codec([KEY]).pack(Message("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
+        (lambda d: GossipCodec([b"j" * 32]).pack(message()), "forged"),
+        (lambda d: GossipCodec([KEY]).pack(message(say=Ping("d3", 1))), "not-for-me"),
+        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
+        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
+        (lambda d: GossipCodec([KEY]).pack(GossipMessage("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
     ],
 )
 def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(spoil, reason):
-    with pytest.raises(Rejected, match=f"^{reason}$"):
-        Codec([KEY]).unpack(spoil(Codec([KEY]).pack(message())), "d2")
+    with pytest.raises(MessageRejectedError, match=f"^{reason}$"):
+        GossipCodec([KEY]).unpack(spoil(GossipCodec([KEY]).pack(message())), "d2")
 
 
 def test_any_flipped_byte_is_noticed_and_a_key_is_changed_without_a_gap():
-    packed = Codec([KEY]).pack(message())
+    packed = GossipCodec([KEY]).pack(message())
     for n in range(len(packed)):
-        with pytest.raises(Rejected):
-            Codec([KEY]).unpack(packed[:n] + bytes([packed[n] ^ 0x20]) + packed[n + 1 :], "d2")
-    assert Codec([b"new" * 9, KEY]).unpack(packed, "d2") == message()
+        with pytest.raises(MessageRejectedError):
+            GossipCodec([KEY]).unpack(packed[:n] + bytes([packed[n] ^ 0x20]) + packed[n + 1 :], "d2")
+    assert GossipCodec([b"new" * 9, KEY]).unpack(packed, "d2") == message()
     for keys in ([], [b"short"]):
         with pytest.raises(ValueError, match="at least 16 bytes"):
-            Codec(keys)
+            GossipCodec(keys)
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from pearhill.membership.peer_load_source import Sources
+from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.membership.reporter import GONE
 
 
@@ -39,7 +39,7 @@
             ("the aggregators are gone", Way(4, 9, 0.0, gone), Way(2, 7, 0.5), 4, "talk", 7),
         ):
             with self.subTest(what):
-                sources = Sources()
-                sources.reporter, sources.council = sums, talk  # type: ignore[assignment]
+                sources = CombinedLoadSource()
+                sources.reporter, sources.gossip = sums, talk  # type: ignore[assignment]
                 self.assertEqual((sources.count(0), sources.in_use(0)), (count, in_use))
                 self.assertEqual(sources.others(0, 1, 0, 0)[1], load)
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -11,7 +11,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.net.listener import Listener
-from pearhill.net.ticks import Turns
+from pearhill.net.ticks import EventLoopTicks
 from tests.virtual import VirtualLoop
 
 OWED_S = 3.0  # a client that says nothing, or stops half-way, is sent away by then
@@ -48,7 +48,7 @@
 
     async def day() -> float:
         deadlines = Deadlines(loop.micros)
-        turns = Turns(loop, deadlines)
+        turns = EventLoopTicks(loop, deadlines)
         listener = Listener(loop, deadlines, Counters(), handler=None, most=4)  # type: ignore[arg-type]
         reader, writer = await asyncio.open_connection(*listener.listen(("127.0.0.1", 0)))
         while not listener.links:
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -8,15 +8,15 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines
-from pearhill.membership.aggregation_messages import FrameCodec, Hello, HelloAck
+from pearhill.membership.aggregation_messages import AggregationCodec, Hello, HelloAck
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.gossip_messages import Rejected
+from pearhill.membership.gossip_messages import MessageRejectedError
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.datagrams import TOLD_EVERY, Datagrams
 from pearhill.net.reporting import LEAST_WAIT, Reporting
 
 S = 1_000_000
-CODEC = FrameCodec([b"k" * 16])
+CODEC = AggregationCodec([b"k" * 16])
 
 
 class Case(unittest.TestCase):
@@ -49,7 +49,7 @@
     def test_are_counted_each_and_told_once_a_minute_with_their_reasons(self):
         def taker(data: bytes, address: Any) -> None:
             if len(data) > 1:
-                raise Rejected("forged")
+                raise MessageRejectedError("forged")
 
         self.datagrams.takers[2] = taker
         for data in (b"\2", b"\2x", b"\2x", b"\1", b""):
@@ -100,16 +100,16 @@
         class Eager:
             me, beats, sizes = "d1", list[int](), list[int]()
 
-            def next_beat(self, now: int) -> int:
+            def next_tick(self, now: int) -> int:
                 return max(now, self.due)
 
-            def beat(self, now: int) -> list[Any]:
+            def tick(self, now: int) -> list[Any]:
                 self.beats.append(now)
                 if len(self.beats) == 3:
                     raise ValueError("a fault")
                 return []
 
-            def heard(self, now: int, frame: Any, size: int) -> list[Any]:
+            def receive(self, now: int, frame: Any, size: int) -> list[Any]:
                 case.assertEqual(size, len(case.data))
                 return []
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -11,7 +11,7 @@
 from pearhill.counters import Counters
 from pearhill.net.clock import start_clock
 from pearhill.net.listener import Listener
-from pearhill.net.ticks import Turns
+from pearhill.net.ticks import EventLoopTicks
 
 MOST, CROWD = 64, 400
 
@@ -20,7 +20,7 @@
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
-        self.turns = Turns(loop, self.deadlines)
+        self.turns = EventLoopTicks(loop, self.deadlines)
         self.listener = Listener(loop, self.deadlines, Counters(), handler=None, most=MOST)  # type: ignore[arg-type]
         self.address = self.listener.listen(("127.0.0.1", 0))
         self.walks = 0
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -11,7 +11,7 @@
 from pearhill.counters import Counters
 from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock
-from pearhill.net.pool import BOOKS, REQUESTS, REST, Gathered, Pool
+from pearhill.net.pool import BOOKS, REQUESTS, REST, CollectedResponse, Pool
 from pearhill.net.releases import FIRST_RELEASE_WAIT, FIRST_RETRY
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
@@ -95,7 +95,7 @@
         for connection in idle:
             pool.put_back(connection)
         backend = HttpBackend(pool, ReplicaDialect())
-        backend.locate({1: address}, [], full=True)
+        backend.update_addresses({1: address}, [], full=True)
         backend.release(SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", "")), {1})
         for wait in (FIRST_RELEASE_WAIT, FIRST_RETRY):
             pending = len(deadlines)
@@ -155,7 +155,7 @@
             connection = await pool.acquire(server.getsockname())
             there, _ = server.accept()
             number = connection.sock.fileno()
-            writing = asyncio.ensure_future(connection.send(Gathered(loop, 100), lambda: MUCH))
+            writing = asyncio.ensure_future(connection.send(CollectedResponse(loop, 100), lambda: MUCH))
             await asyncio.sleep(0)
             if how == "answered early":
                 there.sendall(EARLY)
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from pearhill.net.socket_reader import READS_A_TURN, SHORTAGE_AGAIN_S, Incoming
+from pearhill.net.socket_reader import READS_A_TURN, SHORTAGE_AGAIN_S, SocketReader
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
@@ -46,7 +46,7 @@
             self.theirs = listening.accept()[0]
         self.ours.setblocking(False)
         self.scripted = Scripted(self.ours)
-        self.incoming = Incoming(self.loop, self.scripted)
+        self.incoming = SocketReader(self.loop, self.scripted)
         self.addCleanup(self.ours.close)
         self.addCleanup(self.theirs.close)
         self.addCleanup(self.incoming.close)
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -7,7 +7,7 @@
 
 import uvloop
 
-from pearhill.net.socket_writer import Outgoing
+from pearhill.net.socket_writer import SocketWriter
 
 
 class Scripted:
@@ -33,7 +33,7 @@
         ours, self.theirs = socket.socketpair()
         ours.setblocking(False)
         self.scripted = Scripted(ours, 1 << 20)
-        self.outgoing = Outgoing(asyncio.get_running_loop(), self.scripted)
+        self.outgoing = SocketWriter(asyncio.get_running_loop(), self.scripted)
         self.addCleanup(ours.close)
         self.addCleanup(self.theirs.close)
 
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from pearhill import settings
-from pearhill.core.replica_ids import engine_of
+from pearhill.core.replica_ids import replica_id
 from pearhill.net.clock import start_clock
 from pearhill.platform.discovery import entries_of
 from pearhill.routing.topology import Endpoint, Phase
@@ -402,7 +402,7 @@
     def test_a_target_is_an_engine_that_started_on_the_programs_clock(self):
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = entries_of([self.TARGET], deployment)
-        self.assertEqual(entry, Endpoint(engine_of("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000))
+        self.assertEqual(entry, Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000))
         self.assertEqual(addresses, {entry.replica: ("127.0.0.1", 8080)})
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
         self.assertLess(abs(start_clock()() - time.time() * 1e6), 60e6)
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -133,7 +133,7 @@
     node = Node(parse({**SETTINGS, "classes": classes}), ReplicaDialect(), Limits(256, 7))
     server = await asyncio.start_server(Replica().serve, "127.0.0.1", 0)
     place = server.sockets[0].getsockname()[:2]
-    node.listed(True, (Endpoint(1, 0, 2, 0, Phase.READY, 1.0, 0),), {1: place})
+    node.update_endpoints(True, (Endpoint(1, 0, 2, 0, Phase.READY, 1.0, 0),), {1: place})
     listening: asyncio.Future[Address] = loop.create_future()
     front = PlatformFront(node.dispatcher, lambda: True, node.drain.refuses)
     serving = asyncio.create_task(node.serve(("127.0.0.1", 0), front, "t", lambda: "", listening.set_result))
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -18,7 +18,7 @@
 from pearhill import settings as deployments
 from pearhill.core.deadlines import Deadlines
 from pearhill.net.tasks import Tasks
-from pearhill.net.ticks import Turns
+from pearhill.net.ticks import EventLoopTicks
 from pearhill.platform import discovery
 from pearhill.platform.schedule import CallSchedule
 from tests.standins import SETTINGS
@@ -134,7 +134,7 @@
     agent = Agent(loop, keeps, grace, applied)
 
     async def day() -> None:
-        turns = Turns(loop, deadlines)
+        turns = EventLoopTicks(loop, deadlines)
         pool = SimpleNamespace(spawn=Tasks(loop, "a call").spawn, deadlines=deadlines, drop_idle=lambda address: None)
         schedule = CallSchedule(deployment.shared_discovery, 200, deployment.drain_grace, random.Random(seed))
         watch = discovery.Watch(
@@ -188,7 +188,7 @@
             return 200, bodies.pop(0)
 
         deadlines = Deadlines(loop.micros)
-        turns = Turns(loop, deadlines)
+        turns = EventLoopTicks(loop, deadlines)
         pool = SimpleNamespace(deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None)
         schedule = CallSchedule(shared, 3, 500_000, random.Random(1))
         deployment = deployments.parse(SETTINGS)
@@ -219,7 +219,7 @@
             raise OSError("not now")
 
         deadlines = Deadlines(loop.micros)
-        turns = Turns(loop, deadlines)
+        turns = EventLoopTicks(loop, deadlines)
         pool = SimpleNamespace(deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None)
         schedule = CallSchedule(True, 200, 500_000, random.Random(seed))
         deployment = deployments.parse(SETTINGS)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,7 +13,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from pearhill.load_reports.load_aware_router import Scout
+from pearhill.load_reports.load_aware_router import LoadAwareRouter
 from pearhill.routing.actions import (
     Action,
     CancelAttempt,
@@ -66,7 +66,7 @@
     def __init__(self, s: RouterSettings, zones: int, reports: bool, rng: random.Random) -> None:
         self.s, self.rng, self.reports = s, rng, reports
         self.now, self.heap, self.count = 100 * S, [], 0
-        self.router, self.seen, self.probed = Scout(s, rng.randrange(1 << 60)), {}, set()
+        self.router, self.seen, self.probed = LoadAwareRouter(s, rng.randrange(1 << 60)), {}, set()
         self.listed = {}
         for n in range(1, rng.randrange(4, 16)):
             started, weight = 0 if rng.random() < 0.8 else self.now, rng.choice((0.0, 1.0, 2.5))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as rounds
 from hypothesis import strategies as st
 
-from pearhill.core.request import Ask
+from pearhill.core.request import RequestSpec
 from pearhill.routing.outcomes import Outcome
 from tests.core import test_dispatcher
 from tests.core.test_dispatcher import ADVICE, BOOKING
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.ends: list[str] = []
 
-    def refuse(self, stay_away: int) -> None:
+    def reject(self, stay_away: int) -> None:
         self.ends.append("busy")
 
     def fail(self) -> None:
@@ -49,7 +49,7 @@
     def abort(self) -> None:
         self.ends.append("failure")
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
@@ -62,25 +62,33 @@
     for what, which, number in steps:
         if what == "take":
             client = Client()
-            clients.append((which, client, core.take(Ask(which, number, prompt=3000, max_out=100), client, None)))
+            clients.append(
+                (
+                    which,
+                    client,
+                    core.accept(RequestSpec(which, number, prompt_tokens=3000, max_output_tokens=100), client, None),
+                )
+            )
         elif what == "away":
-            core.turned_away(which)
+            core.record_rejection(which)
             away[which] += 1
         elif what == "wait":
             case.wait(number)
         elif what == "leave" and clients:
             request = clients[number % len(clients)][2]
             left += not request.answered
-            core.leave(request)
+            core.disconnect(request)
         elif case.sent:
             attempt = case.sent[number % len(case.sent)]
             if what == "begin":
-                attempt.begin()
+                attempt.start_response()
             else:
-                attempt.end(which, said="no" if which == Outcome.DECLINED and not attempt.began else None)
+                attempt.end(
+                    which, replica_error="no" if which == Outcome.DECLINED and not attempt.response_started else None
+                )
         ended = 0
         for cls in (ADVICE, BOOKING):
-            told = core.calls[cls]
+            told = core.calls_by_class[cls]
             for name in ("success", "busy", "failure"):
                 seen = sum(client.ends.count(name) for c, client, _ in clients if c == cls)
                 assert getattr(told, name) == seen + (away[cls] if name == "busy" else 0)
