--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -290,7 +290,8 @@
     def _payload(self, asked: _Asked, meter: Meter | None = None) -> ChatPayload:
         """What servers get: the client's fields as they came, but for those that are this dispatcher's matter."""
         prompt, model = asked.prompt, asked.model
-        assert prompt and model
+        assert prompt
+        assert model
         options = prompt.fields.get("stream_options")
         options = msgspec.json.decode(options) if isinstance(options, msgspec.Raw) else options
         fields = {
--- a/pearhill/conformance/client.py
+++ b/pearhill/conformance/client.py
@@ -63,7 +63,8 @@
     ) -> Got:
         """`on_first` is called at the first piece of the body; True from it: leave there. TimeoutError: no end
         within so many seconds."""
-        assert self._reader and self._writer
+        assert self._reader
+        assert self._writer
         told = {"Content-Type": "application/json", **headers} if body is not None else headers
         self._writer.write(request(method, path, f"{self.host}:{self.port}", tuple(told.items()), body))
         reading, told_first = _Reading(), False
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -27,7 +27,8 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "pearhill.lab.servers", stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
-    assert process.stdin and process.stdout
+    assert process.stdin
+    assert process.stdout
     try:
         told = {"servers": msgspec.to_builtins(scenario.server), "seed": scenario.lab.seed}
         process.stdin.write(json.dumps(told).encode() + b"\n")
--- a/pearhill/lab/scale/child.py
+++ b/pearhill/lab/scale/child.py
@@ -55,7 +55,8 @@
         return cls(name, log, process)
 
     async def ask(self, order: str, **told: Any) -> dict[str, Any]:
-        assert self.process.stdin and self.process.stdout
+        assert self.process.stdin
+        assert self.process.stdout
         async with self._turn:
             try:
                 self.process.stdin.write(json.dumps({"order": order, **told}).encode() + b"\n")
--- a/pearhill/lab/up.py
+++ b/pearhill/lab/up.py
@@ -61,7 +61,8 @@
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
     )
-    assert models.stdin and models.stdout
+    assert models.stdin
+    assert models.stdout
     front: asyncio.subprocess.Process | None = None
     try:
         models.stdin.write(json.dumps({"servers": msgspec.to_builtins(tables), "seed": 1}).encode() + b"\n")
