--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -58,7 +58,7 @@
         actions = self.router.handle(self.now, arrived)
         spent = time.thread_time() - began
         send = next((a for a in actions if isinstance(a, SendAttempt)), None)
-        if send and self.router.engines[send.replica].role == Role.PREFILL:
+        if send and self.router.replicas[send.replica].role == Role.PREFILL:
             ended = AttemptEnded(self.number, 0, send.replica, Outcome.PREFILLED, False, 0, 60_000, None)
             began = time.thread_time()
             actions = self.router.handle(self.now + 60_000, ended)
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -110,12 +110,12 @@
         if self.drawn:
             self.drawn.apply(service.node.dispatcher.router.router, self.rng)
             if marker and (engine := observe.marked(service)):
-                engine.queue = engine.load = 0
+                engine.tokens_queued = engine.tokens_in_flight = 0
         elif self.arrivals:
             work = self.host.window.work.setdefault(int(time.monotonic()), Counter())
-            for engine in service.node.dispatcher.router.router.engines.values():
-                if engine.load:
-                    work[engine.id] += engine.load
+            for engine in service.node.dispatcher.router.router.replicas.values():
+                if engine.tokens_in_flight:
+                    work[engine.id] += engine.tokens_in_flight
         self._turns += 1
         if marker and marker != self.place.name and self._turns % LOOK_EVERY == 0:
             told = observe.read_mark(service, service.node.deadlines.clock(), marker)
@@ -234,7 +234,7 @@
         ended, roles = Counter[str](), dict[int, str]()
         for hollow in self.hollows.values():
             ended.update(hollow.arrivals.ended if hollow.arrivals else {})
-            roles.update((e.id, e.role) for e in hollow.service.node.dispatcher.router.router.engines.values())
+            roles.update((e.id, e.role) for e in hollow.service.node.dispatcher.router.router.replicas.values())
         gc.collect()
         return {
             "count": len(self.hollows),
@@ -263,9 +263,9 @@
             now = hollow.service.node.deadlines.clock()
             counts.append(observe.count(hollow.service, now) or 0)
             total.update(observe.counters(hollow.service))
-            engines = hollow.service.node.dispatcher.router.router.engines
+            engines = hollow.service.node.dispatcher.router.router.replicas
             for name, number in zip(told["engines"], numbers, strict=True):
-                own[name] += engines[number].load if number in engines else 0.0
+                own[name] += engines[number].tokens_in_flight if number in engines else 0.0
             if k % 8 == 0:
                 sums.append(observe.seen(hollow.service, now, numbers))
         lists = [len(hollow.service.node.dispatcher.endpoints) for hollow in self.hollows.values()]
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -11,7 +11,7 @@
 from pearhill.chat.service import ChatService
 from pearhill.membership.gauges import TOKENS, encode
 from pearhill.net.address import Address
-from pearhill.routing.router import Engine
+from pearhill.routing.router import ReplicaState
 from pearhill.routing.topology import Role
 
 HEADERS = 28  # bytes of IP and UDP round each datagram, counted with it
@@ -48,12 +48,14 @@
     scout = service.node.dispatcher.router
     total = 0.0
     for number in engines:
-        if engine := scout.router.engines.get(number):
-            total += engine.load + (scout.peers.others(now, number, engine.queue, engine.load)[1] if scout.peers else 0)
+        if engine := scout.router.replicas.get(number):
+            total += engine.tokens_in_flight + (
+                scout.peers.others(now, number, engine.tokens_queued, engine.tokens_in_flight)[1] if scout.peers else 0
+            )
     return total
 
 
-def marked(service: ChatService) -> Engine | None:
+def marked(service: ChatService) -> ReplicaState | None:
     """The writer at which one dispatcher leaves its marks: the same one at all that have the same list."""
     return next(iter(service.node.dispatcher.router.router.ready[Role.DECODE]), None)
 
@@ -61,7 +63,9 @@
 def mark(service: ChatService, number: int) -> None:
     """Have the gauge at the marked writer say this number, from now on."""
     if (engine := marked(service)) and service.fleet:
-        engine.load = TALK_MARK + number if service.fleet.gossip else int(TOKENS[FIRST_CODE + number % CODES])
+        engine.tokens_in_flight = (
+            TALK_MARK + number if service.fleet.gossip else int(TOKENS[FIRST_CODE + number % CODES])
+        )
 
 
 def read_mark(service: ChatService, now: int, marker: str) -> int:
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -12,7 +12,7 @@
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Attempt, Request, RequestSpec
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import Engine, Router
+from pearhill.routing.router import ReplicaState, Router
 from pearhill.routing.topology import Role
 
 SETS = 24  # of drawn gauges, of which each beat takes one, turned by a drawn number of engines
@@ -45,7 +45,7 @@
         self._set(router.ready[Role.PREFILL], rng.choice(self.readers), rng)
 
     @staticmethod
-    def _set(engines: Sequence[Engine], gauges: list[tuple[int, int]], rng: random.Random) -> None:
+    def _set(engines: Sequence[ReplicaState], gauges: list[tuple[int, int]], rng: random.Random) -> None:
         if not gauges:
             return
         turn = rng.randrange(len(gauges))
@@ -53,7 +53,7 @@
         while len(turned) < len(engines):
             turned = turned + turned
         for engine, (queue, load) in zip(engines, turned, strict=False):
-            engine.queue, engine.load = queue, load
+            engine.tokens_queued, engine.tokens_in_flight = queue, load
 
 
 class NoClient:
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -95,28 +95,34 @@
 
     def own_load(self) -> list[tuple[int, int, int]]:
         """My tokens at each engine: its number, yet to be read there, under way there in all."""
-        return [(e.id, e.queue, e.load) for e in self.router.engines.values() if e.queue or e.load]
+        return [
+            (e.id, e.tokens_queued, e.tokens_in_flight)
+            for e in self.router.replicas.values()
+            if e.tokens_queued or e.tokens_in_flight
+        ]
 
     def loads(self, now: int) -> dict[int, tuple[int, int, bool]]:
         """Of each listed engine: my tokens yet to be read there, mine under way there in all, whether I avoid it."""
         ejected = self._ejected(now)
         return {
-            e.id: (e.queue, e.load, e.id in ejected or self._ejected_until(now, e.id) > 0)
-            for e in self.router.engines.values()
+            e.id: (e.tokens_queued, e.tokens_in_flight, e.id in ejected or self._ejected_until(now, e.id) > 0)
+            for e in self.router.replicas.values()
         }
 
     def _ejected(self, now: int) -> set[int]:
         """Listed engines that get nothing new for now, by the list's word or by the Router's outlier ejection."""
         router = self.router
-        line = min((fails.over(now, 0.0) for fails in router.zones.values()), default=0.0) + OUTLIER
+        line = min((fails.value_with_prior(now, 0.0) for fails in router.zones.values()), default=0.0) + OUTLIER
         return {
             e.id
-            for e in router.engines.values()
-            if e.entry.phase != Phase.READY or e.rest > now or e.fails.over(now, 0.0) >= line
+            for e in router.replicas.values()
+            if e.endpoint.phase != Phase.READY
+            or e.unavailable_until > now
+            or e.failure_rate.value_with_prior(now, 0.0) >= line
         }
 
     def _looks(self) -> None:
-        self.router.looks = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
+        self.router.query_roles = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
 
     def avoided_count(self, now: int) -> int:
         return sum(avoided for _, _, avoided in self.loads(now).values())
@@ -139,7 +145,7 @@
         return actions
 
     def _listed(self) -> None:
-        there = self.router.engines.keys()
+        there = self.router.replicas.keys()
         self.reports.keep(there)
         for gone in self.silences.keys() - there:
             del self.silences[gone]
@@ -156,7 +162,7 @@
         return out
 
     def _look(self, now: int, look: QueryLoad) -> list[Action]:
-        roles = {e: self.router.engines[e].role for e in look.replicas}
+        roles = {e: self.router.replicas[e].role for e in look.replicas}
         missing = {
             e
             for e in look.replicas
@@ -184,7 +190,7 @@
         if event.outcome == Outcome.ANSWERED:
             self.silences.pop(event.replica, None)
             self.reports.receive(now, event.replica, event.load)
-        elif event.outcome != Outcome.NOT_SENT and event.replica in self.router.engines:
+        elif event.outcome != Outcome.NOT_SENT and event.replica in self.router.replicas:
             silence = self.silences.setdefault(event.replica, UnansweredChecks())
             wait = min(MOST_EJECTED, FIRST_EJECTED << min(8, silence.times))
             silence.times, silence.until = silence.times + 1, now + int(wait * self.rng.uniform(0.75, 1.25))
@@ -210,14 +216,20 @@
     def _told(self, now: int, engine: int) -> LoadReport:
         """Its own word, or, where that says less, the sum of what all dispatchers have there."""
         told = self.reports.report(now, engine, self._ejected_until(now, engine))
-        if self.peers is None or (e := self.router.engines.get(engine)) is None or told.confidence > 0.5:
+        if self.peers is None or (e := self.router.replicas.get(engine)) is None or told.confidence > 0.5:
             return told
-        waiting, load, sure = self.peers.others(now, engine, e.queue, e.load)
+        waiting, load, sure = self.peers.others(now, engine, e.tokens_queued, e.tokens_in_flight)
         # Danger: believed only while most of it is fresh, in a fleet of hundreds the sum would never count. What is not
         # fresh in it is assumed by the mean of what is, so that a small part tells as much as a sample does.
         if sure <= SAMPLE:
             return told
-        return LoadReport(engine, min(1.0, (e.load + load) / e.memory), e.queue + waiting, 1.0, told.ejected_until)
+        return LoadReport(
+            engine,
+            min(1.0, (e.tokens_in_flight + load) / e.memory_tokens),
+            e.tokens_queued + waiting,
+            1.0,
+            told.ejected_until,
+        )
 
     def _facts(self, now: int, request: int, engines: tuple[int, ...]) -> list[Action]:
         told = tuple(self._told(now, e) for e in engines)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -127,7 +127,7 @@
                 self.assertEqual(client.told, [])
                 self.assertEqual(len({a.replica for a in self.sent}), 1 if reached else most + 3)
                 self.assertEqual(self.core.counters.outcomes[Outcome.WITHDRAWN], 0 if reached else most + 2)
-                self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
+                self.assertFalse([e.id for e in self.core.router.router.replicas.values() if e.failure_rate.weight])
                 self.sent[-1].start_response()
                 self.sent[-1].end(Outcome.ANSWERED)
                 self.assertEqual((client.told, self.released, self.core.requests), (["finish"], [], {}))
@@ -156,7 +156,7 @@
         self.now += within
         self.assertFalse(self.sent[1].may_start())
         self.assertEqual((self.core.counters.outcomes[Outcome.WITHDRAWN], self.released, client.told), (1, [{1}], []))
-        self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.value])
+        self.assertFalse([e.id for e in self.core.router.router.replicas.values() if e.failure_rate.value])
         self.assertEqual(self.sent[2].replica, 1)  # read anew: it has run nowhere
 
     def test_a_booking_that_was_being_written_when_its_time_was_over_may_have_run(self):
@@ -216,7 +216,7 @@
             client = self.take()
             self.core.disconnect(client.request)
         self.assertEqual(self.core.counters.outcomes, {Outcome.NOT_SENT: 5})
-        self.assertFalse([e.id for e in self.core.router.router.engines.values() if e.fails.weight])
+        self.assertFalse([e.id for e in self.core.router.router.replicas.values() if e.failure_rate.weight])
 
     def test_a_request_whose_time_was_over_before_its_turn_is_refused_and_not_sent(self):
         client = Client()
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -12,7 +12,7 @@
 from pearhill.routing.actions import RejectRequest, SendAttempt
 from pearhill.routing.events import EndpointsUpdated, RequestArrived
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import RATIO_START, Job
+from pearhill.routing.router import RATIO_START, PendingRequest
 from pearhill.routing.topology import Endpoint, Phase, Role
 from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
 
@@ -25,7 +25,7 @@
 def test_an_idle_fleet_is_never_refused_or_taken_for_full_after_one_request(count):
     for d in nodes(count)[:20]:
         d.serve(d.arrive(prompt=5000, session=1)[0])
-        assert all(d.router._held(e, 5000) < 0.2 for e in d.router.engines.values())
+        assert all(d.router._held(e, 5000) < 0.2 for e in d.router.replicas.values())
         r, out = d.arrive(prompt=5000, session=2)
         assert r in d.sent and not of(RejectRequest, out)
 
@@ -34,7 +34,7 @@
 def test_a_kept_prompt_is_still_believed_after_one_send(count):
     d = nodes(count)[0]
     r, _ = d.arrive(prompt=5000, session=7)
-    e = d.router.engines[d.sent[r].replica]
+    e = d.router.replicas[d.sent[r].replica]
     d.serve(r)
     req = RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
     d.serve(d.arrive(prompt=5000, session=8)[0])
@@ -197,7 +197,7 @@
     d = Drive(fleet=ONE_WRITER)
     out = in_flight(d, 4)
     d.began(out[0], rtt=900_000)
-    e = d.router.engines[11]
+    e = d.router.replicas[11]
     full = d.router._held(e, 0)
     d.router.now += 8 * S
     assert abs(d.router._held(e, 0) - full / 2) < 0.01
@@ -210,7 +210,7 @@
     r, _ = d.arrive(prompt=5000, session=1)
     d.end(r, Outcome.PREFILLED, load=(0.2, 0.0))
     d.router.helds[1].add(d.now, 0.2)
-    full = d.router.engines[d.sent[r].replica]
+    full = d.router.replicas[d.sent[r].replica]
     d.end(r, Outcome.TIMEOUT)
     assert d.router._held(full, 0) > 0.9 and d.sent[r].replica != full.id
 
@@ -219,7 +219,7 @@
     fleet = (entry(1, 0), entry(2, 0), entry(11, 1), entry(21, 2))
     d = Drive(settings(local_prefill=False), fleet)
     d.router.helds[1].add(d.now, 0.97)
-    d.router.engines[11].held.add(d.now, 0.97, 4)
+    d.router.replicas[11].memory_used.add(d.now, 0.97, 4)
     r, _ = d.arrive(prompt=5000, session=1)
     assert d.sent[r].replica < 3
     d.end(r, Outcome.PREFILLED)
@@ -231,10 +231,10 @@
     live = {e.replica: e for e in FLEET}
     fresh = 100
     r, _ = d.arrive(prompt=3000, session=1)
-    reader = d.router.engines[d.sent[r].replica]
+    reader = d.router.replicas[d.sent[r].replica]
     d.serve(r)
-    assert (False, 1) in reader.kept
-    table = weakref.ref(reader.kept)
+    assert (False, 1) in reader.cached_prefixes
+    table = weakref.ref(reader.cached_prefixes)
     del reader
     for wave in range(120):
         for n in range(12):
@@ -245,7 +245,7 @@
                 kind = live[d.sent[r].replica].kind
                 if kind == 0:
                     d.end(r, Outcome.PREFILLED)
-                if r in d.router.jobs:
+                if r in d.router.pending:
                     d.began(r)
                     d.end(r, Outcome.ANSWERED, settled=True)
             d.wait(300_000)
@@ -259,7 +259,7 @@
     d.wait(700 * S)
     d.serve(d.arrive(prompt=3000, session=1)[0]) if d.arrive(prompt=3000, session=1)[0] in d.sent else None
     router = d.router
-    assert set(router.engines) == set(live) and len(router.timers) < 10
+    assert set(router.replicas) == set(live) and len(router.timers) < 10
     gc.collect()
     assert table() is None  # what an engine kept is forgotten with it
 
@@ -271,8 +271,10 @@
     home = d.sent[r].replica
     d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=Phase.GONE),)))
     d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
-    assert d.router._belief(d.router.engines[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
-    assert isinstance(Job(RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), Job)
+    assert d.router._belief(d.router.replicas[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
+    assert isinstance(
+        PendingRequest(RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), PendingRequest
+    )
 
 
 @pytest.mark.parametrize("count", [2, 200])
@@ -312,7 +314,7 @@
         try:
             for n in range(20):
                 r, _ = d.arrive(prompt=3000, session=n + 1)
-                if d.router.engines[d.sent[r].replica].role == Role.PREFILL:
+                if d.router.replicas[d.sent[r].replica].role == Role.PREFILL:
                     d.end(r, Outcome.PREFILLED)
                 d.began(r)
                 d.end(r, Outcome.ANSWERED, settled=True)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -26,28 +26,28 @@
 
 def test_ratio_starts_as_designed_and_falls_to_zero_while_reads_are_fast():
     d = Drive()
-    assert d.router.ratio == RATIO_START
+    assert d.router.local_prefill_ratio == RATIO_START
     for _ in range(4):
         read_for(d, 0.05)
-    assert d.router.ratio == 0
+    assert d.router.local_prefill_ratio == 0
 
 
 def test_ratio_rises_to_its_bound_while_reads_are_slow_and_stays_in_between():
     d = Drive()
     read_for(d, 0.4)
-    assert d.router.ratio == RATIO_START
-    d.router.read_share.add(d.now, 0.9, 100.0)  # the shedding line is half the aim, so few reads are slower
+    assert d.router.local_prefill_ratio == RATIO_START
+    d.router.prefill_latency_share.add(d.now, 0.9, 100.0)  # the shedding line is half the aim, so few reads are slower
     for _ in range(4):
-        d.router.read_share.add(d.now, 0.9, 100.0)
+        d.router.prefill_latency_share.add(d.now, 0.9, 100.0)
         d.wait(2 * S)
-    assert d.router.ratio == RATIO_MAX
+    assert d.router.local_prefill_ratio == RATIO_MAX
 
 
 def test_reads_still_out_count_towards_the_ratio():
     d = Drive()
     d.arrive(prompt=5000, ttl=20 * S)
     d.wait(2 * S)
-    assert d.router.ratio > RATIO_START
+    assert d.router.local_prefill_ratio > RATIO_START
 
 
 def test_short_prompts_are_read_at_writers_up_to_the_cap():
@@ -96,13 +96,13 @@
     off = Drive(replace(SETTINGS, local_prefill=False))
     assert all(off.sent[off.arrive(prompt=500, session=n)[0]].replica < 11 for n in range(1, 20))
     full = Drive()
-    full_writers = [e for e in full.router.engines.values() if e.role == Role.DECODE]
+    full_writers = [e for e in full.router.replicas.values() if e.role == Role.DECODE]
     full.router.helds[1].add(full.now, 0.97)  # a deployment with reports
     for e in full_writers:
-        e.held.add(full.now, 0.97, 4)
+        e.memory_used.add(full.now, 0.97, 4)
     _, out = full.arrive(prompt=500, session=99)
     assert of(RejectRequest, out) and not of(SendAttempt, out)
-    full_writers[0].held.value = 0.5
+    full_writers[0].memory_used.value = 0.5
     r, _ = full.arrive(prompt=6000, session=99)
     full.end(r, Outcome.PREFILLED)
     assert full.sent[r].replica == full_writers[0].id
@@ -182,7 +182,7 @@
         d.end(r, Outcome.PREFILLED, kept=4500)
         d.began(r)
         d.end(r, Outcome.ANSWERED, settled=True)
-    reader = d.router.engines[1]
+    reader = d.router.replicas[1]
     usual, giant = (RequestArrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
     assert d.router._belief(reader, usual, 1) > 3000
     assert d.router._belief(reader, giant, 1) < 12_000
@@ -215,5 +215,5 @@
         if d.sent[r].replica < 10:
             d.end(r, Outcome.PREFILLED)
         d.began(r)
-    work = {e.id: e.load for e in d.router.engines.values() if e.role != Role.PREFILL}
+    work = {e.id: e.tokens_in_flight for e in d.router.replicas.values() if e.role != Role.PREFILL}
     assert work[21] <= 2 * sum(work.values()) / (len(work) - 1) + 1050, work
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -80,7 +80,7 @@
 ) -> tuple[int, float]:
     """Windows in which a server that can do so many requests a microsecond once it is warm got more than chance
     explains, and the fullest one, of what it bears then."""
-    s = fleet.nodes[0].router.s
+    s = fleet.nodes[0].router.settings
     sent, over, fullest = [at for at in fleet.sent.get(engine, []) if started <= at < started + RAMP], 0, 0.0
     for k, at in enumerate(sent):
         end = at + s.overload_window
@@ -185,7 +185,7 @@
     node = Drive(
         settings(instances=1, local_prefill=True, overload_window=1_500_000, slow_start_window=RAMP), fleet, seed=5
     )
-    role, open_still = node.router.s.kinds[kind].role, []
+    role, open_still = node.router.settings.kinds[kind].role, []
     for n in range(200):
         r, out = node.arrive(prompt=300, session=n + 1)
         if of(SendAttempt, out) and node.sent[r].replica < 11:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -237,8 +237,8 @@
             elif self.seen[event[0].request].out is event[0]:
                 self.ended(*event)
         assert all(s.answers or s.began for s in self.seen.values()), "a request without its final answer"
-        assert not self.router.router.jobs and not self.router.looking, "books that do not close"
-        assert all(e.load == e.queue == 0 for e in self.router.router.engines.values())
+        assert not self.router.router.pending and not self.router.looking, "books that do not close"
+        assert all(e.tokens_in_flight == e.tokens_queued == 0 for e in self.router.router.replicas.values())
 
 
 ROLES = st.lists(st.sampled_from((Role.PREFILL, Role.DECODE, Role.MIXED)), min_size=1, max_size=4)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -141,4 +141,4 @@
         Idempotency.UNSAFE,
     }
     for d in parsed:
-        assert Drive(d.router).router.s is d.router
+        assert Drive(d.router).router.settings is d.router
