--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -62,8 +62,10 @@
 from pearhill.net.releases import UNANSWERED as RELEASES
 from pearhill.node.node import SPARE
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
-from pearhill.routing.router import KEEP, KEYS, RATIO_MAX, SHED
-from pearhill.routing.slow_start import STEP_EVERY
+from pearhill.routing.admission import LATENCY_SHARE_FOR_PREFILL
+from pearhill.routing.local_prefill import MAX_RATIO
+from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
+from pearhill.routing.statistics import STEP_INTERVAL_US
 
 RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
 NOT_MEASURED = "not measured"
@@ -613,14 +615,16 @@
 
     @property
     def steps(self) -> float:
-        return S / STEP_EVERY
+        return S / STEP_INTERVAL_US
 
     @property
     def remembered(self) -> tuple[float, float]:
         """Requests whose prompts the tables remember: at the mean, and at ten times that, where the tables' own length
         bounds them (two keys a request, at readers)."""
-        mean = self.requests * KEEP / S
-        return min(mean, KEYS * self.readers / 2), min(mean * self.size.heavy, KEYS * self.readers / 2)
+        mean = self.requests * MAX_CACHED_AGE_US / S
+        return min(mean, MAX_CACHED_PREFIXES * self.readers / 2), min(
+            mean * self.size.heavy, MAX_CACHED_PREFIXES * self.readers / 2
+        )
 
     @property
     def descriptors(self) -> tuple[float, float]:
@@ -633,7 +637,7 @@
     def busy_engines(self, times: float = 1.0) -> tuple[float, float]:
         """Engines at which a dispatcher has work, and of those the ones with prompts to be read, if each request falls
         on any engine alike and a read takes as long as the rules let it."""
-        reads = self.requests * times * SHED * self.size.first_token_s
+        reads = self.requests * times * LATENCY_SHARE_FOR_PREFILL * self.size.first_token_s
         reading = self.readers * (1 - math.exp(-reads / self.readers))
         return self.writers * (1 - math.exp(-self.streams * times / self.writers)) + reading, reading
 
@@ -1111,13 +1115,13 @@
     constants = {
         "ROUND": ROUND,
         "MOST_PINGS": MOST_PINGS,
-        "KEYS": KEYS,
-        "KEEP": KEEP / S,
+        "KEYS": MAX_CACHED_PREFIXES,
+        "KEEP": MAX_CACHED_AGE_US / S,
         "WAIT": WAIT / S,
         "SHARED_WAIT": SHARED_WAIT / S,
         "SHARE": SHARE / S,
-        "STEP": STEP_EVERY / S,
-        "RATIO_MAX": RATIO_MAX,
+        "STEP": STEP_INTERVAL_US / S,
+        "RATIO_MAX": MAX_RATIO,
         "FRESH": FRESH / S,
         "MOST_OUT": MOST_OUT,
         "ROWS": MAX_ROWS,
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -11,7 +11,7 @@
 from pearhill.chat.service import ChatService
 from pearhill.membership.gauges import TOKENS, encode
 from pearhill.net.address import Address
-from pearhill.routing.router import ReplicaState
+from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.topology import Role
 
 HEADERS = 28  # bytes of IP and UDP round each datagram, counted with it
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -12,7 +12,8 @@
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Attempt, Request, RequestSpec
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import ReplicaState, Router
+from pearhill.routing.replica_state import ReplicaState
+from pearhill.routing.router import Router
 from pearhill.routing.topology import Role
 
 SETS = 24  # of drawn gauges, of which each beat takes one, turned by a drawn number of engines
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import OUTLIER, Router
+from pearhill.routing.router import Router
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
 
@@ -112,7 +112,7 @@
     def _ejected(self, now: int) -> set[int]:
         """Listed engines that get nothing new for now, by the list's word or by the Router's outlier ejection."""
         router = self.router
-        line = min((fails.value_with_prior(now, 0.0) for fails in router.zones.values()), default=0.0) + OUTLIER
+        line = router.outliers.ejection_threshold(now)
         return {
             e.id
             for e in router.replicas.values()
@@ -122,7 +122,9 @@
         }
 
     def _looks(self) -> None:
-        self.router.query_roles = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
+        self.router.placement.query_roles = (
+            frozenset((Role.PREFILL, Role.DECODE, Role.MIXED)) if self.peers else self.probes
+        )
 
     def avoided_count(self, now: int) -> int:
         return sum(avoided for _, _, avoided in self.loads(now).values())
--- a/pearhill/routing/outcomes.py
+++ b/pearhill/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt ends."""
+"""How an attempt ends, and why a request is not answered by a replica."""
 
 from __future__ import annotations
 
@@ -33,3 +33,16 @@
         Outcome.WITHDRAWN,
     )
 )
+
+
+class Reason(enum.StrEnum):
+    """Why the router rejects or fails a request. The values stand in log lines and under keys of `GET /counters`."""
+
+    OVER_BUDGET = "over-budget"
+    NO_CAPACITY = "no-room"  # no decode or mixed replica has room
+    PREFILL_TOO_SLOW = "slow-reads"
+    NO_REPLICA = "no-replica"
+    NO_DECODE_REPLICA = "no-writer"
+    ATTEMPTS_USED = "attempts-used"
+    RETRY_BUDGET_EMPTY = "retry-budget"
+    DEADLINE_EXCEEDED = "deadline"
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 from pearhill.routing.settings import RouterSettings
+from pearhill.routing.statistics import STEP_INTERVAL_US
 from pearhill.routing.topology import Endpoint
 
-STEP_EVERY = 2_000_000  # between two calls of `step`
 RATE = 0.9  # of my part of what a cold replica bears
 FADES, KEEPS = 0.8, 0.95  # what a step leaves of the answers counted before it, and of a rate that has fallen
 NEW_AT_LEAST = 0.3  # the weight of the latest answers in the rate
@@ -65,10 +65,10 @@
     def answered(self, role: str, warm_weight: float, requests: float) -> None:
         """A warm replica has finished so many requests of mean work. `warm_weight`: of all warm ones of its role now;
         shared out later, over the few that a release leaves warm, past answers would overrate each."""
-        self._answered[role] += requests * (1 - FADES) / STEP_EVERY / max(1, warm_weight)
+        self._answered[role] += requests * (1 - FADES) / STEP_INTERVAL_US / max(1, warm_weight)
 
     def step(self) -> None:
-        """Every `STEP_EVERY`. A rate that falls is forgotten slowly: a quiet moment makes no replica weaker."""
+        """Every `STEP_INTERVAL_US`. A rate that falls is forgotten slowly: a quiet moment makes no replica weaker."""
         self._steps += 1
         new = max(NEW_AT_LEAST, 1 / self._steps)
         for role, answered in self._answered.items():
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -11,8 +11,9 @@
 
 from pearhill.routing.actions import RejectRequest, SendAttempt
 from pearhill.routing.events import EndpointsUpdated, RequestArrived
+from pearhill.routing.local_prefill import INITIAL_RATIO
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import RATIO_START, PendingRequest
+from pearhill.routing.pending_request import PendingRequest
 from pearhill.routing.topology import Endpoint, Phase, Role
 from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
 
@@ -25,7 +26,7 @@
 def test_an_idle_fleet_is_never_refused_or_taken_for_full_after_one_request(count):
     for d in nodes(count)[:20]:
         d.serve(d.arrive(prompt=5000, session=1)[0])
-        assert all(d.router._held(e, 5000) < 0.2 for e in d.router.replicas.values())
+        assert all(d.router.loads.memory_utilization(d.router.now, e, 5000) < 0.2 for e in d.router.replicas.values())
         r, out = d.arrive(prompt=5000, session=2)
         assert r in d.sent and not of(RejectRequest, out)
 
@@ -38,7 +39,7 @@
     d.serve(r)
     req = RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
     d.serve(d.arrive(prompt=5000, session=8)[0])
-    assert d.router._belief(e, req) == 5000
+    assert d.router.affinity.cached_tokens(d.router.now, e, req) == 5000
 
 
 @pytest.mark.parametrize("count", [2, 200])
@@ -51,7 +52,7 @@
         total += 1000
         at_writers += 1000 * (d.sent[r].replica > 10)
         d.serve(r)
-    assert 0.6 * RATIO_START * total < at_writers <= RATIO_START * total
+    assert 0.6 * INITIAL_RATIO * total < at_writers <= INITIAL_RATIO * total
 
 
 @pytest.mark.parametrize("count", [2, 200])
@@ -119,7 +120,7 @@
 def test_the_more_of_all_reading_a_prefix_draws_the_more_readers_share_it(share, least, most):
     seen, rng = crowd(share)
     ask = RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
-    assert least <= sum(d.router._homes(ask, 10) for d in seen) / len(seen) <= most
+    assert least <= sum(d.router.affinity.home_count(ask, 10) for d in seen) / len(seen) <= most
     used = {engine for d in seen for engine in homes([d], rng.randrange(1, 1 << 60))}
     assert least <= len(used) <= most
 
@@ -134,8 +135,8 @@
     d = Drive()
     for said in (1_000, 2**31):
         ask = RequestArrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
-        d.router.drawn_all = 10.0 * (said - 1_000)
-        assert d.router._homes(ask, 10) == 2
+        d.router.affinity.total_load = 10.0 * (said - 1_000)
+        assert d.router.affinity.home_count(ask, 10) == 2
 
 
 def test_a_prefix_that_is_no_favourite_any_more_goes_back_to_its_pair():
@@ -147,7 +148,10 @@
             )
             d.serve(r, kept=3000)
             d.wait(400_000)
-    assert all(d.router._homes(RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2 for d in seen)
+    assert all(
+        d.router.affinity.home_count(RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2
+        for d in seen
+    )
 
 
 def test_without_a_favourite_all_nodes_take_one_reader_for_a_session_and_two_for_a_prefix():
@@ -198,27 +202,27 @@
     out = in_flight(d, 4)
     d.began(out[0], rtt=900_000)
     e = d.router.replicas[11]
-    full = d.router._held(e, 0)
+    full = d.router.loads.memory_utilization(d.router.now, e, 0)
     d.router.now += 8 * S
-    assert abs(d.router._held(e, 0) - full / 2) < 0.01
+    assert abs(d.router.loads.memory_utilization(d.router.now, e, 0) - full / 2) < 0.01
     d.router.now += 30 * 86_400 * S  # a month: no power of two overflows
-    assert d.router._held(e, 0) < 0.01
+    assert d.router.loads.memory_utilization(d.router.now, e, 0) < 0.01
 
 
 def test_with_reports_a_late_fetch_is_remembered_beside_them():
     d = Drive()
     r, _ = d.arrive(prompt=5000, session=1)
     d.end(r, Outcome.PREFILLED, load=(0.2, 0.0))
-    d.router.helds[1].add(d.now, 0.2)
+    d.router.loads._kinds[1].memory_used.add(d.now, 0.2)
     full = d.router.replicas[d.sent[r].replica]
     d.end(r, Outcome.TIMEOUT)
-    assert d.router._held(full, 0) > 0.9 and d.sent[r].replica != full.id
+    assert d.router.loads.memory_utilization(d.router.now, full, 0) > 0.9 and d.sent[r].replica != full.id
 
 
 def test_a_mixed_server_with_room_writes_late():
     fleet = (entry(1, 0), entry(2, 0), entry(11, 1), entry(21, 2))
     d = Drive(settings(local_prefill=False), fleet)
-    d.router.helds[1].add(d.now, 0.97)
+    d.router.loads._kinds[1].memory_used.add(d.now, 0.97)
     d.router.replicas[11].memory_used.add(d.now, 0.97, 4)
     r, _ = d.arrive(prompt=5000, session=1)
     assert d.sent[r].replica < 3
@@ -271,7 +275,12 @@
     home = d.sent[r].replica
     d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=Phase.GONE),)))
     d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
-    assert d.router._belief(d.router.replicas[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)) == 0
+    assert (
+        d.router.affinity.cached_tokens(
+            d.router.now, d.router.replicas[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)
+        )
+        == 0
+    )
     assert isinstance(
         PendingRequest(RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False), d.now, d.now), PendingRequest
     )
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -3,7 +3,8 @@
 from pearhill.routing.actions import CancelAttempt, LogMessage, RejectRequest, SendAttempt
 from pearhill.routing.events import RequestArrived
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import OUTLIER, PendingRequest
+from pearhill.routing.outlier_detection import MAX_EXCESS_FAILURE_RATE
+from pearhill.routing.pending_request import PendingRequest
 from pearhill.routing.topology import Role
 from tests.driver import Drive, S, entry, of, settings
 
@@ -12,7 +13,7 @@
     """So many attempts at an engine have failed."""
     for _ in range(times):
         d.router.actions = []
-        d.router._judged(d.router.replicas[engine], 1.0, "test")
+        d.router._record_health(d.router.replicas[engine], failed=True, outcome="test")
     return d.router.actions
 
 
@@ -23,13 +24,13 @@
     for _ in range(3):
         fail(d, 1, times=1)
         for other in (2, 3):
-            d.router._judged(d.router.replicas[other], 0.0, "")
+            d.router._record_health(d.router.replicas[other], failed=False)
     assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica != 1 for s in range(1, 9))
     d.wait(12 * S)
     hits = [r for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     assert hits
     d.end(hits[0], Outcome.PREFILLED)
-    assert d.router.replicas[1].failure_rate.value < OUTLIER
+    assert d.router.replicas[1].failure_rate.value < MAX_EXCESS_FAILURE_RATE
 
 
 def test_one_failure_at_an_engine_that_is_hardly_known_is_enough_and_with_a_good_record_it_is_not():
@@ -39,12 +40,12 @@
         known.serve(known.arrive(prompt=3000, session=n + 1)[0])
     for engine in (2, 3):
         new.router.now = new.now
-        new.router._judged(new.router.replicas[engine], 0.0, "")
+        new.router._record_health(new.router.replicas[engine], failed=False)
     for d in (new, known):
         fail(d, 1, times=1)
     job = PendingRequest(RequestArrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
-    assert 1 not in [e.id for e in new.router._open(new.router.ready[Role.PREFILL], job)]
-    assert 1 in [e.id for e in known.router._open(known.router.ready[Role.PREFILL], job)]
+    assert 1 not in [e.id for e in new.router.placement.eligible(new.router.now, new.router.ready[Role.PREFILL], job)]
+    assert 1 in [e.id for e in known.router.placement.eligible(known.router.now, known.router.ready[Role.PREFILL], job)]
 
 
 def test_engines_of_a_zone_that_is_cut_are_left_together():
@@ -53,7 +54,7 @@
     d.router.now = d.now
     for n in (1, 3):  # two failures in zone 1, one success in zone 0; 5 and 7 were never tried
         fail(d, n, times=1)
-    d.router._judged(d.router.replicas[2], 0.0, "")
+    d.router._record_health(d.router.replicas[2], failed=False)
     assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica % 2 == 0 for s in range(1, 20))
 
 
--- a/tests/routing/test_promises.py
+++ b/tests/routing/test_promises.py
@@ -191,11 +191,11 @@
     d = Drive(settings(effect))
     r, _ = d.arrive()
     for _ in range(d.router.settings.max_attempts + 1):
-        at, retries = d.sent[r].replica, d.router.retries
+        at, retries = d.sent[r].replica, d.router.retry_budget.tokens
         actions = d.end(r, Outcome.WITHDRAWN)
         d.attempt[r] -= 1  # the next one has its number
         assert [a.replica for a in of(SendAttempt, actions)] == [d.sent[r].replica] and d.sent[r].replica != at
-        assert d.router.retries == retries and not d.router.replicas[at].failure_rate.weight
+        assert d.router.retry_budget.tokens == retries and not d.router.replicas[at].failure_rate.weight
         assert d.router.pending[r].execution is None and d.router.pending[r].attempt == 0
 
 
@@ -204,7 +204,7 @@
     """Others' queues made reads late. Who then tells that nothing waits is idle, and who tells more is not, however
     quick reads were: between a jam of the few and idle servers that came since, only their word tells."""
     d = Drive(settings(local_prefill=False, instances=200, health_checks=True), seed=3)
-    d.router.query_roles = frozenset((Role.PREFILL,))
+    d.router.placement.query_roles = frozenset((Role.PREFILL,))
 
     def ask(tokens: float) -> tuple[int, list[Action]]:
         r, out = d.arrive(prompt=3000)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -4,8 +4,9 @@
 
 from pearhill.routing.actions import RejectRequest, SendAttempt
 from pearhill.routing.events import EndpointsUpdated, RequestArrived
+from pearhill.routing.local_prefill import INITIAL_RATIO, MAX_RATIO
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import RATIO_MAX, RATIO_START, Router
+from pearhill.routing.router import Router
 from pearhill.routing.topology import Phase, Role
 from tests.driver import FLEET, SETTINGS, Drive, S, entry, of, settings
 
@@ -26,28 +27,30 @@
 
 def test_ratio_starts_as_designed_and_falls_to_zero_while_reads_are_fast():
     d = Drive()
-    assert d.router.local_prefill_ratio == RATIO_START
+    assert d.router.local_prefill.ratio == INITIAL_RATIO
     for _ in range(4):
         read_for(d, 0.05)
-    assert d.router.local_prefill_ratio == 0
+    assert d.router.local_prefill.ratio == 0
 
 
 def test_ratio_rises_to_its_bound_while_reads_are_slow_and_stays_in_between():
     d = Drive()
     read_for(d, 0.4)
-    assert d.router.local_prefill_ratio == RATIO_START
-    d.router.prefill_latency_share.add(d.now, 0.9, 100.0)  # the shedding line is half the aim, so few reads are slower
+    assert d.router.local_prefill.ratio == INITIAL_RATIO
+    d.router.local_prefill.latency_share.add(
+        d.now, 0.9, 100.0
+    )  # the shedding line is half the aim, so few reads are slower
     for _ in range(4):
-        d.router.prefill_latency_share.add(d.now, 0.9, 100.0)
+        d.router.local_prefill.latency_share.add(d.now, 0.9, 100.0)
         d.wait(2 * S)
-    assert d.router.local_prefill_ratio == RATIO_MAX
+    assert d.router.local_prefill.ratio == MAX_RATIO
 
 
 def test_reads_still_out_count_towards_the_ratio():
     d = Drive()
     d.arrive(prompt=5000, ttl=20 * S)
     d.wait(2 * S)
-    assert d.router.local_prefill_ratio > RATIO_START
+    assert d.router.local_prefill.ratio > INITIAL_RATIO
 
 
 def test_short_prompts_are_read_at_writers_up_to_the_cap():
@@ -57,7 +60,7 @@
         r, _ = d.arrive(prompt=1000, session=n + 1)
         total += 1000
         at_writers += 1000 * (d.sent[r].replica >= 11)
-        assert at_writers <= RATIO_START * total
+        assert at_writers <= INITIAL_RATIO * total
         d.serve(r)
     assert at_writers > 0.1 * total
 
@@ -97,7 +100,7 @@
     assert all(off.sent[off.arrive(prompt=500, session=n)[0]].replica < 11 for n in range(1, 20))
     full = Drive()
     full_writers = [e for e in full.router.replicas.values() if e.role == Role.DECODE]
-    full.router.helds[1].add(full.now, 0.97)  # a deployment with reports
+    full.router.loads._kinds[1].memory_used.add(full.now, 0.97)  # a deployment with reports
     for e in full_writers:
         e.memory_used.add(full.now, 0.97, 4)
     _, out = full.arrive(prompt=500, session=99)
@@ -184,8 +187,8 @@
         d.end(r, Outcome.ANSWERED, settled=True)
     reader = d.router.replicas[1]
     usual, giant = (RequestArrived(99, 0, 0, 77, 8, 0, prompt, 100, 4 * S, False, False) for prompt in (5000, 60_000))
-    assert d.router._belief(reader, usual, 1) > 3000
-    assert d.router._belief(reader, giant, 1) < 12_000
+    assert d.router.affinity.cached_tokens(d.router.now, reader, usual, 1) > 3000
+    assert d.router.affinity.cached_tokens(d.router.now, reader, giant, 1) < 12_000
 
 
 def test_the_one_writer_left_in_a_cell_is_not_buried():
