--- a/tests/driver.py
+++ b/tests/driver.py
@@ -50,19 +50,23 @@
 )
 
 
-def settings(effect: str = Idempotency.IDEMPOTENT, group: str = "all", **changes: object) -> RouterSettings:
-    spec = replace(CLASS, idempotency=effect, idempotency_scope=group)
+def settings(idempotency: str = Idempotency.IDEMPOTENT, scope: str = "all", **changes: object) -> RouterSettings:
+    spec = replace(CLASS, idempotency=idempotency, idempotency_scope=scope)
     return replace(SETTINGS, classes=(spec,), **changes)
 
 
-def entry(engine: int, kind: int, cell: int = 0, zone: int = 0, phase: str = Phase.READY, started: int = 0) -> Endpoint:
-    return Endpoint(engine, zone, kind, cell, phase, 1.0, started)
+def endpoint(
+    replica: int, kind: int, cell: int = 0, zone: int = 0, phase: str = Phase.READY, started_at: int = 0
+) -> Endpoint:
+    return Endpoint(replica, zone, kind, cell, phase, 1.0, started_at)
 
 
-FLEET = tuple(entry(n, 0, cell=n % 2) for n in range(1, 7)) + tuple(entry(n, 1, cell=n % 2) for n in range(11, 17))
+FLEET = tuple(endpoint(n, 0, cell=n % 2) for n in range(1, 7)) + tuple(
+    endpoint(n, 1, cell=n % 2) for n in range(11, 17)
+)
 
 
-class Drive:
+class RouterDriver:
     """One router, its clock, and the last attempt of each request."""
 
     def __init__(self, s: RouterSettings = SETTINGS, fleet: tuple[Endpoint, ...] = FLEET, seed: int = 1) -> None:
@@ -95,43 +99,64 @@
 
     def arrive(
         self,
-        prompt: int = 3000,
+        prompt_tokens: int = 3000,
         session: int = 0,
         prefix: int = 0,
-        prefix_len: int = 0,
-        ttl: int = 4 * S,
-        cls: int = 0,
+        prefix_tokens: int = 0,
+        timeout: int = 4 * S,
+        request_class: int = 0,
         tenant: int = 0,
-        max_out: int = 100,
+        max_output_tokens: int = 100,
     ) -> tuple[int, list[Action]]:
         request, self.next = self.next, self.next + 1
         return request, self.feed(
-            RequestArrived(request, cls, tenant, session, prefix, prefix_len, prompt, max_out, ttl, False, False)
+            RequestArrived(
+                request,
+                request_class,
+                tenant,
+                session,
+                prefix,
+                prefix_tokens,
+                prompt_tokens,
+                max_output_tokens,
+                timeout,
+                False,
+                False,
+            )
         )
 
     def end(
         self,
         request: int,
         outcome: str,
-        settled: bool = False,
-        kept: int = 0,
-        rtt: int = 50_000,
+        answered: bool = False,
+        cached_tokens: int = 0,
+        elapsed: int = 50_000,
         load: tuple[float, float] | None = None,
     ) -> list[Action]:
         return self.feed(
-            AttemptEnded(request, self.attempt[request], self.sent[request].replica, outcome, settled, kept, rtt, load)
+            AttemptEnded(
+                request,
+                self.attempt[request],
+                self.sent[request].replica,
+                outcome,
+                answered,
+                cached_tokens,
+                elapsed,
+                load,
+            )
         )
 
-    def began(self, request: int, rtt: int = 30_000) -> list[Action]:
-        return self.feed(ResponseStarted(request, self.attempt[request], self.sent[request].replica, rtt))
+    def response_started(self, request: int, elapsed: int = 30_000) -> list[Action]:
+        return self.feed(ResponseStarted(request, self.attempt[request], self.sent[request].replica, elapsed))
 
-    def serve(self, request: int, kept: int = 0, rtt: int = 50_000) -> None:
+    def serve(self, request: int, cached_tokens: int = 0, elapsed: int = 50_000) -> None:
         """See a request through to its answer."""
         if self.sent[request].replica < 11:
-            self.end(request, Outcome.PREFILLED, kept=kept, rtt=rtt)
-        self.began(request)
-        self.end(request, Outcome.ANSWERED, settled=True, kept=kept)
+            self.end(request, Outcome.PREFILLED, cached_tokens=cached_tokens, elapsed=elapsed)
+        self.response_started(request)
+        self.end(request, Outcome.ANSWERED, answered=True, cached_tokens=cached_tokens)
 
 
-def of(kind: type, actions: list[Action]) -> list[Action]:
+def of_type(kind: type, actions: list[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -9,7 +9,7 @@
 from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
 from pearhill.lifecycle.overrides import FORGOTTEN_AFTER, OperatorOverrides
 from pearhill.routing.topology import Endpoint, Phase
-from tests.driver import S, entry
+from tests.driver import S, endpoint
 
 
 def phases(entries: tuple[Endpoint, ...]) -> dict[int, str]:
@@ -18,14 +18,14 @@
 
 def test_what_is_out_is_told_as_draining_whatever_the_list_says():
     roster = EndpointOverrides(wishes := OperatorOverrides())
-    assert phases(roster.update(True, (entry(1, 0), entry(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
+    assert phases(roster.update(True, (endpoint(1, 0), endpoint(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
     wishes.set_down(1, 10 * S, True)
     assert phases(roster.reapply({1})) == {1: Phase.DRAINING}
     for full in (False, True):
-        assert phases(roster.update(full, (entry(1, 0), entry(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
-    roster.update(False, (entry(1, 0, phase=Phase.GONE),))
+        assert phases(roster.update(full, (endpoint(1, 0), endpoint(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
+    roster.update(False, (endpoint(1, 0, phase=Phase.GONE),))
     assert roster.knows(1) and roster.reapply({1}) == ()  # not listed, and still out
-    moved = replace(entry(1, 0), started_at=11 * S, cell=5)
+    moved = replace(endpoint(1, 0), started_at=11 * S, cell=5)
     assert phases(roster.update(False, (moved,))) == {1: Phase.DRAINING}
     wishes.set_down(1, 12 * S, False)
     assert roster.reapply({1}) == (moved,)  # the list named its start
@@ -46,12 +46,12 @@
 
 def test_what_is_back_counts_as_cold_until_the_list_tells_its_true_start():
     roster = EndpointOverrides(wishes := OperatorOverrides())
-    roster.update(True, (entry(1, 0, started=3 * S),))
+    roster.update(True, (endpoint(1, 0, started_at=3 * S),))
     wishes.set_down(1, 10 * S, True)
     wishes.set_down(1, 20 * S, False)
     assert roster.reapply({1})[0].started_at == 20 * S  # absence is not warmth
     for start in (14 * S, 25 * S):
-        assert roster.update(False, (entry(1, 0, started=start),))[0].started_at == start
+        assert roster.update(False, (endpoint(1, 0, started_at=start),))[0].started_at == start
     wishes.forget(20 * S + FORGOTTEN_AFTER + 1)
     assert wishes.down == {}
 
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -17,14 +17,14 @@
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
-from tests.driver import SETTINGS, Drive, S, entry
+from tests.driver import SETTINGS, RouterDriver, S, endpoint
 
 BLIND = replace(SETTINGS, instances=60, health_checks=True, health_check_price=0.0039)
-FLEET = tuple(entry(n, 0) for n in (1, 2)) + tuple(entry(n, 1) for n in (11, 12))
+FLEET = tuple(endpoint(n, 0) for n in (1, 2)) + tuple(endpoint(n, 1) for n in (11, 12))
 MS = 1000
 
 
-class Asking(Drive):
+class Asking(RouterDriver):
     """A scout before two readers and two writers, and the probes that it has out."""
 
     def __init__(self, s: RouterSettings = BLIND, seed: int = 1) -> None:
@@ -58,7 +58,7 @@
     def has_disconnected(self, r: int) -> int:
         """The client leaves, and its work goes with it; where it had been sent."""
         self.feed(ClientDisconnected(r))
-        self.end(r, Outcome.CANCELLED, settled=True)
+        self.end(r, Outcome.CANCELLED, answered=True)
         return self.sent[r].replica
 
 
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -15,30 +15,31 @@
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.pending_request import PendingRequest
 from pearhill.routing.topology import Endpoint, Phase, Role
-from tests.driver import CLASS, FLEET, Drive, S, entry, of, settings
+from tests.driver import CLASS, FLEET, RouterDriver, S, endpoint, of_type, settings
 
 
-def nodes(count: int, fleet: tuple[Endpoint, ...] = FLEET) -> list[Drive]:
-    return [Drive(settings(instances=count), fleet, seed=n) for n in range(count)]
+def nodes(count: int, fleet: tuple[Endpoint, ...] = FLEET) -> list[RouterDriver]:
+    return [RouterDriver(settings(instances=count), fleet, seed=n) for n in range(count)]
 
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_an_idle_fleet_is_never_refused_or_taken_for_full_after_one_request(count):
     for d in nodes(count)[:20]:
-        d.serve(d.arrive(prompt=5000, session=1)[0])
+        d.serve(d.arrive(prompt_tokens=5000, session=1)[0])
         assert all(d.router.loads.memory_utilization(d.router.now, e, 5000) < 0.2 for e in d.router.replicas.values())
-        r, out = d.arrive(prompt=5000, session=2)
-        assert r in d.sent and not of(RejectRequest, out)
+        r, out = d.arrive(prompt_tokens=5000, session=2)
+        assert r in d.sent
+        assert not of_type(RejectRequest, out)
 
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_a_kept_prompt_is_still_believed_after_one_send(count):
     d = nodes(count)[0]
-    r, _ = d.arrive(prompt=5000, session=7)
+    r, _ = d.arrive(prompt_tokens=5000, session=7)
     e = d.router.replicas[d.sent[r].replica]
     d.serve(r)
     req = RequestArrived(99, 0, 0, 7, 0, 0, 5400, 100, 4 * S, False, False)
-    d.serve(d.arrive(prompt=5000, session=8)[0])
+    d.serve(d.arrive(prompt_tokens=5000, session=8)[0])
     assert d.router.affinity.cached_tokens(d.router.now, e, req) == 5000
 
 
@@ -48,7 +49,7 @@
     at_writers = total = 0
     for n in range(3000):
         d = fleet[rng.randrange(count)]
-        r, _ = d.arrive(prompt=1000, session=n + 1)
+        r, _ = d.arrive(prompt_tokens=1000, session=n + 1)
         total += 1000
         at_writers += 1000 * (d.sent[r].replica > 10)
         d.serve(r)
@@ -67,8 +68,8 @@
         if n == 6000:
             for each in fleet:
                 each.wait(max(0, at - each.now))
-                each.feed(EndpointsUpdated(False, (entry(3, 0, cell=1, started=at),)))
-        r, _ = d.arrive(prompt=3000, session=n + 1)
+                each.feed(EndpointsUpdated(False, (endpoint(3, 0, cell=1, started_at=at),)))
+        r, _ = d.arrive(prompt_tokens=3000, session=n + 1)
         if r in d.sent:
             served += d.sent[r].replica < 11
             sent += n >= 6000 and d.sent[r].replica == 3 and at < start + 61 * S + 3 * S
@@ -82,41 +83,41 @@
 def test_a_caught_request_still_has_time_for_a_second_attempt(count):
     for d in nodes(count)[:10]:
         for n in range(3):
-            d.serve(d.arrive(prompt=3000, session=n + 1)[0])
-        _, out = d.arrive(prompt=3000, session=99)
+            d.serve(d.arrive(prompt_tokens=3000, session=n + 1)[0])
+        _, out = d.arrive(prompt_tokens=3000, session=99)
         # First-token aim of 1.12 s; a read takes 50 ms.
-        assert of(SendAttempt, out)[0].attempt_timeout <= 0.6 * S
+        assert of_type(SendAttempt, out)[0].attempt_timeout <= 0.6 * S
 
 
-READERS = tuple(entry(n, 0, cell=n % 2) for n in range(1, 11)) + FLEET[6:]
+READERS = tuple(endpoint(n, 0, cell=n % 2) for n in range(1, 11)) + FLEET[6:]
 
 
-def crowd(share: float, count: int = 20, seed: int = 3) -> tuple[list[Drive], random.Random]:
+def crowd(share: float, count: int = 20, seed: int = 3) -> tuple[list[RouterDriver], random.Random]:
     """Nodes that have each seen some 60 requests, of which so large a share begins alike; the rest are many."""
     rng, seen = (
         random.Random(seed),
-        [Drive(settings(instances=count, local_prefill=False), READERS, seed=n) for n in range(count)],
+        [RouterDriver(settings(instances=count, local_prefill=False), READERS, seed=n) for n in range(count)],
     )
     for _ in range(60 * count):
         d, prefix = rng.choice(seen), 5 if rng.random() < share else rng.randrange(100, 300)
-        r, _ = d.arrive(prompt=5000, session=rng.randrange(1, 1 << 60), prefix=prefix, prefix_len=3000)
-        d.serve(r, kept=3000)
+        r, _ = d.arrive(prompt_tokens=5000, session=rng.randrange(1, 1 << 60), prefix=prefix, prefix_tokens=3000)
+        d.serve(r, cached_tokens=3000)
         d.now += 200_000
         d.wait(0)
     return seen, rng
 
 
-def homes(seen: list[Drive], session: int, prefix: int = 5) -> list[int]:
+def homes(seen: list[RouterDriver], session: int, prefix: int = 5) -> list[int]:
     """Where each node has a prompt of this session and beginning read."""
     out = []
     for d in seen:
-        r, _ = d.arrive(prompt=5000, session=session, prefix=prefix, prefix_len=3000)
+        r, _ = d.arrive(prompt_tokens=5000, session=session, prefix=prefix, prefix_tokens=3000)
         out.append(d.sent[r].replica)
-        d.serve(r, kept=3000)
+        d.serve(r, cached_tokens=3000)
     return out
 
 
-@pytest.mark.parametrize("share, least, most", [(0.01, 2, 2), (0.2, 3, 6), (0.45, 7, 10)])
+@pytest.mark.parametrize(("share", "least", "most"), [(0.01, 2, 2), (0.2, 3, 6), (0.45, 7, 10)])
 def test_the_more_of_all_reading_a_prefix_draws_the_more_readers_share_it(share, least, most):
     seen, rng = crowd(share)
     ask = RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False)
@@ -132,7 +133,7 @@
 
 
 def test_a_prefix_said_to_be_longer_than_its_prompt_ends_nothing():
-    d = Drive()
+    d = RouterDriver()
     for said in (1_000, 2**31):
         ask = RequestArrived(0, 0, 0, 1, 5, said, 500, 100, S, False, False)
         d.router.affinity.total_load = 10.0 * (said - 1_000)
@@ -144,9 +145,12 @@
     for d in seen:
         for _ in range(150):
             r, _ = d.arrive(
-                prompt=5000, session=rng.randrange(1, 1 << 60), prefix=rng.randrange(100, 300), prefix_len=3000
+                prompt_tokens=5000,
+                session=rng.randrange(1, 1 << 60),
+                prefix=rng.randrange(100, 300),
+                prefix_tokens=3000,
             )
-            d.serve(r, kept=3000)
+            d.serve(r, cached_tokens=3000)
             d.wait(400_000)
     assert all(
         d.router.affinity.home_count(RequestArrived(0, 0, 0, 1, 5, 3000, 5000, 100, S, False, False), 10) == 2
@@ -157,50 +161,51 @@
 def test_without_a_favourite_all_nodes_take_one_reader_for_a_session_and_two_for_a_prefix():
     seen, rng = crowd(0.01)
     taken = [set(homes(seen, rng.randrange(1, 1 << 60))) for _ in range(4)]
-    assert all(len(readers) == 1 for readers in taken) and len(set.union(*taken)) == 2
+    assert all(len(readers) == 1 for readers in taken)
+    assert len(set.union(*taken)) == 2
 
 
 def test_what_was_believed_of_a_jam_fades_while_everything_is_refused():
-    d = Drive()
+    d = RouterDriver()
     for n in range(60):
-        r, _ = d.arrive(prompt=5000, session=n + 1)
+        r, _ = d.arrive(prompt_tokens=5000, session=n + 1)
         if r in d.sent:
-            d.serve(r, rtt=900_000)
-    assert of(RejectRequest, d.arrive(prompt=5000, session=98)[1])
+            d.serve(r, elapsed=900_000)
+    assert of_type(RejectRequest, d.arrive(prompt_tokens=5000, session=98)[1])
     d.wait(30 * S)
-    assert of(SendAttempt, d.arrive(prompt=5000, session=99)[1])
+    assert of_type(SendAttempt, d.arrive(prompt_tokens=5000, session=99)[1])
 
 
-def in_flight(d: Drive, count: int, prompt: int = 5000) -> list[int]:
+def in_flight(d: RouterDriver, count: int, prompt: int = 5000) -> list[int]:
     """So many requests whose states wait to be fetched at a writer."""
-    out = [d.arrive(prompt=prompt, session=d.next)[0] for _ in range(count)]
+    out = [d.arrive(prompt_tokens=prompt, session=d.next)[0] for _ in range(count)]
     for r in out:
         d.end(r, Outcome.PREFILLED)
     return out
 
 
-ONE_WRITER = (entry(1, 0), entry(2, 0), entry(11, 1))
+ONE_WRITER = (endpoint(1, 0), endpoint(2, 0), endpoint(11, 1))
 
 
 @pytest.mark.parametrize("late", ["timeout", "slow fetch"])
 def test_a_late_fetch_bounds_my_work_at_its_writer_and_the_bound_goes_with_the_work(late):
-    d = Drive(fleet=ONE_WRITER)
+    d = RouterDriver(fleet=ONE_WRITER)
     out = in_flight(d, 4)
     if late == "timeout":
         d.end(out[0], Outcome.TIMEOUT)
     else:
-        d.began(out[0], rtt=900_000)
-    assert of(RejectRequest, d.arrive(prompt=5000, session=98)[1])
+        d.response_started(out[0], elapsed=900_000)
+    assert of_type(RejectRequest, d.arrive(prompt_tokens=5000, session=98)[1])
     for r in out[1:]:  # what was under way there ends, nothing else is heard: the jam is over, at once
-        d.began(r)
-        d.end(r, Outcome.ANSWERED, settled=True)
-    assert of(SendAttempt, d.arrive(prompt=5000, session=99)[1])
+        d.response_started(r)
+        d.end(r, Outcome.ANSWERED, answered=True)
+    assert of_type(SendAttempt, d.arrive(prompt_tokens=5000, session=99)[1])
 
 
 def test_a_bound_grows_back_while_nothing_is_heard_and_for_ever():
-    d = Drive(fleet=ONE_WRITER)
+    d = RouterDriver(fleet=ONE_WRITER)
     out = in_flight(d, 4)
-    d.began(out[0], rtt=900_000)
+    d.response_started(out[0], elapsed=900_000)
     e = d.router.replicas[11]
     full = d.router.loads.memory_utilization(d.router.now, e, 0)
     d.router.now += 8 * S
@@ -210,31 +215,32 @@
 
 
 def test_with_reports_a_late_fetch_is_remembered_beside_them():
-    d = Drive()
-    r, _ = d.arrive(prompt=5000, session=1)
+    d = RouterDriver()
+    r, _ = d.arrive(prompt_tokens=5000, session=1)
     d.end(r, Outcome.PREFILLED, load=(0.2, 0.0))
     d.router.loads._kinds[1].memory_used.add(d.now, 0.2)
     full = d.router.replicas[d.sent[r].replica]
     d.end(r, Outcome.TIMEOUT)
-    assert d.router.loads.memory_utilization(d.router.now, full, 0) > 0.9 and d.sent[r].replica != full.id
+    assert d.router.loads.memory_utilization(d.router.now, full, 0) > 0.9
+    assert d.sent[r].replica != full.id
 
 
 def test_a_mixed_server_with_room_writes_late():
-    fleet = (entry(1, 0), entry(2, 0), entry(11, 1), entry(21, 2))
-    d = Drive(settings(local_prefill=False), fleet)
+    fleet = (endpoint(1, 0), endpoint(2, 0), endpoint(11, 1), endpoint(21, 2))
+    d = RouterDriver(settings(local_prefill=False), fleet)
     d.router.loads._kinds[1].memory_used.add(d.now, 0.97)
     d.router.replicas[11].memory_used.add(d.now, 0.97, 4)
-    r, _ = d.arrive(prompt=5000, session=1)
+    r, _ = d.arrive(prompt_tokens=5000, session=1)
     assert d.sent[r].replica < 3
     d.end(r, Outcome.PREFILLED)
     assert d.sent[r].replica == 21
 
 
 def test_a_fleet_replaced_in_waves_goes_on_serving_and_leaves_nothing_behind():
-    d, refused, total = Drive(), 0, 0
+    d, refused, total = RouterDriver(), 0, 0
     live = {e.replica: e for e in FLEET}
     fresh = 100
-    r, _ = d.arrive(prompt=3000, session=1)
+    r, _ = d.arrive(prompt_tokens=3000, session=1)
     reader = d.router.replicas[d.sent[r].replica]
     d.serve(r)
     assert (False, 1) in reader.cached_prefixes
@@ -242,39 +248,42 @@
     del reader
     for wave in range(120):
         for n in range(12):
-            r, out = d.arrive(prompt=3000, session=wave * 20 + n + 1)
+            r, out = d.arrive(prompt_tokens=3000, session=wave * 20 + n + 1)
             total += 1
-            refused += bool(of(RejectRequest, out))
+            refused += bool(of_type(RejectRequest, out))
             if r in d.sent:
                 kind = live[d.sent[r].replica].kind
                 if kind == 0:
                     d.end(r, Outcome.PREFILLED)
                 if r in d.router.pending:
-                    d.began(r)
-                    d.end(r, Outcome.ANSWERED, settled=True)
+                    d.response_started(r)
+                    d.end(r, Outcome.ANSWERED, answered=True)
             d.wait(300_000)
         if wave < 100:
             old = min(live)
             e = live.pop(old)
             fresh += 1
-            live[fresh] = entry(fresh, e.kind, cell=e.cell, started=d.now)
-            d.feed(EndpointsUpdated(False, (entry(old, e.kind, phase=Phase.GONE), live[fresh])))
+            live[fresh] = endpoint(fresh, e.kind, cell=e.cell, started_at=d.now)
+            d.feed(EndpointsUpdated(False, (endpoint(old, e.kind, phase=Phase.GONE), live[fresh])))
     assert refused < 0.2 * total
     d.wait(700 * S)
-    d.serve(d.arrive(prompt=3000, session=1)[0]) if d.arrive(prompt=3000, session=1)[0] in d.sent else None
+    d.serve(d.arrive(prompt_tokens=3000, session=1)[0]) if d.arrive(prompt_tokens=3000, session=1)[
+        0
+    ] in d.sent else None
     router = d.router
-    assert set(router.replicas) == set(live) and len(router.timers) < 10
+    assert set(router.replicas) == set(live)
+    assert len(router.timers) < 10
     gc.collect()
     assert table() is None  # what an engine kept is forgotten with it
 
 
 def test_a_process_that_comes_back_under_its_id_is_not_believed_to_keep_anything():
-    d = Drive()
-    r, _ = d.arrive(prompt=5000, session=7)
+    d = RouterDriver()
+    r, _ = d.arrive(prompt_tokens=5000, session=7)
     d.serve(r)
     home = d.sent[r].replica
-    d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, phase=Phase.GONE),)))
-    d.feed(EndpointsUpdated(False, (entry(home, 1 if home > 10 else 0, started=d.now),)))
+    d.feed(EndpointsUpdated(False, (endpoint(home, 1 if home > 10 else 0, phase=Phase.GONE),)))
+    d.feed(EndpointsUpdated(False, (endpoint(home, 1 if home > 10 else 0, started_at=d.now),)))
     assert (
         d.router.affinity.cached_tokens(
             d.router.now, d.router.replicas[home], RequestArrived(9, 0, 0, 7, 0, 0, 5400, 9, S, False, False)
@@ -291,13 +300,13 @@
     dear, cheap = replace(CLASS, priority_weight=2.0), CLASS
     s = replace(settings(instances=count), classes=(dear, cheap), quotas=(2.0 * count,) * 2, over_quota_weight=0.05)
 
-    def ask(d: Drive, n: int, cls: int, tenant: int, rtt: int) -> bool:
-        r, out = d.arrive(prompt=5000, session=n, cls=cls, tenant=tenant)
+    def ask(d: RouterDriver, n: int, cls: int, tenant: int, rtt: int) -> bool:
+        r, out = d.arrive(prompt_tokens=5000, session=n, request_class=cls, tenant=tenant)
         if r in d.sent:
-            d.serve(r, rtt=rtt)
-        return bool(of(RejectRequest, out))
+            d.serve(r, elapsed=rtt)
+        return bool(of_type(RejectRequest, out))
 
-    calm, jam = Drive(s), Drive(s)
+    calm, jam = RouterDriver(s), RouterDriver(s)
     # Tenant 1 asks five times its share.
     assert not any(ask(calm, n, n % 2, n % 6 > 0, 50_000) for n in range(200))
     refused = {(cls, tenant): 0 for cls in (0, 1) for tenant in (0, 1)}
@@ -305,14 +314,15 @@
         cls, tenant = n % 2, int(n % 12 > 1)
         refused[cls, tenant] += ask(jam, n, cls, tenant, 500_000) * (5 if tenant == 0 else 1)
         jam.wait(20_000)
-    assert refused[0, 0] < refused[1, 0] and refused[0, 0] < refused[0, 1]
+    assert refused[0, 0] < refused[1, 0]
+    assert refused[0, 0] < refused[0, 1]
 
 
 def test_a_choice_among_four_times_the_servers_costs_about_four_times_as_much_and_not_sixteen():
     """Counted in calls, which are the same every time."""
 
     def calls(servers: int) -> int:
-        d = Drive(settings(instances=200), tuple(entry(k, k % 2, cell=k // 8) for k in range(1, servers + 1)))
+        d = RouterDriver(settings(instances=200), tuple(endpoint(k, k % 2, cell=k // 8) for k in range(1, servers + 1)))
         count = 0
 
         def counted(frame, event, argument):
@@ -322,11 +332,11 @@
         sys.setprofile(counted)
         try:
             for n in range(20):
-                r, _ = d.arrive(prompt=3000, session=n + 1)
+                r, _ = d.arrive(prompt_tokens=3000, session=n + 1)
                 if d.router.replicas[d.sent[r].replica].role == Role.PREFILL:
                     d.end(r, Outcome.PREFILLED)
-                d.began(r)
-                d.end(r, Outcome.ANSWERED, settled=True)
+                d.response_started(r)
+                d.end(r, Outcome.ANSWERED, answered=True)
         finally:
             sys.setprofile(None)
         return count
@@ -337,25 +347,26 @@
 @pytest.mark.parametrize("count", [2, 200])
 def test_a_long_prompt_is_taken_where_a_usual_one_is(count):
     """By the time of its own reading it was refused by idle readers."""
-    d = Drive(settings(instances=count))
+    d = RouterDriver(settings(instances=count))
     for n in range(40):  # a usual prompt is read in 0.4 s, of an aim of 1.12 s
-        r, out = d.arrive(prompt=3000, session=n + 1)
+        r, out = d.arrive(prompt_tokens=3000, session=n + 1)
         if r in d.sent:
-            d.serve(r, rtt=400_000)
+            d.serve(r, elapsed=400_000)
         d.wait(500_000)
     for prompt in (3000, 12_000):
-        r, out = d.arrive(prompt=prompt, session=100 + prompt)
-        assert not of(RejectRequest, out) and r in d.sent
-        d.serve(r, rtt=400_000)
+        r, out = d.arrive(prompt_tokens=prompt, session=100 + prompt)
+        assert not of_type(RejectRequest, out)
+        assert r in d.sent
+        d.serve(r, elapsed=400_000)
 
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_a_long_prompt_has_room_at_a_bounded_writer_where_a_usual_one_has(count):
-    d = Drive(settings(instances=count), ONE_WRITER)
+    d = RouterDriver(settings(instances=count), ONE_WRITER)
     out = in_flight(d, 6, prompt=3000)
-    d.began(out[0], rtt=900_000)  # late: what is under way there is what it bears, and four fifths of it
+    d.response_started(out[0], elapsed=900_000)  # late: what is under way there is what it bears, and four fifths of it
     for r in out[1:4]:
-        d.began(r)
-        d.end(r, Outcome.ANSWERED, settled=True)
-    taken = [not of(RejectRequest, d.arrive(prompt=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
+        d.response_started(r)
+        d.end(r, Outcome.ANSWERED, answered=True)
+    taken = [not of_type(RejectRequest, d.arrive(prompt_tokens=prompt, session=prompt)[1]) for prompt in (3000, 9000)]
     assert taken == [True, True]
--- a/tests/routing/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -12,7 +12,7 @@
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import Idempotency
 from pearhill.routing.topology import Phase
-from tests.driver import FLEET, Drive, entry, settings
+from tests.driver import FLEET, RouterDriver, endpoint, settings
 
 OUTCOMES = (
     Outcome.PREFILLED,
@@ -29,7 +29,7 @@
 
 def play(seed: int, effect: str = Idempotency.IDEMPOTENT) -> list[str]:
     """Drive one router through 600 random events; assert the invariants; return all actions as text."""
-    rng, d = random.Random(seed), Drive(settings(effect, "cell"), FLEET + (entry(21, 2),), seed=seed)
+    rng, d = random.Random(seed), RouterDriver(settings(effect, "cell"), FLEET + (endpoint(21, 2),), seed=seed)
     out: dict[int, int] = {}
     ended: set[int] = set()
     open_: dict[int, int] = {}
@@ -41,12 +41,14 @@
         for a in actions:
             text.append(repr(a))
             if isinstance(a, SendAttempt):
-                assert a.request not in out and a.request not in ended
+                assert a.request not in out
+                assert a.request not in ended
                 assert phases.get(a.replica, Phase.READY) == Phase.READY
                 out[a.request] = a.replica
                 held.discard(a.request)
             elif isinstance(a, RejectRequest | FailRequest):
-                assert a.request in open_ and a.request not in ended
+                assert a.request in open_
+                assert a.request not in ended
                 ended.add(a.request)
                 del open_[a.request]
             elif isinstance(a, ReleaseState):
@@ -59,10 +61,10 @@
             r, actions = d.next, None
             open_[r] = d.now + 4_000_000
             _, actions = d.arrive(
-                prompt=rng.randrange(20, 20_000),
+                prompt_tokens=rng.randrange(20, 20_000),
                 session=rng.randrange(9),
                 prefix=rng.randrange(4),
-                prefix_len=rng.randrange(0, 4000),
+                prefix_tokens=rng.randrange(0, 4000),
             )
             check(actions)
         elif roll < 0.75 and out:
@@ -88,12 +90,12 @@
                     EndpointsUpdated(
                         False,
                         (
-                            entry(
+                            endpoint(
                                 engine.replica,
                                 engine.kind,
                                 engine.cell,
                                 phase=phase,
-                                started=d.now if phase == Phase.READY else 0,
+                                started_at=d.now if phase == Phase.READY else 0,
                             ),
                         ),
                     )
@@ -132,4 +134,5 @@
         ).stdout
         for n in (1, 2)
     }
-    assert len(runs) == 1 and len(runs.pop()) > 1000
+    assert len(runs) == 1
+    assert len(runs.pop()) > 1000
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -6,7 +6,7 @@
 from pearhill.routing.outlier_detection import MAX_EXCESS_FAILURE_RATE
 from pearhill.routing.pending_request import PendingRequest
 from pearhill.routing.topology import Role
-from tests.driver import Drive, S, entry, of, settings
+from tests.driver import RouterDriver, S, endpoint, of_type, settings
 
 
 def fail(d, engine, times=2):
@@ -18,16 +18,16 @@
 
 
 def test_a_silent_reader_is_left_and_comes_back_by_a_real_request():
-    d = Drive(fleet=(entry(1, 0), entry(2, 0), entry(3, 0), entry(11, 1)))
+    d = RouterDriver(fleet=(endpoint(1, 0), endpoint(2, 0), endpoint(3, 0), endpoint(11, 1)))
     for n in range(20):
-        d.serve(d.arrive(prompt=3000, session=n + 1)[0])
+        d.serve(d.arrive(prompt_tokens=3000, session=n + 1)[0])
     for _ in range(3):
         fail(d, 1, times=1)
         for other in (2, 3):
             d.router._record_health(d.router.replicas[other], failed=False)
-    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica != 1 for s in range(1, 9))
+    assert all(d.sent[d.arrive(prompt_tokens=3000, session=s)[0]].replica != 1 for s in range(1, 9))
     d.wait(12 * S)
-    hits = [r for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
+    hits = [r for r in (d.arrive(prompt_tokens=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     assert hits
     d.end(hits[0], Outcome.PREFILLED)
     assert d.router.replicas[1].failure_rate.value < MAX_EXCESS_FAILURE_RATE
@@ -35,9 +35,9 @@
 
 def test_one_failure_at_an_engine_that_is_hardly_known_is_enough_and_with_a_good_record_it_is_not():
     # Two hundred nodes see each engine once a minute: they would never get a second failure in a row.
-    new, known = Drive(settings(instances=200)), Drive()
+    new, known = RouterDriver(settings(instances=200)), RouterDriver()
     for n in range(40):
-        known.serve(known.arrive(prompt=3000, session=n + 1)[0])
+        known.serve(known.arrive(prompt_tokens=3000, session=n + 1)[0])
     for engine in (2, 3):
         new.router.now = new.now
         new.router._record_health(new.router.replicas[engine], failed=False)
@@ -49,27 +49,29 @@
 
 
 def test_engines_of_a_zone_that_is_cut_are_left_together():
-    fleet = tuple(entry(n, 0, zone=n % 2) for n in range(1, 9)) + (entry(11, 1), entry(12, 1))
-    d = Drive(fleet=fleet)
+    fleet = tuple(endpoint(n, 0, zone=n % 2) for n in range(1, 9)) + (endpoint(11, 1), endpoint(12, 1))
+    d = RouterDriver(fleet=fleet)
     d.router.now = d.now
     for n in (1, 3):  # two failures in zone 1, one success in zone 0; 5 and 7 were never tried
         fail(d, n, times=1)
     d.router._record_health(d.router.replicas[2], failed=False)
-    assert all(d.sent[d.arrive(prompt=3000, session=s)[0]].replica % 2 == 0 for s in range(1, 20))
+    assert all(d.sent[d.arrive(prompt_tokens=3000, session=s)[0]].replica % 2 == 0 for s in range(1, 20))
 
 
 def test_panic_threshold_never_leaves_most_of_a_role():
-    d = Drive(fleet=(entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0), entry(11, 1)))
+    d = RouterDriver(fleet=(endpoint(1, 0), endpoint(2, 0), endpoint(3, 0), endpoint(4, 0), endpoint(11, 1)))
     d.router.now = d.now
     for n in (1, 2, 3):
         fail(d, n)
-    used = {d.sent[r].replica for r in (d.arrive(prompt=3000, session=s)[0] for s in range(1, 40)) if r in d.sent}
+    used = {
+        d.sent[r].replica for r in (d.arrive(prompt_tokens=3000, session=s)[0] for s in range(1, 40)) if r in d.sent
+    }
     assert used & {1, 2, 3}
 
 
 def test_a_slow_engine_that_answers_others_is_not_silent():
-    d = Drive(fleet=(entry(1, 0), entry(2, 0), entry(11, 1)))
-    slow = [r for r in (d.arrive(prompt=300, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
+    d = RouterDriver(fleet=(endpoint(1, 0), endpoint(2, 0), endpoint(11, 1)))
+    slow = [r for r in (d.arrive(prompt_tokens=300, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
     d.wait(10_000)
     d.end(slow[0], Outcome.PREFILLED)
     for r in slow[1:4]:
@@ -78,52 +80,55 @@
 
 
 def test_an_attempt_leaves_time_for_another():
-    d = Drive()
-    _, out = d.arrive(ttl=2 * S)
-    assert of(SendAttempt, out)[0].attempt_timeout <= S
+    d = RouterDriver()
+    _, out = d.arrive(timeout=2 * S)
+    assert of_type(SendAttempt, out)[0].attempt_timeout <= S
 
 
 def test_the_retry_budget_ends_a_storm():
-    d = Drive()
+    d = RouterDriver()
     sends = 0
     for n in range(100):
-        r, _ = d.arrive(prompt=5000, session=n + 1)
+        r, _ = d.arrive(prompt_tokens=5000, session=n + 1)
         while r in d.router.pending:
-            sends += len(of(SendAttempt, d.end(r, Outcome.FULL)))
+            sends += len(of_type(SendAttempt, d.end(r, Outcome.FULL)))
     assert sends < 40
 
 
 def test_past_a_jammed_pair_the_quickest_reader_and_refusal_only_when_none_is_quick():
-    d = Drive()
+    d = RouterDriver()
     for n in range(60):
-        d.serve(d.arrive(prompt=5000, session=n + 1)[0], rtt=150_000)
-    first, _ = d.arrive(prompt=5000, prefix=77, prefix_len=2000)
+        d.serve(d.arrive(prompt_tokens=5000, session=n + 1)[0], elapsed=150_000)
+    first, _ = d.arrive(prompt_tokens=5000, prefix=77, prefix_tokens=2000)
     d.serve(first)
     used, refused = set(), 0
     for n in range(200):
-        r, out = d.arrive(prompt=5000, session=500 + n, prefix=77, prefix_len=2000)
-        refused += len(of(RejectRequest, out))
-        used |= {a.replica for a in of(SendAttempt, out)}
-        assert len(used) > 2 or not of(RejectRequest, out)
-    assert used >= {1, 2, 3, 4, 5, 6} and refused > 100
+        r, out = d.arrive(prompt_tokens=5000, session=500 + n, prefix=77, prefix_tokens=2000)
+        refused += len(of_type(RejectRequest, out))
+        used |= {a.replica for a in of_type(SendAttempt, out)}
+        assert len(used) > 2 or not of_type(RejectRequest, out)
+    assert used >= {1, 2, 3, 4, 5, 6}
+    assert refused > 100
 
 
 def test_leaving_an_engine_calls_nothing_off():
-    d = Drive()
-    r, _ = d.arrive(prompt=5000, session=1)
+    d = RouterDriver()
+    r, _ = d.arrive(prompt_tokens=5000, session=1)
     out = fail(d, d.sent[r].replica, times=1)
-    assert of(LogMessage, out) and not of(CancelAttempt, out)
+    assert of_type(LogMessage, out)
+    assert not of_type(CancelAttempt, out)
 
 
 def test_a_hasty_clients_time_is_not_cut_into_attempts_that_are_all_in_vain():
-    d = Drive()
-    _, out = d.arrive(ttl=240_000)
-    assert of(SendAttempt, out)[0].attempt_timeout == 240_000
+    d = RouterDriver()
+    _, out = d.arrive(timeout=240_000)
+    assert of_type(SendAttempt, out)[0].attempt_timeout == 240_000
 
 
 def test_refused_at_once_when_the_clients_time_is_shorter_than_the_read():
-    d = Drive()
+    d = RouterDriver()
     for n in range(60):
-        d.serve(d.arrive(prompt=5000, session=n + 1)[0], rtt=400_000)
-    _, out = d.arrive(prompt=5000, session=99, ttl=300_000)
-    assert of(RejectRequest, out) and not of(SendAttempt, out)
+        d.serve(d.arrive(prompt_tokens=5000, session=n + 1)[0], elapsed=400_000)
+    _, out = d.arrive(prompt_tokens=5000, session=99, timeout=300_000)
+    assert of_type(RejectRequest, out)
+    assert not of_type(SendAttempt, out)
--- a/tests/routing/test_rolling_restart.py
+++ b/tests/routing/test_rolling_restart.py
@@ -4,16 +4,18 @@
 
 from pearhill.routing.events import EndpointsUpdated
 from pearhill.routing.topology import Phase
-from tests.driver import Drive, S, entry, settings
+from tests.driver import RouterDriver, S, endpoint, settings
 
 NODES, RATE = 40, 60  # routers, requests a second for all of them
 
 
 def test_a_mass_replacement_finds_its_share_of_work_and_stays_within_what_it_bears():
     """Ten of sixteen readers are replaced at once. Sent nothing, they leave the six that stay to jam."""
-    old = tuple(entry(n, 0, cell=n % 4) for n in range(1, 17)) + tuple(entry(n, 1, cell=n % 4) for n in range(31, 49))
+    old = tuple(endpoint(n, 0, cell=n % 4) for n in range(1, 17)) + tuple(
+        endpoint(n, 1, cell=n % 4) for n in range(31, 49)
+    )
     fleet = [
-        Drive(settings(instances=NODES, slow_start_window=13 * S, overload_window=1_500_000), old, seed=n)
+        RouterDriver(settings(instances=NODES, slow_start_window=13 * S, overload_window=1_500_000), old, seed=n)
         for n in range(NODES)
     ]
     rng, start = random.Random(3), fleet[0].now
@@ -21,14 +23,14 @@
     for n in range(RATE * 40):
         at = start + n * S // RATE
         if n == RATE * 30:  # warm until then
-            fresh = tuple(entry(100 + k, 0, cell=k % 4, started=at - S) for k in range(10))
-            gone = tuple(entry(k, 0, cell=k % 4, phase=Phase.DRAINING) for k in range(1, 11))
+            fresh = tuple(endpoint(100 + k, 0, cell=k % 4, started_at=at - S) for k in range(10))
+            gone = tuple(endpoint(k, 0, cell=k % 4, phase=Phase.DRAINING) for k in range(1, 11))
             for each in fleet:
                 each.wait(max(0, at - each.now))
                 each.feed(EndpointsUpdated(False, fresh + gone))
         d = fleet[rng.randrange(NODES)]
         d.wait(max(0, at - d.now))
-        r, _ = d.arrive(prompt=3000, session=n + 1)
+        r, _ = d.arrive(prompt_tokens=3000, session=n + 1)
         if r not in d.sent:
             continue
         engine = d.sent[r].replica
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -12,7 +12,7 @@
 from pearhill.routing.events import EndpointsUpdated
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Endpoint, Phase
-from tests.driver import Drive, S, entry, of, settings
+from tests.driver import RouterDriver, S, endpoint, of_type, settings
 
 READERS, WRITERS, RATE = 8, 6, 80  # requests a second at the fleet
 WARM, RAMP = 30 * S, 14 * S
@@ -28,17 +28,17 @@
 
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.count, self.now, self.next = random.Random(seed), count, 100 * S, 0
-        self.listed = {n: entry(n, 0, cell=n % 2) for n in range(1, READERS + 1)} | {
-            n: entry(n, 1, cell=n % 2) for n in range(11, 11 + WRITERS)
+        self.listed = {n: endpoint(n, 0, cell=n % 2) for n in range(1, READERS + 1)} | {
+            n: endpoint(n, 1, cell=n % 2) for n in range(11, 11 + WRITERS)
         }
         self.shares = [4.0 if n % 4 == 0 else 1.0 for n in range(count)]
         self.nodes = [self.fresh() for _ in range(count)]
         self.sent: dict[int, list[int]] = {}
         self.cut: set[int] = set()  # no connection to these comes up
 
-    def fresh(self) -> Drive:
+    def fresh(self) -> RouterDriver:
         self.next += 1
-        drive = Drive(
+        drive = RouterDriver(
             settings(instances=self.count, local_prefill=False, overload_window=1_500_000, slow_start_window=RAMP),
             tuple(self.listed.values()),
             seed=self.rng.randrange(1 << 30),
@@ -57,10 +57,10 @@
             self.now += int(self.rng.expovariate(RATE) * S)
             node = self.rng.choices(self.nodes, self.shares)[0]
             node.wait(self.now - node.now)
-            r, out = node.arrive(prompt=3000, session=self.rng.randrange(1, 1 << 60))
-            while of(SendAttempt, out) and node.sent[r].replica in self.cut:
+            r, out = node.arrive(prompt_tokens=3000, session=self.rng.randrange(1, 1 << 60))
+            while of_type(SendAttempt, out) and node.sent[r].replica in self.cut:
                 out = node.end(r, Outcome.UNREACHABLE)
-            if of(SendAttempt, out):
+            if of_type(SendAttempt, out):
                 self.sent.setdefault(node.sent[r].replica, []).append(self.now)
                 node.serve(r)
 
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("count", [3, 20, 30, 200])
 @pytest.mark.parametrize(
-    "day, least", [("one", 0.1), ("release", 0.1), ("restarts", 0.02), ("late", 0.3), ("cut", 0.3)]
+    ("day", "least"), [("one", 0.1), ("release", 0.1), ("restarts", 0.02), ("late", 0.3), ("cut", 0.3)]
 )
 def test_a_cold_server_stays_under_what_it_bears_in_every_window_and_gets_work(count: int, day: str, least: float):
     """One of eight starts anew; or five of them within 5 s; or one, and every other process is started anew; or all
@@ -108,19 +108,19 @@
     fleet.run(start)
     capacity = RATE / READERS / S
     cold = {1: start}
-    fleet.change(entry(1, 0, cell=1, started=start))
+    fleet.change(endpoint(1, 0, cell=1, started_at=start))
     if day == "release":
         for n in range(2, 6):
             fleet.run(start + n * S)
             cold[n] = fleet.now
-            fleet.change(entry(n, 0, cell=n % 2, started=fleet.now))
+            fleet.change(endpoint(n, 0, cell=n % 2, started_at=fleet.now))
     if day == "restarts":
         for n in range(0, count, 2):
             fleet.run(start + 6 * S * n // count)
             fleet.nodes[n] = fleet.fresh()
     if day == "late":
         fleet.run(start + 5 * S)
-        fleet.change(*(entry(n, 0, cell=n % 2, phase=Phase.DRAINING) for n in range(2, READERS + 1)))
+        fleet.change(*(endpoint(n, 0, cell=n % 2, phase=Phase.DRAINING) for n in range(2, READERS + 1)))
     if day == "cut":
         fleet.run(start + 5 * S)
         fleet.cut = set(range(2, READERS + 1))
@@ -139,7 +139,7 @@
         super().__init__(count, seed)
         self.work: dict[int, float] = {}  # of each server, in tokens
         self.all_work, self.requests = 0.0, 0
-        self.change(*(entry(n, 2, cell=n % 2) for n in range(21, 21 + MIXED)))
+        self.change(*(endpoint(n, 2, cell=n % 2) for n in range(21, 21 + MIXED)))
 
     def run(self, until: int) -> None:
         while self.now < until:
@@ -147,9 +147,9 @@
             node = self.rng.choices(self.nodes, self.shares)[0]
             node.wait(self.now - node.now)
             prompt = SHORT if self.rng.random() < SHORT_SHARE else LONG
-            r, out = node.arrive(prompt=prompt, session=self.rng.randrange(1, 1 << 60))
+            r, out = node.arrive(prompt_tokens=prompt, session=self.rng.randrange(1, 1 << 60))
             self.all_work, self.requests = self.all_work + prompt + PAD, self.requests + 1
-            if of(SendAttempt, out):
+            if of_type(SendAttempt, out):
                 engine = node.sent[r].replica
                 self.sent.setdefault(engine, []).append(self.now)
                 self.work[engine] = self.work.get(engine, 0.0) + prompt + PAD
@@ -170,32 +170,33 @@
     start = fleet.now + WARM
     fleet.run(start)
     capacity = fleet.capacity(WARM)
-    fleet.change(entry(21, 2, cell=1, started=start))
+    fleet.change(endpoint(21, 2, cell=1, started_at=start))
     fleet.run(start + RAMP)
     over, fullest = breaches(fleet, 21, start, capacity, chance_by_the_page)
     assert not over, (over, fullest)
     assert len([at for at in fleet.sent[21] if start <= at < start + RAMP]) > 0.1 * capacity * RAMP
 
 
-@pytest.mark.parametrize("kind, first", [(1, 11), (2, 21)], ids=["writers", "mixed"])
+@pytest.mark.parametrize(("kind", "first"), [(1, 11), (2, 21)], ids=["writers", "mixed"])
 def test_answers_that_have_only_begun_tell_nothing_of_what_a_cold_server_bears(kind: int, first: int):
     """Servers that were empty begin answers far faster than they finish them (bench souss-helpdesk, throng,
     506155874871, whose burst falls into the first seconds)."""
-    fleet = (*(entry(n, 0) for n in range(1, 4)), *(entry(n, kind) for n in range(first, first + 3)))
-    node = Drive(
+    fleet = (*(endpoint(n, 0) for n in range(1, 4)), *(endpoint(n, kind) for n in range(first, first + 3)))
+    node = RouterDriver(
         settings(instances=1, local_prefill=True, overload_window=1_500_000, slow_start_window=RAMP), fleet, seed=5
     )
     role, open_still = node.router.settings.kinds[kind].role, []
     for n in range(200):
-        r, out = node.arrive(prompt=300, session=n + 1)
-        if of(SendAttempt, out) and node.sent[r].replica < 11:
+        r, out = node.arrive(prompt_tokens=300, session=n + 1)
+        if of_type(SendAttempt, out) and node.sent[r].replica < 11:
             node.end(r, Outcome.PREFILLED)
         if r in node.sent and node.sent[r].replica >= 11:
-            node.began(r)
+            node.response_started(r)
             open_still.append(r)
         node.wait(20_000)
-    assert open_still and node.router.slow_start.answer_rate[role] == 0
+    assert open_still
+    assert node.router.slow_start.answer_rate[role] == 0
     for r in open_still:
-        node.end(r, Outcome.ANSWERED, settled=True)
+        node.end(r, Outcome.ANSWERED, answered=True)
     node.wait(2 * S)
     assert node.router.slow_start.answer_rate[role] > 0
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 
 from pearhill.routing.settings import Idempotency
 from pearhill.settings import parse
-from tests.driver import Drive
+from tests.driver import RouterDriver
 from tests.standins import LAST, TOKENS, Discovery, Standin, platform
 
 SITES = sorted((pathlib.Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
@@ -141,4 +141,4 @@
         Idempotency.UNSAFE,
     }
     for d in parsed:
-        assert Drive(d.router).router.settings is d.router
+        assert RouterDriver(d.router).router.settings is d.router
