--- /dev/null
+++ b/tests/net/test_attempt_exchange.py
@@ -0,0 +1,110 @@
+"""Attempts on the pool's connections: shortages here, attempts written too late, replicas that leave."""
+
+import asyncio
+import errno
+import os
+import unittest
+from unittest.mock import Mock, patch
+
+from pearhill.core.deadlines import Deadlines
+from pearhill.counters import Counters
+from pearhill.net.backend import HttpBackend
+from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, Pool, PoolExhaustedError
+from pearhill.platform.front import Payload
+from pearhill.platform.replica import ReplicaDialect
+from pearhill.routing.outcomes import Outcome
+
+
+class Books(unittest.IsolatedAsyncioTestCase):
+    """What is kept of servers, and room for what must get through."""
+
+    async def asyncSetUp(self) -> None:
+        self.now = 0
+        self.deadlines = Deadlines(lambda: self.now)
+        server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
+        self.addAsyncCleanup(server.wait_closed)
+        self.addCleanup(server.close)
+        self.address = server.sockets[0].getsockname()
+        self.pool = Pool(
+            asyncio.get_running_loop(),
+            self.deadlines,
+            Counters(),
+            connect_timeout=10**6,
+            keep_idle=10**6,
+            most=1,
+            spare=FOR_LISTS + 2,
+        )
+        self.addCleanup(self.pool.close)
+
+    async def test_calls_that_keep_the_books_get_through_a_crowd(self):
+        """And a crowd of those that get through a crowd still leaves room for the list of servers."""
+        for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, FOR_LISTS)):
+            for _ in range(room):
+                await self.pool.acquire(self.address, use)
+            for no_more in range(use + 1):
+                with self.assertRaises(PoolExhaustedError):
+                    await self.pool.acquire(self.address, no_more)
+
+    async def test_a_shortage_of_descriptors_here_is_no_fault_of_the_engines(self):
+        backend = HttpBackend(self.pool, ReplicaDialect())
+        backend.update_addresses({1: self.address}, [], full=True)
+        await self.pool.acquire(self.address)
+        attempt = Mock(replica=1, deadline=10**6, send_before=0)
+        backend.send(attempt)
+        await backend.calls[attempt].task
+        attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
+
+    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_engines(self):
+        """Neither is an attempt spent on it at once: it may be over in a moment."""
+        backend = HttpBackend(self.pool, ReplicaDialect())
+        backend.update_addresses({1: self.address}, [], full=True)
+        for number in (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
+            attempt = Mock(replica=1, deadline=self.now + 10**7, send_before=0, ended=False, may_start=lambda: False)
+            with patch("pearhill.net.pool.socket.socket", side_effect=OSError(number, os.strerror(number))):
+                backend.send(attempt)
+                task = backend.calls[attempt].task
+                for _ in range(100):
+                    await asyncio.sleep(0)
+                self.assertFalse(task.done(), errno.errorcode[number])
+                self.now += 10**6  # the time for a connection is over
+                while not task.done():
+                    self.deadlines.sweep()
+                    await asyncio.sleep(0)
+            attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
+
+    async def test_an_attempt_whose_last_byte_is_not_written_when_its_time_is_over_is_taken_back(self):
+        """A server that reads slowly would run it only then."""
+        backend = HttpBackend(self.pool, ReplicaDialect())
+        backend.update_addresses({1: self.address}, [], full=True)
+        request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
+        attempt = Mock(replica=1, deadline=10**9, send_before=500_000, request=request)
+        backend.send(attempt)
+        while not backend.calls[attempt].tried:
+            await asyncio.sleep(0)
+        self.now = attempt.send_before - 1
+        self.deadlines.sweep()
+        attempt.withdraw.assert_not_called()
+        self.now = attempt.send_before
+        self.deadlines.sweep()
+        attempt.withdraw.assert_called_once_with()
+        self.assertTrue(backend.has_started(attempt))
+        self.assertTrue(backend.cancel(attempt))
+
+    async def test_servers_that_have_left_are_forgotten_once_nothing_is_owed_to_them(self):
+        backend = HttpBackend(self.pool, ReplicaDialect())
+        for n in range(1000):
+            backend.update_addresses({n: self.address}, [], full=True)  # each list names one server, and a new one
+            self.assertIn(n - 1 if n else n, backend.addresses)  # a release may still be owed to the last one
+            self.now += 1_000_000
+            self.deadlines.sweep()
+        self.assertLess(len(backend.addresses), 100)
+        backend.update_addresses({}, [999], full=False)
+        backend.update_addresses({999: self.address}, [], full=False)  # it is back
+        self.now += 100_000_000
+        self.deadlines.sweep()
+        self.assertEqual(set(backend.addresses), {999})
+        connection = await self.pool.acquire(self.address)
+        self.pool.put_back(connection)
+        self.assertEqual(list(self.pool.idle), [self.address])
+        backend.update_addresses({}, [999], full=False)
+        self.assertEqual((self.pool.idle, connection.closed), ({}, True))
