--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -5,8 +5,8 @@
 from pearhill.core.deadlines import Deadlines
 
 
-class Due(unittest.TestCase):
-    def test_swept_in_order_and_what_is_added_waits_for_the_next_turn(self):
+class DeadlinesTest(unittest.TestCase):
+    def test_callbacks_run_in_order_of_time_and_what_they_add_waits_for_the_next_sweep(self):
         now, ran = [0], []
         deadlines = Deadlines(lambda: now[0])
         deadlines.at(5, lambda: (ran.append("b"), deadlines.at(0, lambda: ran.append("late"))))
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -11,10 +11,10 @@
 from pearhill.http1.sse import BadEvents, EventParser
 
 
-class Machines(unittest.TestCase):
+class Connections(unittest.TestCase):
     REQUEST = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"
 
-    def test_requests_cut_anywhere_read_the_same(self):
+    def test_requests_cut_anywhere_parse_the_same(self):
         for size in (1, 2, 7, len(self.REQUEST), 2 * len(self.REQUEST)):
             machine, got = ServerConnection(), []
             stream = self.REQUEST * 2
@@ -25,7 +25,7 @@
                 [("POST", "/a?b=1", b"abcd", True)] * 2,
             )
 
-    def test_nothing_is_taken_after_bad_input(self):
+    def test_nothing_is_accepted_after_bad_input(self):
         machine = ServerConnection(max_body=4)
         (bad,) = machine.feed(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n")
         self.assertEqual((bad, machine.feed(self.REQUEST)), (Rejected(413, "the body is too large"), []))
@@ -36,7 +36,7 @@
             (bad,) = ServerConnection().feed(head)
             self.assertEqual(bad.status, 400)
 
-    def test_what_never_ends_is_turned_away_while_it_still_comes(self):
+    def test_endless_input_is_rejected_while_it_still_arrives(self):
         block, head = b"x" * 8192, b"POST / HTTP/1.1\r\nHost: x\r\n"
         chunked = head + b"Transfer-Encoding: chunked\r\n\r\n"
         for start in (head + b"A: ", head, b"GET /", chunked + b"1;a=", chunked + b"0\r\nA: ", b""):
@@ -72,7 +72,7 @@
             (bad,) = ServerConnection().feed(b"POST / HTTP/1.1\r\nHost: x\r\n" + more + b"\r\n\r\n")
             self.assertEqual(bad.status, 400)
 
-    def test_what_is_turned_away_is_let_go_of_at_once(self):
+    def test_rejected_input_is_released_at_once(self):
         machine = ServerConnection()
 
         class Buffer:
@@ -83,7 +83,7 @@
             machine.feed(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 999999\r\n\r\n")
             return weakref.ref(buffer)
 
-        self.assertIsNone(read()())  # the machine lives on; it must not hold those who fed it
+        self.assertIsNone(read()())  # the connection lives on; it must not keep its callers' frames alive
 
     def test_nothing_of_a_request_or_a_connection_is_kept(self):
         machine, enabled = ServerConnection(), gc.isenabled()
@@ -117,7 +117,7 @@
                     got += machine.feed(part)
                 self.assertEqual([type(e) for e in got], [Head, Data, Lost])
 
-    def test_whatever_follows_an_answer_ends_its_connection(self):
+    def test_bytes_after_an_answer_make_its_connection_unusable(self):
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
         for more, reusable in ((b"", True), (whole, False), (b"noise", False)):
             machine = ClientConnection()
@@ -125,7 +125,7 @@
             got = machine.feed(b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + whole + more)
             self.assertEqual(got, [Head(200, {"content-length": "2"}), Data(b"hi"), End(reusable, not more)])
 
-    def test_answers_in_pieces_and_what_comes_unasked(self):
+    def test_answers_in_pieces_and_unsolicited_bytes(self):
         machine = ClientConnection()
         self.assertEqual(machine.feed(b"HTTP/1.1 200 OK\r\n"), [Lost("unasked")])
         machine = ClientConnection()
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -15,8 +15,8 @@
 from pearhill.routing.outcomes import Outcome
 
 
-class Books(unittest.IsolatedAsyncioTestCase):
-    """What is kept of servers, and room for what must get through."""
+class AttemptExchange(unittest.IsolatedAsyncioTestCase):
+    """A backend and a pool with room for one request, before a listening socket on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.now = 0
@@ -36,8 +36,8 @@
         )
         self.addCleanup(self.pool.close)
 
-    async def test_calls_that_keep_the_books_get_through_a_crowd(self):
-        """And a crowd of those that get through a crowd still leaves room for the list of servers."""
+    async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self):
+        """And control calls that take all of theirs still leave connections for the endpoint list."""
         for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, FOR_LISTS)):
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
@@ -45,7 +45,7 @@
                 with self.assertRaises(PoolExhaustedError):
                     await self.pool.acquire(self.address, no_more)
 
-    async def test_a_shortage_of_descriptors_here_is_no_fault_of_the_engines(self):
+    async def test_a_full_pool_is_no_fault_of_the_replica(self):
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         await self.pool.acquire(self.address)
@@ -54,8 +54,8 @@
         await backend.calls[attempt].task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
-    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_engines(self):
-        """Neither is an attempt spent on it at once: it may be over in a moment."""
+    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self):
+        """No attempt is spent on it at once either: the shortage may be over in a moment."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         for number in (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
@@ -72,8 +72,8 @@
                     await asyncio.sleep(0)
             attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
-    async def test_an_attempt_whose_last_byte_is_not_written_when_its_time_is_over_is_taken_back(self):
-        """A server that reads slowly would run it only then."""
+    async def test_an_attempt_whose_last_byte_is_not_written_in_time_is_withdrawn(self):
+        """A replica that reads slowly would execute it after that time."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
@@ -90,10 +90,10 @@
         self.assertTrue(backend.has_started(attempt))
         self.assertTrue(backend.cancel(attempt))
 
-    async def test_servers_that_have_left_are_forgotten_once_nothing_is_owed_to_them(self):
+    async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self):
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
-            backend.update_addresses({n: self.address}, [], full=True)  # each list names one server, and a new one
+            backend.update_addresses({n: self.address}, [], full=True)  # each list names one replica, and a new one
             self.assertIn(n - 1 if n else n, backend.addresses)  # a release may still be owed to the last one
             self.now += 1_000_000
             self.deadlines.sweep()
