--- a/pearhill/core/__init__.py
+++ b/pearhill/core/__init__.py
@@ -1,1 +1,4 @@
-"""Requests, attempts and outcomes round one Router. Nothing here knows HTTP, sockets or JSON."""
+"""Requests, attempts, outcomes and their one final answer, around one router.
+
+Nothing here knows HTTP, sockets, JSON or disk.
+"""
--- a/pearhill/core/deadlines.py
+++ b/pearhill/core/deadlines.py
@@ -1,4 +1,4 @@
-"""Every deadline of the process in one sorted structure, swept each turn."""
+"""Every deadline of the process in one sorted structure, swept in each tick of the event loop."""
 
 from __future__ import annotations
 
@@ -6,27 +6,32 @@
 
 from sortedcontainers import SortedDict
 
-Clock = Callable[[], int]
-Key = tuple[int, int]
+Clock = Callable[[], int]  # microseconds
+Key = tuple[int, int]  # when a deadline is due, and its place among those of that time
 
 
 class Deadlines:
-    """Callbacks by due time, in microseconds of the clock passed in."""
+    """Callbacks by due time, in microseconds of the clock passed in.
+
+    `on_sooner` is called with the earliest due time whenever that moves forward.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
+        self.on_sooner: Callable[[int], None] = lambda at: None
         self._due: SortedDict[Key, Callable[[], None]] = SortedDict()
         self._count = 0
-        self.on_sooner: Callable[[int], None] = lambda at: None  # told when the earliest deadline moves forward
 
     def __len__(self) -> int:
         return len(self._due)
 
     @property
     def earliest(self) -> int | None:
+        """When the next callback is due; None: there is none."""
         return self._due.peekitem(0)[0][0] if self._due else None
 
     def at(self, when: int, callback: Callable[[], None]) -> Key:
+        """Call back at a time, or in the next sweep if that has passed; the key cancels it."""
         self._count += 1
         key = (when, self._count)
         self._due[key] = callback
@@ -35,19 +40,22 @@
         return key
 
     def after(self, wait: int, callback: Callable[[], None]) -> Key:
+        """Call back in `wait` microseconds; the key cancels it."""
         return self.at(self.clock() + wait, callback)
 
     def cancel(self, key: Key | None) -> None:
-        """Forget a deadline; one that has passed already is no matter."""
+        """Remove a deadline; nothing happens if it has passed already, or for None."""
         if key is not None:
             self._due.pop(key, None)
 
     def sweep(self) -> None:
-        """Run what is due. What a callback adds for now or the past waits for the next turn."""
-        now, last = self.clock(), self._count
+        """Run what is due. What a callback adds, for now or for the past, waits for the next sweep."""
+        now = self.clock()
+        last = self._count
         while self._due:
             key, callback = self._due.peekitem(0)
-            if key[0] > now or key[1] > last:
+            when, number = key
+            if when > now or number > last:
                 break
             del self._due[key]
             callback()
--- a/pearhill/core/replica_ids.py
+++ b/pearhill/core/replica_ids.py
@@ -1,4 +1,4 @@
-"""How engines are numbered."""
+"""How replicas are numbered."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def replica_id(uid: str) -> int:
-    """The number of a server: the same at every dispatcher, as its uid is."""
+    """The number of a replica: the same in every dispatcher, since it is computed from the replica's uid alone."""
     return int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=8).digest())
