--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -214,7 +214,7 @@
     def test_an_engine_that_the_list_does_not_name_as_ready_gets_nothing_whatever_the_router_wants(self):
         for phase in (Phase.DRAINING, Phase.GONE):
             self.setUp()
-            self.core.endpoints = {n: replace(e, phase=phase) for n, e in self.core.endpoints.items()}
+            self.core.endpoints.update({n: replace(e, phase=phase) for n, e in self.core.endpoints.items()})
             client = self.take()
             self.assertEqual((self.sent, client.told), ([], ["refuse"]))
 
