--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -64,7 +64,7 @@
         if attempt.index:
             self._counters.retries[request.last_outcome] += 1
         after = request.last_outcome or "arrival"
-        log_state(request, "sent", f"n={attempt.index} engine={attempt.replica} after={after}")
+        log_state(request, "sent", f"n={attempt.index} replica={attempt.replica} after={after}")
         self._backend().send(attempt)
 
     def _next_attempt(self, request: Request, action: SendAttempt, now: int) -> Attempt:
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -175,4 +175,4 @@
             case ReleaseState():
                 self._requests.release(request)
             case MigrateStream():
-                logger.warning("request {request}: streams are not moved here", request=request.number)
+                logger.warning("request {request}: streams are not migrated here", request=request.number)
--- a/pearhill/core/request_log.py
+++ b/pearhill/core/request_log.py
@@ -22,25 +22,25 @@
 def log_attempt_ended(attempt: Attempt, outcome: Outcome, elapsed: int) -> None:
     """An attempt is over, after `elapsed` microseconds."""
     logger.debug(
-        "attempt request={request} n={n} engine={engine} outcome={outcome} began={began} "
-        "rtt_us={rtt_us} patience_us={patience_us}",
+        "attempt request={request} n={n} replica={replica} outcome={outcome} started={started} "
+        "elapsed_us={elapsed_us} timeout_us={timeout_us}",
         request=attempt.request.number,
         n=attempt.index,
-        engine=attempt.replica,
+        replica=attempt.replica,
         outcome=outcome,
-        began=attempt.response_started,
-        rtt_us=elapsed,
-        patience_us=attempt.timeout,
+        started=attempt.response_started,
+        elapsed_us=elapsed,
+        timeout_us=attempt.timeout,
     )
 
 
 def log_unconfirmed_fetch(attempt: Attempt) -> None:
     """The replica of a fetch has not answered in time, so that what is fetched is released."""
     logger.debug(
-        "attempt request={request} n={n} engine={engine} shows no sign: what is held for it is released",
+        "attempt request={request} n={n} replica={replica} shows no sign: what is held for it is released",
         request=attempt.request.number,
         n=attempt.index,
-        engine=attempt.replica,
+        replica=attempt.replica,
     )
 
 
@@ -48,10 +48,10 @@
     """An answer began and is not complete: what ended it, and for how long nothing of it had been forwarded."""
     silent = now - attempt.last_forwarded_at if attempt.last_forwarded_at else 0
     logger.info(
-        "answer cut request={request} id={id} engine={engine} why={why} silent_us={silent_us}",
+        "answer cut request={request} id={id} replica={replica} why={why} silent_us={silent_us}",
         request=attempt.request.number,
         id=attempt.request.id,
-        engine=attempt.replica,
+        replica=attempt.replica,
         why=why,
         silent_us=silent,
     )
--- a/tests/platform/test_cut_answers.py
+++ b/tests/platform/test_cut_answers.py
@@ -35,7 +35,7 @@
     client.sendall(request("cut-1"))
     assert TOKENS[0] in client.recv(65_536)
     client.close() if client_leaves else end.set()
-    program.wait_line(rf"answer cut request=\d+ id=cut-1 engine=\d+ why={why} silent_us=\d+")
+    program.wait_line(rf"answer cut request=\d+ id=cut-1 replica=\d+ why={why} silent_us=\d+")
     program.wait_line(rf"side=server .* reason={reason} exchanges=1 cut=cut-1")
     assert program.counters()[counter] == 1
     end.set()
