--- /dev/null
+++ b/tests/core/harness.py
@@ -0,0 +1,143 @@
+"""A dispatcher without sockets or processes: a clock that the test moves, and a backend that records its calls."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from typing import Any
+
+from pearhill import settings
+from pearhill.core.deadlines import Deadlines
+from pearhill.core.dispatcher import Dispatcher
+from pearhill.core.request import Attempt, Request, RequestSpec
+from pearhill.counters import Counters
+from pearhill.routing.outcomes import Outcome
+from pearhill.routing.topology import Endpoint, Phase
+from tests.standins import SETTINGS
+
+ADVICE, BOOKING = 0, 1  # classes of SETTINGS: idempotent, unsafe to repeat
+PREFILL, DECODE, MIXED = 0, 1, 2  # kinds of SETTINGS, by their role
+PREFILL_REPLICA = 1
+DECODE_REPLICAS = (2, 3)
+
+
+def endpoint(replica: int, kind: int, phase: Phase = Phase.READY) -> Endpoint:
+    """An entry of the endpoint list, in zone 0 and as large as any."""
+    return Endpoint(replica, 0, kind, 0, phase, 1.0, 0)
+
+
+class RecordingClient:
+    """A client that records its final answers. `disconnected` is what the dispatcher sees when it checks."""
+
+    def __init__(self) -> None:
+        self.answers: list[str] = []
+        self.disconnected = False
+        self.request: Request
+
+    def reject(self, retry_after: int) -> None:
+        self.answers.append("reject")
+
+    def fail(self) -> None:
+        self.answers.append("fail")
+
+    def decline(self, replica_error: Any) -> None:
+        self.answers.append("decline")
+
+    async def forward(self, data: bytes) -> None:
+        raise AssertionError("no data here")
+
+    def finish(self) -> None:
+        self.answers.append("finish")
+
+    def abort(self) -> None:
+        self.answers.append("abort")
+
+    def has_disconnected(self) -> bool:
+        return self.disconnected
+
+
+class DispatcherHarness:
+    """A dispatcher before one prefill replica and two decode replicas, and the backend that it calls.
+
+    `reached`: whether attempts have been written when they are cancelled. `on_cancel` is called before that is
+    returned. `released` and `released_unless_fetched` are the replicas of each call.
+    """
+
+    def __init__(self) -> None:
+        self.now = 10**12
+        self.sent: list[Attempt] = []
+        self.released: list[set[int]] = []
+        self.released_unless_fetched: list[set[int]] = []
+        self.reached = True
+        self.on_cancel: Any = lambda attempt: None
+        self.deadlines = Deadlines(lambda: self.now)
+        self.dispatcher = Dispatcher(settings.parse(SETTINGS), 1, self.deadlines, Counters())
+        self.dispatcher.backend = self
+        decode = [endpoint(replica, DECODE) for replica in DECODE_REPLICAS]
+        self.dispatcher.update_endpoints(True, (endpoint(PREFILL_REPLICA, PREFILL), *decode))
+
+    # The backend.
+
+    def send(self, attempt: Attempt) -> None:
+        self.sent.append(attempt)
+
+    def cancel(self, attempt: Attempt) -> bool:
+        self.on_cancel(attempt)
+        return self.reached
+
+    def has_started(self, attempt: Attempt) -> bool:
+        return self.reached
+
+    def check_health(self, replica: int) -> None:
+        raise AssertionError("no health checks with one dispatcher")
+
+    def release(self, request: Request, replicas: Collection[int]) -> None:
+        self.released.append(set(replicas))
+
+    def release_unless_fetched(self, request: Request, replicas: Collection[int]) -> None:
+        self.released_unless_fetched.append(set(replicas))
+
+    # What a test does.
+
+    def accept(self, request_class: int = ADVICE, timeout: int = 5_000_000) -> RecordingClient:
+        """A request arrives."""
+        client = RecordingClient()
+        spec = RequestSpec(request_class, timeout, prompt_tokens=3000, max_output_tokens=100)
+        client.request = self.dispatcher.accept(spec, client, None)
+        return client
+
+    def accept_and_prefill(self, request_class: int = ADVICE) -> RecordingClient:
+        """A request arrives and its prefill ends well: a decode attempt is out as `sent[1]`."""
+        client = self.accept(request_class)
+        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
+        return client
+
+    def wait(self, micros: int) -> None:
+        """Let time pass; each deadline is swept when it is due."""
+        end = self.now + micros
+        while (earliest := self.deadlines.earliest) is not None and earliest <= end:
+            self.now = max(self.now, earliest)
+            self.deadlines.sweep()
+        self.now = end
+
+    # What a test sees.
+
+    @property
+    def router(self) -> Any:
+        """The router, whose decisions some tests replace."""
+        return self.dispatcher.router
+
+    @property
+    def judged(self) -> list[int]:
+        """The replicas whose failure rate the router has any evidence of."""
+        return [r.id for r in self.router.router.replicas.values() if r.failure_rate.weight]
+
+    @property
+    def blamed(self) -> list[int]:
+        """The replicas that the router holds a failure against."""
+        return [r.id for r in self.router.router.replicas.values() if r.failure_rate.value]
+
+    def assert_over(self, client: RecordingClient, answers: list[str], released: list[set[int]]) -> None:
+        """These final answers, these releases, and no request is open."""
+        assert client.answers == answers
+        assert self.released == released
+        assert self.dispatcher.requests == {}
