--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -27,7 +27,7 @@
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
-from pearhill.load_reports.reports import FRESH
+from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
     LEASE,
     MOVED,
@@ -690,7 +690,7 @@
     def probes(self) -> tuple[float, float, float]:
         """Where settings let engines be asked: probes a second of one dispatcher, at one replica, and one dispatcher's
         bytes a second; two engines for each of two choices a request."""
-        mine = min(4 * self.requests, self.size.replicas * S / FRESH)
+        mine = min(4 * self.requests, self.size.replicas * S / REFRESH_INTERVAL_US)
         call = len(messages.request("GET", "/status/load", "app.svc")) + 120 + 40 + 4 * 40
         return mine, mine * self.size.dispatchers / self.size.replicas, mine * call
 
@@ -1118,7 +1118,7 @@
         "SHARE": SHARE / S,
         "STEP": STEP_EVERY / S,
         "RATIO_MAX": RATIO_MAX,
-        "FRESH": FRESH / S,
+        "FRESH": REFRESH_INTERVAL_US / S,
         "MOST_OUT": MOST_OUT,
         "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -74,8 +74,7 @@
     if engine is None or fleet is None:
         return -1
     if fleet.gossip:
-        known = fleet.gossip.protocol.work._last.get(marker)
-        row = known[2].get(engine.id) if known else None
+        row = fleet.gossip.protocol.work.last_row(marker, engine.id)
         return row.total_tokens - TALK_MARK if row else -1
     assert fleet.reporting
     theirs = fleet.reporting.reporter.theirs(now, engine.id)
--- a/pearhill/load_reports/evenness.py
+++ b/pearhill/load_reports/evenness.py
@@ -1,15 +1,19 @@
-"""How evenly work lies on engines: peak over mean, Gini's coefficient, and who idles."""
+"""How evenly work lies on replicas: peak over mean, the Gini coefficient, and which replicas are idle."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+MIN_WEIGHT = 1e-9  # of a replica, so that nothing is divided by 0
+
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """`peak`: the busiest engine's work over the mean; 1 is even. `gini`: 0 is even, near 1 is all at one. `idle`:
-    engines without any work, in order."""
+    """`peak`: the busiest replica's work over the mean; 1 is even.
+
+    `gini`: 0 is even, near 1 is all at one. `idle`: the replicas without any work, in order.
+    """
 
     peak: float
     gini: float
@@ -17,11 +21,16 @@
 
 
 def evenness(work: Mapping[str, float], weights: Mapping[str, float] | None = None) -> Evenness:
-    """Of tokens under way by engine; `weights` are the engines' sizes, 1 where not told. Without any work at all
-    it is even, and nobody is called idle."""
-    shares = sorted(tokens / max(1e-9, (weights or {}).get(name, 1.0)) for name, tokens in work.items())
-    total, n = sum(shares), len(shares)
+    """The evenness of tokens in flight by replica.
+
+    `weights` are the replicas' sizes, 1 where not given. Without any work at all it is even, and none is called idle.
+    """
+    sizes = weights or {}
+    shares = sorted(tokens / max(MIN_WEIGHT, sizes.get(name, 1.0)) for name, tokens in work.items())
+    total = sum(shares)
+    count = len(shares)
     if total <= 0:
         return Evenness(1.0, 0.0, ())
-    ranked = sum((2 * k - n - 1) * share for k, share in enumerate(shares, 1))
-    return Evenness(shares[-1] * n / total, ranked / (n * total), tuple(sorted(k for k, v in work.items() if v <= 0)))
+    ranked = sum((2 * rank - count - 1) * share for rank, share in enumerate(shares, 1))
+    idle = sorted(name for name, tokens in work.items() if tokens <= 0)
+    return Evenness(shares[-1] * count / total, ranked / (count * total), tuple(idle))
--- a/pearhill/load_reports/query_policy.py
+++ b/pearhill/load_reports/query_policy.py
@@ -1,9 +1,10 @@
-"""Whether a look at engines' load pays: what it gains by what it costs.
+"""Whether it pays to query replicas' load before a choice: the gain against the price.
 
-A look helps in so far as others' work is hidden from me. Measured on drawn days of the second deployment's shape (two
-probes a choice, the price taken off, `docs/design/even-load.md`): with 5 dispatchers nothing, with 12 some 0.010 of
-all worth, with 60 some 0.050, for the choice of a reader; a third of that more for the choice of a writer. That
-is a logarithm of the count, as near as the days tell.
+A query helps in so far as the others' work is hidden from this dispatcher. Measured on drawn days of the second
+deployment's shape (two health checks a choice, their price taken off, `docs/design/even-load.md`), as a share of all
+priority weight: with 5 dispatchers nothing, with 12 some 0.010, with 60 some 0.050, for the choice of a prefill
+replica; a third of that more for the choice of a decode replica. That is a logarithm of the count, as near as the days
+tell.
 """
 
 from __future__ import annotations
@@ -13,16 +14,17 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Role
 
-ALONE = 5  # dispatchers, up to which my own work tells as much as an old report
-GAIN = 0.02  # of all worth, for each e-fold of dispatchers beyond, where readers are looked at
-WRITERS = 0.3  # of that, where writers are
-PROBES = 2  # engines to a choice
+MAX_DISPATCHERS_WITHOUT_GAIN = 5  # so few know as much from their own work as from an old report
+GAIN_PER_E_FOLD = 0.02  # of all priority weight, for each e-fold of dispatchers beyond, at the choice of a prefill
+DECODE_GAIN_SHARE = 0.3  # of that, at the choice of a decode replica
+CHECKS_PER_CHOICE = 2
 
 
 def roles_worth_querying(settings: RouterSettings) -> frozenset[str]:
-    """The roles at which to look before each choice; none where engines tell nothing."""
-    if not settings.health_checks or settings.instances <= ALONE:
+    """The roles to query before each choice; none where replicas report nothing."""
+    if not settings.health_checks or settings.instances <= MAX_DISPATCHERS_WITHOUT_GAIN:
         return frozenset()
-    gain, cost = GAIN * math.log(settings.instances / ALONE), PROBES * settings.health_check_price
-    worth = {Role.PREFILL: gain, Role.DECODE: gain * WRITERS}
-    return frozenset(role for role, part in worth.items() if part > cost)
+    gain = GAIN_PER_E_FOLD * math.log(settings.instances / MAX_DISPATCHERS_WITHOUT_GAIN)
+    price = CHECKS_PER_CHOICE * settings.health_check_price
+    gain_by_role = {Role.PREFILL: gain, Role.DECODE: gain * DECODE_GAIN_SHARE}
+    return frozenset(role for role, gained in gain_by_role.items() if gained > price)
--- a/pearhill/load_reports/reports.py
+++ b/pearhill/load_reports/reports.py
@@ -1,51 +1,78 @@
-"""What engines have told of their load, and how far that can still be believed.
+"""What replicas have reported of their load, and how far that still holds.
 
-A report is old when it comes (an engine writes it a few times a second, and it travels), and work comes and goes:
-what it says of the queue is worth half after `FADE`. Of engines that have told nothing there is no guess here; the
-Router has its own evidence of those.
+A report is old when it arrives (a replica writes it a few times a second, and it travels), and work comes and goes:
+what it says of the queue counts half after `HALF_LIFE_US`. Nothing is assumed here of replicas that have reported
+nothing; the router has its own evidence of those.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Collection
+from typing import NamedTuple
 
 from pearhill.routing.events import LoadReport
 
-FADE = 400_000  # microseconds after which half of a report still holds: reads take 0.1 to 0.5 s each
-FRESH = 300_000  # engines renew their reports about so often: asked again sooner, they would say the same
-MOST_WAITING = 10_000.0  # thousands of tokens; a report that says more is not believed
+HALF_LIFE_US = 400_000  # of a report: prefills take 0.1 to 0.5 s each
+MAX_HALF_LIVES = 5  # after which a report counts nothing
+REFRESH_INTERVAL_US = 300_000  # of replicas' reports: queried again sooner, they would report the same
+MAX_QUEUED_KTOKENS = 10_000.0  # a report of more is discarded
+TOKENS_PER_KTOKEN = 1000
+
+
+class _Received(NamedTuple):
+    at: int
+    memory_used: float
+    queued_tokens: float
 
 
 class Reports:
-    """The last report of each engine."""
+    """The last report of each replica."""
 
     def __init__(self) -> None:
-        self._last: dict[int, tuple[int, float, float]] = {}  # when it came, memory share, tokens waiting
+        self._last: dict[int, _Received] = {}
 
     def __len__(self) -> int:
         return len(self._last)
 
-    def receive(self, now: int, engine: int, load: tuple[float, float] | None) -> bool:
-        """A report has come. False: it tells nothing that can be so, and what was known stays."""
-        # Danger: a figure that is no number compares as neither more nor less, and would win every choice.
-        if load is None or not all(math.isfinite(x) and x >= 0 for x in load) or load[1] > MOST_WAITING:
+    def receive(self, now: int, replica: int, load: tuple[float, float] | None) -> bool:
+        """Take in a report: the share of memory in use, and the thousands of tokens that are queued.
+
+        False: there is none, or it cannot be true, and the last one stays.
+        """
+        if load is None or not _is_plausible(load):
             return False
-        self._last[engine] = now, min(1.0, load[0]), load[1] * 1000
+        memory_used, queued_ktokens = load
+        self._last[replica] = _Received(now, min(1.0, memory_used), queued_ktokens * TOKENS_PER_KTOKEN)
         return True
 
-    def fresh(self, now: int, engine: int) -> bool:
-        """Whether asking again would bring nothing new."""
-        last = self._last.get(engine)
-        return last is not None and now - last[0] < FRESH
+    def fresh(self, now: int, replica: int) -> bool:
+        """Whether a query would bring nothing new."""
+        last = self._last.get(replica)
+        return last is not None and now - last.at < REFRESH_INTERVAL_US
 
-    def report(self, now: int, engine: int, ejected_until: int = 0) -> LoadReport:
-        at, held, waiting = self._last.get(engine, (now, 0.0, 0.0))
-        # Beyond a few halvings it is as good as nothing, and says so: an old word must not outvote fresh evidence.
-        sure = 0.5 ** ((now - at) / FADE) if engine in self._last and now - at < 5 * FADE else 0.0
-        return LoadReport(engine, held, waiting * sure, sure, ejected_until)
+    def report(self, now: int, replica: int, ejected_until: int = 0) -> LoadReport:
+        """What is known of the replica now; `ejected_until` is passed on."""
+        last = self._last.get(replica)
+        if last is None:
+            return LoadReport(replica, 0.0, 0.0, 0.0, ejected_until)
+        confidence = _confidence(now - last.at)
+        return LoadReport(replica, last.memory_used, last.queued_tokens * confidence, confidence, ejected_until)
 
-    def keep(self, engines: Collection[int]) -> None:
-        """Danger: where machines come and go under new names, what is kept of each fills the memory."""
-        for gone in self._last.keys() - set(engines):
+    def keep(self, replicas: Collection[int]) -> None:
+        """Forget all but these: where machines come and go under new names, the rest would fill the memory."""
+        for gone in self._last.keys() - set(replicas):
             del self._last[gone]
+
+
+def _is_plausible(load: tuple[float, float]) -> bool:
+    """No NaN in particular: it compares as neither more nor less, and would win every choice."""
+    return all(math.isfinite(value) and value >= 0 for value in load) and load[1] <= MAX_QUEUED_KTOKENS
+
+
+def _confidence(age: int) -> float:
+    """Half after a half-life; 0 after a few, since an old report must not outweigh fresh evidence."""
+    if age >= MAX_HALF_LIVES * HALF_LIFE_US:
+        return 0.0
+    confidence: float = 0.5 ** (age / HALF_LIFE_US)
+    return confidence
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from pearhill.load_reports.load_aware_router import FIRST_EJECTED, MOST_EJECTED, LoadAwareRouter
+from pearhill.load_reports.load_aware_router import LoadAwareRouter
 from pearhill.load_reports.query_policy import roles_worth_querying
-from pearhill.load_reports.reports import FADE, FRESH, Reports
+from pearhill.load_reports.reports import HALF_LIFE_US, REFRESH_INTERVAL_US, Reports
+from pearhill.load_reports.unanswered_checks import FIRST_EJECTION_US, MAX_EJECTION_US
 from pearhill.platform.replica import load_of
 from pearhill.routing.actions import Action, SendHealthCheck
 from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
@@ -134,7 +135,7 @@
     assert {first, second} <= d.sent.keys() and not d.out
     d.arrive(session=7)
     assert not d.out  # both have told just now
-    d.wait(FRESH + 1)
+    d.wait(REFRESH_INTERVAL_US + 1)
     d.arrive(session=8)
     assert sorted(d.out) == [1, 2]
 
@@ -165,7 +166,7 @@
             asked += 1
             d.tell(1, outcome=Outcome.TIMEOUT)
         assert d.has_disconnected(r) == 2
-    assert 4 <= asked <= 2 + math.log2(MOST_EJECTED / FIRST_EJECTED) + 10 * S / (0.75 * MOST_EJECTED)
+    assert 4 <= asked <= 2 + math.log2(MAX_EJECTION_US / FIRST_EJECTION_US) + 10 * S / (0.75 * MAX_EJECTION_US)
     for n in range(200):
         d.wait(50 * MS)
         r, _ = d.arrive(session=400 + n)
@@ -174,7 +175,7 @@
             d.tell(engine)
         if d.has_disconnected(r) == 1:
             break
-    assert period * 50 * MS < 1.3 * MOST_EJECTED
+    assert period * 50 * MS < 1.3 * MAX_EJECTION_US
 
 
 def test_a_probe_that_was_never_sent_says_nothing_and_one_that_is_lost_is_not_waited_for():
@@ -197,22 +198,22 @@
     d.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
     d.tell(1), d.tell(2)
     assert d.sent[r].replica == 2
-    d.wait(FRESH + 1)
+    d.wait(REFRESH_INTERVAL_US + 1)
     d.feed(EndpointsUpdated(False, (FLEET[0],)))
     gone, _ = d.arrive(session=9)
     d.feed(ClientDisconnected(gone))
     for engine in list(d.out):
         d.tell(engine)
     d.wait(S)
-    assert gone not in d.sent and not d.router.looking
+    assert gone not in d.sent and not d.router.pending_queries
 
 
 def test_a_word_fades_and_one_that_cannot_be_so_changes_nothing():
     reports = Reports()
     assert reports.receive(0, 1, (0.5, 8.0))
     for load in (None, (math.nan, 1.0), (0.1, math.inf), (-0.1, 1.0), (0.1, 1e9)):
-        assert not reports.receive(FADE // 4, 1, load)
-    fresh, old, gone = (reports.report(at, 1) for at in (0, FADE, 6 * FADE))
+        assert not reports.receive(HALF_LIFE_US // 4, 1, load)
+    fresh, old, gone = (reports.report(at, 1) for at in (0, HALF_LIFE_US, 6 * HALF_LIFE_US))
     assert (
         fresh.queued_tokens,
         fresh.confidence,
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from pearhill.load_reports.peer_loads import FADE, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
+from pearhill.load_reports.peer_loads import HALF_LIFE_US, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import MAX_BYTES, GossipCodec, MessageRejectedError
 from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
@@ -140,7 +140,7 @@
             others = council.work.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in council.work._last if n != name)
             # Fresh word alone, without what is assumed of those who say nothing: never more than each has said.
-            worth = 1 + sum(council.work._sure(self.net.now, n) for n in self.net.names)
+            worth = 1 + sum(council.work.weight(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self):
@@ -241,11 +241,11 @@
         work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
     now = work.others(0, 7, ["a", "b", "c"], mine)
     assert (now.total_tokens, now.confidence) == (1200, 1)
-    work.receive(6 * FADE, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
-    later = work.others(8 * FADE, 7, ["a", "b", "c"], mine)
+    work.receive(6 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
+    later = work.others(8 * HALF_LIFE_US, 7, ["a", "b", "c"], mine)
     assert later.confidence < 0.1 and 100 < later.total_tokens < 300
-    assert not work.receive(9 * FADE, "a", (1, 2), [ReplicaLoad(7, 9, 9)]) and not work.receive(
-        9 * FADE, "a", (0, 9), []
+    assert not work.receive(9 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 9, 9)]) and not work.receive(
+        9 * HALF_LIFE_US, "a", (0, 9), []
     )
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -178,7 +178,7 @@
                 self.rng.choice((0, 0, 0, S)),
             )
         )
-        asking = a.request in self.router.looking  # for a bounded time: its timer is set
+        asking = a.request in self.router.pending_queries  # for a bounded time: its timer is set
         assert settled or seen.out or seen.answers or asking, "an attempt ended, and its request is left alone"
         assert seen.out or asking or not seen.held, "a state stays pinned"
 
@@ -237,7 +237,7 @@
             elif self.seen[event[0].request].out is event[0]:
                 self.ended(*event)
         assert all(s.answers or s.began for s in self.seen.values()), "a request without its final answer"
-        assert not self.router.router.pending and not self.router.looking, "books that do not close"
+        assert not self.router.router.pending and not self.router.pending_queries, "books that do not close"
         assert all(e.tokens_in_flight == e.tokens_queued == 0 for e in self.router.router.replicas.values())
 
 
