--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -1,5 +1,6 @@
-"""The real program on a deployment unlike the first: no mixed kind, one zone, loads told to probes alone, nothing that
-a cancel stops, streams that can be resumed, members with shares; and engines that answer probes as they like."""
+"""The real program on a deployment unlike the first: no mixed kind, one zone, loads reported to health checks alone,
+nothing that a cancel stops, streams that can be resumed, tenants with quotas; and replicas that answer health checks as
+they like."""
 
 from __future__ import annotations
 
@@ -11,16 +12,16 @@
 
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Standin, dead_address, platform
 
-UNLIKE: dict[str, Any] = copy.deepcopy(SETTINGS)
-UNLIKE["allowed"].update({"may-cancel": False, "probing": True, "max-attempts": 6, "max-retry-after": 2000000})
-UNLIKE["classes"] = [
+UNLIKE_FIRST: dict[str, Any] = copy.deepcopy(SETTINGS)
+UNLIKE_FIRST["allowed"].update({"may-cancel": False, "probing": True, "max-attempts": 6, "max-retry-after": 2000000})
+UNLIKE_FIRST["classes"] = [
     {"name": "question", "aim": 1000000, "deadline": 4000000, "effect": "read_like", "worth": 3.0},
     {"name": "order", "aim": 3000000, "deadline": 15000000, "effect": "non_idempotent", "worth": 5.0},
 ]
-UNLIKE["extra"].update(
+UNLIKE_FIRST["extra"].update(
     {"local-read": True, "release-within": 1000000, "resume": True, "role-by-kind": ["read", "write", "write"]}
 )
-UNLIKE.update(
+UNLIKE_FIRST.update(
     {
         "models": ["reads", "writes-a", "writes-b"],
         "n-instances": 200,
@@ -39,15 +40,15 @@
     return lambda h: h.plain(200, f"active=3,waiting=1,x0={x0},x1={x1}".encode())
 
 
-class Fleet(unittest.TestCase):
-    def start(self, settings: dict[str, Any] = UNLIKE, dead_reader: bool = False) -> None:
-        """Two readers and two writers; `told` is what each answers to a probe."""
+class LoadReportsOfReplicas(unittest.TestCase):
+    def start(self, settings: dict[str, Any] = UNLIKE_FIRST, first_is_dead: bool = False) -> None:
+        """Two prefill and two decode replicas; `reports` is what each answers to a health check."""
         self.servers = [Standin() for _ in range(4)]
-        self.told: list[Answer] = [report(0.1, 0)] * 4
+        self.reports: list[Answer] = [report(0.1, 0)] * 4
         for n, server in enumerate(self.servers):
             server.respond = lambda h, body, n=n: self.respond(n, h)
         addresses = [s.address for s in self.servers]
-        if dead_reader:
+        if first_is_dead:
             addresses[0] = dead_address()
         kinds = ("reads", "reads", "writes-a", "writes-b")
         targets = ((f"s-{n}", a, kind) for n, (a, kind) in enumerate(zip(addresses, kinds, strict=True)))
@@ -60,7 +61,7 @@
 
     def respond(self, n: int, h: Any) -> None:
         if h.path == "/status/load":
-            self.told[n](h)
+            self.reports[n](h)
         elif h.command == "DELETE":
             h.plain(204)
         elif n < 2:
@@ -85,25 +86,25 @@
     def runs(self) -> list[int]:
         return [s.runs for s in self.servers]
 
-    def test_a_choice_follows_what_engines_tell_and_costs_two_probes(self):
+    def test_a_choice_follows_the_reports_and_costs_two_health_checks(self):
         self.start()
-        self.told = [report(0.1, 60), report(0.1, 0.4), report(0.3, 0), report(0.8, 0)]
+        self.reports = [report(0.1, 60), report(0.1, 0.4), report(0.3, 0), report(0.8, 0)]
         self.assertEqual([self.ask(f"a{n}") for n in range(6)], [200] * 6)
         self.assertEqual(self.runs(), [0, 6, 6, 0])
         self.assertLessEqual(self.program.counters()["probes"]["answered"], 6 * 4)
 
-    def test_whatever_a_probe_brings_every_request_is_answered_once(self):
-        def late(h: Any) -> None:
+    def test_whatever_a_health_check_brings_every_request_is_answered_once(self):
+        def never(h: Any) -> None:
             self.servers[0].go.wait(20)
 
-        def torn(h: Any) -> None:
+        def cut(h: Any) -> None:
             h.send_response(200)
             h.send_header("Content-Length", "40")
             h.end_headers()
             h.wfile.write(b"x0=0.1,")
             h.close_connection = True
 
-        odd: list[Answer] = [
+        bad_reports: list[Answer] = [
             lambda h: h.plain(404),
             lambda h: h.plain(503),
             lambda h: h.plain(200),
@@ -113,39 +114,40 @@
             report(0.5, "1,x1=9"),
             lambda h: h.plain(200, b"z" * 65536),
         ]
-        words: tuple[dict[str, str], ...] = ({}, {"Client-Retry": "again"}, {"Client-Retry": "perhaps"})
-        for answers in (odd, [torn], [lambda h: h.connection.close()], [late]):  # the last three eject engines
+        retries: tuple[dict[str, str], ...] = ({}, {"Client-Retry": "again"}, {"Client-Retry": "perhaps"})
+        for answers in (bad_reports, [cut], [lambda h: h.connection.close()], [never]):  # the last three eject replicas
             self.start()
             for n, answer in enumerate(answers):
                 with self.subTest(n):
-                    self.told, before = [answer] * 4, sum(self.runs())
-                    for k, word in enumerate(words):
-                        self.assertEqual(self.ask(f"{n}-{k}", **word), 200)
-                    self.assertEqual(sum(self.runs()) - before, 6)  # a read and an answer each, and nothing twice
+                    self.reports = [answer] * 4
+                    before = sum(self.runs())
+                    for k, retry in enumerate(retries):
+                        self.assertEqual(self.ask(f"{n}-{k}", **retry), 200)
+                    self.assertEqual(sum(self.runs()) - before, 6)  # a prefill and an answer each, and nothing twice
                     self.assertIn(("GET", "/status/load"), self.servers[0].calls)
             counters = self.program.counters()
             self.assertEqual((counters["faults"], counters["failed"], counters["refused"]), (0, 0, 0))
 
-    def test_a_dead_reader_is_found_by_a_probe_and_costs_no_attempt(self):
-        self.start(dead_reader=True)
+    def test_a_dead_replica_is_found_by_a_health_check_and_costs_no_attempt(self):
+        self.start(first_is_dead=True)
         self.assertEqual([self.ask(f"d{n}") for n in range(8)], [200] * 8)
         counters = self.program.counters()
         self.assertEqual(self.runs(), [0, 8] + self.runs()[2:])
         self.assertEqual((counters["sent"], counters["probes"]["unreachable"] >= 1), (16, True))
 
-    def test_a_member_that_nobody_knows_and_one_without_a_share_are_served(self):
+    def test_a_tenant_that_is_unknown_and_one_without_a_quota_are_served(self):
         self.start()
         self.assertEqual(
             [self.ask(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))], [200] * 3
         )
 
-    def test_few_dispatchers_or_no_reports_send_no_probe(self):
+    def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self):
         for changes in (
             {"n-instances": 3},
             {"report": {"via": "off", "columns": []}},
-            {"allowed": {**UNLIKE["allowed"], "probing": False}},
+            {"allowed": {**UNLIKE_FIRST["allowed"], "probing": False}},
         ):
             with self.subTest(changes):
-                self.start({**UNLIKE, **changes})
+                self.start({**UNLIKE_FIRST, **changes})
                 self.assertEqual([self.ask(f"f{n}") for n in range(3)], [200] * 3)
                 self.assertFalse([path for s in self.servers for _, path in s.calls if path == "/status/load"])
--- /dev/null
+++ b/tests/platform/test_load_report_text.py
@@ -0,0 +1,28 @@
+"""The text of a replica's load report."""
+
+from __future__ import annotations
+
+import pytest
+
+from pearhill.platform.replica import load_of
+
+
+@pytest.mark.parametrize(
+    ("text", "load"),
+    [
+        ("inflight=7,queue=2,x0=0.61,x1=3.5", (0.61, 3.5)),
+        (" x1=0 , x0=1e-3\r\n", (0.001, 0.0)),
+        ("", None),
+        ("x0=0.5", None),
+        ("x0=0.5,x1=nan", None),
+        ("x0=0.5,x1=-1", None),
+        ("x0=0.5,x1=3,x1=4", None),
+        ("x0=0.5,x1=3,", None),
+        ("x0=0.5,x1", None),
+        ("x0=0.5,x1=3.", None),
+        ("x0=1e999,x1=1", None),
+        ("<html>" * 900, None),
+    ],
+)
+def test_a_report_is_read_completely_or_not_at_all(text, load):
+    assert load_of(text) == load
