--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from pearhill.routing.outcomes import Outcome
-from pearhill.routing.router import OUTLIER, Router
+from pearhill.routing.router import Router
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
 
@@ -87,7 +87,7 @@
         self._set_query_roles()
 
     def _set_query_roles(self) -> None:
-        self.router.query_roles = ALL_ROLES if self.peers else self._checked_roles
+        self.router.placement.query_roles = ALL_ROLES if self.peers else self._checked_roles
 
     # For the other dispatchers, and for operators.
 
@@ -117,8 +117,7 @@
 
     def _ejected_by_router(self, now: int) -> set[int]:
         """Listed replicas that get nothing new for now, by the list's phase or by the router's outlier detection."""
-        zone_rates = (zone.value_with_prior(now, 0.0) for zone in self.router.zones.values())
-        threshold = min(zone_rates, default=0.0) + OUTLIER
+        threshold = self.router.outliers.ejection_threshold(now)
         return {
             replica.id
             for replica in self.router.replicas.values()
