--- a/pearhill/structures/__init__.py
+++ b/pearhill/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the job. They know nothing of requests, servers or time."""
+"""Data structures that know nothing of requests, replicas or time."""
