--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -14,7 +14,7 @@
 from pearhill.chat.meter import Meter
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
-from pearhill.http1.sse import BadEvents, EventParser
+from pearhill.http1.sse import EventParser, EventStreamError
 from pearhill.net.backend import MalformedResponseError, Verdict
 from pearhill.routing.outcomes import Outcome
 
@@ -71,7 +71,7 @@
                 elif not self._read(_chunk.decode(event.data)):
                     continue
                 ready.append(event.raw)
-        except BadEvents as e:
+        except EventStreamError as e:
             raise MalformedResponseError(str(e)) from None
         except msgspec.ValidationError as e:
             raise MalformedResponseError(f"an event is no chunk of an answer: {e}") from None
--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -1,4 +1,4 @@
-"""What answers requests, and how: for the listener's connections and for ASGI alike."""
+"""The interface between connections and front ends: the same for the listener's connections and for ASGI."""
 
 from __future__ import annotations
 
@@ -15,31 +15,38 @@
 
 
 class Reply(Protocol):
-    """How a handler answers one request: `answer` or `turn_away`, or `start`, any number of `write`, and `finish`
-    or `abort`."""
+    """How a handler answers one request.
 
-    def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None: ...
+    It calls `answer` or `reject`; or `start`, `write` any number of times, and `finish` or `abort`.
+    """
+
+    def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
+        """A complete answer."""
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer bad input. Danger: what follows it on its connection may be a part of it; none of that is served."""
+        """Answer bad input. What follows it on its connection may be a part of it, so that none of that is served."""
 
     def start(self, status: int, headers: Headers = ()) -> None:
         """The head of an answer in pieces; it goes out with the first of them."""
 
-    async def write(self, data: bytes) -> None: ...
+    async def write(self, data: bytes) -> None:
+        """A piece of the body; returns when there is room for more."""
+
     def finish(self, last: bytes = b"") -> None:
-        """The answer is whole, with these last bytes."""
+        """The answer is complete, with these last bytes."""
 
     def abort(self, last: bytes = b"") -> None:
-        """The answer ends without its end, after these last bytes."""
+        """The answer is cut, after these last bytes."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, seen now; its `Pending` has been told then, or is as soon as there is one."""
+        """Answer a request, now or later. None: it is answered, or no one need know if its client goes."""
 
 
 class Handler(Protocol):
+    """A front end."""
+
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Answer a request, now or later. None: it is answered already, or its client's leaving is no matter."""
+        """Answer a request, now or later. None: there is no answer left that its client's end would change."""
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
-        """Headers and body for input that was turned away before it became a request."""
+        """Headers and body for input that was rejected before it became a request."""
--- a/pearhill/http1/messages.py
+++ b/pearhill/http1/messages.py
@@ -1,4 +1,4 @@
-"""The messages themselves, and how they are written."""
+"""HTTP/1.1 messages, and how they are written."""
 
 from __future__ import annotations
 
@@ -12,23 +12,30 @@
 
 @dataclass(slots=True)
 class RequestMessage:
-    """A request that has come in whole. Header names are in lower case; see `add_header` for repeated ones."""
+    """A complete request. Header names are in lower case; see `add_header` for repeated ones.
+
+    `arrived`: when its last byte was read, in microseconds of the process's clock; None: not known.
+    """
 
     method: str
     target: str
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     keep_alive: bool = True
-    arrived: int | None = None  # when its last byte was read, in microseconds of the process's clock; None: not told
+    arrived: int | None = None
 
     @property
     def path(self) -> str:
+        """The target without its query."""
         return self.target.partition("?")[0]
 
 
 def add_header(headers: dict[str, str], name: str, value: str) -> None:
-    """Danger: of a header that comes twice, two readers may each believe another one. Both values count, as a list;
-    where one value is wanted, a list is none."""
+    """Add a field to headers by lower-case name; a repeated one becomes a list (RFC 9110, 5.3).
+
+    Of a field that comes twice, two readers might otherwise each believe another value. Where one value is needed, a
+    list is not accepted.
+    """
     headers[name] = f"{headers[name]}, {value}" if name in headers else value
 
 
@@ -37,6 +44,7 @@
 
 
 def request(method: str, target: str, host: str, headers: Headers = (), body: bytes | None = None) -> bytes:
+    """A complete request; None: it has no body, and no Content-Length."""
     length = "" if body is None else f"Content-Length: {len(body)}\r\n"
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n{_fields(headers)}{length}\r\n"
     return head.encode("latin-1") + (body or b"")
@@ -50,7 +58,7 @@
 
 
 def answer(status: int, headers: Headers = (), body: bytes = b"", close: bool = False) -> bytes:
-    """A whole answer."""
+    """A complete answer. `close`: the connection ends with it."""
     framing = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
     ending = "Connection: close\r\n" if close else ""
     return f"{_status(status)}{_fields(headers)}{framing}{ending}\r\n".encode("latin-1") + body
@@ -63,4 +71,5 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """A chunk of a body; `LAST_CHUNK` ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/pearhill/http1/sse.py
+++ b/pearhill/http1/sse.py
@@ -8,83 +8,109 @@
 import re
 from typing import NamedTuple
 
-MAX_EVENT = 256 * 1024
+MAX_EVENT = 256 * 1024  # bytes
 _LINE_END = re.compile(rb"\r\n|\n|\r(?!$)")
-_BOM = b"\xef\xbb\xbf"
+_BYTE_ORDER_MARK = b"\xef\xbb\xbf"
+_DEFAULT_NAME = "message"
 
 
-class BadEvents(Exception):
+class EventStreamError(Exception):
     """Bytes that are no stream of events."""
 
 
 class ServerEvent(NamedTuple):
-    raw: bytes  # as it came, the blank line included
-    data: bytes | None  # UTF-8; None: no data field, so nothing to dispatch
-    name: str = "message"
+    """One event. `raw`: as it arrived, the blank line included. `data`: UTF-8; None: there is nothing to dispatch."""
+
+    raw: bytes
+    data: bytes | None
+    name: str = _DEFAULT_NAME
 
 
 class EventParser:
-    """Lines end in CR LF, LF or CR. A CR at the end of the input waits for what follows it. `most`: bytes that one
-    event may have."""
+    """Lines end in CR LF, LF or CR. A CR at the end of the input waits for what follows it.
+
+    `most`: bytes that one event may have.
+    """
 
     def __init__(self, most: int = MAX_EVENT) -> None:
         self.most = most
         self._buffer = b""
-        self._at = 0  # where in the buffer the next line begins
+        self._line_start = 0  # of the next line, in the buffer
         self._data: list[bytes] = []
         self._name = ""
-        self._begun = False  # the first line, which may have a byte order mark, has been read
+        self._started = False  # the first line, which may have a byte order mark, has been read
 
     @property
     def between_events(self) -> bool:
+        """Whether no event has begun that is not complete."""
         return not self._buffer.strip(b"\r\n")
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """The events that are whole now. BadEvents: no UTF-8, or an event past `most` bytes."""
-        if not self._buffer and (events := self._plain(data)) is not None:
-            return events
-        events = []
-        self._buffer += data
-        while end := _LINE_END.search(self._buffer, self._at):
-            line, self._at = self._buffer[self._at : end.start()], end.end()
-            if not self._begun:
-                self._begun, line = True, line.removeprefix(_BOM)
-            if line:
-                self._field(line)
-                continue
-            raw, self._buffer, self._at = self._buffer[: self._at], self._buffer[self._at :], 0
-            if len(raw) > self.most:  # Danger: else whether it passes would depend on where reads happen to end.
-                raise BadEvents("an event is too large")
-            events.append(ServerEvent(raw, b"\n".join(self._data) if self._data else None, self._name or "message"))
-            self._data, self._name = [], ""
-        if len(self._buffer) > self.most:
-            raise BadEvents("an event is too large")
-        return events
+        """The events that are complete now. `EventStreamError`: no UTF-8, or an event past `most` bytes."""
+        if not self._buffer:
+            events = self._parse_plain(data)
+            if events is not None:
+                return events
+        return self._parse_lines(data)
+
+    def _parse_plain(self, data: bytes) -> list[ServerEvent] | None:
+        """Parse what nearly all servers send nearly always: events of one `data: ` line each, ended by LF LF.
 
-    def _plain(self, data: bytes) -> list[ServerEvent] | None:
-        """What nearly all servers send nearly always: whole events of one `data: ` line each, ended by LF LF. None:
-        anything else, to be read line by line."""
+        None: it is anything else, and has to be parsed line by line.
+        """
         if not data.endswith(b"\n\n") or b"\r" in data or len(data) > self.most:
             return None
         blocks = data[:-2].split(b"\n\n")
         for block in blocks:
             if block[:6] != b"data: " or b"\n" in block:
                 return None
-        try:
-            data.decode()
-        except UnicodeDecodeError:
-            raise BadEvents("an event is no UTF-8") from None
-        self._begun = True
+        _check_utf8(data)
+        self._started = True
         return [ServerEvent(block + b"\n\n", block[6:]) for block in blocks]
 
-    def _field(self, line: bytes) -> None:
-        try:
-            line.decode()
-        except UnicodeDecodeError:
-            raise BadEvents("an event is no UTF-8") from None
+    def _parse_lines(self, data: bytes) -> list[ServerEvent]:
+        events = []
+        self._buffer += data
+        while end := _LINE_END.search(self._buffer, self._line_start):
+            line = self._buffer[self._line_start : end.start()]
+            self._line_start = end.end()
+            if not self._started:
+                self._started = True
+                line = line.removeprefix(_BYTE_ORDER_MARK)
+            if line:
+                self._parse_field(line)
+            else:
+                events.append(self._take_event())
+        self._check_size(self._buffer)
+        return events
+
+    def _take_event(self) -> ServerEvent:
+        """The event whose blank line ends where the next line begins."""
+        raw = self._buffer[: self._line_start]
+        self._buffer = self._buffer[self._line_start :]
+        self._line_start = 0
+        self._check_size(raw)  # Else whether it passes would depend on where reads happen to end.
+        event = ServerEvent(raw, b"\n".join(self._data) if self._data else None, self._name or _DEFAULT_NAME)
+        self._data = []
+        self._name = ""
+        return event
+
+    def _check_size(self, event: bytes) -> None:
+        if len(event) > self.most:
+            raise EventStreamError("an event is too large")
+
+    def _parse_field(self, line: bytes) -> None:
+        _check_utf8(line)
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"data":
             self._data.append(value)
         elif name == b"event":
             self._name = value.decode()
+
+
+def _check_utf8(data: bytes) -> None:
+    try:
+        data.decode()
+    except UnicodeDecodeError:
+        raise EventStreamError("an event is no UTF-8") from None
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from pearhill.http1 import messages
-from pearhill.http1.sse import BadEvents, EventParser
+from pearhill.http1.sse import EventParser, EventStreamError
 from pearhill.net.backend import MalformedResponseError
 from pearhill.platform.front import Payload
 
@@ -48,7 +48,7 @@
         # Danger: a stream may be spoilt in the middle of an event. Only whole ones go on.
         try:
             ready = b"".join(event.raw for event in self._parser.feed(data))
-        except BadEvents as e:
+        except EventStreamError as e:
             raise MalformedResponseError(str(e)) from None
         self._tail = (self._tail + ready)[-TAIL:]
         return ready
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -8,7 +8,7 @@
 from pearhill.http1.client import ClientConnection, Data, End, Head, Lost
 from pearhill.http1.messages import RequestMessage
 from pearhill.http1.server import Rejected, ServerConnection
-from pearhill.http1.sse import BadEvents, EventParser
+from pearhill.http1.sse import EventParser, EventStreamError
 
 
 class Connections(unittest.TestCase):
@@ -148,5 +148,5 @@
                 [(None, "message"), (b"a\nb", "message"), (b"c", "x"), (None, "message")],
             )
             self.assertEqual(b"".join(e.raw for e in got), stream)
-        with self.assertRaises(BadEvents):
+        with self.assertRaises(EventStreamError):
             EventParser(most=10).feed(b"data: " + b"x" * 10)
--- a/tests/http1/test_sse.py
+++ b/tests/http1/test_sse.py
@@ -1,11 +1,10 @@
-"""Event streams: whatever the cuts, and whichever way through the parser, the same events come out."""
-
-import unittest
+"""Event streams: whatever the reads, and whichever way through the parser, the same events come out."""
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.http1.sse import BadEvents, EventParser, ServerEvent
+from pearhill.http1.sse import EventParser, EventStreamError, ServerEvent
 
 LINES = st.sampled_from(
     [
@@ -25,45 +24,55 @@
 EVENTS = st.lists(st.tuples(st.lists(LINES, max_size=3), st.sampled_from([b"\n", b"\r\n", b"\r"])), max_size=8)
 
 
-def written(events) -> bytes:
+def encode(events) -> bytes:
     return b"".join(b"".join(line + end for line in lines) + end for lines, end in events)
 
 
-def read(parts) -> list[ServerEvent]:
-    parser, got = EventParser(), []
-    for part in parts:
-        got += parser.feed(part)
-    return got
-
-
-class Events(unittest.TestCase):
-    @given(EVENTS, st.lists(st.integers(0, 200), max_size=12), st.booleans())
-    def test_cuts_change_nothing(self, events, cuts, marked):
-        stream = (b"\xef\xbb\xbf" if marked else b"") + written(events) + b"data: end\n\n"
-        at = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
-        parts = [stream[a:b] for a, b in zip(at, at[1:], strict=False)]
-        whole, cut, bytewise = read([stream]), read(parts), read([stream[k : k + 1] for k in range(len(stream))])
-        self.assertEqual([(e.data, e.name) for e in whole], [(e.data, e.name) for e in cut])
-        self.assertEqual([(e.data, e.name) for e in whole], [(e.data, e.name) for e in bytewise])
-        for got in (whole, cut, bytewise):
-            self.assertEqual(b"".join(e.raw for e in got), stream)
-        self.assertEqual(whole[-1].data, b"end")
-
-    @given(st.lists(st.binary(min_size=1, max_size=20).filter(lambda b: not set(b) & set(b"\r\n")), min_size=1))
-    def test_the_short_way_is_the_long_way(self, values):
-        stream = b"".join(b"data: %b\n\n" % value for value in values)
-        try:
-            short = read([stream])
-        except BadEvents:
-            with self.assertRaises(BadEvents):
-                read([stream[:-1], stream[-1:]])
-            return
-        self.assertEqual(short, read([stream[:-1], stream[-1:]]))
-
-    def test_an_event_past_the_bound_is_refused_wherever_reads_end(self):
-        stream = b"data: " + b"x" * 30 + b"\n\n"
-        for size in (1, 7, len(stream)):
-            parser = EventParser(most=20)
-            with self.subTest(size=size), self.assertRaises(BadEvents):
-                for at in range(0, len(stream), size):
-                    parser.feed(stream[at : at + size])
+def parse(parts) -> list[ServerEvent]:
+    return feed_all(EventParser(), parts)
+
+
+def feed_all(parser: EventParser, parts) -> list[ServerEvent]:
+    return [event for part in parts for event in parser.feed(part)]
+
+
+def contents(events: list[ServerEvent]) -> list[tuple[bytes | None, str]]:
+    return [(event.data, event.name) for event in events]
+
+
+@given(EVENTS, st.lists(st.integers(0, 200), max_size=12), st.booleans())
+def test_reads_that_end_anywhere_change_nothing(events, cuts, marked):
+    byte_order_mark = b"\xef\xbb\xbf" if marked else b""
+    stream = byte_order_mark + encode(events) + b"data: end\n\n"
+    bounds = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
+    whole = parse([stream])
+    in_parts = parse([stream[start:end] for start, end in zip(bounds, bounds[1:], strict=False)])
+    in_bytes = parse([stream[at : at + 1] for at in range(len(stream))])
+    assert contents(whole) == contents(in_parts)
+    assert contents(whole) == contents(in_bytes)
+    for parsed in (whole, in_parts, in_bytes):
+        assert b"".join(event.raw for event in parsed) == stream
+    assert whole[-1].data == b"end"
+
+
+@given(st.lists(st.binary(min_size=1, max_size=20).filter(lambda b: not set(b) & set(b"\r\n")), min_size=1))
+def test_plain_events_parse_as_they_do_line_by_line(values):
+    stream = b"".join(b"data: %b\n\n" % value for value in values)
+    by_lines = [stream[:-1], stream[-1:]]
+    try:
+        plain = parse([stream])
+    except EventStreamError:
+        with pytest.raises(EventStreamError):
+            parse(by_lines)
+        return
+    assert plain == parse(by_lines)
+
+
+@pytest.mark.parametrize("size", [1, 7, 38])
+def test_an_event_past_the_bound_is_rejected_wherever_reads_end(size):
+    stream = b"data: " + b"x" * 30 + b"\n\n"
+    assert len(stream) == 38
+    parser = EventParser(most=20)
+    reads = [stream[at : at + size] for at in range(0, len(stream), size)]
+    with pytest.raises(EventStreamError):
+        feed_all(parser, reads)
