--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -39,14 +39,14 @@
         """The answer is cut, after these last bytes."""
 
     def has_disconnected(self) -> bool:
-        """Answer a request, now or later. None: it is answered, or no one need know if its client goes."""
+        """Whether the client has gone, checked now. Then `Pending.left` has been called, or is once there is one."""
 
 
 class Handler(Protocol):
     """A front end."""
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Answer a request, now or later. None: there is no answer left that its client's end would change."""
+        """Answer a request, now or later. None: its client need not be watched: it is answered, or may go unnoticed."""
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
         """Headers and body for input that was rejected before it became a request."""
