--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -18,7 +18,8 @@
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
 from pearhill.net.fleet import Fleet
-from pearhill.node.node import Limits, Node
+from pearhill.node.limits import Limits
+from pearhill.node.node import Node
 from pearhill.node.operations import Operations
 
 SEND_BUFFER = 64 * 1024  # a stream is some KB a second; more than that is a client that does not read
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -60,7 +60,7 @@
 from pearhill.net.health_checks import MOST_OUT
 from pearhill.net.pool import MAX_ANSWER
 from pearhill.net.releases import UNANSWERED as RELEASES
-from pearhill.node.node import RESERVED_DESCRIPTORS
+from pearhill.node.limits import RESERVED_DESCRIPTORS
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
 from pearhill.routing.router import KEEP, KEYS, RATIO_MAX, SHED
 from pearhill.routing.slow_start import STEP_EVERY
--- /dev/null
+++ b/pearhill/node/drain_control.py
@@ -0,0 +1,47 @@
+"""The drain's stages, carried out on the clients' connections."""
+
+from __future__ import annotations
+
+from pearhill.core.deadlines import Deadlines, Key
+from pearhill.lifecycle.drain import NO_IDLE, OPEN, Drain
+from pearhill.net.listener import Listener
+
+
+class DrainControl:
+    """Does to the listener what the drain's stage asks for, now and when the next stage begins."""
+
+    def __init__(self, deadlines: Deadlines) -> None:
+        self.drain = Drain()
+        self.listener: Listener | None = None  # set once clients can be served
+        self._deadlines = deadlines
+        self._next_stage_timer: Key | None = None
+
+    def request(self, on: bool) -> None:
+        """Begin or end the operators' drain."""
+        self.drain.request(self._deadlines.clock(), on)
+        self.apply()
+
+    def yield_to_successor(self, on: bool) -> None:
+        """Another process takes this dispatcher's clients, or has gone before this one did."""
+        if on == (self.drain.yielding_since is not None):
+            return
+        self.drain.yield_to_successor(self._deadlines.clock(), on)
+        if self.listener:
+            self.listener.pause(on)
+        self.apply()
+
+    def apply(self) -> None:
+        """Bring the clients' connections into the present stage, and set the timer of the next one."""
+        listener = self.listener
+        now = self._deadlines.clock()
+        self._deadlines.cancel(self._next_stage_timer)
+        self._next_stage_timer = None
+        if listener is None:
+            return
+        stage = self.drain.stage(now)
+        listener.last_answers(stage != OPEN)
+        if stage == NO_IDLE:
+            listener.close_idle()
+        next_stage_at = self.drain.tick(now)
+        if next_stage_at is not None:
+            self._next_stage_timer = self._deadlines.at(next_stage_at, self.apply)
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -1,62 +1,50 @@
-"""What every running dispatcher is made of, whatever fronts and servers it has: its start and its end."""
+"""What every running dispatcher is made of, whatever its front ends and replicas are: its start, reload and end."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import signal
 import socket
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 
 from loguru import logger
 
 from pearhill.config import ConfigError
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.counters import Counters, Figures
 from pearhill.http1.handler import Handler
-from pearhill.http1.server import MAX_BODY
-from pearhill.lifecycle.drain import NO_IDLE, OPEN, Drain
-from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
-from pearhill.lifecycle.overrides import OperatorOverrides
+from pearhill.lifecycle.drain import Drain
 from pearhill.net.address import Address
 from pearhill.net.backend import Dialect, HttpBackend
-from pearhill.net.clock import start_clock, wall_clock
-from pearhill.net.listener import EXHAUSTED, Listener
+from pearhill.net.clock import start_clock
+from pearhill.net.listener import Listener
 from pearhill.net.pool import Pool
 from pearhill.net.ticks import EventLoopTicks, pause
-from pearhill.routing.start_times import StartTimes
+from pearhill.node.drain_control import DrainControl
+from pearhill.node.limits import UPKEEP_DESCRIPTORS, Limits
+from pearhill.node.listeners import listen_for_clients, open_admin_listener
+from pearhill.node.override_control import OverrideControl
+from pearhill.node.shutdown import GracefulShutdown
+from pearhill.node.signals import block_requests, handle_signals
+from pearhill.node.wall_clock import WallClockObserver
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
 
-RESERVED_DESCRIPTORS = 48  # descriptors for the log, the loop, the listener, and
-UPKEEP_DESCRIPTORS = 24  # of them for releases and the list of servers
-MAX_ADMIN_CONNECTIONS = 16  # and for operators' calls, where there is a door for them
-RELEASE_GRACE_US = 1_000_000  # after the last request, for releases; and all through the time to end in
-MIN_CONNECTIONS = 8
-RECHECK_INTERVAL_US = 20_000
-LISTEN_TIMEOUT_US = 20_000_000  # a start that takes longer counts as failed
-WALL_CLOCK_CHECK_INTERVAL_US = 500_000  # between two looks for a step of the wall clock
-MAX_ADMIN_BODY_BYTES = 4096  # bytes of a call that has no use for any
+RECHECK_INTERVAL_US = 20_000  # between two questions whether clients may be accepted yet
 
 
-def _keep_idle(deployment: Deployment) -> int:
-    """How long a connection may stand unused: well under what the servers allow."""
+def _idle_timeout(deployment: Deployment) -> int:
+    """Microseconds for which a connection may stand unused: well under what the replicas allow."""
     return deployment.conn_idle * 2 // 3
 
 
-@dataclass(frozen=True, slots=True)
-class Limits:
-    sockets: int
-    seed: int
-    max_body: int = MAX_BODY  # bytes of a request
-    send_buffer: int = 0  # bytes that the system may hold for one client; 0: as it likes
-    has_admin_endpoint: bool = False  # operators have an address of their own
-
-
 class Node:
-    """A dispatcher with its pool and backend. Belongs to the running event loop."""
+    """A dispatcher with its connection pool and backend. Belongs to the running event loop.
+
+    Set by others: `succeeded`, whether another process takes the clients; `on_report`, called when the counters are
+    logged."""
 
     def __init__(self, deployment: Deployment, dialect: Dialect, limits: Limits) -> None:
         loop = asyncio.get_running_loop()
@@ -64,10 +52,9 @@
         self.counters = Counters()
         self.deadlines = Deadlines(start_clock())
         self.ticks = EventLoopTicks(loop, self.deadlines)
-        self.start_times = StartTimes(self.deadlines.clock(), wall_clock())
-        self._observe_wall_clock()
+        self._wall_clock = WallClockObserver(self.deadlines, self.counters)
         self.limits = limits
-        self.dispatcher_count = 0  # that share the work, where somebody here counts them; 0: as the settings say
+        self.dispatcher_count = 0  # that share the work, where they are counted; 0: as the settings say
         self.process_count = 1  # processes that share the limits and this dispatcher's part of all else
         self.settings = deployment
         self.pool = Pool(
@@ -75,103 +62,84 @@
             self.deadlines,
             self.counters,
             connect_timeout=deployment.connect_timeout,
-            keep_idle=_keep_idle(deployment),
+            keep_idle=_idle_timeout(deployment),
             most=self.connection_limit,
             spare=UPKEEP_DESCRIPTORS,
         )
         self.dispatcher = Dispatcher(deployment, limits.seed, self.deadlines, self.counters)
         self.backend = HttpBackend(self.pool, dialect, self.dispatcher.health_check_ended)
         self.dispatcher.backend = self.backend
-        self.overrides = OperatorOverrides()
-        self.endpoint_overrides = EndpointOverrides(self.overrides)
-        self.drain = Drain()
-        self.listener: Listener | None = None
-        self._drain_key: Key | None = None
-        self.succeeded: Callable[[], bool] = lambda: False  # another process takes the clients
-        self.on_report: Callable[[], None] = lambda: None  # told when the counters are logged
+        self._drain_control = DrainControl(self.deadlines)
+        self.override_control = OverrideControl(
+            self.deadlines, self.dispatcher, self.backend, self.pool, self._drain_control
+        )
+        self.succeeded: Callable[[], bool] = lambda: False
+        self.on_report: Callable[[], None] = lambda: None
+        self._shutdown = GracefulShutdown(
+            self.drain, self.deadlines, self.dispatcher, self.backend, lambda: self.succeeded()
+        )
 
     @property
     def connection_limit(self) -> int:
-        """Descriptors for clients, and as many for requests at servers."""
-        return max(
-            MIN_CONNECTIONS,
-            (
-                self.limits.sockets // self.process_count
-                - RESERVED_DESCRIPTORS
-                - MAX_ADMIN_CONNECTIONS * self.limits.has_admin_endpoint
-            )
-            // 2,
-        )
+        """Connections to clients, and as many to replicas, that this process may have."""
+        return self.limits.connections(self.process_count)
+
+    @property
+    def drain(self) -> Drain:
+        """The drain, whether operators, a successor or SIGTERM began it."""
+        return self._drain_control.drain
+
+    @property
+    def draining(self) -> bool:
+        """Whether there is a drain."""
+        return self.drain.active
+
+    @property
+    def listener(self) -> Listener | None:
+        """The clients' listener; None before `serve`."""
+        return self._drain_control.listener
+
+    @property
+    def accepting(self) -> bool:
+        """Whether this process accepts clients."""
+        return self.listener is not None and self.listener.accepting
+
+    @property
+    def quiet(self) -> bool:
+        """Whether no client is being answered."""
+        return not self.dispatcher.requests and (self.listener is None or self.listener.quiet)
 
     def share_limits(self, process_count: int) -> None:
-        """So many processes are this dispatcher now. Each would hold what all of them may hold, and send a
-        cold engine what all of them may send it."""
+        """So many processes are this dispatcher now. Otherwise each would open the connections of all of them, and send
+        a replica that warms up the requests of all of them."""
         if process_count == self.process_count:
             return
         self.process_count = process_count
         self.pool.bound(self.connection_limit)
         if self.listener:
             self.listener.bound(self.connection_limit)
-        self._settle()
-
-    def _settle(self) -> None:
-        router = self.settings.router
-        self.dispatcher.reconfigure(
-            replace(
-                self.settings,
-                router=replace(router, instances=(self.dispatcher_count or router.instances) * self.process_count),
-            )
-        )
+        self._reconfigure_dispatcher()
 
     def share_work(self, dispatcher_count: int) -> None:
-        """So many dispatchers are there now, whatever the settings said."""
+        """So many dispatchers share the work now, whatever the settings say."""
         if dispatcher_count != self.dispatcher_count:
             self.dispatcher_count = dispatcher_count
-            self._settle()
-
-    @property
-    def accepting(self) -> bool:
-        return self.listener is not None and self.listener.accepting
-
-    @property
-    def quiet(self) -> bool:
-        """Nobody is being answered."""
-        return not self.dispatcher.requests and (self.listener is None or self.listener.quiet)
+            self._reconfigure_dispatcher()
 
     def yield_to_successor(self, on: bool) -> None:
         """Another process takes this dispatcher's clients, or has gone before this one did."""
-        if on != (self.drain.yielding_since is not None):
-            self.drain.yield_to_successor(self.deadlines.clock(), on)
-            if self.listener:
-                self.listener.pause(on)
-            self._drained()
-
-    @property
-    def draining(self) -> bool:
-        return self.drain.active
+        self._drain_control.yield_to_successor(on)
 
     def update_endpoints(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
-        """A list of servers, to be in force before the next send."""
+        """New endpoints, in force before the next attempt. `full`: they replace all earlier ones."""
         self.counters.lists += 1
-        self._note_step()
-        entries = self.start_times.place(self.deadlines.clock(), full, entries)
-        self.backend.update_addresses(
-            addresses, [entry.replica for entry in entries if entry.phase == Phase.GONE], full
-        )
-        self.dispatcher.update_endpoints(full, self.endpoint_overrides.update(full, entries))
-
-    def _observe_wall_clock(self) -> None:
-        self._note_step()
-        self.deadlines.after(WALL_CLOCK_CHECK_INTERVAL_US, self._observe_wall_clock)
-
-    def _note_step(self) -> None:
-        if step := self.start_times.observe(self.deadlines.clock(), wall_clock()):
-            self.counters.clock_steps += 1
-            logger.warning("clock: the wall clock was stepped by {ms} ms", ms=step // 1000)
-
-    # Operators' calls.
+        entries = self._wall_clock.translate_start_times(full, entries)
+        gone = [entry.replica for entry in entries if entry.phase == Phase.GONE]
+        self.backend.update_addresses(addresses, gone, full)
+        self.override_control.update_endpoints(full, entries)
 
     def figures(self) -> Figures:
+        """The operators' figures."""
         core = self.dispatcher
         return Figures(
             dict(zip(core.deployment.class_names, core.calls_by_class, strict=True)),
@@ -181,79 +149,18 @@
             core.router.avoided_count(self.deadlines.clock()),
         )
 
-    def set_replica_down(self, replica: int, down: bool) -> bool:
-        """Take a server out, or use it again, until the other is asked for. False: nobody has this number."""
-        if not self.endpoint_overrides.knows(replica):
-            return False
-        self.overrides.set_down(replica, self.deadlines.clock(), down)
-        self.apply_overrides({replica}, False)
-        return True
-
-    def request_drain(self, on: bool) -> None:
-        self.overrides.set_drain(self.deadlines.clock(), on)
-        self.apply_overrides(set(), True)
-
-    def apply_overrides(self, replicas: set[int], drain: bool) -> None:
-        """These wishes have changed, here or at another process."""
-        if drain and (wish := self.overrides.drain):
-            self.drain.request(self.deadlines.clock(), wish.on)
-            self._drained()
-        for engine in replicas:
-            # It is restarted while it is out. A request on a connection from before ends as a reset.
-            if address := self.backend.addresses.get(engine):
-                self.pool.drop_idle(address)
-        if told := self.endpoint_overrides.reapply(replicas):
-            self.dispatcher.update_endpoints(False, told)
-
-    def _drained(self) -> None:
-        """Do what the drain's stage asks for."""
-        listener, now = self.listener, self.deadlines.clock()
-        self.deadlines.cancel(self._drain_key)
-        self._drain_key = None
-        if listener is None:
-            return
-        stage = self.drain.stage(now)
-        listener.last_answers(stage != OPEN)
-        if stage == NO_IDLE:
-            listener.close_idle()
-        if (due := self.drain.tick(now)) is not None:
-            self._drain_key = self.deadlines.at(due, self._drained)
-
     def reconfigure(self, deployment: Deployment) -> None:
-        """Other settings for a running dispatcher. ConfigError: they ask for what only a start can do."""
-        old, new = self.dispatcher.deployment.held_fast(), deployment.held_fast()
-        if unlike := [key for key in old if old[key] != new[key]]:
-            raise ConfigError(f"settings.{unlike[0]}: cannot change while running")
+        """Other settings for a running dispatcher. ConfigError: they change what only a restart can change."""
+        old = self.dispatcher.deployment.held_fast()
+        new = deployment.held_fast()
+        changed = [key for key in old if old[key] != new[key]]
+        if changed:
+            raise ConfigError(f"settings.{changed[0]}: cannot change while running")
         self.settings = deployment
         if self.drain.ending_since is not None:  # the platform may go by the new deadlines, and kill sooner
             self.end_process()
-        self._settle()
-        self.pool.reconfigure(deployment.connect_timeout, _keep_idle(deployment))
-
-    def _open_door(self, address: Address, handler: Handler) -> Listener:
-        operators = Listener(
-            self.loop,
-            self.deadlines,
-            self.counters,
-            handler,
-            MAX_ADMIN_CONNECTIONS,
-            MAX_ADMIN_BODY_BYTES,
-            side="operator",
-        )
-        operators.last_answers()  # one call a connection
-        try:
-            host, port = operators.listen(address)
-        except OSError as e:
-            raise OSError(f"admin_addr: {address[0]}:{address[1]}: {e.strerror or e}") from None
-        logger.info("operators are heard on {host}:{port}", host=host, port=port)
-        return operators
-
-    def _reload(self, reload: Callable[[], str]) -> None:
-        """Whatever a file holds, and whenever it is read, the process and all that it has taken live on."""
-        try:
-            logger.info("reload: done, {result}", result=reload())
-        except ConfigError as e:
-            logger.warning("reload: the old configuration stays: {error}", error=str(e))
+        self._reconfigure_dispatcher()
+        self.pool.reconfigure(deployment.connect_timeout, _idle_timeout(deployment))
 
     async def serve(
         self,
@@ -266,108 +173,67 @@
         admin: tuple[Address, Handler] | None = None,
         may_accept: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Take requests until SIGTERM or SIGINT, then see through all that was taken. `reload` reads the
-        configuration anew at each SIGHUP and tells in words what came of it. `door`: where operators call, and what
-        answers them. `address` may be a socket that listens already: its clients are taken from `may_accept` on, and
-        left to another process that takes them too."""
+        """Accept requests until SIGTERM or SIGINT, then answer all that was accepted. `reload` reads the configuration
+        anew at each SIGHUP and returns what came of it, in words. `admin`: the operators' address, and what answers
+        their calls. `address` may be a socket that listens already: its clients are accepted once `may_accept` says
+        so, and left to another process that accepts them too."""
         stopped = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, stopped.set)
-        self.loop.add_signal_handler(signal.SIGUSR1, self.report)
-        self.loop.add_signal_handler(signal.SIGHUP, self._reload, reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGUSR1})
-        operators = self._open_door(*admin) if admin else None
-        listener = self.listener = Listener(
-            self.loop,
-            self.deadlines,
-            self.counters,
-            handler,
-            self.connection_limit,
-            self.limits.max_body,
-            self.limits.send_buffer,
+        handle_signals(self.loop, stopped.set, self.report, reload)
+        admin_listener = (
+            open_admin_listener(self.loop, self.deadlines, self.counters, *admin) if admin is not None else None
         )
+        listener = self._drain_control.listener = self._make_listener(handler)
         while not (free := may_accept()) and not stopped.is_set():
             await pause(self.deadlines, RECHECK_INTERVAL_US)
-        if free:  # Told to end before it could serve, it would take another's clients to refuse them.
-            host, port = await self._listen(listener, address)
-            self._drained()  # one that was asked for before, maybe at another process
+        if free:  # A process that is to end before it could serve would accept another's clients to reject them.
+            host, port = await listen_for_clients(listener, address, self.deadlines, self.counters)
+            self._drain_control.apply()  # a drain that was asked for before, maybe at another process
             logger.info("{name} listens on {host}:{port}", name=name, host=host, port=port)
             on_listening((host, port))
         await stopped.wait()
         logger.info("draining: {requests} requests open", requests=len(self.dispatcher.requests))
         self.end_process()
-        self._drained()
-        if self.succeeded():
-            listener.stop_accepting(leave=True)
-        if on_shutdown:
-            await on_shutdown()
-        while not self._since_term(self.drain.times.accept_for):
-            await pause(self.deadlines, RECHECK_INTERVAL_US)
-        while not self.succeeded() and not listener.accept_all() and not self._since_term(self.drain.times.end_by):
-            await pause(self.deadlines, RECHECK_INTERVAL_US)
-        listener.stop_accepting(leave=self.succeeded())
-        await self.wait_until_finished(lambda: not listener.open, lambda: self._send_away(listener))
-        await listener.close()
-        if operators:
-            await operators.close()
+        self._drain_control.apply()
+        await self._shutdown.run(listener, on_shutdown)
+        if admin_listener:
+            await admin_listener.close()
         # As the loop closes, the system's own handling comes back, and a late signal would end the process.
-        signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGUSR1})
-
-    async def _listen(self, listener: Listener, address: Address | socket.socket) -> Address:
-        """Open the address to clients. OSError: it cannot be used, or the system has had no socket for too long."""
-        if not isinstance(address, tuple):
-            return listener.adopt(address)
-        give_up = self.deadlines.clock() + LISTEN_TIMEOUT_US
-        while True:
-            try:
-                return listener.listen(address)
-            except OSError as e:
-                if e.errno not in EXHAUSTED or self.deadlines.clock() >= give_up:
-                    raise
-                self.counters.shortages += 1
-            await pause(self.deadlines, RECHECK_INTERVAL_US)
+        block_requests()
 
     def end_process(self) -> None:
         """The process is to end, in the time that the platform leaves it."""
         longest = max((spec.deadline for spec in self.settings.router.classes), default=0)
         self.drain.end_process(self.deadlines.clock(), longest)
 
-    def _since_term(self, span: int) -> bool:
-        """Whether so many microseconds have gone by since the process was told to end."""
-        assert self.drain.ending_since is not None
-        return self.deadlines.clock() >= self.drain.ending_since + span
-
-    def _send_away(self, listener: Listener) -> None:
-        """Nobody is taken any more: end what is owed nothing, and in the end half requests too."""
-        listener.close_idle()
-        if self.drain.closes_all(self.deadlines.clock()):
-            listener.refuse_half_requests()
-
-    async def wait_until_finished(
-        self,
-        quiet: Callable[[], bool] = lambda: True,
-        meanwhile: Callable[[], None] = lambda: None,
-    ) -> None:
-        """Wait for the end of every request and whatever else is to be quiet, and for the releases, as long as the
-        system surely lets this process live. A replica that is gone never answers one; and what is looked at
-        before a wait may be owed after it, so that all of it holds in the same turn of the loop."""
-        last = self.deadlines.clock()
-        while True:
-            meanwhile()
-            if self.dispatcher.requests or not quiet():
-                last = self.deadlines.clock() + RELEASE_GRACE_US
-            elif not self.backend.releasing or (
-                self.deadlines.clock() >= last and self._since_term(self.drain.times.kill_after)
-            ):
-                return
-            await pause(self.deadlines, RECHECK_INTERVAL_US)
+    async def wait_until_finished(self) -> None:
+        """After `end_process`: wait for the end of every request and of the releases, as long as there is time."""
+        await self._shutdown.wait_until_finished()
 
     def close(self) -> None:
+        """Close the connections to replicas, and log the counters a last time."""
         self.pool.close()
         self.ticks.close()
         self.report()
 
     def report(self) -> None:
+        """Log the counters."""
         counts = self.counters.as_dict()
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
         self.on_report()
+
+    def _make_listener(self, handler: Handler) -> Listener:
+        return Listener(
+            self.loop,
+            self.deadlines,
+            self.counters,
+            handler,
+            self.connection_limit,
+            self.limits.max_body,
+            self.limits.send_buffer,
+        )
+
+    def _reconfigure_dispatcher(self) -> None:
+        """Give the dispatcher the settings, with the number of processes that share the work in them."""
+        router = self.settings.router
+        instances = (self.dispatcher_count or router.instances) * self.process_count
+        self.dispatcher.reconfigure(replace(self.settings, router=replace(router, instances=instances)))
--- a/pearhill/node/operations.py
+++ b/pearhill/node/operations.py
@@ -1,4 +1,4 @@
-"""What operators' calls work on, whatever fronts and servers the dispatcher has."""
+"""What operators' calls work on, whatever front ends and replicas the dispatcher has."""
 
 from __future__ import annotations
 
@@ -13,22 +13,29 @@
 
 
 class Operations:
+    """The operators' calls on one node. `can_serve` and `fleet` answer the calls of these names."""
+
     def __init__(
         self, node: Node, can_serve: Callable[[], bool], fleet: Callable[[], dict[str, Any] | None] = lambda: None
     ) -> None:
-        self.node, self.can_serve, self.fleet = node, can_serve, fleet
+        self._node = node
+        self.can_serve = can_serve
+        self.fleet = fleet
 
     def figures(self) -> Figures:
-        return self.node.figures()
+        """What was done so far, and what is known of the replicas."""
+        return self._node.figures()
 
-    def set_replica_down(self, uid: str, out: bool) -> bool:
-        known = self.node.set_replica_down(replica_id(uid), out)
+    def set_replica_down(self, uid: str, down: bool) -> bool:
+        """Take a replica down, or use it again, until the opposite is asked for. False: no replica has this id."""
+        known = self._node.override_control.set_replica_down(replica_id(uid), down)
         if known:
-            logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if out else "in use again")
+            logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if down else "in use again")
         else:
             logger.warning("operators: no replica has the id {uid}", uid=uid)
         return known
 
     def drain(self, on: bool) -> None:
+        """Begin or end the operators' drain."""
         logger.info("operators: the drain {what}", what="begins" if on else "is over")
-        self.node.request_drain(on)
+        self._node.override_control.request_drain(on)
--- a/pearhill/node/process.py
+++ b/pearhill/node/process.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import gc
-import signal
 import sys
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -13,22 +12,22 @@
 
 from pearhill.config import ConfigError
 from pearhill.net.log import LogThread
-
-REQUESTS_BY_SIGNAL = {signal.SIGHUP, signal.SIGUSR1}  # to reload, and to log the counters
+from pearhill.node.signals import block_requests
 
 
 def run(work: Callable[[], Coroutine[Any, Any, None]], log_level: str, log_format: str = "text") -> int:
-    """Make the work and see it through. The exit code: 0, 1 where the system refused something, 2 for bad
-    configuration, which is told in one line."""
-    # Until there are handlers these would end the process. They wait; threads started here never get them.
-    signal.pthread_sigmask(signal.SIG_BLOCK, REQUESTS_BY_SIGNAL)
+    """Make the coroutine and run it to its end. The exit code: 0; 1 where the system refused something; 2 for a bad
+    configuration, which is printed in one line."""
+    # Until there are handlers these signals would end the process. They wait; threads started here never get them.
+    block_requests()
     try:
         coroutine = work()
     except ConfigError as e:
         print(f"pearhill: {e}", file=sys.stderr)
         return 2
+    # What is there at the start stays: the collector looks only at what comes later, and so takes little time.
     gc.collect()
-    gc.freeze()  # what is there at the start stays: the collector looks at what comes later alone, and so in time
+    gc.freeze()
     try:
         log = LogThread(log_level, log_format)
     except ValueError as e:
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -1,11 +1,10 @@
-"""One process of a dispatcher beside the one whose place it takes, or the one that takes its place."""
+"""One process of a dispatcher beside its predecessor or its successor: it exchanges messages with them in files, and
+does at the node what `lifecycle.takeover` concludes from them."""
 
 from __future__ import annotations
 
-import os
 import pathlib
-import sys
-import time
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -14,115 +13,119 @@
 from pearhill.net.clock import origin
 from pearhill.net.ticks import pause
 from pearhill.node.node import Node
+from pearhill.node.process_info import boot_id, process_age
 
 EXCHANGE_INTERVAL_US = 100_000  # a call at either process holds for both within this
+MAX_WARNINGS = 100  # different ones that are logged
 
 
-def process_age() -> int:
-    """Microseconds since the platform started this process, which an interpreter on a part of a core takes seconds to
-    load. The system counts in ticks of 10 ms, rounded down: it started in the course of that one, and is taken for as
-    young as it may be. Where the system does not tell, it is as old as can be."""
-    try:
-        with open("/proc/self/stat", "rb") as file:
-            tick = int(file.read().rpartition(b")")[2].split()[19])
-        latest_start = (tick + 1) / os.sysconf("SC_CLK_TCK")
-        return max(0, int((time.clock_gettime(time.CLOCK_BOOTTIME) - latest_start) * 1e6))
-    except (OSError, ValueError, IndexError):
-        return sys.maxsize
-
-
-def boot_id() -> str:
-    """Which boot of the machine this is; empty where the system does not tell."""
-    try:
-        return pathlib.Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    except OSError:
-        return ""
+class _ReceivedMessage(NamedTuple):
+    path: pathlib.Path
+    message: TakeoverMessage
 
 
 class TakeoverTask:
-    """Looks once when it is made, so that what is out is known before the first list. Nothing needs the folder: without
-    it the process serves alone. Danger: a disk may take a second over a small file, and the loop would stand still;
-    once the process serves, a thread reads and writes."""
+    """Exchanges messages once when it is made, so that overrides are known before the first endpoints, and then
+    regularly. Nothing needs the folder: without it the process serves alone. A disk may take a second over a small
+    file, and the event loop would stand still; once the process serves, a thread reads and writes."""
 
     def __init__(self, node: Node, folder: str, name: str) -> None:
-        self.node, self.start = node, node.deadlines.clock()
-        self.messages = MessageFolder(folder, name, self.start)
-        self.takeover = Takeover(name, self.start, node.overrides, origin(node.deadlines.clock), boot_id())
+        self.node = node
+        started_at = node.deadlines.clock()
+        self.messages = MessageFolder(folder, name, started_at)
+        self.takeover = Takeover(
+            name, started_at, node.override_control.overrides, origin(node.deadlines.clock), boot_id()
+        )
         self.serving_announced = False  # others can read by now that this process takes the clients
-        self._failed = False  # the last note could not be written
-        self._complaints = set[str]()
+        self._write_failed = False  # the last message could not be written
+        self._warnings = set[str]()
         node.succeeded = self._succeeded
-        self._heard(self._exchange(self._note()))
+        self._receive(self._exchange(self._message()))
         self._task = node.pool.spawn(self._run())
 
+    def may_accept(self, can_serve: bool) -> bool:
+        """Whether clients may be accepted: before this process can serve, it would reject clients that the predecessor
+        serves well."""
+        return can_serve or not self.takeover.predecessor_alive
+
+    def reports_ready(self) -> bool:
+        """Whether the platform may be told that this process is ready, which ends the predecessor."""
+        age = process_age()
+        return (self.serving_announced or age >= READY_WITHIN_US) and self.takeover.reports_ready(age)
+
+    def end(self) -> None:
+        """Stop, and leave a message that this process has ended."""
+        self._task.cancel()
+        self._exchange(self._message(ended=True))
+
     async def _run(self) -> None:
         while True:
             await pause(self.node.deadlines, EXCHANGE_INTERVAL_US)
-            note = self._note()
-            self._heard(await self.node.loop.run_in_executor(None, self._exchange, note))
-            self.serving_announced = self.serving_announced or (note is not None and note.serving and not self._failed)
+            message = self._message()
+            self._receive(await self.node.loop.run_in_executor(None, self._exchange, message))
+            if message is not None and message.serving and not self._write_failed:
+                self.serving_announced = True
 
-    def _note(self, ended: bool = False) -> TakeoverMessage | None:
+    def _message(self, ended: bool = False) -> TakeoverMessage | None:
         return self.takeover.message(self.node.deadlines.clock(), self.node.accepting, self.node.quiet, ended)
 
-    def _exchange(self, note: TakeoverMessage | None) -> list[tuple[pathlib.Path, bytes]]:
-        """Write ours, read theirs. Runs in the thread: it touches files and nothing else."""
+    def _exchange(self, message: TakeoverMessage | None) -> list[tuple[pathlib.Path, bytes]]:
+        """Write this process's message, read the others'. Runs in the thread: it touches files and nothing else."""
         try:
-            if note:
-                self._failed = True
-                self.messages.write(note.encode())
-                self._failed = False
+            if message:
+                self._write_failed = True
+                self.messages.write(message.encode())
+                self._write_failed = False
         except OSError as e:
             self.takeover.write_failed()
-            self._complain(f"the note cannot be written, so another process will not know of this one: {e}")
+            self._warn_once(f"the note cannot be written, so another process will not know of this one: {e}")
         try:
             return list(self.messages.others())
         except OSError as e:
-            self._complain(f"the folder for notes cannot be read, so this process serves alone: {e}")
+            self._warn_once(f"the folder for notes cannot be read, so this process serves alone: {e}")
             return []
 
-    def _complain(self, what: str) -> None:
-        """Once each. Danger: said ten times a second it would bury the rest of the log."""
-        if what not in self._complaints and len(self._complaints) < 100:
-            self._complaints.add(what)
+    def _warn_once(self, what: str) -> None:
+        """Logged ten times a second, a warning would bury the rest of the log."""
+        if what not in self._warnings and len(self._warnings) < MAX_WARNINGS:
+            self._warnings.add(what)
             logger.warning("upgrade: {what}", what=what)
 
-    def _heard(self, files: list[tuple[pathlib.Path, bytes]]) -> None:
-        handover, now = self.takeover, self.node.deadlines.clock()
-        found: list[tuple[pathlib.Path, TakeoverMessage]] = []
-        for path, data in files:
-            try:
-                found.append((path, decode(data, handover.name).aligned(handover.origin, handover.boot)))
-            except TakeoverMessageError as e:
-                self._complain(f"{path.name} is left aside: {e}")
-        before = handover.process_count, handover.succeeded
-        engines, drain = handover.receive(now, [note for _, note in found])
-        for path, note in found:
-            if handover.expired(note, now):
+    def _receive(self, files: list[tuple[pathlib.Path, bytes]]) -> None:
+        """Conclude from the others' messages, and do at the node what follows."""
+        takeover = self.takeover
+        now = self.node.deadlines.clock()
+        received = self._decode(files)
+        before = takeover.process_count, takeover.succeeded
+        replicas, drain = takeover.receive(now, [message for _, message in received])
+        for path, message in received:
+            if takeover.expired(message, now):
                 self.messages.remove(path)
-        if (handover.process_count, handover.succeeded) != before:
+        if (takeover.process_count, takeover.succeeded) != before:
             logger.info(
                 "upgrade: {parts} processes serve, {what}",
-                parts=handover.process_count,
-                what="another takes the clients" if handover.succeeded else "this one takes clients",
+                parts=takeover.process_count,
+                what="another takes the clients" if takeover.succeeded else "this one takes clients",
             )
-        self.node.share_limits(handover.process_count)
-        self.node.yield_to_successor(handover.succeeded)
-        self.node.apply_overrides(engines, drain)
+        self.node.share_limits(takeover.process_count)
+        self.node.yield_to_successor(takeover.succeeded)
+        self.node.override_control.apply(replicas, drain)
+
+    def _decode(self, files: list[tuple[pathlib.Path, bytes]]) -> list[_ReceivedMessage]:
+        """The messages that can be believed, with their times by this process's clock."""
+        takeover = self.takeover
+        received = []
+        for path, data in files:
+            try:
+                message = decode(data, takeover.name).aligned(takeover.origin, takeover.boot)
+            except TakeoverMessageError as e:
+                self._warn_once(f"{path.name} is left aside: {e}")
+            else:
+                received.append(_ReceivedMessage(path, message))
+        return received
 
     def _succeeded(self) -> bool:
-        """Danger: the signal to end may come a moment after the successor's yes, before the next look."""
-        self._heard(self._exchange(None))
+        """Whether another process takes the clients, by the messages as they are now: the signal to end may come a
+        moment after the successor has reported ready, before the next exchange."""
+        self._receive(self._exchange(None))
         return self.takeover.succeeded
-
-    def may_accept(self, can_serve: bool) -> bool:
-        """Danger: taken before this process can serve, clients would be refused whom the other one serves well."""
-        return can_serve or not self.takeover.predecessor_alive
-
-    def reports_ready(self) -> bool:
-        age = process_age()
-        return (self.serving_announced or age >= READY_WITHIN_US) and self.takeover.reports_ready(age)
-
-    def end(self) -> None:
-        self._task.cancel()
-        self._exchange(self._note(ended=True))
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -8,7 +8,8 @@
 from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.config import Config, for_next_start
 from pearhill.net.listener import listening
-from pearhill.node.node import Limits, Node
+from pearhill.node.limits import Limits
+from pearhill.node.node import Node
 from pearhill.node.operations import Operations
 from pearhill.node.takeover import TakeoverTask
 from pearhill.platform.discovery import Watch
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -16,7 +16,8 @@
 from pearhill.http1.messages import RequestMessage, answer
 from pearhill.http1.server import ServerConnection
 from pearhill.net.address import Address
-from pearhill.node.node import Limits, Node
+from pearhill.node.limits import Limits
+from pearhill.node.node import Node
 from pearhill.platform.front import PlatformFront
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.topology import Endpoint, Phase
