--- a/pearhill/lifecycle/__init__.py
+++ b/pearhill/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""What operators set while the dispatcher serves: replicas out by hand, the drain, the handover. Free of I/O."""
+"""What operators set while the dispatcher serves, the drain, the shutdown's times, and the takeover. Free of I/O."""
--- a/pearhill/lifecycle/endpoint_overrides.py
+++ b/pearhill/lifecycle/endpoint_overrides.py
@@ -1,4 +1,4 @@
-"""Discovery's list and the operators' wishes, as the one list that the Router is told."""
+"""Discovery's endpoints and the operators' overrides, as the one list that the router works with."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class EndpointOverrides:
-    """The list as it came, apart from what is told of it: an engine that is put back is what the list then says."""
+    """Keeps the endpoints as discovery reported them, apart from what the router is told of them: a restored replica
+    is what discovery then says."""
 
     def __init__(self, overrides: OperatorOverrides) -> None:
         self.overrides = overrides
         self.endpoints: dict[int, Endpoint] = {}
 
     def update(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
-        """A list as discovery gives it; the same as the Router is told it."""
+        """Endpoints as discovery reports them; returns what the router is told. `full`: they replace all others."""
         if full:
             self.endpoints = {}
         for entry in entries:
@@ -28,19 +29,19 @@
         return tuple(self._effective(entry) for entry in entries)
 
     def reapply(self, replicas: Iterable[int]) -> tuple[Endpoint, ...]:
-        """What to tell of these engines now that a wish has changed."""
-        return tuple(self._effective(self.endpoints[engine]) for engine in replicas if engine in self.endpoints)
+        """What to tell the router of these replicas now that an override has changed."""
+        return tuple(self._effective(self.endpoints[replica]) for replica in replicas if replica in self.endpoints)
 
     def knows(self, replica: int) -> bool:
-        """Somebody has this id: it is listed, or out by hand and may come back."""
+        """Whether a replica has this id: it is listed, or administratively down and may come back."""
         return replica in self.endpoints or self.overrides.is_down(replica)
 
     def _effective(self, entry: Endpoint) -> Endpoint:
         if self.overrides.is_down(entry.replica):
             return replace(entry, phase=Phase.DRAINING) if entry.phase == Phase.READY else entry
-        back = self.overrides.restored(entry.replica)
-        # Danger: operators restart what is out, and the list tells of it seconds late. Taken for warm, it is pushed
-        # over. A start that the list names, during the absence or later, is the true one.
-        if back and entry.started_at < back.since:
-            return replace(entry, started_at=back.set_at)
+        restored = self.overrides.restored(entry.replica)
+        # Operators restart what is down, and the list reports the start seconds late: taken for warm, the replica would
+        # be overloaded. A start that the list reports, within the time it was down or later, is the true one.
+        if restored and entry.started_at < restored.since:
+            return replace(entry, started_at=restored.set_at)
         return entry
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -1,20 +1,21 @@
-"""What operators have asked for, each wish with its time: of two on one matter the later holds."""
+"""What operators have asked for, each override with its time: of two on one matter the later holds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RETENTION_US = 600_000_000  # a wish that is over: until then an older note may still tell of its beginning
-MAX_OVERRIDES = 10_000  # wishes kept; far more than there are engines
+# For a replica that is in use again: until then an older message may still tell that it was taken down.
+RETENTION_US = 600_000_000
+MAX_OVERRIDES = 10_000  # that are kept; far more than there are replicas
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """`at`: when it was made, `since`: when what it ends or goes on with began; microseconds of Unix time."""
+    """Whether something is on by an operators' call. Times are microseconds of Unix time."""
 
-    set_at: int
+    set_at: int  # when the call came
     on: bool
-    since: int
+    since: int  # when what it ends or continues began
 
     def shifted(self, by: int) -> Override:
         """The same by a clock that is so far ahead."""
@@ -22,50 +23,65 @@
 
 
 class OperatorOverrides:
-    """`out`: by engine, whether it is out by hand. `drain`: whether this dispatcher is to drain; None: never said."""
+    """`down`: by replica, whether it is administratively down. `drain`: whether this dispatcher is to drain; None: no
+    operator has asked for or ended a drain."""
 
     def __init__(self) -> None:
         self.down: dict[int, Override] = {}
         self.drain: Override | None = None
 
     def set_down(self, replica: int, now: int, down: bool) -> None:
-        """Two calls out need one back; the absence runs from the first of them."""
+        """Two calls that take it down need one that restores it; it is down from the first of them on. A call that
+        restores a replica that was not down is none: the replica would be taken for one that was restarted."""
         before = self.down.get(replica)
-        was_out = before is not None and before.on
-        if down or was_out:  # Danger: put back without having been out, it would be taken for one that was restarted.
-            self.down[replica] = self._after(before, now, down, before.since if before and was_out else now)
+        was_down = before is not None and before.on
+        if not down and not was_down:
+            return
+        since = before.since if before and was_down else now
+        self.down[replica] = self._after(before, now, down, since)
 
     def set_drain(self, now: int, on: bool) -> None:
+        """Begin or end the operators' drain; two calls that begin it are one drain."""
         before = self.drain
-        self.drain = self._after(before, now, on, before.since if before and before.on and on else now)
-
-    @staticmethod
-    def _after(before: Override | None, now: int, on: bool, since: int) -> Override:
-        # Danger: two processes' clocks may differ by a little; what is said later here must win everywhere.
-        return Override(max(now, before.set_at + 1 if before else now), on, since)
+        since = before.since if before and before.on and on else now
+        self.drain = self._after(before, now, on, since)
 
     def is_down(self, replica: int) -> bool:
+        """Whether this replica is administratively down."""
         return replica in self.down and self.down[replica].on
 
     def restored(self, replica: int) -> Override | None:
-        """The wish that put it back, where it has been out."""
-        wish = self.down.get(replica)
-        return wish if wish and not wish.on else None
+        """The override that restored it, where it has been down."""
+        override = self.down.get(replica)
+        return override if override and not override.on else None
 
     def merge(self, down: dict[int, Override], drain: Override | None) -> tuple[set[int], bool]:
-        """Take over what another process has heard later: the engines concerned, and whether the drain is."""
-        changed = {
-            engine
-            for engine, wish in down.items()
-            if wish.set_at > (self.down[engine].set_at if engine in self.down else -1)
-        }
-        self.down.update((engine, down[engine]) for engine in changed)
-        later = drain is not None and drain.set_at > (self.drain.set_at if self.drain else -1)
-        if later:
+        """Take over what another process was asked for later. Returns the replicas concerned, and whether the drain
+        is."""
+        changed = {replica for replica, override in down.items() if self._is_later(override, self.down.get(replica))}
+        self.down.update((replica, down[replica]) for replica in changed)
+        drain_changed = drain is not None and self._is_later(drain, self.drain)
+        if drain_changed:
             self.drain = drain
-        return changed, later
+        return changed, drain_changed
 
     def forget(self, now: int) -> None:
-        """Danger: replicas come and go under new ids; what was ever put back would fill the memory."""
-        for engine in [e for e, wish in self.down.items() if not wish.on and now - wish.set_at > RETENTION_US]:
-            del self.down[engine]
+        """Drop what is long over: replicas come and go under new ids, and whatever was once restored would fill the
+        memory."""
+        expired = [
+            replica
+            for replica, override in self.down.items()
+            if not override.on and now - override.set_at > RETENTION_US
+        ]
+        for replica in expired:
+            del self.down[replica]
+
+    @staticmethod
+    def _after(before: Override | None, now: int, on: bool, since: int) -> Override:
+        """An override that wins over the one before at every process, though their clocks may differ by a little."""
+        set_at = max(now, before.set_at + 1) if before else now
+        return Override(set_at, on, since)
+
+    @staticmethod
+    def _is_later(override: Override, known: Override | None) -> bool:
+        return override.set_at > (known.set_at if known else -1)
--- a/pearhill/node/drain_control.py
+++ b/pearhill/node/drain_control.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.lifecycle.drain import NO_IDLE, OPEN, Drain
+from pearhill.lifecycle.drain import Drain, DrainStage
 from pearhill.net.listener import Listener
 
 
@@ -39,8 +39,8 @@
         if listener is None:
             return
         stage = self.drain.stage(now)
-        listener.last_answers(stage != OPEN)
-        if stage == NO_IDLE:
+        listener.last_answers(stage is not DrainStage.OPEN)
+        if stage is DrainStage.CLOSE_IDLE:
             listener.close_idle()
         next_stage_at = self.drain.tick(now)
         if next_stage_at is not None:
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -9,7 +9,8 @@
 from loguru import logger
 
 from pearhill.durable.message_folder import MessageFolder
-from pearhill.lifecycle.takeover import READY_WITHIN_US, Takeover, TakeoverMessage, TakeoverMessageError, decode
+from pearhill.lifecycle.takeover import READY_WITHIN_US, Takeover
+from pearhill.lifecycle.takeover_message import TakeoverMessage, TakeoverMessageError, decode
 from pearhill.net.clock import origin
 from pearhill.net.ticks import pause
 from pearhill.node.node import Node
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -17,7 +17,7 @@
 from pearhill.counters import Calls, Counters, Figures
 from pearhill.durable.frames import frame
 from pearhill.lifecycle.overrides import Override
-from pearhill.lifecycle.takeover import TakeoverMessage
+from pearhill.lifecycle.takeover_message import TakeoverMessage
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership import gauges
 from pearhill.membership.aggregation_messages import (
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -8,7 +8,7 @@
 
 from pearhill.budgets.charges import rebuild, unpack
 from pearhill.durable.journal import frames_of, recover
-from pearhill.lifecycle.takeover import decode
+from pearhill.lifecycle.takeover_message import decode
 from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.gossip_messages import GossipCodec
 from tests.golden import samples
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -3,12 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.lifecycle.drain import (
+from pearhill.lifecycle.drain import Drain
+from pearhill.lifecycle.shutdown_times import (
     KILL_AFTER_DEADLINE_US,
     MAX_KILL_DEADLINE_US,
     MAX_SIGNAL_DELAY_US,
     NEW_CONNECTIONS_US,
-    Drain,
     ShutdownTimes,
 )
 from tests.driver import S
--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -5,9 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.lifecycle.drain import IDLE_GRACE_US, LAST_ANSWERS, NO_IDLE, OPEN, Drain
+from pearhill.lifecycle.drain import Drain, DrainStage
 from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
 from pearhill.lifecycle.overrides import RETENTION_US, OperatorOverrides
+from pearhill.lifecycle.shutdown_times import IDLE_GRACE_US
 from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import S, entry
 
@@ -82,14 +83,14 @@
 
 def test_a_drain_goes_through_its_stages_and_back():
     drain = Drain()
-    assert drain.stage(S) == OPEN and drain.tick(S) is None
+    assert drain.stage(S) is DrainStage.OPEN and drain.tick(S) is None
     drain.request(S, True)
-    assert (drain.stage(S), drain.tick(S)) == (LAST_ANSWERS, S + IDLE_GRACE_US)
+    assert (drain.stage(S), drain.tick(S)) == (DrainStage.CLOSE_AFTER_ANSWER, S + IDLE_GRACE_US)
     drain.request(S + IDLE_GRACE_US - 1, True)  # asked for twice, it does not begin anew
-    assert (drain.stage(S + IDLE_GRACE_US), drain.tick(S + IDLE_GRACE_US)) == (NO_IDLE, None)
+    assert (drain.stage(S + IDLE_GRACE_US), drain.tick(S + IDLE_GRACE_US)) == (DrainStage.CLOSE_IDLE, None)
     drain.request(9 * S, False)
     drain.request(9 * S, False)
-    assert not drain.active and drain.stage(9 * S) == OPEN
+    assert not drain.active and drain.stage(9 * S) is DrainStage.OPEN
 
 
 def test_the_end_of_the_operators_drain_does_not_undo_the_end_of_the_process():
@@ -97,6 +98,6 @@
     drain.request(S, True)
     drain.end_process(2 * S, 6 * S)
     drain.request(3 * S, False)
-    assert drain.active and drain.stage(2 * S + IDLE_GRACE_US) == NO_IDLE
+    assert drain.active and drain.stage(2 * S + IDLE_GRACE_US) is DrainStage.CLOSE_IDLE
     drain.end_process(9 * S, 6 * S)
-    assert drain.stage(3 * S) == NO_IDLE  # a second signal does not begin it anew
+    assert drain.stage(3 * S) is DrainStage.CLOSE_IDLE  # a second signal does not begin it anew
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -13,10 +13,8 @@
     READY_WITHIN_US,
     REWRITE_INTERVAL_US,
     Takeover,
-    TakeoverMessage,
-    TakeoverMessageError,
-    decode,
 )
+from pearhill.lifecycle.takeover_message import TakeoverMessage, TakeoverMessageError, decode
 from tests.driver import S
 
 NOTE = TakeoverMessage(
