--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -1,4 +1,4 @@
-"""Notes between two processes of one dispatcher, and what follows from them, free of I/O."""
+"""Messages between two processes of one dispatcher, and what follows from them, free of I/O."""
 
 from dataclasses import replace
 
@@ -17,10 +17,10 @@
 from pearhill.lifecycle.takeover_message import TakeoverMessage, TakeoverMessageError, decode
 from tests.driver import S
 
-NOTE = TakeoverMessage(
+MESSAGE = TakeoverMessage(
     "n3", 5 * S, 6 * S, True, False, False, {7: Override(5 * S, True, 4 * S)}, Override(6 * S, False, 6 * S)
 )
-WISH = st.builds(Override, st.integers(0, 2**60), st.booleans(), st.integers(0, 2**60))
+OVERRIDES = st.builds(Override, st.integers(0, 2**60), st.booleans(), st.integers(0, 2**60))
 
 
 @given(
@@ -32,16 +32,16 @@
         st.booleans(),
         st.booleans(),
         st.booleans(),
-        st.dictionaries(st.integers(0, 2**64 - 1), WISH, max_size=5),
-        st.none() | WISH,
+        st.dictionaries(st.integers(0, 2**64 - 1), OVERRIDES, max_size=5),
+        st.none() | OVERRIDES,
     )
 )
-def test_a_note_is_read_as_it_was_written(note):
-    assert decode(note.encode(), note.name) == note
+def test_a_message_is_decoded_as_it_was_encoded(message):
+    assert decode(message.encode(), message.name) == message
 
 
-def test_a_note_cut_at_any_byte_tells_nothing():
-    data = NOTE.encode()
+def test_a_message_cut_or_changed_at_any_byte_is_rejected():
+    data = MESSAGE.encode()
     for cut in range(len(data)):
         with pytest.raises(TakeoverMessageError):
             decode(data[:cut], "n3")
@@ -56,78 +56,85 @@
         (b"", "no note"),
         (b"PK\x03\x04", "no note"),
         (b"pearhill-note 2 00000000\n{}", "of another version"),
-        (replace(NOTE, name="n4").encode(), "of another dispatcher"),
-        (replace(NOTE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many"),
+        (replace(MESSAGE, name="n4").encode(), "of another dispatcher"),
+        (replace(MESSAGE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many"),
     ],
 )
-def test_what_is_no_note_of_ours_says_why(data, why):
+def test_an_error_says_why_a_message_is_rejected(data, why):
     with pytest.raises(TakeoverMessageError, match=why):
         decode(data, "n3")
 
 
-def one(start: int = 9 * S) -> Takeover:
-    return Takeover("n3", start, OperatorOverrides())
+def takeover(started_at: int = 9 * S) -> Takeover:
+    return Takeover("n3", started_at, OperatorOverrides())
 
 
-def test_a_successor_knows_its_elder_and_the_elder_its_successor():
-    new, old = one(9 * S), one(5 * S)
-    elder, successor = replace(NOTE, written_at=9 * S), replace(NOTE, started_at=9 * S, written_at=9 * S, serving=False)
-    new.receive(9 * S, [elder])
+def test_a_successor_knows_its_predecessor_and_the_predecessor_its_successor():
+    new, old = takeover(9 * S), takeover(5 * S)
+    predecessor, successor = (
+        replace(MESSAGE, written_at=9 * S),
+        replace(MESSAGE, started_at=9 * S, written_at=9 * S, serving=False),
+    )
+    new.receive(9 * S, [predecessor])
     assert (new.process_count, new.predecessor_alive, new.predecessor_serving, new.succeeded) == (2, True, True, False)
     old.receive(9 * S, [successor])
-    assert (old.process_count, old.succeeded) == (2, False)  # until it serves, the elder goes on
+    assert (old.process_count, old.succeeded) == (2, False)  # until it serves, the predecessor goes on
     old.receive(9 * S, [replace(successor, serving=True)])
-    assert old.succeeded and not old.predecessor_alive
+    assert old.succeeded
+    assert not old.predecessor_alive
     for gone in (
         replace(successor, serving=True, ended=True),
         replace(successor, serving=True, written_at=9 * S - ALIVE_WITHIN_US),
     ):
         old.receive(9 * S, [gone])
-        assert (old.process_count, old.succeeded) == (1, False)  # it was killed: the elder takes its clients back
-
-
-def test_the_elder_gets_the_time_to_answer_but_the_yes_comes_in_time():
-    new = one()
-    new.receive(9 * S, [replace(NOTE, written_at=9 * S)])
-    assert (
-        not new.reports_ready(0)
-        and not new.reports_ready(READY_WITHIN_US - 1)
-        and new.reports_ready(READY_WITHIN_US)
-        and READY_WITHIN_US < 6 * S
-    )
-    new.receive(9 * S, [replace(NOTE, written_at=9 * S, quiet=True)])
+        assert (old.process_count, old.succeeded) == (
+            1,
+            False,
+        )  # it was killed: the predecessor accepts its clients again
+
+
+def test_the_predecessor_gets_the_time_to_answer_but_readiness_comes_in_time():
+    new = takeover()
+    new.receive(9 * S, [replace(MESSAGE, written_at=9 * S)])
+    assert not new.reports_ready(0)
+    assert not new.reports_ready(READY_WITHIN_US - 1)
+    assert new.reports_ready(READY_WITHIN_US)
+    assert READY_WITHIN_US < 6 * S
+    new.receive(9 * S, [replace(MESSAGE, written_at=9 * S, quiet=True)])
     assert new.reports_ready(0)
     new.receive(9 * S, [])
     assert new.reports_ready(0)
 
 
-def test_what_is_out_outlives_every_process_and_a_drain_only_its_own():
-    drained = replace(NOTE, drain=Override(6 * S, True, 6 * S))
-    for now, out, drain in (
+def test_what_is_down_outlives_every_process_and_a_drain_only_its_own():
+    drained = replace(MESSAGE, drain=Override(6 * S, True, 6 * S))
+    for now, down, drain in (
         (6 * S, True, True),
         (6 * S + ALIVE_WITHIN_US, True, False),
         (6 * S + MESSAGE_RETENTION_US + 1, False, False),
     ):
         new = Takeover("n3", now, OperatorOverrides())
-        assert new.receive(now, [drained]) == ({7} if out else set(), drain)
-        assert (new.overrides.is_down(7), new.overrides.drain is not None) == (out, drain)
-        assert new.expired(drained, now) == (not drain)  # a note that nobody will write again can go
+        assert new.receive(now, [drained]) == ({7} if down else set(), drain)
+        assert (new.overrides.is_down(7), new.overrides.drain is not None) == (down, drain)
+        assert new.expired(drained, now) == (not drain)  # a message that nobody will write again can go
 
 
-def test_an_elder_leaves_its_successors_note_alone():
-    old = one(4 * S)
-    assert not old.expired(NOTE, 6 * S + ALIVE_WITHIN_US + 1)
+def test_a_predecessor_leaves_its_successors_message_alone():
+    old = takeover(4 * S)
+    assert not old.expired(MESSAGE, 6 * S + ALIVE_WITHIN_US + 1)
 
 
-def test_a_note_is_written_when_it_says_something_new_and_with_each_beat():
-    new = one()
+def test_a_message_is_written_when_it_says_something_new_and_at_each_interval():
+    new = takeover()
     assert new.message(9 * S, False, True)
     assert new.message(9 * S + 1, False, True) is None
-    assert new.message(9 * S + 2, True, True) and new.message(9 * S + 3, True, False)
+    assert new.message(9 * S + 2, True, True)
+    assert new.message(9 * S + 3, True, False)
     new.overrides.set_down(3, 9 * S, True)
-    told = new.message(9 * S + 4, True, False)
-    assert told and told.down[3].on
+    written = new.message(9 * S + 4, True, False)
+    assert written
+    assert written.down[3].on
     new.overrides.set_down(4, 9 * S, True)
-    assert told.down.keys() == {3}  # it is what was written, not what has come since
+    assert written.down.keys() == {3}  # it is what was written, not what has come since
     assert new.message(9 * S + 5, True, False)
     assert new.message(9 * S + 5 + REWRITE_INTERVAL_US, True, False)
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -19,32 +19,34 @@
 from tests.standins import LAST, ROOT, TOKENS, Discovery, Program, Standin, platform_file
 
 
-class UpgradeCase(unittest.TestCase):
+class TakeoverCase(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        self.notes = self.folder / "tmp"
-        self.notes.mkdir()
-        self.door = socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.addCleanup(self.door.close)
-        self.address = f"127.0.0.1:{self.door.getsockname()[1]}"
-        self.servers = [Standin(), Standin()]
-        self.discovery = Discovery(*((f"s-{n}", s.address, "all-in-one") for n, s in enumerate(self.servers)))
-        for thing in (*self.servers, self.discovery):
-            self.addCleanup(thing.close)
+        self.messages = self.folder / "tmp"
+        self.messages.mkdir()
+        self.listening_socket = socket.create_server(("127.0.0.1", 0), backlog=256)
+        self.addCleanup(self.listening_socket.close)
+        self.address = f"127.0.0.1:{self.listening_socket.getsockname()[1]}"
+        self.replicas = [Standin(), Standin()]
+        self.discovery = Discovery(
+            *((f"s-{n}", replica.address, "all-in-one") for n, replica in enumerate(self.replicas))
+        )
+        for stand_in in (*self.replicas, self.discovery):
+            self.addCleanup(stand_in.close)
 
-    def process(self, discovery: str = "", **environ: str) -> Program:
+    def start_process(self, discovery: str = "", **environ: str) -> Program:
         path = self.folder / f"{time.monotonic_ns()}.json"
         path.write_text(platform_file(discovery or self.discovery.address))
-        fd = self.door.fileno()
+        fd = self.listening_socket.fileno()
         program = Program(
             passed=(fd,),
             **{
                 "RELAY_CONFIG": str(path),
                 "RELAY_PASSED_SOCKET": str(fd),
                 "RELAY_ADMIN_ADDR": "127.0.0.1:0",
-                "TMPDIR": str(self.notes),
+                "TMPDIR": str(self.messages),
                 **environ,
             },
         )
@@ -52,18 +54,18 @@
         self.addCleanup(program.kill)
         return program
 
-    def ops(self, program: Program, method: str, path: str) -> tuple[int, bytes]:
+    def call_admin(self, program: Program, method: str, path: str) -> tuple[int, bytes]:
         status, _, body = call(program.wait_line(r"operators are heard on (\S+)")[1], method, path)
         return status, body
 
-    def wait_for(self, what: Any, seconds: float = 20) -> None:
+    def wait_for(self, condition: Any, seconds: float = 20) -> None:
         end = time.monotonic() + seconds
-        while not what():
-            self.assertLess(time.monotonic(), end)
+        while not condition():
+            assert time.monotonic() < end
             time.sleep(0.01)
 
-    def yes(self, program: Program) -> bool:
-        return self.ops(program, "GET", "/ops/readiness")[0] == 200
+    def is_ready(self, program: Program) -> bool:
+        return self.call_admin(program, "GET", "/ops/readiness")[0] == 200
 
     def ask(self, id: str, cls: str = "advice", path: str = PATH) -> int:
         host, _, port = self.address.rpartition(":")
@@ -78,7 +80,7 @@
 
 
 class Traffic:
-    """Clients that keep their connections, one booking after another, until they are told to stop."""
+    """Clients that keep their connections, one booking after another, until `stop`."""
 
     def __init__(self, address: str, clients: int) -> None:
         self.address, self.stopped = address, threading.Event()
@@ -87,17 +89,17 @@
         for thread in self.threads:
             thread.start()
 
-    def _run(self, who: int) -> None:
+    def _run(self, client: int) -> None:
         host, _, port = self.address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=20)
         n = 0
         while not self.stopped.is_set():
             n += 1
             try:
-                connection.request("POST", PATH, BODY, headers(f"{who}-{n}", "job-booking"))
+                connection.request("POST", PATH, BODY, headers(f"{client}-{n}", "job-booking"))
                 response = connection.getresponse()  # a connection whose answer said so is opened anew by itself
-                whole = response.read() == b"".join(TOKENS) + LAST
-                self.answers[f"{response.status}{'' if whole else ' broken'}"] += 1
+                complete = response.read() == b"".join(TOKENS) + LAST
+                self.answers[f"{response.status}{'' if complete else ' broken'}"] += 1
             except (OSError, http.client.HTTPException) as e:
                 self.answers[type(e).__name__] += 1
                 connection.close()
@@ -110,14 +112,14 @@
         return self.answers
 
 
-class Upgrades(UpgradeCase):
-    def unable(self) -> "subprocess.Popen[bytes]":
-        """A successor that hears of no server, as far as its signal handlers and its door."""
+class Takeovers(TakeoverCase):
+    def start_unable_successor(self) -> "subprocess.Popen[bytes]":
+        """A successor that knows of no replica, once its signal handlers and its admin address are there."""
         empty = Discovery()
         self.addCleanup(empty.close)
         path = self.folder / "empty.json"
         path.write_text(platform_file(empty.address))
-        fd = self.door.fileno()
+        fd = self.listening_socket.fileno()
         new = subprocess.Popen(
             [sys.executable, "-m", "pearhill"],
             cwd=ROOT,
@@ -126,7 +128,7 @@
             env={
                 "RELAY_CONFIG": str(path),
                 "RELAY_PASSED_SOCKET": str(fd),
-                "TMPDIR": str(self.notes),
+                "TMPDIR": str(self.messages),
                 "RELAY_ADMIN_ADDR": "127.0.0.1:0",
             },
         )
@@ -134,141 +136,141 @@
         self.addCleanup(new.stderr.close)
         self.addCleanup(new.wait)
         self.addCleanup(new.kill)
-        self.assertTrue(any(b"operators are heard" in line for line in new.stderr))
+        assert any(b"operators are heard" in line for line in new.stderr)
         return new
 
     def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
         traffic = Traffic(self.address, 8)
         self.wait_for(lambda: sum(traffic.answers.values()) > 50)
-        new = self.process()
+        new = self.start_process()
         old.wait_line("another takes the clients")
-        self.wait_for(lambda: self.yes(new))
+        self.wait_for(lambda: self.is_ready(new))
         old.process.terminate()
-        self.assertEqual(old.process.wait(20), 0)
+        assert old.process.wait(20) == 0
         before = sum(traffic.answers.values())
         self.wait_for(lambda: sum(traffic.answers.values()) > before + 50)
         answers = traffic.stop()
-        self.assertEqual(set(answers), {"200"}, answers)
-        ran = Counter(h["Request-Id"] for s in self.servers for h in s.headers if h.get("Request-Id"))
-        self.assertEqual((len(ran), set(ran.values())), (sum(answers.values()), {1}))
+        assert set(answers) == {"200"}, answers
+        ran = Counter(h["Request-Id"] for replica in self.replicas for h in replica.headers if h.get("Request-Id"))
+        assert (len(ran), set(ran.values())) == (sum(answers.values()), {1})
         new.wait_line("upgrade: 1 processes serve, this one takes clients")
-        self.assertEqual(len(list(self.notes.iterdir())), 1)  # the old one's note is cleared away
+        assert len(list(self.messages.iterdir())) == 1  # the old process's message is removed
 
-    def test_a_call_at_either_door_holds_for_both_and_over_the_upgrade(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
+    def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self):
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
         down, up = "/ops/replicas/down?target=s-0", "/ops/replicas/up?target=s-0"
 
         def avoided(program: Program) -> int:
-            return int(json.loads(self.ops(program, "GET", "/ops/stats")[1])["hosts_down"])
+            return int(json.loads(self.call_admin(program, "GET", "/ops/stats")[1])["hosts_down"])
 
-        self.assertEqual(self.ops(old, "POST", down)[0], 200)
-        new = self.process()
-        self.assertEqual(avoided(new), 1)
-        self.assertEqual(self.ops(new, "POST", up)[0], 200)
+        assert self.call_admin(old, "POST", down)[0] == 200
+        new = self.start_process()
+        assert avoided(new) == 1
+        assert self.call_admin(new, "POST", up)[0] == 200
         self.wait_for(lambda: avoided(old) == 0)
         for first, then in ((old, new), (new, old)):
             for call_, stage in (("start", True), ("stop", False)):
-                self.assertEqual(self.ops(first, "POST", f"/ops/drain/{call_}")[0], 200)
+                assert self.call_admin(first, "POST", f"/ops/drain/{call_}")[0] == 200
                 begins = f"operators: the drain {'begins' if stage else 'is over'}"
                 first.wait_line(begins)
                 self.wait_for(lambda stage=stage: self.ask("r", path="/ready") == (503 if stage else 200))
-            self.assertEqual(avoided(then), 0)
-        self.assertEqual(self.ops(old, "POST", down)[0], 200)
+            assert avoided(then) == 0
+        assert self.call_admin(old, "POST", down)[0] == 200
         self.wait_for(lambda: avoided(new) == 1)
         old.process.kill()
         new.wait_line("upgrade: 1 processes serve")
-        self.assertEqual(avoided(new), 1)
+        assert avoided(new) == 1
 
     def test_a_successor_that_cannot_serve_takes_nothing_and_its_death_changes_nothing(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
-        new = self.unable()
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
+        new = self.start_unable_successor()
         old.wait_line("upgrade: 2 processes serve, this one takes clients")
-        self.assertEqual([self.ask(f"a{n}", "job-booking") for n in range(20)], [200] * 20)
+        assert [self.ask(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
         new.kill()
         old.wait_line("upgrade: 1 processes serve, this one takes clients")
-        self.assertEqual([self.ask(f"b{n}", "job-booking") for n in range(20)], [200] * 20)
-        self.assertFalse([line for line in old.lines if "another takes" in line])
+        assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
+        assert not [line for line in old.lines if "another takes" in line]
 
     def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
-        new = self.unable()
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
+        new = self.start_unable_successor()
         old.wait_line("upgrade: 2 processes serve, this one takes clients")
         new.terminate()
         answers = []
         while new.poll() is None:
             answers.append(self.ask(f"a{len(answers)}", "job-booking"))
-        self.assertEqual((set(answers), new.wait(20)), ({200}, 0))
-        self.assertFalse([line for line in old.lines if "another takes" in line])
+        assert (set(answers), new.wait(20)) == ({200}, 0)
+        assert not [line for line in old.lines if "another takes" in line]
 
     def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
-        new = self.process()
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
+        new = self.start_process()
         old.wait_line("another takes the clients")
         new.process.kill()
-        self.assertEqual(self.ask("a1", "job-booking"), 200)  # it waited for the old one to look again
+        assert self.ask("a1", "job-booking") == 200  # it waited for the old one to look again
         old.wait_line("upgrade: 1 processes serve, this one takes clients")
-        self.assertEqual(self.ask("a2", path="/ready"), 200)
+        assert self.ask("a2", path="/ready") == 200
 
-    def test_the_yes_waits_for_what_the_elder_answers(self):
-        server = self.servers[0]
-        self.discovery.update(("s-0", server.address, "all-in-one"))
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
+    def test_readiness_waits_for_what_the_predecessor_answers(self):
+        replica = self.replicas[0]
+        self.discovery.update(("s-0", replica.address, "all-in-one"))
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
 
-        def waits(handler: Any, body: bytes) -> None:
-            server.go.wait(20)
+        def answer_when_told(handler: Any, body: bytes) -> None:
+            replica.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        server.respond = waits
+        replica.respond = answer_when_told
         host, _, port = self.address.rpartition(":")
         client = http.client.HTTPConnection(host, int(port), timeout=20)
         self.addCleanup(client.close)
         client.request("POST", PATH, BODY, headers("long", "job-booking"))
-        server.wait_for("POST")
+        replica.wait_for("POST")
         began = time.monotonic()
-        new = self.process()
-        if self.yes(new):  # it took the machine that long to start it
-            self.assertGreater(time.monotonic() - began, READY_WITHIN_US / 1e6)
-        server.go.set()
+        new = self.start_process()
+        if self.is_ready(new):  # it took the machine that long to start it
+            assert time.monotonic() - began > READY_WITHIN_US / 1000000.0
+        replica.go.set()
         response = client.getresponse()
-        self.assertEqual((response.status, response.read()), (200, b"".join(TOKENS) + LAST))
-        self.wait_for(lambda: self.yes(new))
+        assert (response.status, response.read()) == (200, b"".join(TOKENS) + LAST)
+        self.wait_for(lambda: self.is_ready(new))
 
-    def test_without_a_successor_the_end_is_as_ever_and_the_next_start_keeps_what_is_out(self):
-        old = self.process()
-        self.wait_for(lambda: self.yes(old))
-        self.assertEqual(self.ops(old, "POST", "/ops/replicas/down?target=s-0")[0], 200)
-        self.assertEqual(self.ops(old, "POST", "/ops/drain/start")[0], 200)
+    def test_without_a_successor_the_shutdown_is_the_usual_one_and_the_next_start_keeps_what_is_down(self):
+        old = self.start_process()
+        self.wait_for(lambda: self.is_ready(old))
+        assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
+        assert self.call_admin(old, "POST", "/ops/drain/start")[0] == 200
         old.process.terminate()
         old.wait_line("draining: 0 requests open")
-        self.assertEqual(self.ask("a1"), 200)  # it goes on accepting
-        self.assertEqual(old.process.wait(20), 0)
-        new = self.process()
-        self.wait_for(lambda: self.yes(new))
-        self.assertEqual(self.ask("a2", path="/ready"), 200)  # a drain ends with its process
-        self.assertEqual(json.loads(self.ops(new, "GET", "/ops/stats")[1])["hosts_down"], 1)
+        assert self.ask("a1") == 200  # it goes on accepting
+        assert old.process.wait(20) == 0
+        new = self.start_process()
+        self.wait_for(lambda: self.is_ready(new))
+        assert self.ask("a2", path="/ready") == 200  # a drain ends with its process
+        assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
 
-    def test_notes_that_cannot_be_kept_or_read_stop_no_start(self):
-        self.notes.rmdir()
-        alone = self.process()
-        self.wait_for(lambda: self.yes(alone))
+    def test_messages_that_cannot_be_stored_or_read_stop_no_start(self):
+        self.messages.rmdir()
+        alone = self.start_process()
+        self.wait_for(lambda: self.is_ready(alone))
         alone.wait_line("upgrade: the note cannot be written")
         alone.kill()
-        self.notes.mkdir()
-        probe = self.process()
-        self.wait_for(lambda: list(self.notes.glob("*.note")))
-        name = next(self.notes.glob("*.note")).name
-        probe.kill()
+        self.messages.mkdir()
+        first = self.start_process()
+        self.wait_for(lambda: list(self.messages.glob("*.note")))
+        name = next(self.messages.glob("*.note")).name
+        first.kill()
         for n, data in enumerate((b"", b"pearhill-note 9 00000000\n", b"\x00" * 3_000_000)):
-            (self.notes / f"{name.partition('-')[0]}-{name.split('-')[1]}-{n}-1.note").write_bytes(data)
-        again = self.process()
-        self.wait_for(lambda: self.yes(again))
+            (self.messages / f"{name.partition('-')[0]}-{name.split('-')[1]}-{n}-1.note").write_bytes(data)
+        again = self.start_process()
+        self.wait_for(lambda: self.is_ready(again))
         again.wait_line("upgrade: .* is left aside: of another version")
 
     def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self):
@@ -276,14 +278,14 @@
         self.addCleanup(plain.close)
         path = self.folder / "config.json"
         path.write_text(platform_file(self.discovery.address))
-        for told, fds in (("x", ()), ("1", ()), ("-7", ()), ("999", ()), (str(plain.fileno()), (plain.fileno(),))):
-            with self.subTest(told=told):
+        for number, fds in (("x", ()), ("1", ()), ("-7", ()), ("999", ()), (str(plain.fileno()), (plain.fileno(),))):
+            with self.subTest(number=number):
                 done = subprocess.run(
                     [sys.executable, "-m", "pearhill"],
                     cwd=ROOT,
                     capture_output=True,
                     pass_fds=fds,
-                    env={"RELAY_CONFIG": str(path), "RELAY_PASSED_SOCKET": told},
+                    env={"RELAY_CONFIG": str(path), "RELAY_PASSED_SOCKET": number},
                 )
-                self.assertEqual((done.returncode, done.stderr.count(b"\n")), (2, 1), done.stderr)
-                self.assertIn(b"pearhill: RELAY_PASSED_SOCKET: ", done.stderr)
+                assert (done.returncode, done.stderr.count(b"\n")) == (2, 1), done.stderr
+                assert b"pearhill: RELAY_PASSED_SOCKET: " in done.stderr
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pearhill.lifecycle.takeover import READY_WITHIN_US
-from tests.node.test_takeover import UpgradeCase
+from tests.node.test_takeover import TakeoverCase
 from tests.platform.test_owed import BODY, PATH
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform_file
 
@@ -100,30 +100,32 @@
     }
 
 
-class AnUpgradeAfterAStep(UpgradeCase):
-    def test_the_elder_gives_way_and_what_is_out_by_hand_stays_out(self):
+class TakeoverAfterAClockStep(TakeoverCase):
+    def test_the_predecessor_yields_and_a_replica_that_is_down_stays_down(self):
         for step_s in (-HOUR_S, HOUR_S):
             with self.subTest(step_s=step_s):
-                old = self.process()
+                old = self.start_process()
                 old.wait_ready()
-                self.assertEqual(self.ops(old, "POST", "/ops/replicas/down?target=s-0")[0], 200)
+                self.assertEqual(self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0], 200)
                 with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
-                    new = self.process(SOAK_COMMANDS=f"wall {step_s}")
+                    new = self.start_process(SOAK_COMMANDS=f"wall {step_s}")
                 old.wait_line("another takes the clients")
-                self.wait_for(lambda new=new: self.yes(new))
-                self.assertEqual(json.loads(self.ops(new, "GET", "/ops/stats")[1])["hosts_down"], 1)
+                self.wait_for(lambda new=new: self.is_ready(new))
+                self.assertEqual(json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"], 1)
                 old.stop()
-                self.assertEqual(self.ops(new, "POST", "/ops/replicas/up?target=s-0")[0], 200)
+                self.assertEqual(self.call_admin(new, "POST", "/ops/replicas/up?target=s-0")[0], 200)
                 new.kill()
 
 
-class AnUpgradeOnAFullDisk(UpgradeCase):
-    def test_a_successor_whose_note_nobody_can_read_leaves_its_elder_the_time(self):
-        """The elder cannot know of it, and would be ended while it still takes clients; in the end it must say yes."""
-        old = self.process()
+class TakeoverOnAFullDisk(TakeoverCase):
+    def test_a_successor_whose_message_nobody_can_read_leaves_its_predecessor_the_time(self):
+        """The predecessor cannot know of it, and would be ended while it still accepts clients.
+
+        In the end the successor reports ready."""
+        old = self.start_process()
         old.wait_ready()
         began = time.monotonic()
         with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
-            new = self.process(SOAK_COMMANDS="fail write-file ENOSPC 1")
-        self.wait_for(lambda: self.yes(new))
+            new = self.start_process(SOAK_COMMANDS="fail write-file ENOSPC 1")
+        self.wait_for(lambda: self.is_ready(new))
         self.assertGreater(time.monotonic() - began, READY_WITHIN_US / 1e6)
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -1,4 +1,4 @@
-"""Several real dispatchers, each with an agent of its own, while a list takes away a server whose connections come up
+"""Several real dispatchers, each with an agent of its own, while a list takes away a replica whose connections come up
 late. What is proven is order, not time: a byte on any of its connections has left after the change was in force."""
 
 import http.client
@@ -15,25 +15,30 @@
 BODY = json.dumps({"model": "chat", "stream": True, "messages": []}).encode()
 
 
-class Late:
-    """A server whose connections come up only from `up` on: till then its queue of them is full, and the system's own
-    tries wait 1 s and more. It counts the bytes that it gets, and answers none."""
+class LateReplica:
+    """A replica whose connections come up only from `accept_from_now_on` on.
+
+    Till then its accept queue is full, and the system's own attempts wait 1 s and more. It counts the bytes that it
+    receives, and answers none."""
 
     def __init__(self) -> None:
-        self.sock, self.first, self.got, self.ends = socket.socket(), socket.socket(), 0, False
+        self.sock = socket.socket()
+        self.first = socket.socket()
+        self.bytes_received = 0
+        self.closed = False
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.first.connect(self.sock.getsockname())
         self.address = "{}:{}".format(*self.sock.getsockname())
         self.accepted = threading.Semaphore(0)  # dispatchers' connections that are up
 
-    def up(self) -> None:
+    def accept_from_now_on(self) -> None:
         threading.Thread(target=self._accept, daemon=True).start()
         self.first.sendall(b"!")  # one that is not a dispatcher's, to see that it is up
         assert self.first.recv(1) == b"!"
 
     def _accept(self) -> None:
-        while not self.ends:
+        while not self.closed:
             try:
                 connection, peer = self.sock.accept()
             except OSError:
@@ -44,15 +49,15 @@
 
     def _read(self, connection: socket.socket, peer: object) -> None:
         with connection:
-            ours = peer == self.first.getsockname()
+            is_first = peer == self.first.getsockname()
             while data := connection.recv(4096):
-                if ours:
+                if is_first:
                     connection.sendall(data)
                 else:
-                    self.got += len(data)
+                    self.bytes_received += len(data)
 
     def close(self) -> None:
-        self.ends = True
+        self.closed = True
         self.sock.close()
         self.first.close()
 
@@ -77,10 +82,10 @@
 
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
-def test_no_dispatcher_sends_to_a_server_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int):
+def test_no_dispatcher_sends_to_a_replica_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int):
     """One plainly, one whose agent is silent while the list changes, one that is killed and starts by yesterday's list.
     Each booking waits for its connection when the list changes, and runs once, elsewhere."""
-    late, good = Late(), Standin()
+    late, good = LateReplica(), Standin()
     agents = [Discovery(("s-0", late.address, "all-in-one")) for _ in range(3)]
     changes = {
         "settings": {
@@ -90,9 +95,9 @@
         }
     }
     programs = [platform(agent.address, **changes) for agent in agents]
-    things = [late, good, *agents]
-    silent, whole = threading.Event(), agents[1].respond
-    agents[1].respond = lambda h, b: agents[1].go.wait(30) if silent.is_set() else whole(h, b)
+    stand_ins = [late, good, *agents]
+    silent, answer = threading.Event(), agents[1].respond
+    agents[1].respond = lambda h, b: agents[1].go.wait(30) if silent.is_set() else answer(h, b)
     try:
         with ThreadPoolExecutor() as pool:
             for program in programs:
@@ -113,16 +118,16 @@
             silent.clear()
             for agent in agents:
                 agent.wait_for("GET", "/v1/endpoints?after=2")  # its dispatcher has the change
-            late.up()
+            late.accept_from_now_on()
             answers = [a.result(20) for a in asked]
         served = (200, b"".join(TOKENS) + LAST)
         assert answers == [served, served, (0, b""), served]
-        assert (late.got, good.runs) == (0, 3)
+        assert (late.bytes_received, good.runs) == (0, 3)
         for program in programs[:2]:
             outcomes = program.counters()["outcomes"]
             assert outcomes["withdrawn"] and outcomes["answered"] == 1
     finally:
-        for thing in things:
-            thing.close()
+        for stand_in in stand_ins:
+            stand_in.close()
         for program in programs:
             program.kill()
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.platform.test_leaving import Late
+from tests.platform.test_leaving import LateReplica
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform
 
 PATH = "/v1/chat/completions"
@@ -73,7 +73,7 @@
         os.kill(self.pid, signal.SIGCONT)
 
 
-def wait_connecting(late: Late) -> None:
+def wait_connecting(late: LateReplica) -> None:
     """A connection to it has been asked for, by the system's own word, and is not up."""
     _, port = late.sock.getsockname()
     end = time.monotonic() + 20
@@ -169,17 +169,17 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_nothing_is_begun_for_a_client_that_has_gone_when_its_connection_to_the_server_comes_up(day, end):
     """That is up first, so that the loop comes to it first."""
-    late = Late()
+    late = LateReplica()
     program = day.start((late, "all-in-one"), settings=SLOW_CONNECT)
     client = day.connect()
     client.sendall(request("a1"))
     wait_connecting(late)
     with Stopped(program):
-        late.up()
+        late.accept_from_now_on()
         assert late.accepted.acquire(timeout=20)
         end(client)
     day.until(lambda counters: counters["left"])
-    assert (late.got, program.counters()["sent"]) == (0, 1)
+    assert (late.bytes_received, program.counters()["sent"]) == (0, 1)
 
 
 def test_a_client_that_goes_is_seen_though_it_has_sent_more_than_is_read_of_it(day):
@@ -238,7 +238,7 @@
         **SLOW_CONNECT,
         "classes": [{**SETTINGS["classes"][1], "effect": "idempotency_key", "group": "all", "window": window}],
     }
-    first, late = Standin(), Late()
+    first, late = Standin(), LateReplica()
     first.respond = lambda handler, body: (first.go.wait(20), handler.plain(500))
     program = day.start((first, "all-in-one"), settings=keyed)
     client = day.connect()
@@ -250,12 +250,12 @@
     first.go.set()
     wait_connecting(late)
     with Stopped(program):
-        late.up()
+        late.accept_from_now_on()
         assert late.accepted.acquire(timeout=20)
         while time.monotonic() < since + window / 1e6:
             pass
     assert answer(client)[0] == 503
-    assert late.got == 0
+    assert late.bytes_received == 0
 
 
 def test_another_fetch_is_not_begun_while_the_reader_that_holds_the_state_answers_nothing(day):
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -26,10 +26,11 @@
 from tests.standins import LAST, SETTINGS, TOKENS
 from tests.virtual import VirtualLoop
 
-LONGEST_S, AFTER_LONGEST_S = 3.0, 0.7
-HELD_UP_S = 0.15  # by so much the program may hear of SIGTERM late
-NEWS_S = 0.4  # for so long new connections come
-CROSSING_S = 0.03  # a close and a request that meet on the way
+MAX_KILL_DEADLINE_S = 3.0
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_SIGNAL_DELAY_S = 0.15  # the program may notice SIGTERM so late
+NEW_CONNECTIONS_S = 0.4  # for so long new connections come
+MAX_CROSSING_S = 0.03  # a close and a request that meet on the way
 ANSWER_S = 0.05
 PIECE_S = 0.3  # between the pieces of a request that is written slowly
 SERVED = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (*TOKENS, LAST)) + b"0\r\n\r\n"
@@ -64,71 +65,73 @@
 
 
 @dataclass
-class Seen:
-    """What one client saw on one connection; times in seconds since SIGTERM."""
+class ClientRecord:
+    """What one client observed on one connection; times in seconds since SIGTERM."""
 
     name: str
     answered: int = 0
-    refused: int = 0
+    rejected: int = 0
     unanswered_since: float | None = None
     ended: float | None = None
 
 
 @dataclass
-class Day:
+class ShutdownRun:
+    """A node that is told to end, and its clients."""
+
     loop: VirtualLoop
     address: Address
     deadline_ms: int
     term_at: float
-    seen: list[Seen] = field(default_factory=list)
+    records: list[ClientRecord] = field(default_factory=list)
 
     def now(self) -> float:
         return self.loop.time() - self.term_at
 
     async def ask_until_the_end(self, name: str, first_after: float, pause: float, pieces: int = 1) -> None:
         """Ask on one connection, over and over, until it ends."""
-        seen = Seen(name)
-        self.seen.append(seen)
+        record = ClientRecord(name)
+        self.records.append(record)
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
-            seen.ended = self.now()
+            record.ended = self.now()
             return
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             if first_after and await ends_within(reader, first_after):
-                seen.ended = self.now()
-            while seen.ended is None:
-                data = request(f"{name}-{seen.answered}", "advice", self.deadline_ms)
+                record.ended = self.now()
+            while record.ended is None:
+                data = request(f"{name}-{record.answered}", "advice", self.deadline_ms)
                 size = len(data) // pieces + 1
                 for at in range(0, len(data), size):
                     writer.write(data[at : at + size])
                     if at + size < len(data) and await ends_within(reader, PIECE_S):
                         break
-                seen.unanswered_since = self.now()
+                record.unanswered_since = self.now()
                 head = await reader.readuntil(b"\r\n\r\n")
                 await reader.readuntil(b"0\r\n\r\n" if b"chunked" in head else b"\n")
-                seen.unanswered_since = None
-                seen.answered += b" 200 " in head
-                seen.refused += b" 503 " in head
+                record.unanswered_since = None
+                record.answered += b" 200 " in head
+                record.rejected += b" 503 " in head
                 await asyncio.sleep(pause)
         with contextlib.suppress(OSError):
             await reader.read()
-        seen.ended = seen.ended or self.now()
+        record.ended = record.ended or self.now()
         writer.close()
 
-    async def rest(self, name: str, data: bytes) -> None:
-        """Say so much, and then nothing more."""
-        seen = Seen(name)
-        self.seen.append(seen)
+    async def send_once(self, name: str, data: bytes) -> None:
+        """Send these bytes, and then nothing more."""
+        record = ClientRecord(name)
+        self.records.append(record)
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(data)
         while await reader.read(65_536):
             pass
-        seen.ended = self.now()
+        record.ended = self.now()
         writer.close()
 
 
-async def play(loop: VirtualLoop, deadline_s: float, hang: bool) -> tuple[Day, float | None]:
+async def run_shutdown(loop: VirtualLoop, deadline_s: float, hang: bool) -> tuple[ShutdownRun, float | None]:
     """A shutdown under way. The time at which the node had ended, None: not by the earliest SIGKILL."""
     classes = [{**each, "deadline": int(deadline_s * 1e6)} for each in SETTINGS["classes"]]
     node = Node(parse({**SETTINGS, "classes": classes}), ReplicaDialect(), Limits(256, 7))
@@ -138,23 +141,25 @@
     listening: asyncio.Future[Address] = loop.create_future()
     front = PlatformFront(node.dispatcher, lambda: True, node.drain.rejects)
     serving = asyncio.create_task(node.serve(("127.0.0.1", 0), front, "t", lambda: "", listening.set_result))
-    day = Day(loop, await listening, int(deadline_s * 1000), 0.0)
-    day.term_at = loop.time() + 1.0
-    clients = [asyncio.create_task(day.ask_until_the_end(f"busy{n}", 0.0, n / 100)) for n in range(6)]
-    clients += [asyncio.create_task(day.ask_until_the_end(f"late{n}", 1.0 + n / 10, 0.0)) for n in range(12)]
-    clients += [asyncio.create_task(day.rest("rests", request("rests", "advice")))]
-    clients += [asyncio.create_task(day.rest("half", request("half", "advice")[:100]))]
+    shutdown = ShutdownRun(loop, await listening, int(deadline_s * 1000), 0.0)
+    shutdown.term_at = loop.time() + 1.0
+    clients = [asyncio.create_task(shutdown.ask_until_the_end(f"busy{n}", 0.0, n / 100)) for n in range(6)]
+    clients += [asyncio.create_task(shutdown.ask_until_the_end(f"late{n}", 1.0 + n / 10, 0.0)) for n in range(12)]
+    clients += [asyncio.create_task(shutdown.send_once("rests", request("rests", "advice")))]
+    clients += [asyncio.create_task(shutdown.send_once("half", request("half", "advice")[:100]))]
     if hang:
-        clients.append(asyncio.create_task(day.rest("hangs", request("hang-1", "advice", day.deadline_ms))))
+        clients.append(
+            asyncio.create_task(shutdown.send_once("hangs", request("hang-1", "advice", shutdown.deadline_ms)))
+        )
     await asyncio.sleep(1.0)
     os.kill(os.getpid(), signal.SIGTERM)
     for number in range(8):
-        clients.append(asyncio.create_task(day.ask_until_the_end(f"new{number}", number / 20, 0.01)))
-        clients.append(asyncio.create_task(day.ask_until_the_end(f"slow{number}", 0.0, 0.01, pieces=4)))
-        await asyncio.sleep(NEWS_S / 8)
-    kill_at = min(LONGEST_S, deadline_s) + AFTER_LONGEST_S - HELD_UP_S
-    await asyncio.sleep(max(0.0, kill_at - day.now()))
-    ended = day.now() if serving.done() else None
+        clients.append(asyncio.create_task(shutdown.ask_until_the_end(f"new{number}", number / 20, 0.01)))
+        clients.append(asyncio.create_task(shutdown.ask_until_the_end(f"slow{number}", 0.0, 0.01, pieces=4)))
+        await asyncio.sleep(NEW_CONNECTIONS_S / 8)
+    kill_at = min(MAX_KILL_DEADLINE_S, deadline_s) + KILL_AFTER_DEADLINE_S - MAX_SIGNAL_DELAY_S
+    await asyncio.sleep(max(0.0, kill_at - shutdown.now()))
+    ended = shutdown.now() if serving.done() else None
     serving.cancel()
     for client in clients:
         client.cancel()
@@ -163,40 +168,40 @@
     await node.listener.close()
     node.close()
     server.close()
-    return day, ended
+    return shutdown, ended
 
 
 @pytest.fixture
 def loop(monkeypatch: pytest.MonkeyPatch) -> Any:
-    made = VirtualLoop()
-    asyncio.set_event_loop(made)
-    monkeypatch.setattr(pearhill.node.node, "start_clock", lambda: made.micros)
-    yield made
-    for task in (left := asyncio.all_tasks(made)):  # releases that are still being tried
+    loop = VirtualLoop()
+    asyncio.set_event_loop(loop)
+    monkeypatch.setattr(pearhill.node.node, "start_clock", lambda: loop.micros)
+    yield loop
+    for task in (left := asyncio.all_tasks(loop)):  # releases that are still being tried
         task.cancel()
-    made.run_until_complete(asyncio.gather(*left, return_exceptions=True))
-    made.close()
+    loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+    loop.close()
     asyncio.set_event_loop(None)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGUSR1})
 
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.25, 0.4, 1.0, 3.0, 10.0])
 def test_a_shutdown_is_over_by_the_earliest_kill_and_every_request_in_it_is_answered(loop, deadline_s):
-    day, ended = loop.run_until_complete(play(loop, deadline_s, hang=False))
-    open_still = [seen.name for seen in day.seen if seen.ended is None]
+    shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=False))
+    open_still = [record.name for record in shutdown.records if record.ended is None]
     lost = [
-        (seen.name, seen.unanswered_since, seen.ended)
-        for seen in day.seen
-        if seen.unanswered_since is not None and (seen.ended or 99.0) > seen.unanswered_since + CROSSING_S
+        (record.name, record.unanswered_since, record.ended)
+        for record in shutdown.records
+        if record.unanswered_since is not None and (record.ended or 99.0) > record.unanswered_since + MAX_CROSSING_S
     ]
     assert (open_still, lost) == ([], [])
     assert ended is not None
-    assert sum(seen.answered + seen.refused for seen in day.seen) > 20
+    assert sum(record.answered + record.rejected for record in shutdown.records) > 20
 
 
 @pytest.mark.parametrize("deadline_s", [0.25, 3.0, 10.0])
 def test_a_replica_that_hangs_keeps_no_connection_open_but_its_own_requests(loop, deadline_s):
     """That one is answered at its deadline; where this is later than the kill, it came long enough before it."""
-    day, ended = loop.run_until_complete(play(loop, deadline_s, hang=True))
-    open_still = [seen.name for seen in day.seen if seen.ended is None]
-    assert open_still == (["hangs"] if deadline_s > LONGEST_S + AFTER_LONGEST_S else [])
+    shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=True))
+    open_still = [record.name for record in shutdown.records if record.ended is None]
+    assert open_still == (["hangs"] if deadline_s > MAX_KILL_DEADLINE_S + KILL_AFTER_DEADLINE_S else [])
