--- a/pearhill/__main__.py
+++ b/pearhill/__main__.py
@@ -13,8 +13,9 @@
 
 
 def _work(arguments: argparse.Namespace) -> Coroutine[Any, Any, None]:
+    """The daemon that the arguments ask for. ConfigError: its configuration cannot be used."""
     if arguments.chat:
-        # Lean: the platform's daemon imports nothing that only the chat front needs.
+        # Imported here, so that the platform's daemon loads nothing that only the chat front end needs.
         from pearhill.chat import service, setup
 
         return service.serve(setup.load(arguments.chat), lambda: setup.load(arguments.chat))
@@ -24,6 +25,7 @@
 
 
 def main() -> int:
+    """Run the daemon. The exit code is that of `node.process.run`."""
     parser = argparse.ArgumentParser(prog="python -m pearhill", description="A dispatcher for language-model servers.")
     parser.add_argument("--chat", metavar="FILE", help="serve the chat API as this operator's file says")
     arguments = parser.parse_args()
--- a/pearhill/admin/__init__.py
+++ b/pearhill/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: their calls and the figures."""
+"""The operators' calls and the figures, over HTTP."""
--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearhill.admin.endpoint import JSON, TEXT, CallTable
+from pearhill.admin.call_table import JSON, TEXT, CallTable
 from pearhill.aggregator.setup import AggregatorSetup
 from pearhill.config import ConfigError, for_next_start
 from pearhill.core.deadlines import Deadlines
--- a/pearhill/aggregator/setup.py
+++ b/pearhill/aggregator/setup.py
@@ -24,7 +24,7 @@
     listen: values.Address
     key_files: Annotated[list[values.Text], Meta(min_length=1)]
     admin_addr: str = ""
-    peer: Annotated[list[PeerTable], Meta(max_length=values.MOST_NAMED)] = []
+    peer: Annotated[list[PeerTable], Meta(max_length=values.MAX_LIST_LENGTH)] = []
 
 
 class AggregatorFile(Struct, forbid_unknown_fields=True):
@@ -47,7 +47,7 @@
         return AggregatorSetup(
             table.name,
             values.address("aggregator.listen", table.listen),
-            values.talk_keys("aggregator.key_files", table.key_files),
+            values.gossip_keys("aggregator.key_files", table.key_files),
             values.addresses("aggregator.peer", table.peer, table.name),
             values.address("aggregator.admin_addr", table.admin_addr) if table.admin_addr else None,
         )
--- a/pearhill/chat/file.py
+++ b/pearhill/chat/file.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct, field
 
-from pearhill.config.values import MOST_NAMED, Address, Name, PeerTable, Text
+from pearhill.config.values import MAX_LIST_LENGTH, Address, Name, PeerTable, Text
 
 Whole = Annotated[int, Meta(ge=1)]
 Tokens = Annotated[int, Meta(ge=0, le=10**15)]
@@ -225,8 +225,8 @@
     listen: Address
     key_files: Annotated[list[Text], Meta(min_length=1)]
     region: str = ""
-    peer: Annotated[list[PeerTable], Meta(max_length=MOST_NAMED)] = []
-    aggregator: Annotated[list[AggregatorTable], Meta(max_length=MOST_NAMED)] = []
+    peer: Annotated[list[PeerTable], Meta(max_length=MAX_LIST_LENGTH)] = []
+    aggregator: Annotated[list[AggregatorTable], Meta(max_length=MAX_LIST_LENGTH)] = []
 
 
 class OperatorFile(Struct, forbid_unknown_fields=True):
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -98,7 +98,7 @@
 
 def _choice(path: str, name: str, names: Sequence[str]) -> int:
     if name not in names:
-        raise typed.complaint(path, name, ", ".join(names) or "none is declared")
+        raise typed.invalid_value(path, name, ", ".join(names) or "none is declared")
     return names.index(name)
 
 
@@ -107,7 +107,7 @@
 
     def declare(path: str, name: str, model: Model) -> None:
         if name in models:
-            raise typed.complaint(path, name, "a name that no other model or alias has")
+            raise typed.invalid_value(path, name, "a name that no other model or alias has")
         models[name] = model
 
     for k, name in enumerate(chat.models):
@@ -126,7 +126,7 @@
         )
         writes = any(deployment.router.kinds[kind].role != Role.PREFILL for kind in model.kinds)
         if model.kinds and not writes:
-            raise typed.complaint(f"{path}.kinds", table.kinds, "at least one kind that writes answers")
+            raise typed.invalid_value(f"{path}.kinds", table.kinds, "at least one kind that writes answers")
         declare(f"{path}.name", table.name, model)
         for n, alias in enumerate(table.aliases):
             declare(f"{path}.aliases[{n}]", alias, model)
@@ -140,7 +140,7 @@
     for k, table in enumerate(chat.tenant):
         path = f"chat.tenant[{k}]"
         if table.name in seen:
-            raise typed.complaint(f"{path}.name", table.name, "a name that no other tenant has")
+            raise typed.invalid_value(f"{path}.name", table.name, "a name that no other tenant has")
         seen.add(table.name)
         for n, name in enumerate(table.models):
             _choice(f"{path}.models[{n}]", name, list(models))
@@ -193,16 +193,18 @@
     peers = values.addresses("fleet.peer", table.peer, table.name)
     aggregators = values.addresses("fleet.aggregator", table.aggregator, "", "aggregator")
     if not table.peer and not aggregators:
-        raise typed.complaint("fleet.peer", None, "a list of one or more, where fleet.aggregator names none")
-    if aggregators and len(table.name) > values.MOST_NAME:
-        raise typed.complaint("fleet.name", table.name, f"{values.MOST_NAME} characters at most, before aggregators")
+        raise typed.invalid_value("fleet.peer", None, "a list of one or more, where fleet.aggregator names none")
+    if aggregators and len(table.name) > values.MAX_NAME_LENGTH:
+        raise typed.invalid_value(
+            "fleet.name", table.name, f"{values.MAX_NAME_LENGTH} characters at most, before aggregators"
+        )
     for k, aggregator in enumerate(table.aggregator):
         if aggregator.name == table.name or aggregator.name in peers:
-            raise typed.complaint(f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher has")
+            raise typed.invalid_value(f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher has")
     return FleetSetup(
         table.name,
         values.address("fleet.listen", table.listen),
-        values.talk_keys("fleet.key_files", table.key_files),
+        values.gossip_keys("fleet.key_files", table.key_files),
         peers,
         table.region,
         tuple(AggregatorSite(a.name, a.region) for a in table.aggregator),
@@ -227,7 +229,7 @@
     """`prefix`: the keys' limits. Each instance has its part of every rate and quota."""
     figures = {name: getattr(told, f"{prefix}{name}") for name in f.LimitsTable.__struct_fields__}
     if figures["tokens_per_min"] and not figures["burst_tokens"]:
-        raise typed.complaint(f"{path}.{prefix}burst_tokens", 0, "a whole number above 0, where a rate is given")
+        raise typed.invalid_value(f"{path}.{prefix}burst_tokens", 0, "a whole number above 0, where a rate is given")
     parts = {name: -(-value // instances) for name, value in figures.items()}
     return Limit(
         parts["tokens_per_min"],
@@ -242,15 +244,17 @@
 def _spending(table: f.BudgetsTable, deployment: settings.Deployment) -> SpendingSetup:
     n, accounts, tenants = table.instances, dict[str, Limit](), dict[str, TenantPlan]()
     if table.capacity_tokens_per_min and not table.capacity_burst_tokens:
-        raise typed.complaint("budgets.capacity_burst_tokens", 0, "a whole number above 0, where a capacity is given")
+        raise typed.invalid_value(
+            "budgets.capacity_burst_tokens", 0, "a whole number above 0, where a capacity is given"
+        )
     for k, account in enumerate(table.account):
         if account.name in accounts:
-            raise typed.complaint(f"budgets.account[{k}].name", account.name, "a name that no other account has")
+            raise typed.invalid_value(f"budgets.account[{k}].name", account.name, "a name that no other account has")
         accounts[account.name] = _limit(f"budgets.account[{k}]", account, n)
     for k, tenant in enumerate(table.tenant):
         path = f"budgets.tenant[{k}]"
         if tenant.name in tenants:
-            raise typed.complaint(f"{path}.name", tenant.name, "a name that no other budget has")
+            raise typed.invalid_value(f"{path}.name", tenant.name, "a name that no other budget has")
         if tenant.account:
             _choice(f"{path}.account", tenant.account, list(accounts))
         tenants[tenant.name] = TenantPlan(
@@ -276,7 +280,9 @@
     if not told.chat.budgets_file:
         return told.budgets
     if told.budgets:
-        raise typed.complaint("chat.budgets_file", told.chat.budgets_file, "none, where the file has [budgets] itself")
+        raise typed.invalid_value(
+            "chat.budgets_file", told.chat.budgets_file, "none, where the file has [budgets] itself"
+        )
     return typed.load(told.chat.budgets_file, f.BudgetsFile)[0].budgets
 
 
@@ -290,7 +296,7 @@
     for k, server in enumerate(told.server):
         path, engine = f"server[{k}]", replica_id(server.uid)
         if engine in addresses:
-            raise typed.complaint(f"{path}.uid", server.uid, "a uid that no other server has")
+            raise typed.invalid_value(f"{path}.uid", server.uid, "a uid that no other server has")
         entries.append(
             Endpoint(
                 engine,
@@ -303,7 +309,7 @@
             )
         )
         addresses[engine] = values.address(f"{path}.address", server.address)
-        if key := values.secret(f"{path}.key_file", server.key_file):
+        if key := values.read_secret(f"{path}.key_file", server.key_file):
             keys[engine] = key
     if not entries and not told.eureka:
         raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
@@ -320,7 +326,7 @@
         tuple(entries),
         addresses,
         keys,
-        values.secret("chat.server_key_file", chat.server_key_file),
+        values.read_secret("chat.server_key_file", chat.server_key_file),
         chat.max_body_bytes,
         _eureka(told.eureka) if told.eureka else None,
         _spending(budgets, deployment) if budgets else None,
--- a/pearhill/config/platform.py
+++ b/pearhill/config/platform.py
@@ -1,4 +1,4 @@
-"""What a daemon is told at its start: the platform's variables and the file that one of them names."""
+"""The platform's configuration: the environment's variables, and the JSON file that one of them names."""
 
 from __future__ import annotations
 
@@ -11,6 +11,11 @@
 from pearhill.net.address import Address, parse_address
 from pearhill.net.listener import listening
 
+DEFAULT_SOCKETS = 1024
+MIN_SOCKETS = 64
+STANDARD_DESCRIPTORS = 3  # 0 to 2: input, output, errors
+MAX_DESCRIPTOR = 1 << 20
+
 
 class ConfigError(Exception):
     """One line that names the key at fault."""
@@ -18,90 +23,114 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """What a daemon is given at its start or at a reload."""
+
     name: str
     listen: Address
     discovery: Address
-    discovery_in_file: Any  # as the file puts it, whatever the environment says
+    discovery_in_file: Any  # as the file has it, whatever the environment says
     seed: int
     sockets: int
-    known: Mapping[str, Any]
+    known_endpoints: Mapping[str, Any]
     deployment: settings.Deployment
-    admin: Address | None = None  # where operators call
-    passed: int | None = None  # the descriptor of a socket that listens already, for clients
-    notes: str | None = None  # the folder in which processes of one dispatcher leave notes for each other
-
-
-def _address(key: str, text: Any) -> Address:
-    try:
-        return parse_address(str(text))
-    except ValueError as e:
-        raise ConfigError(f"{key}: {e}") from None
+    admin: Address | None = None  # the operators' address
+    passed_socket: int | None = None  # the descriptor of a socket that listens already, for clients
+    message_folder: str | None = None  # in which processes of one dispatcher leave messages for each other
 
 
-def _passed(environ: Mapping[str, str]) -> int | None:
-    """Left as it is, open and ours; whoever takes clients from it asks for it again."""
-    text = environ.get("RELAY_PASSED_SOCKET")
-    if not text:
-        return None
-    if not text.isascii() or not text.isdecimal() or not 3 <= int(text) < 1 << 20:
-        raise ConfigError(f"RELAY_PASSED_SOCKET: found {text!r}; allowed: the number of an open descriptor, 3 or more")
-    try:
-        return listening(int(text)).detach()
-    except ValueError as e:
-        raise ConfigError(f"RELAY_PASSED_SOCKET: {e}") from None
+def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
+    """The configuration at a start, or at a reload that follows `before`. ConfigError: it cannot be used."""
+    contents = _read_file(environ.get("RELAY_CONFIG"))
+    deployment = _deployment(contents)
+    seed, sockets = _limits(contents)
+    admin = environ.get("RELAY_ADMIN_ADDR") or contents.get("admin_addr")
+    passed_socket = before.passed_socket if before else _passed_socket(environ)
+    discovery_in_file = contents.get("discovery")
+    discovery = _discovery(environ, discovery_in_file, before)
+    return Config(
+        name=environ.get("RELAY_NAME") or str(contents.get("name", "pearhill")),
+        listen=_address("listen", environ.get("RELAY_LISTEN") or contents.get("listen")),
+        discovery=discovery,
+        discovery_in_file=discovery_in_file,
+        seed=seed,
+        sockets=sockets,
+        known_endpoints=contents.get("known") or {},
+        deployment=deployment,
+        admin=None if admin is None else _address("admin_addr", admin),
+        passed_socket=passed_socket,
+        message_folder=environ.get("TMPDIR") or None,
+    )
 
 
-def for_next_start(*told: tuple[str, object, object]) -> str:
-    """Of (key, in force, told anew): what a reload leaves for the next start, in words."""
-    keys = ", ".join(key for key, old, new in told if old != new)
+def for_next_start(*changes: tuple[str, object, object]) -> str:
+    """Of (key, value in force, new value): what a reload leaves for the next start, in words."""
+    keys = ", ".join(key for key, old, new in changes if old != new)
     return f"; for the next start: {keys}" if keys else ""
 
 
-def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """The configuration at a start, or at a reload that follows `before`."""
-    path = environ.get("RELAY_CONFIG")
+def _read_file(path: str | None) -> dict[str, Any]:
     if not path:
         raise ConfigError("RELAY_CONFIG: is not set; it names the configuration file")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            contents = json.load(file)
     except (OSError, ValueError) as e:
         raise ConfigError(f"RELAY_CONFIG: {path}: {e}") from None
-    if not isinstance(told, dict):
+    if not isinstance(contents, dict):
         raise ConfigError(f"RELAY_CONFIG: {path}: holds no JSON object")
-    for key in ("settings", "known"):
-        if not isinstance(told.get(key, {} if key == "known" else None), dict):
-            raise ConfigError(f"{key}: must be an object")
+    if not isinstance(contents.get("settings"), dict):
+        raise ConfigError("settings: must be an object")
+    if not isinstance(contents.get("known", {}), dict):
+        raise ConfigError("known: must be an object")
+    return contents
+
+
+def _deployment(contents: dict[str, Any]) -> settings.Deployment:
     try:
-        deployment = settings.parse(told["settings"])
+        return settings.parse(contents["settings"])
     except settings.SettingsError as e:
         raise ConfigError(f"settings: {e}") from None
-    limits = told.get("limits") or {}
+
+
+def _limits(contents: dict[str, Any]) -> tuple[int, int]:
+    """The seed, and the number of descriptors."""
+    limits = contents.get("limits") or {}
     try:
-        seed, sockets = int(str(told.get("seed", "0")), 16), int(limits.get("sockets", 1024))
+        seed = int(str(contents.get("seed", "0")), 16)
+        sockets = int(limits.get("sockets", DEFAULT_SOCKETS))
     except (ValueError, TypeError, AttributeError) as e:
         raise ConfigError(f"seed or limits.sockets: {e}") from None
-    if sockets < 64:
-        raise ConfigError("limits.sockets: at least 64 are needed")
-    admin = environ.get("RELAY_ADMIN_ADDR") or told.get("admin_addr")
-    passed = before.passed if before else _passed(environ)
-    discovery = told.get("discovery")
-    if before and discovery == before.discovery_in_file:
-        found = before.discovery
-    elif before:  # Danger: the environment is as old as the process; it would undo what the file now says.
-        found = _address("discovery", discovery)
-    else:
-        found = _address("discovery", environ.get("RELAY_DISCOVERY") or discovery)
-    return Config(
-        name=environ.get("RELAY_NAME") or str(told.get("name", "pearhill")),
-        listen=_address("listen", environ.get("RELAY_LISTEN") or told.get("listen")),
-        discovery=found,
-        discovery_in_file=discovery,
-        seed=seed,
-        sockets=sockets,
-        known=told.get("known") or {},
-        deployment=deployment,
-        admin=None if admin is None else _address("admin_addr", admin),
-        passed=passed,
-        notes=environ.get("TMPDIR") or None,
-    )
+    if sockets < MIN_SOCKETS:
+        raise ConfigError(f"limits.sockets: at least {MIN_SOCKETS} are needed")
+    return seed, sockets
+
+
+def _discovery(environ: Mapping[str, str], in_file: Any, before: Config | None) -> Address:
+    """At a reload the file alone counts: the environment is as old as the process, and would undo what the file now
+    says."""
+    if before is None:
+        return _address("discovery", environ.get("RELAY_DISCOVERY") or in_file)
+    if in_file == before.discovery_in_file:
+        return before.discovery
+    return _address("discovery", in_file)
+
+
+def _address(key: str, text: Any) -> Address:
+    try:
+        return parse_address(str(text))
+    except ValueError as e:
+        raise ConfigError(f"{key}: {e}") from None
+
+
+def _passed_socket(environ: Mapping[str, str]) -> int | None:
+    """The descriptor is left as it is, open and this process's; whoever accepts clients from it asks for it again."""
+    text = environ.get("RELAY_PASSED_SOCKET")
+    if not text:
+        return None
+    is_number = text.isascii() and text.isdecimal()
+    if not is_number or not STANDARD_DESCRIPTORS <= int(text) < MAX_DESCRIPTOR:
+        raise ConfigError(f"RELAY_PASSED_SOCKET: found {text!r}; allowed: the number of an open descriptor, 3 or more")
+    try:
+        return listening(int(text)).detach()
+    except ValueError as e:
+        raise ConfigError(f"RELAY_PASSED_SOCKET: {e}") from None
--- a/pearhill/config/typed.py
+++ b/pearhill/config/typed.py
@@ -14,10 +14,14 @@
 from pearhill.config import ConfigError
 
 T = TypeVar("T")
-_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
-_UNKNOWN = re.compile(r"unknown field `([^`]*)`")
-_MISSING = re.compile(r"missing required field `([^`]*)`")
-_WORDS = {
+
+MAX_SHOWN_CHARACTERS = 60  # of a value in an error
+
+# Parts of msgspec's error messages.
+_PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
+_UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
+_MISSING_FIELD = re.compile(r"missing required field `([^`]*)`")
+_TYPE_NAMES = {
     "int": "a whole number",
     "float": "a number",
     "str": "text",
@@ -27,7 +31,7 @@
     "null": "nothing",
 }
 
-_SORTS: dict[type, str] = {
+_NAMES_OF_TYPES: dict[type, str] = {
     inspect.IntType: "a whole number",
     inspect.FloatType: "a number",
     inspect.StrType: "text",
@@ -43,78 +47,131 @@
     found: Any
     type: Any
 
+    @property
+    def keys(self) -> list[str]:
+        """The keys of a table that stands here; none, if it should be something else."""
+        return [field.encode_name for field in _fields(self.type)]
 
-def _inner(kind: Any, wanted: type) -> Any:
-    """The part of a union that is of this sort."""
-    if isinstance(kind, inspect.UnionType):
-        return next((part for part in kind.types if isinstance(part, wanted)), kind)
-    return kind
+    def key(self, name: str) -> str:
+        """The path of a key in a table that stands here."""
+        return f"{self.path}.{name}" if self.path else name
+
+
+def load(path: str, record: type[T]) -> tuple[T, dict[str, Any]]:
+    """A TOML file as a record, and as it was read. ConfigError names the file."""
+    try:
+        with open(path, "rb") as file:
+            contents = tomllib.load(file)
+    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
+        raise ConfigError(f"{path}: {getattr(e, 'strerror', None) or e}") from None
+    try:
+        return convert(contents, record), contents
+    except ConfigError as e:
+        raise ConfigError(f"{path}: {e}") from None
+
+
+def convert(contents: Any, record: type[T]) -> T:
+    """The record that a file's contents make. ConfigError, without the file's name."""
+    try:
+        return msgspec.convert(contents, record, strict=True)
+    except msgspec.ValidationError as e:
+        raise _explain(str(e), contents, record) from None
+
+
+def invalid_value(path: str, found: Any, allowed: str) -> ConfigError:
+    """The error for a value that is not allowed at this path."""
+    return ConfigError(f"{path}: found {shown(found)}; allowed: {allowed}")
 
 
-def _place(record: Any, told: Any, path: str) -> Place:
-    place = Place("", told, inspect.type_info(record))
-    for name, index in _STEP.findall(path):
+def shown(found: Any) -> str:
+    """A value as the file has it, shortened."""
+    text = _as_in_file(found)
+    if len(text) <= MAX_SHOWN_CHARACTERS:
+        return text
+    return f"{text[: MAX_SHOWN_CHARACTERS - 3]}..."
+
+
+def _as_in_file(found: Any) -> str:
+    if found is None:
+        return "nothing"
+    if found is True:
+        return "true"
+    if found is False:
+        return "false"
+    return repr(found)
+
+
+def _explain(message: str, contents: Any, record: Any) -> ConfigError:
+    """What msgspec says of the contents, with the place, what was found there and what is allowed."""
+    what, _, at = message.partition(" - at `$")
+    path = at.rstrip("`")
+    place = _place(record, contents, path)
+    unknown = _UNKNOWN_FIELD.search(what)
+    if unknown:
+        return _unknown_key(place, unknown[1])
+    missing = _MISSING_FIELD.search(what)
+    if missing:
+        expected = _place(record, contents, f"{path}.{missing[1]}").type
+        wanted = _NAMES_OF_TYPES.get(type(expected), "a value")
+        return invalid_value(place.key(missing[1]), None, f"{wanted}; it must be given")
+    return invalid_value(place.path, place.found, _allowed(place.type, what))
+
+
+def _unknown_key(place: Place, name: str) -> ConfigError:
+    keys = place.keys
+    similar = difflib.get_close_matches(name, keys, 1)
+    hint = f" (did you mean {similar[0]}?)" if similar else ""
+    return ConfigError(f"{place.key(name)}: found a key that is not known{hint}; allowed: {', '.join(keys)}")
+
+
+def _place(record: Any, contents: Any, path: str) -> Place:
+    """Follow a path of msgspec's through the contents and the record's type."""
+    place = Place("", contents, inspect.type_info(record))
+    for name, index in _PATH_STEP.findall(path):
         if name:
-            struct = _inner(place.type, inspect.StructType)
-            fields = {f.encode_name: f.type for f in getattr(struct, "fields", ())}
-            place.type = fields.get(name, getattr(struct, "value_type", None))
-            place.found = place.found.get(name) if isinstance(place.found, dict) else None
-            place.path += f".{name}" if place.path else name
+            _enter_table(place, name)
         else:
-            place.type = getattr(_inner(place.type, inspect.ListType), "item_type", None)
-            at = int(index) if index.isdigit() else 0
-            place.found = place.found[at] if isinstance(place.found, list) and at < len(place.found) else None
-            place.path += f"[{index}]"
+            _enter_list(place, index)
     return place
 
 
-def shown(found: Any) -> str:
-    text = "nothing" if found is None else "true" if found is True else "false" if found is False else repr(found)
-    return text if len(text) <= 60 else f"{text[:57]}..."
+def _enter_table(place: Place, name: str) -> None:
+    types = {field.encode_name: field.type for field in _fields(place.type)}
+    value_type = getattr(_member(place.type, inspect.StructType), "value_type", None)
+    place.path = place.key(name)
+    place.type = types.get(name, value_type)
+    place.found = place.found.get(name) if isinstance(place.found, dict) else None
 
 
-def complaint(path: str, found: Any, allowed: str) -> ConfigError:
-    return ConfigError(f"{path}: found {shown(found)}; allowed: {allowed}")
+def _enter_list(place: Place, index: str) -> None:
+    """`index` may be "...": any of the list's items, of which the first is shown."""
+    position = int(index) if index.isdigit() else 0
+    place.path += f"[{index}]"
+    place.type = getattr(_member(place.type, inspect.ListType), "item_type", None)
+    is_there = isinstance(place.found, list) and position < len(place.found)
+    place.found = place.found[position] if is_there else None
+
+
+def _member(kind: Any, wanted: type) -> Any:
+    """The member of a union that is of this sort; the type itself, if it is no union or has none."""
+    if isinstance(kind, inspect.UnionType):
+        return next((member for member in kind.types if isinstance(member, wanted)), kind)
+    return kind
+
+
+def _fields(kind: Any) -> tuple[Any, ...]:
+    """The fields of a table's type."""
+    return tuple(getattr(_member(kind, inspect.StructType), "fields", ()))
 
 
 def _allowed(kind: Any, what: str) -> str:
-    literal = _inner(kind, inspect.LiteralType)
+    """What msgspec expected, in an operator's words."""
+    literal = _member(kind, inspect.LiteralType)
     if isinstance(literal, inspect.LiteralType):
         return ", ".join(map(str, literal.values))
-    what = what.removeprefix("Expected ").partition(", got ")[0]
-    return re.sub(r"`([^`]*)`", lambda m: " or ".join(_WORDS.get(w, w) for w in m[1].split(" | ")), what)
+    expected = what.removeprefix("Expected ").partition(", got ")[0]
+    return re.sub(r"`([^`]*)`", lambda match: _type_names(match[1]), expected)
 
 
-def convert(told: Any, record: type[T]) -> T:
-    """The record that a file's contents make. ConfigError, without the file's name."""
-    try:
-        return msgspec.convert(told, record, strict=True)
-    except msgspec.ValidationError as e:
-        what, _, at = str(e).partition(" - at `$")
-        place = _place(record, told, at.rstrip("`"))
-        names = [f.encode_name for f in getattr(_inner(place.type, inspect.StructType), "fields", ())]
-        dot = f"{place.path}." if place.path else ""
-        if unknown := _UNKNOWN.search(what):
-            near = difflib.get_close_matches(unknown[1], names, 1)
-            hint = f" (did you mean {near[0]}?)" if near else ""
-            raise ConfigError(
-                f"{dot}{unknown[1]}: found a key that is not known{hint}; allowed: " f"{', '.join(names)}"
-            ) from None
-        if missing := _MISSING.search(what):
-            kind = _place(record, told, f"{at.rstrip('`')}.{missing[1]}").type
-            wanted = _SORTS.get(type(kind), "a value")
-            raise complaint(f"{dot}{missing[1]}", None, f"{wanted}; it must be given") from None
-        raise complaint(place.path, place.found, _allowed(place.type, what)) from None
-
-
-def load(path: str, record: type[T]) -> tuple[T, dict[str, Any]]:
-    """A TOML file as a record, and as it was read. ConfigError names the file."""
-    try:
-        with open(path, "rb") as file:
-            told = tomllib.load(file)
-    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise ConfigError(f"{path}: {getattr(e, 'strerror', None) or e}") from None
-    try:
-        return convert(told, record), told
-    except ConfigError as e:
-        raise ConfigError(f"{path}: {e}") from None
+def _type_names(union: str) -> str:
+    return " or ".join(_TYPE_NAMES.get(name, name) for name in union.split(" | "))
--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -1,4 +1,4 @@
-"""Values that stand in more than one operators' file: addresses, keys in files of their own, named ends of a talk."""
+"""Values that stand in more than one operators' file: addresses, lists of peers, and keys in files of their own."""
 
 from __future__ import annotations
 
@@ -13,55 +13,61 @@
 
 Text = Annotated[str, Meta(min_length=1)]
 Address = Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT")]
-MOST_NAME = 96  # characters of who speaks to an aggregator; frames have no room for more
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
-MOST_NAMED = 4096  # ends in one list
+MAX_NAME_LENGTH = 96  # characters of a reporter's name; a message to an aggregator has no room for more
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+MAX_LIST_LENGTH = 4096  # peers in one list
 
 
 class PeerTable(Struct, forbid_unknown_fields=True):
+    """A peer in an operators' file."""
+
     name: Text
     address: Address
 
 
 def address(path: str, text: str) -> net.Address:
+    """The address that stands at this path. ConfigError: it is none."""
     try:
         return net.parse_address(text)
     except ValueError:
-        raise typed.complaint(path, text, "HOST:PORT, with a port from 0 to 65535") from None
+        raise typed.invalid_value(path, text, "HOST:PORT, with a port from 0 to 65535") from None
 
 
-def addresses(path: str, named: Iterable[PeerTable], me: str, kind: str = "peer") -> dict[str, net.Address]:
-    """By name, without my own: one list may serve all."""
+def addresses(path: str, peers: Iterable[PeerTable], own_name: str, kind: str = "peer") -> dict[str, net.Address]:
+    """Addresses by name, without this process's own: one list may serve all. ConfigError: a name stands twice, or an
+    address is none."""
     found: dict[str, net.Address] = {}
-    for k, peer in enumerate(named):
+    for k, peer in enumerate(peers):
         if peer.name in found:
-            raise typed.complaint(f"{path}[{k}].name", peer.name, f"a name that no other {kind} has")
+            raise typed.invalid_value(f"{path}[{k}].name", peer.name, f"a name that no other {kind} has")
         found[peer.name] = address(f"{path}[{k}].address", peer.address)
-    found.pop(me, None)
+    found.pop(own_name, None)
     return found
 
 
-def secret(path: str, name: str) -> str:
-    """A key from a file of its own. Danger: what stands in the operator's file gets copied, shown and committed."""
-    if not name:
+def read_secret(path: str, file_name: str) -> str:
+    """A key from a file of its own, as an operators' file gets copied, shown and committed. Empty without a file name.
+    ConfigError: the file cannot be read, or holds no single key."""
+    if not file_name:
         return ""
     try:
-        with open(name, encoding="ascii") as file:
+        with open(file_name, encoding="ascii") as file:
             text = file.read().strip()
     except (OSError, UnicodeDecodeError) as e:
-        raise typed.complaint(path, name, f"a readable file that holds one key ({type(e).__name__})") from None
-    if not text or any(not "\x21" <= char <= "\x7e" for char in text):
+        allowed = f"a readable file that holds one key ({type(e).__name__})"
+        raise typed.invalid_value(path, file_name, allowed) from None
+    if not text or not all("\x21" <= char <= "\x7e" for char in text):
         raise ConfigError(
-            f"{path}: found a file without one key in it; allowed: a file that holds one key, printable "
-            "and without spaces"
+            f"{path}: found a file without one key in it; allowed: a file that holds one key, printable and without "
+            "spaces"
         )
     return text
 
 
-def talk_keys(path: str, names: Sequence[str]) -> tuple[bytes, ...]:
-    """What signs and proves datagrams: the first signs, each is accepted."""
-    keys = tuple(secret(f"{path}[{k}]", name).encode() for k, name in enumerate(names))
+def gossip_keys(path: str, file_names: Sequence[str]) -> tuple[bytes, ...]:
+    """What authenticates datagrams: the first key signs, each is accepted. ConfigError: a key is too short or none."""
+    keys = tuple(read_secret(f"{path}[{k}]", name).encode() for k, name in enumerate(file_names))
     for k, key in enumerate(keys):
         if len(key) < LEAST_KEY:
-            raise typed.complaint(f"{path}[{k}]", f"a key of {len(key)} characters", f"{LEAST_KEY} at least")
+            raise typed.invalid_value(f"{path}[{k}]", f"a key of {len(key)} characters", f"{LEAST_KEY} at least")
     return keys
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -37,7 +37,7 @@
         deployment.drain_grace,
         random.Random(config.seed ^ SCHEDULE),
     )
-    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known)
+    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known_endpoints)
     known_until = node.deadlines.clock() + KNOWN_AFTER
 
     def told() -> bool:
@@ -50,7 +50,11 @@
     def is_ready() -> bool:
         return can_serve() and not node.drain.out_of_rotation
 
-    upgrade = TakeoverTask(node, config.notes, config.name) if config.passed is not None and config.notes else None
+    upgrade = (
+        TakeoverTask(node, config.message_folder, config.name)
+        if config.passed_socket is not None and config.message_folder
+        else None
+    )
 
     def may_accept() -> bool:
         """Danger: what discovery has counts as told from the process's first moment. A request taken before its
@@ -81,7 +85,7 @@
         return can_serve() and node.accepting and (upgrade is None or upgrade.reports_ready())
 
     door = (config.admin, AdminEndpoint(Operations(node, says_yes))) if config.admin else None
-    clients = config.listen if config.passed is None else listening(config.passed)
+    clients = config.listen if config.passed_socket is None else listening(config.passed_socket)
     await node.serve(
         clients,
         PlatformFront(node.dispatcher, is_ready, node.drain.rejects),
