--- a/tests/config/test_typed.py
+++ b/tests/config/test_typed.py
@@ -1,16 +1,19 @@
-"""Operators' files: what is wrong in them is told with its place, what was found, and what is allowed."""
+"""Operators' files: what is wrong in them is reported with its place, what was found, and what is allowed."""
 
+import re
 import tomllib
 import unittest
 
+import pytest
+
 from pearhill.chat.setup import load, loads
 from pearhill.config import ConfigError
 from tests.chat.test_front import operator_file, write_file
 from tests.standins import ROOT
 
 GOOD = operator_file(["127.0.0.1:1"])
-SERVER = 'uid = "s0"\naddress = "127.0.0.1:1"\nkind = "all-in-one"\n'
-# what is replaced, by what, and the whole complaint's beginning
+SERVER_TABLE = 'uid = "s0"\naddress = "127.0.0.1:1"\nkind = "all-in-one"\n'
+# What is replaced, by what, and the beginning of the whole error
 CASES = (
     ("listen = '127.0.0.1:0'", "listen = 8090", "chat.listen: found 8090; allowed: text"),
     ("listen = '127.0.0.1:0'", "listen = 'here'", "chat.listen: found 'here'; allowed: "),
@@ -25,43 +28,63 @@
     ("['help', 'booking']", "['help']\nserver_key_file = '/nowhere/key'", "chat.server_key_file: found '/nowhere/key'"),
     ('class = "job-booking"\n[', 'class = "no"\n[', "chat.rule[0].class: found 'no'; allowed: advice, job-booking"),
     ('class = "job-booking"\n[', "[", "chat.rule[0].class: found nothing; allowed: text; it must be given"),
-    (SERVER, SERVER + 'zone = "west"\n', "server[0].zone: found 'west'; allowed: north, south"),
+    (SERVER_TABLE, SERVER_TABLE + 'zone = "west"\n', "server[0].zone: found 'west'; allowed: north, south"),
     ('kind = "all-in-one"', 'kind = "oven"', "server[0].kind: found 'oven'; allowed: reader, writer, all-in-one"),
     ('kind = "all-in-one"\n', "", "server[0].kind: found nothing; allowed: text; it must be given"),
-    (SERVER, SERVER + "capacity = 0\n", "server[0].capacity: found 0; allowed: a number > 0.0"),
-    (SERVER, SERVER + "[[server]]\n" + SERVER, "server[1].uid: found 's0'; allowed: a uid that no other server has"),
-    (SERVER, SERVER + "[eureka]\naddress = 'a:1'\n", "eureka.servers: found nothing; allowed: text; it must be given"),
+    (SERVER_TABLE, SERVER_TABLE + "capacity = 0\n", "server[0].capacity: found 0; allowed: a number > 0.0"),
+    (
+        SERVER_TABLE,
+        SERVER_TABLE + "[[server]]\n" + SERVER_TABLE,
+        "server[1].uid: found 's0'; allowed: a uid that no other server has",
+    ),
     (
-        SERVER,
-        SERVER + "[[chat.model]]\nname = 'm'\nkinds = ['reader']\n",
+        SERVER_TABLE,
+        SERVER_TABLE + "[eureka]\naddress = 'a:1'\n",
+        "eureka.servers: found nothing; allowed: text; it must be given",
+    ),
+    (
+        SERVER_TABLE,
+        SERVER_TABLE + "[[chat.model]]\nname = 'm'\nkinds = ['reader']\n",
         "chat.model[0].kinds: found ['reader']; allowed: at least one kind that writes",
     ),
-    (SERVER, SERVER + "[[chat.model]]\nname = 'm'\naliases = ['help']\n", "chat.model[0].aliases[0]: found 'help'; "),
-    (SERVER, SERVER + "[[chat.tenant]]\nname = 't'\nmodels = ['none']\n", "chat.tenant[0].models[0]: found 'none'; "),
-    (SERVER, SERVER + "[[chat.tenant]]\nname = 't'\n[[chat.tenant]]\nname = 't'\n", "chat.tenant[1].name: found 't'"),
+    (
+        SERVER_TABLE,
+        SERVER_TABLE + "[[chat.model]]\nname = 'm'\naliases = ['help']\n",
+        "chat.model[0].aliases[0]: found 'help'; ",
+    ),
+    (
+        SERVER_TABLE,
+        SERVER_TABLE + "[[chat.tenant]]\nname = 't'\nmodels = ['none']\n",
+        "chat.tenant[0].models[0]: found 'none'; ",
+    ),
+    (
+        SERVER_TABLE,
+        SERVER_TABLE + "[[chat.tenant]]\nname = 't'\n[[chat.tenant]]\nname = 't'\n",
+        "chat.tenant[1].name: found 't'",
+    ),
     ('"effect" = "non_idempotent"', '"effect" = "twice"', "settings.classes[1].effect: found 'twice'; allowed: idem"),
     ('"tick" = 2000', '"tick" = 0', "settings.tick: found 0; allowed: a whole number >= 1"),
     ('"max-attempts" = 5, ', "", "settings.allowed.max-attempts: found nothing; allowed: a whole number; it must be"),
 )
 
 
-class Complaints(unittest.TestCase):
+class FileErrors(unittest.TestCase):
     def test_each_names_its_place_what_was_found_and_what_is_allowed(self):
         loads(GOOD)
-        for old, new, complaint in CASES:
-            with self.subTest(complaint=complaint):
-                self.assertIn(old, GOOD)
+        for old, new, error in CASES:
+            with self.subTest(error=error):
+                assert old in GOOD
                 text = GOOD.replace(old, new, 1)
-                with self.assertRaises(ConfigError) as caught:
+                with pytest.raises(ConfigError) as caught:
                     loads(text)
-                self.assertTrue(str(caught.exception).startswith(complaint), str(caught.exception))
-                self.assertEqual(str(caught.exception).count("\n"), 0)
+                assert str(caught.value).startswith(error), str(caught.value)
+                assert str(caught.value).count("\n") == 0
 
     def test_files_that_are_no_toml_or_not_there(self):
         for path in (write_file(self, "[chat"), "/nowhere/chat.toml", str(ROOT)):
-            with self.subTest(path=path), self.assertRaises(ConfigError) as caught:
+            with self.subTest(path=path), pytest.raises(ConfigError) as caught:
                 load(path)
-            self.assertTrue(str(caught.exception).startswith(f"{path}: "))
+            assert str(caught.value).startswith(f"{path}: ")
 
     def test_the_commented_file_shows_every_key_of_the_chat_table(self):
         from pearhill.chat.file import ChatTable, ModelTable, TenantTable
@@ -70,5 +93,5 @@
         for table in (ChatTable, ModelTable, TenantTable):
             for name in table.__struct_encode_fields__:
                 if name not in ("seed", "models", "owned_by", "created"):
-                    self.assertRegex(text, rf"(?m)^(# )?{name} = |\[\[chat\.{name}\]\]", name)
-        self.assertIn("chat", tomllib.loads(text))
+                    assert re.search(rf"(?m)^(# )?{name} = |\[\[chat\.{name}\]\]", text), name
+        assert "chat" in tomllib.loads(text)
