--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -60,7 +60,7 @@
 from pearhill.net.health_checks import MOST_OUT
 from pearhill.net.pool import MAX_ANSWER
 from pearhill.net.releases import UNANSWERED as RELEASES
-from pearhill.node.node import SPARE
+from pearhill.node.limits import RESERVED_DESCRIPTORS
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
 from pearhill.routing.admission import LATENCY_SHARE_FOR_PREFILL
 from pearhill.routing.local_prefill import MAX_RATIO
@@ -630,7 +630,7 @@
     def descriptors(self) -> tuple[float, float]:
         """Of the mean dispatcher and the heavy one: one to the client and one to the server for each open request."""
         open_ = self.streams + self.waiting
-        return 2 * open_ + SPARE, 2 * open_ * self.size.heavy + SPARE
+        return 2 * open_ + RESERVED_DESCRIPTORS, 2 * open_ * self.size.heavy + RESERVED_DESCRIPTORS
 
     # What dispatchers tell one another.
 
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -8,7 +8,8 @@
 from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.config import Config, for_next_start
 from pearhill.net.listener import listening
-from pearhill.node.node import Limits, Node
+from pearhill.node.limits import Limits
+from pearhill.node.node import Node
 from pearhill.node.operations import Operations
 from pearhill.node.takeover import TakeoverTask
 from pearhill.platform.discovery import Watch
@@ -36,7 +37,7 @@
         deployment.drain_grace,
         random.Random(config.seed ^ SCHEDULE),
     )
-    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known)
+    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known_endpoints)
     known_until = node.deadlines.clock() + KNOWN_AFTER
 
     def told() -> bool:
@@ -47,9 +48,13 @@
         return told() and node.dispatcher.can_answer
 
     def is_ready() -> bool:
-        return can_serve() and not node.drain.away
+        return can_serve() and not node.drain.out_of_rotation
 
-    upgrade = TakeoverTask(node, config.notes, config.name) if config.passed is not None and config.notes else None
+    upgrade = (
+        TakeoverTask(node, config.message_folder, config.name)
+        if config.passed_socket is not None and config.message_folder
+        else None
+    )
 
     def may_accept() -> bool:
         """Danger: what discovery has counts as told from the process's first moment. A request taken before its
@@ -80,13 +85,13 @@
         return can_serve() and node.accepting and (upgrade is None or upgrade.reports_ready())
 
     door = (config.admin, AdminEndpoint(Operations(node, says_yes))) if config.admin else None
-    clients = config.listen if config.passed is None else listening(config.passed)
+    clients = config.listen if config.passed_socket is None else listening(config.passed_socket)
     await node.serve(
         clients,
-        PlatformFront(node.dispatcher, is_ready, node.drain.refuses),
+        PlatformFront(node.dispatcher, is_ready, node.drain.rejects),
         config.name,
         reload,
-        door=door,
+        admin=door,
         may_accept=may_accept,
     )
     if upgrade:
