--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -61,7 +61,12 @@
 from pearhill.net.pool import MAX_ANSWER
 from pearhill.net.releases import UNANSWERED as RELEASES
 from pearhill.node.node import SPARE
-from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
+from pearhill.platform.schedule import (
+    MAX_CALL_INTERVAL_US,
+    SERVICE_TIME_PER_DISPATCHER_US,
+    SHARED_WATCH_WAIT_US,
+    WATCH_WAIT_US,
+)
 from pearhill.routing.router import KEEP, KEYS, RATIO_MAX, SHED
 from pearhill.routing.slow_start import STEP_EVERY
 
@@ -582,7 +587,8 @@
     @property
     def watch_bytes(self) -> int:
         """One call that brings nothing, both ways, with four packets' headers."""
-        call = messages.request("GET", f"/v1/endpoints?after=100000&wait_ms={SHARED_WAIT // 1000}", "10.2.0.1:8500")
+        target = f"/v1/endpoints?after=100000&wait_ms={SHARED_WATCH_WAIT_US // 1000}"
+        call = messages.request("GET", target, "10.2.0.1:8500")
         answer = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 36\r\n\r\n"
         return len(call) + len(answer) + 36 + 4 * 40
 
@@ -596,18 +602,18 @@
     @property
     def shared_calls(self) -> float:
         """At one discovery that all ask, while nothing changes."""
-        return self.size.dispatchers * S / SHARED_WAIT
+        return self.size.dispatchers * S / SHARED_WATCH_WAIT_US
 
     @property
     def shared_busy(self) -> float:
         """How many such services that takes, at the time that schedule.py sets aside for a call."""
-        return self.shared_calls * SHARE / S
+        return self.shared_calls * SERVICE_TIME_PER_DISPATCHER_US / S
 
     @property
     def start_span(self) -> tuple[float, float]:
         """Seconds over which the first calls of a fleet that starts at once are spread, and would have to be."""
-        wanted = SHARE * self.size.dispatchers / S
-        return min(wanted, BETWEEN / S), wanted
+        wanted = SERVICE_TIME_PER_DISPATCHER_US * self.size.dispatchers / S
+        return min(wanted, MAX_CALL_INTERVAL_US / S), wanted
 
     # A request's own work.
 
@@ -1113,9 +1119,9 @@
         "MOST_PINGS": MOST_PINGS,
         "KEYS": KEYS,
         "KEEP": KEEP / S,
-        "WAIT": WAIT / S,
-        "SHARED_WAIT": SHARED_WAIT / S,
-        "SHARE": SHARE / S,
+        "WAIT": WATCH_WAIT_US / S,
+        "SHARED_WAIT": SHARED_WATCH_WAIT_US / S,
+        "SHARE": SERVICE_TIME_PER_DISPATCHER_US / S,
         "STEP": STEP_EVERY / S,
         "RATIO_MAX": RATIO_MAX,
         "FRESH": FRESH / S,
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -41,7 +41,7 @@
 
     def told() -> bool:
         # Danger: the list known at the start is stale; only a silent discovery makes it good enough.
-        return watch.heard or node.deadlines.clock() > known_until
+        return watch.has_answered or node.deadlines.clock() > known_until
 
     def can_serve() -> bool:
         return told() and node.dispatcher.can_answer
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -11,12 +11,12 @@
 from pearhill.platform.front import Payload
 
 HOST = "app.svc"
-TAIL = 512  # bytes at the end of a stream in which its usage stands
+USAGE_TAIL_BYTES = 512  # bytes at the end of a stream in which its usage stands
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
 _KEPT = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
-def load_of(report: str) -> tuple[float, float] | None:
+def parse_load_report(report: str) -> tuple[float, float] | None:
     """The memory share and the thousands of tokens waiting, out of a load report. None: it lacks one, or is torn, or
     says something twice, and may be wrong throughout."""
     values: dict[str, float] = {}
@@ -50,7 +50,7 @@
             ready = b"".join(event.raw for event in self._parser.feed(data))
         except BadEvents as e:
             raise MalformedResponseError(str(e)) from None
-        self._tail = (self._tail + ready)[-TAIL:]
+        self._tail = (self._tail + ready)[-USAGE_TAIL_BYTES:]
         return ready
 
     def ends_well(self) -> bool:
@@ -75,7 +75,7 @@
         return messages.request("GET", "/status/load", HOST)
 
     def load(self, status: int, body: bytes) -> tuple[float, float] | None:
-        return load_of(body.decode("latin-1")) if status in (200, 503) else None
+        return parse_load_report(body.decode("latin-1")) if status in (200, 503) else None
 
     def stream(self, payload: Payload) -> ReplicaStream:
         return ReplicaStream()
--- a/pearhill/platform/schedule.py
+++ b/pearhill/platform/schedule.py
@@ -1,85 +1,116 @@
-"""When discovery is called: for what, and how soon again. Free of I/O; times are microseconds."""
+"""When discovery is called: for what, and how soon again. Free of I/O; times and delays are microseconds."""
 
 from __future__ import annotations
 
 import random
 
-SHARE = 150_000  # of one service's time for each dispatcher: by so much are their calls spread
-# Where all call one service. What it has and can be had from it counts as told 6 s later, whatever became of the calls
-# before; and a call may stand in line for 2 s. So the next call begins so long after the last one at most.
-BETWEEN, IN_LINE = 3_500_000, 2_000_000
-WAIT, SHARED_WAIT = 1_000_000, 3_000_000  # of a watch
-LATE, SHARED_LATE = 500_000, 300_000  # an answer may come so long after its wait, or its turn, before it is given up
-MOST_OUT = 8  # calls at a silent agent, each on a connection of its own; the oldest goes for the next
-# Of the time in which a change must be heeded one part goes by until the next call. Danger: an answer or two may be
-# nonsense, and there is the parse, the books and whatever the loop is busy with.
-PARTS, LONGEST_OWN = 5, 100_000
+# A shared discovery service spends this much of its time on each dispatcher: by so much are their calls spread.
+SERVICE_TIME_PER_DISPATCHER_US = 150_000
+# At a shared service the next call begins at most this long after the last one. What can be had from the service counts
+# as received 6 s later, whatever became of the calls before; and a call may wait in the service's queue for 2 s.
+MAX_CALL_INTERVAL_US = 3_500_000
+MAX_QUEUE_WAIT_US = 2_000_000
+# How long a watch lets discovery wait for an event.
+WATCH_WAIT_US = 1_000_000
+SHARED_WATCH_WAIT_US = 3_000_000
+# A call is given up so long after the end of its wait; at a shared service, so long after its turn in the queue.
+ANSWER_ALLOWANCE_US = 500_000
+SHARED_ANSWER_ALLOWANCE_US = 300_000
+# Calls at an agent that does not answer, each on a connection of its own; the next one replaces the oldest.
+MAX_CONCURRENT_CALLS = 8
+# An agent that does not answer is called so many times within the drain grace: an answer or two may be nonsense, and
+# the parse, the update of the endpoints and other work of the event loop take time as well.
+CALLS_PER_GRACE = 5
+MIN_RETRY_INTERVAL_US = 1_000
+MAX_RETRY_INTERVAL_US = 100_000
+# Bounds the exponent of the backoff, so that it stays a small number through long outages.
+MAX_BACKOFF_DOUBLINGS = 16
 
 
 class CallSchedule:
-    """`shared`: discovery is one service that all dispatchers call in turn (`on_request`), not a push to each.
+    """The times of the calls to discovery: a service that all dispatchers share, or an agent of this one's own.
 
-    Danger: called at once after every failure, such a service answers nobody. Forty dispatchers that started together
-    and came back every 100 ms kept it full, and none of them heard of a change for as long as the day lasted. So each
-    draws its first call from a span that all have room in, and after failures backs off with jitter, twice as far each
-    time, up to what the age of its news allows.
+    `shared`: discovery is one service that all dispatchers poll (`on_request`), not a push to each. Called at once
+    after every failure, such a service answers nobody: forty dispatchers that started together and came back every
+    100 ms kept it full, and none of them learned of a change as long as the day lasted. So each draws its first call
+    from a span in which all have room, and after failures it backs off exponentially with jitter, up to what the
+    allowed age of the endpoint list permits.
 
-    An agent of one's own costs nobody anything, and what it has counts as told from the moment it has it. Danger: it
-    falls silent and comes back with news that must be heeded within `grace`. So while it answers nothing it is called
-    again several times in that, whatever became of the calls before."""
+    An agent of this dispatcher's own may be called freely, and what it has counts as received from the moment it has
+    it. It may fall silent and come back with an event that must be in force within `grace`. So while it does not answer
+    it is called several times in that span, whatever became of the calls before.
+    """
 
     def __init__(self, shared: bool, instances: int, grace: int, rng: random.Random) -> None:
-        self.rng, self.failures = rng, 0
+        self.rng = rng
+        self.failures = 0  # in a row, since the last answer
         self.reconfigure(shared, instances, grace)
 
     def reconfigure(self, shared: bool, instances: int, grace: int) -> None:
-        """In force from the next call on."""
-        self.shared, self.span = shared, SHARE * max(1, instances)
-        self.every = min(LONGEST_OWN, max(1_000, grace // PARTS))
+        """Take other settings, in force from the next call on. `instances`: dispatchers that share the service."""
+        self.shared = shared
+        self.span = SERVICE_TIME_PER_DISPATCHER_US * max(1, instances)
+        self.retry_interval = min(MAX_RETRY_INTERVAL_US, max(MIN_RETRY_INTERVAL_US, grace // CALLS_PER_GRACE))
 
     @property
-    def most_out(self) -> int:
-        """Calls at a time."""
-        return 1 if self.shared else MOST_OUT
+    def max_concurrent_calls(self) -> int:
+        """How many calls may be open at a time."""
+        return 1 if self.shared else MAX_CONCURRENT_CALLS
 
-    def first(self) -> int:
+    def first_call_delay(self) -> int:
         """How long after the start, or after discovery has moved, the first call is made."""
-        return int(self.rng.uniform(0, min(self.span, BETWEEN))) if self.shared else 0
+        if not self.shared:
+            return 0
+        return int(self.rng.uniform(0, min(self.span, MAX_CALL_INTERVAL_US)))
 
-    def moved(self, since_call: int) -> int:
-        """How long after discovery has moved the first call there is made, so long after the last call anywhere. News
-        grow old whoever has them: moves in a row must not put the call off."""
-        return min(self.first(), max(0, BETWEEN - since_call))
+    def delay_after_move(self, since_last_call: int) -> int:
+        """How long after discovery has moved the first call there is made; `since_last_call`: to any address.
 
-    def wait(self, listed: bool) -> int:
-        """How long the next call lets discovery wait for news. `listed`: there is a list to which news applies."""
-        # Danger: a call that may wait cannot show that an agent which was silent is back.
-        return (SHARED_WAIT if self.shared else 0 if self.failures else WAIT) if listed else 0
+        The endpoint list grows old whatever its source: moves in a row must not put the call off.
+        """
+        return min(self.first_call_delay(), max(0, MAX_CALL_INTERVAL_US - since_last_call))
 
-    def patience(self, wait: int) -> int:
-        """How long the answer to a call that may wait so long can take before it is given up."""
+    def watch_wait(self, has_list: bool) -> int:
+        """How long the next call lets discovery wait for an event. `has_list`: there is a list that events apply to."""
+        if not has_list:
+            return 0
         if self.shared:
-            # Danger: one that is given up just before its turn costs as much as one that is answered.
-            return max(wait, IN_LINE) + SHARED_LATE
-        return wait + LATE + MOST_OUT * self.every
+            return SHARED_WATCH_WAIT_US
+        # A call that may wait cannot show that an agent which was silent is back.
+        return 0 if self.failures else WATCH_WAIT_US
 
-    def unanswered(self, wait: int) -> int:
-        """After how long the next call goes out although this one is not answered; 0: not before it has failed."""
-        return 0 if self.shared else wait + LATE if wait else self.every
+    def answer_timeout(self, wait: int) -> int:
+        """How long the answer to a call that may wait `wait` can take before the call is given up."""
+        if self.shared:
+            # A call that is given up just before its turn costs the service as much as one that is answered.
+            return max(wait, MAX_QUEUE_WAIT_US) + SHARED_ANSWER_ALLOWANCE_US
+        return wait + ANSWER_ALLOWANCE_US + MAX_CONCURRENT_CALLS * self.retry_interval
 
-    def answered(self, early: bool = False) -> int:
-        """How long to wait after a call that was answered. `early`: without news, and long before its wait was over.
-        Danger: a discovery that lets no call wait would be called as fast as it answers."""
-        self.failures = 0
-        return 0 if not early else self._spread(BETWEEN) if self.shared else self.every
+    def overlap_delay(self, wait: int) -> int:
+        """After how long the next call goes out beside an unanswered one; 0: not before that one has failed."""
+        if self.shared:
+            return 0
+        return wait + ANSWER_ALLOWANCE_US if wait else self.retry_interval
 
-    def _spread(self, longest: int) -> int:
-        most = max(0, min(longest, self.span * 2 ** min(self.failures, 16)))
-        return int(self.rng.uniform(most / 2, most))
+    def delay_after_answer(self, early: bool = False) -> int:
+        """How long to wait after a call that was answered. `early`: without an event, long before its wait was over.
 
-    def failed(self, took: int) -> int:
-        """How long to wait after a call that failed, so long after it began."""
+        Without a delay after early answers, a discovery that lets no call wait would be called as fast as it answers.
+        """
+        self.failures = 0
+        if not early:
+            return 0
+        return self._backoff(MAX_CALL_INTERVAL_US) if self.shared else self.retry_interval
+
+    def delay_after_failure(self, elapsed: int) -> int:
+        """How long to wait after a call that failed `elapsed` after it began."""
         self.failures += 1
-        if not self.shared:
-            return 0 if self.failures == 1 else self.every
-        return self._spread(BETWEEN - took)
+        if self.shared:
+            return self._backoff(MAX_CALL_INTERVAL_US - elapsed)
+        return 0 if self.failures == 1 else self.retry_interval
+
+    def _backoff(self, longest: int) -> int:
+        """Exponential backoff with jitter over its upper half, `longest` at most."""
+        doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
+        ceiling = max(0, min(longest, self.span * 2**doublings))
+        return int(self.rng.uniform(ceiling / 2, ceiling))
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -11,7 +11,7 @@
 from pearhill.load_reports.load_aware_router import FIRST_EJECTED, MOST_EJECTED, LoadAwareRouter
 from pearhill.load_reports.query_policy import roles_worth_querying
 from pearhill.load_reports.reports import FADE, FRESH, Reports
-from pearhill.platform.replica import load_of
+from pearhill.platform.replica import parse_load_report
 from pearhill.routing.actions import Action, SendHealthCheck
 from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
 from pearhill.routing.outcomes import Outcome
@@ -243,4 +243,4 @@
     ],
 )
 def test_a_report_is_believed_whole_or_not_at_all(text, load):
-    assert load_of(text) == load
+    assert parse_load_report(text) == load
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -20,7 +20,7 @@
 from pearhill import settings
 from pearhill.core.replica_ids import replica_id
 from pearhill.net.clock import start_clock
-from pearhill.platform.discovery import entries_of
+from pearhill.platform.endpoint_list import parse_endpoints
 from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import (
     LAST,
@@ -401,7 +401,7 @@
 
     def test_a_target_is_an_engine_that_started_on_the_programs_clock(self):
         deployment = settings.parse(SETTINGS)
-        (entry,), addresses = entries_of([self.TARGET], deployment)
+        (entry,), addresses = parse_endpoints([self.TARGET], deployment)
         self.assertEqual(entry, Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000))
         self.assertEqual(addresses, {entry.replica: ("127.0.0.1", 8080)})
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
@@ -409,21 +409,21 @@
 
     def test_letters_and_numbers_stand_for_places_and_nonsense_is_left_out(self):
         deployment = settings.parse(SETTINGS)
-        (entry,), _ = entries_of([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
+        (entry,), _ = parse_endpoints([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
         self.assertEqual((entry.zone, entry.kind), (1, 2))
         for change in ({"az": "z"}, {"model": "m9"}, {"state": "asleep"}, {"endpoint": "nowhere"}, {"uid": None}):
             bad = {k: v for k, v in {**self.TARGET, **change}.items() if v is not None}
-            self.assertEqual(entries_of([bad, 7, self.TARGET], deployment)[0][0].zone, 1)
+            self.assertEqual(parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone, 1)
 
     def test_an_unreadable_entry_that_says_that_a_known_replica_leaves_counts_for_that(self):
         deployment = settings.parse(SETTINGS)
-        (entry,), _ = entries_of([self.TARGET], deployment)
+        (entry,), _ = parse_endpoints([self.TARGET], deployment)
         known = {entry.replica: entry}
         for state, phase in (("leaving", Phase.DRAINING), ("left", Phase.GONE)):
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
-                self.assertEqual(entries_of([target], deployment, known)[0], (replace(entry, phase=phase),))
-                self.assertEqual(entries_of([target], deployment)[0], ())  # never heard of, there is nothing to end
+                self.assertEqual(parse_endpoints([target], deployment, known)[0], (replace(entry, phase=phase),))
+                self.assertEqual(parse_endpoints([target], deployment)[0], ())  # not listed before: nothing to end
 
 
 class Ending(PlatformCase):
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pearhill.platform.schedule import BETWEEN, IN_LINE, WAIT, CallSchedule
+from pearhill.platform.schedule import MAX_CALL_INTERVAL_US, MAX_QUEUE_WAIT_US, WATCH_WAIT_US, CallSchedule
 from tests.standins import SETTINGS, Discovery, Standin, platform
 
 S = 1_000_000
@@ -31,7 +31,7 @@
         self.listed, self.told, self.calls = [False] * count, [0] * count, list[int]()
         self.count = 0
         for n, schedule in enumerate(self.schedules):
-            self.at(schedule.first(), "call", n)
+            self.at(schedule.first_call_delay(), "call", n)
         self.at(down[0], "fall", 0)
         self.at(change, "news", 0)
 
@@ -55,8 +55,8 @@
         self.began[n] = now
         if self.schedules[n].failures or not self.listed[n]:  # else it opens its watch again, having been answered
             self.calls.append(now)
-        wait = self.schedules[n].wait(self.listed[n])
-        self.at(now + self.schedules[n].patience(wait), "fail", n, self.numbers[n])
+        wait = self.schedules[n].watch_wait(self.listed[n])
+        self.at(now + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
         if self.is_down(now):
             if self.how != "silent":
                 self.at(now + 1_000, "fail", n, self.numbers[n])
@@ -76,7 +76,7 @@
         self.busy = False
         while self.line and not self.is_down(now):
             came, n, number = self.line.popleft()
-            if now > came + IN_LINE:
+            if now > came + MAX_QUEUE_WAIT_US:
                 self.at(now, "fail", n, number)
             elif number == self.numbers[n]:
                 self.busy = True
@@ -87,13 +87,13 @@
         self.listed[n] = True
         if now >= self.change and not self.told[n]:
             self.told[n] = now
-        self.at(now + self.schedules[n].answered(), "call", n)
+        self.at(now + self.schedules[n].delay_after_answer(), "call", n)
         self.next(now)
 
     def fail(self, now: int, n: int) -> None:
         self.numbers[n] += 1
         self.watching.pop(n, None)
-        self.at(now + self.schedules[n].failed(now - self.began[n]), "call", n)
+        self.at(now + self.schedules[n].delay_after_failure(now - self.began[n]), "call", n)
 
     def fall(self, now: int, n: int) -> None:
         """Whoever watches, or stands in line, is reset, or hears no more."""
@@ -103,9 +103,8 @@
         for n in out:
             if self.how == "silent":
                 self.numbers[n] += 1  # what it would have been answered is lost
-                self.at(
-                    self.began[n] + self.schedules[n].patience(self.schedules[n].wait(True)), "fail", n, self.numbers[n]
-                )
+                wait = self.schedules[n].watch_wait(True)
+                self.at(self.began[n] + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
             else:
                 self.at(now, "fail", n, self.numbers[n])
 
@@ -141,12 +140,12 @@
 @pytest.mark.parametrize("count", [1, 30, 230])
 def test_a_call_begins_so_soon_after_the_last_one_that_its_turn_comes_before_its_news_is_told(count: int):
     one = CallSchedule(True, count, GRACE, random.Random(4))
-    assert max(one.first() for _ in range(100)) <= BETWEEN
-    for took in (0, 1_000, IN_LINE, one.patience(0), one.patience(one.wait(True))):
-        waits = [one.failed(took) for _ in range(40)]
-        assert max(waits) + took <= BETWEEN and max(waits) + took + IN_LINE < 5.9 * S
-    assert min(one.failed(0) for _ in range(40)) > S  # it has backed off
-    assert one.answered() == 0 < one.answered(early=True) <= BETWEEN
+    assert max(one.first_call_delay() for _ in range(100)) <= MAX_CALL_INTERVAL_US
+    for took in (0, 1_000, MAX_QUEUE_WAIT_US, one.answer_timeout(0), one.answer_timeout(one.watch_wait(True))):
+        waits = [one.delay_after_failure(took) for _ in range(40)]
+        assert max(waits) + took <= MAX_CALL_INTERVAL_US and max(waits) + took + MAX_QUEUE_WAIT_US < 5.9 * S
+    assert min(one.delay_after_failure(0) for _ in range(40)) > S  # it has backed off
+    assert one.delay_after_answer() == 0 < one.delay_after_answer(early=True) <= MAX_CALL_INTERVAL_US
 
 
 @pytest.mark.parametrize("grace", [1_000, 250_000, 500_000, 1_000_000])
@@ -155,11 +154,11 @@
     """STANDING.md: told 6 s after the silence began, or 2 s after the call's wait is over, whichever is later. At a
     shared service the new call may stand 2 s in line."""
     one = CallSchedule(shared, 200, grace, random.Random(5))
-    wait = one.wait(True)
+    wait = one.watch_wait(True)
     told = max(6 * S, wait + 2 * S)  # silent from the call's first moment on
-    noticed = one.unanswered(wait) or one.patience(wait)
+    noticed = one.overlap_delay(wait) or one.answer_timeout(wait)
     assert wait + 300_000 <= noticed <= wait + S
-    answered = noticed + (one.failed(noticed) + IN_LINE if shared else S // 10)
+    answered = noticed + (one.delay_after_failure(noticed) + MAX_QUEUE_WAIT_US if shared else S // 10)
     assert answered < told - S // 4
 
 
@@ -167,21 +166,22 @@
 def test_a_silent_agent_that_comes_back_with_news_is_heard_well_within_the_grace(grace: int):
     """Whether it answers what it was asked while it was silent, or only what it is asked from then on."""
     one = CallSchedule(False, 200, grace, random.Random(5))
-    assert one.wait(True) == WAIT and one.first() == 0
-    assert one.failed(100) == 0  # a connection that was reset: at once, for the agent has news all the while
+    assert one.watch_wait(True) == WATCH_WAIT_US and one.first_call_delay() == 0
+    # After a connection that was reset it is called at once, since the agent has events all the while.
+    assert one.delay_after_failure(100) == 0
     for _ in range(200):
-        assert one.wait(True) == 0  # one that may wait would not show that it is back
-        assert one.unanswered(0) <= grace // 5 and one.failed(100) <= grace // 5
-        assert one.patience(0) > 500_000  # a slow answer is not given up for the next call
-    one.answered()
-    assert one.wait(True) == WAIT
+        assert one.watch_wait(True) == 0  # one that may wait would not show that it is back
+        assert one.overlap_delay(0) <= grace // 5 and one.delay_after_failure(100) <= grace // 5
+        assert one.answer_timeout(0) > 500_000  # a slow answer is not given up for the next call
+    one.delay_after_answer()
+    assert one.watch_wait(True) == WATCH_WAIT_US
 
 
 def test_a_reload_that_makes_discovery_shared_spreads_the_calls_from_then_on():
     one = CallSchedule(False, 1, GRACE, random.Random(7))
     one.reconfigure(True, 40, GRACE)
-    assert max(one.first() for _ in range(50)) > 2 * S
-    assert max(one.failed(0) for _ in range(20)) > 3 * S
+    assert max(one.first_call_delay() for _ in range(50)) > 2 * S
+    assert max(one.delay_after_failure(0) for _ in range(20)) > 3 * S
 
 
 KNOWN = {"az": "north", "model": "all-in-one", "pod_group": 1, "state": "active", "capacity_hint": 1.0, "boot_ms": 0}
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -141,7 +141,7 @@
             pool,
             ("127.0.0.1", 1),
             deployment,
-            lambda whole, entries, addresses: applied.setdefault(watch.rev, loop.micros()),
+            lambda whole, entries, addresses: applied.setdefault(watch.revision, loop.micros()),
             schedule,
             {},
         )
