--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -16,80 +16,126 @@
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.platform.schedule import CallSchedule
 
-KNOWN_AFTER = 1_000_000  # how long discovery may stay silent before the list known at the start must do
+# How long after the start discovery may stay silent before the list known at the start is good enough.
+KNOWN_LIST_AFTER_US = 1_000_000
 
-SCHEDULE = 0x51  # the Router draws from the same seed: two streams that must not be one
+# Makes another seed of the node's: the Router draws from that one, and the two streams must not be the same.
+SCHEDULE_SEED_MASK = 0x51
 
 
 async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
-    """`read_anew` gives the configuration that follows the one in force."""
-    node = Node(
-        config.deployment,
-        ReplicaDialect(),
-        Limits(config.sockets, config.seed, has_admin_endpoint=config.admin is not None),
-    )
+    """Run one dispatcher until it is told to end.
+
+    `read_anew` returns the configuration that follows the one in force.
+    """
+    await PlatformDaemon(config, read_anew).run()
+
+
+class PlatformDaemon:
+    """The node, the watch of its discovery and the takeover from another process; asked when it may serve."""
+
+    def __init__(self, config: Config, read_anew: Callable[[Config], Config]) -> None:
+        self.config = config
+        self.read_anew = read_anew
+        self.node = Node(
+            config.deployment,
+            ReplicaDialect(),
+            Limits(config.sockets, config.seed, has_admin_endpoint=config.admin is not None),
+        )
+        self.schedule = _schedule(config)
+        self.watch = Watch(
+            self.node.pool,
+            config.discovery,
+            config.deployment,
+            self.node.update_endpoints,
+            self.schedule,
+            config.known,
+        )
+        self.known_list_counts_from = self.node.deadlines.clock() + KNOWN_LIST_AFTER_US
+        self.takeover: TakeoverTask | None = None
+        if config.passed is not None and config.notes:
+            self.takeover = TakeoverTask(self.node, config.notes, config.name)
+
+    async def run(self) -> None:
+        """Serve until the process is told to end, then close everything."""
+        config = self.config
+        self.watch.start()
+        door = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
+        clients = config.listen if config.passed is None else listening(config.passed)
+        await self.node.serve(
+            clients,
+            PlatformFront(self.node.dispatcher, self.is_ready, self.node.drain.refuses),
+            config.name,
+            self.reload,
+            door=door,
+            may_accept=self.may_accept,
+        )
+        if self.takeover:
+            self.takeover.end()
+        self.watch.stop()
+        self.node.close()
+
+    def has_list(self) -> bool:
+        """Whether there is an endpoint list to serve by.
+
+        The list known at the start is stale: only a discovery that stays silent makes it good enough.
+        """
+        return self.watch.has_answered or self.node.deadlines.clock() > self.known_list_counts_from
+
+    def can_serve(self) -> bool:
+        """Whether there is a list, and a replica in it that can answer."""
+        return self.has_list() and self.node.dispatcher.can_answer
+
+    def is_ready(self) -> bool:
+        """What readiness checks of the platform are answered."""
+        return self.can_serve() and not self.node.drain.away
+
+    def may_accept(self) -> bool:
+        """Whether clients may be accepted yet.
+
+        What discovery has counts as received from the process's first moment. A request taken before discovery's first
+        answer would be placed by a list of yesterday.
+        """
+        if self.takeover is None:
+            return self.has_list()
+        return self.takeover.may_accept(self.can_serve())
+
+    def reports_ready(self) -> bool:
+        """What the operators' call answers on readiness."""
+        if not (self.can_serve() and self.node.accepting):
+            return False
+        return self.takeover is None or self.takeover.reports_ready()
+
+    def reload(self) -> str:
+        """Put the next configuration in force; returns, for the log, what came of it."""
+        before = self.config
+        fresh = self.read_anew(before)
+        deployment = fresh.deployment
+        self.node.reconfigure(deployment)
+        self.schedule.reconfigure(deployment.shared_discovery, deployment.router.instances, deployment.drain_grace)
+        self.watch.deployment = deployment
+        self.config = fresh
+        if fresh.discovery != before.discovery:
+            self.watch.move(fresh.discovery)
+        return f"discovery at {fresh.discovery[0]}:{fresh.discovery[1]}{_left_for_next_start(before, fresh)}"
+
+
+def _schedule(config: Config) -> CallSchedule:
+    """The schedule of the calls to discovery. The seed is this start's own: drawn from a seed that all dispatchers
+    share, the calls that it spreads would be in step."""
     deployment = config.deployment
-    # The seed is this start's own. Danger: drawn from one that all share, what is spread would be in step.
-    schedule = CallSchedule(
+    return CallSchedule(
         deployment.shared_discovery,
         deployment.router.instances,
         deployment.drain_grace,
-        random.Random(config.seed ^ SCHEDULE),
+        random.Random(config.seed ^ SCHEDULE_SEED_MASK),
     )
-    watch = Watch(node.pool, config.discovery, deployment, node.update_endpoints, schedule, config.known)
-    known_until = node.deadlines.clock() + KNOWN_AFTER
-
-    def told() -> bool:
-        # Danger: the list known at the start is stale; only a silent discovery makes it good enough.
-        return watch.has_answered or node.deadlines.clock() > known_until
-
-    def can_serve() -> bool:
-        return told() and node.dispatcher.can_answer
-
-    def is_ready() -> bool:
-        return can_serve() and not node.drain.away
 
-    upgrade = TakeoverTask(node, config.notes, config.name) if config.passed is not None and config.notes else None
 
-    def may_accept() -> bool:
-        """Danger: what discovery has counts as told from the process's first moment. A request taken before its
-        first answer would be sent by a list of yesterday."""
-        return told() if upgrade is None else upgrade.may_accept(can_serve())
-
-    def reload() -> str:
-        nonlocal config
-        before, fresh = config, read_anew(config)
-        node.reconfigure(fresh.deployment)
-        schedule.reconfigure(
-            fresh.deployment.shared_discovery, fresh.deployment.router.instances, fresh.deployment.drain_grace
-        )
-        watch.deployment, config = fresh.deployment, fresh
-        if fresh.discovery != before.discovery:
-            watch.move(fresh.discovery)
-        later = for_next_start(
-            ("name", before.name, fresh.name),
-            ("listen", before.listen, fresh.listen),
-            ("limits.sockets", before.sockets, fresh.sockets),
-            ("admin_addr", before.admin, fresh.admin),
-        )
-        return f"discovery at {fresh.discovery[0]}:{fresh.discovery[1]}{later}"
-
-    watch.start()
-
-    def says_yes() -> bool:
-        return can_serve() and node.accepting and (upgrade is None or upgrade.reports_ready())
-
-    door = (config.admin, AdminEndpoint(Operations(node, says_yes))) if config.admin else None
-    clients = config.listen if config.passed is None else listening(config.passed)
-    await node.serve(
-        clients,
-        PlatformFront(node.dispatcher, is_ready, node.drain.refuses),
-        config.name,
-        reload,
-        door=door,
-        may_accept=may_accept,
+def _left_for_next_start(before: Config, fresh: Config) -> str:
+    return for_next_start(
+        ("name", before.name, fresh.name),
+        ("listen", before.listen, fresh.listen),
+        ("limits.sockets", before.sockets, fresh.sockets),
+        ("admin_addr", before.admin, fresh.admin),
     )
-    if upgrade:
-        upgrade.end()
-    watch.stop()
-    node.close()
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -1,10 +1,8 @@
-"""The thin front: the platform's request headers in, the core's answers out."""
+"""The platform's front end: requests of its clients in, the core's answers out."""
 
 from __future__ import annotations
 
-import hashlib
 import json
-import re
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
@@ -13,19 +11,17 @@
 from pearhill.core.request import Request, RequestSpec
 from pearhill.http1.handler import Pending, Reply
 from pearhill.http1.messages import Headers, RequestMessage
+from pearhill.platform.request_parser import BadRequestError, RequestParser
 
 COMPLETIONS_PATH = "/v1/chat/completions"
-NETWORK_ALLOWANCE_US = 10_000  # microseconds kept back from the client's time, for the way here and back
-MAX_TIMEOUT_US = 600_000_000
-_ID = re.compile(r"[\x21-\x7e]{1,128}")
+READY_PATH = "/ready"
+COUNTERS_PATH = "/counters"
+ALLOWED_METHODS = {COMPLETIONS_PATH: "POST", READY_PATH: "GET", COUNTERS_PATH: "GET"}
 TEXT_HEADERS: Headers = (("Content-Type", "text/plain"),)
+JSON_HEADERS: Headers = (("Content-Type", "application/json"),)
 EVENT_STREAM_HEADERS: Headers = (("Content-Type", "text/event-stream"), ("Cache-Control", "no-store"))
 
 
-class BadRequestError(Exception):
-    """A request that cannot be read; the text is for its client."""
-
-
 @dataclass(frozen=True, slots=True)
 class Payload:
     """What a replica gets of the request, unchanged."""
@@ -38,190 +34,158 @@
     idempotency_key: str = ""  # by it the replicas discard a repeat
 
 
-def retry_after_headers(micros: int) -> Headers:
-    return (("Retry-After", f"{micros / 1e6:.3f}"),) if micros > 0 else ()
-
-
-def affinity_key(text: str) -> int:
-    """A conversation or opening as a number, the same at every dispatcher; 0 where there is none."""
-    if not text:
-        return 0
-    if len(text) <= 16 and re.fullmatch(r"[0-9a-fA-F]+", text):
-        return int(text, 16)
-    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest())
-
-
-def _number(name: str, text: str) -> int:
-    if not re.fullmatch(r"[0-9]{1,10}", text):
-        raise BadRequestError(f"{name} must be a whole number")
-    return int(text)
+def retry_after_headers(delay: int) -> Headers:
+    """Retry-After for a delay in microseconds; none where there is no delay."""
+    return (("Retry-After", f"{delay / 1e6:.3f}"),) if delay > 0 else ()
 
 
 class PlatformClient:
-    """The core's view of one client of the platform."""
+    """The core's view of one client of the platform. `on_end` is called when its request is over."""
 
-    def __init__(self, dispatcher: Dispatcher, reply: Reply, on_over: Callable[[], None]) -> None:
-        self.dispatcher, self.reply, self.on_end = dispatcher, reply, on_over
+    def __init__(self, dispatcher: Dispatcher, reply: Reply, on_end: Callable[[], None]) -> None:
+        self.dispatcher = dispatcher
+        self.reply = reply
+        self.on_end = on_end
         self.request: Request | None = None
         self.started = False
 
-    def _over(self) -> None:
-        """Client and request hold each other, and the body, until the collector comes."""
+    def _end(self) -> None:
+        """Let go of the request: the two hold each other, and the body, until the garbage collector runs."""
         self.request = None
         self.on_end()
 
-    def reject(self, stay_away: int) -> None:
-        self._over()
-        self.reply.answer(503, (*TEXT_HEADERS, *retry_after_headers(stay_away)), b"refused: trying again is harmless\n")
+    def reject(self, retry_after: int) -> None:
+        """Answer that nothing was executed; `retry_after` is microseconds."""
+        self._end()
+        headers = (*TEXT_HEADERS, *retry_after_headers(retry_after))
+        self.reply.answer(503, headers, b"refused: trying again is harmless\n")
 
     def fail(self) -> None:
-        self._over()
+        """Answer that the request failed and may have been executed."""
+        self._end()
         self.reply.answer(500, TEXT_HEADERS, b"failed\n")
 
-    def decline(self, said: Any) -> None:
-        """The platform's replicas have no such answer; were there one, nothing would be promised."""
+    def decline(self, replica_error: Any) -> None:
+        """Fail. The platform's replicas have no such answer; were there one, nothing would be promised."""
         self.fail()
 
     async def forward(self, data: bytes) -> None:
+        """Pass on a piece of the stream; the first one begins the answer."""
         if not self.started:
             self.started = True
             self.reply.start(200, EVENT_STREAM_HEADERS)
         await self.reply.write(data)
 
     def finish(self) -> None:
-        self._over()
+        """End the answer: it is complete."""
+        self._end()
         self.reply.finish()
 
     def abort(self) -> None:
-        self._over()
+        """Break the answer off: it is truncated."""
+        self._end()
         self.reply.abort()
 
     def has_disconnected(self) -> bool:
+        """Whether the client has gone, seen now."""
         return self.reply.has_disconnected()
 
     def left(self) -> None:
+        """The client has disconnected."""
         request = self.request
-        self._over()
+        self._end()
         if request:
             self.dispatcher.disconnect(request)
 
 
 class PlatformFront:
-    """`refuses`: whether a request that was read at this time is to be refused, since the process ends."""
+    """Answers the platform's calls.
+
+    `is_refused`: whether a request that was read at this time is to be rejected, since the process ends.
+    """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         is_ready: Callable[[], bool],
-        refuses: Callable[[int], bool] = lambda arrived: False,
+        is_refused: Callable[[int], bool] = lambda arrived: False,
     ) -> None:
-        self.dispatcher, self.is_ready, self.is_refused = dispatcher, is_ready, refuses
+        self.dispatcher = dispatcher
+        self.is_ready = is_ready
+        self.is_refused = is_refused
         self.open_ids: set[str] = set()
-        names = dispatcher.deployment.class_names
-        self._classes = {name: k for k, name in enumerate(names)}
-        self._tenants = {name: k for k, name in enumerate(dispatcher.deployment.tenant_names)}
+        self._parser = RequestParser(dispatcher.deployment.class_names, dispatcher.deployment.tenant_names)
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        path, method, counters = message.path, message.method, self.dispatcher.counters
-        if path == "/ready" and method == "GET":
+        """Answer a call, or begin a request and return its client. None: it is answered already."""
+        path = message.path
+        method = message.method
+        if path == COMPLETIONS_PATH and method == "POST":
+            return self._begin(message, reply)
+        if path == READY_PATH and method == "GET":
             ready = self.is_ready()
             reply.answer(200 if ready else 503, TEXT_HEADERS, b"ready\n" if ready else b"not ready\n")
-        elif path == "/counters" and method == "GET":
-            reply.answer(200, (("Content-Type", "application/json"),), json.dumps(counters.as_dict()).encode())
-        elif path != COMPLETIONS_PATH or method != "POST":
-            counters.rejected += 1
-            known = {COMPLETIONS_PATH: "POST", "/ready": "GET", "/counters": "GET"}.get(path)
-            reply.answer(
-                405 if known else 404, (*TEXT_HEADERS, ("Allow", known)) if known else TEXT_HEADERS, b"no such call\n"
-            )
+        elif path == COUNTERS_PATH and method == "GET":
+            reply.answer(200, JSON_HEADERS, json.dumps(self.dispatcher.counters.as_dict()).encode())
         else:
-            return self._take(message, reply)
+            self._answer_unknown(path, reply)
         return None
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
+        """Headers and body for input that was rejected before it became a request."""
         return TEXT_HEADERS, f"{why}\n".encode()
 
-    def _take(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        dispatcher = self.dispatcher
+    def _answer_unknown(self, path: str, reply: Reply) -> None:
+        self.dispatcher.counters.rejected += 1
+        allowed = ALLOWED_METHODS.get(path)
+        if allowed:
+            reply.answer(405, (*TEXT_HEADERS, ("Allow", allowed)), b"no such call\n")
+        else:
+            reply.answer(404, TEXT_HEADERS, b"no such call\n")
+
+    def _begin(self, message: RequestMessage, reply: Reply) -> Pending | None:
+        """Hand a request to the core. None: it has been answered already."""
         try:
-            id, ask = self._read(message)
+            spec = self._parser.parse(message)
         except BadRequestError as e:
-            dispatcher.counters.rejected += 1
+            self.dispatcher.counters.rejected += 1
             reply.reject(400, TEXT_HEADERS, f"{e}\n".encode())
             return None
-        if id in self.open_ids:  # Two requests of one id could not be told apart at a replica.
-            dispatcher.counters.rejected += 1
-            reply.reject(409, TEXT_HEADERS, b"a request with this Request-Id is open\n")
-            return None
-        if len(dispatcher.requests) >= dispatcher.deployment.most_held:
-            dispatcher.record_rejection(ask.request_class)
-            reply.answer(
-                503,
-                (*TEXT_HEADERS, *retry_after_headers(dispatcher.deployment.router.max_retry_after)),
-                b"too many open\n",
-            )
-            return None
-        if message.arrived is not None and self.is_refused(message.arrived):
-            dispatcher.record_rejection(ask.request_class, "ending")
-            reply.answer(
-                503,
-                (*TEXT_HEADERS, *retry_after_headers(0)),
-                b"this process ends: trying again elsewhere is harmless\n",
-            )
+        if self._rejected(spec, message.arrived, reply):
             return None
-        self.open_ids.add(id)
-        client = PlatformClient(dispatcher, reply, lambda: self.open_ids.discard(id))
-        payload = Payload(
-            id,
-            message.method,
-            message.target,
-            message.body,
-            message.headers.get("content-type", "application/json"),
-            message.headers.get("idempotency-key", ""),
-        )
-        request = dispatcher.accept(ask, client, payload, message.arrived)
+        request_id = spec.id
+        self.open_ids.add(request_id)
+        client = PlatformClient(self.dispatcher, reply, lambda: self.open_ids.discard(request_id))
+        request = self.dispatcher.accept(spec, client, _payload(request_id, message), message.arrived)
         client.request = None if request.answered else request
         return client
 
-    def _read(self, message: RequestMessage) -> tuple[str, RequestSpec]:
-        headers = message.headers
-        for name in ("Request-Id", "Request-Class", "Request-Timeout-Ms"):
-            if not headers.get(name.lower()):
-                raise BadRequestError(f"{name} is missing")
-        id = headers["request-id"]
-        if not _ID.fullmatch(id):
-            raise BadRequestError("Request-Id is malformed")
-        cls = self._classes.get(headers["request-class"])
-        if cls is None:
-            raise BadRequestError("Request-Class is unknown")
-        ttl = _number("Request-Timeout-Ms", headers["request-timeout-ms"]) * 1000
-        if not 0 < ttl <= MAX_TIMEOUT_US:
-            raise BadRequestError("Request-Timeout-Ms is out of range")
-        try:
-            body = json.loads(message.body)
-        except (ValueError, RecursionError):
-            raise BadRequestError("the body is no JSON") from None
-        if not isinstance(body, dict):
-            raise BadRequestError("the body is no JSON object")
-        info: dict[str, str] = {}
-        for part in filter(None, (p.strip() for p in headers.get("request-info", "").split(","))):
-            name, equals, value = part.partition("=")
-            if not equals:
-                raise BadRequestError("Request-Info is malformed")
-            info[name.strip()] = value.strip()
-        prompt = _number("prompt_len", info.get("prompt_len", str(len(message.body) // 4)))
-        max_out = _number("max_out", info.get("max_out", "0"))
-        tenant = self._tenants.get(headers.get("tenant", ""), 0)
-        return id, RequestSpec(
-            cls,
-            max(1, ttl - NETWORK_ALLOWANCE_US),
-            prompt,
-            max_out,
-            session=affinity_key(headers.get("affinity-key", "")),
-            prefix=affinity_key(info.get("prefix", "")),
-            prefix_tokens=_number("prefix_len", info.get("prefix_len", "0")),
-            tenant=tenant,
-            is_retry=headers.get("client-retry") == "1",
-            resumed=headers.get("client-retry") == "again",
-            id=id,
-        )
+    def _rejected(self, spec: RequestSpec, arrived: int | None, reply: Reply) -> bool:
+        """Whether a request may not be begun; it is answered then."""
+        dispatcher = self.dispatcher
+        if spec.id in self.open_ids:  # Two requests of one id could not be told apart at a replica.
+            dispatcher.counters.rejected += 1
+            reply.reject(409, TEXT_HEADERS, b"a request with this Request-Id is open\n")
+            return True
+        if len(dispatcher.requests) >= dispatcher.deployment.most_held:
+            dispatcher.record_rejection(spec.request_class)
+            retry_after = retry_after_headers(dispatcher.deployment.router.max_retry_after)
+            reply.answer(503, (*TEXT_HEADERS, *retry_after), b"too many open\n")
+            return True
+        if arrived is not None and self.is_refused(arrived):
+            dispatcher.record_rejection(spec.request_class, "ending")
+            reply.answer(503, TEXT_HEADERS, b"this process ends: trying again elsewhere is harmless\n")
+            return True
+        return False
+
+
+def _payload(request_id: str, message: RequestMessage) -> Payload:
+    headers = message.headers
+    return Payload(
+        request_id,
+        message.method,
+        message.target,
+        message.body,
+        headers.get("content-type", "application/json"),
+        headers.get("idempotency-key", ""),
+    )
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -1,4 +1,4 @@
-"""What is said to the platform's replicas."""
+"""The dialect of the platform's replicas: the requests to them, and their load reports and streams."""
 
 from __future__ import annotations
 
@@ -11,25 +11,30 @@
 from pearhill.platform.front import Payload
 
 HOST = "app.svc"
-USAGE_TAIL_BYTES = 512  # bytes at the end of a stream in which its usage stands
+USAGE_TAIL_BYTES = 512  # at the end of a stream, in which its usage stands
+STATUSES_WITH_LOAD = (200, 503)  # a replica that is not ready reports its load all the same
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
-_KEPT = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
+_CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
 def parse_load_report(report: str) -> tuple[float, float] | None:
-    """The memory share and the thousands of tokens waiting, out of a load report. None: it lacks one, or is torn, or
-    says something twice, and may be wrong throughout."""
+    """The memory utilization and the thousands of tokens that wait, out of a load report.
+
+    None: the report lacks one of them, is torn, or repeats a value, and may be wrong throughout.
+    """
     values: dict[str, float] = {}
     for part in report.strip().split(","):
         name, equals, value = part.strip().partition("=")
         if not equals or name in values or not _NUMBER.fullmatch(value):
             return None
         values[name] = float(value)
-    return (values["x0"], values["x1"]) if "x0" in values and "x1" in values else None
+    if "x0" not in values or "x1" not in values:
+        return None
+    return values["x0"], values["x1"]
 
 
 class ReplicaStream:
-    """Its events are passed on as they come, byte for byte; only the usage near its end is read."""
+    """One stream. Its events are passed on as they come, byte for byte; only the usage near its end is read."""
 
     def __init__(self) -> None:
         self._tail = b""
@@ -37,15 +42,20 @@
 
     @property
     def cached_tokens(self) -> int:
-        found = _KEPT.findall(self._tail)
+        """Prompt tokens that the replica found cached, as far as the stream has reported."""
+        found = _CACHED_TOKENS.findall(self._tail)
         return int(found[-1]) if found else 0
 
     @property
     def whole(self) -> bool:
-        return False  # the platform's streams are whole with their last chunk, and not before
+        """Whether nothing is missing: the platform's streams are complete with their last chunk, and not before."""
+        return False
 
     def feed(self, data: bytes) -> bytes:
-        # Danger: a stream may be spoilt in the middle of an event. Only whole ones go on.
+        """The complete events to pass on now: a stream may break off in the middle of one.
+
+        MalformedResponseError: these are no events.
+        """
         try:
             ready = b"".join(event.raw for event in self._parser.feed(data))
         except BadEvents as e:
@@ -54,34 +64,45 @@
         return ready
 
     def ends_well(self) -> bool:
+        """Whether the last chunk may come here."""
         return self._parser.between_events
 
 
 class ReplicaDialect:
-    def request(self, payload: Payload, engine: int, wait_ms: int) -> bytes:
+    """What is written to the platform's replicas, and what their answers mean."""
+
+    def request(self, payload: Payload, replica: int, wait_ms: int) -> bytes:
+        """The request of one attempt; `wait_ms` is the time that is left to it."""
         headers = [
             ("Request-Id", payload.id),
             ("Request-Timeout-Ms", str(wait_ms)),
             ("Content-Type", payload.content_type),
         ]
-        if payload.idempotency_key:  # Danger: without it a repeat of a keyed request runs twice.
+        if payload.idempotency_key:  # without it a repeat of an idempotent request would run twice
             headers.append(("Idempotency-Key", payload.idempotency_key))
         return messages.request(payload.method, payload.target, HOST, headers, payload.body)
 
-    def release(self, payload: Payload, engine: int) -> bytes:
+    def release(self, payload: Payload, replica: int) -> bytes:
+        """The call that releases the state of a request."""
         return messages.request("DELETE", f"/state/{payload.id}", HOST)
 
     def health_check(self) -> bytes:
+        """The call for a load report."""
         return messages.request("GET", "/status/load", HOST)
 
     def load(self, status: int, body: bytes) -> tuple[float, float] | None:
-        return parse_load_report(body.decode("latin-1")) if status in (200, 503) else None
+        """What a health check reports (see `parse_load_report`). None: nothing that can be used."""
+        if status not in STATUSES_WITH_LOAD:
+            return None
+        return parse_load_report(body.decode("latin-1"))
 
     def stream(self, payload: Payload) -> ReplicaStream:
+        """A reader for the stream that answers this request."""
         return ReplicaStream()
 
     def accepts(self, headers: Mapping[str, str]) -> bool:
+        """Whether the body of a 200 with these headers is a stream: the platform's always is."""
         return True
 
     def verdict(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
-        """Nothing beyond the protocol's own words."""
+        """What another status means: nothing beyond the protocol's own rules."""
--- /dev/null
+++ b/pearhill/platform/request_parser.py
@@ -0,0 +1,115 @@
+"""The platform's request headers and body, read into what the core is told of a request."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import re
+from collections.abc import Mapping, Sequence
+
+from pearhill.core.request import RequestSpec
+from pearhill.http1.messages import RequestMessage
+
+NETWORK_ALLOWANCE_US = 10_000  # kept back from the client's time, for the way here and back
+MAX_TIMEOUT_US = 600_000_000
+MAX_HEX_KEY_DIGITS = 16  # of an affinity key that is a 64-bit number already
+KEY_BYTES = 8
+BYTES_PER_TOKEN = 4  # estimates a prompt's length where the client does not tell it
+REQUIRED_HEADERS = ("Request-Id", "Request-Class", "Request-Timeout-Ms")
+_REQUEST_ID = re.compile(r"[\x21-\x7e]{1,128}")
+
+
+class BadRequestError(Exception):
+    """A request that cannot be read; the text is for its client."""
+
+
+def affinity_key(text: str) -> int:
+    """A conversation or prompt prefix as a number, the same at every dispatcher; 0 where there is none."""
+    if not text:
+        return 0
+    if len(text) <= MAX_HEX_KEY_DIGITS and re.fullmatch(r"[0-9a-fA-F]+", text):
+        return int(text, 16)
+    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=KEY_BYTES).digest())
+
+
+class RequestParser:
+    """Reads requests by the names of classes and tenants in the settings."""
+
+    def __init__(self, class_names: Sequence[str], tenant_names: Sequence[str]) -> None:
+        self._classes = {name: k for k, name in enumerate(class_names)}
+        self._tenants = {name: k for k, name in enumerate(tenant_names)}
+
+    def parse(self, message: RequestMessage) -> RequestSpec:
+        """The request's facts. BadRequestError: the first of its faults."""
+        headers = message.headers
+        request_id = _request_id(headers)
+        request_class = self._classes.get(headers["request-class"])
+        if request_class is None:
+            raise BadRequestError("Request-Class is unknown")
+        timeout = _timeout(headers)
+        _check_body(message.body)
+        info = _request_info(headers.get("request-info", ""))
+        prompt = _number("prompt_len", info.get("prompt_len", str(len(message.body) // BYTES_PER_TOKEN)))
+        max_out = _number("max_out", info.get("max_out", "0"))
+        client_retry = headers.get("client-retry")
+        return RequestSpec(
+            request_class,
+            max(1, timeout - NETWORK_ALLOWANCE_US),
+            prompt,
+            max_out,
+            session=affinity_key(headers.get("affinity-key", "")),
+            prefix=affinity_key(info.get("prefix", "")),
+            prefix_tokens=_number("prefix_len", info.get("prefix_len", "0")),
+            tenant=self._tenants.get(headers.get("tenant", ""), 0),
+            is_retry=client_retry == "1",
+            resumed=client_retry == "again",
+            id=request_id,
+        )
+
+
+def _request_id(headers: Mapping[str, str]) -> str:
+    """The request's id, once all headers that a request needs are there."""
+    for name in REQUIRED_HEADERS:
+        if not headers.get(name.lower()):
+            raise BadRequestError(f"{name} is missing")
+    request_id = headers["request-id"]
+    if not _REQUEST_ID.fullmatch(request_id):
+        raise BadRequestError("Request-Id is malformed")
+    return request_id
+
+
+def _timeout(headers: Mapping[str, str]) -> int:
+    """The client's time in microseconds."""
+    timeout = _number("Request-Timeout-Ms", headers["request-timeout-ms"]) * 1000
+    if not 0 < timeout <= MAX_TIMEOUT_US:
+        raise BadRequestError("Request-Timeout-Ms is out of range")
+    return timeout
+
+
+def _check_body(data: bytes) -> None:
+    try:
+        body = json.loads(data)
+    except (ValueError, RecursionError):
+        raise BadRequestError("the body is no JSON") from None
+    if not isinstance(body, dict):
+        raise BadRequestError("the body is no JSON object")
+
+
+def _request_info(text: str) -> dict[str, str]:
+    """The pairs of Request-Info: `name=value`, separated by commas; empty parts do not count."""
+    info: dict[str, str] = {}
+    for part in text.split(","):
+        stripped = part.strip()
+        if not stripped:
+            continue
+        name, equals, value = stripped.partition("=")
+        if not equals:
+            raise BadRequestError("Request-Info is malformed")
+        info[name.strip()] = value.strip()
+    return info
+
+
+def _number(name: str, text: str) -> int:
+    if not re.fullmatch(r"[0-9]{1,10}", text):
+        raise BadRequestError(f"{name} must be a whole number")
+    return int(text)
