--- a/pearhill/bill/statement.py
+++ b/pearhill/bill/statement.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, fields
 
 from pearhill.budgets import charges as c
-from pearhill.budgets.limits import month_name, month_of
+from pearhill.budgets.periods import month_name, month_of
 from pearhill.durable.journal import frames_of
 
 
@@ -28,14 +28,14 @@
     milli: int = 0
 
     def add(self, charge: c.Charge) -> None:
-        if charge.outcome == c.REFUSED:
+        if charge.outcome == c.REJECTED:
             self.refused += charge.count
             return
         self.requests += 1
         self.prompt += charge.prompt
         self.cached += charge.cached
         self.answer += charge.answer
-        self.failed += charge.outcome in (c.FAILED, c.BROKEN)
+        self.failed += charge.outcome in (c.FAILED, c.TRUNCATED)
         self.debt += charge.debt
         self.milli += charge.milli
 
@@ -78,4 +78,4 @@
 
 def read_folder(folder: pathlib.Path) -> list[c.Charge]:
     """Every charge of a journal, once each. Corrupt, OSError, ValueError: it cannot be read."""
-    return [c.unpack(one.body) for one in frames_of(folder)]
+    return [c.decode_charge(one.body) for one in frames_of(folder)]
--- a/pearhill/budgets/__init__.py
+++ b/pearhill/budgets/__init__.py
@@ -1,25 +1,18 @@
 """Token budgets: who may spend how much, counted and enforced. No I/O; every call is told the time."""
 
 from pearhill.budgets.budgets import Budgets
-from pearhill.budgets.limits import (
-    AdmissionDecision,
-    AdmissionStatus,
-    Limit,
-    Plan,
-    Prices,
-    Reservation,
-    TenantPlan,
-    Usage,
-)
+from pearhill.budgets.limits import Limit, Plan, Prices, TenantPlan
+from pearhill.budgets.reservation import AdmissionDecision, Reservation, Usage
+from pearhill.routing.events import AdmissionStatus
 
 __all__ = [
+    "AdmissionDecision",
     "AdmissionStatus",
     "Budgets",
     "Limit",
     "Plan",
     "Prices",
     "Reservation",
-    "AdmissionDecision",
     "TenantPlan",
     "Usage",
 ]
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -6,360 +6,367 @@
 from dataclasses import replace
 from typing import Any
 
+from pearhill.budgets.admission import Path, over_rate, refill_and_bound, rejection
 from pearhill.budgets.burst import BurstCapacity
-from pearhill.budgets.estimate import Answers
+from pearhill.budgets.estimate import AnswerLengths
 from pearhill.budgets.level import BudgetLevel
-from pearhill.budgets.limits import (
-    DAY,
-    GRAINS,
-    MILLI,
-    AdmissionDecision,
-    AdmissionStatus,
-    Limit,
-    Plan,
-    Reservation,
-    TenantPlan,
-    Usage,
-    periods,
-)
+from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN, NO_LIMIT, Limit, Plan, TenantPlan
+from pearhill.budgets.periods import periods
+from pearhill.budgets.reservation import AdmissionDecision, Reservation, Usage
+from pearhill.routing.events import AdmissionStatus
 from pearhill.structures.heavy_hitters import HeavyHitter, HeavyHitters
 
-TICK = 10_000_000  # microseconds between looks for what may be forgotten
-LOOK = 500  # nodes that one tick looks at: bounded work, whatever their number
-PATHS = 4_096  # look-ups that are remembered
-OPEN_WAIT = 1_000_000  # after which an open request may have ended
-HITTERS, SAMPLED = 64, 7  # places of the sketch; it is shown one arrival in eight
+TICK_INTERVAL_US = 10_000_000  # between looks for what may be forgotten, once one index has been looked through
+BUSY_TICK_INTERVAL_US = 100_000  # while it has not
+MAX_LEVELS_PER_TICK = 500  # bounds the work of one tick, whatever the number of levels
+MAX_CACHED_PATHS = 4_096
+SKETCH_SIZE = 64  # keys of the heavy-hitter sketch
+SAMPLE_MASK = 7  # the sketch is shown one arrival in eight
+STATE_VERSION = 1
+GRAINS_PER_TOKEN = MILLI_PER_TOKEN * GRAINS_PER_MILLI
 
 Index = dict[Any, BudgetLevel]
 
 
 class Budgets:
-    """All balances of one instance. Times: `now` in microseconds that never go back by much, `wall` in seconds of the
-    calendar. Every call does a bounded amount of work."""
+    """All balances of one instance.
+
+    Times: `now` in microseconds that never go back by much, `wall` in seconds of the calendar. Every call does a
+    bounded amount of work, but for `reconfigure`, `state` and `restore`, which go through all levels.
+    """
 
     def __init__(self, plan: Plan, now: int) -> None:
         self.plan = plan
         self.accounts: Index = {}
         self.tenants: Index = {}
         self.keys: Index = {}  # by (tenant, key): a key that moves to another tenant begins anew there
-        self.answers: dict[str, Answers] = {}
-        self.open: dict[int, Reservation] = {}
-        self.spare = BurstCapacity(plan.capacity, plan.capacity_burst, now)
-        self.hitters: HeavyHitters[str] = HeavyHitters(HITTERS)
-        self._paths: dict[
-            tuple[str, str], tuple[TenantPlan, tuple[BudgetLevel, ...]]
-        ] = {}  # what was looked up of late
-        self._next, self._due, self._asked = 1, now + TICK, 0
-        self._sweep: list[Any] = []  # keys of the index that is being looked through
-        self._swept = 0  # which of the three that is
-        self._last, self._wall = (0, 0), -1  # the latest period seen, and when it was looked for
+        self.answer_lengths: dict[str, AnswerLengths] = {}
+        self.reservations: dict[int, Reservation] = {}
+        self.burst_capacity = BurstCapacity(plan.capacity, plan.capacity_burst, now)
+        self.heavy_hitters: HeavyHitters[str] = HeavyHitters(SKETCH_SIZE)
+        self._paths: dict[tuple[str, str], tuple[TenantPlan, Path]] = {}  # cached, by tenant and key
+        self._next_number = 1
+        self._arrivals = 0
+        self._tick_due = now + TICK_INTERVAL_US
+        self._sweep_keys: list[Any] = []  # keys of the index that is being looked through
+        self._swept_index = 0  # which of the three that is
+        self._period = (0, 0)  # the latest day and month seen
+        self._period_wall = -1  # the time for which that was looked up
 
     # Levels.
 
-    def _node(self, index: Index, key: Any, limit: Limit, now: int) -> BudgetLevel:
-        node = index.get(key)
-        if node is None:
-            node = index[key] = BudgetLevel(key if isinstance(key, str) else key[1], limit, now)
-        return node
+    def _level(self, index: Index, key: Any, limit: Limit, now: int) -> BudgetLevel:
+        level = index.get(key)
+        if level is None:
+            level = index[key] = BudgetLevel(key if isinstance(key, str) else key[1], limit, now)
+        return level
 
-    def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, tuple[BudgetLevel, ...]]:
+    def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, Path]:
+        """The plan and the levels of a key, cached from now on."""
         plan = self.plan.tenants.get(tenant) or self.plan.default
-        if len(self._paths) >= PATHS:
+        if len(self._paths) >= MAX_CACHED_PATHS:
             self._paths.clear()
         found = self._paths[tenant, key] = plan, self._path(tenant, key, plan, now)
         return found
 
-    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> tuple[BudgetLevel, ...]:
-        """The tenant first, then whatever else bounds it."""
-        nodes = [self._node(self.tenants, tenant, plan.limit, now)]
+    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> Path:
+        """The tenant's level first, then whatever else bounds it."""
+        levels = [self._level(self.tenants, tenant, plan.limit, now)]
         if plan.account:
-            nodes.append(self._node(self.accounts, plan.account, self.plan.accounts[plan.account], now))
-        if key and plan.key_limit != _NONE:
-            nodes.append(self._node(self.keys, (tenant, key), plan.key_limit, now))
-        return tuple(nodes)
+            levels.append(self._level(self.accounts, plan.account, self.plan.accounts[plan.account], now))
+        if key and plan.key_limit != NO_LIMIT:
+            levels.append(self._level(self.keys, (tenant, key), plan.key_limit, now))
+        return tuple(levels)
+
+    def _indexes(self, plan: Plan) -> tuple[tuple[str, Index, Callable[[Any], Limit]], ...]:
+        """All levels by sort: the sort's name in the state, its index, and the limit that a plan has for a key."""
+        return (
+            ("tenants", self.tenants, lambda name: plan.tenant(name).limit),
+            ("accounts", self.accounts, lambda name: plan.accounts.get(name, NO_LIMIT)),
+            ("keys", self.keys, lambda key: plan.tenant(key[0]).key_limit),
+        )
 
     # Admission.
 
     def admit(
         self, now: int, wall: int, tenant: str, key: str, prompt: int, most: int, hint: int = 0
     ) -> AdmissionDecision:
-        """How a request stands, and its reservation where it may be sent. `prompt` and `most` (its longest answer) are
-        tokens; `hint` is how long its answer is likely to be, where somebody knows."""
+        """Whether a request may be sent, and its reservation if so.
+
+        `prompt` and `most` (its longest answer) are tokens; `hint` is how long its answer is likely to be, where that
+        is known.
+        """
         plan, path = self._paths.get((tenant, key)) or self._find(tenant, key, now)
-        prices, history = self.plan.prices, self.answers.get(tenant)
-        likely = (hint if hint < most else most) if hint else history.likely(most) if history else most
-        amount, worst = prompt * MILLI + likely * prices.answer, prompt * MILLI + most * prices.answer
-        day, month = self._last if wall == self._wall else self.period(wall)
-        for node in path:  # written out: at this place a call costs as much as what it does
-            if now > node.at:
-                if node.rate:
-                    level = node.level + node.rate * (now - node.at)
-                    node.level = level if level < node.cap else node.cap
-                node.at = now
-            if day != node.day:
-                node.turn(day, month)
-            if node.rate and worst - amount > node.debt - node.exposure:
-                amount = worst - max(0, node.debt - node.exposure)
-        self._asked += 1
-        if self._asked & SAMPLED == 0:
-            self.hitters.add(tenant, amount * (SAMPLED + 1))
-        grains, wait = amount * GRAINS, 0
-        for node in path:
-            short = node.rate and node.level < grains
-            if (
-                short
-                or node.open >= node.max_open
-                or node.day_used + amount > node.day_cap
-                or node.month_used + amount > node.month_cap
-            ) and (standing := _spent(node, amount, worst, wall, day)):
-                return standing
-            if short and (later := node.wait_for(amount)):
-                if node is not path[0]:
-                    return AdmissionDecision(AdmissionStatus.OVER_LIMIT, later, f"{node.name}: tokens a minute")
-                wait = later
-        borrows = False
+        answer_price = self.plan.prices.answer
+        prompt_cost = prompt * MILLI_PER_TOKEN
+        worst = prompt_cost + most * answer_price
+        day, month = self._period if wall == self._period_wall else self.current_period(wall)
+        expected = prompt_cost + self._expected_answer(tenant, most, hint) * answer_price
+        amount = refill_and_bound(path, now, day, month, expected, worst)
+        self._arrivals += 1
+        if self._arrivals & SAMPLE_MASK == 0:
+            self.heavy_hitters.add(tenant, amount * (SAMPLE_MASK + 1))
+        rejected = rejection(path, amount, worst, wall, day)
+        if rejected:
+            return rejected
+        own = path[0]
+        wait = own.time_until(amount) if own.rate and own.balance < amount * GRAINS_PER_MILLI else 0
         if wait:
-            if not (plan.weight and self.spare.rate):
-                return AdmissionDecision(AdmissionStatus.OVER_LIMIT, wait, f"{path[0].name}: tokens a minute")
-            self.spare.refill(now)
-            if later := self.spare.borrow(now, tenant, plan.weight, amount):
-                return AdmissionDecision(
-                    AdmissionStatus.OVER_LIMIT,
-                    min(wait, later),
-                    f"{path[0].name}: tokens a minute, and nothing is spare",
-                )
-            borrows = True
-        elif self.spare.rate:
-            self.spare.refill(now)
-            self.spare.guaranteed(amount)
-        number = self._next
-        self._next = number + 1
-        made = self.open[number] = Reservation(
-            number, tenant, key, plan.account, amount, worst, borrows, day, month, path
-        )
+            rejected = self._borrow(now, tenant, plan.weight, amount, own, wait)
+            if rejected:
+                return rejected
+        elif self.burst_capacity.rate:
+            self.burst_capacity.refill(now)
+            self.burst_capacity.take_guaranteed(amount)
+        status = AdmissionStatus.BURST if wait else AdmissionStatus.WITHIN_LIMIT
+        made = self._reserve(tenant, key, plan.account, amount, worst, wait > 0, path)
+        return AdmissionDecision(status, reservation=made)
+
+    def _expected_answer(self, tenant: str, most: int, hint: int) -> int:
+        """Tokens to reserve for the answer: by the hint, else by the tenant's history, else the most."""
+        if hint:
+            return hint if hint < most else most
+        history = self.answer_lengths.get(tenant)
+        return history.expected(most) if history else most
+
+    def _borrow(
+        self, now: int, tenant: str, weight: float, amount: int, own: BudgetLevel, wait: int
+    ) -> AdmissionDecision | None:
+        """Take out of burst capacity what the tenant's own bucket has only after `wait`. None: it is taken."""
+        if not (weight and self.burst_capacity.rate):
+            return over_rate(own, wait)
+        self.burst_capacity.refill(now)
+        burst_wait = self.burst_capacity.borrow(now, tenant, weight, amount)
+        if burst_wait:
+            return over_rate(own, min(wait, burst_wait), "tokens a minute, and nothing is spare")
+        return None
+
+    def _reserve(
+        self, tenant: str, key: str, account: str, amount: int, worst: int, is_burst: bool, path: Path
+    ) -> Reservation:
+        """Take an amount out of all levels, in the period in force."""
+        number = self._next_number
+        self._next_number = number + 1
+        day, month = self._period
+        made = Reservation(number, tenant, key, account, amount, worst, is_burst, day, month, path)
+        self.reservations[number] = made
+        grains = amount * GRAINS_PER_MILLI
         beyond = worst - amount
-        for node in path:
-            if node.rate and not (borrows and node is path[0]):  # spare capacity is not out of its own bucket
-                node.level -= grains
-            node.exposure += beyond
-            node.open += 1
-            node.day_used += amount
-            node.month_used += amount
-        return AdmissionDecision(AdmissionStatus.BURST if borrows else AdmissionStatus.WITHIN_LIMIT, reservation=made)
+        own = path[0]
+        for level in path:
+            if level.rate and not (is_burst and level is own):  # burst capacity is not out of the tenant's own bucket
+                level.balance -= grains
+            level.exposure += beyond
+            level.open_requests += 1
+            level.day_used += amount
+            level.month_used += amount
+        return made
 
     # Settlement.
 
     def settle(self, now: int, held: Reservation, used: Usage | None) -> int:
-        """A request is over; what it is charged, in milli. None: it never ran. A reservation settles once."""
+        """A request is over; returns what it is charged, in milli. `used` None: it never ran.
+
+        A reservation settles once: further calls change nothing and return 0.
+        """
         if held.settled:
             return 0
         held.settled = True
-        del self.open[held.number]
-        charge = self.plan.prices.of(used.prompt, used.cached, used.answer) if used else 0
-        plan = self.plan.tenant(held.tenant)
-        for k, node in enumerate(held.nodes):
-            assert isinstance(node, BudgetLevel)
-            node.refill(now)
-            borrowed = held.spare and not k
-            level = node.level
-            node.give_back(held.amount, held.worst, charge, held.day, held.month)
-            if borrowed:
-                node.level = level
-        if self.spare.rate:
-            self.spare.refill(now)
-            self.spare.give_back(held.tenant if held.spare else "", plan.weight or 1.0, held.amount, charge)
+        del self.reservations[held.number]
+        charge = self.plan.prices.cost(used.prompt, used.cached, used.answer) if used else 0
+        for position, level in enumerate(held.levels):
+            level.refill(now)
+            balance = level.balance
+            level.settle(held.amount, held.worst, charge, held.day, held.month)
+            if held.is_burst and not position:  # nothing was taken out of the tenant's own bucket
+                level.balance = balance
+        if self.burst_capacity.rate:
+            weight = self.plan.tenant(held.tenant).weight or 1.0
+            self.burst_capacity.refill(now)
+            self.burst_capacity.settle(held.tenant if held.is_burst else "", weight, held.amount, charge)
         if used and used.answer:
-            self.answers.setdefault(held.tenant, Answers()).add(used.answer)
+            self.answer_lengths.setdefault(held.tenant, AnswerLengths()).add(used.answer)
         return charge
 
-    # Looks.
+    # Queries.
 
     def balance(self, now: int, wall: int, tenant: str) -> dict[str, int]:
-        """What a tenant may be told: limit and what remains of tokens and requests, microseconds until the bucket is
-        full, and what it has used in the day and the month, in tokens."""
+        """What a tenant may be told of its budget.
+
+        Limit and what remains of tokens and requests, microseconds until the bucket is full, and what it has used in
+        the day and the month, in tokens.
+        """
         plan = self.plan.tenant(tenant)
-        node = self.tenants.get(tenant)
-        if node is None:
-            node = BudgetLevel(tenant, plan.limit, now)
-        node.refill(now)
-        node.turn(*self.period(wall))
-        lacking = node.cap - node.level
+        level = self.tenants.get(tenant)
+        if level is None:
+            level = BudgetLevel(tenant, plan.limit, now)
+        level.refill(now)
+        level.enter_period(*self.current_period(wall))
+        lacking = level.max_balance - level.balance
         return {
             "limit_tokens": plan.limit.burst,
-            "remaining_tokens": max(0, node.level // (MILLI * GRAINS)),
-            "reset_us": -(-lacking // node.rate) if node.rate else 0,
+            "remaining_tokens": max(0, level.balance // GRAINS_PER_TOKEN),
+            "reset_us": -(-lacking // level.rate) if level.rate else 0,
             "limit_requests": plan.limit.open,
-            "remaining_requests": max(0, plan.limit.open - node.open),
-            "open_requests": node.open,
-            "debt_tokens": max(0, -node.level // (MILLI * GRAINS)),
-            "day_tokens": node.day_used // MILLI,
-            "month_tokens": node.month_used // MILLI,
+            "remaining_requests": max(0, plan.limit.open - level.open_requests),
+            "open_requests": level.open_requests,
+            "debt_tokens": max(0, -level.balance // GRAINS_PER_TOKEN),
+            "day_tokens": level.day_used // MILLI_PER_TOKEN,
+            "month_tokens": level.month_used // MILLI_PER_TOKEN,
             "day_limit": plan.limit.day,
             "month_limit": plan.limit.month,
         }
 
-    def top(self, most: int = 10) -> list[HeavyHitter[str]]:
+    def top_tenants(self, most: int = 10) -> list[HeavyHitter[str]]:
         """The tenants that have asked for most of late, in milli."""
-        return self.hitters.top(most)
+        return self.heavy_hitters.top(most)
 
     # Time and change.
 
     def tick(self, now: int) -> int:
-        """Forget what is as good as new; when to be called next. Danger: tenants by the hundred thousand would each
-        leave their levels behind for ever."""
-        if now < self._due:
-            return self._due
+        """Forget levels that are as good as new; returns when to be called next.
+
+        Without it each of hundreds of thousands of tenants would leave its levels behind for ever.
+        """
+        if now < self._tick_due:
+            return self._tick_due
         indexes = (self.tenants, self.accounts, self.keys)
-        if not self._sweep:  # one index after the other: a list of its keys is all that is copied
-            self._swept = (self._swept + 1) % len(indexes)
-            self._sweep = list(indexes[self._swept])
-            if not self._swept:
-                self.spare.forget()
-                self.hitters.halve()
-        index = indexes[self._swept]
-        for _ in range(min(LOOK, len(self._sweep))):
-            key = self._sweep.pop()
-            node = index.get(key)
-            if node is not None and not node.open:
-                node.refill(now)
-                if node.neutral:
-                    del index[key]
-                    self._paths.clear()  # danger: one that is found there would be charged and never looked at again
-                    if index is self.tenants:
-                        self.answers.pop(key, None)
-        self._due = now + (TICK if not self._sweep else TICK // 100)
-        return self._due
+        if not self._sweep_keys:  # one index after the other: a list of its keys is all that is copied
+            self._swept_index = (self._swept_index + 1) % len(indexes)
+            self._sweep_keys = list(indexes[self._swept_index])
+            if not self._swept_index:
+                self.burst_capacity.forget_idle()
+                self.heavy_hitters.halve()
+        index = indexes[self._swept_index]
+        for _ in range(min(MAX_LEVELS_PER_TICK, len(self._sweep_keys))):
+            self._forget_if_unused(index, self._sweep_keys.pop(), now)
+        self._tick_due = now + (BUSY_TICK_INTERVAL_US if self._sweep_keys else TICK_INTERVAL_US)
+        return self._tick_due
+
+    def _forget_if_unused(self, index: Index, key: Any, now: int) -> None:
+        level = index.get(key)
+        if level is None or level.open_requests:
+            return
+        level.refill(now)
+        if not level.is_unused:
+            return
+        del index[key]
+        # A level that is found in a cached path would be charged and never looked at again.
+        self._paths.clear()
+        if index is self.tenants:
+            self.answer_lengths.pop(key, None)
 
     def reconfigure(self, plan: Plan, now: int) -> None:
-        """Other limits. Danger: what is reserved belongs to those that it was taken from; it settles there."""
-        for index, limit in (
-            (self.tenants, self._tenant_limit(plan)),
-            (self.accounts, self._account_limit(plan)),
-            (self.keys, self._key_limit(plan)),
-        ):
-            for key, node in index.items():
-                node.refill(now)
-                node.set_limit(limit(key))
-        self.spare.refill(now)
-        self.spare.set_capacity(plan.capacity, plan.capacity_burst)
+        """Take other limits. A reservation stays with the levels that it was taken from, and settles there."""
+        for _, index, limit_of in self._indexes(plan):
+            for key, level in index.items():
+                level.refill(now)
+                level.set_limit(limit_of(key))
+        self.burst_capacity.refill(now)
+        self.burst_capacity.set_capacity(plan.capacity, plan.capacity_burst)
         self.plan = plan
         self._paths.clear()
 
-    @staticmethod
-    def _tenant_limit(plan: Plan) -> Callable[[Any], Limit]:
-        return lambda key: plan.tenant(key).limit
-
-    @staticmethod
-    def _account_limit(plan: Plan) -> Callable[[Any], Limit]:
-        return lambda key: plan.accounts.get(key, _NONE)
+    def current_period(self, wall: int) -> tuple[int, int]:
+        """The day and the month in force: never before one that was in force already."""
+        if wall != self._period_wall:
+            self._period = max(self._period, periods(wall))
+            self._period_wall = wall
+        return self._period
 
-    @staticmethod
-    def _key_limit(plan: Plan) -> Callable[[Any], Limit]:
-        return lambda key: plan.tenant(key[0]).key_limit
+    def _observe_period(self, day: int, month: int) -> None:
+        """A period was in force before this process began."""
+        self._period = max(self._period, (day, month))
+        self._period_wall = -1
 
-    def period(self, wall: int) -> tuple[int, int]:
-        """The day and the month in force: never before one that was in force already."""
-        if wall != self._wall:
-            self._last, self._wall = max(self._last, periods(wall)), wall
-        return self._last
+    # Snapshots.
 
     def state(self) -> dict[str, Any]:
         """All balances in plain values. Reservations are not among them: what they hold counts as given back."""
-        told: dict[str, list[list[Any]]] = {}
-        held: dict[int, list[int]] = {}  # by node: what is reserved out of its bucket, its day and its month
-        for one in self.open.values():
-            for k, node in enumerate(one.nodes):
-                assert isinstance(node, BudgetLevel)
-                sums = held.setdefault(id(node), [0, 0, 0])
-                sums[0] += 0 if one.spare and not k else one.amount
-                sums[1] += one.amount if one.day == node.day else 0
-                sums[2] += one.amount if one.month == node.month else 0
-        for name, index in (("tenants", self.tenants), ("accounts", self.accounts), ("keys", self.keys)):
-            rows = told[name] = []
-            for key, node in index.items():
-                own, of_day, of_month = held.get(id(node), (0, 0, 0))
-                level = min(node.cap, node.level + own * GRAINS) if node.rate else node.level
-                rows.append(
-                    [
-                        list(key) if isinstance(key, tuple) else key,
-                        level,
-                        node.at,
-                        node.day,
-                        node.day_used - of_day,
-                        node.month,
-                        node.month_used - of_month,
-                    ]
-                )
-        return {
-            "version": 1,
-            **told,
-            "answers": {name: [a.count, a.mean, a.spread] for name, a in self.answers.items()},
-        }
-
-    def restore(self, told: dict[str, Any], now: int) -> None:
-        """Balances as `state` told them, for a new object. ValueError: they are not of this version."""
-        if told.get("version") != 1:
-            raise ValueError(f"balances of version {told.get('version')!r} cannot be read")
-        limits = {
-            "tenants": self._tenant_limit(self.plan),
-            "accounts": self._account_limit(self.plan),
-            "keys": self._key_limit(self.plan),
+        held = self._held_by_level()
+        rows = {
+            name: [_row(key, level, held.get(id(level), (0, 0, 0))) for key, level in index.items()]
+            for name, index, _ in self._indexes(self.plan)
         }
-        for name, index in (("tenants", self.tenants), ("accounts", self.accounts), ("keys", self.keys)):
-            for key, level, at, day, day_used, month, month_used in told[name]:
+        lengths = {name: [each.count, each.mean, each.spread] for name, each in self.answer_lengths.items()}
+        return {"version": STATE_VERSION, **rows, "answers": lengths}
+
+    def _held_by_level(self) -> dict[int, tuple[int, int, int]]:
+        """What reservations hold of each level (by its `id`): of its bucket, its day and its month, in milli."""
+        held: dict[int, tuple[int, int, int]] = {}
+        for one in self.reservations.values():
+            for position, level in enumerate(one.levels):
+                own, of_day, of_month = held.get(id(level), (0, 0, 0))
+                is_borrowed = one.is_burst and not position
+                held[id(level)] = (
+                    own + (0 if is_borrowed else one.amount),
+                    of_day + (one.amount if one.day == level.day else 0),
+                    of_month + (one.amount if one.month == level.month else 0),
+                )
+        return held
+
+    def restore(self, state: dict[str, Any], now: int) -> None:
+        """Take balances that `state` returned, in a new object. ValueError: they are not of this version."""
+        if state.get("version") != STATE_VERSION:
+            raise ValueError(f"balances of version {state.get('version')!r} cannot be read")
+        for name, index, limit_of in self._indexes(self.plan):
+            for key, balance, refilled_at, day, day_used, month, month_used in state[name]:
                 key = tuple(key) if isinstance(key, list) else key
-                node = self._node(index, key, limits[name](key), now)
-                node.level, node.at = min(level, node.cap), min(at, now)
-                node.day, node.day_used, node.month, node.month_used = day, day_used, month, month_used
-                self._last, self._wall = max(self._last, (day, month)), -1
-        for name, (count, mean, spread) in told["answers"].items():
-            answers = self.answers[name] = Answers()
-            answers.count, answers.mean, answers.spread = count, mean, spread
-            answers.settle()
+                level = self._level(index, key, limit_of(key), now)
+                level.balance = min(balance, level.max_balance)
+                level.refilled_at = min(refilled_at, now)
+                level.day = day
+                level.day_used = day_used
+                level.month = month
+                level.month_used = month_used
+                self._observe_period(day, month)
+        for name, (count, mean, spread) in state["answers"].items():
+            lengths = self.answer_lengths[name] = AnswerLengths()
+            lengths.count = count
+            lengths.mean = mean
+            lengths.spread = spread
+            lengths.update_estimate()
 
     def replay(
-        self, now: int, tenant: str, key: str, account: str, charge: int, spare: bool, day: int, month: int, answer: int
+        self,
+        now: int,
+        tenant: str,
+        key: str,
+        account: str,
+        charge: int,
+        is_burst: bool,
+        day: int,
+        month: int,
+        answer: int,
     ) -> None:
-        """A charge out of the journal, made before a crash: as if it had been reserved and settled at its time."""
+        """Take a charge of the journal, made before a crash, as if it had been reserved and settled at its time."""
         plan = replace(self.plan.tenant(tenant), account=account if account in self.plan.accounts else "")
-        for k, node in enumerate(self._path(tenant, key, plan, now)):
-            node.refill(now)
-            node.turn(day, month)
-            if node.rate and not (spare and not k):
-                node.level -= charge * GRAINS
-            node.day_used += charge if node.day == day else 0
-            node.month_used += charge if node.month == month else 0
-        self._last, self._wall = max(self._last, (day, month)), -1
+        for position, level in enumerate(self._path(tenant, key, plan, now)):
+            level.refill(now)
+            level.enter_period(day, month)
+            if level.rate and not (is_burst and not position):
+                level.balance -= charge * GRAINS_PER_MILLI
+            if level.day == day:
+                level.day_used += charge
+            if level.month == month:
+                level.month_used += charge
+        self._observe_period(day, month)
         if answer:
-            self.answers.setdefault(tenant, Answers()).add(answer)
-
-
-_NONE = Limit()
-
-
-def _spent(node: BudgetLevel, amount: int, worst: int, wall: int, day: int) -> AdmissionDecision | None:
-    """Why a level lets nothing more in, whatever is spare."""
-    limit = node.limit
-    if limit.open and node.open >= limit.open:
-        return AdmissionDecision(AdmissionStatus.OVER_LIMIT, OPEN_WAIT, f"{node.name}: requests open at once")
-    if node.rate and node.level < 0:
-        return AdmissionDecision(
-            AdmissionStatus.OVERDRAWN, node.wait_for(amount), f"{node.name}: a debt is to be paid off"
-        )
-    if limit.day and node.day_used + amount > limit.day * MILLI:
-        return AdmissionDecision(
-            AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a day", True
-        )
-    if limit.month and node.month_used + amount > limit.month * MILLI:
-        return AdmissionDecision(
-            AdmissionStatus.OVER_LIMIT, max(1, (day + 1) * DAY - wall) * 1_000_000, f"{node.name}: tokens a month", True
-        )
-    # What is larger than the burst is let in on a full bucket, as far as the debt allows.
-    if node.rate and amount * GRAINS > node.cap and worst + node.exposure > limit.burst * MILLI + node.debt:
-        return AdmissionDecision(
-            AdmissionStatus.OVER_LIMIT,
-            OPEN_WAIT if node.exposure else 0,
-            f"{node.name}: more than the burst and the debt allow",
-            not node.exposure,
-        )
-    return None
+            self.answer_lengths.setdefault(tenant, AnswerLengths()).add(answer)
+
+
+def _row(key: Any, level: BudgetLevel, held: tuple[int, int, int]) -> list[Any]:
+    """A level in plain values, what reservations hold given back."""
+    own, of_day, of_month = held
+    balance = level.balance
+    if level.rate:
+        balance = min(level.max_balance, balance + own * GRAINS_PER_MILLI)
+    return [
+        list(key) if isinstance(key, tuple) else key,
+        balance,
+        level.refilled_at,
+        level.day,
+        level.day_used - of_day,
+        level.month,
+        level.month_used - of_month,
+    ]
--- a/pearhill/budgets/level.py
+++ b/pearhill/budgets/level.py
@@ -1,83 +1,103 @@
-"""One level of a budget: an account, a tenant or a key. Looked at only when asked, so a silent one costs nothing."""
+"""One level of a budget: an account, a tenant or a key.
+
+It is brought up to date only when it is asked for (a lazily refilled token bucket), so a silent one costs nothing.
+"""
 
 from __future__ import annotations
 
-from pearhill.budgets.limits import GRAINS, MILLI, Limit
+from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN, Limit
 
-NEVER = 1 << 62
+UNLIMITED = 1 << 62  # stands where there is no limit, so that each arrival compares figures alone
 
 
 class BudgetLevel:
-    """Its bucket, its counts by period, and what is open. Amounts are milli, the bucket's level is grains."""
+    """A bucket, the counts of the day and the month, and what is open.
+
+    Amounts are milli; `balance` and `max_balance` are grains. `exposure`: what open requests could cost beyond their
+    reservations.
+    """
 
     __slots__ = (
         "name",
         "limit",
         "rate",
-        "cap",
-        "debt",
-        "level",
-        "at",
-        "open",
+        "max_balance",
+        "max_debt",
+        "balance",
+        "refilled_at",
+        "open_requests",
         "exposure",
         "day",
         "day_used",
         "month",
         "month_used",
-        "max_open",
-        "day_cap",
-        "month_cap",
+        "max_open_requests",
+        "max_day_used",
+        "max_month_used",
     )
 
     def __init__(self, name: str, limit: Limit, now: int) -> None:
         self.name = name
-        self.open = self.exposure = 0  # requests; what they could cost beyond their reservations, in milli
-        self.day = self.day_used = self.month = self.month_used = 0
-        self.level, self.at = 0, now
-        self.limit, self.rate, self.cap, self.debt = limit, 0, 0, 0
+        self.open_requests = 0
+        self.exposure = 0
+        self.day = 0
+        self.day_used = 0
+        self.month = 0
+        self.month_used = 0
+        self.balance = 0
+        self.refilled_at = now
         self.set_limit(limit)
-        self.level = self.cap
+        self.balance = self.max_balance
 
     def set_limit(self, limit: Limit) -> None:
         """Other limits from now on. What is reserved, owed and used stays."""
         self.limit = limit
-        self.rate, self.cap, self.debt = limit.tokens_per_min * MILLI, limit.burst * MILLI * GRAINS, limit.debt * MILLI
-        self.level = min(self.level, self.cap)
-        self.max_open = limit.open or NEVER  # as figures that are always there: they are looked at by every arrival
-        self.day_cap, self.month_cap = limit.day * MILLI or NEVER, limit.month * MILLI or NEVER
+        self.rate = limit.tokens_per_min * MILLI_PER_TOKEN
+        self.max_balance = limit.burst * MILLI_PER_TOKEN * GRAINS_PER_MILLI
+        self.max_debt = limit.debt * MILLI_PER_TOKEN
+        self.balance = min(self.balance, self.max_balance)
+        self.max_open_requests = limit.open or UNLIMITED
+        self.max_day_used = limit.day * MILLI_PER_TOKEN or UNLIMITED
+        self.max_month_used = limit.month * MILLI_PER_TOKEN or UNLIMITED
 
     def refill(self, now: int) -> None:
-        """Danger: a clock that went back would take away what was given, or give it twice."""
-        if now > self.at:
-            if self.rate:
-                self.level = min(self.cap, self.level + self.rate * (now - self.at))
-            self.at = now
-
-    def turn(self, day: int, month: int) -> None:
-        """The period in force. Danger: a clock that steps back must not open a closed period again."""
+        """Add what the rate has given since the last time.
+
+        A `now` that went back changes nothing: it would take away what was given, or give it twice.
+        """
+        if now <= self.refilled_at:
+            return
+        if self.rate:
+            self.balance = min(self.max_balance, self.balance + self.rate * (now - self.refilled_at))
+        self.refilled_at = now
+
+    def enter_period(self, day: int, month: int) -> None:
+        """Count for this day and month from now on. A clock that steps back does not open a closed period again."""
         if day > self.day:
-            self.day, self.day_used = day, 0
+            self.day = day
+            self.day_used = 0
         if month > self.month:
-            self.month, self.month_used = month, 0
+            self.month = month
+            self.month_used = 0
 
     @property
-    def neutral(self) -> bool:
-        """As good as new: it may be forgotten."""
-        return self.level >= self.cap and not (self.open or self.day_used or self.month_used)
+    def is_unused(self) -> bool:
+        """Whether it is as good as new, and may be forgotten."""
+        return self.balance >= self.max_balance and not (self.open_requests or self.day_used or self.month_used)
 
-    def give_back(self, amount: int, worst: int, used: int, day: int, month: int) -> None:
+    def settle(self, amount: int, worst: int, used: int, day: int, month: int) -> None:
         """A reservation becomes what was used. A period that has ended meanwhile keeps it: it was counted there."""
         if self.rate:
-            level = self.level + (amount - used) * GRAINS
-            self.level = level if level < self.cap else self.cap
+            balance = self.balance + (amount - used) * GRAINS_PER_MILLI
+            self.balance = balance if balance < self.max_balance else self.max_balance
         self.exposure -= worst - amount
-        self.open -= 1
+        self.open_requests -= 1
         if day == self.day:
             self.day_used += used - amount
         if month == self.month:
             self.month_used += used - amount
 
-    def wait_for(self, amount: int) -> int:
+    def time_until(self, amount: int) -> int:
         """Microseconds until the bucket holds so many milli, or all that it can hold."""
-        lacking = min(amount * GRAINS, self.cap) - self.level
+        lacking = min(amount * GRAINS_PER_MILLI, self.max_balance) - self.balance
         return -(-lacking // self.rate) if lacking > 0 else 0
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -62,11 +62,11 @@
         elif meter.events:  # broken before its usage came: by what was seen, an event a token
             used = Usage(self._prompt, 0, meter.events)
         else:
-            used = Usage() if outcome != c.REFUSED else None
+            used = Usage() if outcome != c.REJECTED else None
         self._desk.settle(self._held, used, outcome, self._id, self._model, self._path)
 
     def reject(self, stay_away: int) -> None:
-        self.settle(c.REFUSED)
+        self.settle(c.REJECTED)
         self.inner.reject(stay_away)
 
     def fail(self) -> None:
@@ -85,7 +85,7 @@
         self.inner.finish()
 
     def abort(self) -> None:
-        self.settle(c.BROKEN)
+        self.settle(c.TRUNCATED)
         self.inner.abort()
 
     def has_disconnected(self) -> bool:
@@ -93,7 +93,7 @@
 
     def left(self) -> None:
         """Its client has gone, and nobody sees it through."""
-        self.settle(c.LEFT)
+        self.settle(c.DISCONNECTED)
 
 
 def duration(micros: int) -> str:
@@ -172,7 +172,7 @@
         """Danger: a tenant that hammers would fill the disk with its refusals, one by one."""
         for (tenant, key), count in self._refused.items():
             now, wall = self._deadlines.clock(), self._wall()
-            day, month = self.budgets.period(wall)
+            day, month = self.budgets.current_period(wall)
             self._put(
                 c.Charge(
                     now,
@@ -183,7 +183,7 @@
                     self.setup.plan.tenant(tenant).account,
                     "",
                     "",
-                    c.REFUSED,
+                    c.REJECTED,
                     0,
                     0,
                     0,
@@ -235,7 +235,7 @@
                 used.cached,
                 used.answer,
                 milli,
-                held.spare,
+                held.is_burst,
                 held.day,
                 held.month,
                 max(0, milli - held.amount) // 1000,
@@ -246,7 +246,7 @@
         if self.journal is None:
             return
         try:
-            self.journal.append(c.pack(charge))
+            self.journal.append(c.encode_charge(charge))
         except BufferError:
             # Nothing is lost without a word: what the journal cannot take stands in the log.
             logger.error("budgets: a charge could not be kept: {charge}", charge=repr(charge))
@@ -254,7 +254,7 @@
         self._since_snapshot += 1
         if self._since_snapshot >= SNAPSHOT_EVERY:
             self._since_snapshot = 0
-            self.journal.snapshot(c.pack_state(self.budgets))
+            self.journal.snapshot(c.encode_state(self.budgets))
 
     def headers(self, tenant: str) -> Headers:
         """What every answer tells a client of its budget."""
@@ -292,7 +292,7 @@
 
     def report(self) -> None:
         """Who hammers, for on-call."""
-        top = {hitter.key: hitter.weight // 1000 for hitter in self.budgets.top()}
+        top = {hitter.key: hitter.weight // 1000 for hitter in self.budgets.top_tenants()}
         logger.bind(top=top).info("budgets: top tenants {}", top)
 
     def reconfigure(self, setup: SpendingSetup) -> None:
@@ -307,7 +307,7 @@
         if self.journal:
             self._put_refused()
             if self._since_snapshot:
-                self.journal.snapshot(c.pack_state(self.budgets))
+                self.journal.snapshot(c.encode_state(self.budgets))
             if not self.journal.close():
                 logger.error("budgets: not every charge could be written before the end")
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,4 +1,4 @@
-"""The budgets by themselves: a clock by hand, tables of cases, and a state machine against a plain model."""
+"""The budgets by themselves: a virtual clock, tables of cases, and a state machine against a plain model."""
 
 import random
 import unittest
@@ -9,8 +9,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from pearhill.budgets import AdmissionStatus, Budgets, Limit, Plan, Prices, TenantPlan, Usage
-from pearhill.budgets.charges import Charge, pack, pack_state, rebuild
-from pearhill.budgets.limits import DAY, GRAINS, MILLI, month_name, month_of, periods
+from pearhill.budgets.charges import Charge, encode_charge, encode_state, rebuild
+from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN
+from pearhill.budgets.periods import DAY_S, month_name, month_of, periods
 
 S = 1_000_000
 T0, WALL = 10**15, 1_796_083_200  # in seconds: the first of December 2026
@@ -31,10 +32,10 @@
     def test_against_the_calendar(self):
         import datetime
 
-        for wall in (0, DAY - 1, DAY, 951_782_400, 951_868_800, 1_796_083_199, 1_796_083_200, 4_102_444_799):
+        for wall in (0, DAY_S - 1, DAY_S, 951_782_400, 951_868_800, 1_796_083_199, 1_796_083_200, 4_102_444_799):
             told = datetime.datetime.fromtimestamp(wall, datetime.UTC)
             day, month = periods(wall)
-            self.assertEqual((day, month_name(month)), (wall // DAY, f"{told.year}-{told.month:02}"))
+            self.assertEqual((day, month_name(month)), (wall // DAY_S, f"{told.year}-{told.month:02}"))
             self.assertEqual(month_of(month_name(month)), month)
         for bad in ("2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"):
             with self.subTest(bad=bad), self.assertRaises(ValueError):
@@ -55,16 +56,16 @@
 
     def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
-        b.answers.clear()
+        b.answer_lengths.clear()
         held = b.admit(T0, WALL, "a", "", 100, 100, hint=50).reservation
-        self.assertEqual(b.settle(T0, held, Usage(100, 0, 10)), 110 * MILLI)
+        self.assertEqual(b.settle(T0, held, Usage(100, 0, 10)), 110 * MILLI_PER_TOKEN)
         self.assertEqual(b.balance(T0, WALL, "a")["remaining_tokens"], 890)
         held = b.admit(T0, WALL, "a", "", 90, 2_400, hint=800).reservation
-        self.assertEqual(held.amount, 890 * MILLI)
+        self.assertEqual(held.amount, 890 * MILLI_PER_TOKEN)
         b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved: served whole
         self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 1_600)
-        standing = b.admit(T0, WALL, "a", "", 1, 1)
-        self.assertEqual((standing.status, standing.retry_after), (AdmissionStatus.OVERDRAWN, 1_602 * S))
+        decision = b.admit(T0, WALL, "a", "", 1, 1)
+        self.assertEqual((decision.status, decision.retry_after), (AdmissionStatus.OVERDRAWN, 1_602 * S))
         self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status, AdmissionStatus.WITHIN_LIMIT)
 
     def test_a_run_that_never_was_costs_nothing_and_settles_once(self):
@@ -78,8 +79,8 @@
     def test_cached_tokens_have_their_own_price(self):
         b = Budgets(Plan({"a": plan(tokens_per_min=60, burst=10_000)}, prices=Prices(cached=100, answer=4_000)), T0)
         held = b.admit(T0, WALL, "a", "", 1_000, 10).reservation
-        self.assertEqual(held.amount, 1_040 * MILLI)
-        self.assertEqual(b.settle(T0, held, Usage(1_000, 800, 5)), (200 + 80 + 20) * MILLI)
+        self.assertEqual(held.amount, 1_040 * MILLI_PER_TOKEN)
+        self.assertEqual(b.settle(T0, held, Usage(1_000, 800, 5)), (200 + 80 + 20) * MILLI_PER_TOKEN)
 
     def test_levels_nest(self):
         cases = (
@@ -93,9 +94,9 @@
             with self.subTest(name=name):
                 b = Budgets(made, T0)
                 self.assertTrue(b.admit(T0, WALL, "a", "k1", 50, 30).admitted)
-                standing = b.admit(T0, WALL, "a", "k1", 50, 30)
-                self.assertEqual((standing.status, standing.reason[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
-                self.assertEqual(standing.quota_exhausted, name in ("day", "month"))
+                decision = b.admit(T0, WALL, "a", "k1", 50, 30)
+                self.assertEqual((decision.status, decision.reason[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
+                self.assertEqual(decision.quota_exhausted, name in ("day", "month"))
 
     def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
@@ -109,20 +110,20 @@
         for _ in range(20):
             held = b.admit(T0, WALL, "a", "", 10, 1_000).reservation
             b.settle(T0, held, Usage(10, 0, 100))
-        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount, 110 * MILLI)
-        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 50).reservation.amount, 60 * MILLI)
+        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount, 110 * MILLI_PER_TOKEN)
+        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 50).reservation.amount, 60 * MILLI_PER_TOKEN)
 
     def test_a_period_ends_under_load_and_each_charge_is_in_one(self):
         b = budgets(a=plan(day=1_000))
-        end = (WALL // DAY + 1) * DAY
+        end = (WALL // DAY_S + 1) * DAY_S
         held = b.admit(T0, end - 1, "a", "", 900, 100).reservation
         after = b.admit(T0 + S, end, "a", "", 800, 100)
         self.assertTrue(after.admitted)
         b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
         self.assertEqual(b.balance(T0, end, "a")["day_tokens"], 900)
-        self.assertEqual((held.day, after.reservation.day), (end // DAY - 1, end // DAY))
+        self.assertEqual((held.day, after.reservation.day), (end // DAY_S - 1, end // DAY_S))
         stepped = b.admit(T0 + 3 * S, end - 5, "a", "", 50, 10)  # the calendar steps back over midnight
-        self.assertEqual(stepped.reservation.day, end // DAY)
+        self.assertEqual(stepped.reservation.day, end // DAY_S)
         self.assertEqual(b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason, "a: tokens a day")
 
     def test_a_clock_that_goes_back_gives_and_takes_nothing(self):
@@ -147,10 +148,13 @@
         moved = b.admit(T0, WALL, "b", "k", 900, 100)
         self.assertTrue(moved.admitted)
         b.settle(T0, held, Usage(100))
-        self.assertEqual([node.level // (MILLI * GRAINS) for node in (b.keys["a", "k"], b.keys["b", "k"])], [900, 0])
+        self.assertEqual(
+            [node.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for node in (b.keys["a", "k"], b.keys["b", "k"])],
+            [900, 0],
+        )
 
 
-class SpareCapacity(unittest.TestCase):
+class BurstCapacityShares(unittest.TestCase):
     def run_load(
         self,
         rates: dict[str, float],
@@ -159,34 +163,34 @@
         seconds: int = 120,
     ) -> tuple[dict[str, float], float, dict[str, int]]:
         """Tokens a minute served to each tenant that asks for `rates`; the share of capacity used while anyone was
-        refused; refusals."""
+        rejected; refusals."""
         rng, b = random.Random(7), Budgets(Plan(plans, capacity=capacity, capacity_burst=capacity // 6), T0)
         events = sorted(
             (T0 + int(rng.random() * seconds * S), name)
             for name, rate in rates.items()
             for _ in range(int(rate * seconds / 60 / 100))
         )
-        served, refused, warm = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0), T0 + 30 * S
+        served, rejected, warm = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0), T0 + 30 * S
         for now, name in events:
-            standing = b.admit(now, WALL, name, "", 90, 10)
-            if standing.reservation:
-                b.settle(now, standing.reservation, Usage(90, 0, 10))
+            decision = b.admit(now, WALL, name, "", 90, 10)
+            if decision.reservation:
+                b.settle(now, decision.reservation, Usage(90, 0, 10))
                 served[name] += 100 if now > warm else 0
             else:
-                refused[name] += 1
+                rejected[name] += 1
         minutes = (seconds - 30) / 60
-        return ({name: n / minutes for name, n in served.items()}, sum(served.values()) / minutes / capacity, refused)
+        return ({name: n / minutes for name, n in served.items()}, sum(served.values()) / minutes / capacity, rejected)
 
-    def test_three_overspend_fivefold_and_the_fourth_is_never_refused(self):
+    def test_three_overspend_fivefold_and_the_fourth_is_never_rejected(self):
         own = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
-        served, used, refused = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
-        self.assertEqual(refused["d"], 0)
+        served, used, rejected = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
+        self.assertEqual(rejected["d"], 0)
         self.assertAlmostEqual(served["d"], 50_000, delta=5_000)
         for name in "abc":
             self.assertAlmostEqual(served[name], 250_000 / 3, delta=5_000)
         self.assertGreater(used, 0.95)
 
-    def test_spare_goes_out_by_weight_and_what_one_leaves_the_others_get(self):
+    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(self):
         cases = (
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 400_000}, {"a": 50_000, "b": 150_000}),
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 60_000}, {"a": 140_000, "b": 60_000}),
@@ -204,20 +208,20 @@
                 for name, share in wanted.items():
                     self.assertAlmostEqual(served[name], share, delta=0.12 * share)
 
-    def test_without_weight_nothing_is_spare(self):
+    def test_without_weight_there_is_no_burst_capacity(self):
         own = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
-        served, _, refused = self.run_load({"a": 60_000}, own, 600_000)
+        served, _, rejected = self.run_load({"a": 60_000}, own, 600_000)
         self.assertAlmostEqual(served["a"], 6_000, delta=700)
-        self.assertGreater(refused["a"], 500)
+        self.assertGreater(rejected["a"], 500)
 
     def test_ten_thousand_tenants_wake_in_one_second(self):
         b = Budgets(
             Plan(default=plan(weight=1, tokens_per_min=600, burst=200), capacity=600_000, capacity_burst=100_000), T0
         )
         for k in range(10_000):
-            standing = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
-            self.assertEqual(standing.status, AdmissionStatus.WITHIN_LIMIT)
-            b.settle(T0 + k * 100, standing.reservation, Usage(90, 0, 10))
+            decision = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
+            self.assertEqual(decision.status, AdmissionStatus.WITHIN_LIMIT)
+            b.settle(T0 + k * 100, decision.reservation, Usage(90, 0, 10))
         self.assertEqual(
             b.admit(T0 + S, WALL, "t1", "", 190, 10).status, AdmissionStatus.OVER_LIMIT
         )  # guaranteed work has taken all
@@ -236,7 +240,7 @@
         self.assertEqual(len(b.tenants), 0)
 
 
-class Rebuilt(unittest.TestCase):
+class RebuiltFromTheJournal(unittest.TestCase):
     def test_a_snapshot_and_the_charges_behind_it_make_the_same_balances(self):
         rng = random.Random(3)
         made = Plan(
@@ -253,14 +257,14 @@
             now = T0
             for step in range(60):
                 if step == cut:
-                    state, journal = pack_state(live), []
+                    state, journal = encode_state(live), []
                 now += rng.randrange(3 * S)
                 tenant = rng.choice("ab")
                 if held := live.admit(now, WALL, tenant, "k", rng.randrange(1, 200), 50).reservation:
                     used = Usage(rng.randrange(200), 0, rng.randrange(50))
                     milli = live.settle(now, held, used)
                     journal.append(
-                        pack(
+                        encode_charge(
                             Charge(
                                 now,
                                 WALL,
@@ -275,7 +279,7 @@
                                 0,
                                 used.answer,
                                 milli,
-                                held.spare,
+                                held.is_burst,
                                 held.day,
                                 held.month,
                             )
@@ -292,12 +296,12 @@
                     live.admit(now, WALL, tenant, "k", 1, 50).reservation is None,
                 )
 
-    def test_a_state_of_another_version_is_refused(self):
+    def test_a_state_of_another_version_is_rejected(self):
         with self.assertRaises(ValueError):
             budgets().restore({"version": 2}, T0)
 
 
-class Machine(RuleBasedStateMachine):
+class BudgetMachine(RuleBasedStateMachine):
     """Any interleaving of arrivals, ends, reloads, crashes and time against exact fractions."""
 
     LIMIT = Limit(tokens_per_min=600, burst=300, debt=120, day=100_000)
@@ -319,20 +323,21 @@
 
     @rule(prompt=st.integers(0, 150), most=st.integers(1, 120), hint=st.integers(0, 120))
     def arrive(self, prompt, most, hint):
-        standing = self.budgets.admit(self.now, WALL, "a", "", prompt, most, hint)
+        decision = self.budgets.admit(self.now, WALL, "a", "", prompt, most, hint)
         level = self.model()
-        if standing.reservation:
-            amount = Fraction(standing.reservation.amount, MILLI)
+        if decision.reservation:
+            amount = Fraction(decision.reservation.amount, MILLI_PER_TOKEN)
             assert level >= min(amount, 300), (level, amount)
             self.level -= amount
-            self.held.append((standing.reservation, prompt, most))
+            self.held.append((decision.reservation, prompt, most))
         else:
-            assert standing.retry_after >= 0 and standing.status in (
+            assert decision.retry_after >= 0
+            assert decision.status in (
                 AdmissionStatus.OVER_LIMIT,
                 AdmissionStatus.OVERDRAWN,
             )
-            assert (standing.status == AdmissionStatus.OVERDRAWN) == (
-                level < 0 and standing.reason.endswith("paid off")
+            assert (decision.status == AdmissionStatus.OVERDRAWN) == (
+                level < 0 and decision.reason.endswith("paid off")
             )
 
     @precondition(lambda self: self.held)
@@ -342,10 +347,10 @@
         ran = data.draw(st.booleans())
         answer = data.draw(st.integers(0, most))
         charge = self.budgets.settle(self.now, held, Usage(prompt, 0, answer) if ran else None)
-        assert charge == ((prompt + answer) * MILLI if ran else 0)
+        assert charge == ((prompt + answer) * MILLI_PER_TOKEN if ran else 0)
         self.model()
-        self.level = min(Fraction(300), self.level + Fraction(held.amount - charge, MILLI))
-        self.charged += Fraction(charge, MILLI)
+        self.level = min(Fraction(300), self.level + Fraction(held.amount - charge, MILLI_PER_TOKEN))
+        self.charged += Fraction(charge, MILLI_PER_TOKEN)
         assert self.budgets.settle(self.now, held, Usage(1, 0, 1)) == 0
 
     @rule(micros=st.integers(-5 * S, 20 * S))
@@ -361,7 +366,7 @@
     @rule()
     def crash(self):
         fresh = Budgets(self.made, self.now)
-        rebuild(fresh, pack_state(self.budgets), [], self.now)
+        rebuild(fresh, encode_state(self.budgets), [], self.now)
         self.budgets = fresh
 
     @invariant()
@@ -369,16 +374,17 @@
         node = self.budgets.tenants.get("a")
         if node:
             node.refill(self.now)
-            assert Fraction(node.level, MILLI * GRAINS) == self.model()
-            assert node.open == len(self.held)
-            assert node.exposure == sum(h.worst - h.amount for h, _, _ in self.held) <= 120 * MILLI
+            assert Fraction(node.balance, MILLI_PER_TOKEN * GRAINS_PER_MILLI) == self.model()
+            assert node.open_requests == len(self.held)
+            assert node.exposure == sum(h.worst - h.amount for h, _, _ in self.held) <= 120 * MILLI_PER_TOKEN
         else:
-            assert self.model() == 300 and not self.held
+            assert self.model() == 300
+            assert not self.held
 
     @invariant()
     def nobody_spends_more_than_burst_and_rate_and_one_debt(self):
         assert self.charged <= 300 + Fraction(10 * (self.now - self.start), S) + 120
 
 
-TestMachine = Machine.TestCase
+TestMachine = BudgetMachine.TestCase
 TestMachine.settings = how(max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -10,7 +10,7 @@
 import unittest
 
 from pearhill.bill.statement import read_folder, sum_up
-from pearhill.budgets.limits import month_name, periods
+from pearhill.budgets.periods import month_name, periods
 from pearhill.chat.budget_accounting import duration
 from pearhill.chat.setup import load
 from pearhill.config import typed
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -179,7 +179,7 @@
         found = books.admit(now, wall, tenant, key, prompt, answer, rng.choice((0, 0, answer // 3)))
         transcript.add(found.status, found.retry_after, found.reason, found.quota_exhausted)
         if found.reservation:
-            transcript.add(found.reservation.amount, found.reservation.spare)
+            transcript.add(found.reservation.amount, found.reservation.is_burst)
             held.append((found.reservation, prompt, answer))
         if held and rng.random() < 0.6:
             reservation, prompt, answer = held.pop(rng.randrange(len(held)))
