--- a/pearhill/bill/files.py
+++ b/pearhill/bill/files.py
@@ -12,8 +12,8 @@
 from pearhill.bill.statement import COLUMNS, Bill
 from pearhill.budgets.charges import Charge
 
-_KINDS = {int: pyarrow.int64(), str: pyarrow.string(), bool: pyarrow.bool_()}
-SCHEMA = pyarrow.schema([(f.name, _KINDS[f.type]) for f in msgspec.structs.fields(Charge)])
+_COLUMN_TYPES = {int: pyarrow.int64(), str: pyarrow.string(), bool: pyarrow.bool_()}
+SCHEMA = pyarrow.schema([(field.name, _COLUMN_TYPES[field.type]) for field in msgspec.structs.fields(Charge)])
 HEADINGS = {
     "tenant": "Tenant",
     "requests": "Requests",
@@ -28,12 +28,13 @@
 
 
 def table(bill: Bill) -> pyarrow.Table:
-    return pyarrow.table(
-        {name: [getattr(charge, name) for charge in bill.charges] for name in SCHEMA.names}, schema=SCHEMA
-    )
+    """All charges of a bill, a column for each field of `Charge`."""
+    columns = {name: [getattr(charge, name) for charge in bill.charges] for name in SCHEMA.names}
+    return pyarrow.table(columns, schema=SCHEMA)
 
 
 def html(bill: Bill) -> str:
+    """The statement as a page: a row for each tenant, and the total."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.bill", "."),
         autoescape=True,
@@ -45,7 +46,7 @@
 
 
 def write(bill: Bill, folder: pathlib.Path) -> list[pathlib.Path]:
-    """The three files of a bill; the same bill makes the same files."""
+    """Write the three files of a bill, and return their paths; the same bill makes the same files."""
     folder.mkdir(parents=True, exist_ok=True)
     base = folder / f"bill-{bill.period}"
     pyarrow.parquet.write_table(table(bill), f"{base}.parquet", compression="zstd")
--- a/pearhill/bill/statement.py
+++ b/pearhill/bill/statement.py
@@ -10,12 +10,16 @@
 
 from pearhill.budgets import charges as c
 from pearhill.budgets.periods import month_name, month_of
-from pearhill.durable.journal import frames_of
+from pearhill.durable.recovery import read_frames
 
 
 @dataclass(slots=True)
 class Line:
-    """What one tenant used in one period. Tokens, and `milli` (thousandths of a token, at the prices in force)."""
+    """What one tenant used in one period.
+
+    `prompt`, `cached`, `answer` and `debt` are tokens, `milli` is thousandths of a token at the prices in force. The
+    names are the columns of the CSV file.
+    """
 
     tenant: str
     requests: int = 0
@@ -28,6 +32,7 @@
     milli: int = 0
 
     def add(self, charge: c.Charge) -> None:
+        """Count one charge."""
         if charge.outcome == c.REJECTED:
             self.refused += charge.count
             return
@@ -40,17 +45,20 @@
         self.milli += charge.milli
 
 
-COLUMNS = tuple(f.name for f in fields(Line))
+COLUMNS = tuple(field.name for field in fields(Line))
 
 
 @dataclass(slots=True)
 class Bill:
-    period: str
+    """The charges of one month, and a line for each tenant, in the order of their names."""
+
+    period: str  # as in 2026-12
     charges: list[c.Charge]
     lines: list[Line]
 
     @property
     def total(self) -> Line:
+        """The sum of all lines."""
         total = Line("total")
         for line in self.lines:
             for name in COLUMNS[1:]:
@@ -58,6 +66,7 @@
         return total
 
     def csv(self) -> str:
+        """The lines and the total as CSV, headed by the columns' names."""
         out = io.StringIO()
         writer = csv.writer(out, lineterminator="\n")
         writer.writerow(("period", *COLUMNS))
@@ -68,14 +77,17 @@
 
 def sum_up(charges: Iterable[c.Charge], period: str, tenant: str = "") -> Bill:
     """The bill of a month (`2026-12`), of one tenant or all. ValueError: the period is no month."""
-    month, lines, kept = month_of(period), dict[str, Line](), list[c.Charge]()
+    month = month_of(period)
+    lines: dict[str, Line] = {}
+    kept: list[c.Charge] = []
     for charge in charges:
-        if charge.month == month and (not tenant or charge.tenant == tenant):
-            kept.append(charge)
-            lines.setdefault(charge.tenant, Line(charge.tenant)).add(charge)
+        if charge.month != month or (tenant and charge.tenant != tenant):
+            continue
+        kept.append(charge)
+        lines.setdefault(charge.tenant, Line(charge.tenant)).add(charge)
     return Bill(month_name(month), kept, [lines[name] for name in sorted(lines)])
 
 
 def read_folder(folder: pathlib.Path) -> list[c.Charge]:
-    """Every charge of a journal, once each. Corrupt, OSError, ValueError: it cannot be read."""
-    return [c.decode_charge(one.body) for one in frames_of(folder)]
+    """Every charge of a journal, once each. CorruptJournalError, OSError, ValueError: it cannot be read."""
+    return [c.decode_charge(one.body) for one in read_frames(folder)]
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -20,7 +20,8 @@
 from pearhill.chat.records import Record
 from pearhill.chat.schema.answers import RequestsUsed, TokensUsed, UsageReport
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.durable.journal import CorruptJournalError, Journal, recover
+from pearhill.durable.journal import Journal
+from pearhill.durable.recovery import CorruptJournalError, recover
 from pearhill.http1.messages import Headers
 
 SNAPSHOT_EVERY = 10_000  # charges
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -168,7 +168,7 @@
 ) -> None:
     """Write the bill of a month: every charge as Parquet, statements as HTML and CSV."""
     from pearhill.bill import statement
-    from pearhill.durable.journal import CorruptJournalError
+    from pearhill.durable.recovery import CorruptJournalError
 
     if not folder.is_dir():
         _fail(f"{folder}: is no folder")
--- a/pearhill/durable/frames.py
+++ b/pearhill/durable/frames.py
@@ -12,42 +12,51 @@
 
 import xxhash
 
-HEAD = struct.Struct("<IQQ")
-_SEQ = struct.Struct("<Q")
-LARGEST = 1 << 20  # bytes of a body
+FRAME_HEAD = struct.Struct("<IQQ")
+MAX_BODY_BYTES = 1 << 20
+_SEQUENCE_NUMBER = struct.Struct("<Q")
 
 
 class Frame(NamedTuple):
+    """One record and its sequence number."""
+
     seq: int
     body: bytes
 
 
 class TornFrameError(Exception):
-    """The bytes from `at` on are no frame."""
-
-    def __init__(self, at: int, why: str) -> None:
-        super().__init__(f"at byte {at}: {why}")
-        self.offset = at
-
-
-def frame(seq: int, body: bytes, largest: int = LARGEST) -> bytes:
-    """ValueError: the body is too large."""
-    if len(body) > largest:
-        raise ValueError(f"a body of {len(body)} bytes; {largest} are allowed")
-    return HEAD.pack(len(body), xxhash.xxh3_64_intdigest(_SEQ.pack(seq) + body), seq) + body
-
-
-def read(data: bytes, largest: int = LARGEST) -> Iterator[Frame]:
-    """Every whole frame in order. Torn: after the last of them, where bytes are left that make none."""
-    at = 0
-    while at < len(data):
-        if len(data) - at < HEAD.size:
-            raise TornFrameError(at, "the head of a frame is not whole")
-        length, digest, seq = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + length]
-        if length > largest or len(body) < length:
-            raise TornFrameError(at, "a frame is not whole")
-        if xxhash.xxh3_64_intdigest(_SEQ.pack(seq) + body) != digest:
-            raise TornFrameError(at, "a checksum does not fit")
+    """The bytes from `offset` on are no frame."""
+
+    def __init__(self, offset: int, why: str) -> None:
+        super().__init__(f"at byte {offset}: {why}")
+        self.offset = offset
+
+
+def encode_frame(seq: int, body: bytes, max_body_bytes: int = MAX_BODY_BYTES) -> bytes:
+    """The bytes of a frame. ValueError: the body is too large."""
+    if len(body) > max_body_bytes:
+        raise ValueError(f"a body of {len(body)} bytes; {max_body_bytes} are allowed")
+    return FRAME_HEAD.pack(len(body), _digest(seq, body), seq) + body
+
+
+def decode_frames(data: bytes, max_body_bytes: int = MAX_BODY_BYTES) -> Iterator[Frame]:
+    """Every whole frame in order.
+
+    TornFrameError: after the last of them, where bytes are left that make none.
+    """
+    offset = 0
+    while offset < len(data):
+        if len(data) - offset < FRAME_HEAD.size:
+            raise TornFrameError(offset, "the head of a frame is not whole")
+        length, digest, seq = FRAME_HEAD.unpack_from(data, offset)
+        body = data[offset + FRAME_HEAD.size : offset + FRAME_HEAD.size + length]
+        if length > max_body_bytes or len(body) < length:
+            raise TornFrameError(offset, "a frame is not whole")
+        if _digest(seq, body) != digest:
+            raise TornFrameError(offset, "a checksum does not fit")
         yield Frame(seq, body)
-        at += HEAD.size + length
+        offset += FRAME_HEAD.size + length
+
+
+def _digest(seq: int, body: bytes) -> int:
+    return xxhash.xxh3_64_intdigest(_SEQUENCE_NUMBER.pack(seq) + body)
--- a/pearhill/durable/message_folder.py
+++ b/pearhill/durable/message_folder.py
@@ -8,34 +8,43 @@
 import pathlib
 from collections.abc import Iterator
 
-MOST_BYTES = 1 << 20  # of a note; a larger file is none
-MOST_FILES = 16
+MAX_MESSAGE_BYTES = 1 << 20  # what a larger file holds beyond it is not read
+MAX_MESSAGES = 16  # the latest by name are read
 
 
 class MessageFolder:
-    """`name` may be any text, and several names may share the folder. OSError: the folder cannot be used."""
+    """The messages of the processes of one name.
+
+    `name` may be any text, and several names may share the folder. `start` tells this process's file from those of
+    others. OSError of any method: the folder cannot be used.
+    """
 
     def __init__(self, folder: str, name: str, start: int) -> None:
         self.folder = pathlib.Path(folder)
-        self._family = f"pearhill-{hashlib.blake2b(name.encode(), digest_size=8).hexdigest()}-"
-        self.own = self.folder / f"{self._family}{start:x}-{os.getpid()}.note"
+        self._prefix = f"pearhill-{hashlib.blake2b(name.encode(), digest_size=8).hexdigest()}-"
+        self.own = self.folder / f"{self._prefix}{start:x}-{os.getpid()}.note"
 
     def write(self, data: bytes) -> None:
-        """The whole note, in its place at once. Danger: a reader must never find half of one."""
+        """Put this process's message in its place at once: no process may read half of one."""
         part = self.own.with_suffix(".part")
         part.write_bytes(data)
         part.replace(self.own)
 
     def others(self) -> Iterator[tuple[pathlib.Path, bytes]]:
-        """The notes of other processes. One that goes while we look is none."""
+        """The messages of other processes. One that is removed meanwhile is left out."""
         with os.scandir(self.folder) as entries:
-            names = sorted(e.name for e in entries if e.name.startswith(self._family) and e.name.endswith(".note"))
-        for name in [name for name in names if name != self.own.name][-MOST_FILES:]:
-            with contextlib.suppress(OSError), open(self.folder / name, "rb") as file:
-                yield self.folder / name, file.read(MOST_BYTES + 1)[:MOST_BYTES]
+            names = sorted(entry.name for entry in entries if self._is_message(entry.name))
+        names = [name for name in names if name != self.own.name]
+        for name in names[-MAX_MESSAGES:]:
+            path = self.folder / name
+            with contextlib.suppress(OSError), open(path, "rb") as file:
+                yield path, file.read(MAX_MESSAGE_BYTES + 1)[:MAX_MESSAGE_BYTES]
+
+    def _is_message(self, name: str) -> bool:
+        return name.startswith(self._prefix) and name.endswith(".note")
 
     def remove(self, path: pathlib.Path) -> None:
-        """Also what its process did not come to put in its place."""
+        """Remove a message, and one that its process had not put in its place yet."""
         for each in (path, path.with_suffix(".part")):
             with contextlib.suppress(OSError):
                 each.unlink()
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -11,46 +11,47 @@
 import unittest
 from unittest.mock import patch
 
-from pearhill.durable.frames import HEAD, TornFrameError, frame, read
-from pearhill.durable.journal import CorruptJournalError, Journal, frames_of, recover, segments
+from pearhill.durable.frames import FRAME_HEAD, TornFrameError, decode_frames, encode_frame
+from pearhill.durable.journal import Journal
+from pearhill.durable.recovery import CorruptJournalError, read_frames, recover, segments
 from tests.standins import ROOT
 
 SEED = 20261201
 
 
-class Folder(unittest.TestCase):
+class JournalCase(unittest.TestCase):
     def setUp(self) -> None:
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.folder = pathlib.Path(made.name)
-        self.synced, self.failures, self.news = 0, [], threading.Condition()
+        self.synced, self.failures, self.changed = 0, [], threading.Condition()
 
-    def told(self, seq: int) -> None:
-        with self.news:
+    def on_synced(self, seq: int) -> None:
+        with self.changed:
             self.synced = seq
-            self.news.notify_all()
+            self.changed.notify_all()
 
-    def failed(self, error: OSError | None) -> None:
-        with self.news:
+    def on_failure(self, error: OSError | None) -> None:
+        with self.changed:
             self.failures.append(error)
-            self.news.notify_all()
+            self.changed.notify_all()
 
     def open(self, **more) -> Journal:
-        return Journal(self.folder, recover(self.folder).seq, self.told, self.failed, **more)
+        return Journal(self.folder, recover(self.folder).seq, self.on_synced, self.on_failure, **more)
 
     def wait_synced(self, seq: int) -> None:
-        with self.news:
-            self.assertTrue(self.news.wait_for(lambda: self.synced >= seq, 20))
+        with self.changed:
+            self.assertTrue(self.changed.wait_for(lambda: self.synced >= seq, 20))
 
     def bodies(self) -> list[bytes]:
-        return [one.body for one in frames_of(self.folder)]
+        return [one.body for one in read_frames(self.folder)]
 
 
-class Written(Folder):
+class WrittenAndRead(JournalCase):
     def test_what_was_appended_comes_back_in_order_and_once(self):
         wanted = []
         for _ in range(3):
-            journal = self.open(segment=200)
+            journal = self.open(segment_bytes=200)
             for _ in range(20):
                 wanted.append(b"body %d" % len(wanted))
                 self.wait_synced(journal.append(wanted[-1]) - 3)
@@ -69,7 +70,7 @@
         data = path.read_bytes()
         ends = [0]
         for body in wanted:
-            ends.append(ends[-1] + HEAD.size + len(body))
+            ends.append(ends[-1] + FRAME_HEAD.size + len(body))
         for cut in range(len(data) + 1):
             path.write_bytes(data[:cut])
             path.with_suffix(".torn").unlink(missing_ok=True)
@@ -80,7 +81,7 @@
             self.assertEqual(path.stat().st_size, ends[whole])
             if found.torn_bytes:  # nothing is thrown away
                 self.assertEqual(path.with_suffix(".torn").read_bytes(), data[ends[whole] : cut])
-            again = Journal(self.folder, found.seq, self.told, self.failed)
+            again = Journal(self.folder, found.seq, self.on_synced, self.on_failure)
             again.append(b"after")
             self.assertTrue(again.close())
             self.assertEqual(self.bodies(), [*wanted[:whole], b"after"])
@@ -89,15 +90,15 @@
                     other.unlink()
 
     def test_a_changed_byte_is_found_wherever_it_stands(self):
-        data = frame(1, b"one") + frame(2, b"two")
+        data = encode_frame(1, b"one") + encode_frame(2, b"two")
         for at in range(len(data)):
             spoilt = bytearray(data)
             spoilt[at] ^= 1
             with self.subTest(at=at), self.assertRaises(TornFrameError):
-                list(read(bytes(spoilt)))
+                list(decode_frames(bytes(spoilt)))
 
     def test_damage_in_the_middle_is_not_cut_away(self):
-        journal = self.open(segment=60)
+        journal = self.open(segment_bytes=60)
         for k in range(10):
             journal.append(b"body %d" % k)
             self.wait_synced(k + 1)
@@ -110,8 +111,8 @@
             recover(self.folder)
         self.assertEqual(first.read_bytes(), bytes(data))
 
-    def test_a_snapshot_stands_for_what_came_before_it(self):
-        journal = self.open(segment=50)
+    def test_a_snapshot_replaces_what_came_before_it(self):
+        journal = self.open(segment_bytes=50)
         for k in range(5):
             journal.append(b"%d" % k)
             self.wait_synced(k + 1)
@@ -134,7 +135,7 @@
             recover(self.folder)
 
 
-class Failing(Folder):
+class FailingDisk(JournalCase):
     def fail(self, name: str, times: int, error: OSError, partly: bool = False) -> None:
         real, left = getattr(os, name), [times]
 
@@ -149,7 +150,7 @@
         patched = patch(f"pearhill.durable.journal.os.{name}", call)
         patched.start()
         self.addCleanup(patched.stop)
-        shorter = patch("pearhill.durable.journal.RETRY", 0.01)
+        shorter = patch("pearhill.durable.journal.RETRY_INTERVAL_S", 0.01)
         shorter.start()
         self.addCleanup(shorter.stop)
 
@@ -169,23 +170,24 @@
                 self.assertEqual(recover(self.folder).seq, 6)
                 self.assertEqual([e is None for e in self.failures], [False, True])
 
-    def test_a_disk_that_fails_for_good_is_told_and_takes_no_more_than_its_bound(self):
+    def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self):
         self.fail("write", -1, OSError(5, "Input/output error"))
-        journal = self.open(waiting=300)
+        journal = self.open(max_waiting_bytes=300)
         with self.assertRaises(BufferError):
             for _ in range(100):
                 journal.append(b"x" * 50)
-        with self.news:
-            self.assertTrue(self.news.wait_for(lambda: self.failures, 20))
+        with self.changed:
+            self.assertTrue(self.changed.wait_for(lambda: self.failures, 20))
         self.assertFalse(journal.close())
 
 
 WRITER = """
 import pathlib, sys
-from pearhill.durable.journal import Journal, recover
+from pearhill.durable.journal import Journal
+from pearhill.durable.recovery import recover
 folder = pathlib.Path(sys.argv[1])
 found = recover(folder)
-journal = Journal(folder, found.seq, lambda seq: print(seq, flush=True), lambda error: None, segment=5000)
+journal = Journal(folder, found.seq, lambda seq: print(seq, flush=True), lambda error: None, segment_bytes=5000)
 for k in range(10**6):
     seq = journal.append(b"%d" % (found.seq + k + 1))
     if k % 50 == 49:
@@ -195,7 +197,7 @@
 """
 
 
-class Killed(Folder):
+class KilledProcess(JournalCase):
     def test_whatever_was_acknowledged_before_a_kill_is_there_once(self):
         """200 points in the measurement; here a few, seeded."""
         rounds = int(os.environ.get("PEARHILL_KILLS", "8"))
@@ -217,7 +219,7 @@
             found = recover(self.folder)
             with self.subTest(turn=turn):
                 self.assertGreaterEqual(found.seq, acked)
-                every = frames_of(self.folder)
+                every = read_frames(self.folder)
                 self.assertEqual([f.seq for f in every], list(range(1, found.seq + 1)))
                 self.assertEqual([f.body for f in every], [b"%d" % f.seq for f in every])
                 if found.state is not None:
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -15,7 +15,7 @@
 from pearhill.budgets.charges import Charge, encode_charge, encode_state
 from pearhill.budgets.periods import month_of
 from pearhill.counters import Calls, Counters, Figures
-from pearhill.durable.frames import frame
+from pearhill.durable.frames import encode_frame
 from pearhill.lifecycle.overrides import Override
 from pearhill.lifecycle.takeover import TakeoverMessage
 from pearhill.load_reports.peer_loads import ReplicaLoad
@@ -202,8 +202,8 @@
 
 def journal_segment() -> bytes:
     """Four charges, and the first bytes of a fifth that a crash cut."""
-    frames = [frame(number, encode_charge(charge)) for number, charge in enumerate(CHARGES, 3)]
-    return b"".join(frames) + frame(7, encode_charge(CHARGES[0]))[:25]
+    frames = [encode_frame(number, encode_charge(charge)) for number, charge in enumerate(CHARGES, 3)]
+    return b"".join(frames) + encode_frame(7, encode_charge(CHARGES[0]))[:25]
 
 
 class _Operated:
@@ -284,7 +284,7 @@
     "simulator-actions.bin": action_reply,
     **{f"charge-{number}.bin": lambda c=c: encode_charge(c) for number, c in enumerate(CHARGES)},
     "budgets-state.bin": lambda: encode_state(used_budgets()),
-    "journal/00000000000000000002.state": lambda: frame(2, encode_state(used_budgets()), 1 << 30),
+    "journal/00000000000000000002.state": lambda: encode_frame(2, encode_state(used_budgets()), 1 << 30),
     "journal/00000000000000000003.log": journal_segment,
     "operators-calls.json": operators_calls,
     "counters.json": counters,
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pearhill.budgets.charges import decode_charge, rebuild
-from pearhill.durable.journal import frames_of, recover
+from pearhill.durable.recovery import read_frames, recover
 from pearhill.lifecycle.takeover import decode
 from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.gossip_messages import GossipCodec
@@ -51,7 +51,7 @@
     shutil.copytree(FILES / "journal", folder)
     found = recover(folder)
     assert (found.seq, found.state_seq, found.torn_bytes, len(found.frames)) == (6, 2, 25, 4)
-    assert [decode_charge(one.body) for one in frames_of(folder)] == list(CHARGES)
+    assert [decode_charge(one.body) for one in read_frames(folder)] == list(CHARGES)
     budgets = samples.new_budgets()
     assert rebuild(budgets, found.state, [one.body for one in found.frames], NOW + 9 * SECOND) == 4
     balances = {name: budgets.balance(NOW + 9 * SECOND, WALL + 9, name) for name in ("ada", "bob")}
