--- a/tests/platform/test_load_report_text.py
+++ b/tests/platform/test_load_report_text.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pearhill.platform.replica import load_of
+from pearhill.platform.replica import parse_load_report
 
 
 @pytest.mark.parametrize(
@@ -25,4 +25,4 @@
     ],
 )
 def test_a_report_is_read_completely_or_not_at_all(text, load):
-    assert load_of(text) == load
+    assert parse_load_report(text) == load
