--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -111,7 +111,7 @@
 
     def _open_door(self, address: tuple[str, int]) -> Listener:
         door = Listener(self.loop, self.deadlines, Counters(), self, DOOR, DOOR_BODY, side="operator")
-        door.last_answers()  # one call a connection
+        door.close_after_answers()  # one call a connection
         try:
             host, port = door.listen(address)
         except OSError as e:
--- a/pearhill/config/platform.py
+++ b/pearhill/config/platform.py
@@ -9,7 +9,7 @@
 
 from pearhill import settings
 from pearhill.net.address import Address, parse_address
-from pearhill.net.listener import listening
+from pearhill.net.listener import inherited_socket
 
 
 class ConfigError(Exception):
@@ -46,7 +46,7 @@
     if not text.isascii() or not text.isdecimal() or not 3 <= int(text) < 1 << 20:
         raise ConfigError(f"RELAY_PASSED_SOCKET: found {text!r}; allowed: the number of an open descriptor, 3 or more")
     try:
-        return listening(int(text)).detach()
+        return inherited_socket(int(text)).detach()
     except ValueError as e:
         raise ConfigError(f"RELAY_PASSED_SOCKET: {e}") from None
 
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -57,9 +57,9 @@
     AggregatorSite,
     Reporter,
 )
-from pearhill.net.health_checks import MOST_OUT
-from pearhill.net.pool import MAX_ANSWER
-from pearhill.net.releases import UNANSWERED as RELEASES
+from pearhill.net.health_checks import MAX_IN_FLIGHT
+from pearhill.net.pool import MAX_COLLECTED_BYTES
+from pearhill.net.releases import MAX_UNANSWERED as RELEASES
 from pearhill.node.node import SPARE
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
 from pearhill.routing.router import KEEP, KEYS, RATIO_MAX, SHED
@@ -572,7 +572,7 @@
     @property
     def longest_list(self) -> int:
         """Replicas whose list fits into the largest answer that is gathered."""
-        return MAX_ANSWER // self.entry_bytes
+        return MAX_COLLECTED_BYTES // self.entry_bytes
 
     @property
     def list_changes_day(self) -> float:
@@ -1119,7 +1119,7 @@
         "STEP": STEP_EVERY / S,
         "RATIO_MAX": RATIO_MAX,
         "FRESH": FRESH / S,
-        "MOST_OUT": MOST_OUT,
+        "MOST_OUT": MAX_IN_FLIGHT,
         "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
         "FETCH": EUREKA.fetch_s,
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -1,83 +1,99 @@
-"""One client's connection: feeds its state machine, writes what the handler answers, and ends when it is to."""
+"""One client's connection: its requests are answered one after the other, and it ends when it has to."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import enum
 import socket
-from collections import deque
-from typing import TYPE_CHECKING, Any
+from collections.abc import Coroutine
+from typing import Any, Protocol
 
 from loguru import logger
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import Deadlines, Key
+from pearhill.counters import Counters
 from pearhill.http1 import messages
-from pearhill.http1.handler import Pending
+from pearhill.http1.handler import Handler, Pending
 from pearhill.http1.messages import Headers, RequestMessage
-from pearhill.http1.server import ContinueWanted, Rejected, ServerConnection
-from pearhill.net.accept_queue import accept_queue_wait_us
-from pearhill.net.socket_reader import SocketReader, passes
-from pearhill.net.socket_writer import SocketWriter
+from pearhill.http1.server import Rejected
+from pearhill.net.output_buffer import OutputBuffer
+from pearhill.net.request_intake import READ_BYTES, RequestIntake
+from pearhill.net.socket_reader import is_transient
+from pearhill.net.unread_input import UnreadInput, peek_unread_input
 from pearhill.routing.permissions import ConnectionUse, may_close
 
-if TYPE_CHECKING:
-    from pearhill.net.listener import Listener
+REQUEST_TIMEOUT_US = 2_000_000  # a request is complete by then, from its first byte
+# The first one's time begins so long after its accept at the latest. Bad clients have to be ended within 3 s.
+MAX_FIRST_REQUEST_DELAY_US = 800_000
+IDLE_TIMEOUT_US = 5_000_000  # between two requests
+LINGER_US = 1_000_000  # how long input is read past the last answer
+MAX_LINGER_BYTES = 256 * 1024  # how much input is read past the last answer
+RECHECK_INTERVAL_US = 20_000  # after a look for unread input that failed
+MAX_DISCONNECT_CHECK_BYTES = 4 << 20  # read at once to see whether a client that has sent so much is still there
+WRITE_TIMEOUT_US = 20_000_000  # a client that takes no byte for so long is gone
 
-FIRST_READ, READ = 2 * 1024, 64 * 1024  # at once, of what may begin a request, and of what goes on with one
-ROOM = 64 * 1024  # bytes of an answer that may wait for a slow client before its server is held back
-PIPELINED = 4  # requests that may wait on one connection behind the one being answered, and no more bytes than one
-MESSAGE_WITHIN = 2_000_000  # a request is whole by then, from its first byte
-# The first one's time begins so long after its accept at the latest. Bad clients are owed their end within 3 s.
-FIRST_LATER = 800_000
-IDLE_WITHIN = 5_000_000
-LINGER, LINGER_BYTES = 1_000_000, 256 * 1024  # how long, and how much, is read past the last answer
-LOOK_AGAIN = 20_000  # after a look that failed
-LOOK_BYTES = 4 << 20  # read at once to see whether a client that has sent so much is still there
-WRITE_WITHIN = 20_000_000  # a client that takes no byte for so long is gone
 
+class ConnectionOwner(Protocol):
+    """What accepts connections, as far as each of them needs it."""
 
-class Unread(enum.Enum):
-    """What a look at a socket has told of bytes that nobody has read; it may fail for want of memory."""
+    loop: asyncio.AbstractEventLoop
+    deadlines: Deadlines
+    counters: Counters
+    handler: Handler
+    max_body: int
+    side: str
+    draining: bool  # answers end their connections
+    closing: bool  # no connection outlives its answer, even one that was begun before the drain
 
-    NONE, SOME, UNKNOWN = range(3)
+    def spawn(self, work: Coroutine[Any, Any, None], /) -> asyncio.Task[None]:
+        """Run a task that the owner holds until it ends."""
+
+    def forget(self, connection: AcceptedConnection) -> None:
+        """The connection's socket is closed."""
 
 
 class AcceptedConnection:
-    """One client's connection, and the Reply to the request that is being answered on it. `waited`: it may have stood
-    at the door for long, and its first request with it."""
-
-    def __init__(self, listener: Listener, sock: socket.socket, peer: Any, waited: bool = False) -> None:
-        self.listener, self.sock, self.peer = listener, sock, peer
-        self.machine = ServerConnection(listener.max_body)
-        self.incoming, self.outgoing = SocketReader(listener.loop, sock), SocketWriter(listener.loop, sock)
-        self.waiting: deque[RequestMessage | Rejected] = deque()
+    """One client's connection, and the Reply to the request that is being answered on it. `delayed_accept`: it may
+    have stood in the accept queue for long, and its first request with it."""
+
+    def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool = False) -> None:
+        self.owner = owner
+        self.sock = sock
+        self.peer = peer
+        self.intake = RequestIntake(owner.loop, sock, owner.deadlines.clock, owner.max_body, delayed_accept)
+        self.output = OutputBuffer(owner.loop, sock)
         self.pending: Pending | None = None
-        self.answering = self.closed = self.ending = False
+        self.answering = False  # a request has its turn
+        self.ending = False  # it has had its last answer
+        self.closed = False
         self.requests = 0
-        self.since = listener.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
-        self._waited = waited
-        self._keep = True  # its client lets it live on, and nothing on it has gone wrong
-        self._last = False  # the next answer ends it, whatever its request says
-        self._told_last = False  # the client was told that this answer is the last one
-        self._out = bytearray()
-        self._past = 0  # bytes read behind its last answer
-        self._room = asyncio.Event()
-        self._room.set()
+        self.since = owner.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
+        self._keep_alive = True  # its client lets it live on, and nothing on it has gone wrong
+        self._close_after_next = False  # the next answer ends it, whatever its request says
+        self._announced_close = False  # the client was told that this answer is the last one
+        self._bytes_after_last = 0  # read behind its last answer
         self._timer: Key | None = None
         self._reason = "answered"
         self._writer: asyncio.Task[None] | None = None  # while there is something to write
-        self._reader: asyncio.Task[None] | None = listener.spawn(self._read())
-        self._reader.add_done_callback(self._task_over)
-        self._watch()
+        self._reader: asyncio.Task[None] | None = owner.spawn(self._read())
+        self._reader.add_done_callback(self._task_done)
+        self._set_timer()
+
+    # What it is good for.
 
     @property
     def idle(self) -> bool:
-        return self.idle_but_reading and not self.machine.in_message
+        """Nothing is being read, answered or written."""
+        return self.idle_but_reading and not self.intake.in_message
 
     @property
     def idle_but_reading(self) -> bool:
-        return not (self.answering or self.waiting or self._out or (self._writer and not self._writer.done()))
+        """Nothing is being answered or written; a request may have begun."""
+        return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
+
+    @property
+    def _is_writing(self) -> bool:
+        return self._writer is not None and not self._writer.done()
 
     @property
     def use(self) -> ConnectionUse:
@@ -86,305 +102,305 @@
             return ConnectionUse.ANSWERING
         if self.ending:
             return ConnectionUse.FINISHED
-        if self.machine.in_message:
+        if self.intake.in_message:
             return ConnectionUse.PARTIAL_REQUEST
         return ConnectionUse.IDLE if self.requests else ConnectionUse.UNUSED
 
     @property
     def may_close(self) -> bool:
-        """Whether it may make room for another."""
+        """Whether it may be ended so that another can be accepted."""
         use = self.use
-        looks = use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING)  # a system call: only where it can matter
-        unread = looks and self._unread() != Unread.NONE
-        return may_close(use, unread, self.listener.deadlines.clock() - self.since)
+        unread = False
+        if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # a system call: only where it can matter
+            unread = peek_unread_input(self.sock) != UnreadInput.NONE
+        return may_close(use, unread, self.owner.deadlines.clock() - self.since)
 
     @property
     def owes_a_request(self) -> bool:
-        """Nothing was ever asked on it, or a request has begun and is not whole."""
-        return self.machine.in_message or not self.requests
-
-    def _unread(self) -> Unread:
-        """Whether something waits to be read: a request that crosses the end of its connection is lost on its way."""
-        try:
-            return Unread.SOME if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) else Unread.NONE
-        except BlockingIOError:
-            return Unread.NONE
-        except OSError as e:
-            return Unread.UNKNOWN if passes(e) else Unread.NONE
+        """Nothing was ever asked on it, or a request has begun and is not complete."""
+        return self.intake.in_message or not self.requests
 
     # Reply.
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, half-closed or reset its connection, by the socket itself. A busy loop
-        has not come to read it, or its end stands behind more that it has sent, and its request would be sent on."""
-        looked = 0
-        while not self.closed and looked < LOOK_BYTES:
+        """Whether the client has closed, half-closed or reset its connection, seen on the socket itself. A busy loop
+        may not have read the end yet, or it stands behind more bytes, and the request would be forwarded for nobody."""
+        read = 0
+        while not self.closed and read < MAX_DISCONNECT_CHECK_BYTES:
             try:
                 if self.sock.recv(1, socket.MSG_PEEK):
-                    data = self.sock.recv(READ)
-                    looked += len(data)
-                    self._took(memoryview(data))
+                    data = self.sock.recv(READ_BYTES)
+                    read += len(data)
+                    self._received(memoryview(data))
                     continue
                 self.close("client-closed")
-            except OSError as e:
-                if passes(e):
+            except OSError as error:
+                if is_transient(error):
                     break
-                self.close(f"client-{type(e).__name__}")
+                self.close(f"client-{type(error).__name__}")
         return self.closed
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        self._put(messages.answer(status, headers, body, close=not self._keeps()))
-        self._done()
+        """Send a complete answer."""
+        self._put(messages.answer(status, headers, body, close=not self._stays_open()))
+        self._answered()
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
-        self._keep, self._reason = False, f"rejected-{status}"
+        """Answer bad input and end the connection: what follows may be a part of that input."""
+        self._keep_alive = False
+        self._reason = f"rejected-{status}"
         self.answer(status, headers, body)
 
     def start(self, status: int, headers: Headers = ()) -> None:
-        self._out += messages.stream_head(status, headers, close=not self._keeps())
+        """Begin an answer in pieces; its head goes out with the first of them."""
+        self.output.append(messages.stream_head(status, headers, close=not self._stays_open()))
 
     async def write(self, data: bytes) -> None:
+        """Send a piece of the answer, and wait while too much of it is unsent."""
         self._put(messages.chunk(data))
-        await self._room.wait()
+        await self.output.has_capacity.wait()
 
     def finish(self, last: bytes = b"") -> None:
-        self._put((messages.chunk(last) if last else b"") + messages.LAST_CHUNK)
-        self._done()
+        """Send these last bytes and the end of the answer."""
+        last_piece = messages.chunk(last) if last else b""
+        self._put(last_piece + messages.LAST_CHUNK)
+        self._answered()
 
     def abort(self, last: bytes = b"") -> None:
+        """Send these last bytes and end the connection without the answer's last chunk."""
         if last:
             self._put(messages.chunk(last))
-        self._keep, self._reason = False, "answer-broken"
-        self._done()  # what came of the answer still goes out, then the connection ends without its last chunk
-
-    # Inside.
-
-    def _keeps(self) -> bool:
-        """Whether the connection outlives this answer. Told to the client, so settled once. Requests that were read
-        behind it are owed their answers, whoever wants the connection to end."""
-        self._told_last = not self._keep or ((self.listener.draining or self._last) and not self.waiting)
-        return not self._told_last
-
-    def _put(self, data: bytes) -> None:
-        if not self.closed:
-            self._out += data
-            if self._writer is None or self._writer.done():
-                self._send_now()
-            if len(self._out) > ROOM:
-                self._room.clear()
-
-    def _send_now(self) -> None:
-        """Most of what is written fits the socket at once: a task and a deadline for each piece would cost more than
-        the piece. A writer takes over what does not fit."""
-        with contextlib.suppress(OSError):  # full, or broken: the writer will tell which
-            del self._out[: self.sock.send(self._out)]
-        if self._out:
-            self._flush()
-
-    def _done(self) -> None:
-        self.answering, self.pending = False, None
-        if not self._keep or ((self._told_last or self.listener.closing) and not self.waiting):
+        self._keep_alive = False
+        self._reason = "answer-broken"
+        self._answered()  # what came of the answer still goes out
+
+    def _stays_open(self) -> bool:
+        """Whether the connection outlives this answer. The client is told so, hence it is settled once. Requests that
+        were read behind it still get their answers, whatever asks the connection to end."""
+        asked_to_end = (self.owner.draining or self._close_after_next) and not self.intake.waiting
+        self._announced_close = not self._keep_alive or asked_to_end
+        return not self._announced_close
+
+    def _answered(self) -> None:
+        """The request that had its turn has its answer: end the connection, or go on to the next request."""
+        self.answering = False
+        self.pending = None
+        asked_to_end = (self._announced_close or self.owner.closing) and not self.intake.waiting
+        if not self._keep_alive or asked_to_end:
             self.ending = True
-            self._flush()
+            self._start_writer()
             return
         self._advance()
 
-    def _flush(self) -> None:
-        """A writer for as long as there is something left to write, or an end to come after it."""
-        if not self.closed and (self._writer is None or self._writer.done()):
-            self._writer = self.listener.spawn(self._write())
-            self._writer.add_done_callback(self._task_over)
+    # Requests, one after the other.
 
     def _advance(self) -> None:
         """Take up the next request, unless one is being answered."""
-        while self.waiting and not (self.answering or self.ending or self.closed):
-            message = self.waiting.popleft()
+        while self.intake.waiting and not (self.answering or self.ending or self.closed):
+            message = self.intake.waiting.popleft()
             self.answering = True
             if isinstance(message, Rejected):
                 self._reject(message)
                 break
-            self.requests += 1
-            self._keep, self._told_last = message.keep_alive, False
-            turn = self.requests
-            try:
-                pending = self.listener.handler.handle(message, self)
-            except Exception:
-                # A fault in a handler must not leave its client without an answer.
-                logger.exception("a handler failed on {method} {path}", method=message.method, path=message.path)
-                if self.answering and self.requests == turn:
-                    self._keep = False
-                    self.answer(500)
-                continue
-            if self.closed and pending:  # its end was seen while it was handled
-                pending.left()
-            elif self.answering and self.requests == turn:
-                self.pending = pending
+            self._handle(message)
         if not self.answering:
-            self.since = self.listener.deadlines.clock()
-        self._watch()
+            self.since = self.owner.deadlines.clock()
+        self._set_timer()
+
+    def _handle(self, message: RequestMessage) -> None:
+        """Give one request to the handler, which answers it now or later."""
+        self.requests += 1
+        self._keep_alive = message.keep_alive
+        self._announced_close = False
+        number = self.requests
+        try:
+            pending = self.owner.handler.handle(message, self)
+        except Exception:
+            # A fault in a handler must not leave its client without an answer.
+            logger.exception("a handler failed on {method} {path}", method=message.method, path=message.path)
+            if self._is_answering(number):
+                self._keep_alive = False
+                self.answer(500)
+            return
+        if self.closed and pending:  # the client's end was seen while the request was handled
+            pending.left()
+        elif self._is_answering(number):
+            self.pending = pending
+
+    def _is_answering(self, number: int) -> bool:
+        """Whether the request of this number still waits for its answer."""
+        return self.answering and self.requests == number
 
     def _reject(self, message: Rejected) -> None:
-        self.listener.counters.rejected += 1
-        self.reject(message.status, *self.listener.handler.rejected(message.status, message.why))
+        self.owner.counters.rejected += 1
+        headers, body = self.owner.handler.rejected(message.status, message.why)
+        self.reject(message.status, headers, body)
 
-    def _watch(self) -> None:
+    def reject_partial_request(self) -> None:
+        """The process ends before the rest of the request can be waited for. Nothing of it was executed."""
+        self.intake.waiting.append(Rejected(503, "this process ends: trying again elsewhere is harmless"))
+        self._advance()
+
+    # Deadlines.
+
+    def _set_timer(self) -> None:
         """One deadline a connection: for a half-sent request, or for the next one to begin. Were it set anew
-        by each byte, or only by the first, a client that trickles or says nothing would hold its place for good."""
-        self.listener.deadlines.cancel(self._timer)
+        by each byte, or only by the first, a client that trickles or sends nothing would keep its place for good."""
+        deadlines = self.owner.deadlines
+        deadlines.cancel(self._timer)
         self._timer = None
         if self.closed or self.answering or self.ending:
             return
         if self.owes_a_request:
-            self._timer = self.listener.deadlines.at(self.since + MESSAGE_WITHIN, self._too_slow)
+            self._timer = deadlines.at(self.since + REQUEST_TIMEOUT_US, self._request_overdue)
         else:
-            self._timer = self.listener.deadlines.at(self.since + IDLE_WITHIN, lambda: self.close_unless_asked("idle"))
+            self._timer = deadlines.at(self.since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
 
-    def _too_slow(self) -> None:
-        if not self.machine.in_message:
-            return self.close_unless_asked("silent")
-        self.waiting.append(Rejected(408, "the request did not arrive in time"))
+    def _request_overdue(self) -> None:
+        """The time for a request is over: its client has sent a part of it, or nothing at all."""
+        if not self.intake.in_message:
+            return self.close_unless_unread("silent")
+        self.intake.waiting.append(Rejected(408, "the request did not arrive in time"))
         self._advance()
 
-    def refuse_half_request(self) -> None:
-        """The process ends before the rest of it can be waited for. Nothing of it was done."""
-        self.waiting.append(Rejected(503, "this process ends: trying again elsewhere is harmless"))
-        self._advance()
+    # Reading.
 
     async def _read(self) -> None:
-        """A read that the loop does ahead of this task's turn is lost with the task when the connection is
-        closed in between: a request read, and dropped. So bytes are taken off the socket only here and in `gone`."""
+        """A read that the loop does ahead of this task's turn is lost with the task when the connection is closed in
+        between: a request read, and dropped. So bytes are taken off the socket only here and in `has_disconnected`."""
         reason = "client-closed"
         try:
             while not self.closed:
-                # Clients by the hundred that ask once and stay would each hold a large buffer.
-                buffer = bytearray(READ if self.machine.in_message else FIRST_READ)
+                buffer = self.intake.new_buffer()
                 try:
-                    size = await self.incoming.recv_into(buffer)
-                except OSError as e:
-                    size, reason = 0, f"client-{type(e).__name__}"
-                if not size or not self._took(memoryview(buffer)[:size]):
+                    size = await self.intake.socket_reader.recv_into(buffer)
+                except OSError as error:
+                    size = 0
+                    reason = f"client-{type(error).__name__}"
+                if not size or not self._received(memoryview(buffer)[:size]):
                     break
         finally:
-            self.incoming.close()
+            self.intake.socket_reader.close()
             self.close(self._reason if self.ending else reason)
-            self.machine.close()
+            self.intake.close()
 
-    def _took(self, data: memoryview) -> bool:
-        """What was read. False: enough of it, behind the last answer."""
+    def _received(self, data: memoryview) -> bool:
+        """Take bytes that were read. False: enough was read behind the last answer. A client that sends megabytes
+        after it would else be read to the end."""
         if self.ending:
-            self._past += len(data)
-            return self._past <= LINGER_BYTES  # Whoever sends megabytes after its answer is read to the end.
+            self._bytes_after_last += len(data)
+            return self._bytes_after_last <= MAX_LINGER_BYTES
         self._feed(data)
         return True
 
     def _feed(self, data: memoryview) -> None:
-        """A name in the reader's own frame would keep the last request for as long as its client stays."""
-        began = self.machine.in_message
-        for event in self.machine.feed(data):
-            if isinstance(event, ContinueWanted):
-                if not (self.answering or self.waiting):  # It would land inside another's answer.
-                    self._put(b"HTTP/1.1 100 Continue\r\n\r\n")
-                continue
-            if self._floods:
-                # Left unread, a flood hides its client's end, and the requests of one that has gone would be
-                # sent on. So reading goes on: nothing more of it is kept, and the answers to the first of it end it.
-                self.waiting.append(Rejected(429, "too many requests at once on one connection"))
-                self.machine.close()
-                break
-            if isinstance(event, RequestMessage):
-                event.arrived = self.listener.deadlines.clock() - self._unread_for()
-            self.waiting.append(event)
-        if self.waiting:
+        """Parse bytes, and take up the requests that they complete. No name of a request stands in the reader's own
+        frame: that would keep the last one in memory for as long as its client stays."""
+        was_in_message = self.intake.in_message
+        self.intake.feed(data, self.answering, self._send_continue)
+        if self.intake.waiting:
             self._advance()
-        elif self.machine.in_message != began:
-            now = self.listener.deadlines.clock()
-            self.since = now if self.requests else min(now, self.since + FIRST_LATER)
-            self._watch()
+        elif self.intake.in_message != was_in_message:
+            now = self.owner.deadlines.clock()
+            self.since = now if self.requests else min(now, self.since + MAX_FIRST_REQUEST_DELAY_US)
+            self._set_timer()
 
-    def _unread_for(self) -> int:
-        """How long what was read just now had been there, where it was the system that kept it from being read."""
-        waited, self._waited = self._waited, False
-        return max(int(self.incoming.delayed_s * 1e6), accept_queue_wait_us(self.sock) if waited else 0)
+    def _send_continue(self) -> None:
+        self._put(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    @property
-    def _floods(self) -> bool:
-        return (
-            len(self.waiting) >= PIPELINED + (not self.answering)
-            or sum(len(m.body) for m in self.waiting if isinstance(m, RequestMessage)) > self.machine.max_body
-        )
+    # Writing.
 
-    def _task_over(self, task: asyncio.Task[None]) -> None:
-        """A socket that is closed while the loop still polls it may hand its number to another. A task that
-        was cancelled holds its frame, and that this link: they go when the collector comes, unless let go of here."""
-        if self._reader and self._reader.done() and (self._writer is None or self._writer.done()):
-            self.sock.close()
-            self.listener.links.discard(self)
-            self._reader = self._writer = None
+    def _put(self, data: bytes) -> None:
+        """Send bytes, or leave what does not fit the socket to the writer."""
+        if self.closed:
+            return
+        writing = self._is_writing
+        self.output.add(data, send_now=not writing)
+        if self.output.unsent and not writing:
+            self._start_writer()
+
+    def _start_writer(self) -> None:
+        """Run a writer for as long as there is something left to write, or an end to come after it."""
+        if not self.closed and not self._is_writing:
+            self._writer = self.owner.spawn(self._write())
+            self._writer.add_done_callback(self._task_done)
 
     async def _write(self) -> None:
-        while self._out and not self.closed:
-            stuck = self.listener.deadlines.after(WRITE_WITHIN, lambda: self.close("client-stuck"))
+        while self.output.unsent and not self.closed:
+            write_timer = self.owner.deadlines.after(WRITE_TIMEOUT_US, lambda: self.close("client-stuck"))
             try:
-                await self._write_some()
-            except OSError as e:
-                return self.close(f"client-{type(e).__name__}")
+                await self.output.write_some()
+            except OSError as error:
+                return self.close(f"client-{type(error).__name__}")
             finally:
-                self.listener.deadlines.cancel(stuck)
+                self.owner.deadlines.cancel(write_timer)
         if self.ending and not self.closed:
             self._linger()
 
-    async def _write_some(self) -> None:
-        """All that waits, or as much as may wait. OSError: the connection broke."""
-        taken = 0
-        while self._out and not self.closed and taken < ROOM:
-            size = await self.outgoing.send_some(self._out)
-            taken += size
-            del self._out[:size]
-            if len(self._out) <= ROOM:
-                self._room.set()
-
     def _linger(self) -> None:
-        """Closed with input unread, the connection is reset and the answer lost on its way."""
+        """Read on for a while past the last answer: closed with input unread, the connection would be reset and the
+        answer lost on its way (RFC 9112, 9.6)."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             return self.close(self._reason)
-        self._timer = self.listener.deadlines.after(LINGER, lambda: self.close(self._reason))
+        self._timer = self.owner.deadlines.after(LINGER_US, lambda: self.close(self._reason))
 
-    def close_unless_asked(self, reason: str) -> None:
-        """End an idle connection, unless a request has come that no turn has read yet: its answer ends it then."""
-        match self._unread():
-            case Unread.NONE:
+    # The end.
+
+    def close_unless_unread(self, reason: str) -> None:
+        """End an idle connection, unless a request has come that was not read yet: its answer ends it then."""
+        match peek_unread_input(self.sock):
+            case UnreadInput.NONE:
                 self.close(reason)
-            case Unread.SOME:
-                self._last, self.since = True, self.listener.deadlines.clock()
-                self._watch()  # what came may be no request
-            case Unread.UNKNOWN:
-                deadlines = self.listener.deadlines
+            case UnreadInput.SOME:
+                self._close_after_next = True
+                self.since = self.owner.deadlines.clock()
+                self._set_timer()  # what came may be no request
+            case UnreadInput.UNKNOWN:
+                deadlines = self.owner.deadlines
                 deadlines.cancel(self._timer)
-                self._timer = deadlines.after(LOOK_AGAIN, lambda: self.close_unless_asked(reason))
+                self._timer = deadlines.after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
 
     def close(self, reason: str) -> None:
         """End the connection now; a request still being answered on it loses its client."""
         if self.closed:
             return
         self.closed = True
-        self.listener.deadlines.cancel(self._timer)
-        self._room.set()
+        self.owner.deadlines.cancel(self._timer)
+        self.output.close()
         with contextlib.suppress(OSError):  # the client was first
             self.sock.shutdown(socket.SHUT_RDWR)
+        self._cancel_tasks()
+        self._record_end(reason)
+        pending = self.pending
+        self.pending = None
+        if pending:
+            pending.left()
+
+    def _cancel_tasks(self) -> None:
+        """Cancel the reader and the writer, except the one that runs this."""
         for task in (self._reader, self._writer):
-            if task and asyncio.current_task(self.listener.loop) is not task:
+            if task and asyncio.current_task(self.owner.loop) is not task:
                 task.cancel()
-        self.listener.counters.connections[f"{self.listener.side} {reason}"] += 1
+
+    def _record_end(self, reason: str) -> None:
+        self.owner.counters.connections[f"{self.owner.side} {reason}"] += 1
         logger.info(
             "connection side={side} peer={peer} reason={reason} requests={requests} unsent={unsent}",
-            side=self.listener.side,
+            side=self.owner.side,
             peer=self.peer,
             reason=reason,
             requests=self.requests,
-            unsent=len(self._out),
+            unsent=len(self.output.unsent),
         )
-        pending, self.pending = self.pending, None
-        if pending:
-            pending.left()
+
+    def _task_done(self, task: asyncio.Task[None]) -> None:
+        """Close the socket once neither task uses it: closed while the loop still polls it, its number may become
+        another's. A cancelled task holds its frame, and that this connection, until the collector comes: so both are
+        dropped here."""
+        if self._reader and self._reader.done() and not self._is_writing:
+            self.sock.close()
+            self.owner.forget(self)
+            self._reader = None
+            self._writer = None
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -17,7 +17,7 @@
 from pearhill.http1.client import MAX_CHUNK, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
 from pearhill.net.health_checks import HealthCheckCallback, HealthCheckDialect, HealthChecks
-from pearhill.net.pool import MAX_CONNECT, ConnectError, Connection, Pool, PoolExhaustedError, SystemResourceError
+from pearhill.net.pool import MAX_CONNECT, ConnectError, Pool, PooledConnection, PoolExhaustedError, SystemResourceError
 from pearhill.net.releases import ReleaseDialect, Releases
 from pearhill.net.ticks import pause
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
@@ -78,13 +78,13 @@
 class AttemptExchange:
     """One attempt on its connection."""
 
-    most_chunk = MAX_CHUNK
+    max_chunk = MAX_CHUNK
 
     def __init__(self, backend: HttpBackend, attempt: Attempt) -> None:
         self.backend, self.attempt = backend, attempt
         self.request_id = attempt.request.id
-        self.connection: Connection | None = None
-        self.tried = False  # from here on the server may have the whole request
+        self.connection: PooledConnection | None = None
+        self.may_have_sent = False  # from here on the server may have the whole request
         self.status, self.never_ran = 0, False
         self.headers: Mapping[str, str] = {}
         self.passing = False  # events wait for a slow client
@@ -110,7 +110,7 @@
         if not attempt.may_start():
             return
         self.backend.releases.close_discarded(attempt.request)  # Or it were a second copy
-        self.tried = True
+        self.may_have_sent = True
         try:
             await connection.send(self, self._request)
         except OSError:  # its last byte was never written
@@ -126,7 +126,7 @@
         wait_ms = max(1, (attempt.deadline - self.backend.pool.deadlines.clock()) // 1000)
         return self.backend.dialect.request(attempt.request.payload, attempt.replica, wait_ms)
 
-    async def _connect(self, address: Address) -> Connection:
+    async def _connect(self, address: Address) -> PooledConnection:
         """A shortage of the system may be over in a moment: what is spent on it is time, as on a connection that comes
         up late, and not an attempt. CannotConnect: it is not over in that time."""
         pool = self.backend.pool
@@ -134,7 +134,7 @@
         while True:
             try:
                 return await pool.acquire(
-                    address, within=HELD_CONNECT if self.attempt.request.state_holders else MAX_CONNECT
+                    address, connect_within=HELD_CONNECT if self.attempt.request.state_holders else MAX_CONNECT
                 )
             except SystemResourceError:
                 if pool.deadlines.clock() >= give_up:
@@ -241,7 +241,7 @@
 
     def over(self, outcome: Outcome, kept: int = 0, may_hold: bool = False, rest: int = 0, said: Any = None) -> None:
         self._forget_deadlines()
-        self.backend.calls.pop(self.attempt, None)
+        self.backend.exchanges.pop(self.attempt, None)
         self.attempt.end(outcome, kept, may_hold, rest, said)
 
     def _forget_deadlines(self) -> None:
@@ -266,7 +266,7 @@
                 self.backend.releases.keep_open(self.attempt.request, connection)
             else:
                 connection.close("called-off")
-        return self.tried
+        return self.may_have_sent
 
 
 class HttpBackend:
@@ -277,7 +277,7 @@
         self.addresses: dict[int, Address] = {}
         self.check_health = HealthChecks(pool, dialect, self.addresses, probed).send
         self.leaving: dict[int, Key] = {}  # engines off the list, whose addresses go when their time is over
-        self.calls: dict[Attempt, AttemptExchange] = {}
+        self.exchanges: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
     def update_addresses(self, addresses: dict[int, Address], gone: Collection[int], full: bool) -> None:
@@ -298,18 +298,18 @@
         del self.addresses[engine], self.leaving[engine]
 
     def send(self, attempt: Attempt) -> None:
-        self.calls[attempt] = AttemptExchange(self, attempt)
+        self.exchanges[attempt] = AttemptExchange(self, attempt)
 
     def has_started(self, attempt: Attempt) -> bool:
-        call = self.calls.get(attempt)
-        return call is not None and call.tried
+        call = self.exchanges.get(attempt)
+        return call is not None and call.may_have_sent
 
     def cancel(self, attempt: Attempt) -> bool:
-        call = self.calls.pop(attempt, None)
+        call = self.exchanges.pop(attempt, None)
         return call.cancel() if call else False
 
     @property
-    def releasing(self) -> int:
+    def pending_releases(self) -> int:
         """Releases that are being tried."""
         return self.releases.pending
 
--- a/pearhill/net/clock.py
+++ b/pearhill/net/clock.py
@@ -18,6 +18,6 @@
     return time.time_ns() // 1000
 
 
-def origin(clock: Callable[[], int]) -> int:
+def monotonic_offset(clock: Callable[[], int]) -> int:
     """How far a clock of `start_clock` is ahead of the system's monotonic clock, which all processes share."""
     return clock() - time.monotonic_ns() // 1000
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -10,7 +10,7 @@
 from pearhill.routing.outcomes import Outcome
 
 PROBE_WAIT = 250_000  # for an answer, in microseconds
-MOST_OUT = 64  # at once: probes must not take the descriptors that requests need
+MAX_IN_FLIGHT = 64  # at once: probes must not take the descriptors that requests need
 MAX_REPORT = 4 * 1024  # bytes of an answer
 TRIES = 2  # Danger: a kept connection that the server has closed is reset at its next use. That is no silence.
 
@@ -36,7 +36,7 @@
 
     def send(self, engine: int) -> None:
         address = self.addresses.get(engine)
-        if address is None or self.out >= MOST_OUT:
+        if address is None or self.out >= MAX_IN_FLIGHT:
             return self.told(engine, Outcome.NOT_SENT, None)  # never asked: that says nothing of the engine
         self.out += 1
         self.pool.spawn(self._probe(engine, address))
@@ -47,7 +47,7 @@
             for _ in range(TRIES):
                 try:
                     ask = self.dialect.health_check()
-                    status, body = await call(self.pool, address, ask, PROBE_WAIT, MAX_REPORT, use=REQUESTS)
+                    status, body = await call(self.pool, address, ask, PROBE_WAIT, MAX_REPORT, purpose=REQUESTS)
                     outcome, load = Outcome.ANSWERED, self.dialect.load(status, body)
                     break
                 except TimeoutError:
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -1,4 +1,4 @@
-"""Where clients connect: accepts them, and makes room among them."""
+"""Where clients connect: accepts them, bounds how many there are, and ends connections so that others are accepted."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from pearhill.net.tasks import Tasks
 from pearhill.routing.permissions import ConnectionUse
 
-BACKLOG = 1024  # connections that may wait at the door
-ACCEPT_AT_ONCE = 16  # connections taken in one turn
-LOOK_AGAIN = 20_000  # at the door, once there was no room
-EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+BACKLOG = 1024  # connections that may wait in the accept queue
+MAX_ACCEPTS_PER_TICK = 16  # connections taken in one tick of the loop
+RECHECK_INTERVAL_US = 20_000  # of the accept queue, while no connection can be taken
+EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of descriptors, buffers or memory
 
 
-def listening(number: int) -> socket.socket:
-    """A socket that whoever started this process has left open for it. ValueError: it is none to take clients from."""
+def inherited_socket(number: int) -> socket.socket:
+    """A socket that the parent process has left open for this one. ValueError: no clients can be accepted from it."""
     try:
         sock = socket.socket(fileno=number)
     except OSError as e:
@@ -38,23 +38,29 @@
         or sock.type != socket.SOCK_STREAM
         or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     ):
-        sock.detach()  # it is not ours to close
+        sock.detach()  # it belongs to other code, which closes it
         raise ValueError(f"descriptor {number} is no TCP socket that listens")
     return sock
 
 
-class Found(NamedTuple):
-    """One that can go, as it was when it was found; `at_once`: so many of its kind in one go."""
+class ClosableConnection(NamedTuple):
+    """A connection that can be ended, as it was when it was found; `batch`: how many of its kind end in one go."""
 
-    link: AcceptedConnection
+    connection: AcceptedConnection
     use: ConnectionUse
     since: int
-    at_once: int
+    batch: int
+
+    @property
+    def unchanged(self) -> bool:
+        """Whether what was found of it still holds, and it may still be ended."""
+        connection = self.connection
+        return connection.use == self.use and connection.since == self.since and connection.may_close
 
 
 class Listener:
-    """`most` bounds the connections; past it those that are of least use make room. `send_buffer`: bytes that the
-    system may hold of an answer to one client, twice over; 0: as it likes. `side` names them in the log."""
+    """`max_connections` bounds the connections; past it those of least use are ended. `send_buffer`: bytes that the
+    system may hold of an answer to one client, twice over; 0: as it likes. `side` names the connections in the log."""
 
     def __init__(
         self,
@@ -62,25 +68,34 @@
         deadlines: Deadlines,
         counters: Counters,
         handler: Handler,
-        most: int,
+        max_connections: int,
         max_body: int = MAX_BODY,
         send_buffer: int = 0,
         side: str = "client",
     ) -> None:
-        self.loop, self.deadlines, self.counters, self.handler, self.most = loop, deadlines, counters, handler, most
-        self.max_body, self.send_buffer, self.side = max_body, send_buffer, side
-        self.links: set[AcceptedConnection] = set()
-        self.draining = self.closing = False
+        self.loop = loop
+        self.deadlines = deadlines
+        self.counters = counters
+        self.handler = handler
+        self.max_connections = max_connections
+        self.max_body = max_body
+        self.send_buffer = send_buffer
+        self.side = side
+        self.connections: set[AcceptedConnection] = set()
+        self.draining = False  # answers end their connections
+        self.closing = False  # no connection outlives its answer, even one that was begun before the drain
         self._tasks = Tasks(loop, f"a {side} connection's task")
         self.spawn = self._tasks.spawn
         self._sock: socket.socket | None = None
         self._polled = False  # connections are taken as they come
-        self._later: Key | None = None
-        self._failing = False  # the last accept failed for want of something: whoever comes next may have waited
-        self._spare = deque[Found]()  # who can make room next
+        self._recheck: Key | None = None
+        self._accept_failing = False  # the last accept lacked something: the next client may have waited
+        self._closable = deque[ClosableConnection]()  # found by one walk, to be ended next
+
+    # Accepting.
 
     def listen(self, address: Address) -> Address:
-        """Open a door of our own; the address that it got."""
+        """Open a listening socket of this process; the address that it got."""
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -101,72 +116,81 @@
 
     @property
     def accepting(self) -> bool:
+        """The listening socket is open."""
         return self._sock is not None
 
     def pause(self, on: bool) -> None:
-        """Leave those who come to another process that takes them from the same socket, or take them again."""
-        if on:
-            self._unpoll()
-            self.deadlines.cancel(self._later)
-            self._later = None
-        else:
-            self._accept()
+        """Leave new clients to another process that takes them from the same socket, or take them again."""
+        if not on:
+            return self._accept()
+        self._unpoll()
+        self.deadlines.cancel(self._recheck)
+        self._recheck = None
 
-    def bound(self, most: int) -> None:
-        """Another bound on the connections. Those that idle go now, down to it."""
-        self.most = most
-        idle = sorted((link for link in self.links if link.idle and not link.closed), key=lambda link: link.since)
-        for link in idle[: max(0, len(self.links) - most)]:
-            link.close_unless_asked("room-needed")
+    def set_max_connections(self, max_connections: int) -> None:
+        """Set another bound on the connections. Those that idle longest end now, down to it."""
+        self.max_connections = max_connections
+        idle = [connection for connection in self.connections if connection.idle and not connection.closed]
+        idle.sort(key=lambda connection: connection.since)
+        for connection in idle[: max(0, len(self.connections) - max_connections)]:
+            connection.close_unless_unread("room-needed")
 
     def _accept(self) -> None:
-        """Whoever waits at the door. An accept that is called off may have taken a connection that then
-        nobody holds; so nothing waits in one, and each is taken in the turn that it is seen."""
-        if self._later:
-            self.deadlines.cancel(self._later)
-            self._later = None
+        """Take clients from the accept queue. An accept that is cancelled may have taken a connection that then
+        nobody holds; so nothing waits in one, and each is taken in the tick that it is seen."""
+        if self._recheck:
+            self.deadlines.cancel(self._recheck)
+            self._recheck = None
         if self._sock is None:
             return
-        if not self._polled:
-            self._polled = True
-            self.loop.add_reader(self._sock.fileno(), self._accept)
-        # One a turn, those who ask would stand in line behind hundreds who only connect.
-        for taken in range(ACCEPT_AT_ONCE):
-            full = len(self.links) >= self.most
-            if full and taken:  # Room would be made, maybe by the last one in, for nobody at the door.
+        self._poll(self._sock)
+        # One a tick, clients that ask would wait behind hundreds that only connect.
+        for taken in range(MAX_ACCEPTS_PER_TICK):
+            full = len(self.connections) >= self.max_connections
+            if full and taken:  # Another would be ended, maybe the last one accepted, while the queue is empty.
                 return
             if full and not self._make_room():
                 return self._accept_later()
             try:
                 client, peer = self._sock.accept()
             except BlockingIOError:
-                self._failing = False
+                self._accept_failing = False
                 return
-            except OSError as e:
-                if e.errno not in EXHAUSTED:
+            except OSError as error:
+                if error.errno not in EXHAUSTION_ERRNOS:
                     continue  # this connection has failed before it was taken; the next may be well
-                self.counters.accept_failures += 1
-                self._failing = True
-                logger.warning("accepting pauses: {error}", error=str(e))
-                if e.errno == errno.EMFILE:
-                    self._make_room()
-                else:
-                    # The system's tables are full, not ours: whoever is ended here may have a request on its way, and
-                    # those at the door can wait there.
-                    self._close_spent()
-                return self._accept_later()
+                return self._accept_failed(error)
             self._take(client, peer)
-            if full:  # Those who made room are gone with the next turn; until then more would have to go
+            if full:  # Connections that were ended are gone with the next tick; until then more would have to go.
                 return
 
-    def _close_spent(self) -> None:
-        for link in [link for link in self.links if link.use == ConnectionUse.FINISHED]:
-            link.close("room-needed")
+    def _accept_failed(self, error: OSError) -> None:
+        """Descriptors, buffers or memory have run out: try again after a pause."""
+        self.counters.accept_failures += 1
+        self._accept_failing = True
+        logger.warning("accepting pauses: {error}", error=str(error))
+        if error.errno == errno.EMFILE:
+            self._make_room()
+        else:
+            # The system's tables are full, not those of this process: any connection that is ended here may have a
+            # request on its way, and clients in the accept queue can wait there.
+            self._close_finished()
+        self._accept_later()
+
+    def _close_finished(self) -> None:
+        finished = [connection for connection in self.connections if connection.use == ConnectionUse.FINISHED]
+        for connection in finished:
+            connection.close("room-needed")
 
     def _accept_later(self) -> None:
-        """Polled while there is no room, a door with somebody before it would spin the loop."""
+        """Polled while no connection can be taken, an accept queue that is not empty would spin the loop."""
         self._unpoll()
-        self._later = self.deadlines.after(LOOK_AGAIN, self._accept)
+        self._recheck = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
+
+    def _poll(self, sock: socket.socket) -> None:
+        if not self._polled:
+            self._polled = True
+            self.loop.add_reader(sock.fileno(), self._accept)
 
     def _unpoll(self) -> None:
         if self._polled and self._sock:
@@ -175,60 +199,78 @@
 
     def _take(self, client: socket.socket, peer: Any) -> None:
         client.setblocking(False)
-        with contextlib.suppress(OSError):  # its client may have gone: its reader will tell
+        with contextlib.suppress(OSError):  # the client may have gone: its connection's reader will tell
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if self.send_buffer:
-                # Left to itself the system grows it to megabytes for a client that reads nothing, out of anyone's
-                # sight, and the server behind it is never held back.
+                # Left to itself the system grows it to megabytes for a client that reads nothing, unseen by this
+                # process, and the replica behind it is never held back.
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer)
-        self.links.add(AcceptedConnection(self, client, f"{peer[0]}:{peer[1]}", self._failing))
+        self.connections.add(AcceptedConnection(self, client, f"{peer[0]}:{peer[1]}", self._accept_failing))
+
+    def forget(self, connection: AcceptedConnection) -> None:
+        """The connection's socket is closed."""
+        self.connections.discard(connection)
+
+    # Connections that end so that others are accepted.
 
     def _make_room(self) -> bool:
-        """In the order of `Use`: first go those that have had their last answer, then those that never asked, of which
-        hundreds would shut everyone out, then whoever has idled longest, and half a request last of all."""
-        # A crowd that comes and stays costs a walk over all at each accept; most of a core went into it. What
-        # one walk has found serves for some that follow, as long as it still holds of each.
-        closed, fresh = 0, False
-        while not closed and not fresh:
-            if fresh := not self._spare:
-                self._spare.extend(self._least_useful())
-            while self._spare and closed < self._spare[0].at_once:
-                found = self._spare.popleft()
-                if found.link.use == found.use and found.link.since == found.since and found.link.may_close:
-                    found.link.close("room-needed")
-                    closed += 1
+        """End some connections in the order of `ConnectionUse`: first those that have had their last answer, then
+        those that never asked, of which hundreds would shut everyone out, then the one that has idled longest, and a
+        partial request last of all."""
+        # A flood of clients that stay costs a walk over all connections at each accept; most of a core went into it.
+        # What one walk has found serves for some accepts that follow, as long as it still holds.
+        closed = 0
+        walked = False
+        while not closed and not walked:
+            walked = not self._closable
+            if walked:
+                self._closable.extend(self._least_useful())
+            closed = self._close_found()
         return closed > 0
 
-    def _least_useful(self) -> list[Found]:
-        """Of one kind, the first of which there are any that can go."""
-        kinds: list[list[AcceptedConnection]] = [
-            [] for _ in ConnectionUse
-        ]  # by index: a walk over a crowd hashes no member
-        for link in self.links:
-            kinds[link.use].append(link)
-        some = max(2, min(ACCEPT_AT_ONCE, self.most // 8))  # several at once where they are cheap to lose
-        for use, at_once in (
-            (ConnectionUse.FINISHED, some),
-            (ConnectionUse.UNUSED, some),
+    def _close_found(self) -> int:
+        """End connections that were found before, one batch at most; how many."""
+        closed = 0
+        while self._closable and closed < self._closable[0].batch:
+            found = self._closable.popleft()
+            if found.unchanged:
+                found.connection.close("room-needed")
+                closed += 1
+        return closed
+
+    def _least_useful(self) -> list[ClosableConnection]:
+        """Connections of one kind: the first kind of which there are any that can be ended."""
+        # By index: a walk over thousands of connections hashes no enum member.
+        kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
+        for connection in self.connections:
+            kinds[connection.use].append(connection)
+        several = max(2, min(MAX_ACCEPTS_PER_TICK, self.max_connections // 8))  # where they are cheap to lose
+        batches = (
+            (ConnectionUse.FINISHED, several),
+            (ConnectionUse.UNUSED, several),
             (ConnectionUse.IDLE, 1),
             (ConnectionUse.PARTIAL_REQUEST, 1),
-        ):
-            oldest = nsmallest(4 * some, kinds[use], key=lambda link: link.since)
-            if found := [Found(link, use, link.since, at_once) for link in oldest if link.may_close]:
+        )
+        for use, batch in batches:
+            oldest = nsmallest(4 * several, kinds[use], key=lambda connection: connection.since)
+            found = [ClosableConnection(each, use, each.since, batch) for each in oldest if each.may_close]
+            if found:
                 return found
         return []
 
+    # The end.
+
     @property
     def open(self) -> bool:
-        """Somebody is connected. Whoever only rests may send in the last moment."""
-        return any(not link.closed for link in self.links)
+        """A client is connected. One that only idles may send in the last moment."""
+        return any(not connection.closed for connection in self.connections)
 
     @property
     def quiet(self) -> bool:
-        """Nothing is being read, answered or written, and nobody's last answer is still on its way."""
-        return all(link.closed or (link.idle and not link.ending) for link in self.links)
+        """Nothing is being read, answered or written, and no last answer is still on its way."""
+        return all(connection.closed or (connection.idle and not connection.ending) for connection in self.connections)
 
-    def last_answers(self, on: bool = True) -> None:
+    def close_after_answers(self, on: bool = True) -> None:
         """From now on each answer ends its connection, or no longer does."""
         self.draining = on
         self.closing = self.closing and on
@@ -236,19 +278,19 @@
     def close_idle(self) -> None:
         """From now on no connection outlives its answer, even one that was begun before the drain."""
         self.closing = True
-        for link in list(self.links):
-            if link.idle:
-                link.close_unless_asked("drained")
+        for connection in list(self.connections):
+            if connection.idle:
+                connection.close_unless_unread("drained")
 
-    def refuse_half_requests(self) -> None:
-        """Whoever has sent a part of a request gets its refusal, and its connection ends."""
-        for link in list(self.links):
-            if link.use == ConnectionUse.PARTIAL_REQUEST:
-                link.refuse_half_request()
+    def reject_partial_requests(self) -> None:
+        """Answer each request that is not complete with a rejection, and end its connection."""
+        for connection in list(self.connections):
+            if connection.use == ConnectionUse.PARTIAL_REQUEST:
+                connection.reject_partial_request()
 
     def stop_accepting(self, leave: bool = False) -> None:
-        """Shut the door. `leave` whoever waits behind it to another process that accepts from the same socket: with
-        nobody else there they are reset, and what they have sent is lost."""
+        """Close the listening socket. `leave` clients in the accept queue to another process that accepts from the
+        same socket: with no such process they are reset, and what they have sent is lost."""
         if not self._sock:
             return
         self.pause(True)
@@ -258,24 +300,25 @@
         self._sock = None
 
     def accept_all(self) -> bool:
-        """Take whoever waits at the door now. False: descriptors or memory have run out, and somebody may wait on."""
+        """Take every client in the accept queue now. False: descriptors or memory have run out, and some may wait."""
         for _ in range(BACKLOG if self._sock else 0):
             assert self._sock
             try:
                 client, peer = self._sock.accept()
             except BlockingIOError:
                 break
-            except OSError as e:
-                if e.errno in EXHAUSTED:
+            except OSError as error:
+                if error.errno in EXHAUSTION_ERRNOS:
                     self.counters.accept_failures += 1
-                    self._failing = True
+                    self._accept_failing = True
                     return False
                 continue  # that one has gone; those behind it have not
             self._take(client, peer)
         return True
 
     async def close(self) -> None:
+        """Stop accepting, end all connections, and wait for their tasks."""
         self.stop_accepting()
-        for link in list(self.links):
-            link.close("shutdown")
+        for connection in list(self.connections):
+            connection.close("shutdown")
         await self._tasks.all_ended()
--- a/pearhill/net/log.py
+++ b/pearhill/net/log.py
@@ -46,7 +46,7 @@
         self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._form = FORMS[form]
-        self.lost = 0  # lines that could not be written
+        self.lost_lines = 0  # lines that could not be written
         logger.remove()
         # The line's own form is made here: loguru's way with times costs as much as all the rest of a line.
         logger.add(self._put, format="{message}", level=level, backtrace=False, diagnose=False)
@@ -62,7 +62,7 @@
                 sys.stderr.write(line)
                 sys.stderr.flush()
             except (OSError, ValueError):
-                self.lost += 1  # the disk is full, or the reader has gone: later lines may get through again
+                self.lost_lines += 1  # the disk is full, or the reader has gone: later lines may get through again
 
     def close(self) -> None:
         """Write what waits, within a second."""
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -21,12 +21,12 @@
 from pearhill.net.ticks import time_limit
 
 BUFFER = 8 * 1024
-MAX_ANSWER = 4 << 20  # of a list of servers
+MAX_COLLECTED_BYTES = 4 << 20  # of a list of servers
 MAX_CONNECT = 75_000_000  # the system itself gives up before
-FOR_LISTS = 8  # of the descriptors kept back for the books: for the list of servers alone
+DISCOVERY_CONNECTIONS = 8  # of the descriptors kept back for the books: for the list of servers alone
 # An answer that another one follows is followed by it some milliseconds later. By then the connection may carry
 # another request, whose answer it would be taken for.
-REST = 20_000
+REUSE_DELAY_US = 20_000
 REQUESTS, BOOKS, LISTS = range(3)  # what a connection is for; each may take what those before it may, and more
 
 
@@ -53,13 +53,13 @@
         """The client's id of the request, for the log; empty for calls that serve no request."""
 
     @property
-    def most_chunk(self) -> int:
+    def max_chunk(self) -> int:
         """Bytes of a chunk of the answer. It is gathered until it is whole."""
 
     async def handle(self, event: Event) -> None: ...
 
 
-class Connection:
+class PooledConnection:
     """One socket to a server. Its reader runs for its whole life, so the end of an idle one is seen at once."""
 
     def __init__(self, pool: Pool, address: Address, sock: socket.socket) -> None:
@@ -71,7 +71,7 @@
         self.exchanges = 0
         self.closed = False
         self.idle_key: Key | None = None
-        self.rests_until = 0
+        self.reusable_at = 0
         self._reader: asyncio.Task[None] | None = pool.spawn(self._read())
         self._reader.add_done_callback(self._reader_over)
 
@@ -93,7 +93,7 @@
         """Write one request, made anew until its first byte goes out. OSError: its last byte was not written."""
         self.exchange, self.writing, self.sent = exchange, True, False
         self.exchanges += 1
-        self.machine.expect(exchange.most_chunk)
+        self.machine.expect(exchange.max_chunk)
         await self.writer.send_all(make)
         self.writing, self.sent = False, True
 
@@ -135,7 +135,7 @@
             self.exchange = None
             # An answer that comes before the whole request was sent leaves the rest on the wire.
             if event.reusable and self.sent and not self.closed:
-                self.pool.put_back(self, rests=not isinstance(exchange, CollectedResponse))
+                self.pool.put_back(self, delay_reuse=not isinstance(exchange, CollectedResponse))
             else:
                 self.close("server-asked")
         if exchange is None:
@@ -182,27 +182,30 @@
         counters: Counters,
         *,
         connect_timeout: int,
-        keep_idle: int,
-        most: int,
-        spare: int,
+        idle_timeout: int,
+        max_connections: int,
+        reserved_connections: int,
     ) -> None:
         self.loop, self.deadlines, self.counters = loop, deadlines, counters
-        self.connect_timeout, self.keep_idle, self.most = connect_timeout, keep_idle, most
-        self.spare = spare
-        self.idle: dict[Address, list[Connection]] = {}  # no empty lists: servers come and go, their keys too
-        self.open: set[Connection] = set()
-        self.unread: dict[Connection, None] = {}  # given up, but still open; they go before a request is turned away
+        self.connect_timeout = connect_timeout
+        self.idle_timeout = idle_timeout
+        self.max_connections = max_connections
+        self.reserved_connections = reserved_connections
+        self.idle: dict[Address, list[PooledConnection]] = {}  # no empty lists: servers come and go, their keys too
+        self.open: set[PooledConnection] = set()
+        # Given up, but still open; they are closed before a request is rejected.
+        self.discarded: dict[PooledConnection, None] = {}
         self._connecting = 0
         self.spawn = Tasks(loop, "a connection's task").spawn
 
     async def acquire(
-        self, address: Address, use: int = REQUESTS, within: int = MAX_CONNECT, fresh: bool = False
-    ) -> Connection:
+        self, address: Address, purpose: int = REQUESTS, connect_within: int = MAX_CONNECT, fresh: bool = False
+    ) -> PooledConnection:
         """A connection that is up: an idle one that still stands, the latest used first, else a new one, `within` so
         many microseconds if that is less than the settings allow. `use`: what for. `fresh`: a new one in any case."""
         now = self.deadlines.clock()
         for connection in [] if fresh else reversed(self.idle.get(address, []).copy()):
-            if use == REQUESTS and connection.rests_until > now:
+            if purpose == REQUESTS and connection.reusable_at > now:
                 continue
             expired = connection.idle_key is not None and connection.idle_key[0] <= now
             self._leave_idle(connection)
@@ -213,7 +216,10 @@
                 return connection
             connection.close("stale")
         # Requests by the hundred would leave no descriptor for releases and for the list of servers.
-        most = self.most + (0, self.spare - FOR_LISTS, self.spare)[use]
+        most = (
+            self.max_connections
+            + (0, self.reserved_connections - DISCOVERY_CONNECTIONS, self.reserved_connections)[purpose]
+        )
         if len(self.open) + self._connecting >= most and not self._drop_oldest():
             raise PoolExhaustedError("every descriptor set aside for servers is in use")
         self._connecting += 1
@@ -222,7 +228,7 @@
             sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with time_limit(self.deadlines, min(within, self.connect_timeout)):
+            async with time_limit(self.deadlines, min(connect_within, self.connect_timeout)):
                 await self.loop.sock_connect(sock, address)
         except (OSError, TimeoutError) as e:
             if sock:
@@ -237,32 +243,32 @@
             raise
         finally:
             self._connecting -= 1
-        connection = Connection(self, address, sock)
+        connection = PooledConnection(self, address, sock)
         self.open.add(connection)
         return connection
 
-    def bound(self, most: int) -> None:
+    def set_max_connections(self, most: int) -> None:
         """Another bound on all connections together. Those that idle longest go now, down to it."""
-        self.most = most
+        self.max_connections = most
         while len(self.open) > most and self._drop_oldest():
             pass
 
-    def reconfigure(self, connect_timeout: int, keep_idle: int) -> None:
+    def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
         """In force for what is connected, or put back, from now on."""
-        self.connect_timeout, self.keep_idle = connect_timeout, keep_idle
+        self.connect_timeout, self.idle_timeout = connect_timeout, idle_timeout
 
-    def put_back(self, connection: Connection, rests: bool = False) -> None:
+    def put_back(self, connection: PooledConnection, delay_reuse: bool = False) -> None:
         self.idle.setdefault(connection.address, []).append(connection)
-        connection.rests_until = self.deadlines.clock() + REST if rests else 0
+        connection.reusable_at = self.deadlines.clock() + REUSE_DELAY_US if delay_reuse else 0
         # A server closes an idle connection without a word, and what is then sent may have run.
-        connection.idle_key = self.deadlines.after(self.keep_idle, lambda: connection.close("idle"))
+        connection.idle_key = self.deadlines.after(self.idle_timeout, lambda: connection.close("idle"))
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: PooledConnection) -> None:
         self.open.discard(connection)
-        self.unread.pop(connection, None)
+        self.discarded.pop(connection, None)
         self._leave_idle(connection)
 
-    def _leave_idle(self, connection: Connection) -> None:
+    def _leave_idle(self, connection: PooledConnection) -> None:
         self.deadlines.cancel(connection.idle_key)
         idle = self.idle.get(connection.address, [])
         if connection in idle:
@@ -278,7 +284,7 @@
         oldest = min(
             (c for idle in self.idle.values() for c in idle),
             key=lambda c: c.idle_key or (0, 0),
-            default=next(iter(self.unread), None),
+            default=next(iter(self.discarded), None),
         )
         if oldest:
             oldest.close("room-needed")
@@ -295,8 +301,8 @@
     request_id = ""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, most: int) -> None:
-        self.status, self.body, self.most = 0, bytearray(), most
-        self.most_chunk = most  # a list of a thousand servers may be one
+        self.status, self.body, self.max_body = 0, bytearray(), most
+        self.max_chunk = most  # a list of a thousand servers may be one
         self.done: asyncio.Future[Exception | None] = loop.create_future()
 
     async def handle(self, event: Event) -> None:
@@ -309,7 +315,7 @@
                 self.status = status
             case Data(data):
                 self.body += data
-                if len(self.body) > self.most:
+                if len(self.body) > self.max_body:
                     self._finish(ValueError("the answer is too large"))
 
     def _finish(self, error: Exception | None) -> None:
@@ -322,15 +328,15 @@
     address: Address,
     data: bytes,
     timeout: int,
-    most: int = MAX_ANSWER,
+    max_body: int = MAX_COLLECTED_BYTES,
     *,
-    use: int = BOOKS,
+    purpose: int = BOOKS,
     fresh: bool = False,
 ) -> tuple[int, bytes]:
     """One request and its whole answer; `timeout` is for its connection, and again for its answer. OSError,
     TimeoutError, ValueError or CannotConnect where there is none."""
-    connection = await pool.acquire(address, use, timeout, fresh)
-    gathered = CollectedResponse(pool.loop, most)
+    connection = await pool.acquire(address, purpose, timeout, fresh)
+    gathered = CollectedResponse(pool.loop, max_body)
     try:
         async with time_limit(pool.deadlines, timeout):
             await connection.send(gathered, lambda: data)
--- a/pearhill/net/releases.py
+++ b/pearhill/net/releases.py
@@ -16,15 +16,15 @@
 from pearhill.core.request import Request
 from pearhill.http1.client import MAX_CHUNK, Event
 from pearhill.net.address import Address
-from pearhill.net.pool import ConnectError, Connection, Pool, call
+from pearhill.net.pool import ConnectError, Pool, PooledConnection, call
 from pearhill.net.ticks import pause
 
 RELEASE_FOR = 20_000_000  # how long a release is tried again
 # For the answer to a release, and for its connection, before it is tried again on a new one: the first waits least. One
 # that stood idle may have fallen silent, and the time in which the state has to be let go runs on.
-FIRST_RELEASE_WAIT, RELEASE_WAIT = 50_000, 250_000
-UNANSWERED = 8  # releases written and never answered, each on a connection that came up
-FIRST_RETRY, LAST_RETRY = 20_000, 500_000  # between tries of a release
+FIRST_ANSWER_TIMEOUT_US, RELEASE_WAIT = 50_000, 250_000
+MAX_UNANSWERED = 8  # releases written and never answered, each on a connection that came up
+FIRST_BACKOFF_US, LAST_RETRY = 20_000, 500_000  # between tries of a release
 # An attempt that was closed under way ends at its replica when the close arrives there, on a way of its own. After so
 # long the release is said once more: within the 300 ms that `release-within` gives at least.
 AFTER_CLOSE = 150_000
@@ -38,7 +38,7 @@
 class DiscardedResponse:
     """The exchange of an attempt that was given up and whose connection stays open for now: nobody reads what comes."""
 
-    most_chunk = MAX_CHUNK
+    max_chunk = MAX_CHUNK
     request_id = ""
 
     async def handle(self, event: Event) -> None:
@@ -52,7 +52,7 @@
         self.pool, self.dialect, self.addresses = pool, dialect, addresses
         self.pending = 0
         # Both by the request's number: the request itself holds its prompt, and through a cut there are hundreds.
-        self._unread: dict[int, list[tuple[Connection, DiscardedResponse]]] = {}
+        self._unread: dict[int, list[tuple[PooledConnection, DiscardedResponse]]] = {}
         self._owed: dict[int, Collection[int]] = {}  # replicas that have yet to let go
 
     def release(self, request: Request, engines: Collection[int]) -> None:
@@ -102,11 +102,11 @@
     async def _release(self, address: Address, data: bytes) -> None:
         """Any answer shows that the call has arrived. Without one it may be on its way to a machine that is cut off, or
         to one that is slow, so it is said again."""
-        pool, wait, unanswered, answer_within = self.pool, FIRST_RETRY, 0, FIRST_RELEASE_WAIT
+        pool, wait, unanswered, answer_within = self.pool, FIRST_BACKOFF_US, 0, FIRST_ANSWER_TIMEOUT_US
         until = pool.deadlines.clock() + RELEASE_FOR
-        while unanswered < UNANSWERED and pool.deadlines.clock() < until:
+        while unanswered < MAX_UNANSWERED and pool.deadlines.clock() < until:
             try:
-                await call(pool, address, data, answer_within, fresh=answer_within > FIRST_RELEASE_WAIT)
+                await call(pool, address, data, answer_within, fresh=answer_within > FIRST_ANSWER_TIMEOUT_US)
                 return
             except TimeoutError:
                 unanswered += 1
@@ -119,19 +119,19 @@
 
     # Fetches that were given up and are still out.
 
-    def keep_open(self, request: Request, connection: Connection) -> None:
+    def keep_open(self, request: Request, connection: PooledConnection) -> None:
         """Until the request is sent on, or everything that is held for it is let go: one of these always follows."""
         connection.exchange = exchange = DiscardedResponse()
         self._unread.setdefault(request.number, []).append((connection, exchange))
-        self.pool.unread[connection] = None
+        self.pool.discarded[connection] = None
 
     def close_discarded(self, request: Request) -> None:
         """Another attempt begins: those that were given up end now."""
         self._close(request.number, self._unread.get(request.number, ()))
 
-    def _close(self, number: int, unread: Iterable[tuple[Connection, DiscardedResponse]]) -> None:
+    def _close(self, number: int, unread: Iterable[tuple[PooledConnection, DiscardedResponse]]) -> None:
         for connection, exchange in list(unread):
-            self.pool.unread.pop(connection, None)
+            self.pool.discarded.pop(connection, None)
             if connection.exchange is exchange:  # else it has been answered, and may serve another request
                 connection.close("called-off")
             self._unread[number].remove((connection, exchange))
@@ -153,7 +153,7 @@
         address = self.addresses.get(engine)
         if address is None:
             return False
-        for within, fresh in ((FIRST_RELEASE_WAIT, False), (2 * FIRST_RELEASE_WAIT, True)):
+        for within, fresh in ((FIRST_ANSWER_TIMEOUT_US, False), (2 * FIRST_ANSWER_TIMEOUT_US, True)):
             try:
                 await call(self.pool, address, self.dialect.release(request.payload, engine), within, fresh=fresh)
                 return True
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -18,11 +18,11 @@
 
 # The system has no memory or buffer for a call at this moment: the connection is as it was.
 SHORTAGES = frozenset((errno.ENOBUFS, errno.ENOMEM))
-SHORTAGE_AGAIN_S = 0.005  # clients' time runs on meanwhile
-READS_A_TURN = 2  # then others have their turn, or a fast sender would keep the loop to itself
+SHORTAGE_RETRY_S = 0.005  # clients' time runs on meanwhile
+READS_PER_TICK = 2  # then others have their turn, or a fast sender would keep the loop to itself
 
 
-def passes(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether a failed read or write says nothing of the connection: it can be tried again."""
     return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGES
 
@@ -40,7 +40,7 @@
 
     async def recv_into(self, buffer: bytearray | memoryview) -> int:
         """As `loop.sock_recv_into`: bytes read, 0 at the end. OSError: the connection broke."""
-        if self._reads >= READS_A_TURN:
+        if self._reads >= READS_PER_TICK:
             self._reads = 0
             await asyncio.sleep(0)
         failing_since: float | None = None
@@ -54,11 +54,11 @@
             except BlockingIOError:
                 self._wait_next()
             except OSError as e:
-                if not passes(e):
+                if not is_transient(e):
                     raise
                 if failing_since is None:
                     failing_since = self._loop.time()
-                await asyncio.sleep(SHORTAGE_AGAIN_S)
+                await asyncio.sleep(SHORTAGE_RETRY_S)
             else:
                 self.delayed_s = 0.0 if failing_since is None else self._loop.time() - failing_since
                 self._reads += 1
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from pearhill.net.socket_reader import SHORTAGE_AGAIN_S, passes
+from pearhill.net.socket_reader import SHORTAGE_RETRY_S, is_transient
 
 
 class SocketWriter:
@@ -43,8 +43,8 @@
             await self._writable()
         elif isinstance(error, InterruptedError):
             await asyncio.sleep(0)
-        elif passes(error):
-            await asyncio.sleep(SHORTAGE_AGAIN_S)
+        elif is_transient(error):
+            await asyncio.sleep(SHORTAGE_RETRY_S)
         else:
             raise error
 
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -23,7 +23,7 @@
 from pearhill.net.address import Address
 from pearhill.net.backend import Dialect, HttpBackend
 from pearhill.net.clock import start_clock, wall_clock
-from pearhill.net.listener import EXHAUSTED, Listener
+from pearhill.net.listener import EXHAUSTION_ERRNOS, Listener
 from pearhill.net.pool import Pool
 from pearhill.net.ticks import EventLoopTicks, pause
 from pearhill.routing.start_times import StartTimes
@@ -75,9 +75,9 @@
             self.deadlines,
             self.counters,
             connect_timeout=deployment.connect_timeout,
-            keep_idle=_keep_idle(deployment),
-            most=self.connection_limit,
-            spare=FOR_BOOKS,
+            idle_timeout=_keep_idle(deployment),
+            max_connections=self.connection_limit,
+            reserved_connections=FOR_BOOKS,
         )
         self.dispatcher = Dispatcher(deployment, limits.seed, self.deadlines, self.counters)
         self.backend = HttpBackend(self.pool, dialect, self.dispatcher.health_check_ended)
@@ -103,9 +103,9 @@
         if parts == self.process_count:
             return
         self.process_count = parts
-        self.pool.bound(self.connection_limit)
+        self.pool.set_max_connections(self.connection_limit)
         if self.listener:
-            self.listener.bound(self.connection_limit)
+            self.listener.set_max_connections(self.connection_limit)
         self._settle()
 
     def _settle(self) -> None:
@@ -207,7 +207,7 @@
         if listener is None:
             return
         stage = self.drain.stage(now)
-        listener.last_answers(stage != OPEN)
+        listener.close_after_answers(stage != OPEN)
         if stage == NO_IDLE:
             listener.close_idle()
         if (due := self.drain.tick(now)) is not None:
@@ -226,7 +226,7 @@
 
     def _open_door(self, address: Address, handler: Handler) -> Listener:
         operators = Listener(self.loop, self.deadlines, self.counters, handler, DOOR, DOOR_BODY, side="operator")
-        operators.last_answers()  # one call a connection
+        operators.close_after_answers()  # one call a connection
         try:
             host, port = operators.listen(address)
         except OSError as e:
@@ -308,7 +308,7 @@
             try:
                 return listener.listen(address)
             except OSError as e:
-                if e.errno not in EXHAUSTED or self.deadlines.clock() >= give_up:
+                if e.errno not in EXHAUSTION_ERRNOS or self.deadlines.clock() >= give_up:
                     raise
                 self.counters.shortages += 1
             await pause(self.deadlines, LOOK_AGAIN)
@@ -327,7 +327,7 @@
         """Nobody is taken any more: end what is owed nothing, and in the end half requests too."""
         listener.close_idle()
         if self.drain.ends_all(self.deadlines.clock()):
-            listener.refuse_half_requests()
+            listener.reject_partial_requests()
 
     async def until(
         self,
@@ -342,7 +342,7 @@
             meanwhile()
             if self.dispatcher.requests or not quiet():
                 last = self.deadlines.clock() + RELEASES_FOR
-            elif not self.backend.releasing or (
+            elif not self.backend.pending_releases or (
                 self.deadlines.clock() >= last and self._since_term(self.drain.times.kill_after)
             ):
                 return
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -11,7 +11,7 @@
 
 from pearhill.durable.message_folder import MessageFolder
 from pearhill.lifecycle.takeover import READY_BY, Takeover, TakeoverMessage, TakeoverMessageError, decode
-from pearhill.net.clock import origin
+from pearhill.net.clock import monotonic_offset
 from pearhill.net.ticks import pause
 from pearhill.node.node import Node
 
@@ -47,7 +47,7 @@
     def __init__(self, node: Node, folder: str, name: str) -> None:
         self.node, self.start = node, node.deadlines.clock()
         self.messages = MessageFolder(folder, name, self.start)
-        self.takeover = Takeover(name, self.start, node.overrides, origin(node.deadlines.clock), _boot())
+        self.takeover = Takeover(name, self.start, node.overrides, monotonic_offset(node.deadlines.clock), _boot())
         self.told_to_serve = False  # others can read by now that this process takes the clients
         self._failed = False  # the last note could not be written
         self._complaints = set[str]()
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -7,7 +7,7 @@
 
 from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.config import Config, for_next_start
-from pearhill.net.listener import listening
+from pearhill.net.listener import inherited_socket
 from pearhill.node.node import Limits, Node
 from pearhill.node.operations import Operations
 from pearhill.node.takeover import TakeoverTask
@@ -80,7 +80,7 @@
         return can_serve() and node.accepting and (upgrade is None or upgrade.reports_ready())
 
     door = (config.admin, AdminEndpoint(Operations(node, says_yes))) if config.admin else None
-    clients = config.listen if config.passed is None else listening(config.passed)
+    clients = config.listen if config.passed is None else inherited_socket(config.passed)
     await node.serve(
         clients,
         PlatformFront(node.dispatcher, is_ready, node.drain.refuses),
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -178,7 +178,7 @@
                 self.address,
                 messages.request("GET", target, f"{self.address[0]}:{self.address[1]}"),
                 self.schedule.patience(wait),
-                use=LISTS,
+                purpose=LISTS,
             )
             if status != 200:
                 raise ValueError(f"status {status}")
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -21,7 +21,7 @@
 from pearhill.http1.server import Rejected, ServerConnection
 from pearhill.http1.sse import BadEvents, EventParser
 from pearhill.net.backend import HttpBackend
-from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, Pool, PoolExhaustedError
+from pearhill.net.pool import BOOKS, DISCOVERY_CONNECTIONS, LISTS, REQUESTS, Pool, PoolExhaustedError
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.actions import Action, RejectRequest, SendAttempt
@@ -465,15 +465,15 @@
             self.deadlines,
             Counters(),
             connect_timeout=10**6,
-            keep_idle=10**6,
-            most=1,
-            spare=FOR_LISTS + 2,
+            idle_timeout=10**6,
+            max_connections=1,
+            reserved_connections=DISCOVERY_CONNECTIONS + 2,
         )
         self.addCleanup(self.pool.close)
 
     async def test_calls_that_keep_the_books_get_through_a_crowd(self):
         """And a crowd of those that get through a crowd still leaves room for the list of servers."""
-        for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, FOR_LISTS)):
+        for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, DISCOVERY_CONNECTIONS)):
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
@@ -486,7 +486,7 @@
         await self.pool.acquire(self.address)
         attempt = Mock(replica=1, deadline=10**6, send_before=0)
         backend.send(attempt)
-        await backend.calls[attempt].task
+        await backend.exchanges[attempt].task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_engines(self):
@@ -497,7 +497,7 @@
             attempt = Mock(replica=1, deadline=self.now + 10**7, send_before=0, ended=False, may_start=lambda: False)
             with patch("pearhill.net.pool.socket.socket", side_effect=OSError(number, os.strerror(number))):
                 backend.send(attempt)
-                task = backend.calls[attempt].task
+                task = backend.exchanges[attempt].task
                 for _ in range(100):
                     await asyncio.sleep(0)
                 self.assertFalse(task.done(), errno.errorcode[number])
@@ -514,7 +514,7 @@
         request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
         attempt = Mock(replica=1, deadline=10**9, send_before=500_000, request=request)
         backend.send(attempt)
-        while not backend.calls[attempt].tried:
+        while not backend.exchanges[attempt].may_have_sent:
             await asyncio.sleep(0)
         self.now = attempt.send_before - 1
         self.deadlines.sweep()
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -49,11 +49,11 @@
     async def day() -> float:
         deadlines = Deadlines(loop.micros)
         turns = EventLoopTicks(loop, deadlines)
-        listener = Listener(loop, deadlines, Counters(), handler=None, most=4)  # type: ignore[arg-type]
+        listener = Listener(loop, deadlines, Counters(), handler=None, max_connections=4)  # type: ignore[arg-type]
         reader, writer = await asyncio.open_connection(*listener.listen(("127.0.0.1", 0)))
-        while not listener.links:
+        while not listener.connections:
             await asyncio.sleep(0)
-        (link,) = listener.links
+        (link,) = listener.connections
         link.sock = Scripted(link.sock, SHORT_OF_MEMORY)  # type: ignore[assignment]
         began = loop.time()
         assert await reader.read() == b""
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -21,7 +21,7 @@
         loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
         self.turns = EventLoopTicks(loop, self.deadlines)
-        self.listener = Listener(loop, self.deadlines, Counters(), handler=None, most=MOST)  # type: ignore[arg-type]
+        self.listener = Listener(loop, self.deadlines, Counters(), handler=None, max_connections=MOST)  # type: ignore[arg-type]
         self.address = self.listener.listen(("127.0.0.1", 0))
         self.walks = 0
         least_useful = self.listener._least_useful
@@ -48,7 +48,7 @@
         while ended["client room-needed"] < CROWD - MOST - 16:
             await asyncio.sleep(0)
         self.assertLess(self.walks, CROWD / 8)
-        self.assertLessEqual(sum(not link.closed for link in self.listener.links), MOST)
+        self.assertLessEqual(sum(not link.closed for link in self.listener.connections), MOST)
         first, last = clients[0], clients[-1]
         self.assertEqual(first.recv(1), b"")  # who came first and said nothing made room
         with self.assertRaises(BlockingIOError):
@@ -57,10 +57,10 @@
     async def test_nobody_makes_room_while_nobody_waits_at_the_door(self):
         """The last one in, whose request was on its way, had to go as soon as all places were taken."""
         for some in (3, MOST - 3):
-            before = len(self.listener.links)
+            before = len(self.listener.connections)
             for _ in range(some):
                 self.addCleanup(socket.create_connection(self.address).close)
-            while len(self.listener.links) < before + some:
+            while len(self.listener.connections) < before + some:
                 await asyncio.sleep(0)
         for _ in range(10):
             await asyncio.sleep(0)
@@ -70,16 +70,16 @@
         clients = [socket.create_connection(self.address) for _ in range(MOST - 1)]
         for client in clients:
             self.addCleanup(client.close)
-        while len(self.listener.links) < MOST - 1:
+        while len(self.listener.connections) < MOST - 1:
             await asyncio.sleep(0)
         found = self.listener._least_useful()
-        self.listener._spare.extend(found)
+        self.listener._closable.extend(found)
         for each in found:
-            each.link.answering = True
+            each.connection.answering = True
         self.assertTrue(self.listener._make_room())
-        self.assertFalse(any(each.link.closed for each in found))
+        self.assertFalse(any(each.connection.closed for each in found))
         for each in found:
-            each.link.answering = False
+            each.connection.answering = False
 
     async def connect(self, count: int) -> list[socket.socket]:
         """So many more clients, all accepted."""
@@ -88,7 +88,7 @@
             client.setblocking(False)
             self.addCleanup(client.close)
         names = {"{}:{}".format(*client.getsockname()) for client in clients}
-        while not names <= {link.peer for link in self.listener.links}:
+        while not names <= {link.peer for link in self.listener.connections}:
             await asyncio.sleep(0)
         return clients
 
@@ -114,7 +114,7 @@
         """Its last byte is on its way: closed now, it would be read and lost."""
         half, silent = await self.connect(2)
         half.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
-        while not any(link.machine.in_message for link in self.listener.links):
+        while not any(link.intake.in_message for link in self.listener.connections):
             await asyncio.sleep(0)
         for _ in range(MOST + 8):
             self.addCleanup(socket.create_connection(self.address).close)
@@ -128,9 +128,9 @@
     async def test_a_silent_client_is_not_sent_away_over_a_request_that_waits_to_be_read(self):
         """It came in the very moment in which its time was over, and the loop was late."""
         (client,) = await self.connect(1)
-        (link,) = (link for link in self.listener.links if not link.closed)
+        (link,) = (link for link in self.listener.connections if not link.closed)
         client.sendall(b"GET / HTTP/1.1\r\n")
-        link._too_slow()
+        link._request_overdue()
         self.assertFalse(link.closed)
 
     async def test_a_connection_that_fails_in_the_last_accepts_takes_nobody_behind_it_along(self):
@@ -142,7 +142,7 @@
         self.addCleanup(client.close)
         self.listener._sock = AbortedFirst(real)  # type: ignore[assignment]
         self.listener.stop_accepting()
-        self.assertIn("{}:{}".format(*client.getsockname()), {link.peer for link in self.listener.links})
+        self.assertIn("{}:{}".format(*client.getsockname()), {link.peer for link in self.listener.connections})
 
 
 class FailingAccept:
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -11,8 +11,8 @@
 from pearhill.counters import Counters
 from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock
-from pearhill.net.pool import BOOKS, REQUESTS, REST, CollectedResponse, Pool
-from pearhill.net.releases import FIRST_RELEASE_WAIT, FIRST_RETRY
+from pearhill.net.pool import BOOKS, REQUESTS, REUSE_DELAY_US, CollectedResponse, Pool
+from pearhill.net.releases import FIRST_ANSWER_TIMEOUT_US, FIRST_BACKOFF_US
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 
@@ -23,7 +23,13 @@
     async def day() -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(
-            loop, Deadlines(start_clock()), Counters(), connect_timeout=5_000_000, keep_idle=5_000_000, most=4, spare=0
+            loop,
+            Deadlines(start_clock()),
+            Counters(),
+            connect_timeout=5_000_000,
+            idle_timeout=5_000_000,
+            max_connections=4,
+            reserved_connections=0,
         )
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
@@ -47,18 +53,24 @@
     async def day() -> None:
         now, loop = 0, asyncio.get_running_loop()
         pool = Pool(
-            loop, Deadlines(lambda: now), Counters(), connect_timeout=5_000_000, keep_idle=5_000_000, most=4, spare=9
+            loop,
+            Deadlines(lambda: now),
+            Counters(),
+            connect_timeout=5_000_000,
+            idle_timeout=5_000_000,
+            max_connections=4,
+            reserved_connections=9,
         )
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
-            pool.put_back(first, rests=True)
+            pool.put_back(first, delay_reuse=True)
             assert await pool.acquire(server.getsockname(), BOOKS) is first
-            pool.put_back(first, rests=True)
+            pool.put_back(first, delay_reuse=True)
             second = await pool.acquire(server.getsockname(), REQUESTS)
             assert second is not first
             pool.put_back(second)  # it has carried none
             assert await pool.acquire(server.getsockname()) is second
-            now += REST
+            now += REUSE_DELAY_US
             assert await pool.acquire(server.getsockname()) is first
         pool.close()
         await asyncio.sleep(0)
@@ -73,7 +85,15 @@
     async def day() -> None:
         now, loop = 0, asyncio.get_running_loop()
         deadlines = Deadlines(lambda: now)
-        pool = Pool(loop, deadlines, Counters(), connect_timeout=250_000, keep_idle=60_000_000, most=4, spare=9)
+        pool = Pool(
+            loop,
+            deadlines,
+            Counters(),
+            connect_timeout=250_000,
+            idle_timeout=60_000_000,
+            max_connections=4,
+            reserved_connections=9,
+        )
         heard: list[bytes] = []
         connections = 0
 
@@ -97,14 +117,14 @@
         backend = HttpBackend(pool, ReplicaDialect())
         backend.update_addresses({1: address}, [], full=True)
         backend.release(SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", "")), {1})
-        for wait in (FIRST_RELEASE_WAIT, FIRST_RETRY):
+        for wait in (FIRST_ANSWER_TIMEOUT_US, FIRST_BACKOFF_US):
             pending = len(deadlines)
             while not heard or deadlines.earliest != now + wait:
                 await asyncio.sleep(0)
             assert pending
             now += wait
             deadlines.sweep()
-        while backend.releasing:
+        while backend.pending_releases:
             await asyncio.sleep(0)
         assert (len(heard), connections) == (2, 3) and now <= 100_000
         pool.close()
@@ -121,7 +141,13 @@
     async def day() -> None:
         now, loop = 0, asyncio.get_running_loop()
         pool = Pool(
-            loop, Deadlines(lambda: now), Counters(), connect_timeout=10**6, keep_idle=5_000_000, most=4, spare=9
+            loop,
+            Deadlines(lambda: now),
+            Counters(),
+            connect_timeout=10**6,
+            idle_timeout=5_000_000,
+            max_connections=4,
+            reserved_connections=9,
         )
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
@@ -149,7 +175,13 @@
     async def day() -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(
-            loop, Deadlines(start_clock()), Counters(), connect_timeout=5_000_000, keep_idle=5_000_000, most=4, spare=0
+            loop,
+            Deadlines(start_clock()),
+            Counters(),
+            connect_timeout=5_000_000,
+            idle_timeout=5_000_000,
+            max_connections=4,
+            reserved_connections=0,
         )
         with socket.create_server(("127.0.0.1", 0)) as server:
             connection = await pool.acquire(server.getsockname())
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from pearhill.net.socket_reader import READS_A_TURN, SHORTAGE_AGAIN_S, SocketReader
+from pearhill.net.socket_reader import READS_PER_TICK, SHORTAGE_RETRY_S, SocketReader
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
@@ -100,7 +100,7 @@
         self.scripted.errors = [errno.ENOMEM] * 4
         self.theirs.sendall(b"kept")
         await self.read()
-        self.assertGreaterEqual(self.incoming.delayed_s, 3 * SHORTAGE_AGAIN_S)
+        self.assertGreaterEqual(self.incoming.delayed_s, 3 * SHORTAGE_RETRY_S)
         self.theirs.sendall(b"next")
         await self.read()
         self.assertEqual(self.incoming.delayed_s, 0.0)
@@ -129,7 +129,7 @@
         for _ in range(40):
             await self.incoming.recv_into(self.buffer)
         other.cancel()
-        self.assertGreaterEqual(turns, 40 // READS_A_TURN - 1)
+        self.assertGreaterEqual(turns, 40 // READS_PER_TICK - 1)
 
     async def test_a_cancelled_read_takes_nothing(self):
         task = asyncio.create_task(self.incoming.recv_into(self.buffer))
