--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -15,7 +15,8 @@
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
 from pearhill.http1.sse import BadEvents, EventParser
-from pearhill.net.backend import MalformedResponseError, Verdict
+from pearhill.net.dialect import Verdict
+from pearhill.net.errors import MalformedResponseError
 from pearhill.routing.outcomes import Outcome
 
 PATH = "/v1/chat/completions"
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -14,7 +14,9 @@
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.http1 import messages
 from pearhill.net.address import Address
-from pearhill.net.pool import ConnectError, Pool, call
+from pearhill.net.calls import call
+from pearhill.net.errors import ConnectError
+from pearhill.net.pool import Pool
 from pearhill.net.ticks import pause
 from pearhill.routing.topology import Endpoint
 from pearhill.settings import Deployment
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -57,8 +57,8 @@
     AggregatorSite,
     Reporter,
 )
+from pearhill.net.calls import MAX_COLLECTED_BYTES
 from pearhill.net.health_checks import MAX_IN_FLIGHT
-from pearhill.net.pool import MAX_COLLECTED_BYTES
 from pearhill.net.releases import MAX_UNANSWERED as RELEASES
 from pearhill.node.node import SPARE
 from pearhill.platform.schedule import BETWEEN, SHARE, SHARED_WAIT, WAIT
--- /dev/null
+++ b/pearhill/net/exchange.py
@@ -0,0 +1,54 @@
+"""Exchanges: one request on a connection to a server, and what becomes of its response."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from pearhill.http1.client import Data, End, Event, Head, Lost
+
+
+class Exchange(Protocol):
+    """One request on a connection. `handle` gets each piece of the response, a `Lost` at the latest."""
+
+    @property
+    def request_id(self) -> str:
+        """The client's id of the request, for the log; empty for calls that serve no request."""
+
+    @property
+    def max_chunk(self) -> int:
+        """Bytes of a chunk of the response, which is gathered until it is complete."""
+
+    async def handle(self, event: Event) -> None:
+        """Take one piece of the response, in order."""
+
+
+class CollectedResponse:
+    """An exchange whose whole response is collected, up to `max_body` bytes."""
+
+    request_id = ""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, max_body: int) -> None:
+        self.status = 0
+        self.body = bytearray()
+        self.max_body = max_body
+        self.max_chunk = max_body  # a list of a thousand endpoints may be one chunk
+        self.done: asyncio.Future[Exception | None] = loop.create_future()
+
+    async def handle(self, event: Event) -> None:
+        """Collect one piece; `done` has a result once nothing more is waited for."""
+        match event:
+            case Lost(why):
+                self._finish(ConnectionResetError(why))
+            case End():
+                self._finish(None)
+            case Head(status):
+                self.status = status
+            case Data(data):
+                self.body += data
+                if len(self.body) > self.max_body:
+                    self._finish(ValueError("the answer is too large"))
+
+    def _finish(self, error: Exception | None) -> None:
+        if not self.done.done():
+            self.done.set_result(error)
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -1,4 +1,5 @@
-"""Probes of engines' load, over the same kept connections as requests. Whom to ask, and when, is decided elsewhere."""
+"""Health checks: questions about replicas' load, over the same kept connections as requests. Which replica is checked,
+and when, is decided elsewhere."""
 
 from __future__ import annotations
 
@@ -6,63 +7,82 @@
 from typing import Protocol
 
 from pearhill.net.address import Address
-from pearhill.net.pool import REQUESTS, ConnectError, Pool, PoolExhaustedError, call
+from pearhill.net.calls import call
+from pearhill.net.errors import ConnectError, PoolExhaustedError
+from pearhill.net.pool import ConnectionPurpose, Pool
 from pearhill.routing.outcomes import Outcome
 
-PROBE_WAIT = 250_000  # for an answer, in microseconds
-MAX_IN_FLIGHT = 64  # at once: probes must not take the descriptors that requests need
-MAX_REPORT = 4 * 1024  # bytes of an answer
-TRIES = 2  # Danger: a kept connection that the server has closed is reset at its next use. That is no silence.
+ANSWER_TIMEOUT_US = 250_000  # for a connection, and again for an answer
+MAX_IN_FLIGHT = 64  # health checks must not take the descriptors that requests need
+MAX_REPORT_BYTES = 4 * 1024  # of an answer
+MAX_TRIES = 2  # A kept connection that the replica has closed is reset at its next use: that is no silence.
 
-HealthCheckCallback = Callable[[int, Outcome, "tuple[float, float] | None"], None]
+Load = tuple[float, float]  # memory utilization, thousands of tokens waiting
+HealthCheckCallback = Callable[[int, Outcome, Load | None], None]
 
 
 class HealthCheckDialect(Protocol):
+    """The protocol's message that asks for the load."""
+
     def health_check(self) -> bytes:
         """The call that asks for the load."""
 
-    def load(self, status: int, body: bytes) -> tuple[float, float] | None:
-        """What the answer tells: memory share, thousands of tokens waiting. None: nothing that can be used."""
+    def load(self, status: int, body: bytes) -> Load | None:
+        """What the answer reports. None: nothing that can be used."""
 
 
 class HealthChecks:
-    """`told` gets each probe's end once: the engine, the outcome and the load it reported."""
+    """`on_result` gets each health check's end once: the replica, the outcome and the load it reported."""
 
     def __init__(
-        self, pool: Pool, dialect: HealthCheckDialect, addresses: Mapping[int, Address], told: HealthCheckCallback
+        self, pool: Pool, dialect: HealthCheckDialect, addresses: Mapping[int, Address], on_result: HealthCheckCallback
     ) -> None:
-        self.pool, self.dialect, self.addresses, self.told = pool, dialect, addresses, told
-        self.out = 0
+        self.pool = pool
+        self.dialect = dialect
+        self.addresses = addresses
+        self.on_result = on_result
+        self.in_flight = 0
 
-    def send(self, engine: int) -> None:
-        address = self.addresses.get(engine)
-        if address is None or self.out >= MAX_IN_FLIGHT:
-            return self.told(engine, Outcome.NOT_SENT, None)  # never asked: that says nothing of the engine
-        self.out += 1
-        self.pool.spawn(self._probe(engine, address))
+    def send(self, replica: int) -> None:
+        """Begin a health check."""
+        address = self.addresses.get(replica)
+        if address is None or self.in_flight >= MAX_IN_FLIGHT:
+            return self.on_result(replica, Outcome.NOT_SENT, None)  # never asked: it says nothing about the replica
+        self.in_flight += 1
+        self.pool.spawn(self._check(replica, address))
 
-    async def _probe(self, engine: int, address: Address) -> None:
-        outcome, load = Outcome.UNREACHABLE, None
+    async def _check(self, replica: int, address: Address) -> None:
+        outcome = Outcome.UNREACHABLE
+        load = None
         try:
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 try:
-                    ask = self.dialect.health_check()
-                    status, body = await call(self.pool, address, ask, PROBE_WAIT, MAX_REPORT, purpose=REQUESTS)
-                    outcome, load = Outcome.ANSWERED, self.dialect.load(status, body)
-                    break
-                except TimeoutError:
-                    outcome = Outcome.TIMEOUT
-                    break
-                except PoolExhaustedError:
-                    outcome = Outcome.NOT_SENT
-                    break
-                except ConnectError:
+                    outcome, load = await self._ask(address)
                     break
-                except ValueError:  # it talks, though not to the point
-                    outcome = Outcome.ANSWERED
-                    break
-                except OSError:
+                except OSError:  # a reset
                     outcome = Outcome.UNREACHABLE
         finally:
-            self.out -= 1
-        self.told(engine, outcome, load)
+            self.in_flight -= 1
+        self.on_result(replica, outcome, load)
+
+    async def _ask(self, address: Address) -> tuple[Outcome, Load | None]:
+        """One try. OSError: the connection broke, and another try may tell more."""
+        try:
+            question = self.dialect.health_check()
+            status, body = await call(
+                self.pool,
+                address,
+                question,
+                ANSWER_TIMEOUT_US,
+                MAX_REPORT_BYTES,
+                purpose=ConnectionPurpose.REQUEST,
+            )
+            return Outcome.ANSWERED, self.dialect.load(status, body)
+        except TimeoutError:
+            return Outcome.TIMEOUT, None
+        except PoolExhaustedError:
+            return Outcome.NOT_SENT, None
+        except ConnectError:
+            return Outcome.UNREACHABLE, None
+        except ValueError:  # it answers, though with nothing that can be used
+            return Outcome.ANSWERED, None
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -21,8 +21,9 @@
 from pearhill.lifecycle.endpoint_overrides import EndpointOverrides
 from pearhill.lifecycle.overrides import OperatorOverrides
 from pearhill.net.address import Address
-from pearhill.net.backend import Dialect, HttpBackend
+from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock, wall_clock
+from pearhill.net.dialect import Dialect
 from pearhill.net.listener import EXHAUSTION_ERRNOS, Listener
 from pearhill.net.pool import Pool
 from pearhill.net.ticks import EventLoopTicks, pause
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -16,7 +16,9 @@
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
 from pearhill.net.address import Address, parse_address
-from pearhill.net.pool import LISTS, ConnectError, Pool, call
+from pearhill.net.calls import call
+from pearhill.net.errors import ConnectError
+from pearhill.net.pool import ConnectionPurpose, Pool
 from pearhill.platform.schedule import CallSchedule
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
@@ -178,7 +180,7 @@
                 self.address,
                 messages.request("GET", target, f"{self.address[0]}:{self.address[1]}"),
                 self.schedule.patience(wait),
-                purpose=LISTS,
+                purpose=ConnectionPurpose.DISCOVERY,
             )
             if status != 200:
                 raise ValueError(f"status {status}")
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -7,7 +7,7 @@
 
 from pearhill.http1 import messages
 from pearhill.http1.sse import BadEvents, EventParser
-from pearhill.net.backend import MalformedResponseError
+from pearhill.net.errors import MalformedResponseError
 from pearhill.platform.front import Payload
 
 HOST = "app.svc"
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -21,7 +21,8 @@
 from pearhill.http1.server import Rejected, ServerConnection
 from pearhill.http1.sse import BadEvents, EventParser
 from pearhill.net.backend import HttpBackend
-from pearhill.net.pool import BOOKS, DISCOVERY_CONNECTIONS, LISTS, REQUESTS, Pool, PoolExhaustedError
+from pearhill.net.errors import PoolExhaustedError
+from pearhill.net.pool import DISCOVERY_CONNECTIONS, ConnectionPurpose, Pool
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.actions import Action, RejectRequest, SendAttempt
@@ -473,7 +474,11 @@
 
     async def test_calls_that_keep_the_books_get_through_a_crowd(self):
         """And a crowd of those that get through a crowd still leaves room for the list of servers."""
-        for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, DISCOVERY_CONNECTIONS)):
+        for use, room in (
+            (ConnectionPurpose.REQUEST, 1),
+            (ConnectionPurpose.CONTROL, 2),
+            (ConnectionPurpose.DISCOVERY, DISCOVERY_CONNECTIONS),
+        ):
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -11,7 +11,8 @@
 from pearhill.counters import Counters
 from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock
-from pearhill.net.pool import BOOKS, REQUESTS, REUSE_DELAY_US, CollectedResponse, Pool
+from pearhill.net.exchange import CollectedResponse
+from pearhill.net.pool import REUSE_DELAY_US, ConnectionPurpose, Pool
 from pearhill.net.releases import FIRST_ANSWER_TIMEOUT_US, FIRST_BACKOFF_US
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
@@ -64,9 +65,9 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
             pool.put_back(first, delay_reuse=True)
-            assert await pool.acquire(server.getsockname(), BOOKS) is first
+            assert await pool.acquire(server.getsockname(), ConnectionPurpose.CONTROL) is first
             pool.put_back(first, delay_reuse=True)
-            second = await pool.acquire(server.getsockname(), REQUESTS)
+            second = await pool.acquire(server.getsockname(), ConnectionPurpose.REQUEST)
             assert second is not first
             pool.put_back(second)  # it has carried none
             assert await pool.acquire(server.getsockname()) is second
