--- a/pearhill/net/accept_queue.py
+++ b/pearhill/net/accept_queue.py
@@ -1,4 +1,4 @@
-"""Since when bytes have waited in the system, by its own word, where a process could not come to read them."""
+"""How long bytes have waited in the system, as TCP_INFO reports it, where a process could not read them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def accept_queue_wait_us(sock: socket.socket) -> int:
-    """Microseconds since the last data came on this connection; 0 where the system does not tell."""
+    """Microseconds since the last data came on this connection; 0 where the system does not report it."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
--- a/pearhill/net/clock.py
+++ b/pearhill/net/clock.py
@@ -7,10 +7,11 @@
 
 
 def start_clock() -> Callable[[], int]:
-    """The origin is taken once: the wall clock may be stepped later, and every deadline is a span of real time. Starts
-    that a list tells in wall-clock time are placed on this clock by `pearhill.routing.start_times`."""
-    origin = time.time_ns() - time.monotonic_ns()
-    return lambda: (time.monotonic_ns() + origin) // 1000
+    """A clock that reads as Unix time now, in microseconds, and then follows the monotonic clock: the wall clock may be
+    stepped later, and every deadline is a span of real time. Start times that an endpoint list reports in wall-clock
+    time are placed on this clock by `pearhill.routing.start_times`."""
+    offset_ns = time.time_ns() - time.monotonic_ns()
+    return lambda: (time.monotonic_ns() + offset_ns) // 1000
 
 
 def wall_clock() -> int:
@@ -19,5 +20,6 @@
 
 
 def monotonic_offset(clock: Callable[[], int]) -> int:
-    """How far a clock of `start_clock` is ahead of the system's monotonic clock, which all processes share."""
+    """Microseconds by which a clock of `start_clock` is ahead of the system's monotonic clock, which all processes
+    share."""
     return clock() - time.monotonic_ns() // 1000
--- a/pearhill/net/log.py
+++ b/pearhill/net/log.py
@@ -13,48 +13,51 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-MOST = 10_000  # lines that may wait; past it lines are dropped
+MAX_QUEUED_LINES = 10_000  # that wait to be written; past it lines are dropped
+CLOSE_TIMEOUT_S = 1  # for the lines that wait when the log is closed
 
 
-def as_text(message: Message) -> str:
+def format_text(message: Message) -> str:
     """A time, a level and the message."""
     record = message.record
-    return f"{record['time'].replace(tzinfo=None).isoformat(timespec='milliseconds')} {record['level'].name} {message}"
+    time = record["time"].replace(tzinfo=None).isoformat(timespec="milliseconds")
+    return f"{time} {record['level'].name} {message}"
 
 
-def as_json(message: Message) -> str:
+def format_json(message: Message) -> str:
     """One object a line: the message, and every field that was bound to it under its own name."""
     record = message.record
-    told = {
+    fields = {
         **record["extra"],
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "message": record["message"],
     }
     if record["exception"]:
-        told["trace"] = str(message).partition("\n")[2]
-    return json.dumps(told, default=str) + "\n"
+        fields["trace"] = str(message).partition("\n")[2]
+    return json.dumps(fields, default=str) + "\n"
 
 
-FORMS = {"text": as_text, "json": as_json}
+FORMATTERS = {"text": format_text, "json": format_json}
 
 
 class LogThread:
-    """`form` is `text` or `json`. ValueError: there is no such level."""
+    """Writes all log lines to standard error until `close`. `line_format` is `text` or `json`. ValueError: there is no
+    such level."""
 
-    def __init__(self, level: str = "INFO", form: str = "text") -> None:
+    def __init__(self, level: str = "INFO", line_format: str = "text") -> None:
         self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
-        self._form = FORMS[form]
-        self.lost_lines = 0  # lines that could not be written
+        self._format = FORMATTERS[line_format]
+        self.lost_lines = 0  # that could not be written
         logger.remove()
-        # The line's own form is made here: loguru's way with times costs as much as all the rest of a line.
+        # The line is formatted here: loguru's way with times costs as much as all the rest of a line.
         logger.add(self._put, format="{message}", level=level, backtrace=False, diagnose=False)
         self._thread.start()
 
     def _put(self, message: Message) -> None:
-        if self._lines.qsize() < MOST:
-            self._lines.put(self._form(message))
+        if self._lines.qsize() < MAX_QUEUED_LINES:
+            self._lines.put(self._format(message))
 
     def _run(self) -> None:
         while (line := self._lines.get()) is not None:
@@ -67,4 +70,4 @@
     def close(self) -> None:
         """Write what waits, within a second."""
         self._lines.put(None)
-        self._thread.join(1)
+        self._thread.join(CLOSE_TIMEOUT_S)
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -1,8 +1,8 @@
-"""What comes in on a socket, read with as few system calls as may be.
+"""Reading from a socket with as few system calls as possible.
 
 `loop.sock_recv_into` tries at once, is told to wait, adds the socket to the poll, and takes it out again: on a stream
 whose events come one by one that is three calls beside the read itself. Here the socket stays in the poll between
-reads, and is taken out only while nobody waits for it, so that bytes that must wait for a slow client do not spin the
+reads, and is taken out only while nothing waits for it, so that bytes that must wait for a slow client do not spin the
 loop.
 
 A poll that stays is no promise of a further wake-up. libuv stops polling a socket on which the system reports an error
@@ -17,25 +17,27 @@
 import socket
 
 # The system has no memory or buffer for a call at this moment: the connection is as it was.
-SHORTAGES = frozenset((errno.ENOBUFS, errno.ENOMEM))
+SHORTAGE_ERRNOS = frozenset((errno.ENOBUFS, errno.ENOMEM))
 SHORTAGE_RETRY_S = 0.005  # clients' time runs on meanwhile
-READS_PER_TICK = 2  # then others have their turn, or a fast sender would keep the loop to itself
+READS_PER_TICK = 2  # then other tasks run, or a fast sender would keep the loop to itself
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether a failed read or write says nothing of the connection: it can be tried again."""
-    return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGES
+    """Whether a failed read or write says nothing about the connection: it can be tried again."""
+    return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGE_ERRNOS
 
 
 class SocketReader:
     """One reader at a time. Close it before the socket: a closed number that is still polled may be another's."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        self._loop, self._sock, self._number = loop, sock, sock.fileno()
+        self._loop = loop
+        self._sock = sock
+        self._number = sock.fileno()
         self._waiter: asyncio.Future[None] | None = None
         self._polled = False
         self._empty = True  # since the last wake-up the socket has had nothing to read; before the first, it may wait
-        self._reads = 0  # since it last was empty, or since others had their turn
+        self._reads = 0  # since it last was empty, or since other tasks ran
         self.delayed_s = 0.0  # for so long the bytes read last had been there, and could not be read
 
     async def recv_into(self, buffer: bytearray | memoryview) -> int:
@@ -52,9 +54,9 @@
             except InterruptedError:
                 await asyncio.sleep(0)
             except BlockingIOError:
-                self._wait_next()
-            except OSError as e:
-                if not is_transient(e):
+                self._mark_empty()
+            except OSError as error:
+                if not is_transient(error):
                     raise
                 if failing_since is None:
                     failing_since = self._loop.time()
@@ -65,33 +67,37 @@
                 return size
 
     async def _wake_up(self) -> None:
+        """Wait until the poll reports the socket readable."""
         if not self._polled:
             self._loop.add_reader(self._number, self._readable)
             self._polled = True
-        waiter = self._waiter = self._loop.create_future()
+        waiter = self._loop.create_future()
+        self._waiter = waiter
         try:
             await waiter
         finally:
             self._waiter = None
 
-    def _wait_next(self) -> None:
-        """The socket is empty. If the last wake-up brought nothing at all, nobody knows what became of its poll."""
+    def _mark_empty(self) -> None:
+        """The socket is empty. If the last wake-up brought nothing at all, the poll may have been stopped by the loop:
+        it is armed anew."""
         if not self._reads:
-            self._stop()
-        self._empty, self._reads = True, 0
+            self._unpoll()
+        self._empty = True
+        self._reads = 0
 
     def _readable(self) -> None:
-        self._empty = False  # even if whoever waits is cancelled before its turn
+        self._empty = False  # even if the task that waits is cancelled before it runs
         if self._waiter is None:
-            self._stop()
+            self._unpoll()
         elif not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _stop(self) -> None:
+    def _unpoll(self) -> None:
         if self._polled:
             self._polled = False
             self._loop.remove_reader(self._number)
 
     def close(self) -> None:
-        """Nobody reads here any more."""
-        self._stop()
+        """Stop polling; nothing reads here any more."""
+        self._unpoll()
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -1,4 +1,4 @@
-"""What goes out on a socket: as much as the system takes, and the wait until it takes more."""
+"""Writing to a socket: as much as the system takes, and the wait until it takes more."""
 
 from __future__ import annotations
 
@@ -13,34 +13,37 @@
     """One writer at a time. `loop.sock_sendall` would not tell how much had gone out when a call failed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        self._loop, self._sock, self._number = loop, sock, sock.fileno()
+        self._loop = loop
+        self._sock = sock
+        self._number = sock.fileno()
 
     async def send_some(self, data: bytes | bytearray | memoryview) -> int:
-        """How many bytes the system has taken, one at least. OSError: the connection broke."""
+        """Write some of the bytes, one at least; how many. OSError: the connection broke."""
         while True:
             try:
                 return self._sock.send(data)
-            except OSError as e:
-                await self._after(e)
+            except OSError as error:
+                await self._wait_after(error)
 
-    async def send_all(self, make: Callable[[], bytes]) -> None:
-        """Write what `make` gives, made anew until its first byte has gone out. OSError: the connection broke, and the
-        last byte has not gone out."""
+    async def send_all(self, build: Callable[[], bytes]) -> None:
+        """Write what `build` returns, built anew until its first byte has gone out. OSError: the connection broke, and
+        the last byte has not gone out."""
         while True:
-            data = make()
+            data = build()
             try:
                 sent = self._sock.send(data)
                 break
-            except OSError as e:
-                await self._after(e)
-        view = memoryview(data)[sent:]
-        while view:
-            view = view[await self.send_some(view) :]
-
-    async def _after(self, error: OSError) -> None:
-        """Wait until it is worth another try. The error itself, if the connection is over."""
+            except OSError as error:
+                await self._wait_after(error)
+        unsent = memoryview(data)[sent:]
+        while unsent:
+            size = await self.send_some(unsent)
+            unsent = unsent[size:]
+
+    async def _wait_after(self, error: OSError) -> None:
+        """Wait until it is worth another try. The error itself is raised if the connection is over."""
         if isinstance(error, BlockingIOError):
-            await self._writable()
+            await self._wait_writable()
         elif isinstance(error, InterruptedError):
             await asyncio.sleep(0)
         elif is_transient(error):
@@ -48,8 +51,9 @@
         else:
             raise error
 
-    async def _writable(self) -> None:
-        """The poll is armed anew for each wait: libuv stops one on which an error was reported."""
+    async def _wait_writable(self) -> None:
+        """Wait until the poll reports the socket writable. It is armed anew for each wait: libuv stops one on which an
+        error was reported."""
         waiter: asyncio.Future[None] = self._loop.create_future()
 
         def wake_up() -> None:
--- a/pearhill/net/tasks.py
+++ b/pearhill/net/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are held until they end, and whose failures are seen."""
+"""Tasks that are held until they end, and whose failures are logged."""
 
 from __future__ import annotations
 
@@ -10,12 +10,16 @@
 
 
 class Tasks:
+    """A group of tasks of one kind; `what` names the kind in the log."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop, what: str) -> None:
-        self._loop, self._what = loop, what
+        self._loop = loop
+        self._what = what
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Danger: the loop itself holds tasks weakly, and one that nobody holds may vanish half-way."""
+        """Run a task and hold it: the loop itself holds tasks weakly, and one that is held nowhere may vanish
+        half-way."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
@@ -23,8 +27,12 @@
 
     def _ended(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()):
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error:
             logger.opt(exception=error).error("{} failed", self._what)
 
     async def all_ended(self) -> None:
+        """Wait until the tasks that run now have ended, however they end."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -1,4 +1,4 @@
-"""Binds the deadlines to the event loop: they are swept once in each turn in which one is due."""
+"""Deadlines on the event loop: they are swept once in each tick of the loop in which one is due."""
 
 from __future__ import annotations
 
@@ -10,29 +10,38 @@
 
 
 class EventLoopTicks:
+    """Sweeps `deadlines` from the loop's timers until `close`."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop, deadlines: Deadlines) -> None:
-        self._loop, self._deadlines = loop, deadlines
+        self._loop = loop
+        self._deadlines = deadlines
         self._handle: asyncio.TimerHandle | None = None
         deadlines.on_sooner = self._arm
-        if (earliest := deadlines.earliest) is not None:
+        self._arm_earliest()
+
+    def _arm_earliest(self) -> None:
+        earliest = self._deadlines.earliest
+        if earliest is not None:
             self._arm(earliest)
 
     def _arm(self, when: int) -> None:
+        """Sweep at this time of the deadlines' clock, in microseconds, and not before."""
         if self._handle:
             self._handle.cancel()
-        wait = max(0, when - self._deadlines.clock())
+        wait_us = max(0, when - self._deadlines.clock())
         # The loop's timers count whole milliseconds: rounded up, a sweep does not come before its deadline.
-        self._handle = self._loop.call_later((wait + 999) // 1000 / 1000, self._sweep)
+        wait_ms = (wait_us + 999) // 1000
+        self._handle = self._loop.call_later(wait_ms / 1000, self._sweep)
 
     def _sweep(self) -> None:
         self._handle = None
         try:
             self._deadlines.sweep()
         finally:
-            if (earliest := self._deadlines.earliest) is not None:
-                self._arm(earliest)
+            self._arm_earliest()
 
     def close(self) -> None:
+        """Sweep no more."""
         if self._handle:
             self._handle.cancel()
         self._deadlines.on_sooner = lambda at: None
@@ -40,7 +49,7 @@
 
 @asynccontextmanager
 async def time_limit(deadlines: Deadlines, micros: int) -> AsyncIterator[None]:
-    """TimeoutError for the body once the time is over; the deadline stands among all others."""
+    """TimeoutError for the body once so many microseconds are over."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as scope:
         key = deadlines.after(micros, lambda: scope.reschedule(loop.time()))
@@ -51,6 +60,7 @@
 
 
 async def pause(deadlines: Deadlines, micros: int) -> None:
+    """Wait for so many microseconds."""
     over = asyncio.get_running_loop().create_future()
     key = deadlines.after(micros, lambda: None if over.done() else over.set_result(None))
     try:
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -151,7 +151,7 @@
             original()
 
         self.incoming._readable = counted
-        self.incoming._stop()
+        self.incoming._unpoll()
         waiting = asyncio.create_task(self.incoming.recv_into(self.buffer))
         await asyncio.sleep(0)
         waiting.cancel()
