--- /dev/null
+++ b/tests/net/loops.py
@@ -0,0 +1,16 @@
+"""The loop that asynchronous test cases run on."""
+
+import asyncio
+import unittest
+from collections.abc import Callable
+
+import uvloop
+
+
+class UvloopTestCase(unittest.IsolatedAsyncioTestCase):
+    """A test case on the loop that the program runs on; a subclass may set another."""
+
+    loop_factory: Callable[[], asyncio.AbstractEventLoop] = staticmethod(uvloop.new_event_loop)
+
+    def _setupAsyncioRunner(self) -> None:  # noqa: N802 (unittest calls it by this name)
+        self._asyncioRunner = asyncio.Runner(loop_factory=self.loop_factory)
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -1,4 +1,4 @@
-"""A client's connection on a virtual clock: when it is sent away, whatever the system says of its socket."""
+"""A client's connection on a virtual clock: when it is closed, whatever the system says about its socket."""
 
 import asyncio
 import errno
@@ -14,15 +14,16 @@
 from pearhill.net.ticks import EventLoopTicks
 from tests.virtual import VirtualLoop
 
-OWED_S = 3.0  # a client that says nothing, or stops half-way, is sent away by then
-SHORT_OF_MEMORY = 5  # looks in a row that fail
+MAX_SILENT_S = 3.0  # a client that sends nothing, or stops half-way, is closed by then
+FAILING_LOOKS = 5  # in a row, for want of memory
 
 
-class Scripted:
+class FailingLooks:
     """A socket whose next looks for unread bytes fail for want of memory."""
 
     def __init__(self, sock: socket.socket, failing: int) -> None:
-        self._sock, self.failing = sock, failing
+        self._sock = sock
+        self.failing = failing
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         if self.failing and flags & socket.MSG_PEEK:
@@ -43,24 +44,24 @@
     asyncio.set_event_loop(None)
 
 
-def test_a_silent_client_is_sent_away_in_time_though_nobody_can_look_for_its_bytes(loop):
+def test_a_silent_client_is_closed_in_time_though_looks_for_its_bytes_fail(loop):
     """A look that fails was taken for bytes on their way, and gave it its whole time once more."""
 
-    async def day() -> float:
+    async def until_closed() -> float:
         deadlines = Deadlines(loop.micros)
-        turns = EventLoopTicks(loop, deadlines)
+        ticks = EventLoopTicks(loop, deadlines)
         listener = Listener(loop, deadlines, Counters(), handler=None, max_connections=4)  # type: ignore[arg-type]
         reader, writer = await asyncio.open_connection(*listener.listen(("127.0.0.1", 0)))
         while not listener.connections:
             await asyncio.sleep(0)
-        (link,) = listener.connections
-        link.sock = Scripted(link.sock, SHORT_OF_MEMORY)  # type: ignore[assignment]
+        (connection,) = listener.connections
+        connection.sock = FailingLooks(connection.sock, FAILING_LOOKS)  # type: ignore[assignment]
         began = loop.time()
         assert await reader.read() == b""
         took = loop.time() - began
         writer.close()
         await listener.close()
-        turns.close()
+        ticks.close()
         return took
 
-    assert loop.run_until_complete(day()) <= OWED_S
+    assert loop.run_until_complete(until_closed()) <= MAX_SILENT_S
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -7,21 +7,24 @@
 import unittest
 from typing import Any
 
+import pytest
+
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.net.clock import start_clock
 from pearhill.net.listener import Listener
 from pearhill.net.ticks import EventLoopTicks
 
-MOST, CROWD = 64, 400
+MAX_CONNECTIONS = 64
+FLOOD = 400  # clients that connect one after the other
 
 
-class Bound(unittest.IsolatedAsyncioTestCase):
+class TestListener(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
-        self.turns = EventLoopTicks(loop, self.deadlines)
-        self.listener = Listener(loop, self.deadlines, Counters(), handler=None, max_connections=MOST)  # type: ignore[arg-type]
+        self.ticks = EventLoopTicks(loop, self.deadlines)
+        self.listener = Listener(loop, self.deadlines, Counters(), handler=None, max_connections=MAX_CONNECTIONS)  # type: ignore[arg-type]
         self.address = self.listener.listen(("127.0.0.1", 0))
         self.walks = 0
         least_useful = self.listener._least_useful
@@ -34,29 +37,28 @@
 
     async def asyncTearDown(self) -> None:
         await self.listener.close()
-        self.turns.close()
+        self.ticks.close()
 
-    async def test_a_crowd_costs_no_walk_over_all_for_each(self):
+    async def test_a_flood_costs_no_walk_over_all_connections_for_each_client(self):
         clients = []
-        for _ in range(CROWD):
+        for _ in range(FLOOD):
             client = socket.create_connection(self.address)
             client.setblocking(False)
             self.addCleanup(client.close)
             clients.append(client)
             await asyncio.sleep(0)
         ended = self.listener.counters.connections
-        while ended["client room-needed"] < CROWD - MOST - 16:
+        while ended["client room-needed"] < FLOOD - MAX_CONNECTIONS - 16:
             await asyncio.sleep(0)
-        self.assertLess(self.walks, CROWD / 8)
-        self.assertLessEqual(sum(not link.closed for link in self.listener.connections), MOST)
-        first, last = clients[0], clients[-1]
-        self.assertEqual(first.recv(1), b"")  # who came first and said nothing made room
-        with self.assertRaises(BlockingIOError):
-            last.recv(1)
-
-    async def test_nobody_makes_room_while_nobody_waits_at_the_door(self):
-        """The last one in, whose request was on its way, had to go as soon as all places were taken."""
-        for some in (3, MOST - 3):
+        assert self.walks < FLOOD / 8
+        assert sum(not connection.closed for connection in self.listener.connections) <= MAX_CONNECTIONS
+        assert clients[0].recv(1) == b""  # the first client, which sent nothing, was ended
+        with pytest.raises(BlockingIOError):
+            clients[-1].recv(1)
+
+    async def test_no_connection_is_ended_while_the_accept_queue_is_empty(self):
+        """The last one accepted, whose request was on its way, was ended as soon as the bound was reached."""
+        for some in (3, MAX_CONNECTIONS - 3):
             before = len(self.listener.connections)
             for _ in range(some):
                 self.addCleanup(socket.create_connection(self.address).close)
@@ -64,20 +66,20 @@
                 await asyncio.sleep(0)
         for _ in range(10):
             await asyncio.sleep(0)
-        self.assertEqual(self.listener.counters.connections["client room-needed"], 0)
+        assert self.listener.counters.connections["client room-needed"] == 0
 
-    async def test_one_that_has_become_useful_since_is_not_taken(self):
-        clients = [socket.create_connection(self.address) for _ in range(MOST - 1)]
+    async def test_a_connection_that_has_become_useful_since_it_was_found_is_not_ended(self):
+        clients = [socket.create_connection(self.address) for _ in range(MAX_CONNECTIONS - 1)]
         for client in clients:
             self.addCleanup(client.close)
-        while len(self.listener.connections) < MOST - 1:
+        while len(self.listener.connections) < MAX_CONNECTIONS - 1:
             await asyncio.sleep(0)
         found = self.listener._least_useful()
         self.listener._closable.extend(found)
         for each in found:
             each.connection.answering = True
-        self.assertTrue(self.listener._make_room())
-        self.assertFalse(any(each.connection.closed for each in found))
+        assert self.listener._make_room()
+        assert not any(each.connection.closed for each in found)
         for each in found:
             each.connection.answering = False
 
@@ -88,12 +90,12 @@
             client.setblocking(False)
             self.addCleanup(client.close)
         names = {"{}:{}".format(*client.getsockname()) for client in clients}
-        while not names <= {link.peer for link in self.listener.connections}:
+        while not names <= {connection.peer for connection in self.listener.connections}:
             await asyncio.sleep(0)
         return clients
 
-    async def test_a_full_table_of_files_elsewhere_ends_no_connection_here(self):
-        """ENFILE, ENOBUFS and ENOMEM are the system's: whoever is connected may have a request on its way."""
+    async def test_a_full_table_of_files_of_the_system_ends_no_connection_here(self):
+        """ENFILE, ENOBUFS and ENOMEM are the system's: any connection may have a request on its way."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             with self.subTest(errno=errno.errorcode[number]):
                 clients = await self.connect(3)
@@ -106,34 +108,34 @@
                 for _ in range(5):
                     await asyncio.sleep(0)
                 for client in clients:
-                    with self.assertRaises(BlockingIOError):
+                    with pytest.raises(BlockingIOError):
                         client.recv(1)
                     client.close()
 
-    async def test_a_request_that_is_half_read_does_not_make_room_while_others_can(self):
+    async def test_a_partial_request_is_not_ended_while_other_connections_can_be(self):
         """Its last byte is on its way: closed now, it would be read and lost."""
         half, silent = await self.connect(2)
         half.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
-        while not any(link.intake.in_message for link in self.listener.connections):
+        while not any(connection.intake.in_message for connection in self.listener.connections):
             await asyncio.sleep(0)
-        for _ in range(MOST + 8):
+        for _ in range(MAX_CONNECTIONS + 8):
             self.addCleanup(socket.create_connection(self.address).close)
             await asyncio.sleep(0)
         while not self.listener.counters.connections["client room-needed"]:
             await asyncio.sleep(0)
-        self.assertEqual(silent.recv(1), b"")
-        with self.assertRaises(BlockingIOError):
+        assert silent.recv(1) == b""
+        with pytest.raises(BlockingIOError):
             half.recv(1)
 
-    async def test_a_silent_client_is_not_sent_away_over_a_request_that_waits_to_be_read(self):
+    async def test_a_silent_client_is_not_closed_over_a_request_that_waits_to_be_read(self):
         """It came in the very moment in which its time was over, and the loop was late."""
         (client,) = await self.connect(1)
-        (link,) = (link for link in self.listener.connections if not link.closed)
+        (connection,) = (connection for connection in self.listener.connections if not connection.closed)
         client.sendall(b"GET / HTTP/1.1\r\n")
-        link._request_overdue()
-        self.assertFalse(link.closed)
+        connection._request_overdue()
+        assert not connection.closed
 
-    async def test_a_connection_that_fails_in_the_last_accepts_takes_nobody_behind_it_along(self):
+    async def test_a_connection_that_fails_in_the_last_accepts_takes_none_behind_it_along(self):
         """ECONNABORTED is that one connection's; those behind it would be reset with the socket."""
         real = self.listener._sock
         assert real
@@ -142,14 +144,15 @@
         self.addCleanup(client.close)
         self.listener._sock = AbortedFirst(real)  # type: ignore[assignment]
         self.listener.stop_accepting()
-        self.assertIn("{}:{}".format(*client.getsockname()), {link.peer for link in self.listener.connections})
+        assert "{}:{}".format(*client.getsockname()) in {connection.peer for connection in self.listener.connections}
 
 
 class FailingAccept:
     """A listening socket on which every accept fails."""
 
     def __init__(self, number: int, descriptor: int) -> None:
-        self.number, self.descriptor = number, descriptor
+        self.number = number
+        self.descriptor = descriptor
 
     def fileno(self) -> int:
         return self.descriptor
@@ -162,7 +165,8 @@
     """A listening socket whose next accept fails, as for a client that has gone already."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.failed = sock, False
+        self.sock = sock
+        self.failed = False
 
     def fileno(self) -> int:
         return self.sock.fileno()
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -12,12 +12,13 @@
 from pearhill.net.log import LogThread
 
 
-class FullForAWhile(io.StringIO):
+class FullDisk(io.StringIO):
     """A log file on a disk that is full for the first line."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.failed, self.later = threading.Event(), threading.Event()
+        self.failed = threading.Event()
+        self.later = threading.Event()
 
     def write(self, text: str) -> int:
         if not self.failed.is_set():
@@ -30,14 +31,14 @@
 
 
 def test_lines_are_written_again_once_the_disk_has_room():
-    full = FullForAWhile()
-    with patch.object(sys, "stderr", full):
+    stderr = FullDisk()
+    with patch.object(sys, "stderr", stderr):
         log = LogThread()
         try:
             logger.info("first")
-            assert full.failed.wait(20)
+            assert stderr.failed.wait(20)
             logger.info("second")
-            assert full.later.wait(20)
+            assert stderr.later.wait(20)
         finally:
             log.close()
             logger.remove()
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -1,8 +1,10 @@
-"""The pool's connections, before servers on loopback."""
+"""The pool's connections, and the releases on them, before servers on loopback."""
 
 import asyncio
 import socket
+from collections.abc import Coroutine
 from types import SimpleNamespace
+from typing import Any
 
 import pytest
 import uvloop
@@ -17,51 +19,54 @@
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 
+EARLY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+LARGE_REQUEST = b"x" * (1 << 24)  # more than the system takes for a server that reads nothing
 
-def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_had_no_turn_to_see_it():
-    """What was written to it would end as a reset, and may have run."""
 
-    async def day() -> None:
-        loop = asyncio.get_running_loop()
-        pool = Pool(
-            loop,
-            Deadlines(start_clock()),
-            Counters(),
-            connect_timeout=5_000_000,
-            idle_timeout=5_000_000,
-            max_connections=4,
-            reserved_connections=0,
-        )
+def run(work: Coroutine[Any, Any, None]) -> None:
+    """Run a test on the loop that the program runs on, 20 s at most."""
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(asyncio.wait_for(work, 20))
+
+
+def make_pool(deadlines: Deadlines, **settings: int) -> Pool:
+    """A small pool on the running loop."""
+    defaults = {
+        "connect_timeout": 5_000_000,
+        "idle_timeout": 5_000_000,
+        "max_connections": 4,
+        "reserved_connections": 9,
+    }
+    return Pool(asyncio.get_running_loop(), deadlines, Counters(), **{**defaults, **settings})
+
+
+def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it():
+    """What was written to it would end as a reset, and may have been executed."""
+
+    async def scenario() -> None:
+        pool = make_pool(Deadlines(start_clock()), reserved_connections=0)
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
             pool.put_back(first)
-            server.accept()[0].close()  # no turn of the loop from here to the next acquire
+            server.accept()[0].close()  # no tick of the loop from here to the next acquire
             second = await pool.acquire(server.getsockname())
-            assert second is not first and first.closed
+            assert second is not first
+            assert first.closed
             pool.put_back(second)
             assert await pool.acquire(server.getsockname()) is second
         pool.close()
         await asyncio.sleep(0)
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(day())
-
-
-def test_a_connection_rests_after_an_answer_before_it_carries_another_request():
-    """A second answer, some milliseconds behind the first, would be taken for that request's. What keeps the books is
-    sent at once: the answer to it is of another kind, and nothing runs twice by it."""
-
-    async def day() -> None:
-        now, loop = 0, asyncio.get_running_loop()
-        pool = Pool(
-            loop,
-            Deadlines(lambda: now),
-            Counters(),
-            connect_timeout=5_000_000,
-            idle_timeout=5_000_000,
-            max_connections=4,
-            reserved_connections=9,
-        )
+    run(scenario())
+
+
+def test_a_connection_carries_no_request_for_a_while_after_a_response():
+    """A second response, some milliseconds behind the first, would be taken for that request's. A control call is sent
+    at once: the response to it is of another kind, and nothing is executed twice by it."""
+
+    async def scenario() -> None:
+        now = 0
+        pool = make_pool(Deadlines(lambda: now))
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
             pool.put_back(first, delay_reuse=True)
@@ -76,26 +81,17 @@
         pool.close()
         await asyncio.sleep(0)
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(day())
+    run(scenario())
 
 
-def test_a_release_on_a_connection_that_has_fallen_silent_is_said_on_a_new_one_well_within_the_time_to_let_go():
+def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release():
     """300 ms are the least that a deployment gives, and 300 more are allowed. Two idle ones have fallen silent here."""
 
-    async def day() -> None:
-        now, loop = 0, asyncio.get_running_loop()
+    async def scenario() -> None:
+        now = 0
         deadlines = Deadlines(lambda: now)
-        pool = Pool(
-            loop,
-            deadlines,
-            Counters(),
-            connect_timeout=250_000,
-            idle_timeout=60_000_000,
-            max_connections=4,
-            reserved_connections=9,
-        )
-        heard: list[bytes] = []
+        pool = make_pool(deadlines, connect_timeout=250_000, idle_timeout=60_000_000)
+        received: list[bytes] = []
         connections = 0
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -103,7 +99,7 @@
             connections += 1
             silent = connections <= 2
             while data := await reader.read(4096):
-                heard.append(data)
+                received.append(data)
                 if not silent:
                     writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             writer.close()
@@ -117,39 +113,32 @@
             pool.put_back(connection)
         backend = HttpBackend(pool, ReplicaDialect())
         backend.update_addresses({1: address}, [], full=True)
-        backend.release(SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", "")), {1})
+        request = SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", ""))
+        backend.release(request, {1})
         for wait in (FIRST_ANSWER_TIMEOUT_US, FIRST_BACKOFF_US):
             pending = len(deadlines)
-            while not heard or deadlines.earliest != now + wait:
+            while not received or deadlines.earliest != now + wait:
                 await asyncio.sleep(0)
             assert pending
             now += wait
             deadlines.sweep()
         while backend.pending_releases:
             await asyncio.sleep(0)
-        assert (len(heard), connections) == (2, 3) and now <= 100_000
+        assert (len(received), connections) == (2, 3)
+        assert now <= 100_000
         pool.close()
         server.close()
         await asyncio.sleep(0)
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(day(), 20))
-
-
-def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_ended_it():
-    """The server may have forgotten it without a word: what is sent there ends as a reset, and may have run."""
-
-    async def day() -> None:
-        now, loop = 0, asyncio.get_running_loop()
-        pool = Pool(
-            loop,
-            Deadlines(lambda: now),
-            Counters(),
-            connect_timeout=10**6,
-            idle_timeout=5_000_000,
-            max_connections=4,
-            reserved_connections=9,
-        )
+    run(scenario())
+
+
+def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it():
+    """The server may have forgotten it without a sign: what is sent there ends as a reset, and may be executed."""
+
+    async def scenario() -> None:
+        now = 0
+        pool = make_pool(Deadlines(lambda: now), connect_timeout=10**6)
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
         first = await pool.acquire(address)
@@ -160,48 +149,34 @@
         server.close()
         await asyncio.sleep(0)
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(day(), 20))
-
-
-EARLY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-MUCH = b"x" * (1 << 24)  # more than the system takes for one that reads nothing
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["answered early", "closed here"])
 def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how):
-    """The reader saw the end, and closed a socket on which the writer was still polled: it waited for good, and whoever
-    got the number next was polled in its place."""
+    """The reader saw the end, and closed a socket on which the writer was still polled: it waited for good, and the
+    connection that got the number next was polled in its place."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(
-            loop,
-            Deadlines(start_clock()),
-            Counters(),
-            connect_timeout=5_000_000,
-            idle_timeout=5_000_000,
-            max_connections=4,
-            reserved_connections=0,
-        )
+        pool = make_pool(Deadlines(start_clock()), reserved_connections=0)
         with socket.create_server(("127.0.0.1", 0)) as server:
             connection = await pool.acquire(server.getsockname())
-            there, _ = server.accept()
+            peer, _ = server.accept()
             number = connection.sock.fileno()
-            writing = asyncio.ensure_future(connection.send(CollectedResponse(loop, 100), lambda: MUCH))
+            writing = asyncio.ensure_future(connection.send(CollectedResponse(loop, 100), lambda: LARGE_REQUEST))
             await asyncio.sleep(0)
             if how == "answered early":
-                there.sendall(EARLY)
+                peer.sendall(EARLY_RESPONSE)
             else:
                 connection.close("called-off")
-            with pytest.raises(OSError):
+            with pytest.raises(OSError, match="Bad file descriptor|Broken pipe|Connection reset"):
                 await asyncio.wait_for(writing, 20)
             await asyncio.sleep(0)
             assert not loop.remove_writer(number)
             assert connection.sock.fileno() == -1
-            there.close()
+            peer.close()
         pool.close()
         await asyncio.sleep(0)
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(day())
+    run(scenario())
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -1,24 +1,24 @@
-"""Reading with the socket left in the poll: ends, breaks, and no spinning while nobody reads."""
+"""Reading with the socket left in the poll: ends, breaks, and no spinning while nothing reads."""
 
 import asyncio
 import errno
 import socket
 import struct
-import unittest
-from collections.abc import Callable
 
-import uvloop
+import pytest
 
 from pearhill.net.socket_reader import READS_PER_TICK, SHORTAGE_RETRY_S, SocketReader
+from tests.net.loops import UvloopTestCase
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Scripted:
-    """A socket whose next reads fail so, one after the other, before it reads."""
+class FailingReads:
+    """A socket whose next reads fail with these error numbers, one after the other, before it reads."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.errors = sock, list[int]()
+        self.sock = sock
+        self.errors = list[int]()
 
     def fileno(self) -> int:
         return self.sock.fileno()
@@ -29,13 +29,8 @@
         return self.sock.recv_into(buffer)
 
 
-class Reads(unittest.IsolatedAsyncioTestCase):
-    """On the loop that the program runs on. `ReadsOnAsyncio`: on the library's own."""
-
-    loop_factory: Callable[[], asyncio.AbstractEventLoop] | None = staticmethod(uvloop.new_event_loop)
-
-    def _setupAsyncioRunner(self) -> None:
-        self._asyncioRunner = asyncio.Runner(loop_factory=self.loop_factory)
+class TestSocketReader(UvloopTestCase):
+    """On the loop that the program runs on. `TestSocketReaderOnAsyncio`: on the library's own."""
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -45,15 +40,15 @@
             self.ours = socket.create_connection(listening.getsockname())
             self.theirs = listening.accept()[0]
         self.ours.setblocking(False)
-        self.scripted = Scripted(self.ours)
-        self.incoming = SocketReader(self.loop, self.scripted)
+        self.sock = FailingReads(self.ours)
+        self.reader = SocketReader(self.loop, self.sock)
         self.addCleanup(self.ours.close)
         self.addCleanup(self.theirs.close)
-        self.addCleanup(self.incoming.close)
+        self.addCleanup(self.reader.close)
         self.buffer = bytearray(8)
 
     async def read(self) -> bytes:
-        size = await asyncio.wait_for(self.incoming.recv_into(self.buffer), 20)
+        size = await asyncio.wait_for(self.reader.recv_into(self.buffer), 20)
         return bytes(self.buffer[:size])
 
     def reset(self) -> None:
@@ -62,13 +57,13 @@
 
     async def test_bytes_in_order_and_the_end(self):
         self.theirs.sendall(b"one two three")
-        self.assertEqual(await self.read() + await self.read(), b"one two three")
+        assert await self.read() + await self.read() == b"one two three"
         self.theirs.shutdown(socket.SHUT_WR)
-        self.assertEqual(await self.read(), b"")
+        assert await self.read() == b""
 
     async def test_a_reset_is_an_error(self):
         self.reset()
-        with self.assertRaises(ConnectionResetError):
+        with pytest.raises(ConnectionResetError):
             await self.read()
 
     async def test_a_reset_behind_bytes_in_one_wake_up_is_an_error_once_they_are_read(self):
@@ -76,8 +71,8 @@
         await asyncio.sleep(0)
         self.theirs.sendall(b"one two")
         self.reset()
-        self.assertEqual(await waiting, b"one two")
-        with self.assertRaises(ConnectionResetError):
+        assert await waiting == b"one two"
+        with pytest.raises(ConnectionResetError):
             await self.read()
 
     async def test_a_reset_in_a_wake_up_whose_read_was_cancelled_is_an_error_at_the_next(self):
@@ -86,82 +81,82 @@
         self.reset()
         self.loop.call_soon(waiting.cancel)
         await asyncio.gather(waiting, return_exceptions=True)
-        with self.assertRaises(ConnectionResetError):
+        with pytest.raises(ConnectionResetError):
             await self.read()
 
     async def test_a_read_that_fails_for_want_of_memory_or_by_a_signal_is_tried_again(self):
         for number in (errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS):
-            self.scripted.errors = [number, number]
+            self.sock.errors = [number, number]
             self.theirs.sendall(b"kept")
-            self.assertEqual(await self.read(), b"kept", errno.errorcode[number])
+            assert await self.read() == b"kept", errno.errorcode[number]
 
-    async def test_how_long_bytes_could_not_be_read_is_told(self):
+    async def test_how_long_bytes_could_not_be_read_is_reported(self):
         """A request's time runs from its last byte, and not from when the system had memory to read it."""
-        self.scripted.errors = [errno.ENOMEM] * 4
+        self.sock.errors = [errno.ENOMEM] * 4
         self.theirs.sendall(b"kept")
         await self.read()
-        self.assertGreaterEqual(self.incoming.delayed_s, 3 * SHORTAGE_RETRY_S)
+        assert self.reader.delayed_s >= 3 * SHORTAGE_RETRY_S
         self.theirs.sendall(b"next")
         await self.read()
-        self.assertEqual(self.incoming.delayed_s, 0.0)
+        assert self.reader.delayed_s == 0.0
 
     async def test_a_reset_is_seen_though_the_read_of_its_wake_up_failed(self):
         for number in (errno.EINTR, errno.EAGAIN, errno.ENOMEM):
             with self.subTest(errno.errorcode[number]):
                 await self.asyncSetUp()
-                self.scripted.errors = [number]
+                self.sock.errors = [number]
                 self.reset()
-                with self.assertRaises(ConnectionResetError):
+                with pytest.raises(ConnectionResetError):
                     await self.read()
 
-    async def test_a_sender_that_never_stops_leaves_others_their_turn(self):
+    async def test_a_sender_that_never_stops_lets_other_tasks_run(self):
         self.theirs.sendall(b"x" * 8 * 50)
         await self.read()
-        turns = 0
+        ticks = 0
 
         async def others() -> None:
-            nonlocal turns
+            nonlocal ticks
             while True:
-                turns += 1
+                ticks += 1
                 await asyncio.sleep(0)
 
         other = asyncio.create_task(others())
         for _ in range(40):
-            await self.incoming.recv_into(self.buffer)
+            await self.reader.recv_into(self.buffer)
         other.cancel()
-        self.assertGreaterEqual(turns, 40 // READS_PER_TICK - 1)
+        assert ticks >= 40 // READS_PER_TICK - 1
 
     async def test_a_cancelled_read_takes_nothing(self):
-        task = asyncio.create_task(self.incoming.recv_into(self.buffer))
+        task = asyncio.create_task(self.reader.recv_into(self.buffer))
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.theirs.sendall(b"kept")
-        self.assertEqual(await self.read(), b"kept")
+        assert await self.read() == b"kept"
 
-    async def test_bytes_that_nobody_reads_do_not_spin_the_loop(self):
+    async def test_bytes_that_nothing_reads_do_not_spin_the_loop(self):
         self.theirs.sendall(b"a")
         await self.read()
-        turns = 0
-        original = self.incoming._readable
+        wake_ups = 0
+        original = self.reader._readable
 
         def counted() -> None:
-            nonlocal turns
-            turns += 1
+            nonlocal wake_ups
+            wake_ups += 1
             original()
 
-        self.incoming._readable = counted
-        self.incoming._unpoll()
-        waiting = asyncio.create_task(self.incoming.recv_into(self.buffer))
+        self.reader._readable = counted
+        self.reader._unpoll()
+        waiting = asyncio.create_task(self.reader.recv_into(self.buffer))
         await asyncio.sleep(0)
         waiting.cancel()
-        await asyncio.gather(waiting, return_exceptions=True)  # from here on nobody reads
+        await asyncio.gather(waiting, return_exceptions=True)  # from here on nothing reads
         self.theirs.sendall(b"more")
         for _ in range(50):
             await asyncio.sleep(0)
-        self.assertLessEqual(turns, 1)
-        self.assertEqual(await self.read(), b"more")
+        assert wake_ups <= 1
+        assert await self.read() == b"more"
 
 
-class ReadsOnAsyncio(Reads):
+class TestSocketReaderOnAsyncio(TestSocketReader):
     loop_factory = staticmethod(asyncio.new_event_loop)
