--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -314,7 +314,7 @@
         """Send bytes, or leave what does not fit the socket to the writer."""
         if self.closed:
             return
-        writing = self._is_writing
+        writing = self._writer is not None and not self._writer.done()  # inline: this runs for each event
         self.output.add(data, send_now=not writing)
         if self.output.unsent and not writing:
             self._start_writer()
--- /dev/null
+++ b/tests/net/test_output_buffer.py
@@ -0,0 +1,93 @@
+"""Unsent bytes: sent at once where the socket takes them, bounded where it does not, every byte once and in order."""
+
+import asyncio
+import errno
+import os
+import socket
+
+import pytest
+
+from pearhill.net.output_buffer import MAX_BUFFERED_BYTES, OutputBuffer
+from tests.net.loops import UvloopTestCase
+
+
+class LimitedSocket:
+    """A socket that takes so many bytes in all, and then fails with this error number."""
+
+    def __init__(self, sock: socket.socket, capacity: int, number: int = errno.EAGAIN) -> None:
+        self.sock = sock
+        self.capacity = capacity
+        self.number = number
+        self.sent = bytearray()
+
+    def fileno(self) -> int:
+        return self.sock.fileno()
+
+    def send(self, data: bytes) -> int:
+        if not self.capacity:
+            raise OSError(self.number, os.strerror(self.number))
+        taken = bytes(data[: self.capacity])
+        self.capacity -= len(taken)
+        self.sent += taken
+        return len(taken)
+
+
+class TestOutputBuffer(UvloopTestCase):
+    async def asyncSetUp(self) -> None:
+        ours, theirs = socket.socketpair()
+        self.addCleanup(ours.close)
+        self.addCleanup(theirs.close)
+        self.sock = LimitedSocket(ours, 0)
+        self.buffer = OutputBuffer(asyncio.get_running_loop(), self.sock)  # type: ignore[arg-type]
+
+    async def test_what_fits_goes_out_at_once_with_what_was_appended_before(self):
+        self.sock.capacity = 100
+        self.buffer.append(b"head ")
+        assert not self.sock.sent
+        self.buffer.add(b"body", send_now=True)
+        assert self.sock.sent == b"head body"
+        assert not self.buffer.unsent
+
+    async def test_bytes_are_only_kept_while_another_write_is_under_way(self):
+        self.sock.capacity = 100
+        self.buffer.add(b"later", send_now=False)
+        assert not self.sock.sent
+        assert self.buffer.unsent == b"later"
+
+    async def test_a_send_that_fails_leaves_the_bytes(self):
+        for number in (errno.EAGAIN, errno.ENOBUFS, errno.EPIPE):
+            self.sock.number = number
+            self.buffer.add(b"x", send_now=True)
+        assert self.buffer.unsent == b"xxx"
+
+    async def test_its_sender_is_held_back_past_the_bound_and_goes_on_below_it(self):
+        self.buffer.add(b"x" * MAX_BUFFERED_BYTES, send_now=True)
+        assert self.buffer.has_capacity.is_set()
+        self.buffer.add(b"x", send_now=True)
+        assert not self.buffer.has_capacity.is_set()
+        self.sock.capacity = MAX_BUFFERED_BYTES + 1
+        await self.buffer.write_some()
+        assert self.buffer.has_capacity.is_set()
+        assert len(self.sock.sent) == MAX_BUFFERED_BYTES + 1
+
+    async def test_a_piece_above_the_bound_that_the_socket_takes_holds_nothing_back(self):
+        self.sock.capacity = 2 * MAX_BUFFERED_BYTES
+        self.buffer.add(b"x" * (2 * MAX_BUFFERED_BYTES), send_now=True)
+        assert self.buffer.has_capacity.is_set()
+
+    async def test_a_write_on_a_broken_connection_is_an_error(self):
+        self.sock.number = errno.EPIPE
+        self.buffer.add(b"x", send_now=True)
+        with pytest.raises(BrokenPipeError):
+            await self.buffer.write_some()
+
+    async def test_a_sender_that_waits_goes_on_when_the_connection_ends(self):
+        self.buffer.add(b"x" * (MAX_BUFFERED_BYTES + 1), send_now=True)
+        waiting = asyncio.ensure_future(self.buffer.has_capacity.wait())
+        await asyncio.sleep(0)
+        assert not waiting.done()
+        self.buffer.close()
+        await asyncio.wait_for(waiting, 20)
+        self.sock.capacity = 10
+        await self.buffer.write_some()
+        assert not self.sock.sent
--- /dev/null
+++ b/tests/net/test_request_intake.py
@@ -0,0 +1,87 @@
+"""What a client sends becomes requests in order, with the time at which each had arrived, and no more than may wait."""
+
+import asyncio
+import socket
+
+from pearhill.http1.messages import RequestMessage
+from pearhill.http1.server import Rejected
+from pearhill.net.request_intake import FIRST_READ_BYTES, MAX_PIPELINED_REQUESTS, READ_BYTES, RequestIntake
+from tests.net.loops import UvloopTestCase
+
+MAX_BODY = 100
+GET = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
+POST = b"POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n"
+NOW = 1_000_000_000
+
+
+class TestRequestIntake(UvloopTestCase):
+    async def asyncSetUp(self) -> None:
+        ours, theirs = socket.socketpair()
+        self.addCleanup(ours.close)
+        self.addCleanup(theirs.close)
+        self.continues = 0
+        self.intake = RequestIntake(asyncio.get_running_loop(), ours, lambda: NOW, MAX_BODY, delayed_accept=False)
+
+    def feed(self, data: bytes, answering: bool = False) -> None:
+        def send_continue() -> None:
+            self.continues += 1
+
+        self.intake.feed(memoryview(data), answering, send_continue)
+
+    def targets(self) -> list[str | int]:
+        """What waits: the target of each request, the status of each rejection."""
+        return [each.target if isinstance(each, RequestMessage) else each.status for each in self.intake.waiting]
+
+    async def test_requests_wait_in_order(self):
+        self.feed(b"".join(GET % number for number in range(3)))
+        assert self.targets() == ["/0", "/1", "/2"]
+
+    async def test_a_large_buffer_is_only_for_the_rest_of_a_request(self):
+        assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
+        self.feed(POST % (0, 9))
+        assert self.intake.in_message
+        assert len(self.intake.new_buffer()) == READ_BYTES
+        self.feed(b"123456789")
+        assert not self.intake.in_message
+        assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
+
+    async def test_a_flood_of_requests_ends_with_a_rejection_and_nothing_behind_it_is_kept(self):
+        self.feed(b"".join(GET % number for number in range(20)), answering=True)
+        assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS)), 429]
+        self.feed(GET % 99, answering=True)
+        assert len(self.intake.waiting) == MAX_PIPELINED_REQUESTS + 1
+
+    async def test_one_request_more_may_wait_while_none_is_being_answered(self):
+        self.feed(b"".join(GET % number for number in range(20)))
+        assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS + 1)), 429]
+
+    async def test_waiting_bodies_are_bounded_by_one_largest_body(self):
+        body = b"x" * (MAX_BODY // 2 + 1)
+        self.feed(b"".join(POST % (number, len(body)) + body for number in range(3)), answering=True)
+        assert self.targets() == ["/0", "/1", 429]
+
+    async def test_a_malformed_request_is_a_rejection(self):
+        self.feed(b"nonsense\r\n\r\n")
+        (rejected,) = self.intake.waiting
+        assert isinstance(rejected, Rejected)
+        assert rejected.status == 400
+
+    async def test_an_interim_response_never_lands_inside_an_answer(self):
+        head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n"
+        self.feed(head)
+        assert self.continues == 1
+        self.feed(b"x")
+        self.feed(head)  # behind one that waits
+        assert self.continues == 1
+
+    async def test_no_interim_response_is_sent_while_a_request_is_being_answered(self):
+        self.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n", answering=True)
+        assert self.continues == 0
+
+    async def test_a_request_had_arrived_before_the_system_could_be_asked_for_its_bytes(self):
+        """Its time runs from its last byte, and not from when there was memory to read it."""
+        self.intake.socket_reader.delayed_s = 0.25
+        self.feed(GET % 0)
+        self.intake.socket_reader.delayed_s = 0.0
+        self.feed(GET % 1)
+        assert [each.arrived for each in self.intake.waiting] == [NOW - 250_000, NOW]
--- /dev/null
+++ b/tests/net/test_unread_input.py
@@ -0,0 +1,58 @@
+"""A look at a socket takes nothing from it, and says when it has shown nothing."""
+
+import errno
+import os
+import socket
+from collections.abc import Iterator
+
+import pytest
+
+from pearhill.net.unread_input import UnreadInput, peek_unread_input
+
+
+class FailingSocket:
+    """A socket on which every read fails with this error number."""
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+
+    def recv(self, size: int, flags: int = 0) -> bytes:
+        raise OSError(self.number, os.strerror(self.number))
+
+
+@pytest.fixture
+def pair() -> Iterator[tuple[socket.socket, socket.socket]]:
+    with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as ours:
+        theirs, _ = server.accept()
+        with theirs:
+            yield ours, theirs
+
+
+def test_a_look_shows_bytes_and_leaves_them(pair):
+    ours, theirs = pair
+    assert peek_unread_input(ours) == UnreadInput.NONE
+    theirs.sendall(b"two")
+    ours.recv(1, socket.MSG_PEEK)  # they are here
+    assert peek_unread_input(ours) == UnreadInput.SOME
+    assert ours.recv(10) == b"two"
+    assert peek_unread_input(ours) == UnreadInput.NONE
+
+
+def test_the_end_of_a_connection_is_no_input(pair):
+    ours, theirs = pair
+    theirs.shutdown(socket.SHUT_WR)
+    assert ours.recv(1) == b""
+    assert peek_unread_input(ours) == UnreadInput.NONE
+
+
+@pytest.mark.parametrize(
+    ("number", "found"),
+    [
+        (errno.ENOMEM, UnreadInput.UNKNOWN),
+        (errno.ENOBUFS, UnreadInput.UNKNOWN),
+        (errno.EINTR, UnreadInput.UNKNOWN),
+        (errno.ECONNRESET, UnreadInput.NONE),
+    ],
+)
+def test_a_look_that_fails_for_want_of_memory_or_by_a_signal_shows_nothing(number, found):
+    assert peek_unread_input(FailingSocket(number)) == found
