--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -1,4 +1,4 @@
-"""Where clients connect: accepts them, bounds how many there are, and ends connections so that others are accepted."""
+"""Where clients connect: accepts them, bounds how many there are, and ends their connections in a drain."""
 
 from __future__ import annotations
 
@@ -6,9 +6,7 @@
 import contextlib
 import errno
 import socket
-from collections import deque
-from heapq import nsmallest
-from typing import Any, NamedTuple
+from typing import Any
 
 from loguru import logger
 
@@ -18,6 +16,7 @@
 from pearhill.http1.server import MAX_BODY
 from pearhill.net.accepted import AcceptedConnection
 from pearhill.net.address import Address
+from pearhill.net.eviction import ConnectionEvictor
 from pearhill.net.tasks import Tasks
 from pearhill.routing.permissions import ConnectionUse
 
@@ -43,21 +42,6 @@
     return sock
 
 
-class ClosableConnection(NamedTuple):
-    """A connection that can be ended, as it was when it was found; `batch`: how many of its kind end in one go."""
-
-    connection: AcceptedConnection
-    use: ConnectionUse
-    since: int
-    batch: int
-
-    @property
-    def unchanged(self) -> bool:
-        """Whether what was found of it still holds, and it may still be ended."""
-        connection = self.connection
-        return connection.use == self.use and connection.since == self.since and connection.may_close
-
-
 class Listener:
     """`max_connections` bounds the connections; past it those of least use are ended. `send_buffer`: bytes that the
     system may hold of an answer to one client, twice over; 0: as it likes. `side` names the connections in the log."""
@@ -90,7 +74,7 @@
         self._polled = False  # connections are taken as they come
         self._recheck: Key | None = None
         self._accept_failing = False  # the last accept lacked something: the next client may have waited
-        self._closable = deque[ClosableConnection]()  # found by one walk, to be ended next
+        self._evictor = ConnectionEvictor(self.connections)
 
     # Accepting.
 
@@ -149,7 +133,7 @@
             full = len(self.connections) >= self.max_connections
             if full and taken:  # Another would be ended, maybe the last one accepted, while the queue is empty.
                 return
-            if full and not self._make_room():
+            if full and not self._evictor.make_room(self.max_connections):
                 return self._accept_later()
             try:
                 client, peer = self._sock.accept()
@@ -170,18 +154,13 @@
         self._accept_failing = True
         logger.warning("accepting pauses: {error}", error=str(error))
         if error.errno == errno.EMFILE:
-            self._make_room()
+            self._evictor.make_room(self.max_connections)
         else:
             # The system's tables are full, not those of this process: any connection that is ended here may have a
             # request on its way, and clients in the accept queue can wait there.
-            self._close_finished()
+            self._evictor.close_finished()
         self._accept_later()
 
-    def _close_finished(self) -> None:
-        finished = [connection for connection in self.connections if connection.use == ConnectionUse.FINISHED]
-        for connection in finished:
-            connection.close("room-needed")
-
     def _accept_later(self) -> None:
         """Polled while no connection can be taken, an accept queue that is not empty would spin the loop."""
         self._unpoll()
@@ -211,53 +190,6 @@
         """The connection's socket is closed."""
         self.connections.discard(connection)
 
-    # Connections that end so that others are accepted.
-
-    def _make_room(self) -> bool:
-        """End some connections in the order of `ConnectionUse`: first those that have had their last answer, then
-        those that never asked, of which hundreds would shut everyone out, then the one that has idled longest, and a
-        partial request last of all."""
-        # A flood of clients that stay costs a walk over all connections at each accept; most of a core went into it.
-        # What one walk has found serves for some accepts that follow, as long as it still holds.
-        closed = 0
-        walked = False
-        while not closed and not walked:
-            walked = not self._closable
-            if walked:
-                self._closable.extend(self._least_useful())
-            closed = self._close_found()
-        return closed > 0
-
-    def _close_found(self) -> int:
-        """End connections that were found before, one batch at most; how many."""
-        closed = 0
-        while self._closable and closed < self._closable[0].batch:
-            found = self._closable.popleft()
-            if found.unchanged:
-                found.connection.close("room-needed")
-                closed += 1
-        return closed
-
-    def _least_useful(self) -> list[ClosableConnection]:
-        """Connections of one kind: the first kind of which there are any that can be ended."""
-        # By index: a walk over thousands of connections hashes no enum member.
-        kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
-        for connection in self.connections:
-            kinds[connection.use].append(connection)
-        several = max(2, min(MAX_ACCEPTS_PER_TICK, self.max_connections // 8))  # where they are cheap to lose
-        batches = (
-            (ConnectionUse.FINISHED, several),
-            (ConnectionUse.UNUSED, several),
-            (ConnectionUse.IDLE, 1),
-            (ConnectionUse.PARTIAL_REQUEST, 1),
-        )
-        for use, batch in batches:
-            oldest = nsmallest(4 * several, kinds[use], key=lambda connection: connection.since)
-            found = [ClosableConnection(each, use, each.since, batch) for each in oldest if each.may_close]
-            if found:
-                return found
-        return []
-
     # The end.
 
     @property
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -27,13 +27,14 @@
         self.listener = Listener(loop, self.deadlines, Counters(), handler=None, max_connections=MAX_CONNECTIONS)  # type: ignore[arg-type]
         self.address = self.listener.listen(("127.0.0.1", 0))
         self.walks = 0
-        least_useful = self.listener._least_useful
+        evictor = self.listener._evictor
+        least_useful = evictor._least_useful
 
-        def counted() -> Any:
+        def counted(max_connections: int) -> Any:
             self.walks += 1
-            return least_useful()
+            return least_useful(max_connections)
 
-        self.listener._least_useful = counted  # type: ignore[method-assign]
+        evictor._least_useful = counted  # type: ignore[method-assign]
 
     async def asyncTearDown(self) -> None:
         await self.listener.close()
@@ -74,11 +75,12 @@
             self.addCleanup(client.close)
         while len(self.listener.connections) < MAX_CONNECTIONS - 1:
             await asyncio.sleep(0)
-        found = self.listener._least_useful()
-        self.listener._closable.extend(found)
+        evictor = self.listener._evictor
+        found = evictor._least_useful(MAX_CONNECTIONS)
+        evictor._closable.extend(found)
         for each in found:
             each.connection.answering = True
-        assert self.listener._make_room()
+        assert evictor.make_room(MAX_CONNECTIONS)
         assert not any(each.connection.closed for each in found)
         for each in found:
             each.connection.answering = False
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -46,7 +46,7 @@
         self.garbled, self.calls = 0, 0
         self.told: dict[int, int] = {}  # by version
 
-    async def call(self, pool, address, data: bytes, patience: int, use: int) -> tuple[int, bytes]:
+    async def call(self, pool, address, data: bytes, patience: int, purpose: int) -> tuple[int, bytes]:
         self.calls += 1
         asked = re.search(rb"after=(\d+)&wait_ms=(\d+)", data)
         after, wait = (int(asked[1]), int(asked[2]) * 1000) if asked else (0, 0)
