--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -2,23 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
-import contextlib
 import socket
-from collections.abc import Coroutine
-from typing import Any, Protocol
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
-from pearhill.counters import Counters
 from pearhill.http1 import messages
-from pearhill.http1.handler import Handler, Pending
+from pearhill.http1.handler import Pending
 from pearhill.http1.messages import Headers, RequestMessage
 from pearhill.http1.server import Rejected
-from pearhill.net.output_buffer import OutputBuffer
-from pearhill.net.request_intake import READ_BYTES, RequestIntake
-from pearhill.net.socket_reader import is_transient
+from pearhill.net.client_socket import ClientSocket, ConnectionOwner
 from pearhill.net.unread_input import UnreadInput, peek_unread_input
 from pearhill.routing.permissions import ConnectionUse, may_close
 
@@ -26,57 +18,20 @@
 # The first one's time begins so long after its accept at the latest. Bad clients have to be ended within 3 s.
 MAX_FIRST_REQUEST_DELAY_US = 800_000
 IDLE_TIMEOUT_US = 5_000_000  # between two requests
-LINGER_US = 1_000_000  # how long input is read past the last answer
-MAX_LINGER_BYTES = 256 * 1024  # how much input is read past the last answer
 RECHECK_INTERVAL_US = 20_000  # after a look for unread input that failed
-MAX_DISCONNECT_CHECK_BYTES = 4 << 20  # read at once to see whether a client that has sent so much is still there
-WRITE_TIMEOUT_US = 20_000_000  # a client that takes no byte for so long is gone
 
 
-class ConnectionOwner(Protocol):
-    """What accepts connections, as far as each of them needs it."""
-
-    loop: asyncio.AbstractEventLoop
-    deadlines: Deadlines
-    counters: Counters
-    handler: Handler
-    max_body: int
-    side: str
-    draining: bool  # answers end their connections
-    closing: bool  # no connection outlives its answer, even one that was begun before the drain
-
-    def spawn(self, work: Coroutine[Any, Any, None], /) -> asyncio.Task[None]:
-        """Run a task that the owner holds until it ends."""
-
-    def forget(self, connection: AcceptedConnection) -> None:
-        """The connection's socket is closed."""
-
-
-class AcceptedConnection:
-    """One client's connection, and the Reply to the request that is being answered on it. `delayed_accept`: it may
-    have stood in the accept queue for long, and its first request with it."""
+class AcceptedConnection(ClientSocket):
+    """One client's connection, and the Reply to the request that is being answered on it."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool = False) -> None:
-        self.owner = owner
-        self.sock = sock
-        self.peer = peer
-        self.intake = RequestIntake(owner.loop, sock, owner.deadlines.clock, owner.max_body, delayed_accept)
-        self.output = OutputBuffer(owner.loop, sock)
         self.pending: Pending | None = None
         self.answering = False  # a request has its turn
-        self.ending = False  # it has had its last answer
-        self.closed = False
-        self.requests = 0
         self.since = owner.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
         self._keep_alive = True  # its client lets it live on, and nothing on it has gone wrong
         self._close_after_next = False  # the next answer ends it, whatever its request says
         self._announced_close = False  # the client was told that this answer is the last one
-        self._bytes_after_last = 0  # read behind its last answer
-        self._timer: Key | None = None
-        self._reason = "answered"
-        self._writer: asyncio.Task[None] | None = None  # while there is something to write
-        self._reader: asyncio.Task[None] | None = owner.spawn(self._read())
-        self._reader.add_done_callback(self._task_done)
+        super().__init__(owner, sock, peer, delayed_accept)
         self._set_timer()
 
     # What it is good for.
@@ -91,10 +46,6 @@
         """Nothing is being answered or written; a request may have begun."""
         return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
 
-    @property
-    def _is_writing(self) -> bool:
-        return self._writer is not None and not self._writer.done()
-
     @property
     def use(self) -> ConnectionUse:
         """What it is good for now."""
@@ -122,24 +73,6 @@
 
     # Reply.
 
-    def has_disconnected(self) -> bool:
-        """Whether the client has closed, half-closed or reset its connection, seen on the socket itself. A busy loop
-        may not have read the end yet, or it stands behind more bytes, and the request would be forwarded for nobody."""
-        read = 0
-        while not self.closed and read < MAX_DISCONNECT_CHECK_BYTES:
-            try:
-                if self.sock.recv(1, socket.MSG_PEEK):
-                    data = self.sock.recv(READ_BYTES)
-                    read += len(data)
-                    self._received(memoryview(data))
-                    continue
-                self.close("client-closed")
-            except OSError as error:
-                if is_transient(error):
-                    break
-                self.close(f"client-{type(error).__name__}")
-        return self.closed
-
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
         """Send a complete answer."""
         self._put(messages.answer(status, headers, body, close=not self._stays_open()))
@@ -263,35 +196,7 @@
         self.intake.waiting.append(Rejected(408, "the request did not arrive in time"))
         self._advance()
 
-    # Reading.
-
-    async def _read(self) -> None:
-        """A read that the loop does ahead of this task's turn is lost with the task when the connection is closed in
-        between: a request read, and dropped. So bytes are taken off the socket only here and in `has_disconnected`."""
-        reason = "client-closed"
-        try:
-            while not self.closed:
-                buffer = self.intake.new_buffer()
-                try:
-                    size = await self.intake.socket_reader.recv_into(buffer)
-                except OSError as error:
-                    size = 0
-                    reason = f"client-{type(error).__name__}"
-                if not size or not self._received(memoryview(buffer)[:size]):
-                    break
-        finally:
-            self.intake.socket_reader.close()
-            self.close(self._reason if self.ending else reason)
-            self.intake.close()
-
-    def _received(self, data: memoryview) -> bool:
-        """Take bytes that were read. False: enough was read behind the last answer. A client that sends megabytes
-        after it would else be read to the end."""
-        if self.ending:
-            self._bytes_after_last += len(data)
-            return self._bytes_after_last <= MAX_LINGER_BYTES
-        self._feed(data)
-        return True
+    # Requests that come, and the end.
 
     def _feed(self, data: memoryview) -> None:
         """Parse bytes, and take up the requests that they complete. No name of a request stands in the reader's own
@@ -308,46 +213,6 @@
     def _send_continue(self) -> None:
         self._put(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    # Writing.
-
-    def _put(self, data: bytes) -> None:
-        """Send bytes, or leave what does not fit the socket to the writer."""
-        if self.closed:
-            return
-        writing = self._writer is not None and not self._writer.done()  # inline: this runs for each event
-        self.output.add(data, send_now=not writing)
-        if self.output.unsent and not writing:
-            self._start_writer()
-
-    def _start_writer(self) -> None:
-        """Run a writer for as long as there is something left to write, or an end to come after it."""
-        if not self.closed and not self._is_writing:
-            self._writer = self.owner.spawn(self._write())
-            self._writer.add_done_callback(self._task_done)
-
-    async def _write(self) -> None:
-        while self.output.unsent and not self.closed:
-            write_timer = self.owner.deadlines.after(WRITE_TIMEOUT_US, lambda: self.close("client-stuck"))
-            try:
-                await self.output.write_some()
-            except OSError as error:
-                return self.close(f"client-{type(error).__name__}")
-            finally:
-                self.owner.deadlines.cancel(write_timer)
-        if self.ending and not self.closed:
-            self._linger()
-
-    def _linger(self) -> None:
-        """Read on for a while past the last answer: closed with input unread, the connection would be reset and the
-        answer lost on its way (RFC 9112, 9.6)."""
-        try:
-            self.sock.shutdown(socket.SHUT_WR)
-        except OSError:
-            return self.close(self._reason)
-        self._timer = self.owner.deadlines.after(LINGER_US, lambda: self.close(self._reason))
-
-    # The end.
-
     def close_unless_unread(self, reason: str) -> None:
         """End an idle connection, unless a request has come that was not read yet: its answer ends it then."""
         match peek_unread_input(self.sock):
@@ -362,45 +227,9 @@
                 deadlines.cancel(self._timer)
                 self._timer = deadlines.after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
 
-    def close(self, reason: str) -> None:
-        """End the connection now; a request still being answered on it loses its client."""
-        if self.closed:
-            return
-        self.closed = True
-        self.owner.deadlines.cancel(self._timer)
-        self.output.close()
-        with contextlib.suppress(OSError):  # the client was first
-            self.sock.shutdown(socket.SHUT_RDWR)
-        self._cancel_tasks()
-        self._record_end(reason)
+    def _on_closed(self) -> None:
+        """Tell the handler that the client of the request being answered has gone."""
         pending = self.pending
         self.pending = None
         if pending:
             pending.left()
-
-    def _cancel_tasks(self) -> None:
-        """Cancel the reader and the writer, except the one that runs this."""
-        for task in (self._reader, self._writer):
-            if task and asyncio.current_task(self.owner.loop) is not task:
-                task.cancel()
-
-    def _record_end(self, reason: str) -> None:
-        self.owner.counters.connections[f"{self.owner.side} {reason}"] += 1
-        logger.info(
-            "connection side={side} peer={peer} reason={reason} requests={requests} unsent={unsent}",
-            side=self.owner.side,
-            peer=self.peer,
-            reason=reason,
-            requests=self.requests,
-            unsent=len(self.output.unsent),
-        )
-
-    def _task_done(self, task: asyncio.Task[None]) -> None:
-        """Close the socket once neither task uses it: closed while the loop still polls it, its number may become
-        another's. A cancelled task holds its frame, and that this connection, until the collector comes: so both are
-        dropped here."""
-        if self._reader and self._reader.done() and not self._is_writing:
-            self.sock.close()
-            self.owner.forget(self)
-            self._reader = None
-            self._writer = None
