--- a/pearhill/config/platform.py
+++ b/pearhill/config/platform.py
@@ -9,7 +9,7 @@
 
 from pearhill import settings
 from pearhill.net.address import Address, parse_address
-from pearhill.net.listener import listening
+from pearhill.net.listener import inherited_socket
 
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
@@ -131,6 +131,6 @@
     if not is_number or not STANDARD_DESCRIPTORS <= int(text) < MAX_DESCRIPTOR:
         raise ConfigError(f"RELAY_PASSED_SOCKET: found {text!r}; allowed: the number of an open descriptor, 3 or more")
     try:
-        return listening(int(text)).detach()
+        return inherited_socket(int(text)).detach()
     except ValueError as e:
         raise ConfigError(f"RELAY_PASSED_SOCKET: {e}") from None
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -57,9 +57,9 @@
     AggregatorSite,
     Reporter,
 )
-from pearhill.net.health_checks import MOST_OUT
-from pearhill.net.pool import MAX_ANSWER
-from pearhill.net.releases import UNANSWERED as RELEASES
+from pearhill.net.calls import MAX_COLLECTED_BYTES
+from pearhill.net.health_checks import MAX_IN_FLIGHT
+from pearhill.net.releases import MAX_UNANSWERED as RELEASES
 from pearhill.node.limits import RESERVED_DESCRIPTORS
 from pearhill.platform.schedule import (
     MAX_CALL_INTERVAL_US,
@@ -579,7 +579,7 @@
     @property
     def longest_list(self) -> int:
         """Replicas whose list fits into the largest answer that is gathered."""
-        return MAX_ANSWER // self.entry_bytes
+        return MAX_COLLECTED_BYTES // self.entry_bytes
 
     @property
     def list_changes_day(self) -> float:
@@ -1129,7 +1129,7 @@
         "STEP": STEP_INTERVAL_US / S,
         "RATIO_MAX": MAX_RATIO,
         "FRESH": REFRESH_INTERVAL_US / S,
-        "MOST_OUT": MOST_OUT,
+        "MOST_OUT": MAX_IN_FLIGHT,
         "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
         "FETCH": EUREKA.fetch_s,
--- a/pearhill/node/drain_control.py
+++ b/pearhill/node/drain_control.py
@@ -39,7 +39,7 @@
         if listener is None:
             return
         stage = self.drain.stage(now)
-        listener.last_answers(stage is not DrainStage.OPEN)
+        listener.close_after_answers(stage is not DrainStage.OPEN)
         if stage is DrainStage.CLOSE_IDLE:
             listener.close_idle()
         next_stage_at = self.drain.tick(now)
--- a/pearhill/node/listeners.py
+++ b/pearhill/node/listeners.py
@@ -11,7 +11,7 @@
 from pearhill.counters import Counters
 from pearhill.http1.handler import Handler
 from pearhill.net.address import Address
-from pearhill.net.listener import EXHAUSTED, Listener
+from pearhill.net.listener import EXHAUSTION_ERRNOS, Listener
 from pearhill.net.ticks import pause
 from pearhill.node.limits import MAX_ADMIN_BODY_BYTES, MAX_ADMIN_CONNECTIONS
 
@@ -26,7 +26,7 @@
     listener = Listener(
         loop, deadlines, counters, handler, MAX_ADMIN_CONNECTIONS, MAX_ADMIN_BODY_BYTES, side="operator"
     )
-    listener.last_answers()  # one call a connection
+    listener.close_after_answers()  # one call a connection
     try:
         host, port = listener.listen(address)
     except OSError as e:
@@ -47,7 +47,7 @@
         try:
             return listener.listen(address)
         except OSError as e:
-            if e.errno not in EXHAUSTED or deadlines.clock() >= give_up_at:
+            if e.errno not in EXHAUSTION_ERRNOS or deadlines.clock() >= give_up_at:
                 raise
             counters.shortages += 1
         await pause(deadlines, RETRY_INTERVAL_US)
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -17,8 +17,9 @@
 from pearhill.http1.handler import Handler
 from pearhill.lifecycle.drain import Drain
 from pearhill.net.address import Address
-from pearhill.net.backend import Dialect, HttpBackend
+from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock
+from pearhill.net.dialect import Dialect
 from pearhill.net.listener import Listener
 from pearhill.net.pool import Pool
 from pearhill.net.ticks import EventLoopTicks, pause
@@ -62,9 +63,9 @@
             self.deadlines,
             self.counters,
             connect_timeout=deployment.connect_timeout,
-            keep_idle=_idle_timeout(deployment),
-            most=self.connection_limit,
-            spare=UPKEEP_DESCRIPTORS,
+            idle_timeout=_idle_timeout(deployment),
+            max_connections=self.connection_limit,
+            reserved_connections=UPKEEP_DESCRIPTORS,
         )
         self.dispatcher = Dispatcher(deployment, limits.seed, self.deadlines, self.counters)
         self.backend = HttpBackend(self.pool, dialect, self.dispatcher.health_check_ended)
@@ -115,9 +116,9 @@
         if process_count == self.process_count:
             return
         self.process_count = process_count
-        self.pool.bound(self.connection_limit)
+        self.pool.set_max_connections(self.connection_limit)
         if self.listener:
-            self.listener.bound(self.connection_limit)
+            self.listener.set_max_connections(self.connection_limit)
         self._reconfigure_dispatcher()
 
     def share_work(self, dispatcher_count: int) -> None:
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -55,7 +55,7 @@
                 self._close_what_is_owed_nothing(listener)
             if self._dispatcher.requests or (listener is not None and listener.open):
                 wait_until = self._deadlines.clock() + RELEASE_GRACE_US
-            elif not self._backend.releasing or self._gives_up_releases(wait_until):
+            elif not self._backend.pending_releases or self._gives_up_releases(wait_until):
                 return
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
@@ -82,4 +82,4 @@
         """No client is accepted any more: close idle connections, and towards the end half-sent requests too."""
         listener.close_idle()
         if self._drain.closes_all(self._deadlines.clock()):
-            listener.refuse_half_requests()
+            listener.reject_partial_requests()
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -11,7 +11,7 @@
 from pearhill.durable.message_folder import MessageFolder
 from pearhill.lifecycle.takeover import READY_WITHIN_US, Takeover
 from pearhill.lifecycle.takeover_message import TakeoverMessage, TakeoverMessageError, decode
-from pearhill.net.clock import origin
+from pearhill.net.clock import monotonic_offset
 from pearhill.net.ticks import pause
 from pearhill.node.node import Node
 from pearhill.node.process_info import boot_id, process_age
@@ -35,7 +35,7 @@
         started_at = node.deadlines.clock()
         self.messages = MessageFolder(folder, name, started_at)
         self.takeover = Takeover(
-            name, started_at, node.override_control.overrides, origin(node.deadlines.clock), boot_id()
+            name, started_at, node.override_control.overrides, monotonic_offset(node.deadlines.clock), boot_id()
         )
         self.serving_announced = False  # others can read by now that this process takes the clients
         self._write_failed = False  # the last message could not be written
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -7,7 +7,7 @@
 
 from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.config import Config, for_next_start
-from pearhill.net.listener import listening
+from pearhill.net.listener import inherited_socket
 from pearhill.node.limits import Limits
 from pearhill.node.node import Node
 from pearhill.node.operations import Operations
@@ -62,7 +62,7 @@
         config = self.config
         self.watch.start()
         admin = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
-        clients = config.listen if config.passed_socket is None else listening(config.passed_socket)
+        clients = config.listen if config.passed_socket is None else inherited_socket(config.passed_socket)
         await self.node.serve(
             clients,
             PlatformFront(self.node.dispatcher, self.is_ready, self.node.drain.rejects),
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -13,7 +13,9 @@
 from pearhill.core.deadlines import Key
 from pearhill.http1 import messages
 from pearhill.net.address import Address
-from pearhill.net.pool import LISTS, ConnectError, Pool, call
+from pearhill.net.calls import call
+from pearhill.net.errors import ConnectError
+from pearhill.net.pool import ConnectionPurpose, Pool
 from pearhill.platform.endpoint_list import parse_endpoints
 from pearhill.platform.schedule import CallSchedule
 from pearhill.routing.topology import Endpoint, Phase
@@ -165,7 +167,7 @@
             self.address,
             messages.request("GET", target, f"{self.address[0]}:{self.address[1]}"),
             self.schedule.answer_timeout(wait),
-            use=LISTS,
+            purpose=ConnectionPurpose.DISCOVERY,
         )
         if status != 200:
             raise ValueError(f"status {status}")
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -9,7 +9,8 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.net.backend import HttpBackend
-from pearhill.net.pool import BOOKS, FOR_LISTS, LISTS, REQUESTS, Pool, PoolExhaustedError
+from pearhill.net.errors import PoolExhaustedError
+from pearhill.net.pool import DISCOVERY_CONNECTIONS, ConnectionPurpose, Pool
 from pearhill.platform.front import Payload
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.outcomes import Outcome
@@ -30,15 +31,19 @@
             self.deadlines,
             Counters(),
             connect_timeout=10**6,
-            keep_idle=10**6,
-            most=1,
-            spare=FOR_LISTS + 2,
+            idle_timeout=10**6,
+            max_connections=1,
+            reserved_connections=DISCOVERY_CONNECTIONS + 2,
         )
         self.addCleanup(self.pool.close)
 
     async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self):
         """And control calls that take all of theirs still leave connections for the endpoint list."""
-        for use, room in ((REQUESTS, 1), (BOOKS, 2), (LISTS, FOR_LISTS)):
+        for use, room in (
+            (ConnectionPurpose.REQUEST, 1),
+            (ConnectionPurpose.CONTROL, 2),
+            (ConnectionPurpose.DISCOVERY, DISCOVERY_CONNECTIONS),
+        ):
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
@@ -51,7 +56,7 @@
         await self.pool.acquire(self.address)
         attempt = Mock(replica=1, deadline=10**6, send_before=0)
         backend.send(attempt)
-        await backend.calls[attempt].task
+        await backend.exchanges[attempt].task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self):
@@ -62,7 +67,7 @@
             attempt = Mock(replica=1, deadline=self.now + 10**7, send_before=0, ended=False, may_start=lambda: False)
             with patch("pearhill.net.pool.socket.socket", side_effect=OSError(number, os.strerror(number))):
                 backend.send(attempt)
-                task = backend.calls[attempt].task
+                task = backend.exchanges[attempt].task
                 for _ in range(100):
                     await asyncio.sleep(0)
                 self.assertFalse(task.done(), errno.errorcode[number])
@@ -79,7 +84,7 @@
         request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
         attempt = Mock(replica=1, deadline=10**9, send_before=500_000, request=request)
         backend.send(attempt)
-        while not backend.calls[attempt].tried:
+        while not backend.exchanges[attempt].may_have_sent:
             await asyncio.sleep(0)
         self.now = attempt.send_before - 1
         self.deadlines.sweep()
