--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -28,8 +28,8 @@
 from pearhill.membership.aggregator import Aggregator
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
-from pearhill.membership.members import BEAT
-from pearhill.membership.reporter import HEADERS, AggregatorSite, Reporter
+from pearhill.membership.members import GOSSIP_TICK_US
+from pearhill.membership.reporter import HEADER_BYTES, AggregatorSite, Reporter
 
 S = 1_000_000
 TOKENS, HOLD, WARM = 1000, 0.5, 5  # of a request; mean seconds that it holds an engine; seconds not counted
@@ -99,16 +99,16 @@
             data = frames.pack(f)
             if f.sender in index:
                 reporters[index[f.sender]].sent(len(data))
-                out.datagrams, out.bytes = out.datagrams + 1, out.bytes + len(data) + HEADERS
+                out.datagrams, out.bytes = out.datagrams + 1, out.bytes + len(data) + HEADER_BYTES
             if net.random() >= LOST:
                 at(now + net.randrange(200, LATEST), "frame", (f.to, data))
 
     for k in range(len(councils)):
-        at(start + net.randrange(BEAT), "beat", k)
+        at(start + net.randrange(GOSSIP_TICK_US), "beat", k)
     for k in range(len(reporters)):
         at(reporters[k].next_tick(start), "report", k)
     for name in aggregators:
-        at(start + net.randrange(aggregator.BEAT), "aggregate", name)
+        at(start + net.randrange(aggregator.AGGREGATOR_TICK_US), "aggregate", name)
     for w in range(WARM, seconds + 1):
         at(start + w * S, "window", w)
     arrival = start
@@ -150,7 +150,7 @@
             area = [0.0] * engines
         elif what == "aggregate":
             send(now, aggregators[thing].tick(now))  # type: ignore[index]
-            at(now + aggregator.BEAT, "aggregate", thing)
+            at(now + aggregator.AGGREGATOR_TICK_US, "aggregate", thing)
         elif what == "report":
             reporter = reporters[thing]  # type: ignore[index]
             if now >= reporter.next_tick(now):
@@ -161,19 +161,19 @@
             if to in aggregators:
                 send(now, aggregators[to].receive(now, frames.unpack(data, to)))
             else:
-                out.bytes += len(data) + HEADERS
+                out.bytes += len(data) + HEADER_BYTES
                 send(now, reporters[index[to]].receive(now, frames.unpack(data, to), len(data)))
         else:
             if what == "beat":
                 sender, messages = thing, councils[thing].tick(now)  # type: ignore[index]
-                at(now + BEAT, "beat", thing)
+                at(now + GOSSIP_TICK_US, "beat", thing)
             else:
                 sender, data = thing  # type: ignore[misc]
-                out.bytes += len(data) + HEADERS
+                out.bytes += len(data) + HEADER_BYTES
                 messages = councils[sender].receive(now, codec.unpack(data, names[sender]))
             for m in messages:
                 to, data, out.datagrams = index[m.payload.to], codec.pack(m), out.datagrams + 1
-                out.bytes += len(data) + HEADERS
+                out.bytes += len(data) + HEADER_BYTES
                 if net.random() < LOST or (way == "cut" and (to < n // 2) != (sender < n // 2)):
                     continue
                 at(now + net.randrange(200, LATEST), "datagram", (to, data))
--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -43,7 +43,7 @@
         self.aggregation = Aggregation(
             self.aggregator, AggregationCodec(list(setup.keys)), setup.peers, self.deadlines, self.datagrams
         )
-        self.aggregation.on_beat = self._look
+        self.aggregation.on_tick = self._look
         self.stopped = asyncio.Event()
         self._looked_at, self._counted, self._silent = 0, 0, set[str]()
         super().__init__(
@@ -60,7 +60,7 @@
         reply.answer(200, JSON, json.dumps(dict(self.datagrams.counts)).encode() + b"\n")
 
     def _fleet(self, query: str, reply: Reply) -> None:
-        reply.answer(200, JSON, json.dumps(self.aggregation.told()).encode() + b"\n")
+        reply.answer(200, JSON, json.dumps(self.aggregation.figures()).encode() + b"\n")
 
     # The log.
 
--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from pearhill.config import ConfigError, typed
-from pearhill.membership.gossip_messages import LEAST_KEY
+from pearhill.membership.gossip_messages import MIN_KEY_BYTES
 from pearhill.net import address as net
 
 Text = Annotated[str, Meta(min_length=1)]
@@ -62,6 +62,6 @@
     """What signs and proves datagrams: the first signs, each is accepted."""
     keys = tuple(secret(f"{path}[{k}]", name).encode() for k, name in enumerate(names))
     for k, key in enumerate(keys):
-        if len(key) < LEAST_KEY:
-            raise typed.complaint(f"{path}[{k}]", f"a key of {len(key)} characters", f"{LEAST_KEY} at least")
+        if len(key) < MIN_KEY_BYTES:
+            raise typed.complaint(f"{path}[{k}]", f"a key of {len(key)} characters", f"{MIN_KEY_BYTES} at least")
     return keys
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -29,31 +29,47 @@
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.load_reports.reports import FRESH
 from pearhill.membership.aggregation_messages import (
-    LEASE,
-    MOVED,
-    PART_LEASE,
+    COMBINED_LEASE_US,
+    LEASE_US,
+    PARTIAL_SUM_LEASE_US,
     AggregationCodec,
     AggregationMessage,
     PartialSum,
 )
-from pearhill.membership.aggregator import BEAT as PART_EVERY
-from pearhill.membership.aggregator import CUT, IDLE, ROSTER_EVERY, SILENT, SNAPSHOT, SNAPSHOT_SLOT, Aggregator
+from pearhill.membership.aggregator import (
+    AGGREGATOR_TICK_US,
+    MEMBER_LIST_INTERVAL_US,
+    PARTITION_TIMEOUT_US,
+    SILENCE_TIMEOUT_US,
+    SLOT_IDLE_US,
+    SNAPSHOT_INTERVAL_PER_SLOT_US,
+    SNAPSHOT_INTERVAL_US,
+    Aggregator,
+)
 from pearhill.membership.gossip import GossipMessage
-from pearhill.membership.gossip_messages import TAG, GossipCodec
-from pearhill.membership.members import ALIVE, BEAT, LEAST_PINGS, MOST_PINGS, ROUND, MemberUpdate, Ping
+from pearhill.membership.gossip_messages import TAG_BYTES, GossipCodec
+from pearhill.membership.members import (
+    ALIVE,
+    GOSSIP_TICK_US,
+    MAX_PINGS_PER_TICK,
+    MIN_PINGS_PER_TICK,
+    TICKS_PER_ROUND,
+    MemberUpdate,
+    Ping,
+)
 from pearhill.membership.reporter import (
-    ANSWER_WAIT,
-    BYTES_PER_S,
-    GONE,
-    HEADERS,
-    HELLOS,
-    LEAST_BACKOFF,
-    LEAST_HELLO,
-    MOST_BACKOFF,
-    MOST_HELLO,
-    PACE,
-    REMEMBERED,
-    UNANSWERED,
+    ANSWER_TIMEOUT_US,
+    HEADER_BYTES,
+    HELLOS_TO_RETURN,
+    MAX_BACKOFF_US,
+    MAX_BYTES_PER_S,
+    MAX_HELLO_INTERVAL_US,
+    MAX_REMEMBERED_REPORTS,
+    MAX_SUMS_AGE_US,
+    MAX_UNANSWERED_REPORTS,
+    MIN_BACKOFF_US,
+    MIN_HELLO_INTERVAL_US,
+    REPORT_INTERVAL_US,
     AggregatorSite,
     Reporter,
 )
@@ -458,7 +474,7 @@
                 kind = type(frame).__name__
                 sent[kind] += 1
                 sent[f"{kind}s"] += not getattr(frame, "part", 0)
-                sizes[kind] += size + HEADERS
+                sizes[kind] += size + HEADER_BYTES
             pass_on(
                 now,
                 hubs[frame.to].receive(now, frame)
@@ -470,7 +486,7 @@
         for reporter in reporters.values():
             if reporter.next_tick(now) <= now:
                 pass_on(now, reporter.tick(now))
-        for hub in hubs.values() if not (now - start) % PART_EVERY else ():
+        for hub in hubs.values() if not (now - start) % AGGREGATOR_TICK_US else ():
             pass_on(now, hub.tick(now))
     assert hubs[control].figures(start + WARM)["engines"] == engines, "the table is not told yet"
     reports, seconds_ = sent["Reports"], COUNTED / S
@@ -486,7 +502,7 @@
 
 def sums_every(replicas: int) -> float:
     """Seconds for which a control machine hands out the same sums."""
-    return max(SNAPSHOT, SNAPSHOT_SLOT * replicas) / S
+    return max(SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * replicas) / S
 
 
 def talk_bytes(rows: int) -> int:
@@ -501,7 +517,7 @@
         (MemberUpdate("dispatcher-123", started, ALIVE),),
         digest,
     )
-    return len(GossipCodec([b"k" * 32]).pack(message)) + HEADERS
+    return len(GossipCodec([b"k" * 32]).pack(message)) + HEADER_BYTES
 
 
 @dataclass(frozen=True)
@@ -641,7 +657,9 @@
     def pings(self) -> float:
         """Pings a second of today's talk."""
         peers = self.size.dispatchers - 1
-        return min(peers, MOST_PINGS, max(LEAST_PINGS, -(-peers // ROUND))) * S / BEAT
+        return (
+            min(peers, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, -(-peers // TICKS_PER_ROUND))) * S / GOSSIP_TICK_US
+        )
 
     @property
     def talk_bytes_s(self) -> float:
@@ -656,8 +674,10 @@
     def machine_talk(self, alive: int) -> tuple[float, float]:
         """Datagrams and bytes a second, both ways, of one control machine of so many that live."""
         one, members = self.told(), self.size.dispatchers / alive
-        parts = (alive - 1) * 2 * S / PART_EVERY
-        roster = members * 36 * (alive - 1) * 2 * S / ROSTER_EVERY  # a name and three numbers for each member
+        parts = (alive - 1) * 2 * S / AGGREGATOR_TICK_US
+        roster = (
+            members * 36 * (alive - 1) * 2 * S / MEMBER_LIST_INTERVAL_US
+        )  # a name and three numbers for each member
         return (
             members * one.datagrams + parts * one.part_datagrams + roster / 1_200,
             members * one.bytes_s + parts * one.part + roster,
@@ -666,7 +686,7 @@
     def sums_age(self, times: float = 1.0) -> tuple[float, float, float, float]:
         """Of word by way of control machines, without the way itself: own region's mean and worst, others' mean and
         worst. It waits for a report, (for a part,) for the sums to be made, and for the next answer."""
-        one, part, made = 1 / self.told(times).reports, PART_EVERY / S, sums_every(self.size.replicas)
+        one, part, made = 1 / self.told(times).reports, AGGREGATOR_TICK_US / S, sums_every(self.size.replicas)
         return one + made / 2, 2 * one + made, one + part / 2 + made / 2, 2 * one + part + made
 
     # Replicas.
@@ -796,7 +816,7 @@
         for times in (1.0, size.heavy):
             each = self.told(times).reports
             changes = 4 * self.requests * times / each  # a begin and an end at two stages
-            up = min(changes * DELTA, 2 * size.replicas) + HEADERS + 1 + TAG + 60
+            up = min(changes * DELTA, 2 * size.replicas) + HEADER_BYTES + 1 + TAG_BYTES + 60
             made.append(
                 Option(
                     f"by region, deltas up, {times:g} times the mean's traffic",
@@ -1109,8 +1129,8 @@
         return ", ".join(f"{f.value / bound:.2f}" if f else NOT_MEASURED for f, bound in got)
 
     constants = {
-        "ROUND": ROUND,
-        "MOST_PINGS": MOST_PINGS,
+        "ROUND": TICKS_PER_ROUND,
+        "MOST_PINGS": MAX_PINGS_PER_TICK,
         "KEYS": KEYS,
         "KEEP": KEEP / S,
         "WAIT": WAIT / S,
@@ -1123,21 +1143,21 @@
         "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
         "FETCH": EUREKA.fetch_s,
-        "PACE": PACE / S,
-        "PART": PART_EVERY / S,
-        "LEASE": LEASE / S,
-        "PART_LEASE": PART_LEASE / S,
-        "MOVED": MOVED / S,
-        "SILENT": SILENT / S,
-        "CUT": CUT / S,
-        "IDLE": IDLE / S,
-        "ROSTER": ROSTER_EVERY / S,
-        "UNANSWERED": UNANSWERED,
-        "ANSWER_WAIT": ANSWER_WAIT / S,
-        "GONE": GONE / S,
-        "LEAST": LEAST_BACKOFF / S,
-        "MOST": MOST_BACKOFF / S,
-        "REMEMBERED": REMEMBERED,
+        "PACE": REPORT_INTERVAL_US / S,
+        "PART": AGGREGATOR_TICK_US / S,
+        "LEASE": LEASE_US / S,
+        "PART_LEASE": PARTIAL_SUM_LEASE_US / S,
+        "MOVED": COMBINED_LEASE_US / S,
+        "SILENT": SILENCE_TIMEOUT_US / S,
+        "CUT": PARTITION_TIMEOUT_US / S,
+        "IDLE": SLOT_IDLE_US / S,
+        "ROSTER": MEMBER_LIST_INTERVAL_US / S,
+        "UNANSWERED": MAX_UNANSWERED_REPORTS,
+        "ANSWER_WAIT": ANSWER_TIMEOUT_US / S,
+        "GONE": MAX_SUMS_AGE_US / S,
+        "LEAST": MIN_BACKOFF_US / S,
+        "MOST": MAX_BACKOFF_US / S,
+        "REMEMBERED": MAX_REMEMBERED_REPORTS,
     }
     text = (
         _environment()
@@ -1184,56 +1204,61 @@
         ("time", "of", "why so long"),
         ("---",) * 3,
         (
-            f"{seconds(PACE / S)} at the least",
+            f"{seconds(REPORT_INTERVAL_US / S)} at the least",
             "between two reports of a dispatcher, drawn by a tenth either way",
-            f"the bytes: past {rate(BYTES_PER_S)} both ways it is longer. At {w.size.replicas} replicas it is "
+            f"the bytes: past {rate(MAX_BYTES_PER_S)} both ways it is longer. At {w.size.replicas} replicas it is "
             f"{seconds(1 / one.reports)} ({amount(one.up)} up, {amount(one.down)} down). The draw keeps them apart",
         ),
         (
-            seconds(PART_EVERY / S),
+            seconds(AGGREGATOR_TICK_US / S),
             "between two parts",
-            f"half of that is what another region's word is older; {rate(one.part * S / PART_EVERY)} to each machine",
+            "half of that is what another region's word is older; "
+            f"{rate(one.part * S / AGGREGATOR_TICK_US)} to each machine",
         ),
         (
-            seconds(LEASE / S),
+            seconds(LEASE_US / S),
             "work of a dispatcher without a sign of life stays in the sums",
-            f"{number(LEASE / S * one.reports)} reports at that size: hardly ever are all lost",
+            f"{number(LEASE_US / S * one.reports)} reports at that size: hardly ever are all lost",
+        ),
+        (
+            seconds(PARTIAL_SUM_LEASE_US / S),
+            "another machine's part stays in the sums",
+            f"{PARTIAL_SUM_LEASE_US // AGGREGATOR_TICK_US} parts",
         ),
-        (seconds(PART_LEASE / S), "another machine's part stays in the sums", f"{PART_LEASE // PART_EVERY} parts"),
         (
-            seconds(MOVED / S),
+            seconds(COMBINED_LEASE_US / S),
             "after its last word to another machine, a dispatcher's work is taken by the new one",
             "both leases are over by then, so that no sum has it twice; until then it stands as not heard",
         ),
         (
-            f"{seconds(ANSWER_WAIT / S)}, {UNANSWERED} reports",
+            f"{seconds(ANSWER_TIMEOUT_US / S)}, {MAX_UNANSWERED_REPORTS} reports",
             "without an answer, it goes to the next machine",
             "as the lease: what is not answered is not counted either",
         ),
         (
-            seconds(GONE / S),
+            seconds(MAX_SUMS_AGE_US / S),
             "sums older than that are not used",
             "own work alone from then on, at once and without a word to anybody",
         ),
         (
-            f"{number(LEAST_HELLO / S)} to {seconds(MOST_HELLO / S)}",
-            "between two hellos to the own region's machine; " f"{HELLOS} answers, and it moves back",
+            f"{number(MIN_HELLO_INTERVAL_US / S)} to {seconds(MAX_HELLO_INTERVAL_US / S)}",
+            "between two hellos to the own region's machine; " f"{HELLOS_TO_RETURN} answers, and it moves back",
             "drawn, so that dispatchers come back one after the other",
         ),
         (
-            f"{number(LEAST_BACKOFF / S)} to {seconds(MOST_BACKOFF / S)}",
+            f"{number(MIN_BACKOFF_US / S)} to {seconds(MAX_BACKOFF_US / S)}",
             "between two tries while none answers, drawn",
-            f"{number(w.size.dispatchers * S / MOST_BACKOFF)} to {number(w.size.dispatchers * S / LEAST_BACKOFF)} "
+            f"{number(w.size.dispatchers * S / MAX_BACKOFF_US)} to {number(w.size.dispatchers * S / MIN_BACKOFF_US)} "
             "small datagrams a second of all dispatchers",
         ),
         (
-            seconds(SILENT / S),
+            seconds(SILENCE_TIMEOUT_US / S),
             "a silent dispatcher goes on being counted",
             "a restart takes less, and a cold replica's share hardly changes by one",
         ),
-        (seconds(CUT / S), "the same, where it is a cut", "regions lose each other for minutes"),
+        (seconds(PARTITION_TIMEOUT_US / S), "the same, where it is a cut", "regions lose each other for minutes"),
         (
-            seconds(IDLE / S),
+            seconds(SLOT_IDLE_US / S),
             "a place in the table without work, before another engine gets it",
             "longer than any table is behind",
         ),
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -70,11 +70,11 @@
     if engine is None or fleet is None:
         return -1
     if fleet.gossip:
-        known = fleet.gossip.protocol.work._last.get(marker)
+        known = fleet.gossip.protocol.peer_loads._last.get(marker)
         row = known[2].get(engine.id) if known else None
         return row.total_tokens - TALK_MARK if row else -1
     assert fleet.reporting
-    theirs = fleet.reporting.reporter.theirs(now, engine.id)
+    theirs = fleet.reporting.reporter.peer_load(now, engine.id)
     return max(-1, encode(theirs.total_tokens) - FIRST_CODE) if theirs else -1
 
 
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -9,32 +9,42 @@
 from msgspec import Meta
 
 from pearhill.membership import gauges
-from pearhill.membership.gossip_messages import MAX_BYTES, MOST_COUNT, TAG, MessageAuthenticator, MessageRejectedError
+from pearhill.membership.gossip_messages import (
+    MAX_COUNT,
+    MAX_DATAGRAM_BYTES,
+    TAG_BYTES,
+    MessageAuthenticator,
+    MessageRejectedError,
+)
 
 VERSION = 2
-CHUNK = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
-ROOM = 1050  # bytes of packed gauges that fit one
-MOST_SLOTS, MOST_PARTS = 8192, 32
-ENTRIES = 48  # of a table, in one frame
-NEWS = 64  # engines without a slot, in one report
-ROSTER_BYTES = 1100  # of members in one part of a roster
-LEASE = 2_000_000  # microseconds for which a dispatcher's work is held
-PART_LEASE = 1_500_000  # and another aggregator's sums
-MOVED = LEASE + PART_LEASE  # after its last report to one, a dispatcher's work is in nobody's sums by way of it
-
-Count = Annotated[int, Meta(ge=0, le=MOST_COUNT)]
-Maybe = Annotated[int, Meta(ge=-1, le=MOST_COUNT)]  # -1: none
+SLOTS_PER_PART = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
+MAX_PACKED_GAUGE_BYTES = 1050  # bytes of packed gauges that fit one
+MAX_SLOTS, MAX_PARTS = 8192, 32
+MAX_TABLE_ENTRIES = 48  # of a table, in one frame
+MAX_UNASSIGNED = 64  # engines without a slot, in one report
+MAX_MEMBER_LIST_BYTES = 1100  # of members in one part of a roster
+LEASE_US = 2_000_000  # microseconds for which a dispatcher's work is held
+PARTIAL_SUM_LEASE_US = 1_500_000  # and another aggregator's sums
+COMBINED_LEASE_US = (
+    LEASE_US + PARTIAL_SUM_LEASE_US
+)  # after its last report to one, a dispatcher's work is in nobody's sums by way of it
+
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+OptionalCount = Annotated[int, Meta(ge=-1, le=MAX_COUNT)]  # -1: none
 Name = Annotated[str, Meta(min_length=1, max_length=96)]
-PartNumber = Annotated[int, Meta(ge=0, lt=MOST_PARTS)]
-PartCount = Annotated[int, Meta(ge=1, le=MOST_PARTS)]
-Slot = Annotated[int, Meta(ge=0, lt=MOST_SLOTS)]
-SlotCount = Annotated[int, Meta(ge=0, le=MOST_SLOTS)]
-Code = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
-Engine = Annotated[int, Meta(ge=0)]
-Entry = tuple[Slot, Engine, Count]  # slot, engine, version of the table at which it got it
-Entries = Annotated[tuple[Entry, ...], Meta(max_length=ENTRIES)]
-News = Annotated[tuple[tuple[Engine, Code, Code], ...], Meta(max_length=NEWS)]  # engine, waiting, load
-Member = tuple[Name, Count, Count, Maybe]  # name, incarnation, attach, silent_ms (-1: it left)
+PartNumber = Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
+PartCount = Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+Slot = Annotated[int, Meta(ge=0, lt=MAX_SLOTS)]
+SlotCount = Annotated[int, Meta(ge=0, le=MAX_SLOTS)]
+GaugeCode = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
+ReplicaId = Annotated[int, Meta(ge=0)]
+TableEntry = tuple[Slot, ReplicaId, Count]  # slot, engine, version of the table at which it got it
+TableEntries = Annotated[tuple[TableEntry, ...], Meta(max_length=MAX_TABLE_ENTRIES)]
+UnassignedLoads = Annotated[
+    tuple[tuple[ReplicaId, GaugeCode, GaugeCode], ...], Meta(max_length=MAX_UNASSIGNED)
+]  # engine, waiting, load
+MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silent_ms (-1: it left)
 
 
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -54,34 +64,34 @@
     part: PartNumber
     parts: PartCount
     attach: Count
-    quiet_ms: Maybe
+    quiet_ms: OptionalCount
     leaving: bool
     known_incarnation: Count
     known_version: Count
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    news: News
-    slots: SlotCount = 0
-    echo: Maybe = -1
+    unassigned: UnassignedLoads
+    slot_count: SlotCount = 0
+    echo: OptionalCount = -1
 
 
 class Sums(AggregationMessage, frozen=True, tag=1):
     """The answer to a report: the work of `heard` dispatchers of the `counted`. `settled`: that is no fresh start's."""
 
-    answers: Count
-    included: Maybe
-    heard: Count
+    report_number: Count
+    included_report: OptionalCount
+    reporting: Count
     counted: Count
     version: Count
-    reused: Count
+    reused_version: Count
     part: PartNumber
     parts: PartCount
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    entries: Entries
-    slots: SlotCount = 0
+    entries: TableEntries
+    slot_count: SlotCount = 0
     settled: bool = True
 
 
@@ -89,20 +99,20 @@
     """The work of an aggregator's own dispatchers, to another aggregator. `echo`: the newest of the addressee's that
     has come, by the sequence of its first frame."""
 
-    heard: Count
+    reporting: Count
     counted: Count
     known_incarnation: Count
     known_version: Count
     version: Count
-    reused: Count
+    reused_version: Count
     part: PartNumber
     parts: PartCount
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    entries: Entries
-    slots: SlotCount = 0
-    echo: Maybe = -1
+    entries: TableEntries
+    slot_count: SlotCount = 0
+    echo: OptionalCount = -1
 
 
 class MemberList(AggregationMessage, frozen=True, tag=3):
@@ -110,7 +120,7 @@
 
     part: PartNumber
     parts: PartCount
-    members: tuple[Member, ...]
+    members: tuple[MemberEntry, ...]
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
@@ -126,7 +136,7 @@
 class Superseded(AggregationMessage, frozen=True, tag=6):
     """A newer incarnation of the addressee's name is, or was, here."""
 
-    known: Count
+    known_incarnation: Count
 
 
 _Any = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
@@ -140,7 +150,7 @@
     def pack(self, message: AggregationMessage) -> bytes:
         """ValueError: it does not fit a datagram (who makes frames bounds them)."""
         body = _encoder.encode(message)
-        if len(body) + 1 + TAG > MAX_BYTES:
+        if len(body) + 1 + TAG_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{type(message).__name__} to {message.to}: {len(body)} bytes are too many")
         return self._seal(body)
 
@@ -156,9 +166,9 @@
             raise MessageRejectedError("malformed")
         if isinstance(frame, Report | Sums | PartialSum):
             try:
-                gauges.unpack(frame.loads, frame.slots), gauges.unpack(frame.waits, frame.slots)
+                gauges.unpack(frame.loads, frame.slot_count), gauges.unpack(frame.waits, frame.slot_count)
             except ValueError:
                 raise MessageRejectedError("malformed") from None
-            if frame.first + frame.slots > MOST_SLOTS:
+            if frame.first_slot + frame.slot_count > MAX_SLOTS:
                 raise MessageRejectedError("malformed")
         return frame
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -22,39 +22,42 @@
 from typing import Any, TypeVar
 
 from pearhill.membership.aggregation_messages import (
-    CHUNK,
-    ENTRIES,
-    LEASE,
-    MOST_PARTS,
-    MOST_SLOTS,
-    MOVED,
-    PART_LEASE,
-    ROOM,
-    ROSTER_BYTES,
+    COMBINED_LEASE_US,
+    LEASE_US,
+    MAX_MEMBER_LIST_BYTES,
+    MAX_PACKED_GAUGE_BYTES,
+    MAX_PARTS,
+    MAX_SLOTS,
+    MAX_TABLE_ENTRIES,
+    PARTIAL_SUM_LEASE_US,
+    SLOTS_PER_PART,
     AggregationMessage,
-    Entry,
     Hello,
     HelloAck,
-    Member,
+    MemberEntry,
     MemberList,
     PartialSum,
     Report,
     Sums,
     Superseded,
+    TableEntry,
 )
 from pearhill.membership.gauges import TOKENS, encode, pack, unpack
 from pearhill.membership.replay_window import ReplayWindow
 
-BEAT = 100_000  # between two beats
+AGGREGATOR_TICK_US = 100_000  # between two beats
 LATE = 750_000  # between two beats of mine
-SNAPSHOT, SNAPSHOT_SLOT = 10_000, 50  # sums are made anew after so long, and so long a slot; between, all get the same
-SILENT = 10_000_000  # for so long one that says nothing is counted
-CUT = 900_000_000  # and for so long when it is a cut
+SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US = (
+    10_000,
+    50,
+)  # sums are made anew after so long, and so long a slot; between, all get the same
+SILENCE_TIMEOUT_US = 10_000_000  # for so long one that says nothing is counted
+PARTITION_TIMEOUT_US = 900_000_000  # and for so long when it is a cut
 HOP = 1_000_000  # added to each silence that is told on; more than a datagram is under way
 LOST_AT_ONCE = 1 / 3  # more than that of all, or of one aggregator's, silent together: a cut and not so many deaths
 LEAST_LOST = 3  # of one aggregator's, who may be few
-IDLE = 30_000_000  # a slot where nobody had work for so long may get another engine
-ROSTER_EVERY, ROSTER_NEWS, SWEEP_EVERY = 2_000_000, 250_000, 1_000_000  # at the most, when it changed
+SLOT_IDLE_US = 30_000_000  # a slot where nobody had work for so long may get another engine
+MEMBER_LIST_INTERVAL_US, ROSTER_NEWS, SWEEP_EVERY = 2_000_000, 250_000, 1_000_000  # at the most, when it changed
 SETTLED = 10_000_000  # after a start: whoever is there has reported by then, backoff and all
 REMEMBERED = 32  # answers, and sums sent to another aggregator, whose times are kept
 FORGOTTEN = 60_000_000  # a late word of one that left does not bring it back
@@ -130,7 +133,7 @@
     """`started` must grow with each start of the same name: the time of the start does."""
 
     def __init__(self, me: str, peers: Iterable[str], started: int, rng: random.Random) -> None:
-        self.me, self.incarnation, self.rng, self._started = me, started, rng, started
+        self.name, self.incarnation, self.rng, self._started = me, started, rng, started
         self.peers = {name: _Peer() for name in peers if name != me}
         self.members: dict[str, _Member] = {}
         self.known: dict[str, _Known] = {}
@@ -155,7 +158,7 @@
     def receive(self, now: int, frame: AggregationMessage) -> list[AggregationMessage]:
         """An authentic frame, whenever it comes and however often. The answers to it."""
         if isinstance(frame, Report | Hello):
-            if frame.sender in self.peers or frame.sender == self.me:
+            if frame.sender in self.peers or frame.sender == self.name:
                 return []
             if (superseded := self._superseded(now, frame)) is not None:
                 return superseded
@@ -180,15 +183,17 @@
 
     def _head(self, to: str) -> tuple[str, str, int, int]:
         self._sequence += 1
-        return self.me, to, self.incarnation, self._sequence
+        return self.name, to, self.incarnation, self._sequence
 
     def _superseded(self, now: int, frame: Report | Hello) -> list[AggregationMessage] | None:
         """What to say when a newer incarnation of the sender's name is known; None: none is."""
         known, caller = self.known.get(frame.sender), self._callers.get(frame.sender)
         # What another aggregator tells of it comes each 2 s, if it comes.
         newest, until = max(
-            (known.stay[0], known.heard_at + (LEASE if known.via == self.me else SILENT)) if known else (-1, 0),
-            (caller.incarnation, caller.heard_at + LEASE) if caller else (-1, 0),
+            (known.stay[0], known.heard_at + (LEASE_US if known.via == self.name else SILENCE_TIMEOUT_US))
+            if known
+            else (-1, 0),
+            (caller.incarnation, caller.heard_at + LEASE_US) if caller else (-1, 0),
         )
         if newest <= frame.incarnation:
             return None
@@ -205,11 +210,11 @@
             caller = self._callers[r.sender] = _Caller(r.incarnation)
         caller.heard_at = now
         if r.leaving:
-            self._know(now, r.sender, _Known(stay, now, self.me, left=True))
+            self._know(now, r.sender, _Known(stay, now, self.name, left=True))
             return []
         # Danger: what an answer did not call for may have waited in a socket for any time, or be somebody's replay.
         sent_at = caller.answered.get(r.echo) if r.known_incarnation == self.incarnation else None
-        fresh = sent_at is not None and now - sent_at < LEASE
+        fresh = sent_at is not None and now - sent_at < LEASE_US
         if fresh:
             self._attend(now, r, stay)
         whole = _whole(caller.parts, r.number, r)
@@ -217,7 +222,7 @@
             caller.number = r.number
             member = self.members.get(r.sender)
             if fresh and sent_at is not None and member and member.stay == stay and now >= member.counts_from:
-                self._apply(now, member, whole, sent_at + LEASE)
+                self._apply(now, member, whole, sent_at + LEASE_US)
         if r.part:
             return []
         _remember(caller.answered, r.number, now)
@@ -225,7 +230,7 @@
 
     def _attend(self, now: int, r: Report, stay: Stay) -> None:
         """A sign of life of one that is here."""
-        if not self._know(now, r.sender, _Known(stay, now, self.me)):
+        if not self._know(now, r.sender, _Known(stay, now, self.name)):
             return
         member = self.members.get(r.sender)
         if member and member.stay == stay:
@@ -234,7 +239,7 @@
         held = member is not None and member.lease >= now
         if member is None or not held:
             quiet = max(0, r.quiet_ms) * 1000
-            member = self.members[r.sender] = _Member(stay, now + max(0, MOVED - quiet))
+            member = self.members[r.sender] = _Member(stay, now + max(0, COMBINED_LEASE_US - quiet))
         elif member.stay[0] != stay[0]:
             self._withdraw(member)
             member = self.members[r.sender] = _Member(stay, now)
@@ -255,7 +260,7 @@
             self.known[name] = news
         member = self.members.get(name)
         # Danger: it is elsewhere, and counted there as soon as its lease here is known to be over.
-        if member and (news.left or (news.via != self.me and member.stay < news.stay)):
+        if member and (news.left or (news.via != self.name and member.stay < news.stay)):
             self._withdraw(member)
             del self.members[name]
         return True
@@ -266,16 +271,16 @@
         loads, waits = bytearray(len(self._engines)), bytearray(len(self._engines))
         for r in whole:
             if r.known_incarnation == self.incarnation:
-                end = min(r.first + r.slots, len(self._engines))
-                loads[r.first : end] = unpack(r.loads, r.slots)[: max(0, end - r.first)]
-                waits[r.first : end] = unpack(r.waits, r.slots)[: max(0, end - r.first)]
+                end = min(r.first_slot + r.slot_count, len(self._engines))
+                loads[r.first_slot : end] = unpack(r.loads, r.slot_count)[: max(0, end - r.first_slot)]
+                waits[r.first_slot : end] = unpack(r.waits, r.slot_count)[: max(0, end - r.first_slot)]
                 if r.known_version < self.reused:
                     # Danger: told of an engine that had the slot before, it would be another one's work.
-                    for slot in range(r.first, end):
+                    for slot in range(r.first_slot, end):
                         if self._since[slot] > r.known_version:
                             loads[slot] = waits[slot] = 0
         for r in whole:
-            for engine, waiting, load in r.news:
+            for engine, waiting, load in r.unassigned:
                 at = self._slot(now, engine)
                 if at is None:
                     continue
@@ -307,7 +312,7 @@
             return self._slot_of[engine]
         while self._free and not self._idle(now, self._free[-1]):
             self._free.pop()
-        if not self._free and len(self._engines) >= MOST_SLOTS:
+        if not self._free and len(self._engines) >= MAX_SLOTS:
             return None
         self.version += 1
         new = self._free.pop() if self._free else len(self._engines)
@@ -328,21 +333,23 @@
 
     def _idle(self, now: int, slot: int) -> bool:
         return (
-            now - self._used_at[slot] >= IDLE
+            now - self._used_at[slot] >= SLOT_IDLE_US
             and not self._loads[slot]
             and not self._waits[slot]
             and not any(slot < len(p.loads) and (p.loads[slot] or p.waits[slot]) for p in self.peers.values())
         )
 
-    def _entries(self, known_version: int) -> tuple[Entry, ...]:
+    def _entries(self, known_version: int) -> tuple[TableEntry, ...]:
         """What a table of that version lacks, oldest first, as much as a frame holds."""
         if known_version >= self.version:
             return ()
-        at = bisect_right(self._log, (known_version, MOST_SLOTS))
-        return tuple((slot, self._engines[slot], version) for version, slot in self._log[at : at + ENTRIES])
+        at = bisect_right(self._log, (known_version, MAX_SLOTS))
+        return tuple((slot, self._engines[slot], version) for version, slot in self._log[at : at + MAX_TABLE_ENTRIES])
 
     def _snap(self, now: int) -> _Snapshot:
-        if self._snapshot and now - self._snapshot.at < max(SNAPSHOT, SNAPSHOT_SLOT * len(self._engines)):
+        if self._snapshot and now - self._snapshot.at < max(
+            SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * len(self._engines)
+        ):
             return self._snapshot
         self._expire(now)
         heard, loads, waits = 0, list(self._loads), list(self._waits)
@@ -360,7 +367,7 @@
         known_version = r.known_version if r.known_incarnation == self.incarnation else 0
         entries = self._entries(known_version)
         chunks = snap.chunks
-        if len(entries) == ENTRIES:
+        if len(entries) == MAX_TABLE_ENTRIES:
             chunks = []  # it cannot tell yet whose most of them are
         if entries or not chunks:
             chunks = [(0, 0, b"\0", b"\0"), *chunks]
@@ -403,12 +410,20 @@
                 peer.engines[slot], peer.version = engine, version
         whole = _whole(peer.parts, base, p)
         sent_at = peer.sent.get(p.echo)
-        if not whole or base <= peer.base or sent_at is None or now - sent_at >= PART_LEASE or peer.version < p.reused:
+        if (
+            not whole
+            or base <= peer.base
+            or sent_at is None
+            or now - sent_at >= PARTIAL_SUM_LEASE_US
+            or peer.version < p.reused_version
+        ):
             return
-        peer.base, peer.lease, peer.heard = base, sent_at + PART_LEASE, p.heard
+        peer.base, peer.lease, peer.heard = base, sent_at + PARTIAL_SUM_LEASE_US, p.reporting
         loads, waits = [0.0] * len(self._engines), [0.0] * len(self._engines)
         for q in whole:
-            codes = zip(peer.engines[q.first :], unpack(q.loads, q.slots), unpack(q.waits, q.slots), strict=False)
+            codes = zip(
+                peer.engines[q.first_slot :], unpack(q.loads, q.slot_count), unpack(q.waits, q.slot_count), strict=False
+            )
             for engine, load, wait in codes:
                 if (load or wait) and engine >= 0 and (mine := self._slot(now, engine)) is not None:
                     if mine >= len(loads):
@@ -421,8 +436,13 @@
         for name, incarnation, attach, silent_ms in frame.members:
             left, silent = silent_ms < 0, max(0, silent_ms) * 1000
             # One that is told of though silent for longer is kept as cut off.
-            cut = silent >= SILENT + HOP
-            if name == self.me or name in self.peers or silent >= CUT or (silent >= SILENT and not cut):
+            cut = silent >= SILENCE_TIMEOUT_US + HOP
+            if (
+                name == self.name
+                or name in self.peers
+                or silent >= PARTITION_TIMEOUT_US
+                or (silent >= SILENCE_TIMEOUT_US and not cut)
+            ):
                 continue
             if left and name not in self.known:
                 continue  # Danger: told to and fro, it would never be forgotten
@@ -450,9 +470,9 @@
             frames += self._parts(now, name, peer, chunks, heard)
         told = frozenset((name, k.stay, k.left) for name, k in self.known.items())
         if now >= self._roster_due or (
-            told != self._roster_told and now >= self._roster_due - ROSTER_EVERY + ROSTER_NEWS
+            told != self._roster_told and now >= self._roster_due - MEMBER_LIST_INTERVAL_US + ROSTER_NEWS
         ):
-            self._roster_due, self._roster_told = now + ROSTER_EVERY, told
+            self._roster_due, self._roster_told = now + MEMBER_LIST_INTERVAL_US, told
             for name in self.peers:
                 frames += self._rosters(now, name)
         return frames
@@ -486,23 +506,23 @@
         ]
 
     def _rosters(self, now: int, to: str) -> list[AggregationMessage]:
-        pieces: list[list[Member]] = [[]]
+        pieces: list[list[MemberEntry]] = [[]]
         size = 0
         for name, k in self.known.items():
             silent = -1 if k.left else (max(0, now - k.heard_at) + HOP) // 1000
             size += len(name.encode()) + 22
-            if size > ROSTER_BYTES and len(pieces) < MOST_PARTS:
+            if size > MAX_MEMBER_LIST_BYTES and len(pieces) < MAX_PARTS:
                 pieces.append([])
                 size = len(name.encode()) + 22
-            if size <= ROSTER_BYTES:
+            if size <= MAX_MEMBER_LIST_BYTES:
                 pieces[-1].append((name, *k.stay, silent))
         return [MemberList(*self._head(to), n, len(pieces), tuple(piece)) for n, piece in enumerate(pieces)]
 
     def _forget(self, now: int) -> None:
         """Whoever has been silent for long, unless so many fell silent together that it is a cut."""
         silences = {name: now - k.heard_at for name, k in self.known.items()}
-        due = [name for name, silent in silences.items() if silent >= SILENT and not self.known[name].cut]
-        lost = [name for name, silent in silences.items() if SILENT // 2 <= silent < 2 * SILENT]
+        due = [name for name, silent in silences.items() if silent >= SILENCE_TIMEOUT_US and not self.known[name].cut]
+        lost = [name for name, silent in silences.items() if SILENCE_TIMEOUT_US // 2 <= silent < 2 * SILENCE_TIMEOUT_US]
         lost = [name for name in lost if not self.known[name].left]
         total = self.count(now)
         groups, lost_of = Counter(k.via for k in self.known.values()), Counter(self.known[n].via for n in lost)
@@ -511,12 +531,12 @@
             peer = self.peers.get(k.via)
             k.cut = not k.left and (
                 len(lost) > LOST_AT_ONCE * total
-                or (peer is not None and now - peer.heard_at >= LEASE)
+                or (peer is not None and now - peer.heard_at >= LEASE_US)
                 or (lost_of[k.via] >= LEAST_LOST and lost_of[k.via] > LOST_AT_ONCE * groups[k.via])
             )
         for name, silent in silences.items():
             k = self.known[name]
-            if silent >= (FORGOTTEN if k.left else CUT if k.cut else SILENT):
+            if silent >= (FORGOTTEN if k.left else PARTITION_TIMEOUT_US if k.cut else SILENCE_TIMEOUT_US):
                 del self.known[name]
                 if name in self.members:
                     self._withdraw(self.members.pop(name))
@@ -530,7 +550,7 @@
         for loads, waits in vectors:
             for slot in compress(range(len(loads)), map(float.__add__, loads, waits)):
                 self._used_at[slot] = now
-        idle = [(-at, slot) for slot, at in enumerate(self._used_at) if now - at >= IDLE]
+        idle = [(-at, slot) for slot, at in enumerate(self._used_at) if now - at >= SLOT_IDLE_US]
         self._free = [slot for _, slot in sorted(idle)]  # the longest idle last, which is taken first
 
     # For others.
@@ -541,14 +561,14 @@
 
     def _settled(self, now: int) -> bool:
         age = now - self._started
-        return age >= CUT or (age >= SETTLED and all(p.heard_at >= 0 for p in self.peers.values()))
+        return age >= PARTITION_TIMEOUT_US or (age >= SETTLED and all(p.heard_at >= 0 for p in self.peers.values()))
 
     def figures(self, now: int) -> dict[str, Any]:
         """For operators: what is known here, and how old it is."""
         self._expire(now)
         own = sum(m.lease >= 0 for m in self.members.values())
         return {
-            "name": self.me,
+            "name": self.name,
             "members": len(self.members),
             "heard": own + sum(p.heard for p in self.peers.values() if p.lease > now),
             "counted": self.count(now),
@@ -568,7 +588,7 @@
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Other aggregators. What is known of those that stay, stays."""
-        self.peers = {name: self.peers.get(name) or _Peer() for name in peers if name != self.me}
+        self.peers = {name: self.peers.get(name) or _Peer() for name in peers if name != self.name}
         self._snapshot, self._roster_due = None, now
 
 
@@ -604,9 +624,14 @@
     """The gauges of all slots, in as few parts as they may be: first, slots, loads, waits."""
     coded, waiting, n = bytes(map(encode, loads)), bytes(map(encode, waits)), len(loads)
     whole = pack(coded), pack(waiting)
-    if n and len(whole[0]) + len(whole[1]) <= ROOM:
+    if n and len(whole[0]) + len(whole[1]) <= MAX_PACKED_GAUGE_BYTES:
         return [(0, n, *whole)]
     return [
-        (first, min(CHUNK, n - first), pack(coded[first : first + CHUNK]), pack(waiting[first : first + CHUNK]))
-        for first in range(0, n, CHUNK)
+        (
+            first,
+            min(SLOTS_PER_PART, n - first),
+            pack(coded[first : first + SLOTS_PER_PART]),
+            pack(waiting[first : first + SLOTS_PER_PART]),
+        )
+        for first in range(0, n, SLOTS_PER_PART)
     ]
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -33,7 +33,7 @@
     def __init__(
         self, me: str, peers: Iterable[str], started: int, rng: random.Random, work: Callable[[], Iterable[ReplicaLoad]]
     ) -> None:
-        self.members, self.work, self._mine = Members(me, peers, started, started, rng), PeerLoads(), work
+        self.members, self.peer_loads, self._mine = Members(me, peers, started, started, rng), PeerLoads(), work
         self._sequence = 0
         self._peers = set(self.members.members)  # counted, as of the last beat
         self._window = ReplayWindow()
@@ -41,7 +41,7 @@
     def tick(self, now: int) -> list[GossipMessage]:
         says = self.members.tick(now)
         self._peers = self.counted(now)
-        self.work.weigh(now, self._peers)
+        self.peer_loads.weigh(now, self._peers)
         return self._messages(says)
 
     def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
@@ -51,7 +51,7 @@
             message.sender, message.incarnation, message.sequence
         ):
             return []
-        self.work.receive(now, message.sender, (message.incarnation, message.sequence), message.loads)
+        self.peer_loads.receive(now, message.sender, (message.incarnation, message.sequence), message.loads)
         return self._messages(
             self.members.receive(now, message.sender, message.incarnation, message.payload, message.updates)
         )
@@ -63,11 +63,11 @@
             self._sequence += 1
             made.append(
                 GossipMessage(
-                    self.members.me,
+                    self.members.name,
                     self.members.incarnation,
                     self._sequence,
                     say,
-                    tuple(self.members.rumours(say.to)),
+                    tuple(self.members.updates_for(say.to)),
                     rows,
                 )
             )
@@ -90,11 +90,11 @@
     def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
         """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
         much of that is fresh word."""
-        told = self.work.others(now, engine, self._peers, ReplicaLoad(engine, waiting, load))
+        told = self.peer_loads.others(now, engine, self._peers, ReplicaLoad(engine, waiting, load))
         return told.queued_tokens, told.total_tokens, told.confidence
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         self.members.reconfigure(peers, now)
-        self.work.keep(self.members.members)
+        self.peer_loads.keep(self.members.members)
         self._peers = self.counted(now)
         self._window.keep(self.members.members)
--- a/pearhill/membership/gossip_messages.py
+++ b/pearhill/membership/gossip_messages.py
@@ -14,10 +14,10 @@
 from pearhill.membership.members import MAX_UPDATES, Ack, MemberUpdate, Ping, PingRequest
 
 VERSION = 1
-MAX_BYTES = 1400
-TAG = 16  # bytes of HMAC-SHA256 (RFC 2104, cut as its section 5 allows)
-LEAST_KEY = 16
-MOST_COUNT = 1 << 62  # an incarnation or sequence; it has to be counted on
+MAX_DATAGRAM_BYTES = 1400
+TAG_BYTES = 16  # bytes of HMAC-SHA256 (RFC 2104, cut as its section 5 allows)
+MIN_KEY_BYTES = 16
+MAX_COUNT = 1 << 62  # an incarnation or sequence; it has to be counted on
 PING, ACK, ASK = 0, 1, 2
 
 
@@ -48,8 +48,8 @@
     version: ClassVar[int]
 
     def __init__(self, keys: list[bytes]) -> None:
-        if not keys or min(map(len, keys)) < LEAST_KEY:
-            raise ValueError(f"a key of at least {LEAST_KEY} bytes is needed")
+        if not keys or min(map(len, keys)) < MIN_KEY_BYTES:
+            raise ValueError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
         self.keys = keys
 
     def _seal(self, body: bytes) -> bytes:
@@ -57,18 +57,18 @@
 
     def _open(self, data: bytes) -> bytes:
         """The body. Rejected: it is foreign, forged or torn."""
-        if len(data) > MAX_BYTES or len(data) <= 1 + TAG:
+        if len(data) > MAX_DATAGRAM_BYTES or len(data) <= 1 + TAG_BYTES:
             raise MessageRejectedError("size")
         if data[0] != self.version:
             raise MessageRejectedError("version")
-        tag, body = data[1 : 1 + TAG], data[1 + TAG :]
+        tag, body = data[1 : 1 + TAG_BYTES], data[1 + TAG_BYTES :]
         if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self.keys):
             raise MessageRejectedError("forged")
         return body
 
     @classmethod
     def _tag(cls, key: bytes, body: bytes) -> bytes:
-        return hmac.digest(key, bytes((cls.version,)) + body, hashlib.sha256)[:TAG]
+        return hmac.digest(key, bytes((cls.version,)) + body, hashlib.sha256)[:TAG_BYTES]
 
 
 class GossipCodec(MessageAuthenticator):
@@ -85,7 +85,7 @@
             body = _encoder.encode(
                 _Body(m.sender, m.payload.to, m.incarnation, m.sequence, kind, m.payload.number, target, rumours, rows)
             )
-            if len(body) + 1 + TAG <= MAX_BYTES or not (rows or rumours):
+            if len(body) + 1 + TAG_BYTES <= MAX_DATAGRAM_BYTES or not (rows or rumours):
                 break
             (rows or rumours).pop()
         return self._seal(body)
@@ -104,7 +104,7 @@
             len(b.rumours) > MAX_UPDATES
             or len(b.rows) > MAX_ROWS
             or b.kind not in (PING, ACK, ASK)
-            or any(not 0 <= n <= MOST_COUNT for n in (b.incarnation, b.sequence, *(r[1] for r in b.rumours)))
+            or any(not 0 <= n <= MAX_COUNT for n in (b.incarnation, b.sequence, *(r[1] for r in b.rumours)))
         ):
             raise MessageRejectedError("malformed")
         say = PingRequest(me, b.number, b.target) if b.kind == ASK else (Ack if b.kind == ACK else Ping)(me, b.number)
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -15,11 +15,15 @@
 from dataclasses import dataclass
 
 ALIVE, SUSPECT, DEAD = "alive", "suspect", "dead"
-BEAT = 250_000  # between two beats
-LEAST_PINGS, MOST_PINGS, ROUND = 4, 24, 2  # a beat; and beats to a round, which leaves nobody out, if it may be
+GOSSIP_TICK_US = 250_000  # between two beats
+MIN_PINGS_PER_TICK, MAX_PINGS_PER_TICK, TICKS_PER_ROUND = (
+    4,
+    24,
+    2,
+)  # a beat; and beats to a round, which leaves nobody out, if it may be
 ACK_WAIT = 250_000  # for an answer; then as long again by way of others
 HELPERS = 3
-LATE = 3 * BEAT  # between two beats of mine
+LATE = 3 * GOSSIP_TICK_US  # between two beats of mine
 SUSPECT_FOR = 2_000_000  # to object in
 MAX_UPDATES = 12  # carried by one message
 _RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
@@ -80,7 +84,7 @@
     """`incarnation` must grow with each start of the same name: the time of the start does."""
 
     def __init__(self, me: str, peers: Iterable[str], incarnation: int, now: int, rng: random.Random) -> None:
-        self.me, self.incarnation, self.rng = me, incarnation, rng
+        self.name, self.incarnation, self.rng = me, incarnation, rng
         self.members = {name: Member(since=now) for name in peers if name != me}
         self._round: list[str] = []
         self._out: dict[int, _Out] = {}
@@ -89,17 +93,17 @@
         self._beat_at = now
         self._news: dict[str, int] = {}  # names of which there is news, and how often it was told
 
-    def there(self) -> set[str]:
+    def reachable(self) -> set[str]:
         """Who answers, or may still object to its death. Me too."""
-        return {self.me, *(name for name, m in self.members.items() if m.state != DEAD)}
+        return {self.name, *(name for name, m in self.members.items() if m.state != DEAD)}
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Other names. What is known of those that stay, stays."""
-        names = {name for name in peers if name != self.me}
+        names = {name for name in peers if name != self.name}
         self.members = {name: self.members.get(name) or Member(since=now) for name in sorted(names)}
         self._round = [name for name in self._round if name in names]
         self._out = {n: out for n, out in self._out.items() if out.to in names}
-        self._news = {name: times for name, times in self._news.items() if name in names or name == self.me}
+        self._news = {name: times for name, times in self._news.items() if name in names or name == self.name}
 
     def tick(self, now: int) -> list[Payload]:
         """One beat: what is due of pings that are out, and the next ones."""
@@ -113,7 +117,7 @@
             if m.state == SUSPECT and now - m.since >= SUSPECT_FOR:
                 self._set(now, name, m.incarnation, DEAD)
         n = len(self.members)
-        for _ in range(min(n, MOST_PINGS, max(LEAST_PINGS, -(-n // ROUND)))):
+        for _ in range(min(n, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, -(-n // TICKS_PER_ROUND)))):
             if not self._round:
                 # Danger: drawn at random, some peer is left out for long. The dead are in the round too: a cut that
                 # heals is noticed by no other means.
@@ -163,11 +167,11 @@
                 del self._out[number]  # a helper's word that the target has answered it
         return []
 
-    def rumours(self, to: str) -> list[MemberUpdate]:
+    def updates_for(self, to: str) -> list[MemberUpdate]:
         """What the next message carries on: my own state, what I hold of its addressee if that is amiss, then the news
         told least often."""
         most = 3 * math.ceil(math.log2(len(self.members) + 2))
-        told = [MemberUpdate(self.me, self.incarnation, ALIVE)]
+        told = [MemberUpdate(self.name, self.incarnation, ALIVE)]
         if (about := self.members.get(to)) and about.state != ALIVE:  # it must hear of it to object
             told.append(MemberUpdate(to, about.incarnation, about.state))
         for name in sorted(self._news, key=lambda n: self._news[n])[: MAX_UPDATES - len(told)]:
@@ -180,7 +184,7 @@
         return told
 
     def _rumour(self, now: int, r: MemberUpdate) -> None:
-        if r.name == self.me:
+        if r.name == self.name:
             # Danger: a word of my death that nobody objects to spreads, and all the others reckon without me.
             if r.state != ALIVE and r.incarnation >= self.incarnation:
                 self.incarnation = r.incarnation + 1
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from pearhill.membership.gossip import GossipProtocol
-from pearhill.membership.reporter import GONE, Reporter
+from pearhill.membership.reporter import MAX_SUMS_AGE_US, Reporter
 
-SUMS, GOSSIP = "sums", "talk"
+SOURCE_SUMS, SOURCE_GOSSIP = "sums", "talk"
 
 
 class CombinedLoadSource:
@@ -29,12 +29,12 @@
     def fresh(self, now: int) -> bool:
         """The aggregators' sums are of now."""
         age_s = self.reporter.figures(now)["age_s"] if self.reporter else None
-        return age_s is not None and age_s * 1e6 < GONE
+        return age_s is not None and age_s * 1e6 < MAX_SUMS_AGE_US
 
     def in_use(self, now: int) -> str:
         """For operators: SUMS or TALK, or nothing where there are neither fresh sums nor a talk."""
         sums = self._sums_count_all and self.fresh(now)
-        return SUMS if sums else GOSSIP if self.gossip else ""
+        return SOURCE_SUMS if sums else SOURCE_GOSSIP if self.gossip else ""
 
     def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
         """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
--- a/pearhill/membership/replay_window.py
+++ b/pearhill/membership/replay_window.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-WINDOW = 1024  # messages of one sender; a beat of a large fleet sends some dozens
+WINDOW_MESSAGES = 1024  # messages of one sender; a beat of a large fleet sends some dozens
 
 
 class ReplayWindow:
@@ -16,11 +16,11 @@
         known, newest, window = self._seen.get(sender, (-1, 0, 0))
         if incarnation > known:
             known, newest, window = incarnation, sequence, 1
-        elif incarnation < known or sequence <= newest - WINDOW:
+        elif incarnation < known or sequence <= newest - WINDOW_MESSAGES:
             return False
         elif sequence > newest:
-            ahead = min(WINDOW, sequence - newest)
-            newest, window = sequence, (window << ahead | 1) & ((1 << WINDOW) - 1)
+            ahead = min(WINDOW_MESSAGES, sequence - newest)
+            newest, window = sequence, (window << ahead | 1) & ((1 << WINDOW_MESSAGES) - 1)
         else:
             bit = 1 << (newest - sequence)
             if window & bit:
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -18,30 +18,33 @@
 
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
-    CHUNK,
-    MOVED,
-    NEWS,
-    ROOM,
+    COMBINED_LEASE_US,
+    MAX_PACKED_GAUGE_BYTES,
+    MAX_UNASSIGNED,
+    SLOTS_PER_PART,
     AggregationMessage,
-    Entry,
     Hello,
     HelloAck,
     Report,
     Sums,
     Superseded,
+    TableEntry,
 )
 from pearhill.membership.gauges import TOKENS, encode, pack, unpack
 from pearhill.membership.replay_window import ReplayWindow
 
-PACE, JITTER = 100_000, 0.1  # between two reports at the least, and the share of it that is drawn
-BYTES_PER_S, HEADERS = 6000, 28  # both ways together; IPv4 and UDP headers of a datagram
-UNANSWERED, ANSWER_WAIT = 4, 2_000_000  # reports in a row, and time, after which an aggregator is given up
-GONE = 2_500_000  # older sums are not used at all
+REPORT_INTERVAL_US, JITTER = 100_000, 0.1  # between two reports at the least, and the share of it that is drawn
+MAX_BYTES_PER_S, HEADER_BYTES = 6000, 28  # both ways together; IPv4 and UDP headers of a datagram
+MAX_UNANSWERED_REPORTS, ANSWER_TIMEOUT_US = (
+    4,
+    2_000_000,
+)  # reports in a row, and time, after which an aggregator is given up
+MAX_SUMS_AGE_US = 2_500_000  # older sums are not used at all
 FADE = 2_000_000  # after which half of them still holds
-LEAST_BACKOFF, MOST_BACKOFF = 1_000_000, 8_000_000  # between tries over all
-LEAST_HELLO, MOST_HELLO = 5_000_000, 15_000_000
-HELLOS = 2  # answers in a row, and home it goes
-REMEMBERED, REMEMBERED_FOR = 64, 5_000_000  # reports that sums may still hold
+MIN_BACKOFF_US, MAX_BACKOFF_US = 1_000_000, 8_000_000  # between tries over all
+MIN_HELLO_INTERVAL_US, MAX_HELLO_INTERVAL_US = 5_000_000, 15_000_000
+HELLOS_TO_RETURN = 2  # answers in a row, and home it goes
+MAX_REMEMBERED_REPORTS, REMEMBERED_FOR = 64, 5_000_000  # reports that sums may still hold
 SLACK = 200_000  # sums may be made a little before they are asked for
 BURST = 500_000  # of the bytes that were saved up
 STOOD_STILL = 1_000_000  # a beat that comes later than this: it is I who was away
@@ -68,7 +71,7 @@
     latest: int = 0  # version as last told
     whole: bool = False  # it has been known up to the latest version once
 
-    def take(self, entries: Iterable[Entry]) -> None:
+    def take(self, entries: Iterable[TableEntry]) -> None:
         for slot, engine, version in entries:
             if version <= self.version:
                 continue
@@ -113,8 +116,8 @@
 
     queued_tokens: float
     total_tokens: float
-    heard: int
-    at: int
+    reporting: int
+    reported_at: int
 
 
 class Reporter:
@@ -130,7 +133,7 @@
         rng: random.Random,
         work: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
-        self.me, self.region, self.incarnation, self.rng, self._mine = me, region, started, rng, work
+        self.name, self.region, self.incarnation, self.rng, self._mine = me, region, started, rng, work
         self._window, self._sequence = ReplayWindow(), 0
         # Danger: counted from 1 at each start, an answer to an earlier me would answer a report of mine.
         self._number = rng.getrandbits(31)
@@ -148,7 +151,7 @@
         self._started = self._now = started
         self._unanswered, self._waiting_since, self._echo = 0, -1, -1
         self._failed = 0  # aggregators in a row that did not answer
-        self._due = started + int(rng.random() * PACE)
+        self._due = started + int(rng.random() * REPORT_INTERVAL_US)
         self._debt = started  # the time by which what was sent and got is paid for
         self._hello_due, self._hello_number, self._hellos = started, -1, 0
         self._bytes = {"in": 0, "out": 0}
@@ -160,7 +163,7 @@
         """Other aggregators. What is known of those that stay, stays."""
 
         def rank(site: AggregatorSite) -> tuple[bool, bytes]:
-            return site.region != self.region, hashlib.sha256(f"{self.me}\0{site.name}".encode()).digest()
+            return site.region != self.region, hashlib.sha256(f"{self.name}\0{site.name}".encode()).digest()
 
         self._order = [site.name for site in sorted(aggregators, key=rank)]
         self._tables = {name: self._tables.get(name) or _Table() for name in self._order}
@@ -170,7 +173,7 @@
         self._hellos, self._hello_due = 0, now + self._hello_wait()
 
     def _hello_wait(self) -> int:
-        return int(self.rng.uniform(LEAST_HELLO, MOST_HELLO))
+        return int(self.rng.uniform(MIN_HELLO_INTERVAL_US, MAX_HELLO_INTERVAL_US))
 
     # Reports.
 
@@ -185,7 +188,7 @@
     def tick(self, now: int) -> list[AggregationMessage]:
         """What is due by now, be it nothing."""
         if not self._order:
-            self._due = now + PACE
+            self._due = now + REPORT_INTERVAL_US
             return []
         if now - max(self._due, self._debt) > STOOD_STILL and self._waiting_since >= 0:
             self._waiting_since = now  # Danger: the answers wait unread, and a good aggregator would be left
@@ -199,7 +202,9 @@
             frames.append(Hello(*self._head(self._order[0]), self._hello_number))
         if now >= max(self._due, self._debt):
             gone = self._failed >= len(self._order)
-            if self._unanswered >= (1 if gone else UNANSWERED) and (gone or now - self._waiting_since >= ANSWER_WAIT):
+            if self._unanswered >= (1 if gone else MAX_UNANSWERED_REPORTS) and (
+                gone or now - self._waiting_since >= ANSWER_TIMEOUT_US
+            ):
                 self._give_up(now)
             if now >= self._due:
                 frames += self._report(now)
@@ -210,9 +215,9 @@
         self._failed += 1
         self._move(now, self._order[(self._order.index(self.current) + 1) % len(self._order)])
         if self._failed >= len(self._order):
-            wait = min(MOST_BACKOFF, 2 * LEAST_BACKOFF << min(8, self._failed - len(self._order)))
+            wait = min(MAX_BACKOFF_US, 2 * MIN_BACKOFF_US << min(8, self._failed - len(self._order)))
             # Danger: they all lost it at the same moment, and would all ask again at the same moment.
-            self._due = now + int(self.rng.uniform(0, wait - LEAST_BACKOFF))
+            self._due = now + int(self.rng.uniform(0, wait - MIN_BACKOFF_US))
 
     def _move(self, now: int, to: str) -> None:
         if self.current and to != self.current:
@@ -231,7 +236,7 @@
 
     def _head(self, to: str) -> tuple[str, str, int, int]:
         self._sequence += 1
-        return self.me, to, self.incarnation, self._sequence
+        return self.name, to, self.incarnation, self._sequence
 
     def _quiet_ms(self, now: int) -> int:
         """How long none of the others can have had a report of this name: an earlier me may have sent some, until I
@@ -240,7 +245,10 @@
 
     def _last_elsewhere(self) -> int:
         """When the last report to another aggregator than this went out."""
-        return max((at for name, at in self._last_report.items() if name != self.current), default=-MOVED - GONE)
+        return max(
+            (at for name, at in self._last_report.items() if name != self.current),
+            default=-COMBINED_LEASE_US - MAX_SUMS_AGE_US,
+        )
 
     def _report(self, now: int) -> list[AggregationMessage]:
         table = self._tables[self.current]
@@ -257,20 +265,20 @@
                 fresh.append((load, waiting, row.replica))
         fresh.sort(reverse=True)
         # What has no slot here most likely has one, of which the next answers tell.
-        some = NEWS if table.whole else NEWS_AT_FIRST
+        some = MAX_UNASSIGNED if table.whole else NEWS_AT_FIRST
         news = tuple((engine, waiting, load) for load, waiting, engine in fresh[:some])
         codes.update((engine, (waiting, load)) for engine, waiting, load in news)
         self._number += 1
         self._told[self._number] = _Told(now, self.current, codes)
-        while len(self._told) > REMEMBERED or now - next(iter(self._told.values())).at > REMEMBERED_FOR:
+        while len(self._told) > MAX_REMEMBERED_REPORTS or now - next(iter(self._told.values())).at > REMEMBERED_FOR:
             self._told.popitem(last=False)  # Danger: sums of that long ago hold mine as it was then
         self._last_report[self.current] = now
         self._unanswered += 1
         if self._waiting_since < 0:
             self._waiting_since = now
-        pace = PACE
+        pace = REPORT_INTERVAL_US
         if self._failed >= len(self._order):
-            pace = LEAST_BACKOFF  # one try each, until one answers
+            pace = MIN_BACKOFF_US  # one try each, until one answers
         self._due = now + int(pace * self.rng.uniform(1 - JITTER, 1 + JITTER))
         return self._parts(now, table, bytes(loads), bytes(waits), news)
 
@@ -279,18 +287,18 @@
     ) -> list[AggregationMessage]:
         """One part if it fits; else chunks of slots, and the news by itself."""
         packed = pack(loads), pack(waits)
-        if len(packed[0]) + len(packed[1]) + len(news) * NEWS_BYTES <= ROOM:
+        if len(packed[0]) + len(packed[1]) + len(news) * NEWS_BYTES <= MAX_PACKED_GAUGE_BYTES:
             pieces = [(0, len(loads), *packed, news)]
         else:
             pieces = [
                 (
                     first,
-                    len(loads[first : first + CHUNK]),
-                    pack(loads[first : first + CHUNK]),
-                    pack(waits[first : first + CHUNK]),
+                    len(loads[first : first + SLOTS_PER_PART]),
+                    pack(loads[first : first + SLOTS_PER_PART]),
+                    pack(waits[first : first + SLOTS_PER_PART]),
                     (),
                 )
-                for first in range(0, len(loads), CHUNK)
+                for first in range(0, len(loads), SLOTS_PER_PART)
             ]
             if news:
                 pieces.append((0, 0, b"\0", b"\0", news))
@@ -340,18 +348,18 @@
 
     def sent(self, size: int) -> None:
         """A datagram of so many bytes went out."""
-        self._bytes["out"] += size + HEADERS
+        self._bytes["out"] += size + HEADER_BYTES
         self._pay(size)
 
     def _pay(self, size: int) -> None:
-        self._debt = max(self._debt, self._now - BURST) + (size + HEADERS) * 1_000_000 // BYTES_PER_S
+        self._debt = max(self._debt, self._now - BURST) + (size + HEADER_BYTES) * 1_000_000 // MAX_BYTES_PER_S
 
     # Answers.
 
     def receive(self, now: int, frame: AggregationMessage, size: int) -> list[AggregationMessage]:
         """An authentic frame, whenever it comes and however often; `size`: bytes of its datagram."""
         self._now = max(self._now, now)
-        self._bytes["in"] += size + HEADERS
+        self._bytes["in"] += size + HEADER_BYTES
         if frame.sender not in self._tables or not self._window.first_time(
             frame.sender, frame.incarnation, frame.sequence
         ):
@@ -359,8 +367,12 @@
         self._pay(size)  # Danger: paid for before, what somebody sends again would put my reports off for good
         if isinstance(frame, HelloAck):
             self._acknowledged(now, frame)
-        elif isinstance(frame, Superseded) and frame.sender == self.current and frame.known >= self.incarnation:
-            self.incarnation = frame.known + 1
+        elif (
+            isinstance(frame, Superseded)
+            and frame.sender == self.current
+            and frame.known_incarnation >= self.incarnation
+        ):
+            self.incarnation = frame.known_incarnation + 1
             self._answered()
         elif isinstance(frame, Sums) and frame.sender == self.current:
             self._sums(now, frame)
@@ -370,7 +382,7 @@
         if frame.sender != self._order[0] or frame.number != self._hello_number or not self._away():
             return
         self._hello_number, self._hellos = -1, self._hellos + 1
-        if self._hellos >= HELLOS:
+        if self._hellos >= HELLOS_TO_RETURN:
             self._move(now, self._order[0])
             self._failed = 0
 
@@ -378,8 +390,8 @@
         self._unanswered, self._waiting_since, self._failed = 0, -1, 0
 
     def _sums(self, now: int, s: Sums) -> None:
-        asked = self._told.get(s.answers)
-        if asked is None or now - asked.at >= GONE:
+        asked = self._told.get(s.report_number)
+        if asked is None or now - asked.at >= MAX_SUMS_AGE_US:
             return  # it waited somewhere
         table = self._tables[s.sender]
         if table.incarnation != s.incarnation:
@@ -390,28 +402,28 @@
             self._chunks.clear()
         self._answered()
         table.latest = max(table.latest, s.version)
-        self._echo = max(self._echo, s.answers)
+        self._echo = max(self._echo, s.report_number)
         table.take(s.entries)
         if asked.at >= self._sums_at:
-            self._heard, self._sums_at = s.heard, asked.at
+            self._heard, self._sums_at = s.reporting, asked.at
             self._count = s.counted if s.settled else max(self._count or 0, s.counted)
             self._settled = self._settled or s.settled
-        if s.included >= 0:
-            if s.included not in self._told:
+        if s.included_report >= 0:
+            if s.included_report not in self._told:
                 return  # Danger: my own work is in it, and I no longer know which.
-            mine = self._told[s.included].codes
+            mine = self._told[s.included_report].codes
         else:
             # By way of an aggregator that I have left, mine may still be in it.
-            mine = self._elsewhere if asked.at < self._last_elsewhere() + MOVED + SLACK else Codes()
-        if table.version < s.reused or not (s.slots or s.version == 0):
+            mine = self._elsewhere if asked.at < self._last_elsewhere() + COMBINED_LEASE_US + SLACK else Codes()
+        if table.version < s.reused_version or not (s.slot_count or s.version == 0):
             return  # no slots, unless nobody has work anywhere
         new = _Chunk(
             asked.at,
             s.version,
-            s.first,
-            unpack(s.loads, s.slots),
-            unpack(s.waits, s.slots),
-            max(0, s.heard - (s.included >= 0)),
+            s.first_slot,
+            unpack(s.loads, s.slot_count),
+            unpack(s.waits, s.slot_count),
+            max(0, s.reporting - (s.included_report >= 0)),
             mine,
         )
         # Whatever it covers of older ones is over; a newer one stays. Parts of one answer don't overlap.
@@ -431,12 +443,12 @@
         others = (self._count or 1) - 1
         if others <= 0:
             return 0.0, 0.0, 1.0 if self._count else 0.0
-        theirs = self.theirs(now, engine)
+        theirs = self.peer_load(now, engine)
         if theirs is None:
             return float(others * waiting), float(others * load), 0.0
         # Each of whom nothing is known counts as the mean of all of whom something is, me among them.
-        worth = 0.5 ** (max(0, now - theirs.at) / FADE)
-        heard = worth * min(theirs.heard, others)
+        worth = 0.5 ** (max(0, now - theirs.reported_at) / FADE)
+        heard = worth * min(theirs.reporting, others)
         scale = (1 + others) / (1 + heard)
         return (
             max(0.0, (waiting + worth * theirs.queued_tokens) * scale - waiting),
@@ -444,13 +456,13 @@
             heard / others,
         )
 
-    def theirs(self, now: int, engine: int) -> PeerLoad | None:
+    def peer_load(self, now: int, engine: int) -> PeerLoad | None:
         """What the others said that they have at an engine; None: no sums of it are known, or they are too old."""
         table = self._tables.get(self._sums_of)
         slot = table.slot_of.get(engine) if table else None
         chunk = next((c for c in self._chunks if slot is None or c.first <= slot < c.first + len(c.loads)), None)
         # Danger: with some engines known and some not, those that are not would look empty to everybody.
-        if table is None or not table.whole or chunk is None or now - chunk.at >= GONE:
+        if table is None or not table.whole or chunk is None or now - chunk.at >= MAX_SUMS_AGE_US:
             return None
         if slot is None:
             return PeerLoad(0.0, 0.0, chunk.heard, chunk.at) if table.version >= table.latest else None
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -12,7 +12,7 @@
 
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
-from pearhill.membership.aggregator import BEAT, Aggregator
+from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
@@ -31,11 +31,11 @@
         self.aggregator, self.codec, self.peers, self.deadlines = aggregator, codec, peers, deadlines
         self.datagrams = datagrams
         self._beat_key: Key | None = None
-        self.on_beat: Callable[[int], None] = lambda now: None  # told after each, with its time
+        self.on_tick: Callable[[int], None] = lambda now: None  # told after each, with its time
 
     def start(self) -> None:
         """Once the socket is open."""
-        self.datagrams.takers[VERSION] = self._take
+        self.datagrams.receivers[VERSION] = self._take
         self._beat()
 
     def reconfigure(self, codec: AggregationCodec, peers: Mapping[str, Address]) -> None:
@@ -45,28 +45,28 @@
 
     def _beat(self) -> None:
         now = self.deadlines.clock()
-        self._beat_key = self.deadlines.at(now + BEAT, self._beat)
+        self._beat_key = self.deadlines.at(now + AGGREGATOR_TICK_US, self._beat)
         for frame in self.aggregator.tick(now):
             if address := self.peers.get(frame.to):
                 self._send(frame, address)
-        self.on_beat(now)
+        self.on_tick(now)
 
     def _take(self, data: bytes, address: Address) -> None:
-        frame = self.codec.unpack(data, self.aggregator.me)
+        frame = self.codec.unpack(data, self.aggregator.name)
         for answer in self.aggregator.receive(self.deadlines.clock(), frame):
             self._send(answer, address)
 
     def _send(self, frame: AggregationMessage, address: Address) -> None:
         self.datagrams.send(self.codec.pack(frame), address)
 
-    def told(self) -> dict[str, Any]:
+    def figures(self) -> dict[str, Any]:
         """What is known here, for operators."""
         return {
-            "aggregator": self.aggregator.me,
+            "aggregator": self.aggregator.name,
             **self.aggregator.figures(self.deadlines.clock()),
             "datagrams": dict(self.datagrams.counts),
         }
 
     def close(self) -> None:
         self.deadlines.cancel(self._beat_key)
-        self.datagrams.takers.pop(VERSION, None)
+        self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -15,7 +15,7 @@
 from pearhill.membership.gossip_messages import MessageRejectedError
 from pearhill.net.address import Address
 
-TOLD_EVERY = 60_000_000  # at most one line for datagrams that are not taken
+REJECTION_LOG_INTERVAL_US = 60_000_000  # at most one line for datagrams that are not taken
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -25,7 +25,7 @@
 
     def __init__(self, deadlines: Deadlines, side: str = "fleet", receive_buffer: int = 0) -> None:
         self.deadlines, self.side, self.receive_buffer = deadlines, side, receive_buffer
-        self.takers: dict[int, Callable[[bytes, Address], None]] = {}
+        self.receivers: dict[int, Callable[[bytes, Address], None]] = {}
         self.counts: Counter[str] = Counter()
         self._transport: asyncio.DatagramTransport | None = None
         self._rejected: Counter[str] = Counter()  # since the last line
@@ -51,7 +51,7 @@
         try:
             if not data:
                 raise MessageRejectedError("size")
-            if (taker := self.takers.get(data[0])) is None:
+            if (taker := self.receivers.get(data[0])) is None:
                 raise MessageRejectedError("version")
             taker(data, addr)
             self.counts["taken"] += 1
@@ -75,7 +75,7 @@
                 reasons=",".join(f"{why}:{n}" for why, n in sorted(self._rejected.items())),
             )
             self._rejected.clear()
-            self._tell_key = self.deadlines.after(TOLD_EVERY, self._tell)
+            self._tell_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._tell)
 
     def error_received(self, exc: Exception) -> None:
         self.counts[f"unsent {type(exc).__name__}"] += 1  # the other's port is closed: its silence tells the same
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from pearhill.node.node import Node
 
-SILENT = 3_000_000  # without fresh sums; a move to another aggregator takes less
+SUMS_TIMEOUT_US = 3_000_000  # without fresh sums; a move to another aggregator takes less
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
             reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._work)
             self.sources.reporter = reporter
             self.reporting = Reporting(reporter, AggregationCodec(keys), addresses, deadlines, self.datagrams)
-            self.reporting.on_count, self.reporting.on_turn = self._recount, self._look
+            self.reporting.on_count, self.reporting.on_exchange = self._recount, self._look
             self.reporting.start()
         elif self.reporting:
             self.reporting.close()
@@ -115,7 +115,7 @@
 
     def _heard(self) -> int:
         """Dispatchers of which there is word, this one among them."""
-        there = len(self.gossip.protocol.members.there()) if self.gossip else 1
+        there = len(self.gossip.protocol.members.reachable()) if self.gossip else 1
         return max(there, self.reporting.reporter.figures(self.deadlines.clock())["heard"]) if self.reporting else there
 
     def _look(self, now: int) -> None:
@@ -129,7 +129,7 @@
             return
         if self._silent_since is None:
             self._silent_since = now
-        elif now - self._silent_since >= SILENT and self._reports_to is not None:
+        elif now - self._silent_since >= SUMS_TIMEOUT_US and self._reports_to is not None:
             self._reports_to = None
             logger.warning(
                 "fleet: no aggregator answers: {what}",
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -7,7 +7,7 @@
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import VERSION, GossipCodec
-from pearhill.membership.members import BEAT
+from pearhill.membership.members import GOSSIP_TICK_US
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
@@ -15,13 +15,13 @@
 class Gossip:
     def __init__(
         self,
-        council: GossipProtocol,
+        protocol: GossipProtocol,
         codec: GossipCodec,
         peers: Mapping[str, Address],
         deadlines: Deadlines,
         datagrams: Datagrams,
     ) -> None:
-        self.protocol, self.codec, self.peers, self.deadlines = council, codec, peers, deadlines
+        self.protocol, self.codec, self.peers, self.deadlines = protocol, codec, peers, deadlines
         self.datagrams = datagrams
         self._beat_key: Key | None = None
         self._count = 0
@@ -29,7 +29,7 @@
 
     def start(self) -> None:
         """Once the socket is open."""
-        self.datagrams.takers[VERSION] = self._take
+        self.datagrams.receivers[VERSION] = self._take
         self._beat()
 
     def reconfigure(self, codec: GossipCodec, peers: Mapping[str, Address]) -> None:
@@ -39,14 +39,14 @@
 
     def _beat(self) -> None:
         now = self.deadlines.clock()
-        self._beat_key = self.deadlines.at(now + BEAT, self._beat)
+        self._beat_key = self.deadlines.at(now + GOSSIP_TICK_US, self._beat)
         self._send(self.protocol.tick(now))
         if (count := self.protocol.count(now)) != self._count:
             self._count = count
             self.on_count()
 
     def _take(self, data: bytes, address: Address) -> None:
-        message = self.codec.unpack(data, self.protocol.members.me)
+        message = self.codec.unpack(data, self.protocol.members.name)
         self._send(self.protocol.receive(self.deadlines.clock(), message))
 
     def _send(self, messages: list[GossipMessage]) -> None:
@@ -56,4 +56,4 @@
 
     def close(self) -> None:
         self.deadlines.cancel(self._beat_key)
-        self.datagrams.takers.pop(VERSION, None)
+        self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -11,7 +11,7 @@
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
-LEAST_WAIT = 10_000  # between two beats
+MIN_TICK_INTERVAL_US = 10_000  # between two beats
 
 
 class Reporting:
@@ -32,11 +32,13 @@
         self._last_beat = 0
         self._count: int | None = None
         self.on_count: Callable[[], None] = lambda: None  # told when another count of dispatchers shares the work
-        self.on_turn: Callable[[int], None] = lambda now: None  # told after each beat and each answer, with its time
+        self.on_exchange: Callable[[int], None] = (
+            lambda now: None
+        )  # told after each beat and each answer, with its time
 
     def start(self) -> None:
         """Once the socket is open."""
-        self.datagrams.takers[VERSION] = self._take
+        self.datagrams.receivers[VERSION] = self._take
         self._beat()
 
     def reconfigure(
@@ -57,7 +59,7 @@
         self._turn(now)
 
     def _take(self, data: bytes, address: Address) -> None:
-        now, frame = self.deadlines.clock(), self.codec.unpack(data, self.reporter.me)
+        now, frame = self.deadlines.clock(), self.codec.unpack(data, self.reporter.name)
         self._send(self.reporter.receive(now, frame, len(data)))
         self._arm(now)
         self._turn(now)
@@ -65,7 +67,7 @@
     def _arm(self, now: int) -> None:
         # Danger: a beat that is due at once, over and over, would be all that this process does. Counted from now and
         # not from the last one, each datagram that comes in would put it off.
-        at = max(self._last_beat + LEAST_WAIT, self.reporter.next_tick(now))
+        at = max(self._last_beat + MIN_TICK_INTERVAL_US, self.reporter.next_tick(now))
         if at != self._beat_at:
             self.deadlines.cancel(self._beat_key)
             self._beat_key, self._beat_at = self.deadlines.at(at, self._beat), at
@@ -74,7 +76,7 @@
         if (count := self.reporter.count(now)) != self._count:
             self._count = count
             self.on_count()
-        self.on_turn(now)
+        self.on_exchange(now)
 
     def _send(self, frames: list[AggregationMessage]) -> None:
         for frame in frames:
@@ -86,4 +88,4 @@
         """Take leave, so that nobody waits for this one; the socket is open still."""
         self.deadlines.cancel(self._beat_key)
         self._send(self.reporter.leave(self.deadlines.clock()))
-        self.datagrams.takers.pop(VERSION, None)
+        self.datagrams.receivers.pop(VERSION, None)
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,7 +10,7 @@
 
 from pearhill.config import ConfigError
 from pearhill.lab import capacity as c
-from pearhill.membership.reporter import BYTES_PER_S
+from pearhill.membership.reporter import MAX_BYTES_PER_S
 from tests.standins import ROOT
 
 SIZE = c.Size()
@@ -155,9 +155,9 @@
         for times in (0.1, 1.0, 10.0):
             with self.subTest(times):
                 told = w.told(times)  # one exchange more or less falls into what is counted
-                self.assertLess(told.bytes_s, BYTES_PER_S + (told.up + told.down) * c.S / c.COUNTED)
+                self.assertLess(told.bytes_s, MAX_BYTES_PER_S + (told.up + told.down) * c.S / c.COUNTED)
         self.assertGreater(w.talk_bytes_s, 10 * SIZE.control_bytes_s)
-        self.assertLessEqual(c.talk_bytes(48), 1400 + c.HEADERS)
+        self.assertLessEqual(c.talk_bytes(48), 1400 + c.HEADER_BYTES)
 
     def test_a_gauge_is_a_byte_at_the_most_and_next_to_nothing_where_no_work_is(self):
         few, many = c.told(300, 0, 10, 0), c.told(300, 0, 300, 0)
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -17,11 +17,11 @@
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership import gauges, reporter
 from pearhill.membership.aggregation_messages import (
-    ENTRIES,
-    LEASE,
-    MOST_SLOTS,
-    MOVED,
-    PART_LEASE,
+    COMBINED_LEASE_US,
+    LEASE_US,
+    MAX_SLOTS,
+    MAX_TABLE_ENTRIES,
+    PARTIAL_SUM_LEASE_US,
     AggregationCodec,
     AggregationMessage,
     Hello,
@@ -32,15 +32,21 @@
     Sums,
     Superseded,
 )
-from pearhill.membership.aggregator import BEAT, CUT, IDLE, SILENT, Aggregator
-from pearhill.membership.gossip_messages import MAX_BYTES, MessageRejectedError
-from pearhill.membership.replay_window import WINDOW, ReplayWindow
-from pearhill.membership.reporter import BYTES_PER_S, GONE, HEADERS, AggregatorSite, Reporter
+from pearhill.membership.aggregator import (
+    PARTITION_TIMEOUT_US,
+    SILENCE_TIMEOUT_US,
+    SLOT_IDLE_US,
+    AGGREGATOR_TICK_US,
+    Aggregator,
+)
+from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, MessageRejectedError
+from pearhill.membership.replay_window import WINDOW_MESSAGES, ReplayWindow
+from pearhill.membership.reporter import HEADER_BYTES, MAX_BYTES_PER_S, MAX_SUMS_AGE_US, AggregatorSite, Reporter
 
 S = 1_000_000
 KEY = b"k" * 32
 STEP = 1.07**1.5  # three times rounded to the nearest code: my report, a part, the sums
-LATELY = LEASE + PART_LEASE + GONE + 2 * S  # what was said before that is in nobody's sums
+LATELY = LEASE_US + PARTIAL_SUM_LEASE_US + MAX_SUMS_AGE_US + 2 * S  # what was said before that is in nobody's sums
 SITES = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
 
 
@@ -98,7 +104,7 @@
     def start_aggregator(self, name: str) -> None:
         self.stalled.pop(name, None)
         self.aggregators[name] = made = Aggregator(name, [s.name for s in SITES], self.now, random.Random(1))
-        self.at(self.rng.randrange(BEAT), "beat", (name, made))
+        self.at(self.rng.randrange(AGGREGATOR_TICK_US), "beat", (name, made))
 
     def up(self, name: str = "") -> list[Process]:
         return [p for p in self.processes if p.up and name in ("", p.name)]
@@ -143,14 +149,18 @@
                 if self.aggregators.get(name) is made:
                     if name not in self.stalled:
                         self.send(name, made.tick(self.now))
-                    self.at(BEAT, "beat", thing)
+                    self.at(AGGREGATOR_TICK_US, "beat", thing)
             elif what == "report":
                 if thing.up:
                     if not thing.stalled and self.now >= thing.reporter.next_tick(self.now):
                         moves = thing.reporter.moves
                         self.send(thing, thing.reporter.tick(self.now))
                         self.most_moves[self.now // 250_000] += thing.reporter.moves - moves
-                    self.at(max(1_000, min(BEAT, thing.reporter.next_tick(self.now) - self.now)), "report", thing)
+                    self.at(
+                        max(1_000, min(AGGREGATOR_TICK_US, thing.reporter.next_tick(self.now) - self.now)),
+                        "report",
+                        thing,
+                    )
             else:
                 self.take(*thing)
         self.now = end
@@ -183,7 +193,7 @@
         wrong = []
         for p in self.up():
             for other in self.processes:
-                told = p.reporter.theirs(self.now, other.engine)
+                told = p.reporter.peer_load(self.now, other.engine)
                 load = other.load if other.up and other is not p else 0
                 if told is None or not load / STEP <= told.total_tokens <= load * STEP:
                     wrong.append(f"{p.name} {p.reporter.figures(self.now)}: {told} of {other.name}, who has {load}")
@@ -192,7 +202,7 @@
     def check(self) -> None:
         for p in self.up():
             for other in self.processes:
-                told = p.reporter.theirs(self.now, other.engine)
+                told = p.reporter.peer_load(self.now, other.engine)
                 if told is not None:
                     most = other.most_lately(self.now) if other is not p else 0
                     assert (
@@ -215,7 +225,7 @@
         self.world = World(count, seed)
         self.world.checked(2 * S)
 
-    @rule(micros=st.sampled_from((BEAT // 3, S, 4 * S, 12 * S)))
+    @rule(micros=st.sampled_from((AGGREGATOR_TICK_US // 3, S, 4 * S, 12 * S)))
     def time_passes(self, micros):
         self.world.checked(micros)
 
@@ -339,9 +349,9 @@
         leaving.up = False
         world.checked(S)
         self.assertEqual(world.counts(), {6})
-        world.checked(LEASE + PART_LEASE)
+        world.checked(LEASE_US + PARTIAL_SUM_LEASE_US)
         self.assertEqual(world.astray(), [])  # the work of both is gone
-        world.checked(SILENT - 6 * S)  # elsewhere its silence is told a second too long
+        world.checked(SILENCE_TIMEOUT_US - 6 * S)  # elsewhere its silence is told a second too long
         self.assertEqual(world.counts(), {6})
         world.checked(3 * S)
         self.assertEqual(world.counts(), {5})
@@ -351,7 +361,7 @@
         world.run(12 * S)
         del world.aggregators["a1"]
         for n in range(160):
-            world.run(BEAT)
+            world.run(AGGREGATOR_TICK_US)
             self.assertEqual(world.counts(), {24})
             if n % 4 == 0:
                 world.check()
@@ -365,7 +375,7 @@
         per_window = []
         for n in range(140):
             moved = sum(p.reporter.moves - before[p] for p in world.up())
-            world.run(BEAT * 5 // 2)
+            world.run(AGGREGATOR_TICK_US * 5 // 2)
             if n % 5 == 0:
                 world.check()
             self.assertEqual(world.counts(), {24})
@@ -378,7 +388,7 @@
         world = World(24, 4)
         world.run(12 * S)
         world.aggregators.clear()
-        world.run(GONE)
+        world.run(MAX_SUMS_AGE_US)
         for p in world.up():
             self.assertEqual(p.reporter.others(world.now, 1, 0, 30), (0.0, 23 * 30.0, 0.0))
         world.run(10 * S)
@@ -402,7 +412,7 @@
 
     def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(self):
         for count, sides in ((3, ("r2",)), (9, ("r2",)), (9, ("r0", "r1", "r2"))):
-            with self.subTest(count=count, sides=sides), mock.patch.object(reporter, "PACE", 500_000):
+            with self.subTest(count=count, sides=sides), mock.patch.object(reporter, "REPORT_INTERVAL_US", 500_000):
                 world = World(count, 5)
                 world.run(14 * S)
                 world.cut("r2")
@@ -419,7 +429,7 @@
                     continue
                 for p in world.up():
                     p.up = p.region == "r0"  # they had died there
-                world.run(CUT)
+                world.run(PARTITION_TIMEOUT_US)
                 self.assertEqual(world.counts(), {3})
 
     def test_one_that_starts_anew_takes_its_own_place(self):
@@ -428,7 +438,7 @@
         world.processes[0].up = False
         world.start("d0", "r1")  # elsewhere: its work waits until the old one's is surely over
         for _ in range(60):
-            world.checked(BEAT)
+            world.checked(AGGREGATOR_TICK_US)
             self.assertEqual({c for c in world.counts() if c is not None}, {5})
         self.assertEqual(world.astray(), [])
 
@@ -473,8 +483,8 @@
                 for f in frames:
                     size = len(pack(f))  # ValueError: too long
                     if isinstance(sender, Process) and sender.name == "d0" or f.to == "d0":
-                        total["d0"] += size + HEADERS
-                        seen.append((world.now, size + HEADERS))
+                        total["d0"] += size + HEADER_BYTES
+                        seen.append((world.now, size + HEADER_BYTES))
                     if isinstance(sender, Process):
                         sender.reporter.sent(size)
                     world.at(
@@ -492,8 +502,8 @@
             world.run(20 * S)
         for start in range(20):
             within = sum(size for at, size in seen if 0 <= at - 1_000 * S - start * S < S)
-            self.assertLessEqual(within, BYTES_PER_S + BYTES_PER_S // 2 + 3 * MAX_BYTES)
-        self.assertLessEqual(total["d0"], 21 * BYTES_PER_S)
+            self.assertLessEqual(within, MAX_BYTES_PER_S + MAX_BYTES_PER_S // 2 + 3 * MAX_DATAGRAM_BYTES)
+        self.assertLessEqual(total["d0"], 21 * MAX_BYTES_PER_S)
         self.assertEqual(len(world.processes[0].reporter._tables["a0"].slot_of), 940)
 
 
@@ -561,14 +571,16 @@
             (asked,) = r.tick(now)
             r.receive(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
             for engine in (70, 73, 99):
-                self.assertEqual(r.theirs(now, engine) is not None, told)
+                self.assertEqual(r.peer_load(now, engine) is not None, told)
                 if not told:
                     self.assertEqual(r.others(now, engine, 2, 3), (8.0, 12.0, 0.0))
         now = r.next_tick(now)
         (asked,) = r.tick(now)
         r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
-        self.assertIsNone(r.theirs(now, 80))  # the last sums of slot 0 were engine 70's
-        self.assertEqual((r.theirs(now, 70).total_tokens, r.theirs(now, 71).total_tokens), (0, gauges.TOKENS[100]))
+        self.assertIsNone(r.peer_load(now, 80))  # the last sums of slot 0 were engine 70's
+        self.assertEqual(
+            (r.peer_load(now, 70).total_tokens, r.peer_load(now, 71).total_tokens), (0, gauges.TOKENS[100])
+        )
 
 
 def report(number: int = 1, **changed: object) -> Report:
@@ -585,11 +597,11 @@
         "leaving": False,
         "known_incarnation": 0,
         "known_version": 0,
-        "first": 0,
+        "first_slot": 0,
         "loads": b"\0",
         "waits": b"\0",
-        "news": (),
-        "slots": 0,
+        "unassigned": (),
+        "slot_count": 0,
         "echo": -1,
     }
     return Report(**fields | changed)  # type: ignore[arg-type]
@@ -599,7 +611,7 @@
     def test_a_slot_gets_another_engine_and_old_words_of_it_count_nowhere(self):
         now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
-        a.receive(now, report(2, known_incarnation=now, echo=1, news=((7, 100, 150),)))
+        a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
         self.assertEqual(a._loads, [gauges.TOKENS[150]])
         a.receive(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
         later = now + S
@@ -607,46 +619,48 @@
             later += S
             a.receive(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
             a.tick(later)
-        a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, news=((8, 9, 99),)))
+        a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, unassigned=((8, 9, 99),)))
         self.assertEqual((a._engines, a.version, a.reused), ([8], 2, 2))
         packed = gauges.pack(bytes((120,)))
         a.receive(
-            later, report(51, known_incarnation=now, echo=50, known_version=1, slots=1, loads=packed, waits=packed)
+            later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
         )
         self.assertEqual(a._loads, [0])  # it meant engine 7
         (answer,) = a.receive(
-            later, report(52, known_incarnation=now, echo=50, known_version=2, slots=1, loads=packed, waits=packed)
+            later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
         )
         self.assertEqual((a._loads, answer.entries), ([gauges.TOKENS[120]], ()))
-        self.assertGreater(later - now, IDLE)
+        self.assertGreater(later - now, SLOT_IDLE_US)
 
     def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(self):
         now, news = 1_000 * S, ((7, 100, 150),)
         for quiet, wait, echo, counts in (
-            (0, MOVED - 1, True, False),
-            (0, MOVED, True, True),
+            (0, COMBINED_LEASE_US - 1, True, False),
+            (0, COMBINED_LEASE_US, True, True),
             (3_500, 0, True, True),
-            (-1, MOVED - 1, True, False),
+            (-1, COMBINED_LEASE_US - 1, True, False),
             (60_000, 0, False, False),
         ):
             with self.subTest(quiet=quiet, wait=wait, echo=echo):
                 a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
                 for k in range(wait // S + 2):
                     at = now + max(0, k - 1) * S
-                    a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, news=news))
-                a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, news=news))
+                    a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, unassigned=news))
+                a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, unassigned=news))
                 self.assertEqual(sum(a._loads) > 0, counts)
 
     def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
-        a.receive(now, report(4, known_incarnation=now, echo=1, news=((7, 100, 150),)))
-        a.receive(now, report(3, known_incarnation=now, echo=1, news=((7, 50, 60),)))  # it was overtaken
+        a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
+        a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it was overtaken
         self.assertEqual(a._loads, [gauges.TOKENS[150]])
         for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
             a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
             self.assertEqual((a._loads, a.count(now)), ([load], 1))
-        a.receive(now, report(5, known_incarnation=now, echo=4, news=((7, 100, 150),)))  # late, of the stay before
+        a.receive(
+            now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),))
+        )  # late, of the stay before
         self.assertEqual((a._loads, list(a.members)), ([0], []))
         a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
         self.assertEqual((a.count(now), sorted(a.known)), (0, ["d0"]))
@@ -656,12 +670,12 @@
         a.tick(now)
         a.receive(now, report(1))
         a.receive(now, report(2, known_incarnation=now, echo=1))
-        for wait in (2 * SILENT, SILENT, BEAT):
+        for wait in (2 * SILENCE_TIMEOUT_US, SILENCE_TIMEOUT_US, AGGREGATOR_TICK_US):
             now += wait
             a.tick(now)
             self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 0))
-        for _ in range(SILENT // BEAT + 1):
-            now += BEAT
+        for _ in range(SILENCE_TIMEOUT_US // AGGREGATOR_TICK_US + 1):
+            now += AGGREGATOR_TICK_US
             a.tick(now)
         self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 1))  # all that there were fell silent: a cut
 
@@ -675,8 +689,8 @@
             a.receive(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
             a.receive(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
         a.tick(now)
-        for k in range((SILENT + S) // BEAT):
-            now += BEAT
+        for k in range((SILENCE_TIMEOUT_US + S) // AGGREGATOR_TICK_US):
+            now += AGGREGATOR_TICK_US
             for n in range(2, 6):  # one is dead by now
                 at = 5 + k
                 a.receive(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
@@ -686,10 +700,10 @@
     def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
-        for wait, answers in ((LEASE // 2, []), (LEASE, [HelloAck])):
+        for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
             hello = Hello("d0", "a0", 4, 1, 77)  # a report's incarnation is 5
             self.assertEqual([type(f) for f in a.receive(now + wait, hello)], answers)
-        self.assertEqual([type(f) for f in a.receive(now + 2 * LEASE, report(2, incarnation=4))], [Superseded])
+        self.assertEqual([type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))], [Superseded])
 
     def test_what_comes_twice_or_from_strangers_is_not_taken(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
@@ -712,8 +726,8 @@
             (1, 4, True),
             (1, 4, False),
             (1, 2_000, True),
-            (1, 2_000 - WINDOW, False),
-            (1, 2_001 - WINDOW, True),
+            (1, 2_000 - WINDOW_MESSAGES, False),
+            (1, 2_001 - WINDOW_MESSAGES, True),
             (2, 1, True),
             (1, 2_001, False),
         ):
@@ -729,7 +743,7 @@
         self.assertEqual((world.counts(), world.astray()), ({6}, []))
         world.aggregators["a0"].reconfigure([], world.now)
         world.checked(3 * S)
-        told = p.reporter.theirs(world.now, 4)  # of d3, at a0
+        told = p.reporter.peer_load(world.now, 4)  # of d3, at a0
         self.assertEqual(world.aggregators["a0"].figures(world.now)["peers"], {})
         self.assertIsNotNone(told)
 
@@ -737,7 +751,7 @@
 class Codec(unittest.TestCase):
     ONE, TWO = gauges.pack(bytes((9,) * 40)), gauges.pack(bytes((0, 3) * 20))
     FRAMES = (
-        report(3, loads=ONE, waits=TWO, slots=40, news=(((1 << 64) - 1, 1, 255),)),
+        report(3, loads=ONE, waits=TWO, slot_count=40, unassigned=(((1 << 64) - 1, 1, 255),)),
         Sums("a0", "d0", 1 << 50, 7, 3, -1, 330, 330, 9, 8, 0, 2, 512, ONE, TWO, ((0, 1 << 63, 9),), 40, False),
         PartialSum("a0", "a1", 1 << 50, 8, 110, 110, 1 << 50, 3, 9, 8, 1, 2, 512, ONE, TWO, (), 40, 6),
         MemberList("a0", "a1", 5, 9, 0, 1, (("d0", 1 << 50, 2, -1),)),
@@ -749,7 +763,7 @@
     def test_frames_come_back_as_they_were_and_the_largest_fit(self):
         codec, noise = AggregationCodec([KEY]), random.Random(1).randbytes(512)
         a, b, version = "x" * 96, "y" * 96, 1 << 40
-        entries = tuple((MOST_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(ENTRIES))
+        entries = tuple((MAX_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(MAX_TABLE_ENTRIES))
         raw = gauges.pack(noise)
         most = 1 << 31
         largest = (
@@ -788,25 +802,25 @@
 
         bad = (
             report(loads=b"\0x"),
-            report(slots=3),
-            report(loads=b"\x01\xff", slots=8),
+            report(slot_count=3),
+            report(loads=b"\x01\xff", slot_count=8),
             report(loads=b"\x07"),
-            report(loads=b"\x02\xff\xff", slots=8),
+            report(loads=b"\x02\xff\xff", slot_count=8),
             report(part=1),
             report(parts=33),
             report(number=-1),
             report(incarnation=1 << 63),
-            report(first=MOST_SLOTS),
-            report(first=MOST_SLOTS - 1, slots=2, loads=b"\0xx", waits=b"\0xx"),
-            report(news=((1, 256, 0),)),
-            report(news=((-1, 2, 0),)),
+            report(first_slot=MAX_SLOTS),
+            report(first_slot=MAX_SLOTS - 1, slot_count=2, loads=b"\0xx", waits=b"\0xx"),
+            report(unassigned=((1, 256, 0),)),
+            report(unassigned=((-1, 2, 0),)),
             report(sender=""),
             report(echo=-2),
         )
         for data, reason in (
             (b"", "size"),
             (good[:17], "size"),
-            (good + b"x" * MAX_BYTES, "size"),
+            (good + b"x" * MAX_DATAGRAM_BYTES, "size"),
             (b"\x01" + good[1:], "version"),
             (good[:-1], "forged"),
             (good + b"\0", "forged"),
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -12,8 +12,8 @@
 
 from pearhill.load_reports.peer_loads import FADE, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
-from pearhill.membership.gossip_messages import MAX_BYTES, GossipCodec, MessageRejectedError
-from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, GossipCodec, MessageRejectedError
+from pearhill.membership.members import ALIVE, DEAD, SUSPECT, GOSSIP_TICK_US, Ack, MemberUpdate, Ping, PingRequest
 
 S = 1_000_000
 KEY = b"k" * 32
@@ -44,7 +44,7 @@
         # Each has so many tokens at engine 1: its own power of ten, so that a sum shows whose it holds.
         rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
         self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
-        self.at(self.rng.randrange(BEAT), "beat", (name, self.up[name]))
+        self.at(self.rng.randrange(GOSSIP_TICK_US), "beat", (name, self.up[name]))
 
     def send(self, sender: str, messages: list[GossipMessage]) -> None:
         for m in messages:
@@ -59,7 +59,7 @@
         if to not in self.up:
             return
         if to in self.stalled:
-            return self.at(2 * BEAT, "datagram", (to, data))  # its socket keeps it, past its next beat
+            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # its socket keeps it, past its next beat
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
@@ -71,7 +71,7 @@
                 if self.up.get(name) is council:
                     if name not in self.stalled:
                         self.send(name, council.tick(self.now))
-                    self.at(BEAT, "beat", thing)
+                    self.at(GOSSIP_TICK_US, "beat", thing)
             else:
                 self.take(*thing)
         self.now = end
@@ -90,7 +90,7 @@
         self.net = Net(count, seed)
         self.net.run(2 * S)
 
-    @rule(micros=st.sampled_from((BEAT // 3, BEAT, S, 4 * S)))
+    @rule(micros=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
     def time_passes(self, micros):
         self.net.run(micros)
 
@@ -137,10 +137,10 @@
     @invariant()
     def no_work_is_counted_twice(self):
         for name, council in getattr(self, "net", Net(0, 0)).up.items():
-            others = council.work.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
-            known = sum(10 ** self.net.names.index(n) for n in council.work._last if n != name)
+            others = council.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
+            known = sum(10 ** self.net.names.index(n) for n in council.peer_loads._last if n != name)
             # Fresh word alone, without what is assumed of those who say nothing: never more than each has said.
-            worth = 1 + sum(council.work._sure(self.net.now, n) for n in self.net.names)
+            worth = 1 + sum(council.peer_loads._sure(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self):
@@ -175,11 +175,11 @@
     side = net.names[:4]
     net.cuts = {(a, b) for a in net.names for b in net.names if (a in side) != (b in side)}
     net.run(20 * S)
-    assert {len(c.members.there()) for c in net.up.values()} == {4}
+    assert {len(c.members.reachable()) for c in net.up.values()} == {4}
     assert {c.count(net.now) for c in net.up.values()} == {8}  # each half goes on sending for itself
     net.cuts.clear()
     net.run(4 * S)
-    assert {len(c.members.there()) for c in net.up.values()} == {8}
+    assert {len(c.members.reachable()) for c in net.up.values()} == {8}
 
 
 def test_one_that_stood_still_condemns_nobody_and_is_believed_again():
@@ -203,11 +203,11 @@
     net.run(3 * S)
     del net.up["d1"]
     while net.views()["d0"]["d1"] == ALIVE:
-        net.run(BEAT)
+        net.run(GOSSIP_TICK_US)
     net.stalled = {"d0"}
     net.run(6 * S)
     net.stalled.clear()
-    net.run(BEAT)
+    net.run(GOSSIP_TICK_US)
     assert net.views()["d0"]["d1"] == SUSPECT
     net.run(3 * S)
     assert net.views()["d0"]["d1"] == DEAD
@@ -230,7 +230,7 @@
     net.run(3 * S)
     net.cuts = {("d0", "d1")}
     for _ in range(40):
-        net.run(BEAT)
+        net.run(GOSSIP_TICK_US)
         assert all(DEAD not in view.values() for view in net.views().values())
 
 
@@ -269,7 +269,9 @@
     packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
     back = GossipCodec([KEY]).unpack(packed, "d2")
     assert (
-        len(packed) <= MAX_BYTES and len(back.loads) >= 40 and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
+        len(packed) <= MAX_DATAGRAM_BYTES
+        and len(back.loads) >= 40
+        and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
     )
 
 
@@ -277,7 +279,7 @@
     ("spoil", "reason"),
     [
         (lambda d: d[:10], "size"),
-        (lambda d: d + b"x" * MAX_BYTES, "size"),
+        (lambda d: d + b"x" * MAX_DATAGRAM_BYTES, "size"),
         (lambda d: b"", "size"),
         (lambda d: b"\x02" + d[1:], "version"),
         (lambda d: d[:-1], "forged"),
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pearhill.membership.peer_load_source import CombinedLoadSource
-from pearhill.membership.reporter import GONE
+from pearhill.membership.reporter import MAX_SUMS_AGE_US
 
 
 class Way:
@@ -25,7 +25,7 @@
 
 class WhoseWord(unittest.TestCase):
     def test_sums_while_they_count_all_that_talk_else_the_talk(self):
-        gone = GONE / 1e6
+        gone = MAX_SUMS_AGE_US / 1e6
         for what, sums, talk, count, in_use, load in (
             ("neither", None, None, None, "", 0.0),
             ("the talk alone", None, Way(4, 7, 0.5), 4, "talk", 7),
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -12,8 +12,8 @@
 from pearhill.membership.aggregator import Aggregator
 from pearhill.membership.gossip_messages import MessageRejectedError
 from pearhill.net.aggregation import Aggregation
-from pearhill.net.datagrams import TOLD_EVERY, Datagrams
-from pearhill.net.reporting import LEAST_WAIT, Reporting
+from pearhill.net.datagrams import REJECTION_LOG_INTERVAL_US, Datagrams
+from pearhill.net.reporting import MIN_TICK_INTERVAL_US, Reporting
 
 S = 1_000_000
 CODEC = AggregationCodec([b"k" * 16])
@@ -51,7 +51,7 @@
             if len(data) > 1:
                 raise MessageRejectedError("forged")
 
-        self.datagrams.takers[2] = taker
+        self.datagrams.receivers[2] = taker
         for data in (b"\2", b"\2x", b"\2x", b"\1", b""):
             self.datagrams.datagram_received(data, ("10.0.0.9", 77))
         self.assertEqual(
@@ -59,8 +59,8 @@
             {"received": 5, "bytes_in": 6, "taken": 1, "rejected forged": 2, "rejected version": 1, "rejected size": 1},
         )
         self.assertEqual(len(self.lines), 1)
-        self.run_for(TOLD_EVERY)
-        self.run_for(2 * TOLD_EVERY)  # nothing new, nothing told
+        self.run_for(REJECTION_LOG_INTERVAL_US)
+        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing told
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
         self.assertEqual(
             [str(line).strip() for line in self.lines],
@@ -98,7 +98,7 @@
         case = self
 
         class Eager:
-            me, beats, sizes = "d1", list[int](), list[int]()
+            name, beats, sizes = "d1", list[int](), list[int]()
 
             def next_tick(self, now: int) -> int:
                 return max(now, self.due)
@@ -131,12 +131,14 @@
         self.data = CODEC.pack(HelloAck("a1", "d1", 5, 1, 9))
         for _ in range(5):  # one that always has something due is asked now and then, also after a fault
             with contextlib.suppress(ValueError):
-                self.run_for(LEAST_WAIT)
+                self.run_for(MIN_TICK_INTERVAL_US)
         for _ in range(100):
             self.datagrams.datagram_received(self.data, at)
-            self.run_for(LEAST_WAIT // 10)
+            self.run_for(MIN_TICK_INTERVAL_US // 10)
         self.assertGreaterEqual(len(reporter.beats), 14)
-        self.assertTrue(all(b - a >= LEAST_WAIT for a, b in zip(reporter.beats, reporter.beats[1:], strict=False)))
+        self.assertTrue(
+            all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.beats, reporter.beats[1:], strict=False))
+        )
         self.assertEqual(counts[:2], [2, 3])
         driver.close()  # takes leave, and says and hears nothing more
         self.assertEqual([(len(data), address) for data, address in self.sent], [(reporter.sizes[0], at)])
