--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -39,15 +39,11 @@
 from pearhill.membership.aggregator import (
     AGGREGATOR_TICK_US,
     MEMBER_LIST_INTERVAL_US,
-    PARTITION_TIMEOUT_US,
-    SILENCE_TIMEOUT_US,
-    SLOT_IDLE_US,
-    SNAPSHOT_INTERVAL_PER_SLOT_US,
-    SNAPSHOT_INTERVAL_US,
     Aggregator,
 )
 from pearhill.membership.gossip import GossipMessage
 from pearhill.membership.gossip_messages import TAG_BYTES, GossipCodec
+from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
 from pearhill.membership.members import (
     ALIVE,
     GOSSIP_TICK_US,
@@ -73,6 +69,8 @@
     AggregatorSite,
     Reporter,
 )
+from pearhill.membership.slot_table import SLOT_IDLE_US
+from pearhill.membership.snapshots import SNAPSHOT_INTERVAL_PER_SLOT_US, SNAPSHOT_INTERVAL_US
 from pearhill.net.health_checks import MOST_OUT
 from pearhill.net.pool import MAX_ANSWER
 from pearhill.net.releases import UNANSWERED as RELEASES
--- /dev/null
+++ b/pearhill/membership/gauge_ranges.py
@@ -0,0 +1,37 @@
+"""Gauges of a whole slot table cut into ranges that each fit one datagram."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from pearhill.membership.aggregation_messages import MAX_PACKED_GAUGE_BYTES, SLOTS_PER_PART
+from pearhill.membership.gauges import pack
+
+
+class GaugeRange(NamedTuple):
+    """Packed gauges of `slot_count` slots from `first_slot` on: all tokens, and those still queued."""
+
+    first_slot: int
+    slot_count: int
+    loads: bytes
+    waits: bytes
+
+
+EMPTY_RANGE = GaugeRange(0, 0, b"\0", b"\0")
+
+
+def split_into_ranges(loads: bytes, waits: bytes, reserved_bytes: int = 0) -> list[GaugeRange]:
+    """One range if its packed gauges and `reserved_bytes` fit a datagram, else one for each SLOTS_PER_PART slots.
+
+    `loads` and `waits` are codes by slot, equally long.
+    """
+    whole = GaugeRange(0, len(loads), pack(loads), pack(waits))
+    if len(whole.loads) + len(whole.waits) + reserved_bytes <= MAX_PACKED_GAUGE_BYTES:
+        return [whole]
+    return [_range_from(first_slot, loads, waits) for first_slot in range(0, len(loads), SLOTS_PER_PART)]
+
+
+def _range_from(first_slot: int, loads: bytes, waits: bytes) -> GaugeRange:
+    some_loads = loads[first_slot : first_slot + SLOTS_PER_PART]
+    some_waits = waits[first_slot : first_slot + SLOTS_PER_PART]
+    return GaugeRange(first_slot, len(some_loads), pack(some_loads), pack(some_waits))
--- /dev/null
+++ b/pearhill/membership/snapshots.py
@@ -0,0 +1,55 @@
+"""The sums of all reported work at one moment, as many answers carry them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from pearhill.membership.gauge_ranges import GaugeRange, split_into_ranges
+from pearhill.membership.gauges import encode
+from pearhill.membership.peer_aggregator import PeerAggregator
+from pearhill.membership.reported_work import ReportedWork
+
+SNAPSHOT_INTERVAL_US = 10_000  # sums are made again after so long, and so much longer for each slot:
+SNAPSHOT_INTERVAL_PER_SLOT_US = 50
+
+
+@dataclass(slots=True)
+class Snapshot:
+    """Sums over all slots, made at `taken_at` microseconds from the work of `reporting` dispatchers."""
+
+    taken_at: int
+    reporting: int
+    included: dict[str, tuple[int, int]]  # by dispatcher that reports here: its start, the report's number
+    ranges: list[GaugeRange]
+
+    def is_due(self, now: int, slot_count: int) -> bool:
+        """Whether the sums are to be made again."""
+        return now - self.taken_at >= max(SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * slot_count)
+
+    def included_report(self, name: str, incarnation: int) -> int:
+        """The number of that dispatcher's report that is in the sums; -1: none of that start."""
+        started, number = self.included.get(name, (-1, -1))
+        return number if started == incarnation else -1
+
+
+def take_snapshot(now: int, work: ReportedWork, peers: Iterable[PeerAggregator]) -> Snapshot:
+    """Sum up the work that is reported here and the fresh sums of the other aggregators."""
+    work.expire(now)
+    loads = list(work.totals.loads)
+    waits = list(work.totals.waits)
+    reporting = 0
+    for peer in peers:
+        if peer.is_fresh(now):
+            reporting += peer.reporting
+            loads[: len(peer.loads)] = map(float.__add__, loads, peer.loads)
+            waits[: len(peer.waits)] = map(float.__add__, waits, peer.waits)
+    included = work.counted_reports()
+    return Snapshot(now, reporting + len(included), included, gauge_ranges(loads, waits))
+
+
+def gauge_ranges(loads: list[float], waits: list[float]) -> list[GaugeRange]:
+    """Tokens by slot as gauges, in as few ranges as datagrams allow; none where there are no slots."""
+    if not loads:
+        return []
+    return split_into_ranges(bytes(map(encode, loads)), bytes(map(encode, waits)))
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -32,16 +32,12 @@
     Sums,
     Superseded,
 )
-from pearhill.membership.aggregator import (
-    PARTITION_TIMEOUT_US,
-    SILENCE_TIMEOUT_US,
-    SLOT_IDLE_US,
-    AGGREGATOR_TICK_US,
-    Aggregator,
-)
+from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, MessageRejectedError
+from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
 from pearhill.membership.replay_window import WINDOW_MESSAGES, ReplayWindow
 from pearhill.membership.reporter import HEADER_BYTES, MAX_BYTES_PER_S, MAX_SUMS_AGE_US, AggregatorSite, Reporter
+from pearhill.membership.slot_table import SLOT_IDLE_US
 
 S = 1_000_000
 KEY = b"k" * 32
@@ -448,7 +444,7 @@
         old = world.processes[0]
         new = world.start("d0", "r0")
         world.checked(8 * S)
-        self.assertEqual(world.aggregators["a0"].known["d0"].stay[0], new.reporter.incarnation)
+        self.assertEqual(world.aggregators["a0"].directory.records["d0"].incarnation.started, new.reporter.incarnation)
         self.assertLess(old.reporter.incarnation, new.reporter.incarnation)
         new.up = False
         world.checked(30 * S)
@@ -612,7 +608,7 @@
         now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
         a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
-        self.assertEqual(a._loads, [gauges.TOKENS[150]])
+        self.assertEqual(a.work.totals.loads, [gauges.TOKENS[150]])
         a.receive(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
         later = now + S
         for k in range(4, 44):
@@ -620,16 +616,16 @@
             a.receive(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
             a.tick(later)
         a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, unassigned=((8, 9, 99),)))
-        self.assertEqual((a._engines, a.version, a.reused), ([8], 2, 2))
+        self.assertEqual((a.table.replicas, a.table.version, a.table.reused_version), ([8], 2, 2))
         packed = gauges.pack(bytes((120,)))
         a.receive(
             later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
         )
-        self.assertEqual(a._loads, [0])  # it meant engine 7
+        self.assertEqual(a.work.totals.loads, [0])  # it meant engine 7
         (answer,) = a.receive(
             later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
         )
-        self.assertEqual((a._loads, answer.entries), ([gauges.TOKENS[120]], ()))
+        self.assertEqual((a.work.totals.loads, answer.entries), ([gauges.TOKENS[120]], ()))
         self.assertGreater(later - now, SLOT_IDLE_US)
 
     def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(self):
@@ -647,23 +643,23 @@
                     at = now + max(0, k - 1) * S
                     a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, unassigned=news))
                 a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, unassigned=news))
-                self.assertEqual(sum(a._loads) > 0, counts)
+                self.assertEqual(sum(a.work.totals.loads) > 0, counts)
 
     def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
         a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
         a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it was overtaken
-        self.assertEqual(a._loads, [gauges.TOKENS[150]])
+        self.assertEqual(a.work.totals.loads, [gauges.TOKENS[150]])
         for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
             a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
-            self.assertEqual((a._loads, a.count(now)), ([load], 1))
+            self.assertEqual((a.work.totals.loads, a.count(now)), ([load], 1))
         a.receive(
             now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),))
         )  # late, of the stay before
-        self.assertEqual((a._loads, list(a.members)), ([0], []))
+        self.assertEqual((a.work.totals.loads, list(a.work.members)), ([0], []))
         a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
-        self.assertEqual((a.count(now), sorted(a.known)), (0, ["d0"]))
+        self.assertEqual((a.count(now), sorted(a.directory.records)), (0, ["d0"]))
 
     def test_an_aggregator_that_stood_still_forgets_nobody_for_that(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -13,7 +13,7 @@
 from pearhill.load_reports.peer_loads import FADE, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, GossipCodec, MessageRejectedError
-from pearhill.membership.members import ALIVE, DEAD, SUSPECT, GOSSIP_TICK_US, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.members import ALIVE, DEAD, GOSSIP_TICK_US, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
 
 S = 1_000_000
 KEY = b"k" * 32
