--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -26,10 +26,12 @@
 from pearhill.membership import aggregator
 from pearhill.membership.aggregation_messages import AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator import Aggregator
+from pearhill.membership.aggregator_choice import AggregatorSite
+from pearhill.membership.byte_budget import HEADER_BYTES
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.members import GOSSIP_TICK_US
-from pearhill.membership.reporter import HEADER_BYTES, AggregatorSite, Reporter
+from pearhill.membership.reporter import Reporter
 
 S = 1_000_000
 TOKENS, HOLD, WARM = 1000, 0.5, 5  # of a request; mean seconds that it holds an engine; seconds not counted
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -17,7 +17,7 @@
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.setup import EurekaSetup
-from pearhill.membership.reporter import AggregatorSite
+from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.net.address import Address
 from pearhill.net.fleet import FleetSetup
 from pearhill.routing.topology import Endpoint, Phase, Role
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -41,6 +41,17 @@
     MEMBER_LIST_INTERVAL_US,
     Aggregator,
 )
+from pearhill.membership.aggregator_choice import (
+    ANSWER_TIMEOUT_US,
+    HELLOS_TO_RETURN,
+    MAX_BACKOFF_US,
+    MAX_HELLO_INTERVAL_US,
+    MAX_UNANSWERED_REPORTS,
+    MIN_BACKOFF_US,
+    MIN_HELLO_INTERVAL_US,
+    AggregatorSite,
+)
+from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from pearhill.membership.gossip import GossipMessage
 from pearhill.membership.gossip_messages import TAG_BYTES, GossipCodec
 from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
@@ -53,22 +64,9 @@
     MemberUpdate,
     Ping,
 )
-from pearhill.membership.reporter import (
-    ANSWER_TIMEOUT_US,
-    HEADER_BYTES,
-    HELLOS_TO_RETURN,
-    MAX_BACKOFF_US,
-    MAX_BYTES_PER_S,
-    MAX_HELLO_INTERVAL_US,
-    MAX_REMEMBERED_REPORTS,
-    MAX_SUMS_AGE_US,
-    MAX_UNANSWERED_REPORTS,
-    MIN_BACKOFF_US,
-    MIN_HELLO_INTERVAL_US,
-    REPORT_INTERVAL_US,
-    AggregatorSite,
-    Reporter,
-)
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
+from pearhill.membership.reporter import REPORT_INTERVAL_US, Reporter
+from pearhill.membership.sent_reports import MAX_REMEMBERED_REPORTS
 from pearhill.membership.slot_table import SLOT_IDLE_US
 from pearhill.membership.snapshots import SNAPSHOT_INTERVAL_PER_SLOT_US, SNAPSHOT_INTERVAL_US
 from pearhill.net.health_checks import MOST_OUT
--- a/pearhill/membership/gauge_ranges.py
+++ b/pearhill/membership/gauge_ranges.py
@@ -20,14 +20,19 @@
 EMPTY_RANGE = GaugeRange(0, 0, b"\0", b"\0")
 
 
-def split_into_ranges(loads: bytes, waits: bytes, reserved_bytes: int = 0) -> list[GaugeRange]:
-    """One range if its packed gauges and `reserved_bytes` fit a datagram, else one for each SLOTS_PER_PART slots.
+def single_range(loads: bytes, waits: bytes, reserved_bytes: int = 0) -> GaugeRange | None:
+    """All slots in one range; None: packed, and with `reserved_bytes` beside them, they do not fit a datagram.
 
     `loads` and `waits` are codes by slot, equally long.
     """
     whole = GaugeRange(0, len(loads), pack(loads), pack(waits))
-    if len(whole.loads) + len(whole.waits) + reserved_bytes <= MAX_PACKED_GAUGE_BYTES:
-        return [whole]
+    if len(whole.loads) + len(whole.waits) + reserved_bytes > MAX_PACKED_GAUGE_BYTES:
+        return None
+    return whole
+
+
+def split_into_ranges(loads: bytes, waits: bytes) -> list[GaugeRange]:
+    """A range for each SLOTS_PER_PART slots, which fits a datagram however little it can be packed."""
     return [_range_from(first_slot, loads, waits) for first_slot in range(0, len(loads), SLOTS_PER_PART)]
 
 
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from pearhill.membership.gossip import GossipProtocol
-from pearhill.membership.reporter import MAX_SUMS_AGE_US, Reporter
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
+from pearhill.membership.reporter import Reporter
 
 SOURCE_SUMS, SOURCE_GOSSIP = "sums", "talk"
 
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -1,486 +1,361 @@
-"""A dispatcher's part: it reports its own work to one aggregator, and makes of the sums in its answers what the
-others have.
+"""A dispatcher reports its own work to one aggregator, and makes of the sums in the answers what the others have.
 
-Its own region's aggregator comes first, the others in rendezvous order (Thaler and Ravishankar, 1996), so that those
-who lose one share the rest. Sums hold my own work as of some earlier report; it is taken off again. They fade with age,
-not to nothing but to what I have myself, each: who cannot be heard still sends, as far as anybody knows. Times are
-microseconds of the caller's clock.
+Times are microseconds of the caller's clock.
 """
 
 from __future__ import annotations
 
-import hashlib
 import random
-from collections import OrderedDict
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
-    COMBINED_LEASE_US,
-    MAX_PACKED_GAUGE_BYTES,
     MAX_UNASSIGNED,
-    SLOTS_PER_PART,
     AggregationMessage,
     Hello,
     HelloAck,
     Report,
     Sums,
     Superseded,
-    TableEntry,
 )
-from pearhill.membership.gauges import TOKENS, encode, pack, unpack
+from pearhill.membership.aggregator_choice import MIN_BACKOFF_US, AggregatorChoice, AggregatorSite, rendezvous_order
+from pearhill.membership.byte_budget import ByteBudget
+from pearhill.membership.gauge_ranges import EMPTY_RANGE, single_range, split_into_ranges
+from pearhill.membership.gauges import encode
+from pearhill.membership.known_table import KnownTable
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US, OthersLoad, PeerLoad, PeerSums
 from pearhill.membership.replay_window import ReplayWindow
+from pearhill.membership.sent_reports import GaugePair, OwnGauges, SentReport, SentReports
 
-REPORT_INTERVAL_US, JITTER = 100_000, 0.1  # between two reports at the least, and the share of it that is drawn
-MAX_BYTES_PER_S, HEADER_BYTES = 6000, 28  # both ways together; IPv4 and UDP headers of a datagram
-MAX_UNANSWERED_REPORTS, ANSWER_TIMEOUT_US = (
-    4,
-    2_000_000,
-)  # reports in a row, and time, after which an aggregator is given up
-MAX_SUMS_AGE_US = 2_500_000  # older sums are not used at all
-FADE = 2_000_000  # after which half of them still holds
-MIN_BACKOFF_US, MAX_BACKOFF_US = 1_000_000, 8_000_000  # between tries over all
-MIN_HELLO_INTERVAL_US, MAX_HELLO_INTERVAL_US = 5_000_000, 15_000_000
-HELLOS_TO_RETURN = 2  # answers in a row, and home it goes
-MAX_REMEMBERED_REPORTS, REMEMBERED_FOR = 64, 5_000_000  # reports that sums may still hold
-SLACK = 200_000  # sums may be made a little before they are asked for
-BURST = 500_000  # of the bytes that were saved up
-STOOD_STILL = 1_000_000  # a beat that comes later than this: it is I who was away
-NEWS_AT_FIRST = 16  # engines without a slot in a report, until the table is known once
-NEWS_BYTES = 14  # of one engine without a slot, at the most
-Codes = dict[int, tuple[int, int]]  # by engine: waiting, load
-
-
-@dataclass(frozen=True, slots=True)
-class AggregatorSite:
-    name: str
-    region: str
-
-
-@dataclass(slots=True)
-class _Table:
-    """An aggregator's slots, as far as they are known here."""
-
-    incarnation: int = 0
-    version: int = 0
-    slot_of: dict[int, int] = field(default_factory=dict)
-    engines: list[int] = field(default_factory=list)  # -1: not known yet
-    since: list[int] = field(default_factory=list)
-    latest: int = 0  # version as last told
-    whole: bool = False  # it has been known up to the latest version once
-
-    def take(self, entries: Iterable[TableEntry]) -> None:
-        for slot, engine, version in entries:
-            if version <= self.version:
-                continue
-            lacking = slot + 1 - len(self.engines)
-            self.engines.extend([-1] * lacking)
-            self.since.extend([0] * lacking)
-            if self.slot_of.get(self.engines[slot]) == slot:
-                del self.slot_of[self.engines[slot]]
-            self.engines[slot], self.since[slot], self.version = engine, version, version
-            self.slot_of[engine] = slot
-        self.whole = self.whole or self.version >= self.latest
+REPORT_INTERVAL_US = 100_000  # between two reports at the least
+JITTER = 0.1  # the share of it that is drawn
+MAX_TICK_DELAY_US = 1_000_000  # when a tick comes later than this, this process stood still
+MAX_UNASSIGNED_AT_FIRST = 16  # replicas without a slot in a report, until the table was known once
+UNASSIGNED_BYTES = 14  # of one replica without a slot, at the most
+NONE = -1
 
+Unassigned = tuple[tuple[int, int, int], ...]  # replica, waiting, load
 
-@dataclass(slots=True)
-class _Told:
-    """A report that was made: when, to whom, and what it said."""
 
-    at: int
-    to: str
-    codes: Codes
+class OwnWork(NamedTuple):
+    """This dispatcher's gauges: by the aggregator's slots, of replicas without one, and all of them by replica."""
+
+    loads: bytes
+    waits: bytes
+    unassigned: Unassigned
+    gauges: OwnGauges
 
 
-@dataclass(slots=True)
-class _Chunk:
-    """Sums over some slots. `mine`: what of my own is in them."""
+class ReportPart(NamedTuple):
+    """One part of a report, before it gets its header."""
 
-    at: int
-    version: int
-    first: int
+    first_slot: int
+    slot_count: int
     loads: bytes
     waits: bytes
-    heard: int  # others, without me
-    mine: Codes
-
-    def overlaps(self, other: _Chunk) -> bool:
-        return self.first < other.first + len(other.loads) and other.first < self.first + len(self.loads)
+    unassigned: Unassigned
 
 
-@dataclass(frozen=True, slots=True)
-class PeerLoad:
-    """Others' tokens at an engine, of how many of them, and since when."""
+class Header(NamedTuple):
+    """The first fields of every message."""
 
-    queued_tokens: float
-    total_tokens: float
-    reporting: int
-    reported_at: int
+    sender: str
+    to: str
+    incarnation: int
+    sequence: int
 
 
 class Reporter:
-    """`work` tells my own tokens at each engine, as they are now. `started` must grow with each start of the same name:
-    the time of the start does."""
+    """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `started` must grow with each start
+    of the same name: the time of the start does."""
 
     def __init__(
         self,
-        me: str,
+        name: str,
         region: str,
         aggregators: Iterable[AggregatorSite],
         started: int,
         rng: random.Random,
-        work: Callable[[], Iterable[ReplicaLoad]],
+        own_loads: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
-        self.name, self.region, self.incarnation, self.rng, self._mine = me, region, started, rng, work
-        self._window, self._sequence = ReplayWindow(), 0
-        # Danger: counted from 1 at each start, an answer to an earlier me would answer a report of mine.
-        self._number = rng.getrandbits(31)
-        self._told: OrderedDict[int, _Told] = OrderedDict()
-        self._tables: dict[str, _Table] = {}
-        self._chunks: list[_Chunk] = []
-        self._sums_of = ""  # whose these are
-        self._count: int | None = None
-        self._settled = False  # an aggregator that surely knew everybody has told it
-        self._heard = 0
-        self._sums_at = -1
-        self._elsewhere: Codes = {}  # the most that I told those that I have left
-        self.attach, self.moves = 0, 0
-        self._last_report: dict[str, int] = {}
-        self._started = self._now = started
-        self._unanswered, self._waiting_since, self._echo = 0, -1, -1
-        self._failed = 0  # aggregators in a row that did not answer
+        self.name = name
+        self.region = region
+        self.incarnation = started
+        self.rng = rng
+        self._own_loads = own_loads
+        self._window = ReplayWindow()
+        self._sequence = 0
+        # Numbered from 1 at each start, an answer to an earlier start's report would answer one of this start.
+        self._reports = SentReports(started, rng.getrandbits(31))
+        self._tables: dict[str, KnownTable] = {}  # by aggregator
+        self._sums = PeerSums()
+        self._echo = NONE  # the newest report to which an answer of the aggregator in use came
+        self._now = started
         self._due = started + int(rng.random() * REPORT_INTERVAL_US)
-        self._debt = started  # the time by which what was sent and got is paid for
-        self._hello_due, self._hello_number, self._hellos = started, -1, 0
-        self._bytes = {"in": 0, "out": 0}
-        self._order: list[str] = []
-        self.current = ""
+        self._budget = ByteBudget(started)
+        self._choice = AggregatorChoice(started, rng)
         self.reconfigure(aggregators, started)
 
-    def reconfigure(self, aggregators: Iterable[AggregatorSite], now: int) -> None:
-        """Other aggregators. What is known of those that stay, stays."""
+    @property
+    def current(self) -> str:
+        """The aggregator in use."""
+        return self._choice.current
 
-        def rank(site: AggregatorSite) -> tuple[bool, bytes]:
-            return site.region != self.region, hashlib.sha256(f"{self.name}\0{site.name}".encode()).digest()
+    @property
+    def attach(self) -> int:
+        """How often an aggregator was begun to be used."""
+        return self._choice.attachment
 
-        self._order = [site.name for site in sorted(aggregators, key=rank)]
-        self._tables = {name: self._tables.get(name) or _Table() for name in self._order}
-        self._window.keep(self._order)
+    @property
+    def moves(self) -> int:
+        """How often one aggregator was left for another."""
+        return self._choice.moves
+
+    def reconfigure(self, aggregators: Iterable[AggregatorSite], now: int) -> None:
+        """Name the aggregators anew. What is known of those that stay, stays."""
+        order = rendezvous_order(self.name, self.region, aggregators)
+        self._choice.order = order
+        self._tables = {name: self._tables.get(name) or KnownTable() for name in order}
+        self._window.keep(order)
         if self.current not in self._tables:
-            self._move(now, self._order[0] if self._order else "")
-        self._hellos, self._hello_due = 0, now + self._hello_wait()
+            self._move(now, order[0] if order else "")
+        self._choice.restart_hellos(now)
 
-    def _hello_wait(self) -> int:
-        return int(self.rng.uniform(MIN_HELLO_INTERVAL_US, MAX_HELLO_INTERVAL_US))
+    def _move(self, now: int, to: str) -> None:
+        if self.current and to != self.current:
+            self._reports.move_to(to)
+        self._choice.attach(now, to)
+        self._echo = NONE
 
     # Reports.
 
     def next_tick(self, now: int) -> int:
-        """When `beat` is to be called next; it may change with each frame that is heard."""
-        due = max(self._due, self._debt)
-        return max(now, min(due, self._hello_due) if self._away() else due)
+        """When `tick` is to be called next; it may change with each message that is received."""
+        due = self._report_due()
+        if self._choice.is_away:
+            due = min(due, self._choice.hello_due)
+        return max(now, due)
 
-    def _away(self) -> bool:
-        return bool(self._order) and self.current != self._order[0]
+    def _report_due(self) -> int:
+        return max(self._due, self._budget.paid_at)
 
     def tick(self, now: int) -> list[AggregationMessage]:
-        """What is due by now, be it nothing."""
-        if not self._order:
+        """What is due by now, if anything."""
+        if not self._choice.order:
             self._due = now + REPORT_INTERVAL_US
             return []
-        if now - max(self._due, self._debt) > STOOD_STILL and self._waiting_since >= 0:
-            self._waiting_since = now  # Danger: the answers wait unread, and a good aggregator would be left
+        if now - self._report_due() > MAX_TICK_DELAY_US:
+            self._choice.excuse_stall(now)
         self._now = now
-        frames: list[AggregationMessage] = []
-        if self._away() and now >= self._hello_due:
-            self._hello_due = now + self._hello_wait()
-            if self._hello_number >= 0:
-                self._hellos = 0  # the last one was not answered
-            self._hello_number = self.rng.getrandbits(31)
-            frames.append(Hello(*self._head(self._order[0]), self._hello_number))
-        if now >= max(self._due, self._debt):
-            gone = self._failed >= len(self._order)
-            if self._unanswered >= (1 if gone else MAX_UNANSWERED_REPORTS) and (
-                gone or now - self._waiting_since >= ANSWER_TIMEOUT_US
-            ):
-                self._give_up(now)
-            if now >= self._due:
-                frames += self._report(now)
-        return frames
+        messages: list[AggregationMessage] = []
+        hello_number = self._choice.next_hello(now)
+        if hello_number is not None:
+            messages.append(Hello(*self._header(self._choice.order[0]), hello_number))
+        if now < self._report_due():
+            return messages
+        if self._choice.should_give_up(now):
+            self._give_up(now)
+        if now >= self._due:
+            messages += self._report(now)
+        return messages
 
     def _give_up(self, now: int) -> None:
-        """The next aggregator, and after all of them a pause."""
-        self._failed += 1
-        self._move(now, self._order[(self._order.index(self.current) + 1) % len(self._order)])
-        if self._failed >= len(self._order):
-            wait = min(MAX_BACKOFF_US, 2 * MIN_BACKOFF_US << min(8, self._failed - len(self._order)))
-            # Danger: they all lost it at the same moment, and would all ask again at the same moment.
-            self._due = now + int(self.rng.uniform(0, wait - MIN_BACKOFF_US))
+        """Use the next aggregator; after all of them, pause first."""
+        self._move(now, self._choice.next_after_failure())
+        backoff = self._choice.backoff()
+        if backoff is not None:
+            self._due = now + backoff
 
-    def _move(self, now: int, to: str) -> None:
-        if self.current and to != self.current:
-            self.moves += 1
-            most: Codes = {}
-            self._elsewhere = most
-            for told in self._told.values():
-                if told.to != to:
-                    for engine, (waiting, load) in told.codes.items():
-                        known = most.get(engine, (0, 0))
-                        most[engine] = max(waiting, known[0]), max(load, known[1])
-        self.current = to
-        self.attach += 1
-        self._unanswered, self._waiting_since, self._echo = 0, -1, -1
-        self._hellos, self._hello_number, self._hello_due = 0, -1, now + self._hello_wait()
-
-    def _head(self, to: str) -> tuple[str, str, int, int]:
+    def _header(self, to: str) -> Header:
         self._sequence += 1
-        return self.name, to, self.incarnation, self._sequence
-
-    def _quiet_ms(self, now: int) -> int:
-        """How long none of the others can have had a report of this name: an earlier me may have sent some, until I
-        started."""
-        return max(0, now - max(self._started, self._last_elsewhere())) // 1000
+        return Header(self.name, to, self.incarnation, self._sequence)
 
-    def _last_elsewhere(self) -> int:
-        """When the last report to another aggregator than this went out."""
-        return max(
-            (at for name, at in self._last_report.items() if name != self.current),
-            default=-COMBINED_LEASE_US - MAX_SUMS_AGE_US,
-        )
-
-    def _report(self, now: int) -> list[AggregationMessage]:
+    def _report(self, now: int) -> list[Report]:
         table = self._tables[self.current]
-        n = len(table.engines)
-        loads, waits, fresh, codes = bytearray(n), bytearray(n), list[tuple[int, int, int]](), Codes()
-        for row in self._mine():
-            load, waiting = encode(row.total_tokens), encode(row.queued_tokens)
-            if not load and not waiting:
-                continue
-            if (slot := table.slot_of.get(row.replica)) is not None:
-                loads[slot], waits[slot] = load, waiting
-                codes[row.replica] = waiting, load
-            else:
-                fresh.append((load, waiting, row.replica))
-        fresh.sort(reverse=True)
-        # What has no slot here most likely has one, of which the next answers tell.
-        some = MAX_UNASSIGNED if table.whole else NEWS_AT_FIRST
-        news = tuple((engine, waiting, load) for load, waiting, engine in fresh[:some])
-        codes.update((engine, (waiting, load)) for engine, waiting, load in news)
-        self._number += 1
-        self._told[self._number] = _Told(now, self.current, codes)
-        while len(self._told) > MAX_REMEMBERED_REPORTS or now - next(iter(self._told.values())).at > REMEMBERED_FOR:
-            self._told.popitem(last=False)  # Danger: sums of that long ago hold mine as it was then
-        self._last_report[self.current] = now
-        self._unanswered += 1
-        if self._waiting_since < 0:
-            self._waiting_since = now
-        pace = REPORT_INTERVAL_US
-        if self._failed >= len(self._order):
-            pace = MIN_BACKOFF_US  # one try each, until one answers
-        self._due = now + int(pace * self.rng.uniform(1 - JITTER, 1 + JITTER))
-        return self._parts(now, table, bytes(loads), bytes(waits), news)
-
-    def _parts(
-        self, now: int, table: _Table, loads: bytes, waits: bytes, news: tuple[tuple[int, int, int], ...]
-    ) -> list[AggregationMessage]:
-        """One part if it fits; else chunks of slots, and the news by itself."""
-        packed = pack(loads), pack(waits)
-        if len(packed[0]) + len(packed[1]) + len(news) * NEWS_BYTES <= MAX_PACKED_GAUGE_BYTES:
-            pieces = [(0, len(loads), *packed, news)]
-        else:
-            pieces = [
-                (
-                    first,
-                    len(loads[first : first + SLOTS_PER_PART]),
-                    pack(loads[first : first + SLOTS_PER_PART]),
-                    pack(waits[first : first + SLOTS_PER_PART]),
-                    (),
-                )
-                for first in range(0, len(loads), SLOTS_PER_PART)
-            ]
-            if news:
-                pieces.append((0, 0, b"\0", b"\0", news))
+        work = self._own_work(table)
+        self._reports.add(now, self.current, work.gauges)
+        self._choice.report_sent(now)
+        # One try each once all have failed, until one answers.
+        interval = MIN_BACKOFF_US if self._choice.all_failed else REPORT_INTERVAL_US
+        self._due = now + int(interval * self.rng.uniform(1 - JITTER, 1 + JITTER))
+        parts = _split(work)
         return [
             Report(
-                *self._head(self.current),
-                self._number,
-                k,
-                len(pieces),
-                self.attach,
-                self._quiet_ms(now),
-                False,
-                table.incarnation,
-                table.version,
-                first,
-                some,
-                waiting,
-                told,
-                slots,
-                self._echo,
+                *self._header(self.current),
+                number=self._reports.newest_number,
+                part=number,
+                parts=len(parts),
+                attach=self.attach,
+                quiet_ms=self._reports.quiet_ms(now, self.current),
+                leaving=False,
+                known_incarnation=table.incarnation,
+                known_version=table.version,
+                first_slot=part.first_slot,
+                loads=part.loads,
+                waits=part.waits,
+                unassigned=part.unassigned,
+                slot_count=part.slot_count,
+                echo=self._echo,
             )
-            for k, (first, slots, some, waiting, told) in enumerate(pieces)
+            for number, part in enumerate(parts)
         ]
 
+    def _own_work(self, table: KnownTable) -> OwnWork:
+        """This dispatcher's work by the table's slots. Of replicas without one only the largest: most likely they have
+        one, which the next answers tell."""
+        loads = bytearray(len(table.replicas))
+        waits = bytearray(len(table.replicas))
+        without_slot: list[tuple[int, int, int]] = []
+        gauges: OwnGauges = {}
+        for row in self._own_loads():
+            gauge = GaugePair(encode(row.queued_tokens), encode(row.total_tokens))
+            if not gauge.load and not gauge.waiting:
+                continue
+            slot = table.slot_of.get(row.replica)
+            if slot is None:
+                without_slot.append((gauge.load, gauge.waiting, row.replica))
+                continue
+            loads[slot] = gauge.load
+            waits[slot] = gauge.waiting
+            gauges[row.replica] = gauge
+        without_slot.sort(reverse=True)
+        most = MAX_UNASSIGNED if table.was_complete else MAX_UNASSIGNED_AT_FIRST
+        unassigned = tuple((replica, waiting, load) for load, waiting, replica in without_slot[:most])
+        gauges.update((replica, GaugePair(waiting, load)) for replica, waiting, load in unassigned)
+        return OwnWork(bytes(loads), bytes(waits), unassigned, gauges)
+
     def leave(self, now: int) -> list[AggregationMessage]:
-        """The last word: nobody is to count me any more."""
-        if not self._order:
+        """The last message: from now on no aggregator is to count this dispatcher."""
+        if not self._choice.order:
             return []
-        self._number += 1
         return [
             Report(
-                *self._head(self.current),
-                self._number,
-                0,
-                1,
-                self.attach,
-                self._quiet_ms(now),
-                True,
-                0,
-                0,
-                0,
-                b"\0",
-                b"\0",
-                (),
+                *self._header(self.current),
+                number=self._reports.next_number(),
+                part=0,
+                parts=1,
+                attach=self.attach,
+                quiet_ms=self._reports.quiet_ms(now, self.current),
+                leaving=True,
+                known_incarnation=0,
+                known_version=0,
+                first_slot=0,
+                loads=EMPTY_RANGE.loads,
+                waits=EMPTY_RANGE.waits,
+                unassigned=(),
             )
         ]
 
     def sent(self, size: int) -> None:
-        """A datagram of so many bytes went out."""
-        self._bytes["out"] += size + HEADER_BYTES
-        self._pay(size)
-
-    def _pay(self, size: int) -> None:
-        self._debt = max(self._debt, self._now - BURST) + (size + HEADER_BYTES) * 1_000_000 // MAX_BYTES_PER_S
+        """A datagram of `size` bytes went out."""
+        self._budget.sent(self._now, size)
 
     # Answers.
 
-    def receive(self, now: int, frame: AggregationMessage, size: int) -> list[AggregationMessage]:
-        """An authentic frame, whenever it comes and however often; `size`: bytes of its datagram."""
+    def receive(self, now: int, message: AggregationMessage, size: int) -> list[AggregationMessage]:
+        """Take an authentic message, whenever it comes and however often; `size`: bytes of its datagram."""
         self._now = max(self._now, now)
-        self._bytes["in"] += size + HEADER_BYTES
-        if frame.sender not in self._tables or not self._window.first_time(
-            frame.sender, frame.incarnation, frame.sequence
-        ):
+        self._budget.received(size)
+        if message.sender not in self._tables:
+            return []
+        if not self._window.first_time(message.sender, message.incarnation, message.sequence):
+            return []
+        # Paid for before this check, a datagram that somebody replays would put the reports off for good.
+        self._budget.pay(self._now, size)
+        if isinstance(message, HelloAck):
+            self._receive_hello_ack(now, message)
+        elif message.sender != self.current:
             return []
-        self._pay(size)  # Danger: paid for before, what somebody sends again would put my reports off for good
-        if isinstance(frame, HelloAck):
-            self._acknowledged(now, frame)
-        elif (
-            isinstance(frame, Superseded)
-            and frame.sender == self.current
-            and frame.known_incarnation >= self.incarnation
-        ):
-            self.incarnation = frame.known_incarnation + 1
-            self._answered()
-        elif isinstance(frame, Sums) and frame.sender == self.current:
-            self._sums(now, frame)
+        elif isinstance(message, Superseded):
+            self._receive_superseded(message)
+        elif isinstance(message, Sums):
+            self._receive_sums(now, message)
         return []
 
-    def _acknowledged(self, now: int, frame: HelloAck) -> None:
-        if frame.sender != self._order[0] or frame.number != self._hello_number or not self._away():
-            return
-        self._hello_number, self._hellos = -1, self._hellos + 1
-        if self._hellos >= HELLOS_TO_RETURN:
-            self._move(now, self._order[0])
-            self._failed = 0
+    def _receive_hello_ack(self, now: int, message: HelloAck) -> None:
+        if self._choice.hello_answered(message.sender, message.number):
+            self._move(now, message.sender)
+            self._choice.returned()
 
-    def _answered(self) -> None:
-        self._unanswered, self._waiting_since, self._failed = 0, -1, 0
+    def _receive_superseded(self, message: Superseded) -> None:
+        if message.known_incarnation >= self.incarnation:
+            self.incarnation = message.known_incarnation + 1
+            self._choice.answered()
 
-    def _sums(self, now: int, s: Sums) -> None:
-        asked = self._told.get(s.report_number)
-        if asked is None or now - asked.at >= MAX_SUMS_AGE_US:
+    def _receive_sums(self, now: int, sums: Sums) -> None:
+        report = self._reports.get(sums.report_number)
+        if report is None or now - report.sent_at >= MAX_SUMS_AGE_US:
             return  # it waited somewhere
-        table = self._tables[s.sender]
-        if table.incarnation != s.incarnation:
-            table = self._tables[s.sender] = _Table(s.incarnation)
-            self._chunks.clear()
-        if self._sums_of != s.sender:
-            self._sums_of = s.sender
-            self._chunks.clear()
-        self._answered()
-        table.latest = max(table.latest, s.version)
-        self._echo = max(self._echo, s.report_number)
-        table.take(s.entries)
-        if asked.at >= self._sums_at:
-            self._heard, self._sums_at = s.reporting, asked.at
-            self._count = s.counted if s.settled else max(self._count or 0, s.counted)
-            self._settled = self._settled or s.settled
-        if s.included_report >= 0:
-            if s.included_report not in self._told:
-                return  # Danger: my own work is in it, and I no longer know which.
-            mine = self._told[s.included_report].codes
-        else:
-            # By way of an aggregator that I have left, mine may still be in it.
-            mine = self._elsewhere if asked.at < self._last_elsewhere() + COMBINED_LEASE_US + SLACK else Codes()
-        if table.version < s.reused_version or not (s.slot_count or s.version == 0):
-            return  # no slots, unless nobody has work anywhere
-        new = _Chunk(
-            asked.at,
-            s.version,
-            s.first_slot,
-            unpack(s.loads, s.slot_count),
-            unpack(s.waits, s.slot_count),
-            max(0, s.reporting - (s.included_report >= 0)),
-            mine,
-        )
-        # Whatever it covers of older ones is over; a newer one stays. Parts of one answer don't overlap.
-        self._chunks = [c for c in self._chunks if c.loads and (c.at > new.at or not c.overlaps(new))]
-        if not any(c.overlaps(new) for c in self._chunks):
-            self._chunks.append(new)
+        table = self._table_of(sums)
+        self._choice.answered()
+        table.latest = max(table.latest, sums.version)
+        self._echo = max(self._echo, sums.report_number)
+        table.update(sums.entries)
+        self._sums.update_counts(sums, report.sent_at)
+        own = self._own_gauges_in(sums, report)
+        if own is None or table.version < sums.reused_version:
+            return
+        has_gauges = sums.slot_count > 0 or sums.version == 0  # no slots at all: nobody has work anywhere
+        if has_gauges:
+            self._sums.update_range(sums, report.sent_at, own)
+
+    def _table_of(self, sums: Sums) -> KnownTable:
+        """The sender's table, begun anew when the sender has started anew."""
+        table = self._tables[sums.sender]
+        if table.incarnation != sums.incarnation:
+            table = KnownTable(sums.incarnation)
+            self._tables[sums.sender] = table
+            self._sums.clear(sums.sender)
+        if self._sums.source != sums.sender:
+            self._sums.clear(sums.sender)
+        return table
+
+    def _own_gauges_in(self, sums: Sums, report: SentReport) -> OwnGauges | None:
+        """This dispatcher's own gauges that are in the sums. None: some are, and it is no longer known which."""
+        if sums.included_report < 0:
+            return self._reports.gauges_elsewhere(report.sent_at, self.current)
+        included = self._reports.get(sums.included_report)
+        return included.gauges if included else None
+
+    # What the others have.
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them, as last told; None: nobody who surely knew has told.
-        Danger: by the first word of an aggregator that begins anew I would be one of few, and take all of a cold
-        engine's share."""
-        return self._count if self._settled else None
-
-    def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
-        """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
-        much of that is fresh word."""
-        others = (self._count or 1) - 1
-        if others <= 0:
-            return 0.0, 0.0, 1.0 if self._count else 0.0
-        theirs = self.peer_load(now, engine)
-        if theirs is None:
-            return float(others * waiting), float(others * load), 0.0
-        # Each of whom nothing is known counts as the mean of all of whom something is, me among them.
-        worth = 0.5 ** (max(0, now - theirs.reported_at) / FADE)
-        heard = worth * min(theirs.reporting, others)
-        scale = (1 + others) / (1 + heard)
-        return (
-            max(0.0, (waiting + worth * theirs.queued_tokens) * scale - waiting),
-            max(0.0, (load + worth * theirs.total_tokens) * scale - load),
-            heard / others,
-        )
-
-    def peer_load(self, now: int, engine: int) -> PeerLoad | None:
-        """What the others said that they have at an engine; None: no sums of it are known, or they are too old."""
-        table = self._tables.get(self._sums_of)
-        slot = table.slot_of.get(engine) if table else None
-        chunk = next((c for c in self._chunks if slot is None or c.first <= slot < c.first + len(c.loads)), None)
-        # Danger: with some engines known and some not, those that are not would look empty to everybody.
-        if table is None or not table.whole or chunk is None or now - chunk.at >= MAX_SUMS_AGE_US:
-            return None
-        if slot is None:
-            return PeerLoad(0.0, 0.0, chunk.heard, chunk.at) if table.version >= table.latest else None
-        if table.since[slot] > chunk.version:
-            return None  # these are another engine's
-        mine = chunk.mine.get(engine, (0, 0))
-        waiting, load = TOKENS[chunk.waits[slot - chunk.first]], TOKENS[chunk.loads[slot - chunk.first]]
-        return PeerLoad(max(0.0, waiting - TOKENS[mine[0]]), max(0.0, load - TOKENS[mine[1]]), chunk.heard, chunk.at)
+        """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has told."""
+        return self._sums.count()
+
+    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
+        return self._sums.others(now, self._sums_table(), replica, waiting, load)
+
+    def peer_load(self, now: int, replica: int) -> PeerLoad | None:
+        """What the others reported at a replica; None: no sums of it are known, or they are too old."""
+        return self._sums.peer_load(now, self._sums_table(), replica)
+
+    def _sums_table(self) -> KnownTable | None:
+        return self._tables.get(self._sums.source)
 
     def figures(self, now: int) -> dict[str, Any]:
-        """For operators."""
+        """What is known here, for operators."""
+        received_at = self._sums.received_at
         return {
             "aggregator": self.current,
             "attach": self.attach,
-            "age_s": (now - self._sums_at) / 1e6 if self._sums_at >= 0 else None,
-            "counted": self._count,
-            "heard": self._heard,
+            "age_s": (now - received_at) / 1e6 if received_at >= 0 else None,
+            "counted": self._sums.counted,
+            "heard": self._sums.reporting,
             "moves": self.moves,
-            "bytes_in": self._bytes["in"],
-            "bytes_out": self._bytes["out"],
+            "bytes_in": self._budget.bytes_in,
+            "bytes_out": self._budget.bytes_out,
         }
+
+
+def _split(work: OwnWork) -> list[ReportPart]:
+    """One part if all fits a datagram; else ranges of slots, and replicas without a slot by themselves."""
+    whole = single_range(work.loads, work.waits, len(work.unassigned) * UNASSIGNED_BYTES)
+    if whole:
+        return [ReportPart(*whole, work.unassigned)]
+    parts = [ReportPart(*gauges, ()) for gauges in split_into_ranges(work.loads, work.waits)]
+    if work.unassigned:
+        parts.append(ReportPart(*EMPTY_RANGE, work.unassigned))
+    return parts
--- a/pearhill/membership/snapshots.py
+++ b/pearhill/membership/snapshots.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from pearhill.membership.gauge_ranges import GaugeRange, split_into_ranges
+from pearhill.membership.gauge_ranges import GaugeRange, single_range, split_into_ranges
 from pearhill.membership.gauges import encode
 from pearhill.membership.peer_aggregator import PeerAggregator
 from pearhill.membership.reported_work import ReportedWork
@@ -52,4 +52,7 @@
     """Tokens by slot as gauges, in as few ranges as datagrams allow; none where there are no slots."""
     if not loads:
         return []
-    return split_into_ranges(bytes(map(encode, loads)), bytes(map(encode, waits)))
+    load_codes = bytes(map(encode, loads))
+    wait_codes = bytes(map(encode, waits))
+    whole = single_range(load_codes, wait_codes)
+    return [whole] if whole else split_into_ranges(load_codes, wait_codes)
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -14,10 +14,11 @@
 from pearhill.load_reports.evenness import evenness
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import AggregationCodec
+from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.peer_load_source import CombinedLoadSource
-from pearhill.membership.reporter import AggregatorSite, Reporter
+from pearhill.membership.reporter import Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 from pearhill.net.gossip import Gossip
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -7,7 +7,8 @@
 
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
-from pearhill.membership.reporter import AggregatorSite, Reporter
+from pearhill.membership.aggregator_choice import AggregatorSite
+from pearhill.membership.reporter import Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -13,9 +13,10 @@
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.aggregator import Aggregator
+from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
-from pearhill.membership.reporter import AggregatorSite, Reporter
+from pearhill.membership.reporter import Reporter
 from pearhill.net.fleet import Fleet, FleetSetup
 
 KEY = [b"golden-files-have-a-public-key"]
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,7 +10,7 @@
 
 from pearhill.config import ConfigError
 from pearhill.lab import capacity as c
-from pearhill.membership.reporter import MAX_BYTES_PER_S
+from pearhill.membership.byte_budget import MAX_BYTES_PER_S
 from tests.standins import ROOT
 
 SIZE = c.Size()
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -33,10 +33,13 @@
     Superseded,
 )
 from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
+from pearhill.membership.aggregator_choice import AggregatorSite
+from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, MessageRejectedError
 from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.replay_window import WINDOW_MESSAGES, ReplayWindow
-from pearhill.membership.reporter import HEADER_BYTES, MAX_BYTES_PER_S, MAX_SUMS_AGE_US, AggregatorSite, Reporter
+from pearhill.membership.reporter import Reporter
 from pearhill.membership.slot_table import SLOT_IDLE_US
 
 S = 1_000_000
@@ -329,8 +332,8 @@
         waiting, load, sure = p.reporter.others(world.now, 2, 0, 0)
         self.assertTrue(4_500 < waiting < 5_500 and 9_000 < load < 11_000 and 0.9 < sure <= 1)
         # Half of them unheard: who is not heard counts as the mean of those that are.
-        for chunk in p.reporter._chunks:
-            chunk.heard, chunk.at = 2, world.now
+        for chunk in p.reporter._sums.ranges:
+            chunk.reporting, chunk.asked_at = 2, world.now
         self.assertAlmostEqual(p.reporter.others(world.now, 2, 0, 0)[1] / load, 2, delta=0.2)
         self.assertAlmostEqual(p.reporter.others(world.now, 2, 0, 0)[2], 0.4)
 
@@ -388,10 +391,10 @@
         for p in world.up():
             self.assertEqual(p.reporter.others(world.now, 1, 0, 30), (0.0, 23 * 30.0, 0.0))
         world.run(10 * S)
-        tries = [p.reporter._number for p in world.up()]
+        tries = [p.reporter._reports.newest_number for p in world.up()]
         world.run(20 * S)
         for p, before in zip(world.up(), tries, strict=True):
-            self.assertTrue(1 <= p.reporter._number - before <= 12)  # 1 to 8 s between them
+            self.assertTrue(1 <= p.reporter._reports.newest_number - before <= 12)  # 1 to 8 s between them
         self.assertEqual(world.counts(), {24})
         for site in SITES:
             world.start_aggregator(site.name)
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pearhill.membership.peer_load_source import CombinedLoadSource
-from pearhill.membership.reporter import MAX_SUMS_AGE_US
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 
 
 class Way:
