--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from pearhill.config import ConfigError, typed
-from pearhill.membership.gossip_messages import MIN_KEY_BYTES
+from pearhill.membership.message_authenticator import MIN_KEY_BYTES
 from pearhill.net import address as net
 
 Text = Annotated[str, Meta(min_length=1)]
--- a/pearhill/lab/capacity.py
+++ b/pearhill/lab/capacity.py
@@ -53,17 +53,18 @@
 )
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from pearhill.membership.gossip import GossipMessage
-from pearhill.membership.gossip_messages import TAG_BYTES, GossipCodec
+from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
 from pearhill.membership.members import (
-    ALIVE,
     GOSSIP_TICK_US,
     MAX_PINGS_PER_TICK,
     MIN_PINGS_PER_TICK,
     TICKS_PER_ROUND,
+    MemberState,
     MemberUpdate,
     Ping,
 )
+from pearhill.membership.message_authenticator import TAG_BYTES
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.reporter import REPORT_INTERVAL_US, Reporter
 from pearhill.membership.sent_reports import MAX_REMEMBERED_REPORTS
@@ -510,7 +511,7 @@
         started,
         1 << 20,
         Ping("dispatcher-321", 1 << 47),
-        (MemberUpdate("dispatcher-123", started, ALIVE),),
+        (MemberUpdate("dispatcher-123", started, MemberState.ALIVE),),
         digest,
     )
     return len(GossipCodec([b"k" * 32]).pack(message)) + HEADER_BYTES
--- a/pearhill/membership/__init__.py
+++ b/pearhill/membership/__init__.py
@@ -1,2 +1,5 @@
-"""Dispatchers that may talk: who is there, and what work each has sent where. Free of I/O; clock and randomness are
-passed in. The platform's dispatchers may not talk, and load none of this."""
+"""Which dispatchers are there, and what work each has sent where, by gossip or by way of aggregators.
+
+State machines free of I/O; clock and randomness are passed in. The platform's dispatchers must not talk to each other,
+and load none of this.
+"""
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -1,5 +1,8 @@
-"""Messages between dispatchers and aggregators as datagrams: version 2 of what `datagram` writes as version 1. One byte
-of version, a keyed checksum, MessagePack; one message is one datagram that fits any path without being split."""
+"""Messages between dispatchers and aggregators as datagrams of version 2: one message is one datagram.
+
+Fields may change their names, but never their order or types, nor messages their tags: processes of different versions
+work side by side in a roll.
+"""
 
 from __future__ import annotations
 
@@ -9,26 +12,20 @@
 from msgspec import Meta
 
 from pearhill.membership import gauges
-from pearhill.membership.gossip_messages import (
-    MAX_COUNT,
-    MAX_DATAGRAM_BYTES,
-    TAG_BYTES,
-    MessageAuthenticator,
-    MessageRejectedError,
-)
+from pearhill.membership.message_authenticator import MAX_COUNT, MessageAuthenticator, MessageRejectedError
 
 VERSION = 2
-SLOTS_PER_PART = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
-MAX_PACKED_GAUGE_BYTES = 1050  # bytes of packed gauges that fit one
-MAX_SLOTS, MAX_PARTS = 8192, 32
-MAX_TABLE_ENTRIES = 48  # of a table, in one frame
-MAX_UNASSIGNED = 64  # engines without a slot, in one report
-MAX_MEMBER_LIST_BYTES = 1100  # of members in one part of a roster
-LEASE_US = 2_000_000  # microseconds for which a dispatcher's work is held
+SLOTS_PER_PART = 512  # two gauges of each, however little they can be packed, and the rest of the message fit
+MAX_PACKED_GAUGE_BYTES = 1050  # in one part
+MAX_SLOTS = 8192
+MAX_PARTS = 32
+MAX_TABLE_ENTRIES = 48  # in one message
+MAX_UNASSIGNED = 64  # replicas without a slot, in one report
+MAX_MEMBER_LIST_BYTES = 1100  # of entries in one part of a member list
+LEASE_US = 2_000_000  # a dispatcher's work is held for so long
 PARTIAL_SUM_LEASE_US = 1_500_000  # and another aggregator's sums
-COMBINED_LEASE_US = (
-    LEASE_US + PARTIAL_SUM_LEASE_US
-)  # after its last report to one, a dispatcher's work is in nobody's sums by way of it
+# So long after its last report to an aggregator, a dispatcher's work is in nobody's sums by way of that one.
+COMBINED_LEASE_US = LEASE_US + PARTIAL_SUM_LEASE_US
 
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 OptionalCount = Annotated[int, Meta(ge=-1, le=MAX_COUNT)]  # -1: none
@@ -39,16 +36,15 @@
 SlotCount = Annotated[int, Meta(ge=0, le=MAX_SLOTS)]
 GaugeCode = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
 ReplicaId = Annotated[int, Meta(ge=0)]
-TableEntry = tuple[Slot, ReplicaId, Count]  # slot, engine, version of the table at which it got it
+TableEntry = tuple[Slot, ReplicaId, Count]  # slot, replica, version of the table at which it got it
 TableEntries = Annotated[tuple[TableEntry, ...], Meta(max_length=MAX_TABLE_ENTRIES)]
-UnassignedLoads = Annotated[
-    tuple[tuple[ReplicaId, GaugeCode, GaugeCode], ...], Meta(max_length=MAX_UNASSIGNED)
-]  # engine, waiting, load
-MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silent_ms (-1: it left)
+UnassignedLoad = tuple[ReplicaId, GaugeCode, GaugeCode]  # replica, queued tokens, all tokens
+UnassignedLoads = Annotated[tuple[UnassignedLoad, ...], Meta(max_length=MAX_UNASSIGNED)]
+MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silence in ms (-1: it left)
 
 
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What all have; `sequence` grows with each frame of a sender, whoever it is for."""
+    """The fields of every message; `sequence` grows with each message of a sender, whoever it is for."""
 
     sender: Name
     to: Name
@@ -57,8 +53,11 @@
 
 
 class Report(AggregationMessage, frozen=True, tag=0):
-    """A dispatcher's work, whole: packed gauges of the slots from `first` on, and engines that have none. `echo`: the
-    newest of its reports to which this aggregator's answer has come, by which the aggregator knows how old this is."""
+    """A dispatcher's work: packed gauges of the slots from `first_slot` on, and of replicas that have none.
+
+    `echo`: the newest of its reports to which this aggregator's answer came, by which the aggregator bounds the age of
+    this one. `quiet_ms`: for how long no other aggregator had a report of this name.
+    """
 
     number: Count
     part: PartNumber
@@ -77,7 +76,11 @@
 
 
 class Sums(AggregationMessage, frozen=True, tag=1):
-    """The answer to a report: the work of `heard` dispatchers of the `counted`. `settled`: that is no fresh start's."""
+    """The answer to a report: the work of `reporting` dispatchers of the `counted`.
+
+    `included_report`: the addressee's report that is in the sums, -1 for none. `settled`: the aggregator started long
+    enough ago to know all dispatchers.
+    """
 
     report_number: Count
     included_report: OptionalCount
@@ -96,8 +99,10 @@
 
 
 class PartialSum(AggregationMessage, frozen=True, tag=2):
-    """The work of an aggregator's own dispatchers, to another aggregator. `echo`: the newest of the addressee's that
-    has come, by the sequence of its first frame."""
+    """The work of the dispatchers that report to an aggregator, for another aggregator.
+
+    `echo`: the addressee's newest message that came, by the sequence of its first part.
+    """
 
     reporting: Count
     counted: Count
@@ -116,7 +121,7 @@
 
 
 class MemberList(AggregationMessage, frozen=True, tag=3):
-    """Whom an aggregator counts of its own."""
+    """The members that an aggregator counts, for another aggregator."""
 
     part: PartNumber
     parts: PartCount
@@ -124,51 +129,60 @@
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
-    """Are you there? Answered by a HelloAck of the same number."""
+    """Asks whether an aggregator is up. Answered by a HelloAck of the same number."""
 
     number: Count
 
 
 class HelloAck(AggregationMessage, frozen=True, tag=5):
+    """The answer to a Hello of the same number."""
+
     number: Count
 
 
 class Superseded(AggregationMessage, frozen=True, tag=6):
-    """A newer incarnation of the addressee's name is, or was, here."""
+    """Tells a dispatcher that a newer incarnation of its name reports, or reported, here."""
 
     known_incarnation: Count
 
 
-_Any = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
+_AnyMessage = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[_Any] = msgspec.msgpack.Decoder(_Any)
+_decoder: msgspec.msgpack.Decoder[_AnyMessage] = msgspec.msgpack.Decoder(_AnyMessage)
 
 
 class AggregationCodec(MessageAuthenticator):
+    """Messages to datagrams and back."""
+
     version = VERSION
 
     def pack(self, message: AggregationMessage) -> bytes:
-        """ValueError: it does not fit a datagram (who makes frames bounds them)."""
+        """The datagram of a message. ValueError: it does not fit; whoever makes messages bounds them."""
         body = _encoder.encode(message)
-        if len(body) + 1 + TAG_BYTES > MAX_DATAGRAM_BYTES:
+        if not self.fits(body):
             raise ValueError(f"{type(message).__name__} to {message.to}: {len(body)} bytes are too many")
-        return self._seal(body)
+        return self.seal(body)
 
     def unpack(self, data: bytes, me: str) -> AggregationMessage:
-        """Rejected: it is foreign, forged, torn, or for somebody else."""
+        """The message of a datagram. MessageRejectedError: it is foreign, forged, torn, or not for `me`."""
         try:
-            frame = _decoder.decode(self._open(data))
+            message = _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
-        if frame.to != me:
-            raise MessageRejectedError("not-for-me")  # Danger: replayed to another, a report would be counted twice.
-        if isinstance(frame, Report | Sums | PartialSum | MemberList) and frame.part >= frame.parts:
+        if message.to != me:
+            # Replayed to another aggregator, a report would be counted twice.
+            raise MessageRejectedError("not-for-me")
+        if isinstance(message, Report | Sums | PartialSum | MemberList) and message.part >= message.parts:
+            raise MessageRejectedError("malformed")
+        if isinstance(message, Report | Sums | PartialSum) and not _has_valid_gauges(message):
             raise MessageRejectedError("malformed")
-        if isinstance(frame, Report | Sums | PartialSum):
-            try:
-                gauges.unpack(frame.loads, frame.slot_count), gauges.unpack(frame.waits, frame.slot_count)
-            except ValueError:
-                raise MessageRejectedError("malformed") from None
-            if frame.first_slot + frame.slot_count > MAX_SLOTS:
-                raise MessageRejectedError("malformed")
-        return frame
+        return message
+
+
+def _has_valid_gauges(message: Report | Sums | PartialSum) -> bool:
+    try:
+        gauges.unpack(message.loads, message.slot_count)
+        gauges.unpack(message.waits, message.slot_count)
+    except ValueError:
+        return False
+    return message.first_slot + message.slot_count <= MAX_SLOTS
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -1,4 +1,7 @@
-"""One dispatcher's part in a fleet that talks: members and work together, as facts for everybody else here."""
+"""One dispatcher's part in the gossip of a fleet: members and loads together.
+
+Times are microseconds of the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,16 @@
 from dataclasses import dataclass
 
 from pearhill.load_reports.peer_loads import PeerLoads, ReplicaLoad, largest_loads
-from pearhill.membership.members import DEAD, Members, MemberUpdate, Payload
+from pearhill.membership.members import Members, MemberState, MemberUpdate, Payload
 from pearhill.membership.replay_window import ReplayWindow
 
-LOST_AT_ONCE = 1 / 3  # of the fleet: more than that, gone together, is a cut and not so many deaths
-BELIEVED = 60_000_000  # after so long even a cut counts as a loss
+PARTITION_SHARE = 1 / 3  # of the fleet: more than that, dead together, is a network partition
+PARTITION_TIMEOUT_US = 60_000_000  # after so long they count as dead all the same
 
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What one dispatcher sends another; `sequence` grows with each, whoever it is for."""
+    """What one dispatcher sends another; `sequence` grows with each message, whoever it is for."""
 
     sender: str
     incarnation: int
@@ -28,73 +31,90 @@
 
 
 class GossipProtocol:
-    """`work` tells my own tokens at each engine, as they are now."""
+    """`own_loads` gives this dispatcher's tokens at each replica, as they are now."""
 
     def __init__(
-        self, me: str, peers: Iterable[str], started: int, rng: random.Random, work: Callable[[], Iterable[ReplicaLoad]]
+        self,
+        name: str,
+        peers: Iterable[str],
+        started: int,
+        rng: random.Random,
+        own_loads: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
-        self.members, self.peer_loads, self._mine = Members(me, peers, started, started, rng), PeerLoads(), work
+        self.members = Members(name, peers, started, started, rng)
+        self.peer_loads = PeerLoads()
+        self._own_loads = own_loads
         self._sequence = 0
-        self._peers = set(self.members.members)  # counted, as of the last beat
+        self._counted_peers = set(self.members.members)  # as of the last tick
         self._window = ReplayWindow()
 
     def tick(self, now: int) -> list[GossipMessage]:
-        says = self.members.tick(now)
-        self._peers = self.counted(now)
-        self.peer_loads.weigh(now, self._peers)
-        return self._messages(says)
+        """The messages that are due."""
+        payloads = self.members.tick(now)
+        self._counted_peers = self.counted(now)
+        self.peer_loads.weigh(now, self._counted_peers)
+        return self._messages(payloads)
 
     def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
-        """An authentic message, whenever it comes and however often. The answers to it."""
-        # Danger: sent again, the words of a dead dispatcher would be signs of its life.
-        if message.sender not in self.members.members or not self._window.first_time(
-            message.sender, message.incarnation, message.sequence
-        ):
+        """Take an authentic message, whenever it comes and however often. The answers to it."""
+        if message.sender not in self.members.members:
             return []
-        self.peer_loads.receive(now, message.sender, (message.incarnation, message.sequence), message.loads)
-        return self._messages(
-            self.members.receive(now, message.sender, message.incarnation, message.payload, message.updates)
-        )
+        # Replayed, the messages of a dead dispatcher would be signs of its life.
+        if not self._window.first_time(message.sender, message.incarnation, message.sequence):
+            return []
+        version = (message.incarnation, message.sequence)
+        self.peer_loads.receive(now, message.sender, version, message.loads)
+        answers = self.members.receive(now, message.sender, message.incarnation, message.payload, message.updates)
+        return self._messages(answers)
 
-    def _messages(self, says: list[Payload]) -> list[GossipMessage]:
-        rows = tuple(largest_loads(self._mine())) if says else ()
-        made = []
-        for say in says:
-            self._sequence += 1
-            made.append(
-                GossipMessage(
-                    self.members.name,
-                    self.members.incarnation,
-                    self._sequence,
-                    say,
-                    tuple(self.members.updates_for(say.to)),
-                    rows,
-                )
-            )
-        return made
+    def _messages(self, payloads: list[Payload]) -> list[GossipMessage]:
+        if not payloads:
+            return []
+        loads = tuple(largest_loads(self._own_loads()))
+        return [self._message(payload, loads) for payload in payloads]
+
+    def _message(self, payload: Payload, loads: tuple[ReplicaLoad, ...]) -> GossipMessage:
+        self._sequence += 1
+        return GossipMessage(
+            sender=self.members.name,
+            incarnation=self.members.incarnation,
+            sequence=self._sequence,
+            payload=payload,
+            updates=tuple(self.members.updates_for(payload.to)),
+            loads=loads,
+        )
 
     def counted(self, now: int) -> set[str]:
-        """The peers that send work, as far as can be told: whoever is there, and whoever is only out of sight.
-        Danger: cut in two, each half would believe the other dead, and both together would give each starting
-        engine, each member's share and each retry budget twice what is right."""
+        """The peers that send requests, as far as can be told: the reachable, and those behind a network partition.
+
+        Counted as dead, each side of a partition would take the other's share too: together they would give each
+        starting replica, each tenant's quota and each retry budget twice what is right.
+        """
         members = self.members.members
-        there = {name for name, m in members.items() if m.state != DEAD}
-        lately = {name for name, m in members.items() if m.state == DEAD and now - m.since < BELIEVED}
-        known = len(there) + len(lately) + 1
-        return there | lately if len(lately) > math.floor(LOST_AT_ONCE * known) else there
+        alive = {name for name, member in members.items() if member.state != MemberState.DEAD}
+        lately_dead = {
+            name
+            for name, member in members.items()
+            if member.state == MemberState.DEAD and now - member.state_since < PARTITION_TIMEOUT_US
+        }
+        known = len(alive) + len(lately_dead) + 1
+        is_partition = len(lately_dead) > math.floor(PARTITION_SHARE * known)
+        return alive | lately_dead if is_partition else alive
 
     def count(self, now: int) -> int:
         """Dispatchers that share the work, this one among them."""
         return len(self.counted(now)) + 1
 
-    def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
-        """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
-        much of that is fresh word."""
-        told = self.peer_loads.others(now, engine, self._peers, ReplicaLoad(engine, waiting, load))
-        return told.queued_tokens, told.total_tokens, told.confidence
+    def others(self, now: int, replica: int, waiting: int, load: int) -> tuple[float, float, float]:
+        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all: those
+        still queued, all, and how much of that is fresh (0 to 1)."""
+        own = ReplicaLoad(replica, waiting, load)
+        summed = self.peer_loads.others(now, replica, self._counted_peers, own)
+        return summed.queued_tokens, summed.total_tokens, summed.confidence
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
+        """Name the peers anew. What is known of those that stay, stays."""
         self.members.reconfigure(peers, now)
         self.peer_loads.keep(self.members.members)
-        self._peers = self.counted(now)
+        self._counted_peers = self.counted(now)
         self._window.keep(self.members.members)
--- a/pearhill/membership/gossip_messages.py
+++ b/pearhill/membership/gossip_messages.py
@@ -1,28 +1,21 @@
-"""Messages between dispatchers as datagrams: one byte of version, a keyed checksum, MessagePack. One message is one
-datagram that fits any path without being split."""
+"""Gossip messages as datagrams of version 1: one message is one datagram."""
 
 from __future__ import annotations
 
-import hashlib
-import hmac
-from typing import ClassVar
-
 import msgspec
 
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.membership.gossip import GossipMessage
-from pearhill.membership.members import MAX_UPDATES, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.members import MAX_UPDATES, Ack, MemberUpdate, Payload, Ping, PingRequest
+from pearhill.membership.message_authenticator import MAX_COUNT, MessageAuthenticator, MessageRejectedError
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1400
-TAG_BYTES = 16  # bytes of HMAC-SHA256 (RFC 2104, cut as its section 5 allows)
-MIN_KEY_BYTES = 16
-MAX_COUNT = 1 << 62  # an incarnation or sequence; it has to be counted on
-PING, ACK, ASK = 0, 1, 2
-
+KIND_PING = 0
+KIND_ACK = 1
+KIND_PING_REQUEST = 2
 
-class MessageRejectedError(Exception):
-    """A datagram that is not taken; the text is its reason code."""
+UpdateRow = tuple[str, int, str]  # name, incarnation, state
+LoadRow = tuple[int, int, int]  # replica, queued tokens, total tokens
 
 
 class _Body(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -33,86 +26,92 @@
     kind: int
     number: int
     target: str
-    rumours: list[tuple[str, int, str]]
-    rows: list[tuple[int, int, int]]
+    updates: list[UpdateRow]
+    loads: list[LoadRow]
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[_Body] = msgspec.msgpack.Decoder(_Body)
 
 
-class MessageAuthenticator:
-    """Datagrams of one version with a keyed checksum. `keys`: the first one signs, any of them is accepted, so that a
-    key is changed without a gap."""
-
-    version: ClassVar[int]
-
-    def __init__(self, keys: list[bytes]) -> None:
-        if not keys or min(map(len, keys)) < MIN_KEY_BYTES:
-            raise ValueError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
-        self.keys = keys
-
-    def _seal(self, body: bytes) -> bytes:
-        return bytes((self.version,)) + self._tag(self.keys[0], body) + body
-
-    def _open(self, data: bytes) -> bytes:
-        """The body. Rejected: it is foreign, forged or torn."""
-        if len(data) > MAX_DATAGRAM_BYTES or len(data) <= 1 + TAG_BYTES:
-            raise MessageRejectedError("size")
-        if data[0] != self.version:
-            raise MessageRejectedError("version")
-        tag, body = data[1 : 1 + TAG_BYTES], data[1 + TAG_BYTES :]
-        if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self.keys):
-            raise MessageRejectedError("forged")
-        return body
-
-    @classmethod
-    def _tag(cls, key: bytes, body: bytes) -> bytes:
-        return hmac.digest(key, bytes((cls.version,)) + body, hashlib.sha256)[:TAG_BYTES]
-
-
 class GossipCodec(MessageAuthenticator):
+    """Gossip messages to datagrams and back."""
+
     version = VERSION
 
-    def pack(self, m: GossipMessage) -> bytes:
-        """Danger: a digest of many engines does not fit. Its smallest rows go, then the last rumours."""
-        kind, target = {Ping: (PING, ""), Ack: (ACK, ""), PingRequest: (ASK, "")}[type(m.payload)]
-        if isinstance(m.payload, PingRequest):
-            target = m.payload.target
-        rumours = [(r.name, r.incarnation, r.state) for r in m.updates]
-        rows = [(r.replica, r.queued_tokens, r.total_tokens) for r in m.loads]
-        while True:
-            body = _encoder.encode(
-                _Body(m.sender, m.payload.to, m.incarnation, m.sequence, kind, m.payload.number, target, rumours, rows)
-            )
-            if len(body) + 1 + TAG_BYTES <= MAX_DATAGRAM_BYTES or not (rows or rumours):
-                break
-            (rows or rumours).pop()
-        return self._seal(body)
+    def pack(self, message: GossipMessage) -> bytes:
+        """The datagram of a message. Of a digest that does not fit, the smallest loads are left out, then the last
+        updates."""
+        updates = [(update.name, update.incarnation, update.state) for update in message.updates]
+        loads = [(load.replica, load.queued_tokens, load.total_tokens) for load in message.loads]
+        body = _encode(message, updates, loads)
+        while not self.fits(body) and (loads or updates):
+            if loads:
+                loads.pop()
+            else:
+                updates.pop()
+            body = _encode(message, updates, loads)
+        return self.seal(body)
 
     def unpack(self, data: bytes, me: str) -> GossipMessage:
-        """Rejected: it is foreign, forged, torn, or for somebody else."""
+        """The message of a datagram. MessageRejectedError: it is foreign, forged, torn, or not for `me`."""
         try:
-            b = _decoder.decode(self._open(data))
+            body = _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
-        if b.to != me:
-            raise MessageRejectedError(
-                "not-for-me"
-            )  # Danger: replayed to another, an ack would clear a ping that it never saw.
-        if (
-            len(b.rumours) > MAX_UPDATES
-            or len(b.rows) > MAX_ROWS
-            or b.kind not in (PING, ACK, ASK)
-            or any(not 0 <= n <= MAX_COUNT for n in (b.incarnation, b.sequence, *(r[1] for r in b.rumours)))
-        ):
+        if body.to != me:
+            # Replayed to another dispatcher, an ack would answer a ping that its sender never received.
+            raise MessageRejectedError("not-for-me")
+        if not _is_valid(body):
             raise MessageRejectedError("malformed")
-        say = PingRequest(me, b.number, b.target) if b.kind == ASK else (Ack if b.kind == ACK else Ping)(me, b.number)
         return GossipMessage(
-            b.sender,
-            b.incarnation,
-            b.sequence,
-            say,
-            tuple(MemberUpdate(*r) for r in b.rumours),
-            tuple(ReplicaLoad(*r) for r in b.rows),
+            sender=body.sender,
+            incarnation=body.incarnation,
+            sequence=body.sequence,
+            payload=_payload(body),
+            updates=tuple(MemberUpdate(*row) for row in body.updates),
+            loads=tuple(ReplicaLoad(*row) for row in body.loads),
         )
+
+
+def _encode(message: GossipMessage, updates: list[UpdateRow], loads: list[LoadRow]) -> bytes:
+    payload = message.payload
+    body = _Body(
+        sender=message.sender,
+        to=payload.to,
+        incarnation=message.incarnation,
+        sequence=message.sequence,
+        kind=_kind(payload),
+        number=payload.number,
+        target=payload.target if isinstance(payload, PingRequest) else "",
+        updates=updates,
+        loads=loads,
+    )
+    return _encoder.encode(body)
+
+
+def _kind(payload: Payload) -> int:
+    match payload:
+        case Ping():
+            return KIND_PING
+        case Ack():
+            return KIND_ACK
+        case PingRequest():
+            return KIND_PING_REQUEST
+
+
+def _payload(body: _Body) -> Payload:
+    if body.kind == KIND_PING_REQUEST:
+        return PingRequest(body.to, body.number, body.target)
+    if body.kind == KIND_ACK:
+        return Ack(body.to, body.number)
+    return Ping(body.to, body.number)
+
+
+def _is_valid(body: _Body) -> bool:
+    if len(body.updates) > MAX_UPDATES or len(body.loads) > MAX_ROWS:
+        return False
+    if body.kind not in (KIND_PING, KIND_ACK, KIND_PING_REQUEST):
+        return False
+    counts = (body.incarnation, body.sequence, *(incarnation for _, incarnation, _ in body.updates))
+    return all(0 <= count <= MAX_COUNT for count in counts)
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -1,10 +1,10 @@
-"""Who of the named dispatchers is there: SWIM's view (Das, Gupta, Motivala, 2002), with suspicion, incarnations and
-indirect probes.
+"""Which of the named dispatchers are alive: SWIM (Das, Gupta, Motivala, 2002) with suspicion, incarnations and indirect
+probes.
 
-Every message is a sign of life of its sender, and carries a few rumours on. A ping that is not answered goes once more
-by way of others, so that one bad path condemns nobody; then its target is suspect, and dead when it does not object.
-Who hears of its own death raises its incarnation, and that word beats the old one everywhere. Times are microseconds of
-the caller's clock; nobody else's clock is looked at.
+Every message is a sign of life of its sender, and passes a few member updates on. A ping without an answer is repeated
+by way of others, so that one bad path condemns nobody; then its target is suspect, and dead when it does not object. A
+dispatcher that learns of its own death raises its incarnation, and that update replaces the old one everywhere. Times
+are microseconds of the caller's clock; no other process's clock is looked at.
 """
 
 from __future__ import annotations
@@ -13,24 +13,34 @@
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
-
-ALIVE, SUSPECT, DEAD = "alive", "suspect", "dead"
-GOSSIP_TICK_US = 250_000  # between two beats
-MIN_PINGS_PER_TICK, MAX_PINGS_PER_TICK, TICKS_PER_ROUND = (
-    4,
-    24,
-    2,
-)  # a beat; and beats to a round, which leaves nobody out, if it may be
-ACK_WAIT = 250_000  # for an answer; then as long again by way of others
-HELPERS = 3
-LATE = 3 * GOSSIP_TICK_US  # between two beats of mine
-SUSPECT_FOR = 2_000_000  # to object in
+from enum import StrEnum
+
+GOSSIP_TICK_US = 250_000
+MIN_PINGS_PER_TICK = 4
+MAX_PINGS_PER_TICK = 24
+TICKS_PER_ROUND = 2  # in which every member is pinged once, unless MAX_PINGS_PER_TICK forbids
+ACK_TIMEOUT_US = 250_000  # then as long again for an answer by way of others
+INDIRECT_PROBES = 3
+MAX_TICK_GAP_US = 3 * GOSSIP_TICK_US  # between two ticks; after more, this process stood still
+SUSPICION_US = 2_000_000  # in which a suspect may object
 MAX_UPDATES = 12  # carried by one message
-_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
+
+
+class MemberState(StrEnum):
+    """What a member is taken for; the values are those on the wire."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+
+
+_PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2}  # within one incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
+    """A member's state as one message tells it. `state` may be one that this version does not know."""
+
     name: str
     incarnation: int
     state: str
@@ -46,13 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
+    """The answer to a Ping or PingRequest of the same number."""
+
     to: str
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Please ping `target` for me."""
+    """Asks the addressee to ping `target` and to pass its Ack on."""
 
     to: str
     number: int
@@ -64,138 +76,189 @@
 
 @dataclass(slots=True)
 class Member:
+    """Another dispatcher, its state, and since when it has that state here."""
+
     incarnation: int = 0
-    state: str = ALIVE
-    since: int = 0  # when that state began here
+    state: MemberState = MemberState.ALIVE
+    state_since: int = 0
 
 
 @dataclass(slots=True)
-class _Out:
-    """A ping that is out: to whom, since when, whether others were asked, and for whom it was sent."""
+class OpenPing:
+    """A ping without an answer so far. `requester`: the dispatcher that asked for it by its `request_number`."""
 
     to: str
-    at: int
-    asked: bool = False
-    asker: str = ""
-    number: int = 0
+    sent_at: int
+    is_indirect: bool = False  # others were asked to ping, or this one was asked by another
+    requester: str = ""
+    request_number: int = 0
 
 
 class Members:
     """`incarnation` must grow with each start of the same name: the time of the start does."""
 
-    def __init__(self, me: str, peers: Iterable[str], incarnation: int, now: int, rng: random.Random) -> None:
-        self.name, self.incarnation, self.rng = me, incarnation, rng
-        self.members = {name: Member(since=now) for name in peers if name != me}
-        self._round: list[str] = []
-        self._out: dict[int, _Out] = {}
-        # Danger: counted from 1 at each start, an old ack that is sent again would clear a new ping.
-        self._number = rng.getrandbits(48)
-        self._beat_at = now
-        self._news: dict[str, int] = {}  # names of which there is news, and how often it was told
+    def __init__(self, name: str, peers: Iterable[str], incarnation: int, now: int, rng: random.Random) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self.rng = rng
+        self.members = {peer: Member(state_since=now) for peer in peers if peer != name}
+        self._round: list[str] = []  # still to be pinged in this round
+        self._open_pings: dict[int, OpenPing] = {}
+        # Numbered from 1 at each start, a replayed ack to an earlier start would answer a ping of this one.
+        self._ping_number = rng.getrandbits(48)
+        self._last_tick = now
+        self._times_sent: dict[str, int] = {}  # by member with a new state: how often its update was sent
 
     def reachable(self) -> set[str]:
-        """Who answers, or may still object to its death. Me too."""
-        return {self.name, *(name for name, m in self.members.items() if m.state != DEAD)}
+        """Members that answer or may still object to their death, and this dispatcher."""
+        return {self.name, *(name for name, member in self.members.items() if member.state != MemberState.DEAD)}
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
-        """Other names. What is known of those that stay, stays."""
+        """Name the members anew. What is known of those that stay, stays."""
         names = {name for name in peers if name != self.name}
-        self.members = {name: self.members.get(name) or Member(since=now) for name in sorted(names)}
+        self.members = {name: self.members.get(name) or Member(state_since=now) for name in sorted(names)}
         self._round = [name for name in self._round if name in names]
-        self._out = {n: out for n, out in self._out.items() if out.to in names}
-        self._news = {name: times for name, times in self._news.items() if name in names or name == self.name}
+        self._open_pings = {number: ping for number, ping in self._open_pings.items() if ping.to in names}
+        self._times_sent = {
+            name: times for name, times in self._times_sent.items() if name in names or name == self.name
+        }
+
+    # Ticks.
 
     def tick(self, now: int) -> list[Payload]:
-        """One beat: what is due of pings that are out, and the next ones."""
-        if now - self._beat_at > LATE:
-            # Danger: it is I who stood still. What a suspect has to say waits unread, and it would be held for dead.
-            for m in self.members.values():
-                m.since += now - self._beat_at
-        self._beat_at = now
-        says = self._overdue(now)
-        for name, m in self.members.items():
-            if m.state == SUSPECT and now - m.since >= SUSPECT_FOR:
-                self._set(now, name, m.incarnation, DEAD)
-        n = len(self.members)
-        for _ in range(min(n, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, -(-n // TICKS_PER_ROUND)))):
-            if not self._round:
-                # Danger: drawn at random, some peer is left out for long. The dead are in the round too: a cut that
-                # heals is noticed by no other means.
-                self._round = sorted(self.members)
-                self.rng.shuffle(self._round)
-            says.append(self._ping(now, self._round.pop()))
-        return says
-
-    def _ping(self, now: int, to: str, asker: str = "", number: int = 0) -> Ping:
-        self._number += 1
-        self._out[self._number] = _Out(to, now, bool(asker), asker, number)
-        return Ping(to, self._number)
-
-    def _overdue(self, now: int) -> list[Payload]:
-        says: list[Payload] = []
-        for number, out in list(self._out.items()):
-            if not out.asked and now - out.at >= ACK_WAIT:
-                out.asked = True
-                able = [n for n, m in self.members.items() if m.state == ALIVE and n != out.to]
-                helpers = self.rng.sample(able, min(HELPERS, len(able)))
-                says += [PingRequest(helper, number, out.to) for helper in helpers]
-            elif now - out.at >= 2 * ACK_WAIT:
-                del self._out[number]
-                m = self.members[out.to]
-                if m.state == ALIVE and not out.asker:
-                    self._set(now, out.to, m.incarnation, SUSPECT)
-        return says
+        """What is due of open pings and suspects, and the next pings."""
+        self._notice_stall(now)
+        payloads = self._follow_up_pings(now)
+        self._declare_dead(now)
+        for _ in range(self._pings_per_tick()):
+            payloads.append(self._ping(now, self._next_in_round()))
+        return payloads
+
+    def _notice_stall(self, now: int) -> None:
+        """What a suspect answered while this process stood still waits unread: it gets that time on top."""
+        gap = now - self._last_tick
+        self._last_tick = now
+        if gap > MAX_TICK_GAP_US:
+            for member in self.members.values():
+                member.state_since += gap
+
+    def _declare_dead(self, now: int) -> None:
+        for name, member in self.members.items():
+            if member.state == MemberState.SUSPECT and now - member.state_since >= SUSPICION_US:
+                self._set(now, name, member.incarnation, MemberState.DEAD)
+
+    def _pings_per_tick(self) -> int:
+        count = len(self.members)
+        per_tick = -(-count // TICKS_PER_ROUND)
+        return min(count, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, per_tick))
+
+    def _next_in_round(self) -> str:
+        """The next member of a shuffled round: drawn one by one, some member would be left out for long.
+
+        Dead members are in the round too: there is no other way to notice that a network partition healed.
+        """
+        if not self._round:
+            self._round = sorted(self.members)
+            self.rng.shuffle(self._round)
+        return self._round.pop()
+
+    def _ping(self, now: int, to: str, requester: str = "", request_number: int = 0) -> Ping:
+        self._ping_number += 1
+        self._open_pings[self._ping_number] = OpenPing(to, now, bool(requester), requester, request_number)
+        return Ping(to, self._ping_number)
+
+    def _follow_up_pings(self, now: int) -> list[Payload]:
+        payloads: list[Payload] = []
+        for number, ping in list(self._open_pings.items()):
+            age = now - ping.sent_at
+            if not ping.is_indirect and age >= ACK_TIMEOUT_US:
+                ping.is_indirect = True
+                payloads += self._indirect_probes(number, ping.to)
+            elif age >= 2 * ACK_TIMEOUT_US:
+                del self._open_pings[number]
+                self._suspect(now, ping)
+        return payloads
+
+    def _indirect_probes(self, number: int, target: str) -> list[PingRequest]:
+        able = [name for name, member in self.members.items() if member.state == MemberState.ALIVE and name != target]
+        helpers = self.rng.sample(able, min(INDIRECT_PROBES, len(able)))
+        return [PingRequest(helper, number, target) for helper in helpers]
+
+    def _suspect(self, now: int, ping: OpenPing) -> None:
+        member = self.members[ping.to]
+        if member.state == MemberState.ALIVE and not ping.requester:
+            self._set(now, ping.to, member.incarnation, MemberState.SUSPECT)
+
+    # Messages that come in.
 
     def receive(
-        self, now: int, name: str, incarnation: int, said: Payload | None, rumours: Iterable[MemberUpdate]
+        self, now: int, sender: str, incarnation: int, payload: Payload | None, updates: Iterable[MemberUpdate]
     ) -> list[Payload]:
-        """An authentic message of a peer that has not come before. What to say to it."""
-        if name not in self.members:
+        """Take an authentic message that has not come before. The answers to it."""
+        if sender not in self.members:
             return []
-        self._rumour(now, MemberUpdate(name, incarnation, ALIVE))
-        for rumour in rumours:
-            self._rumour(now, rumour)
-        match said:
+        self._merge(now, MemberUpdate(sender, incarnation, MemberState.ALIVE))
+        for update in updates:
+            self._merge(now, update)
+        match payload:
             case Ping(_, number):
-                return [Ack(name, number)]
-            case PingRequest(_, number, target) if target in self.members and target != name:
-                return [self._ping(now, target, name, number)]
-            case Ack(_, number) if (out := self._out.get(number)) and out.to == name:
-                del self._out[number]
-                return [Ack(out.asker, out.number)] if out.asker in self.members else []
-            case Ack(_, number) if (out := self._out.get(number)) and out.asked and not out.asker:
-                del self._out[number]  # a helper's word that the target has answered it
+                return [Ack(sender, number)]
+            case PingRequest(_, number, target) if target in self.members and target != sender:
+                return [self._ping(now, target, sender, number)]
+            case Ack(_, number):
+                return self._receive_ack(sender, number)
         return []
 
-    def updates_for(self, to: str) -> list[MemberUpdate]:
-        """What the next message carries on: my own state, what I hold of its addressee if that is amiss, then the news
-        told least often."""
-        most = 3 * math.ceil(math.log2(len(self.members) + 2))
-        told = [MemberUpdate(self.name, self.incarnation, ALIVE)]
-        if (about := self.members.get(to)) and about.state != ALIVE:  # it must hear of it to object
-            told.append(MemberUpdate(to, about.incarnation, about.state))
-        for name in sorted(self._news, key=lambda n: self._news[n])[: MAX_UPDATES - len(told)]:
-            if name in self.members and name != to:
-                m = self.members[name]
-                told.append(MemberUpdate(name, m.incarnation, m.state))
-            self._news[name] += 1
-            if self._news[name] >= most:
-                del self._news[name]
-        return told
-
-    def _rumour(self, now: int, r: MemberUpdate) -> None:
-        if r.name == self.name:
-            # Danger: a word of my death that nobody objects to spreads, and all the others reckon without me.
-            if r.state != ALIVE and r.incarnation >= self.incarnation:
-                self.incarnation = r.incarnation + 1
+    def _receive_ack(self, sender: str, number: int) -> list[Payload]:
+        ping = self._open_pings.get(number)
+        if ping is None:
+            return []
+        if ping.to == sender:
+            del self._open_pings[number]
+            return [Ack(ping.requester, ping.request_number)] if ping.requester in self.members else []
+        if ping.is_indirect and not ping.requester:
+            del self._open_pings[number]  # a helper passes on that the target answered
+        return []
+
+    def _merge(self, now: int, update: MemberUpdate) -> None:
+        if update.name == self.name:
+            self._object_to(update)
             return
-        m = self.members.get(r.name)
-        if m is None or r.state not in _RANK:
+        member = self.members.get(update.name)
+        if member is None or update.state not in _PRECEDENCE:
             return
-        if (r.incarnation, _RANK[r.state]) > (m.incarnation, _RANK[m.state]):
-            self._set(now, r.name, r.incarnation, r.state)
+        state = MemberState(update.state)
+        if (update.incarnation, _PRECEDENCE[state]) > (member.incarnation, _PRECEDENCE[member.state]):
+            self._set(now, update.name, update.incarnation, state)
 
-    def _set(self, now: int, name: str, incarnation: int, state: str) -> None:
-        m = self.members[name]
-        m.incarnation, m.state, m.since = incarnation, state, now
-        self._news[name] = 0
+    def _object_to(self, update: MemberUpdate) -> None:
+        """Raise the incarnation above that of a wrong update: without this, all would take this dispatcher for dead."""
+        if update.state != MemberState.ALIVE and update.incarnation >= self.incarnation:
+            self.incarnation = update.incarnation + 1
+
+    def _set(self, now: int, name: str, incarnation: int, state: MemberState) -> None:
+        member = self.members[name]
+        member.incarnation = incarnation
+        member.state = state
+        member.state_since = now
+        self._times_sent[name] = 0
+
+    # Updates that go out.
+
+    def updates_for(self, to: str) -> list[MemberUpdate]:
+        """What the next message passes on: this dispatcher's state, the addressee's unless it is alive, so that it can
+        object, then the updates that were sent least often."""
+        updates = [MemberUpdate(self.name, self.incarnation, MemberState.ALIVE)]
+        addressee = self.members.get(to)
+        if addressee and addressee.state != MemberState.ALIVE:
+            updates.append(MemberUpdate(to, addressee.incarnation, addressee.state))
+        most_times = 3 * math.ceil(math.log2(len(self.members) + 2))
+        least_sent = sorted(self._times_sent, key=lambda name: self._times_sent[name])
+        for name in least_sent[: MAX_UPDATES - len(updates)]:
+            if name in self.members and name != to:
+                member = self.members[name]
+                updates.append(MemberUpdate(name, member.incarnation, member.state))
+            self._times_sent[name] += 1
+            if self._times_sent[name] >= most_times:
+                del self._times_sent[name]
+        return updates
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -1,4 +1,4 @@
-"""Whose word on the others' work counts: the aggregators' sums, or what the dispatchers tell one another."""
+"""Which source of the others' loads is used: the aggregators' sums or the dispatchers' gossip."""
 
 from __future__ import annotations
 
@@ -6,43 +6,47 @@
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.reporter import Reporter
 
-SOURCE_SUMS, SOURCE_GOSSIP = "sums", "talk"
+SOURCE_SUMS = "sums"
+SOURCE_GOSSIP = "talk"
 
 
 class CombinedLoadSource:
-    """Satisfies `spread.scout.Peers`. While a fleet goes over from one way to the other, some dispatchers are on both;
-    who is on one only is missing from the other's word."""
+    """Satisfies `load_reports.load_aware_router.PeerLoadSource`. While a fleet changes from one way to the other, some
+    dispatchers use both; one that uses only one of them is missing from the other."""
 
     def __init__(self) -> None:
         self.reporter: Reporter | None = None
         self.gossip: GossipProtocol | None = None
-        self._sums_count_all = False  # as of the last `count`: they count no fewer than the talk does
+        self._sums_count_all = False  # as of the last `count`: they count no fewer than the gossip does
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them; None: nobody has ever told. To be asked again whenever
-        either source has another count."""
-        sums = self.reporter.count(now) if self.reporter else None
-        talk = self.gossip.count(now) if self.gossip else None
-        self._sums_count_all = sums is not None and (talk is None or sums >= talk)
-        # Danger: by the smaller word, each cold engine would get the shares of those that it leaves out as well.
-        return max((n for n in (sums, talk) if n is not None), default=None)
+        """Dispatchers that share the work, this one among them; None: no source has ever told. To be called again
+        whenever either source has another count."""
+        by_sums = self.reporter.count(now) if self.reporter else None
+        by_gossip = self.gossip.count(now) if self.gossip else None
+        self._sums_count_all = by_sums is not None and (by_gossip is None or by_sums >= by_gossip)
+        # By the smaller count, each cold replica would get the shares of the dispatchers that it leaves out as well.
+        return max((count for count in (by_sums, by_gossip) if count is not None), default=None)
 
     def fresh(self, now: int) -> bool:
-        """The aggregators' sums are of now."""
+        """Whether the aggregators' sums are recent."""
         age_s = self.reporter.figures(now)["age_s"] if self.reporter else None
         return age_s is not None and age_s * 1e6 < MAX_SUMS_AGE_US
 
     def in_use(self, now: int) -> str:
-        """For operators: SUMS or TALK, or nothing where there are neither fresh sums nor a talk."""
-        sums = self._sums_count_all and self.fresh(now)
-        return SOURCE_SUMS if sums else SOURCE_GOSSIP if self.gossip else ""
-
-    def others(self, now: int, engine: int, waiting: int, load: int) -> tuple[float, float, float]:
-        """What the others have at an engine where I have this much: tokens yet to be read, under way in all, and how
-        much of that is fresh word."""
-        told = 0.0, 0.0, 0.0
+        """SOURCE_SUMS or SOURCE_GOSSIP, for operators; empty where there are neither fresh sums nor gossip."""
+        if self._sums_count_all and self.fresh(now):
+            return SOURCE_SUMS
+        return SOURCE_GOSSIP if self.gossip else ""
+
+    def others(self, now: int, replica: int, waiting: int, load: int) -> tuple[float, float, float]:
+        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all: those
+        still queued, all, and how much of that is fresh (0 to 1)."""
+        others: tuple[float, float, float] = (0.0, 0.0, 0.0)
         if self.reporter and (self._sums_count_all or self.gossip is None):
-            told = self.reporter.others(now, engine, waiting, load)
-        if told[2] <= 0 and self.gossip:  # Danger: the aggregators may be gone, all of them; the talk goes on
-            return self.gossip.others(now, engine, waiting, load)
-        return told
+            others = self.reporter.others(now, replica, waiting, load)
+        confidence = others[2]
+        if confidence <= 0 and self.gossip:
+            # All aggregators may be gone; the gossip goes on.
+            return self.gossip.others(now, replica, waiting, load)
+        return others
--- a/pearhill/membership/replay_window.py
+++ b/pearhill/membership/replay_window.py
@@ -1,33 +1,54 @@
-"""Which messages have surely not come before: the anti-replay window of RFC 4303, section 3.4.3."""
+"""Which messages have certainly not come before: the anti-replay window of RFC 4303, section 3.4.3."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
+from typing import NamedTuple
 
-WINDOW_MESSAGES = 1024  # messages of one sender; a beat of a large fleet sends some dozens
+WINDOW_MESSAGES = 1024  # of one sender; a tick of a large fleet sends some dozens
+
+
+class SenderWindow(NamedTuple):
+    """What has come of one start of a sender. Bit k of `seen` stands for the sequence `newest` - k."""
+
+    incarnation: int
+    newest: int
+    seen: int
+
+
+NOTHING_SEEN = SenderWindow(-1, 0, 0)
 
 
 class ReplayWindow:
+    """The windows of all senders."""
+
     def __init__(self) -> None:
-        self._seen: dict[str, tuple[int, int, int]] = {}  # by sender: incarnation, newest sequence, those before it
+        self._windows: dict[str, SenderWindow] = {}
 
     def first_time(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Whether it surely has not come before; one that others overtook on its way is as good as they."""
-        known, newest, window = self._seen.get(sender, (-1, 0, 0))
-        if incarnation > known:
-            known, newest, window = incarnation, sequence, 1
-        elif incarnation < known or sequence <= newest - WINDOW_MESSAGES:
+        """Whether a message has certainly not come before; one that others overtook on its way is accepted too."""
+        window = _with_message(self._windows.get(sender, NOTHING_SEEN), incarnation, sequence)
+        if window is None:
             return False
-        elif sequence > newest:
-            ahead = min(WINDOW_MESSAGES, sequence - newest)
-            newest, window = sequence, (window << ahead | 1) & ((1 << WINDOW_MESSAGES) - 1)
-        else:
-            bit = 1 << (newest - sequence)
-            if window & bit:
-                return False
-            window |= bit
-        self._seen[sender] = known, newest, window
+        self._windows[sender] = window
         return True
 
     def keep(self, names: Collection[str]) -> None:
-        self._seen = {name: seen for name, seen in self._seen.items() if name in names}
+        """Forget all senders but these."""
+        self._windows = {name: window for name, window in self._windows.items() if name in names}
+
+
+def _with_message(window: SenderWindow, incarnation: int, sequence: int) -> SenderWindow | None:
+    """The window with one more message; None: it came before, or may have."""
+    if incarnation > window.incarnation:
+        return SenderWindow(incarnation, sequence, 1)
+    if incarnation < window.incarnation or sequence <= window.newest - WINDOW_MESSAGES:
+        return None
+    if sequence > window.newest:
+        ahead = min(WINDOW_MESSAGES, sequence - window.newest)
+        seen = (window.seen << ahead | 1) & ((1 << WINDOW_MESSAGES) - 1)
+        return SenderWindow(incarnation, sequence, seen)
+    bit = 1 << (window.newest - sequence)
+    if window.seen & bit:
+        return None
+    return SenderWindow(incarnation, window.newest, window.seen | bit)
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines, Key
-from pearhill.membership.gossip_messages import MessageRejectedError
+from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.address import Address
 
 REJECTION_LOG_INTERVAL_US = 60_000_000  # at most one line for datagrams that are not taken
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -162,7 +162,7 @@
             "shares": node.dispatchers,
             "source": sources.in_use(now),
             "members": {
-                name: {"state": m.state, "incarnation": m.incarnation, "for_s": (now - m.since) / 1e6}
+                name: {"state": str(m.state), "incarnation": m.incarnation, "for_s": (now - m.state_since) / 1e6}
                 for name, m in members.items()
             },
             "reports": self.reporting.reporter.figures(now) if self.reporting else None,
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -32,7 +32,7 @@
 )
 from pearhill.membership.gossip import GossipMessage
 from pearhill.membership.gossip_messages import GossipCodec
-from pearhill.membership.members import ALIVE, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.members import Ack, MemberState, MemberUpdate, Ping, PingRequest
 from pearhill.routing.actions import (
     CancelAttempt,
     FailRequest,
@@ -52,7 +52,11 @@
 NOW, WALL, SECOND = 1_796_083_200_000_000, 1_796_083_200, 1_000_000
 MONTH = month_of("2026-12")
 
-RUMOURS = (MemberUpdate("n1", 7, ALIVE), MemberUpdate("n2", 1 << 40, SUSPECT), MemberUpdate("n4", 0, DEAD))
+RUMOURS = (
+    MemberUpdate("n1", 7, MemberState.ALIVE),
+    MemberUpdate("n2", 1 << 40, MemberState.SUSPECT),
+    MemberUpdate("n4", 0, MemberState.DEAD),
+)
 ROWS = (ReplicaLoad(11, 1_200, 4_800), ReplicaLoad((1 << 64) - 1, 0, 5))
 GOSSIP = {
     "ping": GossipMessage("n1", NOW, 42, Ping("n2", 9), RUMOURS, ROWS),
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -35,8 +35,8 @@
 from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
-from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, MessageRejectedError
 from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
+from pearhill.membership.message_authenticator import MAX_DATAGRAM_BYTES, MessageRejectedError
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.replay_window import WINDOW_MESSAGES, ReplayWindow
 from pearhill.membership.reporter import Reporter
@@ -797,7 +797,7 @@
         codec, good = AggregationCodec([KEY]), AggregationCodec([KEY]).pack(report())
 
         def signed(body: bytes) -> bytes:
-            return b"\x02" + AggregationCodec._tag(KEY, body) + body
+            return b"\x02" + AggregationCodec.tag(KEY, body) + body
 
         bad = (
             report(loads=b"\0x"),
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -12,8 +12,9 @@
 
 from pearhill.load_reports.peer_loads import FADE, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
-from pearhill.membership.gossip_messages import MAX_DATAGRAM_BYTES, GossipCodec, MessageRejectedError
-from pearhill.membership.members import ALIVE, DEAD, GOSSIP_TICK_US, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.gossip_messages import GossipCodec
+from pearhill.membership.members import GOSSIP_TICK_US, Ack, MemberState, MemberUpdate, Ping, PingRequest
+from pearhill.membership.message_authenticator import MAX_DATAGRAM_BYTES, MessageRejectedError
 
 S = 1_000_000
 KEY = b"k" * 32
@@ -150,7 +151,9 @@
         self.net.heal()
         self.net.run(SETTLED)
         for name, view in self.net.views().items():
-            assert view == {n: ALIVE if n in self.net.up else DEAD for n in self.net.names if n != name}, name
+            assert view == {
+                n: MemberState.ALIVE if n in self.net.up else MemberState.DEAD for n in self.net.names if n != name
+            }, name
 
 
 Fleet.TestCase.settings = examples(
@@ -186,31 +189,31 @@
     net = Net(5, 3)
     net.run(3 * S)
     net.delay = 40_000
-    while not net.up["d2"].members._out:  # it stops with a ping out, whose answer waits unread
+    while not net.up["d2"].members._open_pings:  # it stops with a ping out, whose answer waits unread
         net.run(10_000)
     net.stalled = {"d2"}
     net.run(6 * S)
-    assert net.views()["d0"]["d2"] == DEAD
+    assert net.views()["d0"]["d2"] == MemberState.DEAD
     net.stalled.clear()
     for _ in range(400):
         net.run(10_000)
-        assert set(net.views()["d2"].values()) == {ALIVE}
-    assert net.views()["d0"]["d2"] == ALIVE
+        assert set(net.views()["d2"].values()) == {MemberState.ALIVE}
+    assert net.views()["d0"]["d2"] == MemberState.ALIVE
 
 
 def test_a_suspect_has_its_time_to_object_though_the_one_that_suspects_it_stood_still():
     net = Net(2, 6)
     net.run(3 * S)
     del net.up["d1"]
-    while net.views()["d0"]["d1"] == ALIVE:
+    while net.views()["d0"]["d1"] == MemberState.ALIVE:
         net.run(GOSSIP_TICK_US)
     net.stalled = {"d0"}
     net.run(6 * S)
     net.stalled.clear()
     net.run(GOSSIP_TICK_US)
-    assert net.views()["d0"]["d1"] == SUSPECT
+    assert net.views()["d0"]["d1"] == MemberState.SUSPECT
     net.run(3 * S)
-    assert net.views()["d0"]["d1"] == DEAD
+    assert net.views()["d0"]["d1"] == MemberState.DEAD
 
 
 def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start():
@@ -222,7 +225,7 @@
     anew = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
     anew.tick(net.now + S)
     anew.receive(net.now + S, ack)
-    assert len(anew.members._out) == 1
+    assert len(anew.members._open_pings) == 1
 
 
 def test_a_path_that_fails_in_one_direction_condemns_nobody():
@@ -231,7 +234,7 @@
     net.cuts = {("d0", "d1")}
     for _ in range(40):
         net.run(GOSSIP_TICK_US)
-        assert all(DEAD not in view.values() for view in net.views().values())
+        assert all(MemberState.DEAD not in view.values() for view in net.views().values())
 
 
 def test_the_silent_still_send_as_far_as_anybody_knows():
@@ -258,7 +261,7 @@
         1 << 50,
         77,
         say,
-        tuple(MemberUpdate(f"d{n}", 1 << 50, ALIVE) for n in range(rumours)),
+        tuple(MemberUpdate(f"d{n}", 1 << 50, MemberState.ALIVE) for n in range(rumours)),
         tuple(largest_loads(ReplicaLoad((1 << 63) + n, 40_000 + n, 1 << 39) for n in range(rows))),
     )
 
@@ -286,8 +289,8 @@
         (lambda d: d + b"\0", "forged"),
         (lambda d: GossipCodec([b"j" * 32]).pack(message()), "forged"),
         (lambda d: GossipCodec([KEY]).pack(message(say=Ping("d3", 1))), "not-for-me"),
-        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
-        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
+        (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
+        (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
         (lambda d: GossipCodec([KEY]).pack(GossipMessage("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
     ],
 )
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -10,7 +10,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.membership.aggregation_messages import AggregationCodec, Hello, HelloAck
 from pearhill.membership.aggregator import Aggregator
-from pearhill.membership.gossip_messages import MessageRejectedError
+from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.datagrams import REJECTION_LOG_INTERVAL_US, Datagrams
 from pearhill.net.reporting import MIN_TICK_INTERVAL_US, Reporting
