--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from pearhill.config import ConfigError, typed
-from pearhill.membership.gossip_messages import LEAST_KEY
+from pearhill.membership.message_authenticator import MIN_KEY_BYTES
 from pearhill.net import address as net
 
 Text = Annotated[str, Meta(min_length=1)]
@@ -68,6 +68,6 @@
     """What authenticates datagrams: the first key signs, each is accepted. ConfigError: a key is too short or none."""
     keys = tuple(read_secret(f"{path}[{k}]", name).encode() for k, name in enumerate(file_names))
     for k, key in enumerate(keys):
-        if len(key) < LEAST_KEY:
-            raise typed.invalid_value(f"{path}[{k}]", f"a key of {len(key)} characters", f"{LEAST_KEY} at least")
+        if len(key) < MIN_KEY_BYTES:
+            raise typed.invalid_value(f"{path}[{k}]", f"a key of {len(key)} characters", f"{MIN_KEY_BYTES} at least")
     return keys
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -74,10 +74,10 @@
     if engine is None or fleet is None:
         return -1
     if fleet.gossip:
-        row = fleet.gossip.protocol.work.last_row(marker, engine.id)
+        row = fleet.gossip.protocol.peer_loads.last_row(marker, engine.id)
         return row.total_tokens - TALK_MARK if row else -1
     assert fleet.reporting
-    theirs = fleet.reporting.reporter.theirs(now, engine.id)
+    theirs = fleet.reporting.reporter.peer_load(now, engine.id)
     return max(-1, encode(theirs.total_tokens) - FIRST_CODE) if theirs else -1
 
 
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -1,5 +1,8 @@
-"""Messages between dispatchers and aggregators as datagrams: version 2 of what `datagram` writes as version 1. One byte
-of version, a keyed checksum, MessagePack; one message is one datagram that fits any path without being split."""
+"""Messages between dispatchers and aggregators as datagrams of version 2: one message is one datagram.
+
+Fields may change their names, but never their order or types, nor messages their tags: processes of different versions
+work side by side in a roll.
+"""
 
 from __future__ import annotations
 
@@ -9,36 +12,39 @@
 from msgspec import Meta
 
 from pearhill.membership import gauges
-from pearhill.membership.gossip_messages import MAX_BYTES, MOST_COUNT, TAG, MessageAuthenticator, MessageRejectedError
+from pearhill.membership.message_authenticator import MAX_COUNT, MessageAuthenticator, MessageRejectedError
 
 VERSION = 2
-CHUNK = 512  # slots of one part: two gauges each, and the rest of the frame, fit a datagram at the worst
-ROOM = 1050  # bytes of packed gauges that fit one
-MOST_SLOTS, MOST_PARTS = 8192, 32
-ENTRIES = 48  # of a table, in one frame
-NEWS = 64  # engines without a slot, in one report
-ROSTER_BYTES = 1100  # of members in one part of a roster
-LEASE = 2_000_000  # microseconds for which a dispatcher's work is held
-PART_LEASE = 1_500_000  # and another aggregator's sums
-MOVED = LEASE + PART_LEASE  # after its last report to one, a dispatcher's work is in nobody's sums by way of it
-
-Count = Annotated[int, Meta(ge=0, le=MOST_COUNT)]
-Maybe = Annotated[int, Meta(ge=-1, le=MOST_COUNT)]  # -1: none
+SLOTS_PER_PART = 512  # two gauges of each, however little they can be packed, and the rest of the message fit
+MAX_PACKED_GAUGE_BYTES = 1050  # in one part
+MAX_SLOTS = 8192
+MAX_PARTS = 32
+MAX_TABLE_ENTRIES = 48  # in one message
+MAX_UNASSIGNED = 64  # replicas without a slot, in one report
+MAX_MEMBER_LIST_BYTES = 1100  # of entries in one part of a member list
+LEASE_US = 2_000_000  # a dispatcher's work is held for so long
+PARTIAL_SUM_LEASE_US = 1_500_000  # and another aggregator's sums
+# So long after its last report to an aggregator, a dispatcher's work is in nobody's sums by way of that one.
+COMBINED_LEASE_US = LEASE_US + PARTIAL_SUM_LEASE_US
+
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+OptionalCount = Annotated[int, Meta(ge=-1, le=MAX_COUNT)]  # -1: none
 Name = Annotated[str, Meta(min_length=1, max_length=96)]
-PartNumber = Annotated[int, Meta(ge=0, lt=MOST_PARTS)]
-PartCount = Annotated[int, Meta(ge=1, le=MOST_PARTS)]
-Slot = Annotated[int, Meta(ge=0, lt=MOST_SLOTS)]
-SlotCount = Annotated[int, Meta(ge=0, le=MOST_SLOTS)]
-Code = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
-Engine = Annotated[int, Meta(ge=0)]
-Entry = tuple[Slot, Engine, Count]  # slot, engine, version of the table at which it got it
-Entries = Annotated[tuple[Entry, ...], Meta(max_length=ENTRIES)]
-News = Annotated[tuple[tuple[Engine, Code, Code], ...], Meta(max_length=NEWS)]  # engine, waiting, load
-Member = tuple[Name, Count, Count, Maybe]  # name, incarnation, attach, silent_ms (-1: it left)
+PartNumber = Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
+PartCount = Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+Slot = Annotated[int, Meta(ge=0, lt=MAX_SLOTS)]
+SlotCount = Annotated[int, Meta(ge=0, le=MAX_SLOTS)]
+GaugeCode = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
+ReplicaId = Annotated[int, Meta(ge=0)]
+TableEntry = tuple[Slot, ReplicaId, Count]  # slot, replica, version of the table at which it got it
+TableEntries = Annotated[tuple[TableEntry, ...], Meta(max_length=MAX_TABLE_ENTRIES)]
+UnassignedLoad = tuple[ReplicaId, GaugeCode, GaugeCode]  # replica, queued tokens, all tokens
+UnassignedLoads = Annotated[tuple[UnassignedLoad, ...], Meta(max_length=MAX_UNASSIGNED)]
+MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silence in ms (-1: it left)
 
 
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What all have; `sequence` grows with each frame of a sender, whoever it is for."""
+    """The fields of every message; `sequence` grows with each message of a sender, whoever it is for."""
 
     sender: Name
     to: Name
@@ -47,118 +53,136 @@
 
 
 class Report(AggregationMessage, frozen=True, tag=0):
-    """A dispatcher's work, whole: packed gauges of the slots from `first` on, and engines that have none. `echo`: the
-    newest of its reports to which this aggregator's answer has come, by which the aggregator knows how old this is."""
+    """A dispatcher's work: packed gauges of the slots from `first_slot` on, and of replicas that have none.
+
+    `echo`: the newest of its reports to which this aggregator's answer came, by which the aggregator bounds the age of
+    this one. `quiet_ms`: for how long no other aggregator had a report of this name.
+    """
 
     number: Count
     part: PartNumber
     parts: PartCount
     attach: Count
-    quiet_ms: Maybe
+    quiet_ms: OptionalCount
     leaving: bool
     known_incarnation: Count
     known_version: Count
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    news: News
-    slots: SlotCount = 0
-    echo: Maybe = -1
+    unassigned: UnassignedLoads
+    slot_count: SlotCount = 0
+    echo: OptionalCount = -1
 
 
 class Sums(AggregationMessage, frozen=True, tag=1):
-    """The answer to a report: the work of `heard` dispatchers of the `counted`. `settled`: that is no fresh start's."""
+    """The answer to a report: the work of `reporting` dispatchers of the `counted`.
+
+    `included_report`: the addressee's report that is in the sums, -1 for none. `settled`: the aggregator started long
+    enough ago to know all dispatchers.
+    """
 
-    answers: Count
-    included: Maybe
-    heard: Count
+    report_number: Count
+    included_report: OptionalCount
+    reporting: Count
     counted: Count
     version: Count
-    reused: Count
+    reused_version: Count
     part: PartNumber
     parts: PartCount
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    entries: Entries
-    slots: SlotCount = 0
+    entries: TableEntries
+    slot_count: SlotCount = 0
     settled: bool = True
 
 
 class PartialSum(AggregationMessage, frozen=True, tag=2):
-    """The work of an aggregator's own dispatchers, to another aggregator. `echo`: the newest of the addressee's that
-    has come, by the sequence of its first frame."""
+    """The work of the dispatchers that report to an aggregator, for another aggregator.
 
-    heard: Count
+    `echo`: the addressee's newest message that came, by the sequence of its first part.
+    """
+
+    reporting: Count
     counted: Count
     known_incarnation: Count
     known_version: Count
     version: Count
-    reused: Count
+    reused_version: Count
     part: PartNumber
     parts: PartCount
-    first: Slot
+    first_slot: Slot
     loads: bytes
     waits: bytes
-    entries: Entries
-    slots: SlotCount = 0
-    echo: Maybe = -1
+    entries: TableEntries
+    slot_count: SlotCount = 0
+    echo: OptionalCount = -1
 
 
 class MemberList(AggregationMessage, frozen=True, tag=3):
-    """Whom an aggregator counts of its own."""
+    """The members that an aggregator counts, for another aggregator."""
 
     part: PartNumber
     parts: PartCount
-    members: tuple[Member, ...]
+    members: tuple[MemberEntry, ...]
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
-    """Are you there? Answered by a HelloAck of the same number."""
+    """Asks whether an aggregator is up. Answered by a HelloAck of the same number."""
 
     number: Count
 
 
 class HelloAck(AggregationMessage, frozen=True, tag=5):
+    """The answer to a Hello of the same number."""
+
     number: Count
 
 
 class Superseded(AggregationMessage, frozen=True, tag=6):
-    """A newer incarnation of the addressee's name is, or was, here."""
+    """Tells a dispatcher that a newer incarnation of its name reports, or reported, here."""
 
-    known: Count
+    known_incarnation: Count
 
 
-_Any = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
+_AnyMessage = Report | Sums | PartialSum | MemberList | Hello | HelloAck | Superseded
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[_Any] = msgspec.msgpack.Decoder(_Any)
+_decoder: msgspec.msgpack.Decoder[_AnyMessage] = msgspec.msgpack.Decoder(_AnyMessage)
 
 
 class AggregationCodec(MessageAuthenticator):
+    """Messages to datagrams and back."""
+
     version = VERSION
 
     def pack(self, message: AggregationMessage) -> bytes:
-        """ValueError: it does not fit a datagram (who makes frames bounds them)."""
+        """The datagram of a message. ValueError: it does not fit; whoever makes messages bounds them."""
         body = _encoder.encode(message)
-        if len(body) + 1 + TAG > MAX_BYTES:
+        if not self.fits(body):
             raise ValueError(f"{type(message).__name__} to {message.to}: {len(body)} bytes are too many")
-        return self._seal(body)
+        return self.seal(body)
 
     def unpack(self, data: bytes, me: str) -> AggregationMessage:
-        """Rejected: it is foreign, forged, torn, or for somebody else."""
+        """The message of a datagram. MessageRejectedError: it is foreign, forged, torn, or not for `me`."""
         try:
-            frame = _decoder.decode(self._open(data))
+            message = _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
-        if frame.to != me:
-            raise MessageRejectedError("not-for-me")  # Danger: replayed to another, a report would be counted twice.
-        if isinstance(frame, Report | Sums | PartialSum | MemberList) and frame.part >= frame.parts:
+        if message.to != me:
+            # Replayed to another aggregator, a report would be counted twice.
+            raise MessageRejectedError("not-for-me")
+        if isinstance(message, Report | Sums | PartialSum | MemberList) and message.part >= message.parts:
+            raise MessageRejectedError("malformed")
+        if isinstance(message, Report | Sums | PartialSum) and not _has_valid_gauges(message):
             raise MessageRejectedError("malformed")
-        if isinstance(frame, Report | Sums | PartialSum):
-            try:
-                gauges.unpack(frame.loads, frame.slots), gauges.unpack(frame.waits, frame.slots)
-            except ValueError:
-                raise MessageRejectedError("malformed") from None
-            if frame.first + frame.slots > MOST_SLOTS:
-                raise MessageRejectedError("malformed")
-        return frame
+        return message
+
+
+def _has_valid_gauges(message: Report | Sums | PartialSum) -> bool:
+    try:
+        gauges.unpack(message.loads, message.slot_count)
+        gauges.unpack(message.waits, message.slot_count)
+    except ValueError:
+        return False
+    return message.first_slot + message.slot_count <= MAX_SLOTS
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -14,10 +14,11 @@
 from pearhill.load_reports.evenness import evenness
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import AggregationCodec
+from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.peer_load_source import CombinedLoadSource
-from pearhill.membership.reporter import AggregatorSite, Reporter
+from pearhill.membership.reporter import Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 from pearhill.net.gossip import Gossip
@@ -26,7 +27,7 @@
 if TYPE_CHECKING:
     from pearhill.node.node import Node
 
-SILENT = 3_000_000  # without fresh sums; a move to another aggregator takes less
+SUMS_TIMEOUT_US = 3_000_000  # without fresh sums; a move to another aggregator takes less
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +96,7 @@
             reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._work)
             self.sources.reporter = reporter
             self.reporting = Reporting(reporter, AggregationCodec(keys), addresses, deadlines, self.datagrams)
-            self.reporting.on_count, self.reporting.on_turn = self._recount, self._look
+            self.reporting.on_count, self.reporting.on_exchange = self._recount, self._look
             self.reporting.start()
         elif self.reporting:
             self.reporting.close()
@@ -115,7 +116,7 @@
 
     def _heard(self) -> int:
         """Dispatchers of which there is word, this one among them."""
-        there = len(self.gossip.protocol.members.there()) if self.gossip else 1
+        there = len(self.gossip.protocol.members.reachable()) if self.gossip else 1
         return max(there, self.reporting.reporter.figures(self.deadlines.clock())["heard"]) if self.reporting else there
 
     def _look(self, now: int) -> None:
@@ -129,7 +130,7 @@
             return
         if self._silent_since is None:
             self._silent_since = now
-        elif now - self._silent_since >= SILENT and self._reports_to is not None:
+        elif now - self._silent_since >= SUMS_TIMEOUT_US and self._reports_to is not None:
             self._reports_to = None
             logger.warning(
                 "fleet: no aggregator answers: {what}",
@@ -161,7 +162,7 @@
             "shares": node.dispatcher_count,
             "source": sources.in_use(now),
             "members": {
-                name: {"state": m.state, "incarnation": m.incarnation, "for_s": (now - m.since) / 1e6}
+                name: {"state": str(m.state), "incarnation": m.incarnation, "for_s": (now - m.state_since) / 1e6}
                 for name, m in members.items()
             },
             "reports": self.reporting.reporter.figures(now) if self.reporting else None,
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -12,8 +12,9 @@
 
 from pearhill.load_reports.peer_loads import HALF_LIFE_US, MAX_ROWS, PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
-from pearhill.membership.gossip_messages import MAX_BYTES, GossipCodec, MessageRejectedError
-from pearhill.membership.members import ALIVE, BEAT, DEAD, SUSPECT, Ack, MemberUpdate, Ping, PingRequest
+from pearhill.membership.gossip_messages import GossipCodec
+from pearhill.membership.members import GOSSIP_TICK_US, Ack, MemberState, MemberUpdate, Ping, PingRequest
+from pearhill.membership.message_authenticator import MAX_DATAGRAM_BYTES, MessageRejectedError
 
 S = 1_000_000
 KEY = b"k" * 32
@@ -44,7 +45,7 @@
         # Each has so many tokens at engine 1: its own power of ten, so that a sum shows whose it holds.
         rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
         self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
-        self.at(self.rng.randrange(BEAT), "beat", (name, self.up[name]))
+        self.at(self.rng.randrange(GOSSIP_TICK_US), "beat", (name, self.up[name]))
 
     def send(self, sender: str, messages: list[GossipMessage]) -> None:
         for m in messages:
@@ -59,7 +60,7 @@
         if to not in self.up:
             return
         if to in self.stalled:
-            return self.at(2 * BEAT, "datagram", (to, data))  # its socket keeps it, past its next beat
+            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # its socket keeps it, past its next beat
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
@@ -71,7 +72,7 @@
                 if self.up.get(name) is council:
                     if name not in self.stalled:
                         self.send(name, council.tick(self.now))
-                    self.at(BEAT, "beat", thing)
+                    self.at(GOSSIP_TICK_US, "beat", thing)
             else:
                 self.take(*thing)
         self.now = end
@@ -90,7 +91,7 @@
         self.net = Net(count, seed)
         self.net.run(2 * S)
 
-    @rule(micros=st.sampled_from((BEAT // 3, BEAT, S, 4 * S)))
+    @rule(micros=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
     def time_passes(self, micros):
         self.net.run(micros)
 
@@ -137,10 +138,10 @@
     @invariant()
     def no_work_is_counted_twice(self):
         for name, council in getattr(self, "net", Net(0, 0)).up.items():
-            others = council.work.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
-            known = sum(10 ** self.net.names.index(n) for n in council.work._last if n != name)
+            others = council.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
+            known = sum(10 ** self.net.names.index(n) for n in council.peer_loads._last if n != name)
             # Fresh word alone, without what is assumed of those who say nothing: never more than each has said.
-            worth = 1 + sum(council.work.weight(self.net.now, n) for n in self.net.names)
+            worth = 1 + sum(council.peer_loads.weight(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self):
@@ -150,7 +151,9 @@
         self.net.heal()
         self.net.run(SETTLED)
         for name, view in self.net.views().items():
-            assert view == {n: ALIVE if n in self.net.up else DEAD for n in self.net.names if n != name}, name
+            assert view == {
+                n: MemberState.ALIVE if n in self.net.up else MemberState.DEAD for n in self.net.names if n != name
+            }, name
 
 
 Fleet.TestCase.settings = examples(
@@ -175,42 +178,42 @@
     side = net.names[:4]
     net.cuts = {(a, b) for a in net.names for b in net.names if (a in side) != (b in side)}
     net.run(20 * S)
-    assert {len(c.members.there()) for c in net.up.values()} == {4}
+    assert {len(c.members.reachable()) for c in net.up.values()} == {4}
     assert {c.count(net.now) for c in net.up.values()} == {8}  # each half goes on sending for itself
     net.cuts.clear()
     net.run(4 * S)
-    assert {len(c.members.there()) for c in net.up.values()} == {8}
+    assert {len(c.members.reachable()) for c in net.up.values()} == {8}
 
 
 def test_one_that_stood_still_condemns_nobody_and_is_believed_again():
     net = Net(5, 3)
     net.run(3 * S)
     net.delay = 40_000
-    while not net.up["d2"].members._out:  # it stops with a ping out, whose answer waits unread
+    while not net.up["d2"].members._open_pings:  # it stops with a ping out, whose answer waits unread
         net.run(10_000)
     net.stalled = {"d2"}
     net.run(6 * S)
-    assert net.views()["d0"]["d2"] == DEAD
+    assert net.views()["d0"]["d2"] == MemberState.DEAD
     net.stalled.clear()
     for _ in range(400):
         net.run(10_000)
-        assert set(net.views()["d2"].values()) == {ALIVE}
-    assert net.views()["d0"]["d2"] == ALIVE
+        assert set(net.views()["d2"].values()) == {MemberState.ALIVE}
+    assert net.views()["d0"]["d2"] == MemberState.ALIVE
 
 
 def test_a_suspect_has_its_time_to_object_though_the_one_that_suspects_it_stood_still():
     net = Net(2, 6)
     net.run(3 * S)
     del net.up["d1"]
-    while net.views()["d0"]["d1"] == ALIVE:
-        net.run(BEAT)
+    while net.views()["d0"]["d1"] == MemberState.ALIVE:
+        net.run(GOSSIP_TICK_US)
     net.stalled = {"d0"}
     net.run(6 * S)
     net.stalled.clear()
-    net.run(BEAT)
-    assert net.views()["d0"]["d1"] == SUSPECT
+    net.run(GOSSIP_TICK_US)
+    assert net.views()["d0"]["d1"] == MemberState.SUSPECT
     net.run(3 * S)
-    assert net.views()["d0"]["d1"] == DEAD
+    assert net.views()["d0"]["d1"] == MemberState.DEAD
 
 
 def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start():
@@ -222,7 +225,7 @@
     anew = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
     anew.tick(net.now + S)
     anew.receive(net.now + S, ack)
-    assert len(anew.members._out) == 1
+    assert len(anew.members._open_pings) == 1
 
 
 def test_a_path_that_fails_in_one_direction_condemns_nobody():
@@ -230,8 +233,8 @@
     net.run(3 * S)
     net.cuts = {("d0", "d1")}
     for _ in range(40):
-        net.run(BEAT)
-        assert all(DEAD not in view.values() for view in net.views().values())
+        net.run(GOSSIP_TICK_US)
+        assert all(MemberState.DEAD not in view.values() for view in net.views().values())
 
 
 def test_the_silent_still_send_as_far_as_anybody_knows():
@@ -258,7 +261,7 @@
         1 << 50,
         77,
         say,
-        tuple(MemberUpdate(f"d{n}", 1 << 50, ALIVE) for n in range(rumours)),
+        tuple(MemberUpdate(f"d{n}", 1 << 50, MemberState.ALIVE) for n in range(rumours)),
         tuple(largest_loads(ReplicaLoad((1 << 63) + n, 40_000 + n, 1 << 39) for n in range(rows))),
     )
 
@@ -269,7 +272,9 @@
     packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
     back = GossipCodec([KEY]).unpack(packed, "d2")
     assert (
-        len(packed) <= MAX_BYTES and len(back.loads) >= 40 and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
+        len(packed) <= MAX_DATAGRAM_BYTES
+        and len(back.loads) >= 40
+        and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
     )
 
 
@@ -277,15 +282,15 @@
     ("spoil", "reason"),
     [
         (lambda d: d[:10], "size"),
-        (lambda d: d + b"x" * MAX_BYTES, "size"),
+        (lambda d: d + b"x" * MAX_DATAGRAM_BYTES, "size"),
         (lambda d: b"", "size"),
         (lambda d: b"\x02" + d[1:], "version"),
         (lambda d: d[:-1], "forged"),
         (lambda d: d + b"\0", "forged"),
         (lambda d: GossipCodec([b"j" * 32]).pack(message()), "forged"),
         (lambda d: GossipCodec([KEY]).pack(message(say=Ping("d3", 1))), "not-for-me"),
-        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
-        (lambda d: b"\x01" + GossipCodec._tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
+        (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
+        (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
         (lambda d: GossipCodec([KEY]).pack(GossipMessage("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
     ],
 )
