--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -99,7 +99,7 @@
         self._requests.record_rejection(request_class, reason)
 
     def disconnect(self, request: Request) -> None:
-        """The client has gone. Its attempt is cancelled, even one that is being answered: nobody reads the answer."""
+        """The client has gone. Its attempt is cancelled, even one that is being answered."""
         self._requests.disconnect(request)
 
     # From the endpoint list and the configuration.
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -2,9 +2,9 @@
 
 The router says between which replicas it is to choose (`QueryLoad`). Here it is decided which of them to check, and for
 how long the request may wait for that; the router gets what is known as facts (`LoadKnown`) and chooses. One health
-check of a replica serves all requests that wait for it. A replica that answers no check is ejected: the router is told
-so and chooses another, without a request having been lost there; and it is a check, never a request, that finds out
-when it is back.
+check of a replica serves all requests that wait for it. A replica that answers no check is ejected: the router learns
+that from its report and chooses another, without a request having been lost there; and it is a check, never a request,
+that finds out when it is back.
 """
 
 from __future__ import annotations
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -2,8 +2,8 @@
 
 A digest is one dispatcher's gauge: the tokens that it has in flight at each replica now. A newer one replaces the older
 one whole, so that a digest that arrives twice, late, or out of order counts nothing twice. One that grows old fades,
-not to nothing but to the mean of what the others have there: a dispatcher that cannot be heard still sends, as far as
-anybody knows.
+not to nothing but to the mean of what the others have there: as far as is known, a dispatcher that cannot be reached
+still sends its requests.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
             self._total_weight = 1 + sum(self._weights.values())
 
     def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> SummedLoad:
-        """The sum over the peers that are `counted`, whether they can be heard or not; `counted` as in `weigh`.
+        """The sum over the peers that are `counted`, whether they can be reached or not; `counted` as in `weigh`.
 
         A peer of which nothing is known counts as the mean of this dispatcher and all of which something is known.
         """
