--- /dev/null
+++ b/tests/http1/test_client.py
@@ -0,0 +1,76 @@
+"""The client's side of a connection: whatever the server sends, one answer's pieces and its end."""
+
+from __future__ import annotations
+
+import pytest
+
+from pearhill.http1.client import ClientConnection, Data, End, Event, Head, Lost
+
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+BLOCK = b"x" * 8192
+INTERIM_ANSWERS = b"HTTP/1.1 100 Continue\r\n\r\n" * 400
+
+
+@pytest.fixture
+def connection() -> ClientConnection:
+    """One before the answer to its first request."""
+    connection = ClientConnection()
+    connection.expect()
+    return connection
+
+
+def feed_all(connection: ClientConnection, parts: list[bytes]) -> list[Event]:
+    return [event for part in parts for event in connection.feed(part)]
+
+
+@pytest.mark.parametrize(
+    ("start", "more"),
+    [(b"HTTP/1.1 200 OK\r\nA: ", BLOCK), (b"HTTP/1.1 200 ", BLOCK), (b"", INTERIM_ANSWERS)],
+)
+def test_an_endless_head_ends_the_answer_while_it_still_arrives(connection, start, more):
+    events = feed_all(connection, [start] + [more] * 6)
+    assert not connection.awaiting
+    assert [type(event) for event in events if event != Lost("unasked")] == [Lost]
+
+
+@pytest.mark.parametrize(
+    "bad_chunk",
+    [
+        b"3\r\nhello\r\n",
+        b"9\r\nhello\r\n0\r\n\r\n",
+        b"g\r\n",
+        b"-5\r\nhello\r\n",
+        b"BFFFFFFF\r\n" + b"x" * 300_000,
+    ],
+    ids=["too-short", "too-long", "no-number", "negative", "endless"],
+)
+def test_a_chunk_counts_once_its_end_proves_its_size(connection, bad_chunk):
+    events = feed_all(connection, [CHUNKED + b"2\r\nhi\r\n", bad_chunk])
+    assert [type(event) for event in events] == [Head, Data, Lost]
+
+
+@pytest.mark.parametrize(("more", "reusable"), [(b"", True), (ANSWER, False), (b"noise", False)])
+def test_bytes_after_an_answer_make_its_connection_unusable(connection, more, reusable):
+    events = connection.feed(b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + ANSWER + more)
+    assert events == [Head(200, {"content-length": "2"}), Data(b"hi"), End(reusable, not more)]
+
+
+def test_bytes_without_a_request_are_an_error():
+    assert ClientConnection().feed(b"HTTP/1.1 200 OK\r\n") == [Lost("unasked")]
+
+
+def test_answers_in_pieces_one_after_another():
+    connection = ClientConnection()
+    for _ in range(2):
+        connection.expect()
+        events = connection.feed(b"HTTP/1.1 200 OK\r\nA: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n")
+        assert events == [Head(200, {"a": "b", "transfer-encoding": "chunked"}), Data(b"hi")]
+        assert connection.feed(b"0\r\n\r\n") == [End(True)]
+
+
+def test_a_connection_that_ends_loses_the_answer_once(connection):
+    connection.feed(ANSWER)
+    connection.expect()
+    assert connection.eof() == [Lost("eof")]
+    assert connection.eof() == []
--- a/tests/http1/test_sse.py
+++ b/tests/http1/test_sse.py
@@ -76,3 +76,17 @@
     reads = [stream[at : at + size] for at in range(0, len(stream), size)]
     with pytest.raises(EventStreamError):
         feed_all(parser, reads)
+
+
+def test_events_cut_anywhere_keep_their_bytes():
+    stream = b": hi\n\ndata: a\ndata: b\r\n\r\nevent: x\rdata:c\r\rid: 1\n\n"
+    expected = [(None, "message"), (b"a\nb", "message"), (b"c", "x"), (None, "message")]
+    for size in range(1, len(stream) + 1):
+        events = parse([stream[at : at + size] for at in range(0, len(stream), size)])
+        assert contents(events) == expected
+        assert b"".join(event.raw for event in events) == stream
+
+
+def test_an_event_past_the_bound_is_rejected_before_its_end():
+    with pytest.raises(EventStreamError):
+        EventParser(most=10).feed(b"data: " + b"x" * 10)
