--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -25,10 +25,10 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-ROOM = 8  # pieces of an answer that may wait for the server before the model server is held back
+MAX_BUFFERED_WRITES = 8  # pieces of an answer that may wait for the server before the model server is held back
 
 
-class AnswerBroken(Exception):
+class AnswerTruncatedError(Exception):
     """Raised out of the application once an answer cannot be whole: the server then closes the connection."""
 
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.messages: asyncio.Queue[Message | Exception | None] = asyncio.Queue()
         self.left = False
-        self._room = asyncio.Semaphore(ROOM)
+        self._room = asyncio.Semaphore(MAX_BUFFERED_WRITES)
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
         self.start(status, (*headers, ("Content-Length", str(len(body)))))
@@ -74,7 +74,7 @@
     def abort(self, last: bytes = b"") -> None:
         if last:
             self.messages.put_nowait({"type": "http.response.body", "body": last, "more_body": True})
-        self.messages.put_nowait(AnswerBroken("the model server's answer broke off"))
+        self.messages.put_nowait(AnswerTruncatedError("the model server's answer broke off"))
 
 
 class PearhillMiddleware:
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -84,7 +84,7 @@
     def register(self, address: Address) -> None:
         """Tell the registry where this dispatcher listens."""
         self._address = address
-        if self._eureka and self._eureka.setup.app:
+        if self._eureka and self._eureka.setup.register_as:
             self._registering = self.node.pool.spawn(self._eureka.keep_registered(address))
 
     async def deregister(self) -> None:
--- a/pearhill/eureka/setup.py
+++ b/pearhill/eureka/setup.py
@@ -1,4 +1,4 @@
-"""What an operator's file says about the registry."""
+"""What an operators' file says about the registry."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EurekaSetup:
+    """Where the registry is, what is read there, and how this dispatcher registers."""
+
     address: Address
-    base: str
-    vip: str  # the application whose instances are the servers
-    app: str  # the name under which this dispatcher registers; empty: it does not
-    instance: str
+    base: str  # the path under which the registry's API stands
+    replica_app: str  # the application whose instances are the replicas
+    register_as: str  # the application as which this dispatcher registers; empty: it does not
+    instance: str  # the id of this dispatcher there; empty: made of its address
     lease_s: int
     renew_s: int
     fetch_s: int
--- a/tests/chat/test_asgi.py
+++ b/tests/chat/test_asgi.py
@@ -10,7 +10,7 @@
 import sys
 import unittest
 
-from pearhill.asgi import AnswerBroken, PearhillMiddleware
+from pearhill.asgi import AnswerTruncatedError, PearhillMiddleware
 from pearhill.chat.setup import load
 from tests.chat.test_front import PATH, body, operator_file, write_file
 from tests.standins import LAST, ROOT, TOKENS, Program, Standin
@@ -114,7 +114,7 @@
     async def test_a_broken_answer_is_raised_and_an_oversized_body_refused(self):
         self.server.respond = lambda h, b: h.chunks(TOKENS[0])
         task, _, _ = self.call(body(stream=True))
-        with self.assertRaises(AnswerBroken):
+        with self.assertRaises(AnswerTruncatedError):
             await task
         task, _, send = self.call(b"x" * 300_000)
         await task
--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -6,8 +6,10 @@
 from collections import Counter
 from typing import Any
 
+import pytest
+
 from pearhill import settings
-from pearhill.eureka.registry import BadRegistry, Registry
+from pearhill.eureka.registry import Registry, RegistryError
 from pearhill.routing.topology import Endpoint, Phase
 from tests.chat.test_front import PATH, body, operator_file, write_file
 from tests.standins import SETTINGS, Program, Standin
@@ -47,11 +49,14 @@
     }
 
 
-class Eureka(Standin):
-    """Answers with what a test has put into `whole` and `delta`; leases are by path."""
+class RegistryStandin(Standin):
+    """Answers with what a test has put into `full_list` and `delta`; leases are by path."""
 
     def __init__(self) -> None:
-        self.whole, self.delta, self.leases, self.down = answer(), answer(), set[str](), False
+        self.full_list = answer()
+        self.delta = answer()
+        self.leases = set[str]()
+        self.down = False
         super().__init__()
 
     def respond(self, handler: Any, body: bytes) -> None:
@@ -59,7 +64,7 @@
         if self.down:
             return handler.plain(500)
         if handler.command == "GET":
-            return handler.plain(200, json.dumps(self.delta if path.endswith("/delta") else self.whole).encode())
+            return handler.plain(200, json.dumps(self.delta if path.endswith("/delta") else self.full_list).encode())
         if handler.command == "POST":
             self.leases.add(f"{path}/{json.loads(body)['instance']['instanceId']}")
             return handler.plain(204)
@@ -69,12 +74,13 @@
         handler.plain(200 if known else 404)
 
 
-class ThroughTheProgram(unittest.TestCase):
+class RealProgram(unittest.TestCase):
     def setUp(self) -> None:
-        self.server, self.eureka = Standin(), Eureka()
-        self.addCleanup(self.server.close)
+        self.replica = Standin()
+        self.eureka = RegistryStandin()
+        self.addCleanup(self.replica.close)
         self.addCleanup(self.eureka.close)
-        self.eureka.whole = answer(instance("m1", self.server.address))
+        self.eureka.full_list = answer(instance("m1", self.replica.address))
         self.eureka.delta = answer(code="UP_1_")
         path = write_file(self, self.file(self.eureka))
         self.program = Program("--chat", path)
@@ -82,40 +88,41 @@
         self.program.config = pathlib.Path(path)
         self.program.wait_ready()
 
-    def file(self, eureka: Eureka) -> str:
+    def file(self, eureka: RegistryStandin) -> str:
         return operator_file(
             [],
             f'[eureka]\naddress = "{eureka.address}"\nservers = "helpdesk"\n'
             'register_as = "pearhill"\nrenew_s = 1\nfetch_s = 1\n',
         )
 
-    def test_servers_of_the_registry_serve_and_stay_when_it_is_down(self):
-        self.assertEqual(self.program.ask("POST", PATH, body())[0], 200)
+    def test_replicas_of_the_registry_serve_and_stay_when_it_is_down(self):
+        assert self.program.ask("POST", PATH, body())[0] == 200
         self.eureka.down = True
         self.program.wait_line("the last one stays")
-        self.assertEqual(self.program.ask("POST", PATH, body())[0], 200)
+        assert self.program.ask("POST", PATH, body())[0] == 200
 
-    def test_a_server_that_is_not_up_gets_nothing_new(self):
-        self.eureka.delta = answer(instance("m1", self.server.address, status="OUT_OF_SERVICE", action="MODIFIED"))
+    def test_a_replica_that_is_not_up_gets_nothing_new(self):
+        self.eureka.delta = answer(instance("m1", self.replica.address, status="OUT_OF_SERVICE", action="MODIFIED"))
         self.eureka.wait_for("GET", "/eureka/apps/delta")
         self.program.wait_ready(503)
-        self.assertEqual((self.program.ask("POST", PATH, body())[0], self.server.runs), (503, 0))
+        assert (self.program.ask("POST", PATH, body())[0], self.replica.runs) == (503, 0)
 
-    def test_a_delta_that_does_not_add_up_fetches_the_whole_list(self):
+    def test_a_delta_that_does_not_add_up_fetches_the_full_list(self):
         self.eureka.delta = answer(code="UP_2_")
         self.program.wait_line("does not add up")
         self.eureka.wait_for("GET", "/eureka/apps", 3)
 
     def test_a_reload_leaves_the_old_registry_and_registers_with_the_new_one(self):
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
-        other = Eureka()
+        other = RegistryStandin()
         self.addCleanup(other.close)
-        other.whole, other.delta = answer(instance("m2", self.server.address)), answer(code="UP_1_")
+        other.full_list = answer(instance("m2", self.replica.address))
+        other.delta = answer(code="UP_1_")
         self.program.reload(self.file(other))
         self.eureka.wait_for("DELETE", "/eureka/apps/PEARHILL")
         other.wait_for("POST", "/eureka/apps/PEARHILL")
         other.wait_for("GET", "/eureka/apps")
-        self.assertEqual(self.program.ask("POST", PATH, body())[0], 200)
+        assert self.program.ask("POST", PATH, body())[0] == 200
 
     def test_registered_renewed_registered_anew_and_cancelled(self):
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
@@ -123,56 +130,55 @@
         own = json.loads(
             next(b for (m, _), b in zip(self.eureka.calls, self.eureka.bodies, strict=True) if m == "POST")
         )["instance"]
-        self.assertEqual((own["status"], own["port"]["$"]), ("UP", self.program.port))
+        assert (own["status"], own["port"]["$"]) == ("UP", self.program.port)
         self.eureka.leases.clear()  # the registry forgets: the next renewal is a 404
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL", 2)
-        self.assertEqual(self.program.stop(), 0)
+        assert self.program.stop() == 0
         self.eureka.wait_for("DELETE", "/eureka/apps/PEARHILL")
 
 
-class Lists(unittest.TestCase):
+class RegistryLists(unittest.TestCase):
     def setUp(self) -> None:
-        self.registry, self.deployment = Registry(), settings.parse(SETTINGS)
+        self.registry = Registry()
+        self.deployment = settings.parse(SETTINGS)
 
     def entries(self) -> list[Endpoint]:
-        return list(self.registry.servers(APP, self.deployment)[0])
+        return list(self.registry.endpoints(APP, self.deployment)[0])
 
     def test_metadata_gives_role_zone_and_cell(self):
         self.registry.replace(
             answer(instance("a", role="reader", zone="south", cell="4"), instance("b", kind="writer"))
         )
-        self.assertEqual([(e.kind, e.zone, e.cell) for e in self.entries()], [(0, 1, 4), (1, 0, 0)])
+        assert [(e.kind, e.zone, e.cell) for e in self.entries()] == [(0, 1, 4), (1, 0, 0)]
         self.registry.replace(
             answer(instance("a", zone="nowhere"), instance("b", role="cook"), instance("c", cell="x"), instance("d"))
         )
-        self.assertEqual(len(self.entries()), 1)  # what makes no sense is left out
+        assert len(self.entries()) == 1  # what makes no sense is left out
 
     def test_deltas_and_the_hash_code(self):
         self.registry.replace(answer(instance("a"), instance("b", status="DOWN")))
-        self.assertEqual(self.registry.hash_code, "DOWN_1_UP_1_")
-        self.assertTrue(self.registry.apply(answer(instance("b", action="DELETED"), instance("c"), code="UP_2_")))
-        self.assertFalse(self.registry.apply(answer(code="UP_3_")))
-        self.assertTrue(
-            self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
-        )
-        self.assertEqual(sorted(e.phase for e in self.entries()), [Phase.DRAINING, Phase.READY])
+        assert self.registry.hash_code == "DOWN_1_UP_1_"
+        assert self.registry.apply(answer(instance("b", action="DELETED"), instance("c"), code="UP_2_"))
+        assert not self.registry.apply(answer(code="UP_3_"))
+        assert self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
+        assert sorted(e.phase for e in self.entries()) == [Phase.DRAINING, Phase.READY]
 
     def test_a_list_of_one_may_come_as_the_one_alone(self):
-        told = answer(instance("a"))
-        told["applications"]["application"] = {"name": APP, "instance": instance("a")}
-        self.registry.replace(told)
-        self.assertEqual(len(self.entries()), 1)
+        contents = answer(instance("a"))
+        contents["applications"]["application"] = {"name": APP, "instance": instance("a")}
+        self.registry.replace(contents)
+        assert len(self.entries()) == 1
 
     def test_nonsense_is_an_error_and_changes_nothing(self):
         self.registry.replace(answer(instance("a")))
-        for told in (
+        for contents in (
             None,
             [],
             {},
             {"applications": {"application": [7]}},
             {"applications": {"application": [{"instance": {}}]}},
         ):
-            with self.subTest(told=told), self.assertRaises(BadRegistry):
-                self.registry.replace(told)
-        self.assertEqual(len(self.entries()), 1)
-        self.assertEqual(self.registry.hash_code, "UP_1_")
+            with self.subTest(contents=contents), pytest.raises(RegistryError):
+                self.registry.replace(contents)
+        assert len(self.entries()) == 1
+        assert self.registry.hash_code == "UP_1_"
