--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -1,4 +1,4 @@
-"""The chat front as pure ASGI middleware, for Starlette, FastAPI and every other ASGI framework.
+"""The chat front end as pure ASGI middleware, for Starlette, FastAPI and every other ASGI framework.
 
 It answers the API's paths (`/v1/chat/completions`, `/v1/completions`, `/v1/responses`, `/v1/models`) by the same core
 as the daemon, and passes all else on to the application.
@@ -25,30 +25,32 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-MAX_BUFFERED_WRITES = 8  # pieces of an answer that may wait for the server before the model server is held back
+MAX_BUFFERED_WRITES = 8  # pieces of an answer that may wait for the ASGI server before the replica is paused
 
 
 class AnswerTruncatedError(Exception):
-    """Raised out of the application once an answer cannot be whole: the server then closes the connection."""
+    """Raised out of the application once an answer cannot be completed: the ASGI server then closes the connection."""
 
 
 class _Reply:
-    """Takes the front's answer and hands it on as ASGI messages; None is the end, an exception the break."""
+    """Turns the front end's answer into ASGI messages. In the queue None is the end, an exception a truncation."""
 
     def __init__(self) -> None:
         self.messages: asyncio.Queue[Message | Exception | None] = asyncio.Queue()
-        self.left = False
-        self._room = asyncio.Semaphore(MAX_BUFFERED_WRITES)
+        self.disconnected = False  # the client has gone
+        self._free_writes = asyncio.Semaphore(MAX_BUFFERED_WRITES)
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
+        """The whole answer at once."""
         self.start(status, (*headers, ("Content-Length", str(len(body)))))
-        self.messages.put_nowait({"type": "http.response.body", "body": body})
-        self.messages.put_nowait(None)
+        self.finish(body)
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
+        """An answer that ends the connection."""
         self.answer(status, (*headers, ("Connection", "close")), body)
 
     def start(self, status: int, headers: Headers = ()) -> None:
+        """Status and headers of an answer in pieces."""
         self.messages.put_nowait(
             {
                 "type": "http.response.start",
@@ -58,20 +60,25 @@
         )
 
     async def write(self, data: bytes) -> None:
+        """A piece of the answer. Waits while MAX_BUFFERED_WRITES pieces wait for the ASGI server."""
         self.messages.put_nowait({"type": "http.response.body", "body": data, "more_body": True})
-        await self._room.acquire()
+        await self._free_writes.acquire()
 
     def has_disconnected(self) -> bool:
-        return self.left
+        """Whether the client has gone."""
+        return self.disconnected
 
     def sent(self) -> None:
-        self._room.release()
+        """The ASGI server has taken a piece."""
+        self._free_writes.release()
 
     def finish(self, last: bytes = b"") -> None:
+        """The answer is complete with this piece."""
         self.messages.put_nowait({"type": "http.response.body", "body": last})
         self.messages.put_nowait(None)
 
     def abort(self, last: bytes = b"") -> None:
+        """The answer ends before it is complete."""
         if last:
             self.messages.put_nowait({"type": "http.response.body", "body": last, "more_body": True})
         self.messages.put_nowait(AnswerTruncatedError("the model server's answer broke off"))
@@ -81,10 +88,12 @@
     """`setup` is an operator's file read by `pearhill.chat.setup.load`, or the like from `read`."""
 
     def __init__(self, app: App, setup: ChatSetup) -> None:
-        self.app, self.setup = app, setup
+        self.app = app
+        self.setup = setup
         self.service: ChatService | None = None
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """One connection of the ASGI server: the API's paths are answered here, all else by the application."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
         elif scope["type"] == "http" and owns(scope["path"]):
@@ -99,14 +108,16 @@
         return self.service
 
     async def _stop(self) -> None:
-        service, self.service = self.service, None
+        service = self.service
+        self.service = None
         if service:
             await service.close()
 
     async def _lifespan(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """The application's own lifespan runs inside; the dispatcher is up before its start is told as complete."""
+        """The application's own lifespan runs inside; the dispatcher is up before the start is reported as
+        complete."""
 
-        async def tell(message: Message) -> None:
+        async def observe_and_send(message: Message) -> None:
             if message["type"] == "lifespan.startup.complete":
                 await self._start()
             elif message["type"].startswith("lifespan.shutdown."):
@@ -114,28 +125,23 @@
             await send(message)
 
         try:
-            await self.app(scope, receive, tell)
+            await self.app(scope, receive, observe_and_send)
         finally:
             await self._stop()
 
     async def _chat(self, scope: Scope, receive: Receive, send: Send) -> None:
         service = await self._start()  # where the server or the application knows no lifespan
         reply = _Reply()
-        most = self.setup.max_body
-        body = await self._body(receive, most)
+        body = await self._body(receive, self.setup.max_body)
         if body is None:
             return
-        headers: dict[str, str] = {}
-        for name, value in scope["headers"]:
-            add_header(headers, name.decode("latin-1").lower(), value.decode("latin-1"))
-        query = scope.get("query_string", b"").decode("latin-1")
-        target = scope["path"] + (f"?{query}" if query else "")
-        if len(body) > most:
+        request = _request(scope, body)
+        if len(body) > self.setup.max_body:
             service.node.counters.rejected += 1
             extra, text = service.front.rejected(413, "the body is too large")
             reply.reject(413, extra, text)
             return await self._pump(reply, send)
-        pending = service.front.handle(RequestMessage(scope["method"], target, headers, body), reply)
+        pending = service.front.handle(request, reply)
         watch = asyncio.create_task(self._watch(receive, pending, reply))
         try:
             await self._pump(reply, send)
@@ -147,28 +153,30 @@
             watch.cancel()
 
     @staticmethod
-    async def _body(receive: Receive, most: int) -> bytes | None:
-        """The whole body, cut one byte past the limit; None where the client has gone before its end."""
+    async def _body(receive: Receive, max_bytes: int) -> bytes | None:
+        """The whole body, cut one byte past the limit; None if the client has gone before its end."""
         body = b""
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
                 return None
-            body = (body + message.get("body", b""))[: most + 1]
+            body = (body + message.get("body", b""))[: max_bytes + 1]
             if not message.get("more_body", False):
                 return body
 
     @staticmethod
     async def _watch(receive: Receive, pending: Pending | None, reply: _Reply) -> None:
+        """Wait until the client has gone, then end its request."""
         while (await receive())["type"] != "http.disconnect":
             pass
-        reply.left = True
+        reply.disconnected = True
         if pending:
             pending.left()
-        reply.messages.put_nowait(None)  # nobody is there to write to
+        reply.messages.put_nowait(None)  # there is no client to write to
 
     @staticmethod
     async def _pump(reply: _Reply, send: Send) -> None:
+        """Send the answer's messages to its end. AnswerTruncatedError: it cannot be completed."""
         while (message := await reply.messages.get()) is not None:
             if isinstance(message, Exception):
                 logger.info("asgi: an answer has broken off")
@@ -176,3 +184,12 @@
             await send(message)
             if message.get("more_body"):
                 reply.sent()
+
+
+def _request(scope: Scope, body: bytes) -> RequestMessage:
+    headers: dict[str, str] = {}
+    for name, value in scope["headers"]:
+        add_header(headers, name.decode("latin-1").lower(), value.decode("latin-1"))
+    query = scope.get("query_string", b"").decode("latin-1")
+    target = scope["path"] + (f"?{query}" if query else "")
+    return RequestMessage(scope["method"], target, headers, body)
--- a/tests/chat/test_asgi.py
+++ b/tests/chat/test_asgi.py
@@ -10,6 +10,8 @@
 import sys
 import unittest
 
+import pytest
+
 from pearhill.asgi import AnswerTruncatedError, PearhillMiddleware
 from pearhill.chat.setup import load
 from tests.chat.test_front import PATH, body, operator_file, write_file
@@ -36,47 +38,47 @@
         self.follow_log()
 
 
-class UnderAServer(unittest.TestCase):
+class MiddlewareUnderUvicorn(unittest.TestCase):
     def test_the_example_serves_its_own_pages_and_the_chat_api(self):
-        server = Standin()
-        self.addCleanup(server.close)
-        program = Example(write_file(self, operator_file([server.address])))
+        replica = Standin()
+        self.addCleanup(replica.close)
+        program = Example(write_file(self, operator_file([replica.address])))
         self.addCleanup(program.kill)
-        self.assertEqual(json.loads(program.ask("GET", "/hours")[2])["open"], "09:00")
+        assert json.loads(program.ask("GET", "/hours")[2])["open"] == "09:00"
         status, _, got = program.ask("POST", PATH, body(stream=True))
-        self.assertEqual((status, got[: len(TOKENS[0])], got[-14:]), (200, TOKENS[0], b"data: [DONE]\n\n"))
-        self.assertEqual(json.loads(program.ask("POST", PATH, body())[2])["object"], "chat.completion")
-        self.assertEqual(program.ask("POST", PATH, b"{")[0], 400)
-        server.respond = lambda h, b: h.chunks(TOKENS[0])  # no [DONE]
-        with self.assertRaises((http.client.HTTPException, OSError)):
+        assert (status, got[: len(TOKENS[0])], got[-14:]) == (200, TOKENS[0], b"data: [DONE]\n\n")
+        assert json.loads(program.ask("POST", PATH, body())[2])["object"] == "chat.completion"
+        assert program.ask("POST", PATH, b"{")[0] == 400
+        replica.respond = lambda h, b: h.chunks(TOKENS[0])  # no [DONE]
+        with pytest.raises((http.client.HTTPException, OSError)):
             program.ask("POST", PATH, body(stream=True))
-        self.assertIn(program.stop(), (0, -signal.SIGTERM))  # some servers end themselves by the signal they got
+        assert program.stop() in (0, -signal.SIGTERM)  # some servers end themselves by the signal they got
         program.wait_line(r'counters .*"served": 2')
 
 
-class ByHand(unittest.IsolatedAsyncioTestCase):
+class MiddlewareWithoutServer(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.server = Standin()
-        self.addCleanup(self.server.close)
-        self.middleware = PearhillMiddleware(self.app, load(write_file(self, operator_file([self.server.address]))))
+        self.replica = Standin()
+        self.addCleanup(self.replica.close)
+        self.middleware = PearhillMiddleware(self.app, load(write_file(self, operator_file([self.replica.address]))))
         self.to_app: asyncio.Queue = asyncio.Queue()
         self.from_app: asyncio.Queue = asyncio.Queue()
         self.lifespan = asyncio.create_task(self.middleware({"type": "lifespan"}, self.to_app.get, self.from_app.put))
         await self.to_app.put({"type": "lifespan.startup"})
-        self.assertEqual((await self.from_app.get())["type"], "lifespan.startup.complete")
-        self.assertIsNotNone(self.middleware.service)
+        assert (await self.from_app.get())["type"] == "lifespan.startup.complete"
+        assert self.middleware.service is not None
 
     async def asyncTearDown(self) -> None:
         await self.to_app.put({"type": "lifespan.shutdown"})
-        self.assertEqual((await self.from_app.get())["type"], "lifespan.shutdown.complete")
+        assert (await self.from_app.get())["type"] == "lifespan.shutdown.complete"
         await self.lifespan
-        self.assertIsNone(self.middleware.service)
+        assert self.middleware.service is None
 
     async def app(self, scope, receive, send) -> None:
         """An application with a lifespan and nothing else."""
-        self.assertEqual(scope["type"], "lifespan")
+        assert scope["type"] == "lifespan"
         for step in ("startup", "shutdown"):
-            self.assertEqual((await receive())["type"], f"lifespan.{step}")
+            assert (await receive())["type"] == f"lifespan.{step}"
             await send({"type": f"lifespan.{step}.complete"})
 
     def call(self, sent: bytes) -> tuple[asyncio.Task, asyncio.Queue, asyncio.Queue]:
@@ -90,32 +92,32 @@
     async def test_a_stream_comes_piece_by_piece(self):
         def pieces(handler, body):
             handler.chunks(TOKENS[0], last=False)
-            self.server.go.wait(20)
+            self.replica.go.wait(20)
             handler.more(TOKENS[1] + LAST)
             handler.wfile.write(b"0\r\n\r\n")
 
-        self.server.respond = pieces
+        self.replica.respond = pieces
         task, _, send = self.call(body(stream=True))
-        self.assertEqual((await send.get())["status"], 200)
-        self.assertEqual((await send.get())["body"], TOKENS[0])  # while the server still holds the rest back
-        self.server.go.set()
+        assert (await send.get())["status"] == 200
+        assert (await send.get())["body"] == TOKENS[0]  # while the replica still holds the rest back
+        self.replica.go.set()
         await task
-        self.assertNotIn("more_body", [*send._queue][-1])
+        assert "more_body" not in [*send._queue][-1]
 
     async def test_a_client_that_disconnects_ends_its_attempt(self):
-        self.server.respond = lambda h, b: self.server.go.wait(20)
+        self.replica.respond = lambda h, b: self.replica.go.wait(20)
         task, receive, _ = self.call(body())
-        await asyncio.to_thread(self.server.wait_for, "POST")
+        await asyncio.to_thread(self.replica.wait_for, "POST")
         receive.put_nowait({"type": "http.disconnect"})
         await task
         counters = self.middleware.service.node.counters
-        self.assertEqual((counters.left, counters.outcomes["cancelled"]), (1, 1))
+        assert (counters.left, counters.outcomes["cancelled"]) == (1, 1)
 
     async def test_a_broken_answer_is_raised_and_an_oversized_body_refused(self):
-        self.server.respond = lambda h, b: h.chunks(TOKENS[0])
+        self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
         task, _, _ = self.call(body(stream=True))
-        with self.assertRaises(AnswerTruncatedError):
+        with pytest.raises(AnswerTruncatedError):
             await task
         task, _, send = self.call(b"x" * 300_000)
         await task
-        self.assertEqual((await send.get())["status"], 413)
+        assert (await send.get())["status"] == 413
