--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -1,30 +1,38 @@
-"""The stages of a shutdown within what the platform leaves it."""
+"""The drain's stages, whatever began it."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.lifecycle.drain import Drain
-from pearhill.lifecycle.shutdown_times import (
-    KILL_AFTER_DEADLINE_US,
-    MAX_KILL_DEADLINE_US,
-    MAX_SIGNAL_DELAY_US,
-    NEW_CONNECTIONS_US,
-    ShutdownTimes,
-)
+from pearhill.lifecycle.drain import Drain, DrainStage
+from pearhill.lifecycle.shutdown_times import IDLE_GRACE_US, ShutdownTimes
 from tests.driver import S
 
 deadlines = st.integers(0, 20 * S)
 
 
-@given(deadlines)
-def test_every_stage_ends_before_the_kill_even_of_a_process_that_heard_of_the_signal_late(longest):
-    times = ShutdownTimes.for_deadline(longest)
-    kill = min(longest, MAX_KILL_DEADLINE_US) + KILL_AFTER_DEADLINE_US
-    assert times.kill_after == kill
-    assert times.end_by + MAX_SIGNAL_DELAY_US < kill
-    assert NEW_CONNECTIONS_US <= times.accept_for < kill - MAX_SIGNAL_DELAY_US
-    assert times.close_idle_after <= times.accept_for
-    assert times.reject_after + MAX_SIGNAL_DELAY_US < KILL_AFTER_DEADLINE_US
+def test_a_drain_goes_through_its_stages_and_back():
+    drain = Drain()
+    assert drain.stage(S) is DrainStage.OPEN
+    assert drain.tick(S) is None
+    drain.request(S, True)
+    assert (drain.stage(S), drain.tick(S)) == (DrainStage.CLOSE_AFTER_ANSWER, S + IDLE_GRACE_US)
+    drain.request(S + IDLE_GRACE_US - 1, True)  # asked for twice, it does not begin anew
+    assert (drain.stage(S + IDLE_GRACE_US), drain.tick(S + IDLE_GRACE_US)) == (DrainStage.CLOSE_IDLE, None)
+    drain.request(9 * S, False)
+    drain.request(9 * S, False)
+    assert not drain.active
+    assert drain.stage(9 * S) is DrainStage.OPEN
+
+
+def test_the_end_of_the_operators_drain_does_not_undo_the_end_of_the_process():
+    drain = Drain()
+    drain.request(S, True)
+    drain.end_process(2 * S, 6 * S)
+    drain.request(3 * S, False)
+    assert drain.active
+    assert drain.stage(2 * S + IDLE_GRACE_US) is DrainStage.CLOSE_IDLE
+    drain.end_process(9 * S, 6 * S)
+    assert drain.stage(3 * S) is DrainStage.CLOSE_IDLE  # a second signal does not begin it anew
 
 
 @given(deadlines, deadlines, st.integers(0, S))
--- /dev/null
+++ b/tests/lifecycle/test_overrides.py
@@ -0,0 +1,42 @@
+"""Operators' overrides, free of I/O."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from pearhill.lifecycle.overrides import RETENTION_US, OperatorOverrides
+from tests.driver import S
+
+CALLS = st.lists(st.tuples(st.integers(0, 1), st.integers(1, 3), st.integers(0, 20), st.booleans()), max_size=30)
+
+
+def test_two_calls_down_need_one_up_and_a_call_up_alone_is_none():
+    overrides = OperatorOverrides()
+    overrides.set_down(1, 5 * S, False)
+    assert overrides.down == {}  # or a replica that was never down would be taken for a cold one
+    for at in (10 * S, 11 * S):
+        overrides.set_down(1, at, True)
+    overrides.set_down(1, 12 * S, False)
+    assert not overrides.is_down(1)
+    assert overrides.restored(1)
+    assert overrides.restored(1).since == 10 * S
+
+
+def test_overrides_in_force_are_never_forgotten():
+    overrides = OperatorOverrides()
+    overrides.set_down(1, S, True)
+    overrides.forget(100 * RETENTION_US)
+    assert overrides.is_down(1)
+
+
+@given(CALLS)
+def test_of_two_processes_both_end_with_the_override_that_came_last(calls):
+    """Each call reaches one of two; each takes over the other's after it, whatever their clocks say."""
+    both = OperatorOverrides(), OperatorOverrides()
+    last: dict[int, bool] = {}
+    for process, replica, at, on in calls:
+        both[process].set_down(replica, at, on)
+        last[replica] = on
+        both[1 - process].merge(both[process].down, both[process].drain)
+        both[process].merge(both[1 - process].down, both[1 - process].drain)
+    assert both[0].down == both[1].down
+    assert {replica: both[0].is_down(replica) for replica in last} == last
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -1,11 +1,7 @@
-"""Messages between two processes of one dispatcher, and what follows from them, free of I/O."""
+"""What follows from the messages between two processes of one dispatcher, free of I/O."""
 
 from dataclasses import replace
 
-import pytest
-from hypothesis import given
-from hypothesis import strategies as st
-
 from pearhill.lifecycle.overrides import OperatorOverrides, Override
 from pearhill.lifecycle.takeover import (
     ALIVE_WITHIN_US,
@@ -14,55 +10,8 @@
     REWRITE_INTERVAL_US,
     Takeover,
 )
-from pearhill.lifecycle.takeover_message import TakeoverMessage, TakeoverMessageError, decode
 from tests.driver import S
-
-MESSAGE = TakeoverMessage(
-    "n3", 5 * S, 6 * S, True, False, False, {7: Override(5 * S, True, 4 * S)}, Override(6 * S, False, 6 * S)
-)
-OVERRIDES = st.builds(Override, st.integers(0, 2**60), st.booleans(), st.integers(0, 2**60))
-
-
-@given(
-    st.builds(
-        TakeoverMessage,
-        st.text(),
-        st.integers(0, 2**60),
-        st.integers(0, 2**60),
-        st.booleans(),
-        st.booleans(),
-        st.booleans(),
-        st.dictionaries(st.integers(0, 2**64 - 1), OVERRIDES, max_size=5),
-        st.none() | OVERRIDES,
-    )
-)
-def test_a_message_is_decoded_as_it_was_encoded(message):
-    assert decode(message.encode(), message.name) == message
-
-
-def test_a_message_cut_or_changed_at_any_byte_is_rejected():
-    data = MESSAGE.encode()
-    for cut in range(len(data)):
-        with pytest.raises(TakeoverMessageError):
-            decode(data[:cut], "n3")
-    for at in range(0, len(data), 3):
-        with pytest.raises(TakeoverMessageError):
-            decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], "n3")
-
-
-@pytest.mark.parametrize(
-    ("data", "why"),
-    [
-        (b"", "no note"),
-        (b"PK\x03\x04", "no note"),
-        (b"pearhill-note 2 00000000\n{}", "of another version"),
-        (replace(MESSAGE, name="n4").encode(), "of another dispatcher"),
-        (replace(MESSAGE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many"),
-    ],
-)
-def test_an_error_says_why_a_message_is_rejected(data, why):
-    with pytest.raises(TakeoverMessageError, match=why):
-        decode(data, "n3")
+from tests.lifecycle.test_takeover_message import MESSAGE
 
 
 def takeover(started_at: int = 9 * S) -> Takeover:
