--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -307,7 +307,7 @@
     def _has_room(self, asked: _Asked, cls: int) -> bool:
         """Danger: the core's books are bounded; past that nothing is taken, and the client is told at once."""
         dispatcher = self.dispatcher
-        if len(dispatcher.requests) < dispatcher.deployment.most_held:
+        if len(dispatcher.requests) < dispatcher.deployment.max_open_requests:
             return True
         dispatcher.record_rejection(cls)
         error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=RATE)
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -43,7 +43,7 @@
 
 def _keep_idle(deployment: Deployment) -> int:
     """How long a connection may stand unused: well under what the servers allow."""
-    return deployment.conn_idle * 2 // 3
+    return deployment.connection_idle_timeout * 2 // 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -215,7 +215,7 @@
 
     def reconfigure(self, deployment: Deployment) -> None:
         """Other settings for a running dispatcher. ConfigError: they ask for what only a start can do."""
-        old, new = self.dispatcher.deployment.held_fast(), deployment.held_fast()
+        old, new = self.dispatcher.deployment.fixed_at_start(), deployment.fixed_at_start()
         if unlike := [key for key in old if old[key] != new[key]]:
             raise ConfigError(f"settings.{unlike[0]}: cannot change while running")
         self.settings = deployment
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -167,7 +167,7 @@
             dispatcher.counters.rejected += 1
             reply.reject(409, TEXT_HEADERS, b"a request with this Request-Id is open\n")
             return True
-        if len(dispatcher.requests) >= dispatcher.deployment.most_held:
+        if len(dispatcher.requests) >= dispatcher.deployment.max_open_requests:
             dispatcher.record_rejection(spec.request_class)
             retry_after = retry_after_headers(dispatcher.deployment.router.max_retry_after)
             reply.answer(503, (*TEXT_HEADERS, *retry_after), b"too many open\n")
--- a/pearhill/settings.py
+++ b/pearhill/settings.py
@@ -16,6 +16,13 @@
     "non_idempotent": Idempotency.UNSAFE,
 }
 
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_CONNECTION_IDLE_US = 15_000_000
+DEFAULT_MAX_OPEN_REQUESTS = 10_000
+DEFAULT_DRAIN_GRACE_US = 250_000
+LOAD_COLUMNS = ("x0", "x1")  # of a load report: memory utilization, thousands of tokens that wait
+NOT_REPORTED = -1
+
 
 class SettingsError(ValueError):
     """Settings that cannot be used; the text names the key."""
@@ -23,22 +30,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The router's settings, with what only the node round it needs. Times are microseconds."""
+    """The router's settings, with what only the node round it needs. Times are microseconds.
+
+    `load_positions`: where the two load values stand in a report (-1: not reported). `connection_idle_timeout`: for
+    how long replicas keep an idle connection. `shared_discovery`: discovery is one service that all dispatchers poll;
+    else what it has is pushed to each. `drain_grace`: so long after a dispatcher is told that a replica drains, it must
+    have stopped sending there.
+    """
 
     router: RouterSettings
-    load_at: tuple[int, int]  # where the two load values stand in a report (-1: not reported)
+    load_positions: tuple[int, int]
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
     kind_names: tuple[str, ...]
     tenant_names: tuple[str, ...]
     connect_timeout: int
-    conn_idle: int
-    most_held: int
-    shared_discovery: bool  # it is one service that all dispatchers ask; else what it has is pushed to each
-    drain_grace: int  # after it was told of one that leaves, a dispatcher has so long to stop sending there
+    connection_idle_timeout: int
+    max_open_requests: int
+    shared_discovery: bool
+    drain_grace: int
 
-    def held_fast(self) -> dict[str, tuple[object, ...]]:
-        """What a running process has numbered or sized its books by, under the keys of the settings."""
+    def fixed_at_start(self) -> dict[str, tuple[object, ...]]:
+        """What a running process has numbered or sized its tables by, by the settings' keys: a reload keeps it."""
         return {
             "classes": self.class_names,
             "zones": self.zone_names,
@@ -48,76 +61,119 @@
         }
 
 
-def _names(rows: Any) -> tuple[str, ...]:
-    return tuple(str(row["name"]) if isinstance(row, Mapping) and "name" in row else str(row) for row in rows)
+def parse(settings: Mapping[str, Any]) -> Deployment:
+    """Read the settings object, as nested JSON was decoded.
 
-
-def parse(s: Mapping[str, Any]) -> Deployment:
-    """The settings object, as nested JSON was read."""
+    SettingsError: the first of its faults, which names the key.
+    """
     try:
-        extra, allowed, rules = s["extra"], s["allowed"], s["rules"]
-        n = len(s["classes"])
-        per_k = extra.get("aim-us-per-1000-prompt-tokens") or [0.0] * n
-        pace = extra.get("token-aim") or [0.0] * n
-        classes = tuple(
-            RequestClass(
-                int(c["aim"]),
-                float(per_k[k]),
-                int(c["deadline"]),
-                float(c["worth"]),
-                float(c.get("late-worth", 0)),
-                EFFECTS.get(c["effect"], c["effect"]),
-                c.get("group", "all"),
-                int(c.get("window", 0)),
-                float(pace[k]),
-            )
-            for k, c in enumerate(s["classes"])
-        )
-        kinds = tuple(
-            MachineKind(ROLES.get(role, role), int(memory))
-            for role, memory in zip(extra["role-by-kind"], extra["tokens-by-kind"], strict=True)
-        )
-        columns = s.get("report", {}).get("columns", [])
-        load_at = tuple(columns.index(name) if name in columns else -1 for name in ("x0", "x1"))
-        router = RouterSettings(
-            instances=int(s["n-instances"]),
-            zone=int(s["zone"]),
-            classes=classes,
-            kinds=kinds,
-            quotas=tuple(float(t["quota-rps"]) for t in s.get("tenants", [])),
-            over_quota_weight=float(s.get("over-share-worth", 1)),
-            state_hold_time=int(extra["release-within"]),
-            local_prefill=bool(extra["local-read"]),
-            may_cancel=bool(allowed["may-cancel"]),
-            hedged_requests=bool(allowed["second-copies"]),
-            may_migrate=bool(extra.get("resume", False)),
-            retry_hints=bool(allowed.get("retry-after", False)),
-            max_retry_after=int(allowed.get("max-retry-after", 0)),
-            max_attempts=int(allowed["max-attempts"]),
-            slow_start_window=int(rules["cold"]),
-            slow_start_initial_share=float(rules["cold-from"]),
-            overload_window=int(rules["fall"]),
-            overload_multiple=float(rules["fall-multiple"]),
-            tick=int(s["tick"]),
-            health_checks=bool(allowed.get("probing", False))
-            and min(load_at) >= 0
-            and s["report"].get("via", "off") != "off",
-            health_check_price=float(s.get("prices", {}).get("probe", 0)),
-        )
-        return Deployment(
-            router,
-            (load_at[0], load_at[1]),
-            class_names=tuple(str(c.get("name", k)) for k, c in enumerate(s["classes"])),
-            zone_names=_names(s.get("zones", [])),
-            kind_names=_names(s.get("models", [])),
-            tenant_names=_names(s.get("tenants", [])),
-            connect_timeout=int(allowed.get("connect-timeout", 250_000)),
-            conn_idle=int(allowed.get("conn-idle", 15_000_000)),
-            most_held=int(allowed.get("most-held", 10_000)),
-            shared_discovery=s.get("discovery") == "on_request",
-            drain_grace=int(rules.get("drain-grace", 250_000)),
-        )
+        return _deployment(settings)
     except KeyError as e:
         raise SettingsError(f"{e.args[0]} is missing") from None
     except (ValueError, TypeError, IndexError, AttributeError) as e:
         raise SettingsError(str(e)) from None
+
+
+# The order in which keys are read decides which fault of several is reported.
+
+
+def _deployment(settings: Mapping[str, Any]) -> Deployment:
+    extra = settings["extra"]
+    allowed = settings["allowed"]
+    rules = settings["rules"]
+    classes = _classes(settings["classes"], extra)
+    kinds = _kinds(extra)
+    load_positions = _load_positions(settings)
+    return Deployment(
+        _router(settings, classes, kinds, load_positions),
+        load_positions,
+        class_names=tuple(str(row.get("name", number)) for number, row in enumerate(settings["classes"])),
+        zone_names=_names(settings.get("zones", [])),
+        kind_names=_names(settings.get("models", [])),
+        tenant_names=_names(settings.get("tenants", [])),
+        connect_timeout=int(allowed.get("connect-timeout", DEFAULT_CONNECT_TIMEOUT_US)),
+        connection_idle_timeout=int(allowed.get("conn-idle", DEFAULT_CONNECTION_IDLE_US)),
+        max_open_requests=int(allowed.get("most-held", DEFAULT_MAX_OPEN_REQUESTS)),
+        shared_discovery=settings.get("discovery") == "on_request",
+        drain_grace=int(rules.get("drain-grace", DEFAULT_DRAIN_GRACE_US)),
+    )
+
+
+def _router(
+    settings: Mapping[str, Any],
+    classes: tuple[RequestClass, ...],
+    kinds: tuple[MachineKind, ...],
+    load_positions: tuple[int, int],
+) -> RouterSettings:
+    extra = settings["extra"]
+    allowed = settings["allowed"]
+    rules = settings["rules"]
+    return RouterSettings(
+        instances=int(settings["n-instances"]),
+        zone=int(settings["zone"]),
+        classes=classes,
+        kinds=kinds,
+        quotas=tuple(float(tenant["quota-rps"]) for tenant in settings.get("tenants", [])),
+        over_quota_weight=float(settings.get("over-share-worth", 1)),
+        state_hold_time=int(extra["release-within"]),
+        local_prefill=bool(extra["local-read"]),
+        may_cancel=bool(allowed["may-cancel"]),
+        hedged_requests=bool(allowed["second-copies"]),
+        may_migrate=bool(extra.get("resume", False)),
+        retry_hints=bool(allowed.get("retry-after", False)),
+        max_retry_after=int(allowed.get("max-retry-after", 0)),
+        max_attempts=int(allowed["max-attempts"]),
+        slow_start_window=int(rules["cold"]),
+        slow_start_initial_share=float(rules["cold-from"]),
+        overload_window=int(rules["fall"]),
+        overload_multiple=float(rules["fall-multiple"]),
+        tick=int(settings["tick"]),
+        health_checks=_has_health_checks(settings, load_positions),
+        health_check_price=float(settings.get("prices", {}).get("probe", 0)),
+    )
+
+
+def _classes(rows: Any, extra: Mapping[str, Any]) -> tuple[RequestClass, ...]:
+    """The classes of requests; two figures of each stand in lists of their own."""
+    count = len(rows)
+    per_1000_tokens = extra.get("aim-us-per-1000-prompt-tokens") or [0.0] * count
+    token_objectives = extra.get("token-aim") or [0.0] * count
+    return tuple(
+        RequestClass(
+            int(row["aim"]),
+            float(per_1000_tokens[number]),
+            int(row["deadline"]),
+            float(row["worth"]),
+            float(row.get("late-worth", 0)),
+            EFFECTS.get(row["effect"], row["effect"]),
+            row.get("group", "all"),
+            int(row.get("window", 0)),
+            float(token_objectives[number]),
+        )
+        for number, row in enumerate(rows)
+    )
+
+
+def _kinds(extra: Mapping[str, Any]) -> tuple[MachineKind, ...]:
+    return tuple(
+        MachineKind(ROLES.get(role, role), int(memory))
+        for role, memory in zip(extra["role-by-kind"], extra["tokens-by-kind"], strict=True)
+    )
+
+
+def _load_positions(settings: Mapping[str, Any]) -> tuple[int, int]:
+    columns = settings.get("report", {}).get("columns", [])
+    utilization, waiting = (columns.index(name) if name in columns else NOT_REPORTED for name in LOAD_COLUMNS)
+    return utilization, waiting
+
+
+def _has_health_checks(settings: Mapping[str, Any], load_positions: tuple[int, int]) -> bool:
+    """Whether replicas may be asked for their load, and report both values of it."""
+    if not bool(settings["allowed"].get("probing", False)) or min(load_positions) < 0:
+        return False
+    return bool(settings["report"].get("via", "off") != "off")
+
+
+def _names(rows: Any) -> tuple[str, ...]:
+    """The names in a list of names, or of objects with names."""
+    return tuple(str(row["name"]) if isinstance(row, Mapping) and "name" in row else str(row) for row in rows)
--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -19,7 +19,7 @@
         deployment = settings.parse(json.loads(raw))
     except ValueError as e:
         raise wire.WireError(f"settings: {e}") from None
-    return deployment.router, deployment.load_at
+    return deployment.router, deployment.load_positions
 
 
 class Adapter:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -88,7 +88,7 @@
     assert deployment.class_names == tuple(c["name"] for c in site["class"])
     assert deployment.tenant_names == tuple(t["name"] for t in site.get("tenant", []))
     assert deployment.shared_discovery is (site["discovery"]["mode"] == "ask")
-    assert (deployment.drain_grace, deployment.conn_idle) == (
+    assert (deployment.drain_grace, deployment.connection_idle_timeout) == (
         site["rules"]["drain_grace_ms"] * 1000,
         site["tier"][0]["conn"]["idle_s"] * 1_000_000,
     )
