--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The loop on standard input and output: one Router for each instance, translation only."""
+"""The loop on standard input and output: one router for each instance, translation only."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 from pearhill import settings
 from pearhill.load_reports.load_aware_router import LoadAwareRouter
 from pearhill.routing.actions import Action
+from pearhill.routing.events import Event
 from pearhill.routing.settings import RouterSettings
 from pearhill.simulator import wire
 
+MALFORMED_INPUT_STATUS = 2  # of the process
 
-def settings_of(raw: bytes) -> tuple[RouterSettings, tuple[int, int]]:
-    """The settings, and where the two load values stand in a report (-1: not reported)."""
+
+def settings_of(raw: bytes) -> tuple[RouterSettings, wire.LoadPositions]:
+    """The router's settings, and where the two load values stand in a report. WireError: they cannot be read."""
     try:
         deployment = settings.parse(json.loads(raw))
     except ValueError as e:
@@ -23,44 +26,51 @@
 
 
 class Adapter:
-    """The routers of one process."""
+    """The routers of one process, by instance."""
 
     def __init__(self) -> None:
         self.routers: dict[int, LoadAwareRouter] = {}
-        self.load_at: dict[int, tuple[int, int]] = {}
+        self.load_positions: dict[int, wire.LoadPositions] = {}
 
-    def _columns(self, instance: int) -> tuple[int, int]:
-        return self.load_at.get(instance, (-1, -1))
+    def _load_positions(self, instance: int) -> wire.LoadPositions:
+        return self.load_positions.get(instance, (wire.NOT_REPORTED, wire.NOT_REPORTED))
 
     def answer(self, frame: wire.Frame) -> bytes:
+        """Handle a frame's events; returns the reply. WireError: the frame makes no sense."""
         actions: list[tuple[int, Action | wire.Fault]] = []
-        for who, event in frame.events:
+        for instance, event in frame.events:
             if isinstance(event, wire.Start):
-                told, self.load_at[who] = settings_of(event.settings)
-                self.routers[who] = LoadAwareRouter(told, event.seed)
+                router_settings, self.load_positions[instance] = settings_of(event.settings)
+                self.routers[instance] = LoadAwareRouter(router_settings, event.seed)
             elif isinstance(event, wire.Halt):
-                self.routers.pop(who, None)
-            elif who not in self.routers:
-                raise wire.WireError(f"frame {frame.seq}: instance {who} was never started")
+                self.routers.pop(instance, None)
+            elif instance not in self.routers:
+                raise wire.WireError(f"frame {frame.seq}: instance {instance} was never started")
             else:
-                try:
-                    actions += [(who, a) for a in self.routers[who].handle(frame.clock, event)]
-                except Exception as e:
-                    actions.append((who, wire.Fault(f"{type(e).__name__}: {e}")))
+                actions += [(instance, action) for action in self._handle(instance, frame.clock, event)]
         return wire.encode_reply(frame.seq, actions)
 
+    def _handle(self, instance: int, clock: int, event: Event) -> list[Action | wire.Fault]:
+        """What an instance's router does upon an event: its actions, or the fault in which it ended."""
+        try:
+            return list(self.routers[instance].handle(clock, event))
+        except Exception as e:
+            return [wire.Fault(f"{type(e).__name__}: {e}")]
+
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
-        while (frame := wire.read_frame(source, self._columns)) is not None:
+        """Answer frames until the end of input."""
+        while (frame := wire.read_frame(source, self._load_positions)) is not None:
             sink.write(self.answer(frame))
             sink.flush()
 
 
 def main() -> int:
+    """The process: 0 at the end of input, 2 with one line on standard error if the input is malformed."""
     try:
         Adapter().run(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as e:
         print(f"pearhill: {e}", file=sys.stderr)
-        return 2
+        return MALFORMED_INPUT_STATUS
     return 0
 
 
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+import enum
 import struct
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import BinaryIO
+from typing import Any, BinaryIO
 
 from pearhill.routing.actions import (
     Action,
@@ -45,18 +46,69 @@
     499: Outcome.CANCELLED,
     410: Outcome.NOT_SENT,
 }
-TURNED_AWAY = 503  # of a probe: the engine lives
-FULL_LIST, CACHED_LIST, FAILED_CALL = 0, 3, 4
+HEALTH_CHECK_REJECTED = 503  # of a health check: the replica lives
+NO_STATE_DETAIL = 1  # of a verdict 503: the replica has lost the request's state
+VERDICTS_WITH_CACHED_TOKENS = (102, 200)  # their detail is that count
+OPTION_IS_RETRY = 2
+OPTION_RESUMED = 16
+MAX_TEXT_BYTES = 1000
+MAX_TOKENS = 1e9  # a token count from there on is none
+NOT_REPORTED = -1
 
 _HEAD = struct.Struct("<IQII")
 _RECORD = struct.Struct("<BI")
-_ENTRY = struct.Struct("<IBHHBfQ")
-_SUBMIT = struct.Struct("<IIfQfBQIHfB")
+_LIST_HEAD = struct.Struct("<QBI")
+_ENDPOINT = struct.Struct("<IBHHBfQ")
+_REQUEST = struct.Struct("<IIfQfBQIHfB")
 _ENDED = struct.Struct("<IIHBIIHB")
-_PROBED = struct.Struct("<IIHB")
-_FIRST = struct.Struct("<IHII")
+_HEALTH_CHECK_ENDED = struct.Struct("<IIHB")
+_RESPONSE_STARTED = struct.Struct("<IHII")
+_START = struct.Struct("<QI")
 _U32 = struct.Struct("<I")
 
+LoadPositions = tuple[int, int]  # where the two load values stand in a report; NOT_REPORTED: nowhere
+
+
+class ListMode(enum.IntEnum):
+    """How a list of endpoints came about."""
+
+    FULL = 0
+    CACHED = 3
+    FAILED = 4
+
+
+class EventCode(enum.IntEnum):
+    """The records of a frame."""
+
+    HEALTH_CHECK_ENDED = 0
+    TIMER_FIRED = 1
+    CLIENT_DISCONNECTED = 2
+    ENDPOINTS_UPDATED = 3
+    START = 4
+    INSTANCE = 5  # the records behind it are for this instance
+    NOTE = 6
+    RESPONSE_STARTED = 7
+    ATTEMPT_ENDED = 8
+    HALT = 9
+    REQUEST_ARRIVED = 10
+    DATAGRAM = 11
+
+
+class ActionCode(enum.IntEnum):
+    """The records of a reply."""
+
+    SEND_ATTEMPT = 64
+    REJECT_REQUEST = 65
+    FAIL_REQUEST = 66
+    CANCEL_ATTEMPT = 67
+    SET_TIMER = 68
+    SEND_HEALTH_CHECK = 69
+    LOG_MESSAGE = 72
+    FAULT = 73
+    MIGRATE_STREAM = 76
+    RELEASE_STATE = 78
+    INSTANCE = 79  # the records behind it are of this instance
+
 
 class WireError(Exception):
     """A frame that does not follow the wire; the text says what and where."""
@@ -64,13 +116,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
+    """An instance begins, with these settings as JSON."""
+
     seed: int
     settings: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    pass
+    """An instance ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,101 +136,130 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
+    """One frame: its events, each with its instance, at one time of the simulator's clock (microseconds)."""
+
     seq: int
     clock: int
     events: tuple[tuple[int, Event | Start | Halt], ...]
 
 
-def _whole(value: float) -> int:
-    """A token count sent as a float; what is no count at all reads as none."""
-    return int(value) if 0 <= value < 1e9 else 0
+def _token_count(value: float) -> int:
+    """A token count sent as a float; what is no count at all reads as 0."""
+    return int(value) if 0 <= value < MAX_TOKENS else 0
 
 
-def _listed(b: bytes) -> EndpointsUpdated | None:
-    _, mode, n = struct.unpack_from("<QBI", b)
-    if mode == FAILED_CALL:
+def _endpoints_updated(body: bytes) -> EndpointsUpdated | None:
+    _, mode, count = _LIST_HEAD.unpack_from(body)
+    if mode == ListMode.FAILED:
         return None
-    entries = []
-    for k in range(n):
-        engine, zone, kind, cell, phase, weight, started = _ENTRY.unpack_from(b, 13 + 22 * k)
-        if phase not in PHASES:
-            raise WireError(f"list entry {k} has the unknown phase {phase}")
-        entries.append(Endpoint(engine, zone, kind, cell, PHASES[phase], weight, started))
-    return EndpointsUpdated(mode in (FULL_LIST, CACHED_LIST), tuple(entries))
+    endpoints = tuple(_endpoint(body, number) for number in range(count))
+    return EndpointsUpdated(mode in (ListMode.FULL, ListMode.CACHED), endpoints)
 
 
-def _submit(b: bytes) -> RequestArrived:
-    txn, _, prefix_len, prefix, prompt, cls, session, ttl, tenant, most, opts = _SUBMIT.unpack_from(b)
+def _endpoint(body: bytes, number: int) -> Endpoint:
+    offset = _LIST_HEAD.size + _ENDPOINT.size * number
+    replica, zone, kind, cell, phase, weight, started = _ENDPOINT.unpack_from(body, offset)
+    if phase not in PHASES:
+        raise WireError(f"list entry {number} has the unknown phase {phase}")
+    return Endpoint(replica, zone, kind, cell, PHASES[phase], weight, started)
+
+
+def _request_arrived(body: bytes) -> RequestArrived:
+    (
+        request,
+        _,
+        prefix_tokens,
+        prefix,
+        prompt_tokens,
+        request_class,
+        session,
+        timeout,
+        tenant,
+        max_output_tokens,
+        options,
+    ) = _REQUEST.unpack_from(body)
     return RequestArrived(
-        txn,
-        cls,
+        request,
+        request_class,
         tenant,
         session,
         prefix,
-        _whole(prefix_len),
-        _whole(prompt),
-        _whole(most),
-        ttl,
-        bool(opts & 2),
-        bool(opts & 16),
+        _token_count(prefix_tokens),
+        _token_count(prompt_tokens),
+        _token_count(max_output_tokens),
+        timeout,
+        bool(options & OPTION_IS_RETRY),
+        bool(options & OPTION_RESUMED),
     )
 
 
-def _load(b: bytes, at: int, values: int, load_at: tuple[int, int]) -> tuple[float, float] | None:
-    report = struct.unpack_from(f"<{values}f", b, at)
-    x0, x1 = load_at
-    return (report[x0], report[x1]) if min(load_at) >= 0 and max(load_at) < values else None
+def _load(body: bytes, offset: int, count: int, positions: LoadPositions) -> tuple[float, float] | None:
+    """The two load values of a report of so many. None: it has not both."""
+    report = struct.unpack_from(f"<{count}f", body, offset)
+    if min(positions) < 0 or max(positions) >= count:
+        return None
+    utilization, waiting = positions
+    return report[utilization], report[waiting]
 
 
-def _probed(b: bytes, load_at: tuple[int, int]) -> HealthCheckEnded:
-    rtt, engine, verdict, values = _PROBED.unpack_from(b)
-    outcome = Outcome.ANSWERED if verdict == TURNED_AWAY else OUTCOMES.get(verdict, Outcome.UNREACHABLE)
-    return HealthCheckEnded(engine, outcome, rtt, _load(b, _PROBED.size, values, load_at))
+def _health_check_ended(body: bytes, positions: LoadPositions) -> HealthCheckEnded:
+    elapsed, replica, verdict, count = _HEALTH_CHECK_ENDED.unpack_from(body)
+    rejected = verdict == HEALTH_CHECK_REJECTED
+    outcome = Outcome.ANSWERED if rejected else OUTCOMES.get(verdict, Outcome.UNREACHABLE)
+    return HealthCheckEnded(replica, outcome, elapsed, _load(body, _HEALTH_CHECK_ENDED.size, count, positions))
 
 
-def _ended(b: bytes, load_at: tuple[int, int]) -> AttemptEnded:
-    txn, detail, verdict, settled, rtt, engine, n, values = _ENDED.unpack_from(b)
-    load = _load(b, _ENDED.size, values, load_at)
+def _attempt_ended(body: bytes, positions: LoadPositions) -> AttemptEnded:
+    request, detail, verdict, settled, elapsed, replica, attempt, count = _ENDED.unpack_from(body)
+    load = _load(body, _ENDED.size, count, positions)
     if verdict not in OUTCOMES:
         raise WireError(f"ENDED has the unknown verdict {verdict}")
-    outcome = Outcome.STATE_LOST if verdict == 503 and detail == 1 else OUTCOMES[verdict]
-    kept = detail if verdict in (102, 200) else 0
-    return AttemptEnded(txn, n, engine, outcome, bool(settled), kept, rtt, load)
+    outcome = OUTCOMES[verdict]
+    if outcome == Outcome.FULL and detail == NO_STATE_DETAIL:
+        outcome = Outcome.STATE_LOST
+    cached_tokens = detail if verdict in VERDICTS_WITH_CACHED_TOKENS else 0
+    return AttemptEnded(request, attempt, replica, outcome, bool(settled), cached_tokens, elapsed, load)
 
 
-def _began(b: bytes) -> ResponseStarted:
-    txn, n, engine, rtt = _FIRST.unpack_from(b)
-    return ResponseStarted(txn, n, engine, rtt)
+def _response_started(body: bytes) -> ResponseStarted:
+    request, attempt, replica, elapsed = _RESPONSE_STARTED.unpack_from(body)
+    return ResponseStarted(request, attempt, replica, elapsed)
 
 
-def _start(b: bytes) -> Start:
-    seed, n = struct.unpack_from("<QI", b)
-    if len(b) < 12 + n:
+def _start(body: bytes) -> Start:
+    seed, size = _START.unpack_from(body)
+    if len(body) < _START.size + size:
         raise WireError("START is shorter than its settings")
-    return Start(seed, b[12 : 12 + n])
+    return Start(seed, body[_START.size : _START.size + size])
 
 
-def _skip(b: bytes) -> None:
+def _skip(body: bytes) -> None:
     """NOTE and DATAGRAM answer what is never asked for here."""
 
 
 _EVENTS: dict[int, Callable[[bytes], Event | Start | Halt | None]] = {
-    6: _skip,
-    11: _skip,
-    3: _listed,
-    4: _start,
-    10: _submit,
-    7: _began,
-    9: lambda b: Halt(),
-    1: lambda b: TimerFired(_U32.unpack_from(b)[0]),
-    2: lambda b: ClientDisconnected(_U32.unpack_from(b)[0]),
+    EventCode.NOTE: _skip,
+    EventCode.DATAGRAM: _skip,
+    EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
+    EventCode.START: _start,
+    EventCode.REQUEST_ARRIVED: _request_arrived,
+    EventCode.RESPONSE_STARTED: _response_started,
+    EventCode.HALT: lambda body: Halt(),
+    EventCode.TIMER_FIRED: lambda body: TimerFired(_U32.unpack_from(body)[0]),
+    EventCode.CLIENT_DISCONNECTED: lambda body: ClientDisconnected(_U32.unpack_from(body)[0]),
+}
+
+_EVENTS_WITH_LOAD: dict[int, Callable[[bytes, LoadPositions], Event]] = {
+    EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
+    EventCode.ATTEMPT_ENDED: _attempt_ended,
 }
 
-_REPORTING: dict[int, Callable[[bytes, tuple[int, int]], Event]] = {0: _probed, 8: _ended}  # may hold a report
 
+def read_frame(stream: BinaryIO, load_positions: Callable[[int], LoadPositions]) -> Frame | None:
+    """The next frame, or None at the end of input. `load_positions`: by instance.
 
-def read_frame(stream: BinaryIO, load_at: Callable[[int], tuple[int, int]]) -> Frame | None:
-    """The next frame, or None at the end of input. `load_at` tells where an instance's load values stand."""
+    WireError: the bytes make no frame.
+    """
     head = stream.read(_HEAD.size)
     if not head:
         return None
@@ -188,83 +271,90 @@
     body = stream.read(length - 4)
     if len(body) < length - 4:
         raise WireError(f"frame {seq} ends after {len(body)} of {length - 4} bytes")
-    return Frame(seq, clock, tuple(_records(seq, body, count, load_at)))
+    return Frame(seq, clock, tuple(_records(seq, body, count, load_positions)))
 
 
 def _records(
     seq: int,
     body: bytes,
     count: int,
-    load_at: Callable[[int], tuple[int, int]],
+    load_positions: Callable[[int], LoadPositions],
 ) -> Iterator[tuple[int, Event | Start | Halt]]:
-    at, instance = 0, -1
-    for k in range(count):
-        where = f"frame {seq}, record {k} at byte {at}"
-        if at + _RECORD.size > len(body):
+    offset = 0
+    instance = -1
+    for number in range(count):
+        where = f"frame {seq}, record {number} at byte {offset}"
+        if offset + _RECORD.size > len(body):
             raise WireError(f"{where}: no room for a record")
-        code, size = _RECORD.unpack_from(body, at)
-        at += _RECORD.size
-        fields = body[at : at + size]
-        at += size
+        code, size = _RECORD.unpack_from(body, offset)
+        offset += _RECORD.size
+        fields = body[offset : offset + size]
+        offset += size
         if len(fields) < size:
             raise WireError(f"{where}: {size} bytes stated, {len(fields)} present")
         try:
-            if code == 5:
+            if code == EventCode.INSTANCE:
                 instance = _U32.unpack_from(fields)[0]
                 continue
-            if instance < 0:
-                raise WireError("no instance was named before it")
-            if code not in _REPORTING and code not in _EVENTS:
-                raise WireError(f"unknown event code {code}")
-            reporting = _REPORTING.get(code)
-            event = reporting(fields, load_at(instance)) if reporting else _EVENTS[code](fields)
+            event = _event(code, fields, instance, load_positions)
         except (WireError, struct.error) as e:
             raise WireError(f"{where}: {e}") from None
         if event is not None:
             yield instance, event
-    if at != len(body):
-        raise WireError(f"frame {seq}: {len(body) - at} bytes after its last record")
+    if offset != len(body):
+        raise WireError(f"frame {seq}: {len(body) - offset} bytes after its last record")
+
+
+def _event(
+    code: int, fields: bytes, instance: int, load_positions: Callable[[int], LoadPositions]
+) -> Event | Start | Halt | None:
+    """The event of one record. None: there is nothing to be told of it."""
+    if instance < 0:
+        raise WireError("no instance was named before it")
+    decode_with_load = _EVENTS_WITH_LOAD.get(code)
+    if decode_with_load:
+        return decode_with_load(fields, load_positions(instance))
+    decode = _EVENTS.get(code)
+    if decode is None:
+        raise WireError(f"unknown event code {code}")
+    return decode(fields)
+
+
+def _text(code: ActionCode, text: str) -> bytes:
+    raw = text.encode()[:MAX_TEXT_BYTES]
+    return _RECORD.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
 
 
-def _text(code: int, text: str) -> bytes:
-    raw = text.encode()[:1000]
-    return _RECORD.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
+# Each record's layout: its code, the size of its fields, its fields.
+_ENCODERS: dict[type[Action | Fault], Callable[[Any], bytes]] = {
+    SendAttempt: lambda a: struct.pack("<BIIIi", ActionCode.SEND_ATTEMPT, 12, a.request, a.replica, a.attempt_timeout),
+    SetTimer: lambda a: struct.pack("<BIII", ActionCode.SET_TIMER, 8, a.timer, a.delay),
+    CancelAttempt: lambda a: struct.pack("<BIIH", ActionCode.CANCEL_ATTEMPT, 6, a.request, a.attempt),
+    RejectRequest: lambda a: struct.pack("<BIII", ActionCode.REJECT_REQUEST, 8, a.request, a.retry_after),
+    FailRequest: lambda a: struct.pack("<BII", ActionCode.FAIL_REQUEST, 4, a.request),
+    SendHealthCheck: lambda a: struct.pack("<BII", ActionCode.SEND_HEALTH_CHECK, 4, a.replica),
+    ReleaseState: lambda a: struct.pack("<BII", ActionCode.RELEASE_STATE, 4, a.request),
+    MigrateStream: lambda a: struct.pack("<BII", ActionCode.MIGRATE_STREAM, 4, a.request),
+    LogMessage: lambda a: _text(ActionCode.LOG_MESSAGE, a.text),
+    Fault: lambda a: _text(ActionCode.FAULT, a.text),
+}
 
 
-def encode_action(a: Action | Fault) -> bytes:
-    """One action as one record."""
-    match a:
-        case SendAttempt():
-            return struct.pack("<BIIIi", 64, 12, a.request, a.replica, a.attempt_timeout)
-        case SetTimer():
-            return struct.pack("<BIII", 68, 8, a.timer, a.delay)
-        case CancelAttempt():
-            return struct.pack("<BIIH", 67, 6, a.request, a.attempt)
-        case RejectRequest():
-            return struct.pack("<BIII", 65, 8, a.request, a.retry_after)
-        case FailRequest():
-            return struct.pack("<BII", 66, 4, a.request)
-        case SendHealthCheck():
-            return struct.pack("<BII", 69, 4, a.replica)
-        case ReleaseState():
-            return struct.pack("<BII", 78, 4, a.request)
-        case MigrateStream():
-            return struct.pack("<BII", 76, 4, a.request)
-        case LogMessage():
-            return _text(72, a.text)
-        case QueryLoad():
-            raise WireError("a Look is answered inside, and has no record")
-        case Fault():
-            return _text(73, a.text)
+def encode_action(action: Action | Fault) -> bytes:
+    """One action as one record. WireError: it has none."""
+    if isinstance(action, QueryLoad):
+        raise WireError("a Look is answered inside, and has no record")
+    return _ENCODERS[type(action)](action)
 
 
 def encode_reply(seq: int, actions: list[tuple[int, Action | Fault]]) -> bytes:
-    """The reply to one frame: the actions in order, each run of them behind a FOR record."""
-    parts, instance = [], -1
-    for who, action in actions:
-        if who != instance:
-            parts.append(struct.pack("<BII", 79, 4, who))
-            instance = who
+    """The reply to one frame: the actions in order, each run of them behind a record that names their instance."""
+    parts = []
+    instance = -1
+    for owner, action in actions:
+        if owner != instance:
+            parts.append(struct.pack("<BII", ActionCode.INSTANCE, 4, owner))
+            instance = owner
         parts.append(encode_action(action))
     body = b"".join(parts)
     return struct.pack("<III", seq, len(parts), len(body)) + body
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -86,12 +86,12 @@
     assert (due, left) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
 
 
-def test_a_probe_and_its_answer():
+def test_a_health_check_and_its_answer():
     ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
     assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
+    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # rejected: the replica lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
     assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == Outcome.TIMEOUT
     assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "action,code,fields",
+    ("action", "code", "fields"),
     [
         (CancelAttempt(7, 2), 67, "<IH"),
         (RejectRequest(7, 9), 65, "<II"),
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    "verdict,detail,outcome",
+    ("verdict", "detail", "outcome"),
     [
         (102, 40, Outcome.PREFILLED),
         (503, 0, Outcome.FULL),
@@ -173,7 +173,9 @@
 def test_outcomes(verdict, detail, outcome):
     body = struct.pack("<IIHBIIHB", 1, detail, verdict, 0, 9, 4, 0, 0)
     event = read(frame(record(5, b"\0\0\0\0") + record(8, body), 2)).events[0][1]
-    assert event.outcome == outcome and event.load is None and event.cached_tokens == (40 if verdict == 102 else 0)
+    assert event.outcome == outcome
+    assert event.load is None
+    assert event.cached_tokens == (40 if verdict == 102 else 0)
 
 
 def test_first_token_reads_back():
@@ -198,7 +200,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw,says",
+    ("raw", "says"),
     [
         (frame(start(), 2)[:-3], "ends after"),
         (frame(start(), 2)[:9], "header"),
@@ -217,19 +219,21 @@
 def test_malformed_input_is_one_plain_line_and_a_failure(raw, says):
     done = run(raw)
     text = done.stderr.decode()
-    assert done.returncode not in (0, 1) and says in text
-    assert text.count("\n") == 1 and "Traceback" not in text
+    assert done.returncode not in (0, 1)
+    assert says in text
+    assert text.count("\n") == 1
+    assert "Traceback" not in text
 
 
 @pytest.mark.parametrize(
-    "change,field", [({"role-by-kind": ["read", "juggle"]}, "role"), ({"release-within": 0}, "release_within")]
+    ("change", "field"), [({"role-by-kind": ["read", "juggle"]}, "role"), ({"release-within": 0}, "release_within")]
 )
 def test_settings_without_sense_name_the_field(change, field):
     with pytest.raises(wire.WireError, match=field):
         settings_of(json.dumps({**SETTINGS, "extra": {**SETTINGS["extra"], **change}}).encode())
 
 
-def test_an_exception_in_the_module_gives_in_with_its_text(monkeypatch):
+def test_an_exception_in_the_router_is_a_fault_with_its_text(monkeypatch):
     def broken(self, now, event):
         raise KeyError("gone wrong")
 
