--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -38,7 +38,7 @@
 
 def _idle_timeout(deployment: Deployment) -> int:
     """Microseconds for which a connection may stand unused: well under what the replicas allow."""
-    return deployment.conn_idle * 2 // 3
+    return deployment.connection_idle_timeout * 2 // 3
 
 
 class Node:
@@ -152,8 +152,8 @@
 
     def reconfigure(self, deployment: Deployment) -> None:
         """Other settings for a running dispatcher. ConfigError: they change what only a restart can change."""
-        old = self.dispatcher.deployment.held_fast()
-        new = deployment.held_fast()
+        old = self.dispatcher.deployment.fixed_at_start()
+        new = deployment.fixed_at_start()
         changed = [key for key in old if old[key] != new[key]]
         if changed:
             raise ConfigError(f"settings.{changed[0]}: cannot change while running")
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -86,12 +86,12 @@
     assert (due, left) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
 
 
-def test_a_probe_and_its_answer():
+def test_a_health_check_and_its_answer():
     ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
     assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # turned away: it lives
+    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # rejected: the replica lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
     assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == Outcome.TIMEOUT
     assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
@@ -233,7 +233,7 @@
         settings_of(json.dumps({**SETTINGS, "extra": {**SETTINGS["extra"], **change}}).encode())
 
 
-def test_an_exception_in_the_module_gives_in_with_its_text(monkeypatch):
+def test_an_exception_in_the_router_is_a_fault_with_its_text(monkeypatch):
     def broken(self, now, event):
         raise KeyError("gone wrong")
 
