--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -1,5 +1,5 @@
-"""Dispatchers that report to aggregators, over a network that drops, doubles, delays, reorders and cuts; either are
-killed, stand still, start anew, come twice under one name."""
+"""Dispatchers report to aggregators over a network that drops, doubles, delays, reorders and partitions; both are
+killed, stalled, restarted, and started twice under one name."""
 
 from __future__ import annotations
 
@@ -50,22 +50,22 @@
 
 
 class Process:
-    """A dispatcher, whose work is at an engine of its own, so that sums there show whose they hold."""
+    """A dispatcher whose work is at a replica of its own, so that the sums there show whose work they hold."""
 
-    def __init__(self, world: World, name: str, region: str, engine: int, incarnation: int) -> None:
-        self.world, self.name, self.region, self.engine, self.load = world, name, region, engine, 10_000
-        self.said: list[tuple[int, int]] = []
+    def __init__(self, world: World, name: str, region: str, replica: int, incarnation: int) -> None:
+        self.world, self.name, self.region, self.replica, self.load = world, name, region, replica, 10_000
+        self.reported: list[tuple[int, int]] = []
         self.reporter = Reporter(name, region, SITES, incarnation, random.Random(world.rng.random()), self.rows)
         self.reporter._due = world.now + world.rng.randrange(500_000)
         self.received: list[tuple[AggregationMessage, object]] = []  # while it stands still
         self.up, self.stalled, self.known = True, False, set[object]()
 
     def rows(self) -> list[ReplicaLoad]:
-        self.said.append((self.world.now, self.load))
-        return [ReplicaLoad(self.engine, self.load // 2, self.load)]
+        self.reported.append((self.world.now, self.load))
+        return [ReplicaLoad(self.replica, self.load // 2, self.load)]
 
     def most_lately(self, now: int) -> int:
-        return max((load for at, load in self.said if now - at < LATELY), default=0)
+        return max((load for at, load in self.reported if now - at < LATELY), default=0)
 
 
 class World:
@@ -103,7 +103,7 @@
     def start_aggregator(self, name: str) -> None:
         self.stalled.pop(name, None)
         self.aggregators[name] = made = Aggregator(name, [s.name for s in SITES], self.now, random.Random(1))
-        self.at(self.rng.randrange(AGGREGATOR_TICK_US), "beat", (name, made))
+        self.at(self.rng.randrange(AGGREGATOR_TICK_US), "tick", (name, made))
 
     def up(self, name: str = "") -> list[Process]:
         return [p for p in self.processes if p.up and name in ("", p.name)]
@@ -124,7 +124,7 @@
             for _ in range(1 + (self.rng.random() < self.double)):
                 self.at(self.rng.randrange(1, 2 * self.delay), "frame", (to, f, sender))
 
-    def take(self, to: object, f: AggregationMessage, sender: object) -> None:
+    def deliver(self, to: object, f: AggregationMessage, sender: object) -> None:
         if isinstance(to, Process):
             if to.up and to.stalled:
                 to.received.append((f, sender))
@@ -143,12 +143,12 @@
         end = self.now + micros
         while self.heap and self.heap[0][0] <= end:
             self.now, _, what, thing = heapq.heappop(self.heap)
-            if what == "beat":
+            if what == "tick":
                 name, made = thing
                 if self.aggregators.get(name) is made:
                     if name not in self.stalled:
                         self.send(name, made.tick(self.now))
-                    self.at(AGGREGATOR_TICK_US, "beat", thing)
+                    self.at(AGGREGATOR_TICK_US, "tick", thing)
             elif what == "report":
                 if thing.up:
                     if not thing.stalled and self.now >= thing.reporter.next_tick(self.now):
@@ -161,7 +161,7 @@
                         thing,
                     )
             else:
-                self.take(*thing)
+                self.deliver(*thing)
         self.now = end
 
     def wake(self) -> None:
@@ -169,12 +169,12 @@
         stalled, self.stalled = self.stalled, {}
         for name, waiting in stalled.items():
             for f, sender in waiting:
-                self.take(name, f, sender)
+                self.deliver(name, f, sender)
         for process in self.processes:
             process.stalled, waiting = False, process.received
             process.received = []
             for f, sender in waiting:
-                self.take(process, f, sender)
+                self.deliver(process, f, sender)
 
     def heal(self) -> None:
         self.drop, self.double, self.delay = 0.0, 0.0, 2_000
@@ -187,12 +187,12 @@
     def counts(self) -> set[int | None]:
         return {p.reporter.count(self.now) for p in self.up()}
 
-    def astray(self) -> list[str]:
-        """Who does not know the work of all others, or knows anybody else's."""
+    def wrong_views(self) -> list[str]:
+        """Dispatchers that do not know the work of all others, or know work that nobody has."""
         wrong = []
         for p in self.up():
             for other in self.processes:
-                told = p.reporter.peer_load(self.now, other.engine)
+                told = p.reporter.peer_load(self.now, other.replica)
                 load = other.load if other.up and other is not p else 0
                 if told is None or not load / STEP <= told.total_tokens <= load * STEP:
                     wrong.append(f"{p.name} {p.reporter.figures(self.now)}: {told} of {other.name}, who has {load}")
@@ -201,12 +201,12 @@
     def check(self) -> None:
         for p in self.up():
             for other in self.processes:
-                told = p.reporter.peer_load(self.now, other.engine)
+                told = p.reporter.peer_load(self.now, other.replica)
                 if told is not None:
                     most = other.most_lately(self.now) if other is not p else 0
-                    assert (
-                        told.total_tokens <= most * STEP and told.queued_tokens <= most / 2 * STEP
-                    ), f"{p.name} at {p.reporter.current}: {told} of {other.name}, who said {most}"
+                    detail = f"{p.name} at {p.reporter.current}: {told} of {other.name}, which reported {most}"
+                    assert told.total_tokens <= most * STEP, detail
+                    assert told.queued_tokens <= most / 2 * STEP, detail
         named = {p.name for p in self.processes}
         for a in self.aggregators.values():
             assert a.count(self.now) <= len(named)
@@ -286,7 +286,7 @@
     @rule(data=st.data())
     def an_old_datagram_comes_again(self, data):
         if self.world.replayable:
-            self.world.take(*data.draw(st.sampled_from(self.world.replayable)))
+            self.world.deliver(*data.draw(st.sampled_from(self.world.replayable)))
 
     def teardown(self):
         """Whatever has happened: soon after it is over all agree on the work, and on who is there."""
@@ -302,14 +302,14 @@
                 world.start_aggregator(site.name)
         world.checked(12 * S)
         world.run(38 * S)
-        assert world.astray() == []
+        assert world.wrong_views() == []
         assert len(world.counts()) == 1
         names = {p.name for p in world.up()}
         assert len(names) <= world.counts().pop() <= len({p.name for p in world.processes})
         for p in world.up():
             assert p.reporter.current == "a" + p.region[1:]
             # All that are there are heard, whoever else is still counted as cut off.
-            sure = p.reporter.others(world.now, p.engine, 0, p.load)[2]
+            sure = p.reporter.others(world.now, p.replica, 0, p.load)[2]
             assert sure * (world.counts().pop() - 1) > 0.5 * (len(names) - 1) or len(names) == 1
 
 
@@ -319,14 +319,14 @@
 TestFleet = Fleet.TestCase
 
 
-class Steady(unittest.TestCase):
+class TestSteadyState(unittest.TestCase):
     def test_all_are_counted_once_and_sums_scale_to_those_unheard(self):
         world = World(6, 1)
         world.checked(6 * S)
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
         self.assertEqual(world.counts(), {None})  # aggregators that have just begun may not know all
         world.checked(6 * S)
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
         self.assertEqual(world.counts(), {6})
         p = world.processes[0]
         waiting, load, sure = p.reporter.others(world.now, 2, 0, 0)
@@ -338,7 +338,7 @@
         self.assertAlmostEqual(p.reporter.others(world.now, 2, 0, 0)[2], 0.4)
 
 
-class Troubles(unittest.TestCase):
+class TestFaults(unittest.TestCase):
     def test_the_dead_are_forgotten_and_one_that_leaves_at_once(self):
         world = World(7, 2)
         world.checked(12 * S)
@@ -349,7 +349,7 @@
         world.checked(S)
         self.assertEqual(world.counts(), {6})
         world.checked(LEASE_US + PARTIAL_SUM_LEASE_US)
-        self.assertEqual(world.astray(), [])  # the work of both is gone
+        self.assertEqual(world.wrong_views(), [])  # the work of both is gone
         world.checked(SILENCE_TIMEOUT_US - 6 * S)  # elsewhere its silence is told a second too long
         self.assertEqual(world.counts(), {6})
         world.checked(3 * S)
@@ -364,7 +364,7 @@
             self.assertEqual(world.counts(), {24})
             if n % 4 == 0:
                 world.check()
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
         self.assertEqual({p.reporter.moves for p in world.up() if p.region == "r1"}, {1})
         taken = Counter(p.reporter.current for p in world.up() if p.region == "r1")
         self.assertTrue(all(taken[name] >= 2 for name in ("a0", "a2")))  # the survivors share
@@ -381,9 +381,9 @@
             per_window.append(sum(p.reporter.moves - before[p] for p in world.up()) - moved)
         self.assertEqual(sum(per_window), 8)
         self.assertLessEqual(max(per_window), 4)
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
 
-    def test_with_all_gone_sure_is_0_soon_the_count_stays_and_the_return_is_spread_out(self):
+    def test_with_all_aggregators_gone_confidence_falls_to_0_the_count_stays_and_the_return_is_spread_out(self):
         world = World(24, 4)
         world.run(12 * S)
         world.aggregators.clear()
@@ -407,7 +407,7 @@
         first = Counter((at - began) // 250_000 for at, _ in world.arrivals if at - began < S)
         self.assertLessEqual(max(first.values()), 14)
         world.run(20 * S)
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
 
     def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(self):
         for count, sides in ((3, ("r2",)), (9, ("r2",)), (9, ("r0", "r1", "r2"))):
@@ -424,7 +424,7 @@
                 if len(sides) == 1:
                     world.heal()
                     world.run(4 * S)
-                    self.assertEqual((world.counts(), world.astray()), ({count}, []))
+                    self.assertEqual((world.counts(), world.wrong_views()), ({count}, []))
                     continue
                 for p in world.up():
                     p.up = p.region == "r0"  # they had died there
@@ -439,7 +439,7 @@
         for _ in range(60):
             world.checked(AGGREGATOR_TICK_US)
             self.assertEqual({c for c in world.counts() if c is not None}, {5})
-        self.assertEqual(world.astray(), [])
+        self.assertEqual(world.wrong_views(), [])
 
     def test_of_two_of_one_name_the_older_waits_until_the_newer_is_silent(self):
         world = World(4, 7)
@@ -452,7 +452,7 @@
         new.up = False
         world.checked(30 * S)
         self.assertEqual(old.reporter.incarnation, new.reporter.incarnation + 1)
-        self.assertEqual((world.counts(), world.astray()), ({4}, []))
+        self.assertEqual((world.counts(), world.wrong_views()), ({4}, []))
 
     def test_one_that_stood_still_counts_nobody_twice_and_leaves_no_good_aggregator(self):
         world = World(6, 8)
@@ -461,7 +461,7 @@
         world.checked(9 * S)
         world.wake()  # reports of dispatchers that others have counted for long
         world.checked(40 * S)
-        self.assertEqual((world.counts(), world.astray()), ({6}, []))
+        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
         moves = [p.reporter.moves for p in world.up()]
         for p in world.up():
             p.stalled = True
@@ -469,11 +469,11 @@
         world.wake()
         world.checked(6 * S)
         self.assertEqual([p.reporter.moves for p in world.up()], moves)
-        self.assertEqual((world.counts(), world.astray()), ({6}, []))
+        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
 
     def test_bytes_stay_within_the_budget_while_a_large_table_is_told(self):
         rows = [ReplicaLoad(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
-        with mock.patch.object(Process, "rows", lambda self: rows):
+        with mock.patch.object(Process, "rows", return_value=rows):
             world, codec = World(3, 9), AggregationCodec([KEY])
             total, seen = Counter[str](), list[tuple[int, int]]()
             pack = codec.pack
@@ -506,8 +506,8 @@
         self.assertEqual(len(world.processes[0].reporter._tables["a0"].slot_of), 940)
 
 
-class Alone(unittest.TestCase):
-    def test_what_is_sent_again_puts_no_report_off(self):
+class TestReporterAlone(unittest.TestCase):
+    def test_replayed_answers_put_no_report_off(self):
         r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(8), lambda: [])
         at = r.next_tick(S)
         (report,) = r.tick(at)
@@ -518,7 +518,7 @@
             r.receive(at, sums, 1400)
         self.assertEqual(r.next_tick(at), due)
 
-    def test_a_count_is_no_count_before_one_that_surely_knew_has_told_it(self):
+    def test_there_is_no_count_before_a_settled_aggregator_has_sent_one(self):
         r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(9), lambda: [])
         for n, (counted, settled, count) in enumerate(((2, False, None), (9, True, 9), (3, False, 9), (3, True, 3))):
             at = r.next_tick(S * (n + 1))
@@ -548,7 +548,7 @@
             )
             self.assertEqual(r.count(at), count)
 
-    def test_no_answers_while_i_stood_still_are_no_fault_of_the_aggregator(self):
+    def test_answers_missing_while_this_process_stood_still_are_no_fault_of_the_aggregator(self):
         now = 1_000 * S
         r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
         for _ in range(5):
@@ -561,7 +561,7 @@
             r.tick(now)
         self.assertEqual((r.current != "a0", r.attach, r.moves), (True, 2, 1))
 
-    def test_half_a_table_tells_nothing(self):
+    def test_half_a_table_gives_no_peer_load(self):
         now = 1_000 * S
         r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
         loads = gauges.pack(bytes((100,) * 4))
@@ -569,14 +569,14 @@
             now = r.next_tick(now)
             (asked,) = r.tick(now)
             r.receive(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
-            for engine in (70, 73, 99):
-                self.assertEqual(r.peer_load(now, engine) is not None, told)
+            for replica in (70, 73, 99):
+                self.assertEqual(r.peer_load(now, replica) is not None, told)
                 if not told:
-                    self.assertEqual(r.others(now, engine, 2, 3), (8.0, 12.0, 0.0))
+                    self.assertEqual(r.others(now, replica, 2, 3), (8.0, 12.0, 0.0))
         now = r.next_tick(now)
         (asked,) = r.tick(now)
         r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
-        self.assertIsNone(r.peer_load(now, 80))  # the last sums of slot 0 were engine 70's
+        self.assertIsNone(r.peer_load(now, 80))  # the last sums of slot 0 were replica 70's
         self.assertEqual(
             (r.peer_load(now, 70).total_tokens, r.peer_load(now, 71).total_tokens), (0, gauges.TOKENS[100])
         )
@@ -606,8 +606,8 @@
     return Report(**fields | changed)  # type: ignore[arg-type]
 
 
-class Tables(unittest.TestCase):
-    def test_a_slot_gets_another_engine_and_old_words_of_it_count_nowhere(self):
+class TestAggregatorAlone(unittest.TestCase):
+    def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere(self):
         now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
         a.receive(now, report(1))
         a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
@@ -624,7 +624,7 @@
         a.receive(
             later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
         )
-        self.assertEqual(a.work.totals.loads, [0])  # it meant engine 7
+        self.assertEqual(a.work.totals.loads, [0])  # it meant replica 7
         (answer,) = a.receive(
             later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
         )
@@ -664,7 +664,7 @@
         a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
         self.assertEqual((a.count(now), sorted(a.directory.records)), (0, ["d0"]))
 
-    def test_an_aggregator_that_stood_still_forgets_nobody_for_that(self):
+    def test_an_aggregator_that_stood_still_forgets_no_member_for_that(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         a.tick(now)
         a.receive(now, report(1))
@@ -678,7 +678,7 @@
             a.tick(now)
         self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 1))  # all that there were fell silent: a cut
 
-    def test_who_is_read_before_the_first_beat_after_a_stand_is_forgotten_in_time(self):
+    def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time(self):
         now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
         for n in range(1, 6):
             a.receive(now, report(1, sender=f"d{n}"))
@@ -739,7 +739,7 @@
         p.reporter.reconfigure(SITES[1:], world.now)
         world.checked(8 * S)
         self.assertNotEqual(p.reporter.current, "a0")
-        self.assertEqual((world.counts(), world.astray()), ({6}, []))
+        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
         world.aggregators["a0"].reconfigure([], world.now)
         world.checked(3 * S)
         told = p.reporter.peer_load(world.now, 4)  # of d3, at a0
@@ -747,7 +747,7 @@
         self.assertIsNotNone(told)
 
 
-class Codec(unittest.TestCase):
+class TestCodec(unittest.TestCase):
     ONE, TWO = gauges.pack(bytes((9,) * 40)), gauges.pack(bytes((0, 3) * 20))
     FRAMES = (
         report(3, loads=ONE, waits=TWO, slot_count=40, unassigned=(((1 << 64) - 1, 1, 255),)),
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""Dispatchers that talk, over a network that drops, doubles, delays and cuts; they crash, start anew, stand still."""
+"""Dispatchers gossip over a network that drops, doubles, delays and partitions; they crash, restart and stall."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Net:
-    """Councils, each with its own beat, and what is on its way between them."""
+    """Protocols, each with its own tick, and the datagrams on their way between them."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.now, self.count = random.Random(seed), 1_000 * S, 0
@@ -42,10 +42,10 @@
         heapq.heappush(self.heap, (self.now + wait, self.count, what, thing))
 
     def start(self, name: str) -> None:
-        # Each has so many tokens at engine 1: its own power of ten, so that a sum shows whose it holds.
+        # Each has so many tokens at replica 1: its own power of ten, so that a sum shows whose work it holds.
         rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
         self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
-        self.at(self.rng.randrange(GOSSIP_TICK_US), "beat", (name, self.up[name]))
+        self.at(self.rng.randrange(GOSSIP_TICK_US), "tick", (name, self.up[name]))
 
     def send(self, sender: str, messages: list[GossipMessage]) -> None:
         for m in messages:
@@ -56,25 +56,25 @@
             for _ in range(1 + (self.rng.random() < self.double)):
                 self.at(self.rng.randrange(1, 2 * self.delay), "datagram", (m.payload.to, data))
 
-    def take(self, to: str, data: bytes) -> None:
+    def deliver(self, to: str, data: bytes) -> None:
         if to not in self.up:
             return
         if to in self.stalled:
-            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # its socket keeps it, past its next beat
+            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # its socket keeps it, past its next tick
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
         end = self.now + micros
         while self.heap and self.heap[0][0] <= end:
             self.now, _, what, thing = heapq.heappop(self.heap)
-            if what == "beat":
-                name, council = thing
-                if self.up.get(name) is council:
+            if what == "tick":
+                name, protocol = thing
+                if self.up.get(name) is protocol:
                     if name not in self.stalled:
-                        self.send(name, council.tick(self.now))
-                    self.at(GOSSIP_TICK_US, "beat", thing)
+                        self.send(name, protocol.tick(self.now))
+                    self.at(GOSSIP_TICK_US, "tick", thing)
             else:
-                self.take(*thing)
+                self.deliver(*thing)
         self.now = end
 
     def heal(self) -> None:
@@ -133,15 +133,15 @@
     @rule(data=st.data())
     def an_old_datagram_comes_again(self, data):
         if self.net.replayable:
-            self.net.take(*data.draw(st.sampled_from(self.net.replayable)))
+            self.net.deliver(*data.draw(st.sampled_from(self.net.replayable)))
 
     @invariant()
     def no_work_is_counted_twice(self):
-        for name, council in getattr(self, "net", Net(0, 0)).up.items():
-            others = council.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
-            known = sum(10 ** self.net.names.index(n) for n in council.peer_loads._last if n != name)
-            # Fresh word alone, without what is assumed of those who say nothing: never more than each has said.
-            worth = 1 + sum(council.peer_loads._sure(self.net.now, n) for n in self.net.names)
+        for name, protocol in getattr(self, "net", Net(0, 0)).up.items():
+            others = protocol.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
+            known = sum(10 ** self.net.names.index(n) for n in protocol.peer_loads._last if n != name)
+            # Fresh reports alone, without what is assumed of the silent: never more than each has reported.
+            worth = 1 + sum(protocol.peer_loads._sure(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self):
@@ -221,7 +221,8 @@
     first, second = net.up["d0"], net.up["d1"]
     ping = first.tick(net.now)[0]
     (ack,) = second.receive(net.now, ping)
-    assert isinstance(ack.payload, Ack) and second.receive(net.now, ping) == []
+    assert isinstance(ack.payload, Ack)
+    assert second.receive(net.now, ping) == []
     anew = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
     anew.tick(net.now + S)
     anew.receive(net.now + S, ack)
@@ -246,10 +247,10 @@
     assert (now.total_tokens, now.confidence) == (1200, 1)
     work.receive(6 * FADE, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
     later = work.others(8 * FADE, 7, ["a", "b", "c"], mine)
-    assert later.confidence < 0.1 and 100 < later.total_tokens < 300
-    assert not work.receive(9 * FADE, "a", (1, 2), [ReplicaLoad(7, 9, 9)]) and not work.receive(
-        9 * FADE, "a", (0, 9), []
-    )
+    assert later.confidence < 0.1
+    assert 100 < later.total_tokens < 300
+    assert not work.receive(9 * FADE, "a", (1, 2), [ReplicaLoad(7, 9, 9)])
+    assert not work.receive(9 * FADE, "a", (0, 9), [])
 
 
 PLAIN = Ping("d2", 9)
@@ -271,11 +272,9 @@
         assert GossipCodec([KEY]).unpack(GossipCodec([KEY]).pack(m), "d2") == m
     packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
     back = GossipCodec([KEY]).unpack(packed, "d2")
-    assert (
-        len(packed) <= MAX_DATAGRAM_BYTES
-        and len(back.loads) >= 40
-        and back.loads == message(MAX_ROWS).loads[: len(back.loads)]
-    )
+    assert len(packed) <= MAX_DATAGRAM_BYTES
+    assert len(back.loads) >= 40
+    assert back.loads == message(MAX_ROWS).loads[: len(back.loads)]
 
 
 @pytest.mark.parametrize(
