--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -1,4 +1,4 @@
-"""The aggregator as a daemon: its socket, its door for operators, its signals."""
+"""The aggregator as a daemon: its socket, its operators' calls, its signals."""
 
 from __future__ import annotations
 
@@ -24,28 +24,32 @@
 from pearhill.net.listener import Listener
 from pearhill.net.ticks import EventLoopTicks
 
-DOOR, DOOR_BODY = 16, 4096  # connections of operators, and bytes of a call that has no use for any
-RECEIVE_BUFFER = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
-LOOK_EVERY, SILENT = 1_000_000, 2_000_000  # at the count and the other aggregators, for the log
+MAX_OPERATOR_CONNECTIONS = 16
+MAX_CALL_BODY_BYTES = 4096  # no call has any use for one
+RECEIVE_BUFFER_BYTES = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
+LOG_INTERVAL_US = 1_000_000  # at which the count and the other aggregators are looked at for the log
+PEER_SILENCE_US = 2_000_000  # after which another aggregator is logged as silent
 
 
 class AggregatorDaemon(CallTable):
-    """Belongs to the running event loop. `read_anew` reads the control machine's file once more."""
+    """Belongs to the running event loop. `reread` reads the control machine's file once more."""
 
-    def __init__(self, setup: AggregatorSetup, read_anew: Callable[[], AggregatorSetup]) -> None:
-        self.setup, self.read_anew = setup, read_anew
+    def __init__(self, setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
+        self.setup = setup
+        self.reread = reread
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
-        self.turns = EventLoopTicks(self.loop, self.deadlines)
-        self.datagrams = Datagrams(self.deadlines, "aggregator", RECEIVE_BUFFER)
+        self.ticks = EventLoopTicks(self.loop, self.deadlines)
+        self.datagrams = Datagrams(self.deadlines, "aggregator", RECEIVE_BUFFER_BYTES)
         started = self.deadlines.clock()  # its incarnation too
         self.aggregator = Aggregator(setup.name, setup.peers, started, random.Random(started))
-        self.aggregation = Aggregation(
-            self.aggregator, AggregationCodec(list(setup.keys)), setup.peers, self.deadlines, self.datagrams
-        )
-        self.aggregation.on_tick = self._look
+        codec = AggregationCodec(list(setup.keys))
+        self.aggregation = Aggregation(self.aggregator, codec, setup.peers, self.deadlines, self.datagrams)
+        self.aggregation.on_tick = self._log_changes
         self.stopped = asyncio.Event()
-        self._looked_at, self._counted, self._silent = 0, 0, set[str]()
+        self._logged_at = 0
+        self._logged_count = 0
+        self._silent_peers: set[str] = set()
         super().__init__(
             {"/ready": ("GET", self._ready), "/counters": ("GET", self._counters), "/ops/fleet": ("GET", self._fleet)}
         )
@@ -53,8 +57,10 @@
     # Operators' calls.
 
     def _ready(self, query: str, reply: Reply) -> None:
-        yes = not self.stopped.is_set()
-        reply.answer(200 if yes else 503, TEXT, b"yes\n" if yes else b"no: it ends\n")
+        if self.stopped.is_set():
+            reply.answer(503, TEXT, b"no: it ends\n")
+        else:
+            reply.answer(200, TEXT, b"yes\n")
 
     def _counters(self, query: str, reply: Reply) -> None:
         reply.answer(200, JSON, json.dumps(dict(self.datagrams.counts)).encode() + b"\n")
@@ -64,86 +70,104 @@
 
     # The log.
 
-    def _look(self, now: int) -> None:
-        if now - self._looked_at < LOOK_EVERY:
+    def _log_changes(self, now: int) -> None:
+        if now - self._logged_at < LOG_INTERVAL_US:
             return
-        self._looked_at, figures = now, self.aggregator.figures(now)
-        if figures["counted"] != self._counted:
-            self._counted = figures["counted"]
+        self._logged_at = now
+        figures = self.aggregator.figures(now)
+        if figures["counted"] != self._logged_count:
+            self._logged_count = figures["counted"]
             logger.info(
-                "aggregator: {counted} dispatchers are counted, {heard} of them are heard of, {members} report " "here",
-                counted=self._counted,
+                "aggregator: {counted} dispatchers are counted, {heard} of them are heard of, {members} report here",
+                counted=figures["counted"],
                 heard=figures["heard"],
                 members=figures["members"],
             )
         ages = {name: peer["age_s"] for name, peer in figures["peers"].items()}
-        silent = {name for name, age_s in ages.items() if age_s is None or age_s * 1e6 > SILENT}
-        for name in sorted(silent - self._silent):
+        self._log_silent({name for name, age_s in ages.items() if age_s is None or age_s * 1e6 > PEER_SILENCE_US})
+
+    def _log_silent(self, silent: set[str]) -> None:
+        for name in sorted(silent - self._silent_peers):
             logger.warning("aggregator: {peer} is not heard", peer=name)
-        for name in sorted(self._silent - silent):
+        for name in sorted(self._silent_peers - silent):
             logger.info("aggregator: {peer} is heard again", peer=name)
-        self._silent = silent
+        self._silent_peers = silent
 
     def report(self) -> None:
+        """Write the counters to the log."""
         counts = dict(self.datagrams.counts)
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
 
-    # Its life.
+    # Start, reload, end.
 
     def reload(self) -> None:
-        """Danger: whatever a file holds, and whenever it is read, the process lives on."""
+        """Use the file as it is now. Whatever it holds, and whenever it is read, the process goes on."""
         try:
-            fresh = self.read_anew()
+            new = self.reread()
         except ConfigError as e:
             logger.warning("reload: the old configuration stays: {error}", error=str(e))
             return
-        before, self.setup = self.setup, fresh
-        self.aggregation.reconfigure(AggregationCodec(list(fresh.keys)), fresh.peers)
-        logger.info(
-            "reload: done, {result}",
-            result=f"{len(fresh.peers)} other aggregators"
-            + for_next_start(
-                ("aggregator.name", before.name, fresh.name),
-                ("aggregator.listen", before.listen, fresh.listen),
-                ("aggregator.admin_addr", before.admin, fresh.admin),
-            ),
+        old = self.setup
+        self.setup = new
+        self.aggregation.reconfigure(AggregationCodec(list(new.keys)), new.peers)
+        for_later = for_next_start(
+            ("aggregator.name", old.name, new.name),
+            ("aggregator.listen", old.listen, new.listen),
+            ("aggregator.admin_addr", old.admin, new.admin),
         )
-
-    def _open_door(self, address: tuple[str, int]) -> Listener:
-        door = Listener(self.loop, self.deadlines, Counters(), self, DOOR, DOOR_BODY, side="operator")
-        door.last_answers()  # one call a connection
+        logger.info("reload: done, {result}", result=f"{len(new.peers)} other aggregators{for_later}")
+
+    def _listen_for_operators(self, address: tuple[str, int]) -> Listener:
+        listener = Listener(
+            self.loop,
+            self.deadlines,
+            Counters(),
+            self,
+            MAX_OPERATOR_CONNECTIONS,
+            MAX_CALL_BODY_BYTES,
+            side="operator",
+        )
+        listener.last_answers()  # one call a connection
         try:
-            host, port = door.listen(address)
+            host, port = listener.listen(address)
         except OSError as e:
             raise OSError(f"aggregator.admin_addr: {address[0]}:{address[1]}: {e.strerror or e}") from None
         logger.info("operators are heard on {host}:{port}", host=host, port=port)
-        return door
+        return listener
 
-    async def serve(self) -> None:
-        """Until SIGTERM or SIGINT. OSError: an address cannot be used."""
+    async def _open_datagrams(self) -> None:
+        address = self.setup.listen
+        try:
+            host, port = await self.datagrams.open(address)
+        except OSError as e:
+            raise OSError(f"aggregator.listen: {address[0]}:{address[1]}: {e.strerror or e}") from None
+        self.aggregation.start()
+        logger.info("aggregator {name} listens on {host}:{port}", name=self.setup.name, host=host, port=port)
+
+    def _handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stopped.set)
         self.loop.add_signal_handler(signal.SIGUSR1, self.report)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        setup = self.setup
-        door = self._open_door(setup.admin) if setup.admin else None
-        try:
-            host, port = await self.datagrams.open(setup.listen)
-        except OSError as e:
-            raise OSError(f"aggregator.listen: {setup.listen[0]}:{setup.listen[1]}: {e.strerror or e}") from None
-        self.aggregation.start()
-        logger.info("aggregator {name} listens on {host}:{port}", name=setup.name, host=host, port=port)
+
+    async def serve(self) -> None:
+        """Run until SIGTERM or SIGINT. OSError: an address cannot be used."""
+        self._handle_signals()
+        admin = self.setup.admin
+        operators = self._listen_for_operators(admin) if admin else None
+        await self._open_datagrams()
         await self.stopped.wait()
         self.aggregation.close()
         self.datagrams.close()
-        if door:
-            await door.close()
-        self.turns.close()
+        if operators:
+            await operators.close()
+        self.ticks.close()
         self.report()
-        # Danger: as the loop closes, the system's own handling comes back, and a late SIGHUP would end the process.
+        # As the loop closes, the system's own handling comes back, and a late SIGHUP would end the process with it.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
-async def serve(setup: AggregatorSetup, read_anew: Callable[[], AggregatorSetup]) -> None:
-    await AggregatorDaemon(setup, read_anew).serve()
+async def serve(setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
+    """Run one aggregator until it is stopped. OSError: an address cannot be used."""
+    await AggregatorDaemon(setup, reread).serve()
--- a/pearhill/aggregator/setup.py
+++ b/pearhill/aggregator/setup.py
@@ -13,12 +13,14 @@
 
 
 class PeerTable(values.PeerTable, forbid_unknown_fields=True, kw_only=True):
+    """The table of another aggregator."""
+
     name: values.Name
 
 
 class AggregatorTable(Struct, forbid_unknown_fields=True):
-    """`peer`: the other aggregators; it may name this one too, so that one list serves all. The first key signs, each
-    of them is accepted."""
+    """The aggregator's own table. `peer`: the other aggregators; it may name this one too, so that one list serves all.
+    The first key signs, each of them is accepted."""
 
     name: values.Name
     listen: values.Address
@@ -28,11 +30,15 @@
 
 
 class AggregatorFile(Struct, forbid_unknown_fields=True):
+    """The whole file."""
+
     aggregator: AggregatorTable
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatorSetup:
+    """What one aggregator runs with; addresses are host and port, `peers` by name."""
+
     name: str
     listen: Address
     keys: tuple[bytes, ...]
@@ -41,15 +47,15 @@
 
 
 def load(path: str) -> AggregatorSetup:
-    """The control machine's file. ConfigError names it, the key, what was found and what is allowed."""
+    """Read the control machine's file. ConfigError names it, the key, what was found and what is allowed."""
     table = typed.load(path, AggregatorFile)[0].aggregator
     try:
         return AggregatorSetup(
-            table.name,
-            values.address("aggregator.listen", table.listen),
-            values.talk_keys("aggregator.key_files", table.key_files),
-            values.addresses("aggregator.peer", table.peer, table.name),
-            values.address("aggregator.admin_addr", table.admin_addr) if table.admin_addr else None,
+            name=table.name,
+            listen=values.address("aggregator.listen", table.listen),
+            keys=values.talk_keys("aggregator.key_files", table.key_files),
+            peers=values.addresses("aggregator.peer", table.peer, table.name),
+            admin=values.address("aggregator.admin_addr", table.admin_addr) if table.admin_addr else None,
         )
     except ConfigError as e:
         raise ConfigError(f"{path}: {e}") from None
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -1,9 +1,10 @@
-"""An aggregator over UDP: its beats, its datagrams out, the dispatchers' and the other aggregators' in. Decides
-nothing.
+"""An aggregator over UDP: the ticks of one Aggregator, its datagrams out, those of dispatchers and of other aggregators
+in. Decides nothing.
 
-No dispatcher's address is kept: all that an aggregator says to one is an answer, and goes where the datagram came
-from that it answers. So nobody can have a dispatcher's answers sent elsewhere by what he forges or sends once more.
-The other aggregators are where the file says, wherever what is said in their names comes from."""
+No dispatcher's address is kept: all that an aggregator sends to one is an answer, and goes where the datagram that it
+answers came from. So nobody can have a dispatcher's answers sent elsewhere by forged or replayed datagrams. The other
+aggregators are where the file says, wherever datagrams in their names come from.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 class Aggregation:
-    """`peers`: where the other aggregators listen."""
+    """Drives `aggregator`. `peers`: where the other aggregators listen, by name."""
 
     def __init__(
         self,
@@ -28,36 +29,41 @@
         deadlines: Deadlines,
         datagrams: Datagrams,
     ) -> None:
-        self.aggregator, self.codec, self.peers, self.deadlines = aggregator, codec, peers, deadlines
+        self.aggregator = aggregator
+        self.codec = codec
+        self.peers = peers
+        self.deadlines = deadlines
         self.datagrams = datagrams
-        self._beat_key: Key | None = None
-        self.on_tick: Callable[[int], None] = lambda now: None  # told after each, with its time
+        self.on_tick: Callable[[int], None] = lambda now: None  # called after each tick, with its time
+        self._tick_key: Key | None = None
 
     def start(self) -> None:
-        """Once the socket is open."""
-        self.datagrams.receivers[VERSION] = self._take
-        self._beat()
+        """Begin to tick and to receive, once the socket is open."""
+        self.datagrams.receivers[VERSION] = self._receive
+        self._tick()
 
     def reconfigure(self, codec: AggregationCodec, peers: Mapping[str, Address]) -> None:
-        """Other keys, other peers; what is known of those that stay, stays."""
-        self.codec, self.peers = codec, peers
+        """Use other keys and other peers; what is known of those that stay, stays."""
+        self.codec = codec
+        self.peers = peers
         self.aggregator.reconfigure(peers, self.deadlines.clock())
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._beat_key = self.deadlines.at(now + AGGREGATOR_TICK_US, self._beat)
-        for frame in self.aggregator.tick(now):
-            if address := self.peers.get(frame.to):
-                self._send(frame, address)
+        self._tick_key = self.deadlines.at(now + AGGREGATOR_TICK_US, self._tick)
+        for message in self.aggregator.tick(now):
+            address = self.peers.get(message.to)
+            if address:
+                self._send(message, address)
         self.on_tick(now)
 
-    def _take(self, data: bytes, address: Address) -> None:
-        frame = self.codec.unpack(data, self.aggregator.name)
-        for answer in self.aggregator.receive(self.deadlines.clock(), frame):
+    def _receive(self, data: bytes, address: Address) -> None:
+        message = self.codec.unpack(data, self.aggregator.name)
+        for answer in self.aggregator.receive(self.deadlines.clock(), message):
             self._send(answer, address)
 
-    def _send(self, frame: AggregationMessage, address: Address) -> None:
-        self.datagrams.send(self.codec.pack(frame), address)
+    def _send(self, message: AggregationMessage, address: Address) -> None:
+        self.datagrams.send(self.codec.pack(message), address)
 
     def figures(self) -> dict[str, Any]:
         """What is known here, for operators."""
@@ -68,5 +74,6 @@
         }
 
     def close(self) -> None:
-        self.deadlines.cancel(self._beat_key)
+        """Neither tick nor receive any more."""
+        self.deadlines.cancel(self._tick_key)
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -1,5 +1,5 @@
-"""One UDP socket for all who speak on it, told apart by a datagram's first byte: its counts, and a line in the log for
-what is not taken. Decides nothing."""
+"""One UDP socket for all protocols that use it, told apart by a datagram's first byte: its counts, and a log line for
+datagrams that are rejected. Decides nothing."""
 
 from __future__ import annotations
 
@@ -15,73 +15,88 @@
 from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.address import Address
 
-REJECTION_LOG_INTERVAL_US = 60_000_000  # at most one line for datagrams that are not taken
+REJECTION_LOG_INTERVAL_US = 60_000_000  # between two lines for rejected datagrams, at the least
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """`takers`, by the version that they speak, raise Rejected for what they don't take. `receive_buffer`: bytes that
-    the system is asked to hold while this process is busy; 0: as it likes. `counts`: datagrams and bytes, each way,
-    headers of IP and UDP not among them."""
+    """`receivers`, by the version of their messages, raise MessageRejectedError for what they do not accept.
+
+    `receive_buffer`: bytes that the system is asked to hold while this process is busy; 0: its default. `counts`:
+    datagrams and bytes, each way, without the headers of IP and UDP.
+    """
 
     def __init__(self, deadlines: Deadlines, side: str = "fleet", receive_buffer: int = 0) -> None:
-        self.deadlines, self.side, self.receive_buffer = deadlines, side, receive_buffer
+        self.deadlines = deadlines
+        self.side = side
+        self.receive_buffer = receive_buffer
         self.receivers: dict[int, Callable[[bytes, Address], None]] = {}
         self.counts: Counter[str] = Counter()
         self._transport: asyncio.DatagramTransport | None = None
-        self._rejected: Counter[str] = Counter()  # since the last line
-        self._from = ""
-        self._tell_key: Key | None = None
+        self._rejected: Counter[str] = Counter()  # by reason, since the last line
+        self._last_rejected_peer = ""
+        self._log_key: Key | None = None
 
     async def open(self, address: Address) -> Address:
-        """OSError: the address cannot be used."""
+        """Open the socket; the address it got. OSError: the address cannot be used."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
         assert self._transport
         host, port = self._transport.get_extra_info("sockname")[:2]
         return host, port
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop has one of its own
+        """The socket is open; called by the event loop."""
+        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop has a type of its own
         if self.receive_buffer:
             sock = transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.receive_buffer)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Count a datagram and pass it on; called by the event loop."""
         self.counts["received"] += 1
         self.counts["bytes_in"] += len(data)
         try:
-            if not data:
-                raise MessageRejectedError("size")
-            if (taker := self.receivers.get(data[0])) is None:
-                raise MessageRejectedError("version")
-            taker(data, addr)
+            self._dispatch(data, addr)
             self.counts["taken"] += 1
         except MessageRejectedError as e:
-            self.counts[f"rejected {e}"] += 1
-            self._rejected[str(e)] += 1
-            self._from = "{}:{}".format(*addr[:2])
-            # Danger: whoever floods the port would fill the log as well.
-            if self._tell_key is None:
-                self._tell()
-
-    def _tell(self) -> None:
-        """The first at once, those of the minute that follows together at its end."""
-        self._tell_key = None
-        if self._rejected:
-            logger.warning(
-                "{side}: {count} datagrams are not taken: reasons={reasons}, the last from {peer}",
-                side=self.side,
-                count=self._rejected.total(),
-                peer=self._from,
-                reasons=",".join(f"{why}:{n}" for why, n in sorted(self._rejected.items())),
-            )
-            self._rejected.clear()
-            self._tell_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._tell)
+            self._reject(str(e), addr)
+
+    def _dispatch(self, data: bytes, address: Address) -> None:
+        if not data:
+            raise MessageRejectedError("size")
+        receiver = self.receivers.get(data[0])
+        if receiver is None:
+            raise MessageRejectedError("version")
+        receiver(data, address)
+
+    def _reject(self, reason: str, address: Address) -> None:
+        self.counts[f"rejected {reason}"] += 1
+        self._rejected[reason] += 1
+        self._last_rejected_peer = "{}:{}".format(*address[:2])
+        # With a line for each datagram, a flood of the port would fill the log as well.
+        if self._log_key is None:
+            self._log_rejected()
+
+    def _log_rejected(self) -> None:
+        """Log the first rejected datagram at once, those of the interval that follows together at its end."""
+        self._log_key = None
+        if not self._rejected:
+            return
+        logger.warning(
+            "{side}: {count} datagrams are not taken: reasons={reasons}, the last from {peer}",
+            side=self.side,
+            count=self._rejected.total(),
+            peer=self._last_rejected_peer,
+            reasons=",".join(f"{reason}:{count}" for reason, count in sorted(self._rejected.items())),
+        )
+        self._rejected.clear()
+        self._log_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
-        self.counts[f"unsent {type(exc).__name__}"] += 1  # the other's port is closed: its silence tells the same
+        """A peer's port is closed; its silence tells the same. Called by the event loop."""
+        self.counts[f"unsent {type(exc).__name__}"] += 1
 
     def send(self, data: bytes, address: Address) -> bool:
-        """False: there is no socket, or no more."""
+        """Send a datagram. False: the socket is not open yet, or closed."""
         if self._transport is None or self._transport.is_closing():
             return False
         self._transport.sendto(data, address)
@@ -90,6 +105,7 @@
         return True
 
     def close(self) -> None:
-        self.deadlines.cancel(self._tell_key)
+        """Close the socket."""
+        self.deadlines.cancel(self._log_key)
         if self._transport:
             self._transport.close()
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -1,17 +1,15 @@
-"""A dispatcher's part in a fleet, on one UDP socket: the talk with other dispatchers, the reports to aggregators, or
-both."""
+"""A dispatcher's part in a fleet, on one UDP socket: gossip with other dispatchers, reports to aggregators, or both."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines
-from pearhill.load_reports.evenness import evenness
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.aggregator_choice import AggregatorSite
@@ -21,18 +19,16 @@
 from pearhill.membership.reporter import Reporter
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
+from pearhill.net.fleet_figures import FleetNode, member_figures, replica_figures
 from pearhill.net.gossip import Gossip
 from pearhill.net.reporting import Reporting
 
-if TYPE_CHECKING:
-    from pearhill.node.node import Node
-
-SUMS_TIMEOUT_US = 3_000_000  # without fresh sums; a move to another aggregator takes less
+SUMS_TIMEOUT_US = 3_000_000  # without fresh sums, before it is logged; a move to another aggregator takes less
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSetup:
-    """The dispatchers that this one talks to, and the aggregators that it may report to, with where they listen."""
+    """The dispatchers to gossip with, and the aggregators that may be reported to, with where they listen."""
 
     name: str
     listen: Address
@@ -42,137 +38,151 @@
     sites: tuple[AggregatorSite, ...] = ()
     aggregators: Mapping[str, Address] | None = None
 
+    @property
+    def uses_gossip(self) -> bool:
+        """Whether this dispatcher gossips."""
+        return bool(self.peers) or not self.sites
+
+    @property
+    def uses_reports(self) -> bool:
+        """Whether it reports to aggregators."""
+        return bool(self.sites)
+
 
 class Fleet:
-    """`work` tells my own tokens at each engine, as they are now. `sources` is for the Router's `talk`."""
+    """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `sources` is for the router's
+    `use_peers`."""
 
     def __init__(
-        self, setup: FleetSetup, seed: int, deadlines: Deadlines, work: Callable[[], Iterable[ReplicaLoad]]
+        self, setup: FleetSetup, seed: int, deadlines: Deadlines, own_loads: Callable[[], Iterable[ReplicaLoad]]
     ) -> None:
-        self.setup, self.seed, self.deadlines, self._work = setup, seed, deadlines, work
-        self.datagrams, self.sources = Datagrams(deadlines), CombinedLoadSource()
+        self.setup = setup
+        self.seed = seed
+        self.deadlines = deadlines
+        self.datagrams = Datagrams(deadlines)
+        self.sources = CombinedLoadSource()
         self.gossip: Gossip | None = None
         self.reporting: Reporting | None = None
-        self.on_count: Callable[[int], None] = lambda count: None  # told how many dispatchers share the work
+        self.on_count: Callable[[int], None] = lambda count: None  # called with how many dispatchers share the work
+        self._own_loads = own_loads
         self._count: int | None = None
-        self._reports_to: str | None = ""  # as last logged; None: to nobody
-        self._silent_since: int | None = None
+        self._logged_aggregator: str | None = ""  # None: none answers
+        self._no_sums_since: int | None = None
 
     async def open(self) -> Address:
-        """OSError: the address cannot be used."""
+        """Open the socket and begin. OSError: the address cannot be used."""
         address = await self.datagrams.open(self.setup.listen)
         self._settle()
         return address
 
     def reconfigure(self, setup: FleetSetup) -> None:
-        """Other keys, peers and aggregators, one way more or less; what is known of those that stay, stays. Name,
-        region and address are those of the start."""
+        """Use other keys, peers and aggregators, one way more or less; what is known of those that stay, stays. Name,
+        region and address remain those of the start."""
         started = self.setup
         self.setup = replace(setup, name=started.name, listen=started.listen, region=started.region)
         self._settle()
 
     def _settle(self) -> None:
-        """The ways that the setup asks for, as it asks for them."""
-        setup, deadlines = self.setup, self.deadlines
-        # The start's own time is its incarnation; its seed too. Danger: in step, all would ping the same one.
-        started = deadlines.clock()
-        rng, keys = random.Random(started ^ self.seed), list(setup.keys)
-        talks, reports = bool(setup.peers) or not setup.sites, bool(setup.sites)
-        if self.gossip and talks:
-            self.gossip.reconfigure(GossipCodec(keys), setup.peers)
-        elif talks:
-            council = GossipProtocol(setup.name, setup.peers, started, rng, self._work)
-            self.sources.gossip = council
-            self.gossip = Gossip(council, GossipCodec(keys), setup.peers, deadlines, self.datagrams)
+        """Start, reconfigure or close gossip and reports, as the setup says."""
+        # The time of the start is the incarnation, and seeds the random generator: with equal seeds, all dispatchers
+        # would ping the same one at the same time.
+        started = self.deadlines.clock()
+        rng = random.Random(started ^ self.seed)
+        self._settle_gossip(started, rng)
+        self._settle_reporting(started, rng)
+        self._recount()
+
+    def _settle_gossip(self, started: int, rng: random.Random) -> None:
+        setup = self.setup
+        codec = GossipCodec(list(setup.keys))
+        if self.gossip and setup.uses_gossip:
+            self.gossip.reconfigure(codec, setup.peers)
+        elif setup.uses_gossip:
+            protocol = GossipProtocol(setup.name, setup.peers, started, rng, self._own_loads)
+            self.sources.gossip = protocol
+            self.gossip = Gossip(protocol, codec, setup.peers, self.deadlines, self.datagrams)
             self.gossip.on_count = self._recount
             self.gossip.start()
         elif self.gossip:
             self.gossip.close()
-            self.gossip = self.sources.gossip = None
+            self.gossip = None
+            self.sources.gossip = None
+
+    def _settle_reporting(self, started: int, rng: random.Random) -> None:
+        setup = self.setup
+        codec = AggregationCodec(list(setup.keys))
         addresses = setup.aggregators or {}
-        if self.reporting and reports:
-            self.reporting.reconfigure(AggregationCodec(keys), setup.sites, addresses)
-        elif reports:
-            reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._work)
+        if self.reporting and setup.uses_reports:
+            self.reporting.reconfigure(codec, setup.sites, addresses)
+        elif setup.uses_reports:
+            reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._own_loads)
             self.sources.reporter = reporter
-            self.reporting = Reporting(reporter, AggregationCodec(keys), addresses, deadlines, self.datagrams)
-            self.reporting.on_count, self.reporting.on_exchange = self._recount, self._look
+            self.reporting = Reporting(reporter, codec, addresses, self.deadlines, self.datagrams)
+            self.reporting.on_count = self._recount
+            self.reporting.on_exchange = self._log_aggregator
             self.reporting.start()
         elif self.reporting:
             self.reporting.close()
-            self.reporting = self.sources.reporter = None
-        self._recount()
+            self.reporting = None
+            self.sources.reporter = None
 
     def _recount(self) -> None:
         count = self.sources.count(self.deadlines.clock())
-        if count is not None and count != self._count:
-            self._count = count
-            logger.info(
-                "fleet: {count} dispatchers share the work, {there} of them are heard of",
-                count=count,
-                there=self._heard(),
-            )
-            self.on_count(count)
-
-    def _heard(self) -> int:
-        """Dispatchers of which there is word, this one among them."""
-        there = len(self.gossip.protocol.members.reachable()) if self.gossip else 1
-        return max(there, self.reporting.reporter.figures(self.deadlines.clock())["heard"]) if self.reporting else there
-
-    def _look(self, now: int) -> None:
-        """Tell the log which aggregator sums up, or that none has for so long that it is no move to another one."""
+        if count is None or count == self._count:
+            return
+        self._count = count
+        logger.info(
+            "fleet: {count} dispatchers share the work, {there} of them are heard of",
+            count=count,
+            there=self._count_received(),
+        )
+        self.on_count(count)
+
+    def _count_received(self) -> int:
+        """Dispatchers of which something was received lately, this one among them."""
+        reachable = len(self.gossip.protocol.members.reachable()) if self.gossip else 1
+        if self.reporting is None:
+            return reachable
+        reporting: int = self.reporting.reporter.figures(self.deadlines.clock())["heard"]
+        return max(reachable, reporting)
+
+    def _log_aggregator(self, now: int) -> None:
+        """Log which aggregator answers, or that none has for longer than a move to another one takes."""
         assert self.reporting
         if self.sources.fresh(now):
-            self._silent_since, at = None, self.reporting.reporter.figures(now)["aggregator"]
-            if at != self._reports_to:
-                self._reports_to = at
-                logger.info("fleet: reports to {aggregator}", aggregator=at)
-            return
-        if self._silent_since is None:
-            self._silent_since = now
-        elif now - self._silent_since >= SUMS_TIMEOUT_US and self._reports_to is not None:
-            self._reports_to = None
+            self._no_sums_since = None
+            aggregator = self.reporting.reporter.figures(now)["aggregator"]
+            if aggregator != self._logged_aggregator:
+                self._logged_aggregator = aggregator
+                logger.info("fleet: reports to {aggregator}", aggregator=aggregator)
+        elif self._no_sums_since is None:
+            self._no_sums_since = now
+        elif now - self._no_sums_since >= SUMS_TIMEOUT_US and self._logged_aggregator is not None:
+            self._logged_aggregator = None
             logger.warning(
                 "fleet: no aggregator answers: {what}",
                 what="the talk goes on" if self.gossip else "each goes by its own work and the last count",
             )
 
-    def told(self, node: Node) -> dict[str, Any]:
-        """What is known here of the fleet, for operators. `shares`: dispatchers among whom shares of cold engines and
+    def told(self, node: FleetNode) -> dict[str, Any]:
+        """What is known here of the fleet, for operators. `shares`: dispatchers among whom shares of cold replicas and
         the like are divided; 0: as many as the settings say."""
-        now, sources, scout = self.deadlines.clock(), self.sources, node.dispatcher.router
-        engines, total = list[dict[str, Any]](), dict[str, float]()
-        for engine, (waiting, load, avoided) in scout.loads(now).items():
-            theirs = sources.others(now, engine, waiting, load)
-            address = "{}:{}".format(*node.backend.addresses.get(engine, ("", 0)))
-            total[address] = load + theirs[1]
-            engines.append(
-                {
-                    "address": address,
-                    "avoided": avoided,
-                    "mine": {"waiting": waiting, "load": load},
-                    "others": {"waiting": round(theirs[0]), "load": round(theirs[1]), "sure": round(theirs[2], 3)},
-                }
-            )
-        even = evenness(total)
-        members = self.gossip.protocol.members.members if self.gossip else {}
+        now = self.deadlines.clock()
+        replicas, evenness = replica_figures(now, node, self.sources)
         return {
             "name": self.setup.name,
-            "count": sources.count(now),
+            "count": self.sources.count(now),
             "shares": node.dispatchers,
-            "source": sources.in_use(now),
-            "members": {
-                name: {"state": str(m.state), "incarnation": m.incarnation, "for_s": (now - m.state_since) / 1e6}
-                for name, m in members.items()
-            },
+            "source": self.sources.in_use(now),
+            "members": member_figures(now, self.gossip.protocol.members) if self.gossip else {},
             "reports": self.reporting.reporter.figures(now) if self.reporting else None,
-            "engines": engines,
+            "engines": replicas,
             "datagrams": dict(self.datagrams.counts),
-            "evenness": {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)},
+            "evenness": evenness,
         }
 
     def close(self) -> None:
-        """At the end: nothing is taken or sent any more."""
+        """Leave the fleet and close the socket."""
         if self.reporting:
             self.reporting.close()
         if self.gossip:
--- /dev/null
+++ b/pearhill/net/fleet_figures.py
@@ -0,0 +1,96 @@
+"""What operators are told of a fleet: loads by replica, how even they are, and the members known by gossip."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from pearhill.load_reports.evenness import evenness
+from pearhill.membership.members import Members
+from pearhill.membership.peer_load_source import CombinedLoadSource
+from pearhill.net.address import Address
+
+UNKNOWN_ADDRESS = ("", 0)
+
+
+class OwnLoads(Protocol):
+    """Knows this dispatcher's load of each replica."""
+
+    def loads(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
+        """By replica: own queued tokens, own tokens in all, whether this dispatcher avoids it."""
+        ...
+
+
+class OwnDispatcher(Protocol):
+    """Has a router that knows the own loads."""
+
+    @property
+    def router(self) -> OwnLoads:
+        """The router in use."""
+        ...
+
+
+class OwnBackend(Protocol):
+    """Knows where the replicas are."""
+
+    @property
+    def addresses(self) -> Mapping[int, Address]:
+        """By replica: where it listens."""
+        ...
+
+
+class FleetNode(Protocol):
+    """What the figures need of the running dispatcher."""
+
+    @property
+    def dispatcher(self) -> OwnDispatcher:
+        """Its dispatcher."""
+        ...
+
+    @property
+    def backend(self) -> OwnBackend:
+        """Its backend."""
+        ...
+
+    @property
+    def dispatchers(self) -> int:
+        """Dispatchers among whom shares are divided; 0: as many as the settings say."""
+        ...
+
+
+def replica_figures(
+    now: int, node: FleetNode, sources: CombinedLoadSource
+) -> tuple[list[dict[str, Any]], dict[str, Any]]:
+    """Own and others' tokens at each replica, and how evenly all tokens are spread."""
+    rows: list[dict[str, Any]] = []
+    totals: dict[str, float] = {}
+    for replica, (waiting, load, avoided) in node.dispatcher.router.loads(now).items():
+        address = "{}:{}".format(*node.backend.addresses.get(replica, UNKNOWN_ADDRESS))
+        others_waiting, others_load, confidence = sources.others(now, replica, waiting, load)
+        totals[address] = load + others_load
+        rows.append(
+            {
+                "address": address,
+                "avoided": avoided,
+                "mine": {"waiting": waiting, "load": load},
+                "others": {
+                    "waiting": round(others_waiting),
+                    "load": round(others_load),
+                    "sure": round(confidence, 3),
+                },
+            }
+        )
+    even = evenness(totals)
+    return rows, {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)}
+
+
+def member_figures(now: int, members: Members) -> dict[str, Any]:
+    """The other dispatchers as the gossip sees them."""
+    return {
+        name: {
+            "state": str(member.state),
+            "incarnation": member.incarnation,
+            "for_s": (now - member.state_since) / 1e6,
+        }
+        for name, member in members.members.items()
+    }
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -1,4 +1,4 @@
-"""The dispatchers' talk over UDP: the beats of one Council, its datagrams out, theirs in. Decides nothing."""
+"""Gossip over UDP: the ticks of one GossipProtocol, its datagrams out and in. Decides nothing."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class Gossip:
+    """Drives `protocol`. `peers`: where the other dispatchers listen, by name."""
+
     def __init__(
         self,
         protocol: GossipProtocol,
@@ -21,39 +23,46 @@
         deadlines: Deadlines,
         datagrams: Datagrams,
     ) -> None:
-        self.protocol, self.codec, self.peers, self.deadlines = protocol, codec, peers, deadlines
+        self.protocol = protocol
+        self.codec = codec
+        self.peers = peers
+        self.deadlines = deadlines
         self.datagrams = datagrams
-        self._beat_key: Key | None = None
+        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
+        self._tick_key: Key | None = None
         self._count = 0
-        self.on_count: Callable[[], None] = lambda: None  # told when another count of dispatchers shares the work
 
     def start(self) -> None:
-        """Once the socket is open."""
-        self.datagrams.receivers[VERSION] = self._take
-        self._beat()
+        """Begin to tick and to receive, once the socket is open."""
+        self.datagrams.receivers[VERSION] = self._receive
+        self._tick()
 
     def reconfigure(self, codec: GossipCodec, peers: Mapping[str, Address]) -> None:
-        """Other keys, other peers; what is known of those that stay, stays."""
-        self.codec, self.peers = codec, peers
+        """Use other keys and other peers; what is known of those that stay, stays."""
+        self.codec = codec
+        self.peers = peers
         self.protocol.reconfigure(peers, self.deadlines.clock())
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._beat_key = self.deadlines.at(now + GOSSIP_TICK_US, self._beat)
+        self._tick_key = self.deadlines.at(now + GOSSIP_TICK_US, self._tick)
         self._send(self.protocol.tick(now))
-        if (count := self.protocol.count(now)) != self._count:
+        count = self.protocol.count(now)
+        if count != self._count:
             self._count = count
             self.on_count()
 
-    def _take(self, data: bytes, address: Address) -> None:
+    def _receive(self, data: bytes, address: Address) -> None:
         message = self.codec.unpack(data, self.protocol.members.name)
         self._send(self.protocol.receive(self.deadlines.clock(), message))
 
     def _send(self, messages: list[GossipMessage]) -> None:
         for message in messages:
-            if address := self.peers.get(message.payload.to):
+            address = self.peers.get(message.payload.to)
+            if address:
                 self.datagrams.send(self.codec.pack(message), address)
 
     def close(self) -> None:
-        self.deadlines.cancel(self._beat_key)
+        """Neither tick nor receive any more."""
+        self.deadlines.cancel(self._tick_key)
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -1,5 +1,5 @@
-"""A dispatcher's reports to aggregators over UDP: the beats of one Reporter, its datagrams out, their answers in.
-Decides nothing."""
+"""A dispatcher's reports to aggregators over UDP: the ticks of one Reporter, its datagrams out, the answers in. Decides
+nothing."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pearhill.net.address import Address
 from pearhill.net.datagrams import Datagrams
 
-MIN_TICK_INTERVAL_US = 10_000  # between two beats
+MIN_TICK_INTERVAL_US = 10_000
 
 
 class Reporting:
-    """`addresses`: where the aggregators listen, by name."""
+    """Drives `reporter`. `addresses`: where the aggregators listen, by name."""
 
     def __init__(
         self,
@@ -26,67 +26,78 @@
         deadlines: Deadlines,
         datagrams: Datagrams,
     ) -> None:
-        self.reporter, self.codec, self.addresses, self.deadlines = reporter, codec, addresses, deadlines
+        self.reporter = reporter
+        self.codec = codec
+        self.addresses = addresses
+        self.deadlines = deadlines
         self.datagrams = datagrams
-        self._beat_key: Key | None = None
-        self._beat_at: int | None = None  # what it is set for
-        self._last_beat = 0
+        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
+        self.on_exchange: Callable[[int], None] = lambda now: None  # called after each tick and answer, with its time
+        self._tick_key: Key | None = None
+        self._tick_due: int | None = None
+        self._last_tick = 0
         self._count: int | None = None
-        self.on_count: Callable[[], None] = lambda: None  # told when another count of dispatchers shares the work
-        self.on_exchange: Callable[[int], None] = (
-            lambda now: None
-        )  # told after each beat and each answer, with its time
 
     def start(self) -> None:
-        """Once the socket is open."""
-        self.datagrams.receivers[VERSION] = self._take
-        self._beat()
+        """Begin to tick and to receive, once the socket is open."""
+        self.datagrams.receivers[VERSION] = self._receive
+        self._tick()
 
     def reconfigure(
         self, codec: AggregationCodec, sites: Iterable[AggregatorSite], addresses: Mapping[str, Address]
     ) -> None:
-        """Other keys, other aggregators; the one in use stays in use if it is still named."""
-        self.codec, self.addresses = codec, addresses
+        """Use other keys and other aggregators; the one in use stays in use if it is still named."""
+        self.codec = codec
+        self.addresses = addresses
         self.reporter.reconfigure(sites, self.deadlines.clock())
-        self._arm(self.deadlines.clock())
+        self._schedule_tick(self.deadlines.clock())
 
-    def _beat(self) -> None:
-        now = self._last_beat = self.deadlines.clock()
-        self._beat_at = None
+    def _tick(self) -> None:
+        now = self.deadlines.clock()
+        self._last_tick = now
+        self._tick_due = None
         try:
             self._send(self.reporter.tick(now))
         finally:
-            self._arm(now)
-        self._turn(now)
-
-    def _take(self, data: bytes, address: Address) -> None:
-        now, frame = self.deadlines.clock(), self.codec.unpack(data, self.reporter.name)
-        self._send(self.reporter.receive(now, frame, len(data)))
-        self._arm(now)
-        self._turn(now)
-
-    def _arm(self, now: int) -> None:
-        # Danger: a beat that is due at once, over and over, would be all that this process does. Counted from now and
-        # not from the last one, each datagram that comes in would put it off.
-        at = max(self._last_beat + MIN_TICK_INTERVAL_US, self.reporter.next_tick(now))
-        if at != self._beat_at:
-            self.deadlines.cancel(self._beat_key)
-            self._beat_key, self._beat_at = self.deadlines.at(at, self._beat), at
-
-    def _turn(self, now: int) -> None:
-        if (count := self.reporter.count(now)) != self._count:
+            self._schedule_tick(now)
+        self._notify(now)
+
+    def _receive(self, data: bytes, address: Address) -> None:
+        now = self.deadlines.clock()
+        message = self.codec.unpack(data, self.reporter.name)
+        self._send(self.reporter.receive(now, message, len(data)))
+        self._schedule_tick(now)
+        self._notify(now)
+
+    def _schedule_tick(self, now: int) -> None:
+        """Set the timer of the next tick.
+
+        Ticks that are due at once, over and over, would be all that this process does. Their least interval counts
+        from the last tick: counted from now, each datagram that comes in would put the next one off.
+        """
+        due = max(self._last_tick + MIN_TICK_INTERVAL_US, self.reporter.next_tick(now))
+        if due == self._tick_due:
+            return
+        self.deadlines.cancel(self._tick_key)
+        self._tick_key = self.deadlines.at(due, self._tick)
+        self._tick_due = due
+
+    def _notify(self, now: int) -> None:
+        count = self.reporter.count(now)
+        if count != self._count:
             self._count = count
             self.on_count()
         self.on_exchange(now)
 
-    def _send(self, frames: list[AggregationMessage]) -> None:
-        for frame in frames:
-            data, address = self.codec.pack(frame), self.addresses.get(frame.to)
+    def _send(self, messages: list[AggregationMessage]) -> None:
+        for message in messages:
+            data = self.codec.pack(message)
+            address = self.addresses.get(message.to)
             if address and self.datagrams.send(data, address):
                 self.reporter.sent(len(data))
 
     def close(self) -> None:
-        """Take leave, so that nobody waits for this one; the socket is open still."""
-        self.deadlines.cancel(self._beat_key)
+        """Tell the aggregator that this dispatcher leaves, so that nobody waits for it; the socket is still open."""
+        self.deadlines.cancel(self._tick_key)
         self._send(self.reporter.leave(self.deadlines.clock()))
         self.datagrams.receivers.pop(VERSION, None)
