--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -1,7 +1,7 @@
-"""What may be sent, repeated, refused or closed now: one answer for each question, for whoever asks.
+"""What may be sent, retried, rejected or closed now: one answer for each question.
 
-The Router asks before it chooses, the core asks again right before the first byte leaves, and counts what it then has
-to forbid as a violation. Nothing here has a memory: the facts are passed in, and an answer names its reason.
+The router asks before it chooses, the core asks again right before the first byte leaves, and counts what it then has
+to forbid as a violation. Nothing here has state: the facts are passed in, and an answer names its reason.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class Denied(enum.StrEnum):
-    """Why not."""
+    """Why something is not allowed. The values stand under keys of `GET /counters`."""
 
     ANSWERED = "answered"  # the request has had its final answer, or its client has gone
-    ATTEMPT_IN_FLIGHT = "attempt-out"  # another attempt of the request is out
+    ATTEMPT_IN_FLIGHT = "attempt-out"  # another attempt of the request is in flight
     NOT_LISTED = "not-listed"  # the list does not have the replica as one that takes requests
     ATTEMPTS_USED = "attempts-used"
     TOO_LATE = "too-late"  # the time by which it has to be written is over
-    MAY_HAVE_EXECUTED = "may-have-run"  # its effect must not happen twice
-    OUT_OF_SCOPE = "other-group"  # replicas there do not discard a repeat of what has run elsewhere
+    MAY_HAVE_EXECUTED = "may-have-run"  # the request must not be executed twice
+    OUT_OF_SCOPE = "other-group"  # replicas there do not discard a repeat of what was executed elsewhere
     WINDOW_OVER = "window-over"  # repeats are no longer discarded
 
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """The first attempt that may have run: where, as the list had it then, and when it was sent."""
+    """The first attempt that may have been executed: where, by the endpoint list of then, and when it was sent."""
 
     zone: int
     cell: int
@@ -35,7 +35,7 @@
 
 
 def may_retry(spec: RequestClass, execution: Execution | None, zone: int, cell: int, now: int) -> Denied | None:
-    """Whether the effect may be asked of a replica in this zone and cell. None: it may."""
+    """Whether the request may be sent to a replica in this zone and cell for execution. None: it may."""
     if execution is None or spec.idempotency == Idempotency.IDEMPOTENT:
         return None
     if spec.idempotency == Idempotency.UNSAFE:
@@ -47,7 +47,7 @@
 
 
 def may_reject(spec: RequestClass, may_have_executed: bool) -> bool:
-    """Whether the client may be told that trying again is harmless."""
+    """Whether the client may be told that a retry is harmless."""
     return (
         not may_have_executed
         or spec.idempotency == Idempotency.IDEMPOTENT
@@ -67,7 +67,10 @@
 
 
 def may_start(now: int, send_before: int) -> Denied | None:
-    """Whether the first byte of an attempt may leave now. `by`: when its last byte has to be written; 0: whenever."""
+    """Whether the first byte of an attempt may leave now.
+
+    `send_before`: when its last byte has to be written; 0: whenever.
+    """
     return Denied.TOO_LATE if send_before and now >= send_before else None
 
 
@@ -75,20 +78,23 @@
     """What a client's connection is good for now, the least first: in this order connections make room for others."""
 
     FINISHED = 0  # it has had its last answer
-    UNUSED = 1  # nothing was ever asked on it
+    UNUSED = 1  # no request has come on it yet
     IDLE = 2  # between two requests
-    PARTIAL_REQUEST = 3  # a request has begun and is not whole
+    PARTIAL_REQUEST = 3  # a request has begun and is not complete
     ANSWERING = 4  # a request is being answered
 
 
-PARTIAL_REQUEST_GRACE = 1_000_000  # microseconds for which half a request is taken for one whose rest is on its way
+PARTIAL_REQUEST_GRACE_US = 1_000_000  # for which the rest of a partial request is taken to be on its way
 
 
 def may_close(use: ConnectionUse, unread: bool, age: int) -> bool:
-    """Whether a connection may be ended to make room. `unread`: bytes wait on it that nobody has read; `age`: since it
-    came to that use. A request that is read, or half read, and closed over is lost."""
+    """Whether a connection may be ended to make room for another.
+
+    `unread`: bytes wait on it that have not been read. `age`: microseconds since it came to that use. A request that
+    was read, if only in part, is lost when its connection is closed.
+    """
     if use == ConnectionUse.FINISHED:
         return True
     if use == ConnectionUse.ANSWERING or unread:
         return False
-    return use != ConnectionUse.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE
+    return use != ConnectionUse.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE_US
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.routing.start_times import STEP, StartTimes
+from pearhill.routing.start_times import MIN_STEP_US, StartTimes
 from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import S
 
@@ -22,7 +22,7 @@
 
 
 @given(
-    step=st.one_of(st.integers(-2 * HOUR, -STEP - 1), st.integers(STEP + 1, 2 * HOUR)),
+    step=st.one_of(st.integers(-2 * HOUR, -MIN_STEP_US - 1), st.integers(MIN_STEP_US + 1, 2 * HOUR)),
     before=st.integers(0, 30 * S),
     after=st.integers(0, 30 * S),
     late=st.integers(0, 5 * S),
@@ -61,7 +61,7 @@
 def test_small_adjustments_are_no_steps_and_what_is_long_past_stays_so():
     times = StartTimes(NOW, NOW)
     for second in range(1, 100):
-        assert times.observe(NOW + second * S, NOW + second * (S + STEP)) == 0
+        assert times.observe(NOW + second * S, NOW + second * (S + MIN_STEP_US)) == 0
     assert started(times, NOW + 100 * S, 0) == 0
     assert started(times, NOW + 100 * S, NOW + 1000 * S) == NOW + 100 * S
 
