--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -183,9 +183,8 @@
             open_admin_listener(self.loop, self.deadlines, self.counters, *admin) if admin is not None else None
         )
         listener = self._drain_control.listener = self._make_listener(handler)
-        while not (free := may_accept()) and not stopped.is_set():
-            await pause(self.deadlines, RECHECK_INTERVAL_US)
-        if free:  # A process that is to end before it could serve would accept another's clients to reject them.
+        # A process that is to end before it could serve would accept another's clients to reject them.
+        if await self._waits_until_it_may_accept(may_accept, stopped):
             host, port = await listen_for_clients(listener, address, self.deadlines, self.counters)
             self._drain_control.apply()  # a drain that was asked for before, maybe at another process
             logger.info("{name} listens on {host}:{port}", name=name, host=host, port=port)
@@ -221,6 +220,14 @@
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
         self.on_report()
 
+    async def _waits_until_it_may_accept(self, may_accept: Callable[[], bool], stopped: asyncio.Event) -> bool:
+        """False: the process is to end before it may accept clients."""
+        while not may_accept():
+            if stopped.is_set():
+                return False
+            await pause(self.deadlines, RECHECK_INTERVAL_US)
+        return True
+
     def _make_listener(self, handler: Handler) -> Listener:
         return Listener(
             self.loop,
