--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -191,7 +191,7 @@
     # Queries.
 
     def balance(self, now: int, wall: int, tenant: str) -> dict[str, int]:
-        """What a tenant may be told of its budget.
+        """The state of a tenant's budget, as its own clients may see it.
 
         Limit and what remains of tokens and requests, microseconds until the bucket is full, and what it has used in
         the day and the month, in tokens.
--- a/pearhill/budgets/burst.py
+++ b/pearhill/budgets/burst.py
@@ -2,7 +2,7 @@
 
 Start-time fair queueing without the queue. Source: Goyal, Vin, Cheng, "Start-time fair queuing" (1996). Each borrower
 has a virtual time that grows by what it gets over its weight; the fleet's is that of the borrower that has had least
-among those rejected of late. While capacity is short only those who are not ahead of it get any; when they ask for
+among those rejected of late. While capacity is short only those that are not ahead of it get any; when they ask for
 less, the balance rises and the others get the rest, so that nothing idles while anyone asks.
 """
 
@@ -90,7 +90,7 @@
         return wait
 
     def _advance_virtual_time(self, now: int) -> None:
-        """The fleet's virtual time is that of the last of those who were rejected and have asked of late."""
+        """The fleet's virtual time is that of the last borrower among those rejected that have asked of late."""
         while self._rejected and self._rejected[0].asked_at < now - REJECTION_MEMORY_US:
             self._rejected.pop(0).was_rejected = False
         if self._rejected:
@@ -106,7 +106,7 @@
         return None
 
     def _charge(self, borrower: BurstBorrower, virtual_time: float) -> None:
-        """Move a borrower in virtual time, and keep the order of those who were rejected."""
+        """Move a borrower in virtual time, and keep the order of those that were rejected."""
         if borrower.was_rejected:
             self._rejected.remove(borrower)
         borrower.virtual_time += virtual_time
@@ -122,7 +122,7 @@
             self._charge(borrower, (used - amount) * GRAINS_PER_MILLI / weight)
 
     def forget_idle(self) -> None:
-        """Borrowers who stay away and whom virtual time has passed are as good as new ones."""
+        """Borrowers that stay away and that virtual time has passed are as good as new ones."""
         self.borrowers = {
             tenant: borrower
             for tenant, borrower in self.borrowers.items()
--- a/pearhill/budgets/limits.py
+++ b/pearhill/budgets/limits.py
@@ -1,4 +1,4 @@
-"""The limits in force and the prices: what the configuration tells the budgets.
+"""The limits in force and the prices, as the configuration has them.
 
 Amounts are thousandths of a token ("milli"), so that a cached token may cost a tenth. Balances are kept in grains: a
 rate in milli a minute times microseconds is a whole number of them, so that nothing is lost by rounding.
--- a/pearhill/budgets/reservation.py
+++ b/pearhill/budgets/reservation.py
@@ -1,4 +1,4 @@
-"""What the budgets answer an arrival with, hold for it, and are told of its end."""
+"""The records of a request's way through the budgets: decision, reservation, usage."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class AdmissionDecision:
     """Whether an arrival is admitted.
 
-    `retry_after`: microseconds until it would be, as far as can be told. `reason`: the level and the limit that speak
+    `retry_after`: microseconds until it would be, as far as is known. `reason`: the level and the limit that speak
     against it. `quota_exhausted`: a quota is used up, and coming back soon is of no use.
     """
 
--- a/pearhill/durable/message_folder.py
+++ b/pearhill/durable/message_folder.py
@@ -15,8 +15,8 @@
 class MessageFolder:
     """The messages of the processes of one name.
 
-    `name` may be any text, and several names may share the folder. `start` tells this process's file from those of
-    others. OSError of any method: the folder cannot be used.
+    `name` may be any text, and several names may share the folder. `start` is a part of this process's file name.
+    OSError of any method: the folder cannot be used.
     """
 
     def __init__(self, folder: str, name: str, start: int) -> None:
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -24,7 +24,7 @@
 
 
 async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
-    """Run one dispatcher until it is told to end.
+    """Run one dispatcher until a signal ends the process.
 
     `read_anew` returns the configuration that follows the one in force.
     """
@@ -57,17 +57,17 @@
             self.takeover = TakeoverTask(self.node, config.notes, config.name)
 
     async def run(self) -> None:
-        """Serve until the process is told to end, then close everything."""
+        """Serve until a signal ends the process, then close everything."""
         config = self.config
         self.watch.start()
-        door = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
+        admin = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
         clients = config.listen if config.passed is None else listening(config.passed)
         await self.node.serve(
             clients,
             PlatformFront(self.node.dispatcher, self.is_ready, self.node.drain.refuses),
             config.name,
             self.reload,
-            door=door,
+            door=admin,
             may_accept=self.may_accept,
         )
         if self.takeover:
@@ -121,8 +121,11 @@
 
 
 def _schedule(config: Config) -> CallSchedule:
-    """The schedule of the calls to discovery. The seed is this start's own: drawn from a seed that all dispatchers
-    share, the calls that it spreads would be in step."""
+    """The schedule of the calls to discovery.
+
+    The seed is this start's own: drawn from a seed that all dispatchers share, the calls that it spreads would be in
+    step.
+    """
     deployment = config.deployment
     return CallSchedule(
         deployment.shared_discovery,
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -50,7 +50,7 @@
         self.started = False
 
     def _end(self) -> None:
-        """Let go of the request: the two hold each other, and the body, until the garbage collector runs."""
+        """Drop the request: else the two hold each other, and the body, until the garbage collector runs."""
         self.request = None
         self.on_end()
 
@@ -163,7 +163,7 @@
     def _rejected(self, spec: RequestSpec, arrived: int | None, reply: Reply) -> bool:
         """Whether a request may not be begun; it is answered then."""
         dispatcher = self.dispatcher
-        if spec.id in self.open_ids:  # Two requests of one id could not be told apart at a replica.
+        if spec.id in self.open_ids:  # a replica could not distinguish two requests of one id
             dispatcher.counters.rejected += 1
             reply.reject(409, TEXT_HEADERS, b"a request with this Request-Id is open\n")
             return True
--- a/pearhill/platform/request_parser.py
+++ b/pearhill/platform/request_parser.py
@@ -1,4 +1,4 @@
-"""The platform's request headers and body, read into what the core is told of a request."""
+"""Reads the platform's request headers and body into the facts that the core needs of a request."""
 
 from __future__ import annotations
 
--- a/pearhill/settings.py
+++ b/pearhill/settings.py
@@ -34,8 +34,8 @@
 
     `load_positions`: where the two load values stand in a report (-1: not reported). `connection_idle_timeout`: for
     how long replicas keep an idle connection. `shared_discovery`: discovery is one service that all dispatchers poll;
-    else what it has is pushed to each. `drain_grace`: so long after a dispatcher is told that a replica drains, it must
-    have stopped sending there.
+    else what it has is pushed to each. `drain_grace`: so long after the endpoint list says that a replica drains, a
+    dispatcher must have stopped sending there.
     """
 
     router: RouterSettings
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -308,7 +308,7 @@
 def _event(
     code: int, fields: bytes, instance: int, load_positions: Callable[[int], LoadPositions]
 ) -> Event | Start | Halt | None:
-    """The event of one record. None: there is nothing to be told of it."""
+    """The event of one record. None: it is of no use here."""
     if instance < 0:
         raise WireError("no instance was named before it")
     decode_with_load = _EVENTS_WITH_LOAD.get(code)
