--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -25,7 +25,7 @@
 
 
 async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
-    """Run one dispatcher until it is told to end.
+    """Run one dispatcher until a signal ends the process.
 
     `read_anew` returns the configuration that follows the one in force.
     """
@@ -58,7 +58,7 @@
             self.takeover = TakeoverTask(self.node, config.message_folder, config.name)
 
     async def run(self) -> None:
-        """Serve until the process is told to end, then close everything."""
+        """Serve until a signal ends the process, then close everything."""
         config = self.config
         self.watch.start()
         admin = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
@@ -122,8 +122,11 @@
 
 
 def _schedule(config: Config) -> CallSchedule:
-    """The schedule of the calls to discovery. The seed is this start's own: drawn from a seed that all dispatchers
-    share, the calls that it spreads would be in step."""
+    """The schedule of the calls to discovery.
+
+    The seed is this start's own: drawn from a seed that all dispatchers share, the calls that it spreads would be in
+    step.
+    """
     deployment = config.deployment
     return CallSchedule(
         deployment.shared_discovery,
