--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -1,16 +1,16 @@
-"""How evenly many dispatchers load many engines, with and without a word of one another, free of I/O.
+"""How evenly many dispatchers load many replicas, with and without knowing one another's loads, free of I/O.
 
     .venv/bin/python benchmarks/talk.py [--ways own,told,sums --dispatchers 200 --engines 60 --rate 10 --seconds 20 \
         --seeds 5]
 
-One process plays all councils and all choices on its own clock: requests come at random to dispatchers of uneven
-share (some get ten times the mean), each holds an engine for a drawn while, and each choice is the emptier of two
-engines drawn for it. The same arrivals are dealt six ways: by my own work alone, by mine and what the others have
-told (datagrams of `membership.datagram`, a tenth of them lost, up to 50 ms late), by mine and the sums of three
-aggregators (`membership.frames`, the same loss and delay, dispatchers spread over three regions), by talk with the
-fleet cut in two, by one who sees those two engines as they are, and by one who sees all (join the shortest queue).
-Printed: peak over mean of work by engine in 1 s windows, mean and spread over the seeds; time of a choice; datagrams
-sent and bytes both ways for each dispatcher, with their IP and UDP headers. Not for CI.
+One process plays all dispatchers and all choices on its own clock: requests come at random to dispatchers of uneven
+share (some get ten times the mean), each holds a replica for a drawn time, and each choice is the emptier of two
+replicas drawn for it. The same arrivals are played six ways: by the dispatcher's own work alone ("own"), with the
+others' loads by gossip ("told": a tenth of the datagrams lost, up to 50 ms late), with the sums of three aggregators
+("sums": the same loss and delay, dispatchers spread over three regions), by gossip with the fleet partitioned in two
+("cut"), by one who sees those two replicas as they are ("two"), and by one who sees all (join the shortest queue,
+"all"). Printed: peak over mean of work by replica in 1 s windows, mean and spread over the seeds; time of a choice;
+datagrams sent and bytes both ways for each dispatcher, with their IP and UDP headers. Not for CI.
 """
 
 from __future__ import annotations
@@ -20,197 +20,277 @@
 import random
 import statistics
 import time
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any
 
 from pearhill.load_reports.peer_loads import ReplicaLoad
-from pearhill.membership import aggregator
 from pearhill.membership.aggregation_messages import AggregationCodec, AggregationMessage
-from pearhill.membership.aggregator import Aggregator
+from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.byte_budget import HEADER_BYTES
-from pearhill.membership.gossip import GossipProtocol
+from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.members import GOSSIP_TICK_US
 from pearhill.membership.reporter import Reporter
 
 S = 1_000_000
-TOKENS, HOLD, WARM = 1000, 0.5, 5  # of a request; mean seconds that it holds an engine; seconds not counted
+START = 1_000 * S
+TOKENS = 1000  # of a request
+MEAN_HOLD_S = 0.5  # for which a request holds a replica
+WARM_UP_S = 5  # not counted
 WAYS = ("own", "told", "sums", "cut", "two", "all")
-LOST, LATEST = 0.1, 50_000  # of the datagrams; microseconds under way at the most
+LOSS = 0.1  # of the datagrams
+MIN_DELAY_US = 200
+MAX_DELAY_US = 50_000
+KEYS = [b"k" * 32]
 SITES = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
 
 
 @dataclass
 class Result:
-    peaks: list[float] = field(default_factory=list)
+    """What one play measured."""
+
+    peaks: list[float] = field(default_factory=list)  # peak over mean, by window
     datagrams: int = 0  # sent by dispatchers
     bytes: int = 0  # of dispatchers, both ways
     choice_us: float = 0.0
 
 
-def play(way: str, n: int, engines: int, rate: float, seconds: int, seed: int) -> Result:
-    rng, net = random.Random(seed), random.Random(seed + 1)
-    start, codec, names = 1_000 * S, GossipCodec([b"k" * 32]), [f"d{k}" for k in range(n)]
-    shares = [10.0 if k % 20 == 0 else 1.0 for k in range(n)]
-    mine = [[0] * engines for _ in range(n)]
-    total, area, seen = [0] * engines, [0.0] * engines, [start] * engines
-    index = {name: k for k, name in enumerate(names)}
-    councils = []
-    if way in ("told", "cut"):
-        councils = [
-            GossipProtocol(
-                name,
-                names,
-                start,
-                random.Random(seed * n + k),
-                lambda k=k: [ReplicaLoad(e, t, t) for e, t in enumerate(mine[k]) if t],
-            )  # type: ignore[misc]
-            for k, name in enumerate(names)
-        ]
-    frames, reporters, aggregators = AggregationCodec([b"k" * 32]), list[Reporter](), dict[str, Aggregator]()
-    if way == "sums":
-        reporters = [
-            Reporter(
-                name,
-                SITES[k % 3].region,
-                SITES,
-                start,
-                random.Random(seed * n + k),
-                lambda k=k: [ReplicaLoad(e, t, t) for e, t in enumerate(mine[k]) if t],
-            )  # type: ignore[misc]
-            for k, name in enumerate(names)
-        ]
-        aggregators = {
-            site.name: Aggregator(site.name, [s.name for s in SITES], start, random.Random(seed)) for site in SITES
-        }
-    peers: list[GossipProtocol] | list[Reporter] = councils or reporters
-    heap: list[tuple[int, int, str, object]] = []
-    count, out, spent, choices = 0, Result(), 0.0, 0
-
-    def at(when: int, what: str, thing: object) -> None:
-        nonlocal count
-        count += 1
-        heapq.heappush(heap, (when, count, what, thing))
-
-    def change(now: int, engine: int, tokens: int) -> None:
-        area[engine] += total[engine] * (now - seen[engine])
-        total[engine], seen[engine] = total[engine] + tokens, now
-
-    def send(now: int, made: list[AggregationMessage]) -> None:
-        for f in made:
-            data = frames.pack(f)
-            if f.sender in index:
-                reporters[index[f.sender]].sent(len(data))
-                out.datagrams, out.bytes = out.datagrams + 1, out.bytes + len(data) + HEADER_BYTES
-            if net.random() >= LOST:
-                at(now + net.randrange(200, LATEST), "frame", (f.to, data))
-
-    for k in range(len(councils)):
-        at(start + net.randrange(GOSSIP_TICK_US), "beat", k)
-    for k in range(len(reporters)):
-        at(reporters[k].next_tick(start), "report", k)
-    for name in aggregators:
-        at(start + net.randrange(aggregator.AGGREGATOR_TICK_US), "aggregate", name)
-    for w in range(WARM, seconds + 1):
-        at(start + w * S, "window", w)
-    arrival = start
-    while arrival < start + seconds * S:
-        arrival += int(rng.expovariate(rate * engines) * S)
-        at(
-            arrival,
-            "arrival",
-            (rng.choices(range(n), shares)[0], rng.sample(range(engines), 2), int(rng.expovariate(1 / HOLD) * S)),
-        )
-    while heap:
-        now, _, what, thing = heapq.heappop(heap)
-        if now > start + seconds * S:
-            break
-        if what == "arrival":
-            k, two, hold = thing  # type: ignore[misc]
-            began = time.perf_counter()
-            if way == "all":
-                engine = min(range(engines), key=total.__getitem__)
-            elif way == "two":
-                engine = min(two, key=total.__getitem__)
-            elif peers:
-                engine = min(two, key=lambda e: mine[k][e] + peers[k].others(now, e, mine[k][e], mine[k][e])[1])
-            else:
-                engine = min(two, key=mine[k].__getitem__)
-            spent, choices = spent + time.perf_counter() - began, choices + 1
-            mine[k][engine] += TOKENS
-            change(now, engine, TOKENS)
-            at(now + hold, "end", (k, engine))
-        elif what == "end":
-            k, engine = thing  # type: ignore[misc]
-            mine[k][engine] -= TOKENS
-            change(now, engine, -TOKENS)
-        elif what == "window":
-            for engine in range(engines):
-                change(now, engine, 0)
-            if thing != WARM:
-                out.peaks.append(max(area) * engines / max(1.0, sum(area)))
-            area = [0.0] * engines
-        elif what == "aggregate":
-            send(now, aggregators[thing].tick(now))  # type: ignore[index]
-            at(now + aggregator.AGGREGATOR_TICK_US, "aggregate", thing)
-        elif what == "report":
-            reporter = reporters[thing]  # type: ignore[index]
-            if now >= reporter.next_tick(now):
-                send(now, reporter.tick(now))
-            at(max(now + 1, reporter.next_tick(now)), "report", thing)
-        elif what == "frame":
-            to, data = thing  # type: ignore[misc]
-            if to in aggregators:
-                send(now, aggregators[to].receive(now, frames.unpack(data, to)))
-            else:
-                out.bytes += len(data) + HEADER_BYTES
-                send(now, reporters[index[to]].receive(now, frames.unpack(data, to), len(data)))
-        else:
-            if what == "beat":
-                sender, messages = thing, councils[thing].tick(now)  # type: ignore[index]
-                at(now + GOSSIP_TICK_US, "beat", thing)
-            else:
-                sender, data = thing  # type: ignore[misc]
-                out.bytes += len(data) + HEADER_BYTES
-                messages = councils[sender].receive(now, codec.unpack(data, names[sender]))
-            for m in messages:
-                to, data, out.datagrams = index[m.payload.to], codec.pack(m), out.datagrams + 1
-                out.bytes += len(data) + HEADER_BYTES
-                if net.random() < LOST or (way == "cut" and (to < n // 2) != (sender < n // 2)):
-                    continue
-                at(now + net.randrange(200, LATEST), "datagram", (to, data))
-    out.choice_us = spent / max(1, choices) * 1e6
-    return out
+class LoadMeter:
+    """Tokens at each replica, and their integral over the time since the window began."""
 
+    def __init__(self, replicas: int) -> None:
+        self.tokens = [0] * replicas
+        self._area = [0.0] * replicas
+        self._updated_at = [START] * replicas
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    def change(self, now: int, replica: int, tokens: int) -> None:
+        """So many tokens more at the replica."""
+        self._area[replica] += self.tokens[replica] * (now - self._updated_at[replica])
+        self.tokens[replica] += tokens
+        self._updated_at[replica] = now
+
+    def end_window(self, now: int) -> float:
+        """Peak over mean of the window, at whose end a new one begins."""
+        for replica in range(len(self.tokens)):
+            self.change(now, replica, 0)
+        peak = max(self._area) * len(self._area) / max(1.0, sum(self._area))
+        self._area = [0.0] * len(self._area)
+        return peak
+
+
+class Play:
+    """One way, played once."""
+
+    def __init__(self, way: str, dispatchers: int, replicas: int, rate: float, seconds: int, seed: int) -> None:
+        self.way = way
+        self.replicas = replicas
+        self.end = START + seconds * S
+        self.result = Result()
+        self.meter = LoadMeter(replicas)
+        self.own = [[0] * replicas for _ in range(dispatchers)]
+        self.names = [f"d{k}" for k in range(dispatchers)]
+        self._index = {name: k for k, name in enumerate(self.names)}
+        self._net = random.Random(seed + 1)
+        self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._event_count = 0
+        self._choice_s = 0.0
+        self._choices = 0
+        self._gossip_codec = GossipCodec(KEYS)
+        self._aggregation_codec = AggregationCodec(KEYS)
+        self._protocols: list[GossipProtocol] = []
+        self._reporters: list[Reporter] = []
+        self._aggregators: dict[str, Aggregator] = {}
+        if way in ("told", "cut"):
+            self._start_gossip(seed)
+        if way == "sums":
+            self._start_reports(seed)
+        self._plan_windows(seconds)
+        self._plan_arrivals(random.Random(seed), rate)
+
+    def _at(self, when: int, handler: Callable[..., None], *values: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (when, self._event_count, handler, values))
+
+    def run(self) -> Result:
+        """Play all events up to the end."""
+        while self._events:
+            now, _, handler, values = heapq.heappop(self._events)
+            if now > self.end:
+                break
+            handler(now, *values)
+        self.result.choice_us = self._choice_s / max(1, self._choices) * 1e6
+        return self.result
+
+    # What is planned at the start.
+
+    def _own_loads(self, dispatcher: int) -> Callable[[], list[ReplicaLoad]]:
+        own = self.own[dispatcher]
+        return lambda: [ReplicaLoad(replica, tokens, tokens) for replica, tokens in enumerate(own) if tokens]
+
+    def _start_gossip(self, seed: int) -> None:
+        for k, name in enumerate(self.names):
+            rng = random.Random(seed * len(self.names) + k)
+            self._protocols.append(GossipProtocol(name, self.names, START, rng, self._own_loads(k)))
+        for k in range(len(self.names)):
+            self._at(START + self._net.randrange(GOSSIP_TICK_US), self._gossip_tick, k)
+
+    def _start_reports(self, seed: int) -> None:
+        for k, name in enumerate(self.names):
+            rng = random.Random(seed * len(self.names) + k)
+            self._reporters.append(Reporter(name, SITES[k % 3].region, SITES, START, rng, self._own_loads(k)))
+        names = [site.name for site in SITES]
+        self._aggregators = {name: Aggregator(name, names, START, random.Random(seed)) for name in names}
+        for reporter in self._reporters:
+            self._at(reporter.next_tick(START), self._report_tick, reporter)
+        for aggregator in self._aggregators.values():
+            self._at(START + self._net.randrange(AGGREGATOR_TICK_US), self._aggregator_tick, aggregator)
+
+    def _plan_windows(self, seconds: int) -> None:
+        for second in range(WARM_UP_S, seconds + 1):
+            self._at(START + second * S, self._end_window, second)
+
+    def _plan_arrivals(self, rng: random.Random, rate: float) -> None:
+        dispatchers = range(len(self.names))
+        shares = [10.0 if k % 20 == 0 else 1.0 for k in dispatchers]
+        arrival = START
+        while arrival < self.end:
+            arrival += int(rng.expovariate(rate * self.replicas) * S)
+            dispatcher = rng.choices(dispatchers, shares)[0]
+            pair = rng.sample(range(self.replicas), 2)
+            hold = int(rng.expovariate(1 / MEAN_HOLD_S) * S)
+            self._at(arrival, self._arrive, dispatcher, pair, hold)
+
+    # Requests.
+
+    def _arrive(self, now: int, dispatcher: int, pair: list[int], hold: int) -> None:
+        began = time.perf_counter()
+        replica = self._choose(now, dispatcher, pair)
+        self._choice_s += time.perf_counter() - began
+        self._choices += 1
+        self.own[dispatcher][replica] += TOKENS
+        self.meter.change(now, replica, TOKENS)
+        self._at(now + hold, self._finish, dispatcher, replica)
+
+    def _choose(self, now: int, dispatcher: int, pair: list[int]) -> int:
+        if self.way == "all":
+            return min(range(self.replicas), key=self.meter.tokens.__getitem__)
+        if self.way == "two":
+            return min(pair, key=self.meter.tokens.__getitem__)
+        own = self.own[dispatcher]
+        sources: list[GossipProtocol] | list[Reporter] = self._protocols or self._reporters
+        if not sources:
+            return min(pair, key=own.__getitem__)
+        source = sources[dispatcher]
+        return min(pair, key=lambda replica: own[replica] + source.others(now, replica, own[replica], own[replica])[1])
+
+    def _finish(self, now: int, dispatcher: int, replica: int) -> None:
+        self.own[dispatcher][replica] -= TOKENS
+        self.meter.change(now, replica, -TOKENS)
+
+    def _end_window(self, now: int, second: int) -> None:
+        peak = self.meter.end_window(now)
+        if second != WARM_UP_S:
+            self.result.peaks.append(peak)
+
+    # Gossip.
+
+    def _gossip_tick(self, now: int, dispatcher: int) -> None:
+        messages = self._protocols[dispatcher].tick(now)
+        self._at(now + GOSSIP_TICK_US, self._gossip_tick, dispatcher)
+        self._send_gossip(now, dispatcher, messages)
+
+    def _receive_gossip(self, now: int, dispatcher: int, data: bytes) -> None:
+        self.result.bytes += len(data) + HEADER_BYTES
+        message = self._gossip_codec.unpack(data, self.names[dispatcher])
+        self._send_gossip(now, dispatcher, self._protocols[dispatcher].receive(now, message))
+
+    def _send_gossip(self, now: int, sender: int, messages: list[GossipMessage]) -> None:
+        half = len(self.names) // 2
+        for message in messages:
+            to = self._index[message.payload.to]
+            data = self._gossip_codec.pack(message)
+            self.result.datagrams += 1
+            self.result.bytes += len(data) + HEADER_BYTES
+            is_lost = self._net.random() < LOSS
+            is_cut = self.way == "cut" and (to < half) != (sender < half)
+            if not is_lost and not is_cut:
+                self._at(now + self._net.randrange(MIN_DELAY_US, MAX_DELAY_US), self._receive_gossip, to, data)
+
+    # Reports and sums.
+
+    def _report_tick(self, now: int, reporter: Reporter) -> None:
+        if now >= reporter.next_tick(now):
+            self._send_aggregation(now, reporter.tick(now))
+        self._at(max(now + 1, reporter.next_tick(now)), self._report_tick, reporter)
+
+    def _aggregator_tick(self, now: int, aggregator: Aggregator) -> None:
+        self._send_aggregation(now, aggregator.tick(now))
+        self._at(now + AGGREGATOR_TICK_US, self._aggregator_tick, aggregator)
+
+    def _receive_aggregation(self, now: int, to: str, data: bytes) -> None:
+        message = self._aggregation_codec.unpack(data, to)
+        if to in self._aggregators:
+            self._send_aggregation(now, self._aggregators[to].receive(now, message))
+            return
+        self.result.bytes += len(data) + HEADER_BYTES
+        self._send_aggregation(now, self._reporters[self._index[to]].receive(now, message, len(data)))
+
+    def _send_aggregation(self, now: int, messages: list[AggregationMessage]) -> None:
+        for message in messages:
+            data = self._aggregation_codec.pack(message)
+            if message.sender in self._index:
+                self._reporters[self._index[message.sender]].sent(len(data))
+                self.result.datagrams += 1
+                self.result.bytes += len(data) + HEADER_BYTES
+            if self._net.random() >= LOSS:
+                delay = self._net.randrange(MIN_DELAY_US, MAX_DELAY_US)
+                self._at(now + delay, self._receive_aggregation, message.to, data)
+
+
+def parse_arguments() -> argparse.Namespace:
+    """The command line; it ends the process when a way is unknown."""
+    parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     for name, value in (("dispatchers", 40), ("engines", 60), ("seconds", 20), ("seeds", 5)):
         parser.add_argument(f"--{name}", type=int, default=value)
     parser.add_argument("--rate", type=float, default=10, help="requests a second for each engine")
     parser.add_argument("--ways", default=",".join(WAYS), help="which are played, by commas")
-    told = parser.parse_args()
-    ways = told.ways.split(",")
-    if strange := set(ways) - set(WAYS):
-        parser.error(f"--ways: {', '.join(sorted(strange))} found, allowed are {', '.join(WAYS)}")
+    arguments = parser.parse_args()
+    arguments.ways = arguments.ways.split(",")
+    unknown = set(arguments.ways) - set(WAYS)
+    if unknown:
+        parser.error(f"--ways: {', '.join(sorted(unknown))} found, allowed are {', '.join(WAYS)}")
+    return arguments
+
+
+def print_way(way: str, arguments: argparse.Namespace) -> None:
+    """Play a way with all seeds, and print its line."""
+    runs = [
+        Play(way, arguments.dispatchers, arguments.engines, arguments.rate, arguments.seconds, seed).run()
+        for seed in range(1, arguments.seeds + 1)
+    ]
+    means = [statistics.mean(run.peaks) for run in runs]
+    dispatcher_seconds = len(runs) * arguments.seconds * arguments.dispatchers
+    datagrams = sum(run.datagrams for run in runs) / dispatcher_seconds
+    size = sum(run.bytes for run in runs) / dispatcher_seconds
+    print(
+        f"{way:5} {statistics.mean(means):.3f} ({min(means):.3f} to {max(means):.3f}), a choice "
+        f"{statistics.mean(run.choice_us for run in runs):.1f} us, {datagrams:.1f} datagrams and "
+        f"{size:.0f} bytes a second each",
+        flush=True,
+    )
+
+
+def main() -> None:
+    """Print one line for each way."""
+    arguments = parse_arguments()
     print(
-        f"{told.dispatchers} dispatchers, {told.engines} engines, {told.rate:g} requests a second each, seeds 1 to "
-        f"{told.seeds}; peak over mean in 1 s windows"
+        f"{arguments.dispatchers} dispatchers, {arguments.engines} engines, {arguments.rate:g} requests a second each, "
+        f"seeds 1 to {arguments.seeds}; peak over mean in 1 s windows"
     )
-    for way in ways:
-        runs = [
-            play(way, told.dispatchers, told.engines, told.rate, told.seconds, seed)
-            for seed in range(1, told.seeds + 1)
-        ]
-        means = [statistics.mean(r.peaks) for r in runs]
-        per = len(runs) * told.seconds * told.dispatchers
-        datagrams, size = sum(r.datagrams for r in runs) / per, sum(r.bytes for r in runs) / per
-        print(
-            f"{way:5} {statistics.mean(means):.3f} ({min(means):.3f} to {max(means):.3f}), a choice "
-            f"{statistics.mean(r.choice_us for r in runs):.1f} us, {datagrams:.1f} datagrams and "
-            f"{size:.0f} bytes a second each",
-            flush=True,
-        )
+    for way in arguments.ways:
+        print_way(way, arguments)
 
 
 if __name__ == "__main__":
