--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -1,5 +1,5 @@
-"""Three real aggregators and five real dispatchers before stand-in engines, through a relay: crashes, stalls, cuts, bad
-paths, and dispatchers that still only talk."""
+"""Three real aggregators and five real dispatchers with stand-in replicas, through a relay: crashes, stalls,
+partitions, bad paths, and dispatchers that still only gossip."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
             (self.folder / name).write_text(f"a-{name}-that-all-of-them-hold\n")
         self.relay = Relay(names, SEED)
         self.addCleanup(self.relay.close)
-        self.engine, self.go = Standin(), threading.Event()
-        self.engine.respond = self.hold
-        self.addCleanup(self.engine.close)
+        self.replica, self.go = Standin(), threading.Event()
+        self.replica.respond = self.hold
+        self.addCleanup(self.replica.close)
         self.addCleanup(self.go.set)
         self.programs: dict[str, Program] = {}
-        self.doors: dict[str, str] = {}
+        self.admin_addresses: dict[str, str] = {}
 
     def hold(self, handler: Any, sent: bytes) -> None:
         """A stream that has begun and goes on until the test lets it end."""
@@ -79,7 +79,7 @@
             + self.table("fleet.peer", peers, False)
             + self.table("fleet.aggregator", aggregators)
         )
-        text = operator_file([self.engine.address], extra, **{"n-instances": 1})
+        text = operator_file([self.replica.address], extra, **{"n-instances": 1})
         return text.replace("[chat]\n", "[chat]\nadmin_addr = '127.0.0.1:0'\n")
 
     def run_one(self, name: str, text: str = "") -> None:
@@ -92,14 +92,14 @@
         program.config = path
         at = program.wait_line(rf"(?:{name} talks|aggregator {name} listens) on ([\d.]+):(\d+)")
         self.relay.place(name, at[1], int(at[2]))
-        self.doors[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
+        self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
 
     def send(self, number: int, *names: str) -> None:
         for name in names:
             self.programs[name].process.send_signal(number)
 
     def told(self, name: str) -> dict[str, Any]:
-        status, _, answer = call(self.doors[name], "GET", "/ops/fleet")
+        status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         self.assertEqual(status, 200)
         return json.loads(answer)
 
@@ -122,50 +122,21 @@
         return self.told(name)["reports"]["aggregator"]
 
 
-class Troubles(Case):
+class TestProcesses(Case):
     def test_crashes_stalls_cuts_and_the_loss_of_all_are_seen_through(self):
         self.begin(*A, *D)
         with ThreadPoolExecutor() as pool:
             list(pool.map(self.run_one, (*A, *D)))
         self.agree(5, 5, *D)
         self.assertEqual({d: self.uses(d) for d in D}, HOMES)
-        sent = body(stream=True)
-        client = socket.create_connection((self.programs["d1"].host, self.programs["d1"].port), 20)
-        self.addCleanup(client.close)
-        client.sendall(
-            b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
-            % (PATH.encode(), len(sent), sent)
-        )
-        self.assertIn(b" 200 OK", client.recv(200))
-        mine = self.told("d1")["engines"][0]["mine"]["load"]
-        self.assertGreater(mine, 0)
-
-        def all_know() -> bool:
-            """Of the one request, as much as it is, by each of the others; never twice."""
-            known = dict[str, float]()
-            for d in D[1:]:
-                t = self.told(d)
-                self.assertLessEqual(t["reports"]["heard"], 5)
-                if t["reports"]["heard"] == 5:  # else the sums are a sample
-                    known[d] = t["engines"][0]["others"]["load"]
-            self.assertLess(max(known.values(), default=0), 1.3 * mine)
-            return len(known) == 4 and min(known.values()) > 0.5 * mine
-
-        self.until(all_know, *D)
+        self.open_stream("d1")
+        self.own_load = self.told("d1")["engines"][0]["mine"]["load"]
+        self.assertGreater(self.own_load, 0)
+        self.until(self.all_know, *D)
         with self.subTest("a bad path"):
-            self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
-            seen = self.relay.passed
-            self.until(lambda: all_know() and self.relay.passed > seen + 100, *D)
-            self.assertEqual({self.told(d)["count"] for d in D}, {5})
-            self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
+            self.see_a_bad_path_through()
         with self.subTest("one aggregator is killed, and another one stands still"):
-            self.send(signal.SIGKILL, "a1")
-            self.send(signal.SIGSTOP, "a2")
-            self.until(lambda: {self.uses(d) for d in D} == {"a3"} and all_know(), *D)
-            self.programs["a3"].wait_line("aggregator: a1 is not heard")
-            self.assertEqual({self.told(d)["count"] for d in D}, {5})
-            self.send(signal.SIGCONT, "a2")
-            self.run_one("a1")
+            self.lose_two_aggregators()
         with self.subTest("a dispatcher crashes, and starts anew under its name"):
             self.send(signal.SIGKILL, "d5")
             self.agree(4, 4, *D[:4])
@@ -180,18 +151,59 @@
         with self.subTest("all come home"):
             self.until(lambda: {d: self.uses(d) for d in D} == HOMES, *D)
         with self.subTest("all aggregators are killed: each goes by its own work, and the last count"):
-            self.send(signal.SIGKILL, *A)
-            self.agree(5, 5, *D, source="")
-            self.assertEqual([self.told(d)["engines"][0]["others"]["sure"] for d in D], [0] * 5)
-            for name in A:
-                self.run_one(name)
-            self.until(all_know, *D)
-            self.agree(5, 5, *D)
+            self.lose_all_aggregators()
         with self.subTest("one that ends takes its leave"):
             self.send(signal.SIGTERM, "d4")
             self.agree(4, 4, "d1", "d2", "d3", "d5")
         self.assertFalse(re.search("Traceback", "".join(line for p in self.programs.values() for line in p.lines)))
 
+    def open_stream(self, name: str) -> None:
+        """A request at this dispatcher whose answer stays under way."""
+        sent = body(stream=True)
+        client = socket.create_connection((self.programs[name].host, self.programs[name].port), 20)
+        self.addCleanup(client.close)
+        client.sendall(
+            b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
+            % (PATH.encode(), len(sent), sent)
+        )
+        self.assertIn(b" 200 OK", client.recv(200))
+
+    def all_know(self) -> bool:
+        """Whether each of the others knows d1's one request, as much as it is; never twice."""
+        known = dict[str, float]()
+        for d in D[1:]:
+            t = self.told(d)
+            self.assertLessEqual(t["reports"]["heard"], 5)
+            if t["reports"]["heard"] == 5:  # else the sums are a sample
+                known[d] = t["engines"][0]["others"]["load"]
+        self.assertLess(max(known.values(), default=0), 1.3 * self.own_load)
+        return len(known) == 4 and min(known.values()) > 0.5 * self.own_load
+
+    def see_a_bad_path_through(self) -> None:
+        self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
+        seen = self.relay.passed
+        self.until(lambda: self.all_know() and self.relay.passed > seen + 100, *D)
+        self.assertEqual({self.told(d)["count"] for d in D}, {5})
+        self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
+
+    def lose_two_aggregators(self) -> None:
+        self.send(signal.SIGKILL, "a1")
+        self.send(signal.SIGSTOP, "a2")
+        self.until(lambda: {self.uses(d) for d in D} == {"a3"} and self.all_know(), *D)
+        self.programs["a3"].wait_line("aggregator: a1 is not heard")
+        self.assertEqual({self.told(d)["count"] for d in D}, {5})
+        self.send(signal.SIGCONT, "a2")
+        self.run_one("a1")
+
+    def lose_all_aggregators(self) -> None:
+        self.send(signal.SIGKILL, *A)
+        self.agree(5, 5, *D, source="")
+        self.assertEqual([self.told(d)["engines"][0]["others"]["sure"] for d in D], [0] * 5)
+        for name in A:
+            self.run_one(name)
+        self.until(self.all_know, *D)
+        self.agree(5, 5, *D)
+
     def test_old_and_new_stand_side_by_side_and_a_fleet_goes_over_by_reloads(self):
         trio = ("d1", "d2", "d3")
         self.begin("a1", *trio)
@@ -227,7 +239,7 @@
             self.assertEqual([self.told(d)["members"] for d in trio], [{}] * 3)
             self.assertEqual(self.told("a1")["datagrams"]["rejected forged"], 1)
         with self.subTest("one look at all"):
-            code, out, err = run("fleet", *self.doors.values())
+            code, out, err = run("fleet", *self.admin_addresses.values())
             self.assertEqual((code, err), (0, ""))
             self.assertRegex(out, r"d1 +counts 3 dispatchers, goes by sums; the talk hears 0 others; sums of a1, ")
             self.assertRegex(out, r"a1 +aggregator: counts 3 dispatchers, hears 3, 3 report to it; no other is named")
@@ -241,7 +253,7 @@
             )
 
 
-class Files(unittest.TestCase):
+class TestFiles(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -1,4 +1,4 @@
-"""Five real dispatchers that talk through a relay, and real stand-in engines: crashes, stalls, cuts, bad paths."""
+"""Five real dispatchers that gossip through a relay, and stand-in replicas: crashes, stalls, partitions, bad paths."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 WAIT_S = 30  # for what must come about; it takes some seconds
 
 
-class Fleet(unittest.TestCase):
+class TestProcesses(unittest.TestCase):
     NAMES = ("d1", "d2", "d3", "d4", "d5")
 
-    def start(self, engines: int = 2) -> None:
+    def start(self, replicas: int = 2) -> None:
         print(f"seed {SEED}")
         self.relay = Relay(list(self.NAMES), SEED)
         self.addCleanup(self.relay.close)
-        self.engines = [Standin() for _ in range(engines)]
+        self.replicas = [Standin() for _ in range(replicas)]
         self.go = threading.Event()
-        for engine in self.engines:
-            engine.respond = self.hold
-            self.addCleanup(engine.close)
+        for replica in self.replicas:
+            replica.respond = self.hold
+            self.addCleanup(replica.close)
         self.addCleanup(self.go.set)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         (self.folder / "key").write_text("a-key-that-all-five-of-them-hold\n")
         self.programs: dict[str, Program] = {}
-        self.doors: dict[str, str] = {}
+        self.admin_addresses: dict[str, str] = {}
         for name in self.NAMES:
             self.run_one(name)
 
@@ -58,18 +58,18 @@
             f'[[fleet.peer]]\nname = "{p}"\naddress = "{self.relay.address(p)}"\n' for p in self.NAMES if p != name
         )
         extra = f'[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = ["{self.folder}/key"]\n{peers}'
-        text = operator_file([e.address for e in self.engines], extra, **{"n-instances": 1})
+        text = operator_file([e.address for e in self.replicas], extra, **{"n-instances": 1})
         path = self.folder / f"{name}.toml"
         path.write_text(text.replace("[chat]\n", "[chat]\nadmin_addr = '127.0.0.1:0'\n"))
         program = self.programs[name] = Program("--chat", str(path))
         self.addCleanup(program.kill)
         host, port = program.wait_line(rf"{name} talks on ([\d.]+):(\d+)").groups()
         self.relay.place(name, host, int(port))
-        self.doors[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
+        self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
         return program
 
     def told(self, name: str) -> dict[str, Any]:
-        status, _, answer = call(self.doors[name], "GET", "/ops/fleet")
+        status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         self.assertEqual(status, 200)
         return json.loads(answer)
 
@@ -99,7 +99,7 @@
         )
         self.assertIn(b" 200 OK", client.recv(200))
 
-    def load_heard(self, name: str) -> float:
+    def known_load(self, name: str) -> float:
         return sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
 
     def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self):
@@ -132,16 +132,16 @@
             self.relay.cut()
             self.agree(5, 5, *self.NAMES)
 
-    def test_each_takes_the_engine_that_all_the_others_have_left_alone(self):
+    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self):
         """One conversation's requests, each at another dispatcher that has nothing open itself: they alternate between
-        its two engines. Without the others' word all would go to the first of its order."""
-        self.start(engines=6)
+        its two replicas. Without the others' loads all would go to the first of its order."""
+        self.start(replicas=6)
         self.agree(5, 5, *self.NAMES)
         for asked, name in enumerate(self.NAMES, 1):
             self.ask(name)
-            self.until(lambda asked=asked: min(map(self.load_heard, self.NAMES)) > (asked - 0.5) * LOAD)
+            self.until(lambda asked=asked: min(map(self.known_load, self.NAMES)) > (asked - 0.5) * LOAD)
             with self.subTest(asked):
-                runs = sorted(engine.runs for engine in self.engines)
+                runs = sorted(replica.runs for replica in self.replicas)
                 self.assertEqual(runs, [0, 0, 0, 0, asked // 2, asked - asked // 2])
 
     def test_forged_datagrams_change_nothing_and_are_counted(self):
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -1,4 +1,4 @@
-"""One UDP socket, and what drives a reporter and an aggregator over it, on a clock of the test's own."""
+"""One UDP socket, and the drivers of a reporter and an aggregator on it, with the test's own clock."""
 
 import contextlib
 import random
@@ -45,13 +45,13 @@
             self.now = end
 
 
-class Drops(Case):
-    def test_are_counted_each_and_told_once_a_minute_with_their_reasons(self):
-        def taker(data: bytes, address: Any) -> None:
+class TestRejectedDatagrams(Case):
+    def test_are_counted_each_and_logged_once_a_minute_with_their_reasons(self):
+        def receiver(data: bytes, address: Any) -> None:
             if len(data) > 1:
                 raise MessageRejectedError("forged")
 
-        self.datagrams.receivers[2] = taker
+        self.datagrams.receivers[2] = receiver
         for data in (b"\2", b"\2x", b"\2x", b"\1", b""):
             self.datagrams.datagram_received(data, ("10.0.0.9", 77))
         self.assertEqual(
@@ -60,7 +60,7 @@
         )
         self.assertEqual(len(self.lines), 1)
         self.run_for(REJECTION_LOG_INTERVAL_US)
-        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing told
+        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing logged
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
         self.assertEqual(
             [str(line).strip() for line in self.lines],
@@ -72,7 +72,7 @@
         )
 
 
-class AnAggregator(Case):
+class TestAggregation(Case):
     def test_answers_go_where_the_datagram_came_from_and_to_other_aggregators_where_the_file_says(self):
         aggregator = Aggregator("a1", ["a2"], self.now, random.Random(1))
         driver = Aggregation(aggregator, CODEC, {"a2": ("10.0.0.2", 2)}, self.deadlines, self.datagrams)
@@ -80,32 +80,32 @@
         self.assertEqual({address for _, address in self.sent}, {("10.0.0.2", 2)})
         self.sent.clear()
 
-        def hear(sender: str, sequence: int, address: tuple[str, int]) -> list[Any]:
+        def receive_hello(sender: str, sequence: int, address: tuple[str, int]) -> list[Any]:
             self.sent.clear()
             self.datagrams.datagram_received(CODEC.pack(Hello(sender, "a1", 5, sequence, 9)), address)
             return [(CODEC.unpack(data, sender), to) for data, to in self.sent]
 
         for sequence, port in ((1, 11), (2, 12)):  # a dispatcher may move
-            ((answer, to),) = hear("d1", sequence, ("10.0.0.3", port))
+            ((answer, to),) = receive_hello("d1", sequence, ("10.0.0.3", port))
             self.assertIsInstance(answer, HelloAck)
             self.assertEqual(to, ("10.0.0.3", port))
-        self.assertEqual(hear("d1", 2, ("6.6.6.6", 6)), [])  # sent again by somebody: nothing goes there
-        self.assertEqual(hear("a2", 1, ("6.6.6.6", 6)), [])
+        self.assertEqual(receive_hello("d1", 2, ("6.6.6.6", 6)), [])  # sent again by somebody: nothing goes there
+        self.assertEqual(receive_hello("a2", 1, ("6.6.6.6", 6)), [])
 
 
-class AReporter(Case):
-    def test_is_asked_when_it_says_and_neither_spins_nor_is_put_off_by_what_comes_in(self):
+class TestReporting(Case):
+    def test_ticks_when_due_and_neither_spins_nor_is_put_off_by_what_comes_in(self):
         case = self
 
         class Eager:
-            name, beats, sizes = "d1", list[int](), list[int]()
+            name, ticks, sizes = "d1", list[int](), list[int]()
 
             def next_tick(self, now: int) -> int:
                 return max(now, self.due)
 
             def tick(self, now: int) -> list[Any]:
-                self.beats.append(now)
-                if len(self.beats) == 3:
+                self.ticks.append(now)
+                if len(self.ticks) == 3:
                     raise ValueError("a fault")
                 return []
 
@@ -114,7 +114,7 @@
                 return []
 
             def count(self, now: int) -> int:
-                return 2 + len(self.beats) // 4
+                return 2 + len(self.ticks) // 4
 
             def leave(self, now: int) -> list[Any]:
                 return [Hello("d1", "a1", 5, 1, 9), Hello("d1", "a7", 5, 2, 9)]
@@ -135,14 +135,14 @@
         for _ in range(100):
             self.datagrams.datagram_received(self.data, at)
             self.run_for(MIN_TICK_INTERVAL_US // 10)
-        self.assertGreaterEqual(len(reporter.beats), 14)
+        self.assertGreaterEqual(len(reporter.ticks), 14)
         self.assertTrue(
-            all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.beats, reporter.beats[1:], strict=False))
+            all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.ticks, reporter.ticks[1:], strict=False))
         )
         self.assertEqual(counts[:2], [2, 3])
-        driver.close()  # takes leave, and says and hears nothing more
+        driver.close()  # leaves, and neither sends nor receives any more
         self.assertEqual([(len(data), address) for data, address in self.sent], [(reporter.sizes[0], at)])
-        beats = len(reporter.beats)
+        ticks = len(reporter.ticks)
         self.run_for(S)
         self.datagrams.datagram_received(self.data, at)
-        self.assertEqual((len(reporter.beats), self.datagrams.counts["rejected version"]), (beats, 1))
+        self.assertEqual((len(reporter.ticks), self.datagrams.counts["rejected version"]), (ticks, 1))
