--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -43,6 +43,15 @@
 MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silence in ms (-1: it left)
 
 
+class Header(NamedTuple):
+    """The fields of every message, for whoever makes one."""
+
+    sender: str
+    to: str
+    incarnation: int
+    sequence: int
+
+
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The fields of every message; `sequence` grows with each message of a sender, whoever it is for."""
 
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -11,12 +11,13 @@
 
 import random
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import Any
 
 from pearhill.membership.aggregation_messages import (
     LEASE_US,
     MAX_TABLE_ENTRIES,
     AggregationMessage,
+    Header,
     Hello,
     HelloAck,
     MemberList,
@@ -51,15 +52,6 @@
 SETTLING_TIME_US = 10_000_000  # after a start: every dispatcher has reported by then, backoff included
 
 
-class Header(NamedTuple):
-    """The first fields of every message."""
-
-    sender: str
-    to: str
-    incarnation: int
-    sequence: int
-
-
 class Aggregator:
     """`started` must grow with each start of the same name: the time of the start does."""
 
--- a/pearhill/membership/member_directory.py
+++ b/pearhill/membership/member_directory.py
@@ -24,7 +24,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One stay of a dispatcher at one aggregator; the larger is the newer."""
+    """One start of a dispatcher and one attachment to an aggregator; the larger is the newer."""
 
     started: int  # which start of the process
     attachment: int  # which change of its aggregator since then
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -13,6 +13,7 @@
 from pearhill.membership.aggregation_messages import (
     MAX_UNASSIGNED,
     AggregationMessage,
+    Header,
     Hello,
     HelloAck,
     Report,
@@ -57,15 +58,6 @@
     unassigned: Unassigned
 
 
-class Header(NamedTuple):
-    """The first fields of every message."""
-
-    sender: str
-    to: str
-    incarnation: int
-    sequence: int
-
-
 class Reporter:
     """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `started` must grow with each start
     of the same name: the time of the start does."""
--- a/pearhill/membership/slot_table.py
+++ b/pearhill/membership/slot_table.py
@@ -81,7 +81,7 @@
         return tuple((slot, self.replicas[slot], version) for version, slot in assignments)
 
     def sweep(self, now: int, vectors: Iterable[tuple[list[float], list[float]]]) -> None:
-        """Find the idle slots. `vectors`: tokens by slot of all who have work, loads and waits of each."""
+        """Find the idle slots. `vectors`: tokens by slot of this and the other aggregators, loads and waits of each."""
         for loads, waits in vectors:
             for slot in compress(range(len(loads)), map(float.__add__, loads, waits)):
                 self._used_at[slot] = now
