--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import pathlib
@@ -146,7 +147,8 @@
             return True
         except TimeoutError:
             self.oracle.killed(self.clock(), self.name)
-            process.kill()
+            with contextlib.suppress(ProcessLookupError):  # it has ended in this very moment: too late all the same
+                process.kill()
             await process.wait()
             return False
         finally:
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,6 +1,8 @@
 """The fault soak: its oracle finds what is planted, and a short run of it finds nothing."""
 
+import asyncio
 import os
+import pathlib
 
 import pytest
 
@@ -8,6 +10,7 @@
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import KEYED, SAFE, UNSAFE, Oracle, Rules
 from pearhill.lab.soak.plan import draw
+from pearhill.lab.soak.processes import Dispatcher
 
 S, MS = 1_000_000, 1000
 RULES = Rules(300 * MS, 500 * MS, 8 * S, 0.1, 1500 * MS, 1.5, 20.0)
@@ -298,3 +301,31 @@
     print(report.text())
     assert not report.violations, report.text()
     assert report.outcomes["200"] > 50, report.text()
+
+
+class EndsAtTheKill:
+    """A process that has not ended when its time is over, and has when it is killed."""
+
+    returncode = None
+
+    def __init__(self) -> None:
+        self.ended = asyncio.Event()
+
+    async def wait(self) -> int:
+        await self.ended.wait()
+        return 0
+
+    def send_signal(self, number: int) -> None: ...
+
+    def kill(self) -> None:
+        self.ended.set()
+        raise ProcessLookupError
+
+
+def test_a_process_that_ends_in_the_moment_of_its_kill_counts_as_killed(tmp_path: pathlib.Path):
+    async def terminate() -> bool:
+        dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(RULES), lambda: 0, 1)
+        dispatcher.process = EndsAtTheKill()
+        return await dispatcher.terminate(0.01)
+
+    assert asyncio.run(terminate()) is False
