--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -1,9 +1,9 @@
 """When replicas were started, on the process's own clock.
 
 An endpoint list has starts in wall-clock time, and the wall clock may be stepped, by an operator or a time server,
-while the process's own clock runs on. Slow start is a span of real time, so each start is placed on the own clock, once,
-when it is first received, and keeps that place. A start that would be possible before a step and after it counts as the
-later one: taken for older than it is, a warming-up replica would be overloaded.
+while the process's own clock runs on. Slow start is a span of real time, so each start is placed on the own clock,
+once, when it is first received, and keeps that place. A start that would be possible before a step and after it counts
+as the later one: taken for older than it is, a warming-up replica would be overloaded.
 """
 
 from __future__ import annotations
