--- a/pearhill/__init__.py
+++ b/pearhill/__init__.py
@@ -1,6 +1,6 @@
-"""Routing decisions for language-model servers that read prompts and write answers in two stages."""
+"""Routing decisions for language-model replicas that answer in two stages, prefill and decode."""
 
 from pearhill.routing.router import Router
 
-__version__ = "0.3.0"
+__version__ = "0.4.0"
 __all__ = ["Router", "__version__"]
