--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -294,8 +294,8 @@
 
 
 def test_the_end_waits_for_releases_and_ends_whoever_rests_before_it_can_take_a_request_more(day):
-    """The client came while connections were still accepted, and sent nothing. What it sends once nothing is accepted was
-    read, and lost as the process ended; the releases went on for a second."""
+    """The client came while connections were still accepted, and sent nothing. What it sent once none were accepted
+    was read, and lost as the process ended; the releases went on for a second."""
     answering, replica = threading.Event(), Standin()
 
     def read(handler: Any, body: bytes) -> None:
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -15,9 +15,9 @@
 
 class Service:
     """One discovery that `count` processes call, each by the real schedule. It answers one call at a time, `cost`
-    microseconds each; a call that stands in line for 2 s is rejected; a watch is answered when there is an event, or its
-    wait is over. While it is down a call is `refused` at once, `silent` (never answered, even once it is back), or
-    answered with `nonsense`. `received`: when each process learned of the one change."""
+    microseconds each; a call that waits in its queue for 2 s is rejected; a watch is answered when there is an event,
+    or its wait is over. While it is down a call is `refused` at once, `silent` (never answered, even once it is back),
+    or answered with `nonsense`. `received`: when each process learned of the one change."""
 
     def __init__(self, count: int, seed: int, how: str, down: tuple[int, int], change: int, cost: int) -> None:
         self.schedules = [CallSchedule(True, count, GRACE, random.Random(seed * 1000 + n)) for n in range(count)]
@@ -117,8 +117,8 @@
 @pytest.mark.parametrize("how", ["refused", "silent", "nonsense"])
 @pytest.mark.parametrize("count", [1, 30, 230])
 def test_events_of_a_shared_discovery_are_never_six_seconds_old_and_its_calls_do_not_crowd_it(count: int, how: str):
-    """Through 20 s without it, with a change before, in or after that. The oldest event, and the most calls in a second,
-    stand in docs/design/owed.md."""
+    """Through 20 s without it, with a change before, in or after that. The oldest event, and the most calls in a
+    second, stand in docs/design/owed.md."""
     back, oldest, most = 40 * S, 0, 0
     for seed in range(5):
         for change in (back - 20 * S - 1, back - 10 * S, back, back + S, back + 7 * S + seed * 100_000):
