--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -15,7 +15,7 @@
 from pearhill.routing.actions import SendAttempt
 from pearhill.routing.events import AttemptEnded, Event, ResponseStarted
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
-from pearhill.routing.permissions import Denied, Execution, may_retry, may_send, may_start
+from pearhill.routing.permissions import Denied, Execution, attempt_denial, retry_denial, start_denial
 from pearhill.routing.topology import Role
 from pearhill.settings import Deployment
 
@@ -89,7 +89,7 @@
         """
         request = attempt.request
         settings = self.deployment.router
-        denied = may_send(
+        denied = attempt_denial(
             request.answered,
             request.current_attempt is not None,
             self._endpoints.accepts_requests(attempt.replica),
@@ -101,7 +101,7 @@
         if endpoint is None or not self._has_effect(attempt):
             return None
         request_class = settings.classes[request.request_class]
-        return may_retry(request_class, request.execution, endpoint.zone, endpoint.cell, self._clock())
+        return retry_denial(request_class, request.execution, endpoint.zone, endpoint.cell, self._clock())
 
     def _has_effect(self, attempt: Attempt) -> bool:
         """Whether the replica answers the request: a prefill has no effect."""
@@ -128,7 +128,7 @@
         """
         if not attempt.ended and attempt.request.client.has_disconnected():
             self._requests.disconnect(attempt.request)
-        if may_start(self._clock(), attempt.send_before):
+        if start_denial(self._clock(), attempt.send_before):
             self.withdraw(attempt)
         return not attempt.ended
 
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -1,6 +1,8 @@
 """The graceful shutdown: everything that was accepted is answered before the platform's SIGKILL.
 
-How long each stage lasts is `lifecycle.drain.ShutdownTimes`."""
+In the first phase clients are still accepted, unless a successor accepts them; in the second, which begins once
+`_accept_last` is over, nothing is accepted and all that was read is answered. How long each lasts is
+`lifecycle.shutdown_times.ShutdownTimes`."""
 
 from __future__ import annotations
 
@@ -52,7 +54,7 @@
         wait_until = self._deadlines.clock()
         while True:
             if listener:
-                self._close_what_is_owed_nothing(listener)
+                self._close_idle_connections(listener)
             if self._dispatcher.requests or (listener is not None and listener.open):
                 wait_until = self._deadlines.clock() + RELEASE_GRACE_US
             elif not self._backend.pending_releases or self._gives_up_releases(wait_until):
@@ -61,24 +63,24 @@
 
     async def _accept_last(self, listener: Listener) -> None:
         """Go on accepting while new connections may come, and until the accept queue is empty or the time is up."""
-        while not self._since_sigterm(self._drain.times.accept_for):
+        while not self._has_elapsed_since_sigterm(self._drain.times.accept_for):
             await pause(self._deadlines, RECHECK_INTERVAL_US)
         while (
             not self._has_successor()
             and not listener.accept_all()
-            and not self._since_sigterm(self._drain.times.end_by)
+            and not self._has_elapsed_since_sigterm(self._drain.times.end_by)
         ):
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
     def _gives_up_releases(self, wait_until: int) -> bool:
-        return self._deadlines.clock() >= wait_until and self._since_sigterm(self._drain.times.kill_after)
+        return self._deadlines.clock() >= wait_until and self._has_elapsed_since_sigterm(self._drain.times.kill_after)
 
-    def _since_sigterm(self, span: int) -> bool:
+    def _has_elapsed_since_sigterm(self, span: int) -> bool:
         """Whether so many microseconds have gone by since the process was told to end."""
         assert self._drain.ending_since is not None
         return self._deadlines.clock() >= self._drain.ending_since + span
 
-    def _close_what_is_owed_nothing(self, listener: Listener) -> None:
+    def _close_idle_connections(self, listener: Listener) -> None:
         """No client is accepted any more: close idle connections, and towards the end half-sent requests too."""
         listener.close_idle()
         if self._drain.closes_all(self._deadlines.clock()):
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -76,7 +76,7 @@
         self.watch.stop()
         self.node.close()
 
-    def has_list(self) -> bool:
+    def has_current_list(self) -> bool:
         """Whether there is an endpoint list to serve by.
 
         The list known at the start is stale: only a discovery that stays silent makes it good enough.
@@ -85,7 +85,7 @@
 
     def can_serve(self) -> bool:
         """Whether there is a list, and a replica in it that can answer."""
-        return self.has_list() and self.node.dispatcher.can_answer
+        return self.has_current_list() and self.node.dispatcher.can_answer
 
     def is_ready(self) -> bool:
         """What readiness checks of the platform are answered."""
@@ -95,10 +95,10 @@
         """Whether clients may be accepted yet.
 
         What discovery has counts as received from the process's first moment. A request taken before discovery's first
-        answer would be placed by a list of yesterday.
+        answer would be placed by an outdated list.
         """
         if self.takeover is None:
-            return self.has_list()
+            return self.has_current_list()
         return self.takeover.may_accept(self.can_serve())
 
     def reports_ready(self) -> bool:
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -34,7 +34,7 @@
     sent_at: int
 
 
-def may_retry(spec: RequestClass, execution: Execution | None, zone: int, cell: int, now: int) -> Denied | None:
+def retry_denial(spec: RequestClass, execution: Execution | None, zone: int, cell: int, now: int) -> Denied | None:
     """Whether the request may be sent to a replica in this zone and cell for execution. None: it may."""
     if execution is None or spec.idempotency == Idempotency.IDEMPOTENT:
         return None
@@ -55,7 +55,7 @@
     )
 
 
-def may_send(answered: bool, attempt_out: bool, ready: bool, attempts_left: int) -> Denied | None:
+def attempt_denial(answered: bool, attempt_out: bool, ready: bool, attempts_left: int) -> Denied | None:
     """Whether an attempt may be made at all. None: it may."""
     if answered:
         return Denied.ANSWERED
@@ -66,7 +66,7 @@
     return Denied.ATTEMPTS_USED if attempts_left <= 0 else None
 
 
-def may_start(now: int, send_before: int) -> Denied | None:
+def start_denial(now: int, send_before: int) -> Denied | None:
     """Whether the first byte of an attempt may leave now.
 
     `send_before`: when its last byte has to be written; 0: whenever.
--- a/pearhill/routing/placement.py
+++ b/pearhill/routing/placement.py
@@ -17,7 +17,7 @@
 from pearhill.routing.outcomes import Reason
 from pearhill.routing.outlier_detection import OutlierDetector
 from pearhill.routing.pending_request import FIRST_HOME, NO_HOME, SECOND_HOME, PendingRequest
-from pearhill.routing.permissions import may_retry
+from pearhill.routing.permissions import retry_denial
 from pearhill.routing.prefix_affinity import PrefixAffinity, rank
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.settings import RouterSettings
@@ -178,8 +178,8 @@
     ) -> ReplicaState | None:
         """The first replica in order that prefills in time.
 
-        A long prompt or a hot prefix jams its pair while others idle; the next in order finds it cached. Last come
-        mixed replicas, whose streams it delays for half as long.
+        A long prompt or a hot prefix fills the queues of its pair while others idle; the next in order finds it
+        cached. Last come mixed replicas, whose streams it delays for half as long.
         """
         for replica in ranked + mixed[:2]:
             allowed = limit / (1 + (replica in mixed))
@@ -238,7 +238,7 @@
         if pending.execution is None:
             return True
         spec = self.settings.classes[request.request_class]
-        return may_retry(spec, pending.execution, endpoint.zone, endpoint.cell, now) is None
+        return retry_denial(spec, pending.execution, endpoint.zone, endpoint.cell, now) is None
 
     def _ranked(self, now: int, role: Role, pending: PendingRequest) -> list[ReplicaState]:
         return rank(self.eligible(now, self._ready[role], pending), pending.request)
@@ -257,8 +257,8 @@
     def _crowded_load(self, pending: PendingRequest) -> float:
         """This dispatcher's tokens in flight at a replica from which on it gets no more.
 
-        A favourite, or the one that a release left in a cell, would get all requests while others idle. How slow its
-        answers are shows late, this dispatcher's own load at once.
+        A replica that is preferred, or the only one that a release left in a cell, would get all requests while others
+        idle. How slow its answers are shows late, this dispatcher's own load at once.
         """
         pool = self._ready[Role.DECODE] + self._ready[Role.MIXED]
         request = pending.request
--- a/pearhill/routing/prefix_affinity.py
+++ b/pearhill/routing/prefix_affinity.py
@@ -1,7 +1,8 @@
 """Prefix affinity: at which replicas a prompt's prefix is likely cached, and which ones to send it to.
 
 Replicas are ranked for a prefix by rendezvous hashing (Thaler and Ravishankar, 1996), the same at every dispatcher.
-Each prefix has two home replicas, and more where it draws more than its part of all prefilling.
+Each prefix has two home replicas, at which its prompts are prefilled and stay cached, and more where it draws more than
+its part of all prefilling.
 """
 
 from __future__ import annotations
--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: events in, actions out. It keeps the state of one dispatcher's decisions and makes none of its own.
+"""The router: events in, actions out. It keeps the state that the decisions of one dispatcher rest on.
 
 Where a request goes is decided in `placement`, whether it is tried again in `retry_policy` and `permissions`, which
 replicas are left out in `outlier_detection` and `slow_start`, what is shed in `admission`. Each of them reads what is
@@ -68,7 +68,7 @@
 
 
 class Router:
-    """Decides for one dispatcher: feed it each event with its time in microseconds, carry out its actions in order."""
+    """One dispatcher's router: feed it each event with its time in microseconds, carry out its actions in order."""
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.settings = settings
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -53,7 +53,10 @@
         return self.share(endpoint, now) >= 1
 
     def admits(self, endpoint: Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
-        """Whether the replica may get one request more, after filling its bucket up to now."""
+        """Whether the replica may get one request more, after filling its bucket up to now.
+
+        It takes nothing: who sends the request takes a token out of the bucket.
+        """
         share = self.share(endpoint, now)
         if share >= 1:
             return True
