--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -24,7 +24,8 @@
 from loguru import logger
 
 from pearhill.chat.answers import Answer, Heart, Spawn
-from pearhill.chat.budget_accounting import Desk, Spender, turned_away
+from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
+from pearhill.chat.budget_answers import rejection_error
 from pearhill.chat.endpoints import ENDPOINTS
 from pearhill.chat.errors import AUTHENTICATION, JSON, PERMISSION, RATE, ApiError, invalid, retry_headers
 from pearhill.chat.keys import ANYONE, Keyring, Tenant, key_number
@@ -63,12 +64,12 @@
     def __init__(self, dispatcher: Dispatcher, answer: Answer) -> None:
         self._dispatcher, self._answer = dispatcher, answer
         self.request: Request | None = None
-        self.spender: Spender | None = None
+        self.settling: SettlingClient | None = None
 
     def left(self) -> None:
         self._answer.left()
-        if self.spender:
-            self.spender.left()
+        if self.settling:
+            self.settling.left()
         if self.request:
             self._dispatcher.disconnect(self.request)
 
@@ -94,8 +95,8 @@
 
     def count_in(self) -> None:
         """Tell its client how its budget stands from here on."""
-        if self.front.desk:
-            self._limits = self.front.desk.headers(self.tenant.name)
+        if self.front.accounting:
+            self._limits = self.front.accounting.rate_limit_headers(self.tenant.name)
 
     def reject(self, error: ApiError) -> None:
         """Answer what was not taken. The message's end is known, so that its connection goes on."""
@@ -132,10 +133,10 @@
         store: Store,
         spawn: Spawn,
         is_ready: Callable[[], bool],
-        desk: Desk | None = None,
+        accounting: BudgetAccounting | None = None,
     ) -> None:
         self.dispatcher, self.reading, self.keyring, self.store = dispatcher, reading, keyring, store
-        self.spawn, self.is_ready, self.desk = spawn, is_ready, desk
+        self.spawn, self.is_ready, self.accounting = spawn, is_ready, accounting
         self._classes = {name: k for k, name in enumerate(dispatcher.deployment.class_names)}
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
@@ -174,9 +175,9 @@
         asked.reply.answer(status, (*JSON, *asked.headers), msgspec.json.encode(answer))
 
     def _usage(self, asked: _Asked) -> UsageReport:
-        if self.desk is None:
+        if self.accounting is None:
             raise ApiError(404, "No budgets are kept here.", "unknown_url")
-        return self.desk.usage(asked.tenant.name)
+        return self.accounting.usage_report(asked.tenant.name)
 
     def _models(self, tenant: Tenant, name: str) -> ModelCard | ModelList:
         if name:
@@ -248,7 +249,7 @@
         if answer.repeatable:
             direct = _Direct(self.dispatcher, answer)
             ask, client, payload = self._reserve(asked, ask, answer, answer)
-            direct.spender = client if isinstance(client, Spender) else None
+            direct.settling = client if isinstance(client, SettlingClient) else None
             direct.request = self.dispatcher.accept(ask, client, payload, message.arrived)
             return direct
         return self._run(Record(asked.id, b"", self.spawn), asked, ask, answer)
@@ -259,27 +260,27 @@
         ask: RequestSpec,
         answer: Answer,
         inner: Answer | Record,
-    ) -> tuple[RequestSpec, Answer | Record | Spender, ChatPayload]:
+    ) -> tuple[RequestSpec, Answer | Record | SettlingClient, ChatPayload]:
         """What its budget says goes with the request, as a fact. The Router refuses what is not to be let in."""
-        desk, model = self.desk, asked.model
-        if desk is None:
+        accounting, model = self.accounting, asked.model
+        if accounting is None:
             return ask, inner, self._payload(asked)
         assert model
         told = asked.message.headers.get(HINT, "")
         hint = int(told) if re.fullmatch("[0-9]{1,7}", told) else 0
-        standing = desk.admit(asked.tenant.name, asked.key, ask.prompt_tokens, ask.max_output_tokens, hint)
+        standing = accounting.admit(asked.tenant.name, asked.key, ask.prompt_tokens, ask.max_output_tokens, hint)
         ask = replace(ask, admission=standing.status, retry_after=standing.retry_after)
         if standing.reservation is None:
-            desk.refused(asked.tenant.name, asked.key)
-            answer.refusal = turned_away(standing)
+            accounting.record_rejection(asked.tenant.name, asked.key)
+            answer.refusal = rejection_error(standing)
             return ask, inner, self._payload(asked)
         asked.count_in()
         answer.headers = tuple(asked.headers)
         meter = Meter()
-        spender = desk.spender(
-            standing.reservation, meter, ask.prompt_tokens, asked.id, model.name, asked.message.path, inner
+        client = SettlingClient(
+            accounting, standing.reservation, meter, ask.prompt_tokens, asked.id, model.name, asked.message.path, inner
         )
-        return ask, spender, self._payload(asked, meter)
+        return ask, client, self._payload(asked, meter)
 
     def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: RequestSpec) -> Answer:
         safe = self.dispatcher.deployment.router.classes[ask.request_class].idempotency == Idempotency.IDEMPOTENT
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -8,12 +8,13 @@
 from loguru import logger
 
 from pearhill.admin.endpoint import AdminEndpoint
-from pearhill.chat.budget_accounting import CorruptJournalError, Desk
+from pearhill.chat.budget_accounting import BudgetAccounting
 from pearhill.chat.front import ChatFront
 from pearhill.chat.records import Store
 from pearhill.chat.servers import ChatDialect
 from pearhill.chat.setup import ChatSetup
 from pearhill.config import for_next_start
+from pearhill.durable.recovery import CorruptJournalError
 from pearhill.eureka.client import Eureka
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
@@ -36,12 +37,12 @@
         )
         self.node = node = Node(setup.deployment, self.dialect, limits)
         self.store = Store(node.deadlines, setup.store_bytes, setup.store_keep)
-        self.desk = Desk(setup.spending, node.deadlines) if setup.spending else None
+        self.accounting = BudgetAccounting(setup.spending, node.deadlines) if setup.spending else None
         self.front = ChatFront(
-            node.dispatcher, setup.reading, setup.keyring, self.store, node.pool.spawn, self.is_ready, self.desk
+            node.dispatcher, setup.reading, setup.keyring, self.store, node.pool.spawn, self.is_ready, self.accounting
         )
-        if self.desk:
-            node.on_report = self.desk.report
+        if self.accounting:
+            node.on_report = self.accounting.log_top_tenants
         self.fleet = Fleet(setup.fleet, setup.seed, node.deadlines, self._work) if setup.fleet else None
         if self.fleet:
             self.fleet.on_count = node.share_work
@@ -63,9 +64,9 @@
 
     async def open(self) -> None:
         """OSError: the journal of the budgets cannot be used."""
-        if self.desk:
+        if self.accounting:
             try:
-                self.desk.open()
+                self.accounting.open()
             except (CorruptJournalError, ValueError) as e:
                 raise OSError(f"budgets.folder: {self.setup.spending and self.setup.spending.folder}: {e}") from None
         if self.fleet:
@@ -101,8 +102,8 @@
         self.dialect.keys, self.dialect.key = fresh.server_keys, fresh.server_key
         if self.fleet and fresh.fleet:
             self.fleet.reconfigure(fresh.fleet)
-        if self.desk and fresh.spending:
-            self.desk.reconfigure(fresh.spending)
+        if self.accounting and fresh.spending:
+            self.accounting.reconfigure(fresh.spending)
         self.store.reconfigure(fresh.store_bytes, fresh.store_keep)
         if fresh.eureka != before.eureka:
             self._move(fresh)
@@ -149,8 +150,8 @@
         self._leave_registry()
         if self.fleet:
             self.fleet.close()
-        if self.desk:
-            self.desk.close()
+        if self.accounting:
+            self.accounting.close()
         self.node.close()
 
 
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -12,7 +12,7 @@
 from pearhill import settings
 from pearhill.budgets import Limit, Plan, Prices, TenantPlan
 from pearhill.chat import file as f
-from pearhill.chat.budget_accounting import SpendingSetup
+from pearhill.chat.budget_accounting import AccountingSettings
 from pearhill.chat.keys import BadKey, Keyring, Tenant
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
@@ -91,7 +91,7 @@
     server_key: str
     max_body: int
     eureka: EurekaSetup | None
-    spending: SpendingSetup | None = None
+    spending: AccountingSettings | None = None
     admin: Address | None = None  # where operators call
     fleet: FleetSetup | None = None
 
@@ -241,7 +241,7 @@
     )
 
 
-def _spending(table: f.BudgetsTable, deployment: settings.Deployment) -> SpendingSetup:
+def _spending(table: f.BudgetsTable, deployment: settings.Deployment) -> AccountingSettings:
     n, accounts, tenants = table.instances, dict[str, Limit](), dict[str, TenantPlan]()
     if table.capacity_tokens_per_min and not table.capacity_burst_tokens:
         raise typed.invalid_value(
@@ -273,7 +273,7 @@
     plan = Plan(
         tenants, accounts, default, prices, table.capacity_tokens_per_min // n, table.capacity_burst_tokens // n
     )
-    return SpendingSetup(plan, pathlib.Path(table.folder) if table.folder else None, table.uncounted_tokens)
+    return AccountingSettings(plan, pathlib.Path(table.folder) if table.folder else None, table.uncounted_tokens)
 
 
 def _budgets(told: f.OperatorFile) -> f.BudgetsTable | None:
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -11,7 +11,7 @@
 
 from pearhill.bill.statement import read_folder, sum_up
 from pearhill.budgets.periods import month_name, periods
-from pearhill.chat.budget_accounting import duration
+from pearhill.chat.budget_answers import format_duration
 from pearhill.chat.setup import load
 from pearhill.config import typed
 from tests.chat.test_front import PATH, ChatCase, body, operator_file, write_file
@@ -378,4 +378,4 @@
             (60_000_000, "1m0s"),
             (361_250_000, "6m1.25s"),
         ):
-            self.assertEqual(duration(micros), text)
+            self.assertEqual(format_duration(micros), text)
