--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -8,8 +8,8 @@
 
 from loguru import logger
 
-from pearhill.chat.errors import JSON, SERVER, ApiError, Said, retry_headers
-from pearhill.chat.prompt import Words
+from pearhill.chat.errors import JSON, SERVER, ApiError, ReplicaErrorResponse, retry_headers
+from pearhill.chat.prompt import ResponseFormat
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.http1.handler import Reply
 from pearhill.http1.messages import Headers
@@ -25,7 +25,7 @@
     def __call__(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]: ...
 
 
-class Heart:
+class HeartbeatTimer:
     """Comments between the events of a stream that says nothing for a while. `every`: microseconds; 0: none."""
 
     def __init__(self, deadlines: Deadlines, spawn: Spawn, every: int) -> None:
@@ -33,9 +33,9 @@
         self._last = 0
         self._key: Key | None = None
         self._reply: Reply | None = None
-        self.held = False  # an event waits for a slow client, who needs no sign of life
+        self.write_pending = False  # an event waits for a slow client, who needs no sign of life
 
-    def beat(self, reply: Reply) -> None:
+    def event_sent(self, reply: Reply) -> None:
         """An event has gone out. One deadline a stream: it moves on when it is due."""
         if self._every:
             self._last, self._reply = self._deadlines.clock(), reply
@@ -48,7 +48,7 @@
             return
         if now >= self._last + self._every:
             self._last = now
-            if not self.held:
+            if not self.write_pending:
                 self._spawn(self._reply.write(HEARTBEAT))
         self._key = self._deadlines.at(self._last + self._every, self._due)
 
@@ -64,17 +64,17 @@
     def __init__(
         self,
         reply: Reply,
-        words: Words,
+        words: ResponseFormat,
         stream: bool,
         repeatable: bool,
         headers: Headers,
-        heart: Heart,
+        heart: HeartbeatTimer,
         on_over: Callable[[int, str], None],
     ) -> None:
-        self.reply, self.words, self.stream, self.repeatable = reply, words, stream, repeatable
-        self.headers, self.heart, self._on_over = tuple(headers), heart, on_over
+        self.reply, self.format, self.stream, self.repeatable = reply, words, stream, repeatable
+        self.headers, self.heartbeat, self._on_over = tuple(headers), heart, on_over
         self.started = self.over = False
-        self.whole = True  # as far as it could be put together
+        self.is_collectable = True  # as far as it could be put together
         self.refusal = BUSY
 
     def _end(self, status: int, code: str) -> bool:
@@ -82,7 +82,7 @@
         if self.over:
             return False
         self.over = True
-        self.heart.stop()
+        self.heartbeat.stop()
         self._on_over(status, code)
         return True
 
@@ -97,7 +97,7 @@
     def fail(self) -> None:
         self.error(FAILED, self.repeatable)
 
-    def decline(self, said: Said) -> None:
+    def decline(self, said: ReplicaErrorResponse) -> None:
         if self._end(said.status, "declined"):
             self.reply.answer(said.status, (*JSON, *self.headers, ("X-Should-Retry", "false")), said.body)
 
@@ -106,41 +106,41 @@
             return
         try:
             if not self.stream:
-                return self.words.collect(data) if self.whole else None
-            data = self.words.stream(data)
+                return self.format.collect(data) if self.is_collectable else None
+            data = self.format.stream(data)
         except Exception:
             # Danger: whatever a server has put into its events, the client must not wait for what never comes.
             logger.exception("an answer's events could not be put into words")
             if self.stream:
                 return self.abort()
-            self.whole = False
+            self.is_collectable = False
             return
         if not data:
             return
         if not self.started:
             self.started = True
             self.reply.start(200, (*EVENTS, *self.headers))
-        self.heart.held = True
+        self.heartbeat.write_pending = True
         await self.reply.write(data)
-        self.heart.held = False
+        self.heartbeat.write_pending = False
         if not self.over:
-            self.heart.beat(self.reply)
+            self.heartbeat.event_sent(self.reply)
 
     def finish(self) -> None:
         if self.stream and self.started:
-            last = self.words.end()
+            last = self.format.end()
             if self._end(200, ""):
                 self.reply.finish(last)
-        elif self.stream or not self.whole:
+        elif self.stream or not self.is_collectable:
             self.abort()
         elif self._end(200, ""):
-            self.reply.answer(200, (*JSON, *self.headers), self.words.whole())
+            self.reply.answer(200, (*JSON, *self.headers), self.format.whole())
 
     def abort(self) -> None:
         if not self.started:
             return self.error(BROKEN, self.repeatable)
         if self._end(502, BROKEN.code):
-            self.reply.abort(self.words.broken(BROKEN))
+            self.reply.abort(self.format.broken(BROKEN))
 
     def has_disconnected(self) -> bool:
         return self.reply.has_disconnected()
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -18,7 +18,7 @@
 from pearhill.chat.answers import Answer
 from pearhill.chat.budget_answers import rate_limit_headers, usage_report
 from pearhill.chat.charge_journal import ChargeJournal
-from pearhill.chat.errors import Said
+from pearhill.chat.errors import ReplicaErrorResponse
 from pearhill.chat.meter import Meter
 from pearhill.chat.records import Record
 from pearhill.chat.schema.answers import UsageReport
@@ -78,7 +78,7 @@
         self._settle(c.FAILED)
         self._inner.fail()
 
-    def decline(self, said: Said) -> None:
+    def decline(self, said: ReplicaErrorResponse) -> None:
         """The replica answered with an error that is the client's."""
         self._settle(c.DECLINED)
         self._inner.decline(said)
--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -4,7 +4,7 @@
 
 from pearhill.chat.collected import Collected
 from pearhill.chat.errors import ApiError
-from pearhill.chat.prompt import Made, Prompt, turn_of
+from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_of
 from pearhill.chat.schema.chat import ChatRequest
 from pearhill.chat.schema.reading import Reader
 
@@ -12,7 +12,7 @@
 
 
 class ChatWords:
-    def __init__(self, made: Made) -> None:
+    def __init__(self, made: ResponseIdentity) -> None:
         self._collected = Collected()
 
     def stream(self, data: bytes) -> bytes:
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -9,7 +9,7 @@
 
 from pearhill.chat.collected import DONE, Collected
 from pearhill.chat.errors import ApiError
-from pearhill.chat.prompt import Made, Prompt, Turn
+from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema.completions import CompletionRequest
 from pearhill.chat.schema.reading import Reader
 from pearhill.chat.translate import completion_to_chat, legacy_logprobs
@@ -20,7 +20,7 @@
 
 
 class TextWords:
-    def __init__(self, echo: str, usage: bool, made: Made) -> None:
+    def __init__(self, echo: str, usage: bool, made: ResponseIdentity) -> None:
         self._made, self._echo, self._usage = made, echo, usage
         self._parser = EventParser()
         self._offsets: dict[int, int] = {}  # where in its text each choice's next token begins
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -13,7 +13,7 @@
 
 from pearhill.chat.collected import Chunks
 from pearhill.chat.errors import ApiError, invalid
-from pearhill.chat.prompt import Made, Prompt, Turn
+from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema import responses as r
 from pearhill.chat.schema.chat import MAX_CALLS
 from pearhill.chat.schema.reading import Reader
@@ -38,7 +38,7 @@
 
 
 class ResponseWords:
-    def __init__(self, asked: r.ResponseRequest, made: Made) -> None:
+    def __init__(self, asked: r.ResponseRequest, made: ResponseIdentity) -> None:
         self._asked, self._made = asked, made
         self._chunks = Chunks()
         self._sequence = 0
--- a/pearhill/chat/errors.py
+++ b/pearhill/chat/errors.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class ReplicaErrorResponse:
     """A server's own words about the request itself, which are the client's answer."""
 
     status: int
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -23,7 +23,7 @@
 import msgspec
 from loguru import logger
 
-from pearhill.chat.answers import Answer, Heart, Spawn
+from pearhill.chat.answers import Answer, HeartbeatTimer, Spawn
 from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
 from pearhill.chat.budget_answers import rejection_error
 from pearhill.chat.endpoints import ENDPOINTS
@@ -31,7 +31,7 @@
 from pearhill.chat.keys import ANYONE, Keyring, Tenant, key_number
 from pearhill.chat.keys import told as key_told
 from pearhill.chat.meter import Meter
-from pearhill.chat.prompt import Made, Prompt
+from pearhill.chat.prompt import Prompt, ResponseIdentity
 from pearhill.chat.records import Record, Store
 from pearhill.chat.schema.answers import ModelCard, ModelList, UsageReport
 from pearhill.chat.servers import ChatPayload
@@ -284,9 +284,9 @@
 
     def _answer(self, asked: _Asked, prompt: Prompt, model: Model, ask: RequestSpec) -> Answer:
         safe = self.dispatcher.deployment.router.classes[ask.request_class].idempotency == Idempotency.IDEMPOTENT
-        heart = Heart(self.dispatcher.deadlines, self.spawn, self.reading.heartbeat)
-        made = Made(asked.id, model.name, int(time.time()))
-        return Answer(asked.reply, prompt.words(made), prompt.stream, safe, asked.headers, heart, asked.over)
+        heart = HeartbeatTimer(self.dispatcher.deadlines, self.spawn, self.reading.heartbeat)
+        made = ResponseIdentity(asked.id, model.name, int(time.time()))
+        return Answer(asked.reply, prompt.new_format(made), prompt.stream, safe, asked.headers, heart, asked.over)
 
     def _payload(self, asked: _Asked, meter: Meter | None = None) -> ChatPayload:
         """What servers get: the client's fields as they came, but for those that are this dispatcher's matter."""
--- a/pearhill/chat/prompt.py
+++ b/pearhill/chat/prompt.py
@@ -14,7 +14,7 @@
 LOW_IMAGE, IMAGE, FILE_ID, TOKENS_A_SECOND, WAV_SECOND, MP3_SECOND = 85, 765, 2_000, 10, 32_000, 16_000
 
 
-class Words(Protocol):
+class ResponseFormat(Protocol):
     """An endpoint's words for one answer. Fed the servers' events as they come, whole ones that make sense."""
 
     def stream(self, data: bytes) -> bytes:
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Made:
+class ResponseIdentity:
     """What an answer is known by."""
 
     id: str
@@ -60,7 +60,7 @@
     max_out: int | None
     metadata: dict[str, str]
     fields: dict[str, Any]  # the body that servers get, in chat's words; model and stream are set by the front
-    words: Callable[[Made], Words]
+    new_format: Callable[[ResponseIdentity], ResponseFormat]
     count: int = 1  # answers asked for
     _text: int = field(default=-1)
 
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from pearhill.chat.answers import Answer, Spawn
-from pearhill.chat.errors import Said
+from pearhill.chat.errors import ReplicaErrorResponse
 from pearhill.core.deadlines import Deadlines, Key
 
 OPEN, ANSWERED, FAILED, BROKEN, REFUSED, DECLINED = "open", "answered", "failed", "broken", "refused", "declined"
@@ -26,7 +26,7 @@
     def __init__(self, id: str, digest: bytes, spawn: Spawn) -> None:
         self.id, self.digest = id, digest
         self.state, self.stay_away = OPEN, 0
-        self.said: Said | None = None
+        self.said: ReplicaErrorResponse | None = None
         self.parts: list[bytes] = []
         self.size = 0
         self.dropped = False  # the answer is not kept any more, only its outcome
@@ -45,7 +45,7 @@
     def fail(self) -> None:
         self._end(FAILED)
 
-    def decline(self, said: Said) -> None:
+    def decline(self, said: ReplicaErrorResponse) -> None:
         self.said = said
         self._end(DECLINED)
 
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from pearhill.chat.collected import DONE
-from pearhill.chat.errors import SERVER, ApiError, Said
+from pearhill.chat.errors import SERVER, ApiError, ReplicaErrorResponse
 from pearhill.chat.meter import Meter
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
@@ -159,7 +159,7 @@
                 _error.decode(body)
             except (msgspec.DecodeError, RecursionError):
                 return None  # not in the API's words: it may come from anywhere, and proves nothing
-            return Verdict(Outcome.DECLINED, replica_error=Said(status, body))
+            return Verdict(Outcome.DECLINED, replica_error=ReplicaErrorResponse(status, body))
         if status == 429:
             return Verdict(Outcome.FULL, retry_after=rest_of(headers))
         if status in BARRED:
@@ -172,5 +172,5 @@
                 "server_credentials",
                 type=SERVER,
             )
-            return Verdict(Outcome.ERROR, replica_error=Said(error.status, error.body()))
+            return Verdict(Outcome.ERROR, replica_error=ReplicaErrorResponse(error.status, error.body()))
         return None
