--- /dev/null
+++ b/pearhill/chat/identification.py
@@ -0,0 +1,43 @@
+"""Who sends a request, by its API key, and which of the declared models it may use."""
+
+from __future__ import annotations
+
+from pearhill.chat.errors import AUTHENTICATION, PERMISSION, ApiError
+from pearhill.chat.incoming_request import IncomingRequest
+from pearhill.chat.keys import Keyring, Tenant, key_number
+from pearhill.chat.keys import told as key_of
+from pearhill.chat.setup import Model, Reading
+
+
+def identify(request: IncomingRequest, keyring: Keyring) -> None:
+    """Find the request's tenant; without tenants in the operator's file, anyone may ask. ApiError: no valid key."""
+    if not keyring:
+        request.update_rate_limits()
+        return
+    key = key_of(request.message.headers)
+    if not key:
+        raise _unauthorized("You didn't provide an API key: send Authorization: Bearer KEY.")
+    tenant = keyring.owner(key)
+    if tenant is None:
+        raise _unauthorized("The API key is not valid here.")
+    request.tenant = tenant
+    request.key_number = key_number(key)
+    request.is_authenticated = True
+    request.update_rate_limits()
+
+
+def find_model(reading: Reading, name: str, tenant: Tenant) -> Model:
+    """The declared model of this name or alias. ApiError: there is none, or the tenant may not use it."""
+    model = reading.model(name)
+    if model is None:
+        raise ApiError(404, f"The model {name[:200]!r} does not exist.", "model_not_found", "model")
+    if not tenant.may_use(model.name):
+        raise ApiError(
+            403, f"The model {name[:200]!r} is not allowed for this key.", "model_not_allowed", "model", PERMISSION
+        )
+    return model
+
+
+def _unauthorized(message: str) -> ApiError:
+    challenge = (("WWW-Authenticate", "Bearer"),)
+    return ApiError(401, message, "invalid_api_key", type=AUTHENTICATION, headers=challenge)
--- /dev/null
+++ b/pearhill/chat/request_placement.py
@@ -0,0 +1,202 @@
+"""Gives a request that has been read to the core, or to the run that its idempotency key stands for."""
+
+from __future__ import annotations
+
+import hashlib
+import re
+from dataclasses import dataclass, replace
+
+import msgspec
+
+from pearhill.chat.answers import Answer, Spawn
+from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
+from pearhill.chat.budget_answers import rejection_error
+from pearhill.chat.errors import JSON, RATE, ApiError, invalid, retry_headers
+from pearhill.chat.incoming_request import IncomingRequest
+from pearhill.chat.meter import Meter
+from pearhill.chat.prompt import Prompt
+from pearhill.chat.records import Record, Store
+from pearhill.chat.servers import ChatPayload
+from pearhill.chat.setup import Model
+from pearhill.core.dispatcher import Dispatcher
+from pearhill.core.request import Request, RequestSpec
+from pearhill.http1.handler import Pending
+
+EXPECTED_TOKENS_HEADER = "x-expected-answer-tokens"  # how long a client thinks that its answer will be
+
+
+@dataclass(slots=True)
+class ReadRequest:
+    """A request whose body has been read, its place in the core, and its answer."""
+
+    incoming: IncomingRequest
+    prompt: Prompt
+    model: Model
+    spec: RequestSpec
+    answer: Answer
+
+
+class DirectRequest:
+    """A request that ends with its client: the replica's events are forwarded to it and kept nowhere."""
+
+    def __init__(self, dispatcher: Dispatcher, answer: Answer) -> None:
+        self._dispatcher = dispatcher
+        self._answer = answer
+        self.request: Request | None = None
+        self.settling: SettlingClient | None = None
+
+    def left(self) -> None:
+        """The client has disconnected."""
+        self._answer.left()
+        if self.settling:
+            self.settling.left()
+        if self.request:
+            self._dispatcher.disconnect(self.request)
+
+
+class RequestPlacement:
+    """Reserves a request's budget and gives it to the core, once for each idempotency key."""
+
+    def __init__(self, dispatcher: Dispatcher, store: Store, spawn: Spawn, accounting: BudgetAccounting | None) -> None:
+        self._dispatcher = dispatcher
+        self._store = store
+        self._spawn = spawn
+        self._accounting = accounting
+
+    def place(self, request: ReadRequest, idempotency_key: str) -> Pending | None:
+        """Start the request, or follow the run of its key ("": none). None: it has been answered already.
+
+        ApiError: the key cannot be used for this request.
+        """
+        if idempotency_key:
+            return self._place_once(request, idempotency_key)
+        if not self._has_capacity(request):
+            return None
+        if request.answer.repeatable:
+            return self._run_directly(request)
+        return self._run(request, Record(request.incoming.id, b"", self._spawn))
+
+    def _place_once(self, request: ReadRequest, idempotency_key: str) -> Pending | None:
+        name = _record_name(request.incoming, idempotency_key)
+        digest = _request_digest(request.incoming)
+        record = self._store.get(name)
+        if record:
+            return self._follow(record, digest, request.answer)
+        if not self._has_capacity(request):
+            return None
+        record = Record(request.incoming.id, digest, self._spawn)
+        if not self._store.add(name, record):
+            self._dispatcher.record_rejection(request.spec.request_class)
+            request.answer.reject(self._dispatcher.deployment.router.max_retry_after)
+            return None
+        return self._run(request, record)
+
+    def _follow(self, record: Record, digest: bytes, answer: Answer) -> Pending:
+        if record.digest != digest:
+            raise invalid(
+                "This Idempotency-Key was used with another request.", code="idempotency_key_reused", status=422
+            )
+        if record.dropped:
+            raise invalid(
+                f"The request has ended ({record.state}) and is not run again; its answer is not kept any more.",
+                code="answer_not_kept",
+                status=409,
+            )
+        self._dispatcher.counters.replayed += 1
+        return record.follow(answer)
+
+    def _has_capacity(self, request: ReadRequest) -> bool:
+        """Whether one more request may be open. If not, the client is answered: the core's memory is bounded."""
+        dispatcher = self._dispatcher
+        if len(dispatcher.requests) < dispatcher.deployment.max_open_requests:
+            return True
+        dispatcher.record_rejection(request.spec.request_class)
+        error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=RATE)
+        incoming = request.incoming
+        incoming.log_answer(429, error.code)
+        retry_after = retry_headers(dispatcher.deployment.router.max_retry_after)
+        incoming.reply.answer(429, (*JSON, *incoming.headers, *retry_after), error.body())
+        return False
+
+    def _run_directly(self, request: ReadRequest) -> Pending:
+        direct = DirectRequest(self._dispatcher, request.answer)
+        spec, client, payload = self._reserve(request, request.answer)
+        direct.settling = client if isinstance(client, SettlingClient) else None
+        direct.request = self._dispatcher.accept(spec, client, payload, request.incoming.message.arrived)
+        return direct
+
+    def _run(self, request: ReadRequest, record: Record) -> Pending:
+        """Run a request to its one outcome, also without its client: what was cut in mid-stream may have run."""
+        follower = record.follow(request.answer)
+        spec, client, payload = self._reserve(request, record)
+        self._dispatcher.accept(spec, client, payload, request.incoming.message.arrived)
+        return follower
+
+    def _reserve(
+        self, request: ReadRequest, inner: Answer | Record
+    ) -> tuple[RequestSpec, Answer | Record | SettlingClient, ChatPayload]:
+        """The spec with the budget's decision, on which the Router acts; the core's client; and the payload."""
+        accounting = self._accounting
+        if accounting is None:
+            return request.spec, inner, _payload(request, None)
+        incoming = request.incoming
+        spec = request.spec
+        tenant = incoming.tenant.name
+        key = incoming.key_number
+        hint = _expected_tokens(incoming)
+        decision = accounting.admit(tenant, key, spec.prompt_tokens, spec.max_output_tokens, hint)
+        spec = replace(spec, admission=decision.status, retry_after=decision.retry_after)
+        if decision.reservation is None:
+            accounting.record_rejection(tenant, key)
+            request.answer.refusal = rejection_error(decision)
+            return spec, inner, _payload(request, None)
+        incoming.update_rate_limits()
+        request.answer.headers = tuple(incoming.headers)
+        meter = Meter()
+        path = incoming.message.path
+        client = SettlingClient(
+            accounting, decision.reservation, meter, spec.prompt_tokens, incoming.id, request.model.name, path, inner
+        )
+        return spec, client, _payload(request, meter)
+
+
+def _expected_tokens(incoming: IncomingRequest) -> int:
+    """The output tokens that the client expects; 0: it does not say."""
+    header = incoming.message.headers.get(EXPECTED_TOKENS_HEADER, "")
+    return int(header) if re.fullmatch("[0-9]{1,7}", header) else 0
+
+
+def _record_name(incoming: IncomingRequest, idempotency_key: str) -> bytes:
+    """The store's name for a client's key: two clients that pick the same key must not read each other's answers."""
+    if incoming.is_authenticated:
+        owner = f"tenant {incoming.tenant.name}"
+    else:
+        owner = incoming.message.headers.get("authorization", "")
+    return hashlib.blake2b(f"{owner}\n{idempotency_key}".encode(errors="replace"), digest_size=16).digest()
+
+
+def _request_digest(incoming: IncomingRequest) -> bytes:
+    """A digest of path and body: the same body at another endpoint has an answer in another format."""
+    message = incoming.message
+    return hashlib.blake2b(b"%b\n%b" % (message.path.encode(), message.body), digest_size=16).digest()
+
+
+def _payload(request: ReadRequest, meter: Meter | None) -> ChatPayload:
+    """What replicas get: the client's fields as they came, but for those that this dispatcher sets."""
+    prompt = request.prompt
+    model = request.model
+    reading = request.incoming.reading
+    options = prompt.fields.get("stream_options")
+    if isinstance(options, msgspec.Raw):
+        options = msgspec.json.decode(options)
+    fields = {
+        **prompt.fields,
+        "model": model.served_as,
+        "stream": True,
+        "stream_options": {**(options or {}), "include_usage": True},
+    }
+    if meter and prompt.max_out is None:
+        # An answer without a limit could overdraw its tenant's budget without a limit.
+        fields["max_completion_tokens"] = model.max_out or reading.max_out
+    body = msgspec.json.encode(fields)
+    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer, meter)
--- /dev/null
+++ b/pearhill/chat/spec_reader.py
@@ -0,0 +1,104 @@
+"""What the core asks of a chat request, found by the operator's rules, in this order.
+
+class          a header, a field of the body's `metadata`, the first rule that fits, the model's own, the default
+conversation   a header, a field of `metadata`, else the messages up to the first user's
+opening        the leading system and developer messages
+lengths        characters over `chars_per_token`; what the request asks for at most, else the model's or `max_out`
+deadline       a header in milliseconds, else the rule's, at most the class's
+"""
+
+from __future__ import annotations
+
+import hashlib
+import re
+from collections.abc import Mapping
+
+from pearhill.chat.errors import invalid
+from pearhill.chat.incoming_request import IncomingRequest
+from pearhill.chat.prompt import Prompt
+from pearhill.chat.setup import Model, Reading, Rule
+from pearhill.core.request import RequestSpec
+from pearhill.settings import Deployment
+
+
+def read_spec(
+    request: IncomingRequest, prompt: Prompt, model: Model, classes: Mapping[str, int], deployment: Deployment
+) -> RequestSpec:
+    """The core's form of a request; `classes`: their numbers by name. ApiError: it asks for more than there is."""
+    reading = request.reading
+    headers = request.message.headers
+    rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
+    request_class = _request_class(reading, headers, prompt, model, rule, classes)
+    opening, start = _leading_text(prompt)
+    tokens = prompt.tokens(reading.chars_per_token)
+    _check_lengths(prompt, model, tokens)
+    conversation = headers.get(reading.conversation_header) or prompt.metadata.get(reading.conversation_field) or start
+    return RequestSpec(
+        request_class,
+        _timeout(reading, headers, deployment.router.classes[request_class].deadline, rule),
+        tokens,
+        prompt.count * (prompt.max_out or model.max_out or reading.max_out),
+        session=_number_of(conversation),
+        prefix=_number_of(opening) if opening else 0,
+        prefix_tokens=int(len(opening) / reading.chars_per_token),
+        tenant=request.tenant.number,
+        allowed_kinds=model.kinds,
+    )
+
+
+def _request_class(
+    reading: Reading,
+    headers: Mapping[str, str],
+    prompt: Prompt,
+    model: Model,
+    rule: Rule | None,
+    classes: Mapping[str, int],
+) -> int:
+    named = headers.get(reading.class_header) or prompt.metadata.get(reading.class_field)
+    if named:
+        if named not in classes:
+            raise invalid(f"There is no class {named[:64]!r}.", f"metadata.{reading.class_field}")
+        return classes[named]
+    if rule:
+        return rule.cls
+    if model.cls >= 0:
+        return model.cls
+    return reading.default_class
+
+
+def _leading_text(prompt: Prompt) -> tuple[str, str]:
+    """The text of the leading system and developer messages; and with roles, all up to the first other message."""
+    opening = ""
+    start = ""
+    for turn in prompt.turns:
+        start += f"{turn.role}\n{turn.text}\n"
+        if turn.role not in ("system", "developer"):
+            break
+        opening += turn.text
+    return opening, start
+
+
+def _check_lengths(prompt: Prompt, model: Model, tokens: int) -> None:
+    if model.max_prompt and tokens > model.max_prompt:
+        raise invalid(
+            f"The prompt has about {tokens} tokens; {model.name} takes {model.max_prompt}.",
+            "messages",
+            "context_length_exceeded",
+        )
+    if model.max_out and prompt.max_out and prompt.max_out > model.max_out:
+        raise invalid(f"{model.name} writes {model.max_out} tokens at most.", "max_tokens")
+
+
+def _timeout(reading: Reading, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
+    """Microseconds that the request may take."""
+    header = headers.get(reading.timeout_header)
+    if header is None:
+        return min(class_deadline, rule.deadline) if rule and rule.deadline > 0 else class_deadline
+    if not re.fullmatch("[0-9]{1,10}", header) or not int(header):
+        raise invalid(f"{reading.timeout_header} must be a whole number of milliseconds above 0.")
+    return min(class_deadline, int(header) * 1000)
+
+
+def _number_of(text: str) -> int:
+    """A number for a text, the same in every process; never 0, which stands for none."""
+    return int.from_bytes(hashlib.blake2b(text.encode(errors="replace"), digest_size=8).digest()) or 1
