--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -14,94 +14,105 @@
 from pearhill.http1.handler import Reply
 from pearhill.http1.messages import Headers
 
-EVENTS: Headers = (("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"))
+EVENT_STREAM_HEADERS: Headers = (("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"))
 HEARTBEAT = b": keep-alive\n\n"
+CLIENT_CLOSED_REQUEST = 499  # logged only: nobody is there to read a status
 BUSY = ApiError(503, "The servers are busy; nothing was done. Please try again.", "server_overloaded", type=SERVER)
 FAILED = ApiError(500, "The request failed or ran out of time. It may have run.", "request_failed", type=SERVER)
-BROKEN = ApiError(502, "The server's answer broke off or made no sense.", "stream_broken", type=SERVER)
+TRUNCATED = ApiError(502, "The server's answer broke off or made no sense.", "stream_broken", type=SERVER)
 
 
 class Spawn(Protocol):
-    def __call__(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]: ...
+    """Starts a task that its owner keeps a reference to until it is done."""
+
+    def __call__(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start `work`."""
 
 
 class HeartbeatTimer:
-    """Comments between the events of a stream that says nothing for a while. `every`: microseconds; 0: none."""
+    """Sends a comment on a stream that has had no event for `interval` microseconds (0: never), and after each more."""
 
-    def __init__(self, deadlines: Deadlines, spawn: Spawn, every: int) -> None:
-        self._deadlines, self._spawn, self._every = deadlines, spawn, every
-        self._last = 0
+    def __init__(self, deadlines: Deadlines, spawn: Spawn, interval: int) -> None:
+        self._deadlines = deadlines
+        self._spawn = spawn
+        self._interval = interval
+        self._last_sent = 0
         self._key: Key | None = None
         self._reply: Reply | None = None
-        self.write_pending = False  # an event waits for a slow client, who needs no sign of life
+        self.write_pending = False  # an event waits for a slow client: a comment would only wait behind it
 
     def event_sent(self, reply: Reply) -> None:
-        """An event has gone out. One deadline a stream: it moves on when it is due."""
-        if self._every:
-            self._last, self._reply = self._deadlines.clock(), reply
+        """Restart the interval. There is one deadline a stream, which is put off when it is due, not at every event."""
+        if self._interval:
+            self._last_sent = self._deadlines.clock()
+            self._reply = reply
             if self._key is None:
-                self._key = self._deadlines.at(self._last + self._every, self._due)
+                self._key = self._deadlines.at(self._last_sent + self._interval, self._due)
+
+    def stop(self) -> None:
+        """Send nothing any more."""
+        self._deadlines.cancel(self._key)
+        self._key = None
+        self._reply = None
 
     def _due(self) -> None:
-        now, self._key = self._deadlines.clock(), None
+        now = self._deadlines.clock()
+        self._key = None
         if self._reply is None:
             return
-        if now >= self._last + self._every:
-            self._last = now
+        if now >= self._last_sent + self._interval:
+            self._last_sent = now
             if not self.write_pending:
                 self._spawn(self._reply.write(HEARTBEAT))
-        self._key = self._deadlines.at(self._last + self._every, self._due)
-
-    def stop(self) -> None:
-        self._deadlines.cancel(self._key)
-        self._key = self._reply = None
+        self._key = self._deadlines.at(self._last_sent + self._interval, self._due)
 
 
 class Answer:
-    """One client of the chat API, as the core sees it. `headers` go with every answer; `repeatable`: a failed request
-    may be sent again; `on_over` is told the status, once."""
+    """The core's client for one client of the chat API.
+
+    `headers` go with every answer; `repeatable`: a failed request may be sent again; `on_over` is called once, with the
+    final status and its code for the log.
+    """
 
     def __init__(
         self,
         reply: Reply,
-        words: ResponseFormat,
+        response_format: ResponseFormat,
         stream: bool,
         repeatable: bool,
         headers: Headers,
-        heart: HeartbeatTimer,
+        heartbeat: HeartbeatTimer,
         on_over: Callable[[int, str], None],
     ) -> None:
-        self.reply, self.format, self.stream, self.repeatable = reply, words, stream, repeatable
-        self.headers, self.heartbeat, self._on_over = tuple(headers), heart, on_over
-        self.started = self.over = False
-        self.is_collectable = True  # as far as it could be put together
-        self.refusal = BUSY
-
-    def _end(self, status: int, code: str) -> bool:
-        """False: its client has been answered already."""
-        if self.over:
-            return False
-        self.over = True
-        self.heartbeat.stop()
-        self._on_over(status, code)
-        return True
-
-    def error(self, error: ApiError, again: bool, more: Headers = ()) -> None:
-        if self._end(error.status, error.code):
-            retry = ("X-Should-Retry", "true" if again else "false")
-            self.reply.answer(error.status, (*JSON, *self.headers, retry, *more), error.body())
-
-    def reject(self, stay_away: int) -> None:
-        self.error(self.refusal, self.refusal.type != "insufficient_quota", retry_headers(stay_away))
+        self.reply = reply
+        self.format = response_format
+        self.stream = stream
+        self.repeatable = repeatable
+        self.headers = tuple(headers)
+        self.heartbeat = heartbeat
+        self._on_over = on_over
+        self.started = False
+        self.over = False
+        self.is_collectable = True  # the events so far could be put together
+        self.refusal = BUSY  # the answer to a rejection
+
+    def reject(self, retry_after: int) -> None:
+        """No attempt was made; `retry_after`: microseconds."""
+        may_retry = self.refusal.type != "insufficient_quota"
+        self._answer_error(self.refusal, may_retry, retry_headers(retry_after))
 
     def fail(self) -> None:
-        self.error(FAILED, self.repeatable)
+        """The request failed, or its time ran out."""
+        self._answer_error(FAILED, self.repeatable)
 
-    def decline(self, said: ReplicaErrorResponse) -> None:
-        if self._end(said.status, "declined"):
-            self.reply.answer(said.status, (*JSON, *self.headers, ("X-Should-Retry", "false")), said.body)
+    def decline(self, response: ReplicaErrorResponse) -> None:
+        """The replica answered with an error that is the client's."""
+        if self._end(response.status, "declined"):
+            headers = (*JSON, *self.headers, ("X-Should-Retry", "false"))
+            self.reply.answer(response.status, headers, response.body)
 
     async def forward(self, data: bytes) -> None:
+        """Send complete events of the replica's stream in the endpoint's format, or keep them for one answer."""
         if self.over:
             return
         try:
@@ -109,7 +120,7 @@
                 return self.format.collect(data) if self.is_collectable else None
             data = self.format.stream(data)
         except Exception:
-            # Danger: whatever a server has put into its events, the client must not wait for what never comes.
+            # Whatever a replica has put into its events: without this the client would wait for what never comes.
             logger.exception("an answer's events could not be put into words")
             if self.stream:
                 return self.abort()
@@ -119,7 +130,7 @@
             return
         if not self.started:
             self.started = True
-            self.reply.start(200, (*EVENTS, *self.headers))
+            self.reply.start(200, (*EVENT_STREAM_HEADERS, *self.headers))
         self.heartbeat.write_pending = True
         await self.reply.write(data)
         self.heartbeat.write_pending = False
@@ -127,24 +138,44 @@
             self.heartbeat.event_sent(self.reply)
 
     def finish(self) -> None:
+        """The answer is complete."""
         if self.stream and self.started:
             last = self.format.end()
             if self._end(200, ""):
                 self.reply.finish(last)
-        elif self.stream or not self.is_collectable:
+            return
+        if self.stream or not self.is_collectable:
             self.abort()
-        elif self._end(200, ""):
+            return
+        if self._end(200, ""):
             self.reply.answer(200, (*JSON, *self.headers), self.format.whole())
 
     def abort(self) -> None:
+        """The answer broke off."""
         if not self.started:
-            return self.error(BROKEN, self.repeatable)
-        if self._end(502, BROKEN.code):
-            self.reply.abort(self.format.broken(BROKEN))
+            self._answer_error(TRUNCATED, self.repeatable)
+            return
+        if self._end(502, TRUNCATED.code):
+            self.reply.abort(self.format.broken(TRUNCATED))
 
     def has_disconnected(self) -> bool:
+        """Whether the client has gone."""
         return self.reply.has_disconnected()
 
     def left(self) -> None:
-        """The client has gone."""
-        self._end(499, "client_left")
+        """The client has disconnected."""
+        self._end(CLIENT_CLOSED_REQUEST, "client_left")
+
+    def _answer_error(self, error: ApiError, may_retry: bool, retry_after: Headers = ()) -> None:
+        if self._end(error.status, error.code):
+            should_retry = ("X-Should-Retry", "true" if may_retry else "false")
+            self.reply.answer(error.status, (*JSON, *self.headers, should_retry, *retry_after), error.body())
+
+    def _end(self, status: int, code: str) -> bool:
+        """Note the end of the answer. False: the client has been answered already, or has gone."""
+        if self.over:
+            return False
+        self.over = True
+        self.heartbeat.stop()
+        self._on_over(status, code)
+        return True
