--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -37,7 +37,7 @@
         )
         self.node = node = Node(setup.deployment, self.dialect, limits)
         self.store = Store(node.deadlines, setup.store_bytes, setup.store_keep)
-        self.accounting = BudgetAccounting(setup.spending, node.deadlines) if setup.spending else None
+        self.accounting = BudgetAccounting(setup.accounting, node.deadlines) if setup.accounting else None
         self.front = ChatFront(
             node.dispatcher, setup.reading, setup.keyring, self.store, node.pool.spawn, self.is_ready, self.accounting
         )
@@ -68,7 +68,9 @@
             try:
                 self.accounting.open()
             except (CorruptJournalError, ValueError) as e:
-                raise OSError(f"budgets.folder: {self.setup.spending and self.setup.spending.folder}: {e}") from None
+                raise OSError(
+                    f"budgets.folder: {self.setup.accounting and self.setup.accounting.folder}: {e}"
+                ) from None
         if self.fleet:
             name, address = self.fleet.setup.name, self.fleet.setup.listen
             try:
@@ -77,8 +79,8 @@
                 raise OSError(f"fleet.listen: {address[0]}:{address[1]}: {e.strerror or e}") from None
             self.node.dispatcher.router.use_peers(self.fleet.sources)
             logger.info("fleet: {name} talks on {host}:{port}", name=name, host=host, port=port)
-        if self.setup.entries:
-            self.node.update_endpoints(True, self.setup.entries, self.setup.addresses)
+        if self.setup.endpoints:
+            self.node.update_endpoints(True, self.setup.endpoints, self.setup.addresses)
         if self._eureka:
             self._fetching = self.node.pool.spawn(self._eureka.follow())
 
@@ -102,15 +104,15 @@
         self.dialect.keys, self.dialect.key = fresh.server_keys, fresh.server_key
         if self.fleet and fresh.fleet:
             self.fleet.reconfigure(fresh.fleet)
-        if self.accounting and fresh.spending:
-            self.accounting.reconfigure(fresh.spending)
+        if self.accounting and fresh.accounting:
+            self.accounting.reconfigure(fresh.accounting)
         self.store.reconfigure(fresh.store_bytes, fresh.store_keep)
         if fresh.eureka != before.eureka:
             self._move(fresh)
         elif self._eureka:
             self._eureka.deployment = fresh.deployment
         if not fresh.eureka:
-            node.update_endpoints(True, fresh.entries, fresh.addresses)
+            node.update_endpoints(True, fresh.endpoints, fresh.addresses)
         return f"{len(fresh.reading.rules)} rules, {len(fresh.keyring.tenants)} tenants" + for_next_start(
             ("chat.listen", before.listen, fresh.listen),
             ("chat.admin_addr", before.admin, fresh.admin),
@@ -121,8 +123,12 @@
             ("fleet.listen", before.fleet and before.fleet.listen, fresh.fleet and fresh.fleet.listen),
             ("chat.seed", before.seed, fresh.seed),
             ("chat.max_body_bytes", before.max_body, fresh.max_body),
-            ("budgets", before.spending is None, fresh.spending is None),
-            ("budgets.folder", before.spending and before.spending.folder, fresh.spending and fresh.spending.folder),
+            ("budgets", before.accounting is None, fresh.accounting is None),
+            (
+                "budgets.folder",
+                before.accounting and before.accounting.folder,
+                fresh.accounting and fresh.accounting.folder,
+            ),
         )
 
     def _move(self, fresh: ChatSetup) -> None:
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-import pathlib
 import tomllib
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 from typing import Any
 
 from pearhill import settings
-from pearhill.budgets import Limit, Plan, Prices, TenantPlan
 from pearhill.chat import file as f
 from pearhill.chat.budget_accounting import AccountingSettings
+from pearhill.chat.budget_setup import accounting_settings
 from pearhill.chat.keys import BadKey, Keyring, Tenant
+from pearhill.chat.setup_names import number_of
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.setup import EurekaSetup
@@ -25,28 +25,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Requests of these models, or with this header, are of this class."""
+    """Requests for these models, and with this header if one is named, are of this class.
 
-    cls: int
+    `model` and `value` are patterns as of a shell; `deadline`: microseconds, 0: the class's.
+    """
+
+    request_class: int
     model: str = "*"
     header: str = ""
     value: str = "*"
     deadline: int = 0
 
     def fits(self, model: str, headers: Mapping[str, str]) -> bool:
-        told = headers.get(self.header) if self.header else ""
-        return (
-            told is not None and fnmatchcase(model, self.model) and (not self.header or fnmatchcase(told, self.value))
-        )
+        """Whether the rule is for a request for `model` with these headers."""
+        if not fnmatchcase(model, self.model):
+            return False
+        if not self.header:
+            return True
+        value = headers.get(self.header)
+        return value is not None and fnmatchcase(value, self.value)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """One declared model. `cls` -1: as the rules say; sizes in tokens, 0: no limit of its own."""
+    """One declared model. `request_class` -1: as the rules say; sizes in tokens, 0: no limit of its own."""
 
     name: str
     served_as: str
-    cls: int = -1
+    request_class: int = -1
     kinds: tuple[int, ...] = ()
     max_out: int = 0
     max_prompt: int = 0
@@ -67,16 +73,23 @@
     timeout_header: str
     max_out: int
     chars_per_token: float
-    models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the servers
+    models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the replicas
     heartbeat: int = 0  # microseconds
     max_answer: int = 4 << 20  # bytes
 
     def model(self, name: str) -> Model | None:
+        """The model of this name or alias; None: models are declared, and it is none of them."""
         return self.models.get(name) if self.models else Model(name, name)
 
 
 @dataclass(frozen=True, slots=True)
 class ChatSetup:
+    """The operator's file, resolved.
+
+    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `server_keys`: by replica;
+    `server_key`: for replicas without a key of their own; `admin`: where operators call.
+    """
+
     listen: Address
     sockets: int
     seed: int
@@ -85,23 +98,17 @@
     keyring: Keyring
     store_bytes: int
     store_keep: int
-    entries: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
     addresses: dict[int, Address]
     server_keys: dict[int, str]
     server_key: str
     max_body: int
     eureka: EurekaSetup | None
-    spending: AccountingSettings | None = None
-    admin: Address | None = None  # where operators call
+    accounting: AccountingSettings | None = None
+    admin: Address | None = None
     fleet: FleetSetup | None = None
 
 
-def _choice(path: str, name: str, names: Sequence[str]) -> int:
-    if name not in names:
-        raise typed.invalid_value(path, name, ", ".join(names) or "none is declared")
-    return names.index(name)
-
-
 def _models(chat: f.ChatTable, deployment: settings.Deployment) -> dict[str, Model]:
     models: dict[str, Model] = {}
 
@@ -117,8 +124,8 @@
         model = Model(
             table.name,
             table.served_as or table.name,
-            _choice(f"{path}.class", table.cls, deployment.class_names) if table.cls else -1,
-            tuple(_choice(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
+            number_of(f"{path}.class", table.cls, deployment.class_names) if table.cls else -1,
+            tuple(number_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
             table.max_out_tokens,
             table.max_prompt_tokens,
             table.owned_by,
@@ -143,7 +150,7 @@
             raise typed.invalid_value(f"{path}.name", table.name, "a name that no other tenant has")
         seen.add(table.name)
         for n, name in enumerate(table.models):
-            _choice(f"{path}.models[{n}]", name, list(models))
+            number_of(f"{path}.models[{n}]", name, list(models))
         tenant = Tenant(
             table.name,
             numbers.setdefault(table.name, len(numbers)),
@@ -153,9 +160,10 @@
         for n, record in enumerate(table.keys):
             try:
                 Keyring([(tenant, [record])])
-            except BadKey:  # Danger: a key that stands there as it is must not be shown, nor taken for its record.
+            except BadKey:
+                # What stands there may be the key itself, which must not be shown: the error's text leaves it out.
                 raise ConfigError(
-                    f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` " "prints it"
+                    f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` prints it"
                 ) from None
     return Keyring(tenants)
 
@@ -164,7 +172,7 @@
     names = deployment.class_names
     rules = tuple(
         Rule(
-            _choice(f"chat.rule[{k}].class", rule.cls, names),
+            number_of(f"chat.rule[{k}].class", rule.cls, names),
             rule.model,
             rule.header.lower(),
             rule.value,
@@ -172,7 +180,7 @@
         )
         for k, rule in enumerate(chat.rule)
     )
-    default = _choice("chat.default_class", chat.default_class, names) if chat.default_class else 0
+    default = number_of("chat.default_class", chat.default_class, names) if chat.default_class else 0
     return Reading(
         rules,
         default,
@@ -225,130 +233,86 @@
     )
 
 
-def _limit(path: str, told: f.LimitsTable, instances: int, prefix: str = "") -> Limit:
-    """`prefix`: the keys' limits. Each instance has its part of every rate and quota."""
-    figures = {name: getattr(told, f"{prefix}{name}") for name in f.LimitsTable.__struct_fields__}
-    if figures["tokens_per_min"] and not figures["burst_tokens"]:
-        raise typed.invalid_value(f"{path}.{prefix}burst_tokens", 0, "a whole number above 0, where a rate is given")
-    parts = {name: -(-value // instances) for name, value in figures.items()}
-    return Limit(
-        parts["tokens_per_min"],
-        parts["burst_tokens"],
-        parts["day_tokens"],
-        parts["month_tokens"],
-        parts["open_requests"],
-        parts["debt_tokens"],
-    )
-
-
-def _spending(table: f.BudgetsTable, deployment: settings.Deployment) -> AccountingSettings:
-    n, accounts, tenants = table.instances, dict[str, Limit](), dict[str, TenantPlan]()
-    if table.capacity_tokens_per_min and not table.capacity_burst_tokens:
-        raise typed.invalid_value(
-            "budgets.capacity_burst_tokens", 0, "a whole number above 0, where a capacity is given"
-        )
-    for k, account in enumerate(table.account):
-        if account.name in accounts:
-            raise typed.invalid_value(f"budgets.account[{k}].name", account.name, "a name that no other account has")
-        accounts[account.name] = _limit(f"budgets.account[{k}]", account, n)
-    for k, tenant in enumerate(table.tenant):
-        path = f"budgets.tenant[{k}]"
-        if tenant.name in tenants:
-            raise typed.invalid_value(f"{path}.name", tenant.name, "a name that no other budget has")
-        if tenant.account:
-            _choice(f"{path}.account", tenant.account, list(accounts))
-        tenants[tenant.name] = TenantPlan(
-            _limit(path, tenant, n), tenant.account, tenant.weight, _limit(path, tenant, n, "key_")
-        )
-    default = TenantPlan(
-        _limit("budgets.default", table.default, n),
-        "",
-        table.default.weight,
-        _limit("budgets.default", table.default, n, "key_"),
-    )
-    for name, quota in zip(deployment.tenant_names, deployment.router.quotas, strict=True):
-        # The platform's own shares: a tenant that has no budget here gets the default one, and its quota as its weight.
-        tenants.setdefault(name, TenantPlan(default.limit, "", quota, default.key_limit))
-    prices = Prices(round(table.cached_price * 1000), round(table.answer_price * 1000))
-    plan = Plan(
-        tenants, accounts, default, prices, table.capacity_tokens_per_min // n, table.capacity_burst_tokens // n
-    )
-    return AccountingSettings(plan, pathlib.Path(table.folder) if table.folder else None, table.uncounted_tokens)
-
-
-def _budgets(told: f.OperatorFile) -> f.BudgetsTable | None:
-    if not told.chat.budgets_file:
-        return told.budgets
-    if told.budgets:
-        raise typed.invalid_value(
-            "chat.budgets_file", told.chat.budgets_file, "none, where the file has [budgets] itself"
-        )
-    return typed.load(told.chat.budgets_file, f.BudgetsFile)[0].budgets
+def _budgets(file: f.OperatorFile) -> f.BudgetsTable | None:
+    """The budgets of the file itself, or of the file that it names."""
+    path = file.chat.budgets_file
+    if not path:
+        return file.budgets
+    if file.budgets:
+        raise typed.invalid_value("chat.budgets_file", path, "none, where the file has [budgets] itself")
+    return typed.load(path, f.BudgetsFile)[0].budgets
+
+
+def _endpoints(
+    file: f.OperatorFile, deployment: settings.Deployment
+) -> tuple[list[Endpoint], dict[int, Address], dict[int, str]]:
+    """The file's own replicas; their addresses, and the keys of those that have one, by replica."""
+    zones = deployment.zone_names
+    endpoints: list[Endpoint] = []
+    addresses: dict[int, Address] = {}
+    keys: dict[int, str] = {}
+    for k, server in enumerate(file.server):
+        path = f"server[{k}]"
+        replica = replica_id(server.uid)
+        if replica in addresses:
+            raise typed.invalid_value(f"{path}.uid", server.uid, "a uid that no other server has")
+        zone = number_of(f"{path}.zone", server.zone or zones[0], zones)
+        kind = number_of(f"{path}.kind", server.kind, deployment.kind_names)
+        endpoints.append(Endpoint(replica, zone, kind, server.cell, Phase.READY, server.capacity, 0))
+        addresses[replica] = values.address(f"{path}.address", server.address)
+        key = values.read_secret(f"{path}.key_file", server.key_file)
+        if key:
+            keys[replica] = key
+    return endpoints, addresses, keys
 
 
-def _build(told: f.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
+def _build(file: f.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
     try:
         deployment = settings.parse(raw["settings"])
     except settings.SettingsError as e:
         raise ConfigError(f"settings: {e}") from None
-    chat, zones = told.chat, deployment.zone_names
-    entries, addresses, keys = [], dict[int, Address](), dict[int, str]()
-    for k, server in enumerate(told.server):
-        path, engine = f"server[{k}]", replica_id(server.uid)
-        if engine in addresses:
-            raise typed.invalid_value(f"{path}.uid", server.uid, "a uid that no other server has")
-        entries.append(
-            Endpoint(
-                engine,
-                _choice(f"{path}.zone", server.zone or zones[0], zones),
-                _choice(f"{path}.kind", server.kind, deployment.kind_names),
-                server.cell,
-                Phase.READY,
-                server.capacity,
-                0,
-            )
-        )
-        addresses[engine] = values.address(f"{path}.address", server.address)
-        if key := values.read_secret(f"{path}.key_file", server.key_file):
-            keys[engine] = key
-    if not entries and not told.eureka:
+    chat = file.chat
+    endpoints, addresses, server_keys = _endpoints(file, deployment)
+    if not endpoints and not file.eureka:
         raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
-    models, budgets = _models(chat, deployment), _budgets(told)
+    models = _models(chat, deployment)
+    budgets = _budgets(file)
+    # The order of the arguments is the order in which faults of the file are found.
     return ChatSetup(
-        values.address("chat.listen", chat.listen),
-        chat.sockets,
-        chat.seed,
-        deployment,
-        _reading(chat, models, deployment),
-        _keyring(chat, deployment, models),
-        told.idempotency.max_bytes,
-        told.idempotency.keep_s * 1_000_000,
-        tuple(entries),
-        addresses,
-        keys,
-        values.read_secret("chat.server_key_file", chat.server_key_file),
-        chat.max_body_bytes,
-        _eureka(told.eureka) if told.eureka else None,
-        _spending(budgets, deployment) if budgets else None,
-        values.address("chat.admin_addr", chat.admin_addr) if chat.admin_addr else None,
-        _fleet(told.fleet) if told.fleet else None,
+        listen=values.address("chat.listen", chat.listen),
+        sockets=chat.sockets,
+        seed=chat.seed,
+        deployment=deployment,
+        reading=_reading(chat, models, deployment),
+        keyring=_keyring(chat, deployment, models),
+        store_bytes=file.idempotency.max_bytes,
+        store_keep=file.idempotency.keep_s * 1_000_000,
+        endpoints=tuple(endpoints),
+        addresses=addresses,
+        server_keys=server_keys,
+        server_key=values.read_secret("chat.server_key_file", chat.server_key_file),
+        max_body=chat.max_body_bytes,
+        eureka=_eureka(file.eureka) if file.eureka else None,
+        accounting=accounting_settings(budgets, deployment) if budgets else None,
+        admin=values.address("chat.admin_addr", chat.admin_addr) if chat.admin_addr else None,
+        fleet=_fleet(file.fleet) if file.fleet else None,
     )
 
 
 def load(path: str) -> ChatSetup:
-    """The operator's file. ConfigError names it, the key, what was found and what is allowed."""
-    told, raw = typed.load(path, f.OperatorFile)
+    """Read the operator's file. ConfigError names it, the key, what was found and what is allowed."""
+    file, raw = typed.load(path, f.OperatorFile)
     try:
-        return _build(told, raw)
+        return _build(file, raw)
     except ConfigError as e:
         raise ConfigError(f"{path}: {e}") from None
 
 
-def read(told: Mapping[str, Any]) -> ChatSetup:
-    """The same from what a TOML file would hold."""
-    return _build(typed.convert(dict(told), f.OperatorFile), told)
+def read(tables: Mapping[str, Any]) -> ChatSetup:
+    """Read what the operator's TOML file would hold."""
+    return _build(typed.convert(dict(tables), f.OperatorFile), tables)
 
 
 def loads(text: str) -> ChatSetup:
-    """The same from a file's text."""
+    """Read the text of an operator's file."""
     return read(tomllib.loads(text))
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -60,9 +60,9 @@
             raise invalid(f"There is no class {named[:64]!r}.", f"metadata.{reading.class_field}")
         return classes[named]
     if rule:
-        return rule.cls
-    if model.cls >= 0:
-        return model.cls
+        return rule.request_class
+    if model.request_class >= 0:
+        return model.request_class
     return reading.default_class
 
 
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -91,7 +91,7 @@
         _fail(str(e))
     models = {model.name for model in found.reading.models.values()}
     print(
-        f"{file}: good. {len(found.entries)} servers{', eureka' if found.eureka else ''}, {len(models)} models, "
+        f"{file}: good. {len(found.endpoints)} servers{', eureka' if found.eureka else ''}, {len(models)} models, "
         f"{len(found.keyring.tenants)} tenants, {len(found.reading.rules)} rules, "
         f"classes {', '.join(found.deployment.class_names)}"
         + (
--- a/pearhill/lab/up.py
+++ b/pearhill/lab/up.py
@@ -28,7 +28,7 @@
 def engines(setup: ChatSetup) -> list[ServerTable]:
     """A stand-in for each server of the file. ConfigError: one is elsewhere, and might be real."""
     tables = []
-    for entry in setup.entries:
+    for entry in setup.endpoints:
         host, port = setup.addresses[entry.replica]
         try:
             here = ipaddress.ip_address("127.0.0.1" if host == "localhost" else host).is_loopback
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -348,7 +348,7 @@
 class Files(unittest.TestCase):
     def test_the_file_in_deploy_is_good_and_can_be_named(self):
         text = operator_file(["127.0.0.1:1"]).replace("[chat]\n", "[chat]\nbudgets_file = 'deploy/budgets.toml'\n")
-        made = load(write_file(self, text)).spending
+        made = load(write_file(self, text)).accounting
         self.assertEqual(
             (made.plan.tenants["lycee-tiznit"].account, made.plan.prices.cached), ("delegation-tiznit", 100)
         )
@@ -366,7 +366,7 @@
             table() + tenant("north", day_tokens=5),
             tenants=[{"name": "north", "quota-rps": 5.0}, {"name": "south", "quota-rps": 3.0}],
         )
-        plan = load(write_file(self, text)).spending.plan
+        plan = load(write_file(self, text)).accounting.plan
         self.assertEqual((plan.tenants["north"].weight, plan.tenants["south"].weight), (0, 3.0))
 
     def test_durations(self):
