--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -48,13 +48,13 @@
         self.read_at: list[int] | None = None  # when its gauges were read, while it leaves marks
         super().__init__(setup)
 
-    def _work(self) -> list[ReplicaLoad]:
+    def _own_load(self) -> list[ReplicaLoad]:
         if self.read_at is not None:
             observe.mark(self, len(self.read_at))
             self.read_at.append(time.monotonic_ns() // 1000)
-        return super()._work()
+        return super()._own_load()
 
-    def _registry(self, setup: ChatSetup) -> Eureka | None:
+    def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self._told) if setup.eureka else None
 
     def _told(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
@@ -134,7 +134,7 @@
         if gracefully:
             return await self.service.close()
         service = self.service
-        service._leave_registry()
+        service._cancel_registry_tasks()
         if service.fleet:
             service.fleet.datagrams.close()  # before anybody could say that it leaves
             service.fleet.close()
