--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -142,7 +142,8 @@
 
 def _keyring(chat: f.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
     """Tenants that the settings name have their number there; the others follow, in the file's order."""
-    tenants, seen = [], set[str]()
+    tenants: list[tuple[Tenant, list[str]]] = []
+    seen: set[str] = set()
     numbers = {name: k for k, name in enumerate(deployment.tenant_names)}
     for k, table in enumerate(chat.tenant):
         path = f"chat.tenant[{k}]"
