--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -103,7 +103,7 @@
 
     def has_disconnected(self) -> bool:
         """Whether the client has closed, half-closed or reset its connection, seen on the socket itself. A busy loop
-        may not have read the end yet, or it stands behind more bytes, and the request would be forwarded for nobody."""
+        may not have read the end yet, or it stands behind more bytes, and the request would be forwarded in vain."""
         read = 0
         while not self.closed and read < MAX_DISCONNECT_CHECK_BYTES:
             try:
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -120,8 +120,8 @@
             connection.close_unless_unread("room-needed")
 
     def _accept(self) -> None:
-        """Take clients from the accept queue. An accept that is cancelled may have taken a connection that then
-        nobody holds; so nothing waits in one, and each is taken in the tick that it is seen."""
+        """Take clients from the accept queue. An accept that is cancelled may have taken a connection that is
+        then held nowhere; so nothing waits in one, and each is taken in the tick that it is seen."""
         if self._recheck:
             self.deadlines.cancel(self._recheck)
             self._recheck = None
