--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -67,6 +67,7 @@
         named = [pathlib.Path(path) for path in told["policy"] + told["node"]]
         self.assertEqual({str(p) for p in loaded if not any(p.is_relative_to(name) for name in named)}, set())
         self.assertEqual({str(name) for name in named if not any(p.is_relative_to(name) for p in loaded)}, set())
+        self.assertEqual([name for name in told["policy"] if not (ROOT / name).is_file()], [])  # files, no folders
         for key, module in (("run", "pearhill"), ("sim", "pearhill.simulator.adapter")):
             # One process at the end: whatever starts it must not stand between it and the platform's signals.
             self.assertEqual(told[key], f"exec .venv/bin/python -m {module}")
