--- a/pearhill/lab/soak/endings.py
+++ b/pearhill/lab/soak/endings.py
@@ -11,6 +11,9 @@
 
 EXCUSED_AFTER_TERM = 700_000
 CROSSING = 100_000  # for a close and a request that meet on the way: moments, and not a second
+# The platform's clients open connections until 0.4 s after SIGTERM at the latest and ask at once; from 0.5 s on a
+# dispatcher may end those on which nothing was asked.
+FIRST_REQUESTS_AFTER_TERM = 500_000
 
 
 @dataclass(slots=True)
@@ -19,6 +22,7 @@
 
     terminated: int = 0
     killed: int = 0
+    exited: int = 0  # by itself
 
 
 class Endings:
@@ -37,14 +41,26 @@
         else:
             self._of.setdefault(dispatcher, []).append(Ending(killed=at))
 
-    def exited(self, dispatcher: str) -> None:
+    def exited(self, at: int, dispatcher: str) -> None:
         """It ended by itself: a later signal is another process's."""
+        if last := self.last(dispatcher):
+            last.exited = at
         self._of.setdefault(dispatcher, []).append(Ending())
 
     def last(self, dispatcher: str) -> Ending | None:
         endings = self._of.get(dispatcher)
         return endings[-1] if endings else None
 
+    def first_request_was_late(self, sent: Sent) -> bool:
+        """Whether a connection's first request was written when its dispatcher was ending, and later than any client of
+        the platform writes one: this machine kept its client back."""
+        for ending in self._of.get(sent.dispatcher, ()):
+            over = ending.killed or ending.exited
+            still_there = not over or sent.at <= over + CROSSING
+            if ending.terminated and still_there and sent.at > ending.terminated + FIRST_REQUESTS_AFTER_TERM:
+                return True
+        return False
+
     def excuse(self, request: Request, at: int) -> bool:
         """Whether a kill excuses what became of the request by `at`."""
         return self._excuses(request.sent[-1], at)
--- a/pearhill/lab/soak/oracle.py
+++ b/pearhill/lab/soak/oracle.py
@@ -162,8 +162,7 @@
         asked.note(at, "ended with no answer")
         if self.endings.excuse(asked, at) or (asked.dispatcher, peer) in self._lost_peers:
             return False
-        # Where a crowd fills the descriptors a new connection may be shut unread, which takes a moment too.
-        if not used and not self._was(self._crowded, asked.dispatcher, asked.at, at):
+        if not used and not self._may_cross_first_request(asked, at):
             self._broken(at, "lost", request, "its connection ended with no answer")
             return False
         limit = asked.at + CROSSING
@@ -172,6 +171,13 @@
             self._broken(at, "lost", request, detail, at - limit, asked.at)
         return True
 
+    def _may_cross_first_request(self, asked: Request, at: int) -> bool:
+        """Whether a close may cross the first request of a connection, for a moment. Where a crowd fills the
+        descriptors a new connection may be shut unread; a dispatcher that ends shuts those on which no client asks in
+        time."""
+        crowded = self._was(self._crowded, asked.dispatcher, asked.at, at)
+        return crowded or self.endings.first_request_was_late(asked.sent[-1])
+
     def sent_away(self, at: int, dispatcher: str, since: int) -> None:
         """A client that stopped half-way, or said nothing, got its error or its end."""
         self.exposure["bad clients"] += 1
@@ -398,8 +404,8 @@
         self.endings.killed(at, dispatcher)
         self.exposure["under way at a kill"] += self._under_way(dispatcher)
 
-    def exited(self, dispatcher: str) -> None:
-        self.endings.exited(dispatcher)
+    def exited(self, at: int, dispatcher: str) -> None:
+        self.endings.exited(at, dispatcher)
 
     def _under_way(self, dispatcher: str) -> int:
         return sum(self.requests[request].dispatcher == dispatcher for request in self._open)
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -143,7 +143,7 @@
         later = asyncio.ensure_future(self._signal_later(process, others))
         try:
             await asyncio.wait_for(process.wait(), within_s)
-            self.oracle.exited(self.name)
+            self.oracle.exited(self.clock(), self.name)
             return True
         except TimeoutError:
             self.oracle.killed(self.clock(), self.name)
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -121,11 +121,27 @@
 
 def lost_when_it_exited_by_itself(oracle: Oracle) -> None:
     oracle.terminated(10 * MS, "d")
-    oracle.exited("d")
+    oracle.exited(900 * MS, "d")
     oracle.ended_unanswered(S, "r", PORT, used=True)
     oracle.killed(5 * S, "d")  # the next process
 
 
+def ended_on_a_new_connection_while_new_ones_come(oracle: Oracle) -> None:
+    oracle.terminated(-450 * MS, "d")
+    assert not oracle.ended_unanswered(60 * MS, "r", PORT, used=False)
+
+
+def ended_long_after_a_late_first_request(oracle: Oracle) -> None:
+    oracle.terminated(-600 * MS, "d")
+    oracle.ended_unanswered(300 * MS, "r", PORT, used=False)
+
+
+def ended_on_a_new_connection_to_the_next_process(oracle: Oracle) -> None:
+    oracle.terminated(-2 * S, "d")
+    oracle.exited(-S, "d")
+    assert not oracle.ended_unanswered(1 * MS, "r", PORT, used=False)
+
+
 def drained(oracle: Oracle) -> None:
     oracle.told(0, "d", "w", False)
     oracle.arrived(700 * MS, "r", "w", True, 1000)
@@ -190,6 +206,9 @@
         ("lost", SAFE, lost_before_the_kill),
         ("lost", SAFE, lost_at_the_kill_long_after_the_signal_to_end),
         ("lost", SAFE, lost_when_it_exited_by_itself),
+        ("lost", SAFE, ended_on_a_new_connection_while_new_ones_come),
+        ("lost", SAFE, ended_long_after_a_late_first_request),
+        ("lost", SAFE, ended_on_a_new_connection_to_the_next_process),
     ],
 )
 def test_the_oracle_finds_what_is_planted(rule, effect, plant):
@@ -232,6 +251,11 @@
     assert oracle.ended_unanswered(10 * MS, "r", PORT, used=False)
 
 
+def a_first_request_after_new_ones_have_ceased(oracle: Oracle) -> None:
+    oracle.terminated(-600 * MS, "d")
+    assert oracle.ended_unanswered(60 * MS, "r", PORT, used=False)
+
+
 def a_connection_that_the_system_broke(oracle: Oracle) -> None:
     oracle.peer_lost("d", PORT)
     assert not oracle.ended_unanswered(S, "r", PORT, used=False)
@@ -265,6 +289,7 @@
         a_kill_under_way,
         a_kill_after_the_signal,
         a_crowd,
+        a_first_request_after_new_ones_have_ceased,
         a_connection_that_the_system_broke,
         a_stream_that_its_replica_broke,
         a_stream_that_stood_still,
