--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -1,8 +1,9 @@
 """Which source of the others' loads is used: the aggregators' sums or the gossip."""
 
-import unittest
 from typing import Any
 
+import pytest
+
 from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 
@@ -23,23 +24,28 @@
         return {"age_s": self.age_s}
 
 
-class TestCombinedLoadSource(unittest.TestCase):
-    def test_sums_are_used_while_they_count_all_that_gossip_else_the_gossip(self):
-        gone = MAX_SUMS_AGE_US / 1e6
-        for what, sums, talk, count, in_use, load in (
-            ("neither", None, None, None, "", 0.0),
-            ("the talk alone", None, StubSource(4, 7, 0.5), 4, "talk", 7),
-            ("sums alone", StubSource(4, 9, 0.9), None, 4, "sums", 9),
-            ("sums alone, and old", StubSource(4, 9, 0.0, gone), None, 4, "", 9),
-            ("nobody has told yet", StubSource(None, 0, 0.0, None), None, None, "", 0),
-            ("nobody has told yet, the talk has", StubSource(None, 0, 0.0, None), StubSource(4, 7, 0.5), 4, "talk", 7),
-            ("all on both", StubSource(4, 9, 0.9), StubSource(4, 7, 0.5), 4, "sums", 9),
-            ("some no longer talk", StubSource(4, 9, 0.9), StubSource(2, 7, 0.5), 4, "sums", 9),
-            ("some talk only", StubSource(3, 9, 0.9), StubSource(4, 7, 0.5), 4, "talk", 7),
-            ("the aggregators are gone", StubSource(4, 9, 0.0, gone), StubSource(2, 7, 0.5), 4, "talk", 7),
-        ):
-            with self.subTest(what):
-                sources = CombinedLoadSource()
-                sources.reporter, sources.gossip = sums, talk  # type: ignore[assignment]
-                self.assertEqual((sources.count(0), sources.in_use(0)), (count, in_use))
-                self.assertEqual(sources.others(0, 1, 0, 0)[1], load)
+GONE = MAX_SUMS_AGE_US / 1e6
+
+
+@pytest.mark.parametrize(
+    ("sums", "talk", "count", "in_use", "load"),
+    [
+        pytest.param(None, None, None, "", 0.0, id="neither"),
+        pytest.param(None, StubSource(4, 7, 0.5), 4, "talk", 7, id="the talk alone"),
+        pytest.param(StubSource(4, 9, 0.9), None, 4, "sums", 9, id="sums alone"),
+        pytest.param(StubSource(4, 9, 0.0, GONE), None, 4, "", 9, id="sums alone, and old"),
+        pytest.param(StubSource(None, 0, 0.0, None), None, None, "", 0, id="nobody has told yet"),
+        pytest.param(
+            StubSource(None, 0, 0.0, None), StubSource(4, 7, 0.5), 4, "talk", 7, id="nobody has told yet, the talk has"
+        ),
+        pytest.param(StubSource(4, 9, 0.9), StubSource(4, 7, 0.5), 4, "sums", 9, id="all on both"),
+        pytest.param(StubSource(4, 9, 0.9), StubSource(2, 7, 0.5), 4, "sums", 9, id="some no longer talk"),
+        pytest.param(StubSource(3, 9, 0.9), StubSource(4, 7, 0.5), 4, "talk", 7, id="some talk only"),
+        pytest.param(StubSource(4, 9, 0.0, GONE), StubSource(2, 7, 0.5), 4, "talk", 7, id="the aggregators are gone"),
+    ],
+)
+def test_sums_are_used_while_they_count_all_that_gossip_else_the_gossip(sums, talk, count, in_use, load):
+    sources = CombinedLoadSource()
+    sources.reporter, sources.gossip = sums, talk
+    assert (sources.count(0), sources.in_use(0)) == (count, in_use)
+    assert sources.others(0, 1, 0, 0)[1] == load
