--- a/tests/membership/test_aggregation_messages.py
+++ b/tests/membership/test_aggregation_messages.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import random
-import unittest
+
+import pytest
 
 from pearhill.membership import gauges
 from pearhill.membership.aggregation_messages import (
@@ -21,99 +22,110 @@
 from tests.membership.samples import report
 from tests.membership.simulated_fleet import KEY
 
+ONE, TWO = gauges.pack(bytes((9,) * 40)), gauges.pack(bytes((0, 3) * 20))
+FRAMES = (
+    report(3, loads=ONE, waits=TWO, slot_count=40, unassigned=(((1 << 64) - 1, 1, 255),)),
+    Sums("a0", "d0", 1 << 50, 7, 3, -1, 330, 330, 9, 8, 0, 2, 512, ONE, TWO, ((0, 1 << 63, 9),), 40, False),
+    PartialSum("a0", "a1", 1 << 50, 8, 110, 110, 1 << 50, 3, 9, 8, 1, 2, 512, ONE, TWO, (), 40, 6),
+    MemberList("a0", "a1", 5, 9, 0, 1, (("d0", 1 << 50, 2, -1),)),
+    Hello("d0", "a0", 5, 1, 77),
+    HelloAck("a0", "d0", 5, 2, 77),
+    Superseded("a0", "d0", 5, 3, 1 << 50),
+)
+CODEC = AggregationCodec([KEY])
+GOOD = CODEC.pack(report())
+
+
+def signed(body: bytes) -> bytes:
+    return b"\x02" + AggregationCodec.tag(KEY, body) + body
+
+
+MALFORMED = (
+    report(loads=b"\0x"),
+    report(slot_count=3),
+    report(loads=b"\x01\xff", slot_count=8),
+    report(loads=b"\x07"),
+    report(loads=b"\x02\xff\xff", slot_count=8),
+    report(part=1),
+    report(parts=33),
+    report(number=-1),
+    report(incarnation=1 << 63),
+    report(first_slot=MAX_SLOTS),
+    report(first_slot=MAX_SLOTS - 1, slot_count=2, loads=b"\0xx", waits=b"\0xx"),
+    report(unassigned=((1, 256, 0),)),
+    report(unassigned=((-1, 2, 0),)),
+    report(sender=""),
+    report(echo=-2),
+)
+REJECTED = (
+    (b"", "size"),
+    (GOOD[:17], "size"),
+    (GOOD + b"x" * MAX_DATAGRAM_BYTES, "size"),
+    (b"\x01" + GOOD[1:], "version"),
+    (GOOD[:-1], "forged"),
+    (GOOD + b"\0", "forged"),
+    (AggregationCodec([b"j" * 32]).pack(report()), "forged"),
+    (signed(b"\xc1" * 9), "malformed"),
+    (signed(b"\x93\x01\x02\x03"), "malformed"),
+    (signed(b"\x91" * 900), "malformed"),
+    (CODEC.pack(report(to="a1")), "not-for-me"),
+    *((CODEC.pack(frame), "malformed") for frame in MALFORMED),
+)
+
 
-class TestCodec(unittest.TestCase):
-    ONE, TWO = gauges.pack(bytes((9,) * 40)), gauges.pack(bytes((0, 3) * 20))
-    FRAMES = (
-        report(3, loads=ONE, waits=TWO, slot_count=40, unassigned=(((1 << 64) - 1, 1, 255),)),
-        Sums("a0", "d0", 1 << 50, 7, 3, -1, 330, 330, 9, 8, 0, 2, 512, ONE, TWO, ((0, 1 << 63, 9),), 40, False),
-        PartialSum("a0", "a1", 1 << 50, 8, 110, 110, 1 << 50, 3, 9, 8, 1, 2, 512, ONE, TWO, (), 40, 6),
-        MemberList("a0", "a1", 5, 9, 0, 1, (("d0", 1 << 50, 2, -1),)),
-        Hello("d0", "a0", 5, 1, 77),
-        HelloAck("a0", "d0", 5, 2, 77),
-        Superseded("a0", "d0", 5, 3, 1 << 50),
+def test_frames_come_back_as_they_were_and_the_largest_fit():
+    codec, noise = AggregationCodec([KEY]), random.Random(1).randbytes(512)
+    a, b, version = "x" * 96, "y" * 96, 1 << 40
+    entries = tuple((MAX_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(MAX_TABLE_ENTRIES))
+    raw = gauges.pack(noise)
+    most = 1 << 31
+    largest = (
+        PartialSum(
+            a,
+            b,
+            1 << 60,
+            version,
+            999,
+            999,
+            1 << 60,
+            version,
+            version,
+            version,
+            0,
+            3,
+            0,
+            raw,
+            raw,
+            (),
+            512,
+            version,
+        ),
+        Sums(a, b, 1 << 60, version, most, most, 999, 999, version, version, 0, 3, 0, b"\0", b"\0", entries),
     )
+    for frame in (*FRAMES, *largest):
+        assert codec.unpack(codec.pack(frame), frame.to) == frame
+    with pytest.raises(ValueError, match="too many"):
+        codec.pack(report(loads=bytes(1_400)))
+
+
+@pytest.mark.parametrize(("data", "reason"), REJECTED, ids=[f"{n}-{reason}" for n, (_, reason) in enumerate(REJECTED)])
+def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(data, reason):
+    with pytest.raises(MessageRejectedError, match=f"^{reason}$"):
+        CODEC.unpack(data, "a0")
+
+
+def test_a_datagram_with_any_byte_changed_is_not_taken():
+    for n in range(len(GOOD)):
+        changed = GOOD[:n] + bytes((GOOD[n] ^ 0x20,)) + GOOD[n + 1 :]
+        with pytest.raises(MessageRejectedError):
+            CODEC.unpack(changed, "a0")
+
+
+def test_what_is_signed_with_any_of_the_keys_is_taken():
+    assert AggregationCodec([b"new" * 9, KEY]).unpack(GOOD, "a0") == report()
+
 
-    def test_frames_come_back_as_they_were_and_the_largest_fit(self):
-        codec, noise = AggregationCodec([KEY]), random.Random(1).randbytes(512)
-        a, b, version = "x" * 96, "y" * 96, 1 << 40
-        entries = tuple((MAX_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(MAX_TABLE_ENTRIES))
-        raw = gauges.pack(noise)
-        most = 1 << 31
-        largest = (
-            PartialSum(
-                a,
-                b,
-                1 << 60,
-                version,
-                999,
-                999,
-                1 << 60,
-                version,
-                version,
-                version,
-                0,
-                3,
-                0,
-                raw,
-                raw,
-                (),
-                512,
-                version,
-            ),
-            Sums(a, b, 1 << 60, version, most, most, 999, 999, version, version, 0, 3, 0, b"\0", b"\0", entries),
-        )
-        for frame in (*self.FRAMES, *largest):
-            self.assertEqual(codec.unpack(codec.pack(frame), frame.to), frame)
-        with self.assertRaisesRegex(ValueError, "too many"):
-            codec.pack(report(loads=bytes(1_400)))
-
-    def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(self):
-        codec, good = AggregationCodec([KEY]), AggregationCodec([KEY]).pack(report())
-
-        def signed(body: bytes) -> bytes:
-            return b"\x02" + AggregationCodec.tag(KEY, body) + body
-
-        bad = (
-            report(loads=b"\0x"),
-            report(slot_count=3),
-            report(loads=b"\x01\xff", slot_count=8),
-            report(loads=b"\x07"),
-            report(loads=b"\x02\xff\xff", slot_count=8),
-            report(part=1),
-            report(parts=33),
-            report(number=-1),
-            report(incarnation=1 << 63),
-            report(first_slot=MAX_SLOTS),
-            report(first_slot=MAX_SLOTS - 1, slot_count=2, loads=b"\0xx", waits=b"\0xx"),
-            report(unassigned=((1, 256, 0),)),
-            report(unassigned=((-1, 2, 0),)),
-            report(sender=""),
-            report(echo=-2),
-        )
-        for data, reason in (
-            (b"", "size"),
-            (good[:17], "size"),
-            (good + b"x" * MAX_DATAGRAM_BYTES, "size"),
-            (b"\x01" + good[1:], "version"),
-            (good[:-1], "forged"),
-            (good + b"\0", "forged"),
-            (AggregationCodec([b"j" * 32]).pack(report()), "forged"),
-            (signed(b"\xc1" * 9), "malformed"),
-            (signed(b"\x93\x01\x02\x03"), "malformed"),
-            (signed(b"\x91" * 900), "malformed"),
-            (codec.pack(report(to="a1")), "not-for-me"),
-            *((codec.pack(frame), "malformed") for frame in bad),
-        ):
-            with (
-                self.subTest(data=data[:60], reason=reason),
-                self.assertRaisesRegex(MessageRejectedError, f"^{reason}$"),
-            ):
-                codec.unpack(data, "a0")
-        for n in range(len(good)):
-            with self.assertRaises(MessageRejectedError):
-                codec.unpack(good[:n] + bytes((good[n] ^ 0x20,)) + good[n + 1 :], "a0")
-        self.assertEqual(AggregationCodec([b"new" * 9, KEY]).unpack(good, "a0"), report())
-        for keys in ([], [b"short"]):
-            with self.assertRaisesRegex(ValueError, "at least 16 bytes"):
-                AggregationCodec(keys)
+@pytest.mark.parametrize("keys", [[], [b"short"]])
+def test_without_a_key_of_16_bytes_there_is_no_codec(keys):
+    with pytest.raises(ValueError, match="at least 16 bytes"):
+        AggregationCodec(keys)
