--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import random
-import unittest
+
+import pytest
 
 from pearhill.membership import gauges
 from pearhill.membership.aggregation_messages import (
@@ -22,128 +23,133 @@
 from tests.membership.simulated_fleet import S
 
 
-class TestAggregator(unittest.TestCase):
-    def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere(self):
-        now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
-        a.receive(now, report(1))
-        a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
-        self.assertEqual(a.work.totals.loads, [gauges.TOKENS[150]])
-        a.receive(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
-        later = now + S
-        for k in range(4, 44):
-            later += S
-            a.receive(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
-            a.tick(later)
-        a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, unassigned=((8, 9, 99),)))
-        self.assertEqual((a.table.replicas, a.table.version, a.table.reused_version), ([8], 2, 2))
-        packed = gauges.pack(bytes((120,)))
-        a.receive(
-            later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
-        )
-        self.assertEqual(a.work.totals.loads, [0])  # it meant replica 7
-        (answer,) = a.receive(
-            later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
-        )
-        self.assertEqual((a.work.totals.loads, answer.entries), ([gauges.TOKENS[120]], ()))
-        self.assertGreater(later - now, SLOT_IDLE_US)
-
-    def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(self):
-        now, news = 1_000 * S, ((7, 100, 150),)
-        for quiet, wait, echo, counts in (
-            (0, COMBINED_LEASE_US - 1, True, False),
-            (0, COMBINED_LEASE_US, True, True),
-            (3_500, 0, True, True),
-            (-1, COMBINED_LEASE_US - 1, True, False),
-            (60_000, 0, False, False),
-        ):
-            with self.subTest(quiet=quiet, wait=wait, echo=echo):
-                a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
-                for k in range(wait // S + 2):
-                    at = now + max(0, k - 1) * S
-                    a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, unassigned=news))
-                a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, unassigned=news))
-                self.assertEqual(sum(a.work.totals.loads) > 0, counts)
-
-    def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once(self):
-        now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        a.receive(now, report(1))
-        a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
-        a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it was overtaken
-        self.assertEqual(a.work.totals.loads, [gauges.TOKENS[150]])
-        for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
-            a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
-            self.assertEqual((a.work.totals.loads, a.count(now)), ([load], 1))
-        a.receive(
-            now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),))
-        )  # late, of the stay before
-        self.assertEqual((a.work.totals.loads, list(a.work.members)), ([0], []))
-        a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
-        self.assertEqual((a.count(now), sorted(a.directory.records)), (0, ["d0"]))
-
-    def test_an_aggregator_that_stood_still_forgets_no_member_for_that(self):
-        now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere():
+    now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
+    a.receive(now, report(1))
+    a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
+    assert a.work.totals.loads == [gauges.TOKENS[150]]
+    a.receive(now + S, report(3, known_incarnation=now, echo=2, known_version=1))
+    later = now + S
+    for k in range(4, 44):
+        later += S
+        a.receive(later, report(k, known_incarnation=now, echo=k - 1, known_version=1))
+        a.tick(later)
+    a.receive(later, report(50, known_incarnation=now, echo=43, known_version=1, unassigned=((8, 9, 99),)))
+    assert (a.table.replicas, a.table.version, a.table.reused_version) == ([8], 2, 2)
+    packed = gauges.pack(bytes((120,)))
+    a.receive(
+        later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
+    )
+    assert a.work.totals.loads == [0]  # it meant replica 7
+    (answer,) = a.receive(
+        later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
+    )
+    assert (a.work.totals.loads, answer.entries) == ([gauges.TOKENS[120]], ())
+    assert later - now > SLOT_IDLE_US
+
+
+@pytest.mark.parametrize(
+    ("quiet", "wait", "echo", "counts"),
+    [
+        (0, COMBINED_LEASE_US - 1, True, False),
+        (0, COMBINED_LEASE_US, True, True),
+        (3_500, 0, True, True),
+        (-1, COMBINED_LEASE_US - 1, True, False),
+        (60_000, 0, False, False),
+    ],
+)
+def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(quiet, wait, echo, counts):
+    now, news = 1_000 * S, ((7, 100, 150),)
+    a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
+    for k in range(wait // S + 2):
+        at = now + max(0, k - 1) * S
+        a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, unassigned=news))
+    a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, unassigned=news))
+    assert (sum(a.work.totals.loads) > 0) == counts
+
+
+def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once():
+    now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+    a.receive(now, report(1))
+    a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
+    a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it was overtaken
+    assert a.work.totals.loads == [gauges.TOKENS[150]]
+    for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
+        a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
+        assert (a.work.totals.loads, a.count(now)) == ([load], 1)
+    a.receive(now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),)))  # late, of the stay before
+    assert (a.work.totals.loads, list(a.work.members)) == ([0], [])
+    a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
+    assert (a.count(now), sorted(a.directory.records)) == (0, ["d0"])
+
+
+def test_an_aggregator_that_stood_still_forgets_no_member_for_that():
+    now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+    a.tick(now)
+    a.receive(now, report(1))
+    a.receive(now, report(2, known_incarnation=now, echo=1))
+    for wait in (2 * SILENCE_TIMEOUT_US, SILENCE_TIMEOUT_US, AGGREGATOR_TICK_US):
+        now += wait
         a.tick(now)
-        a.receive(now, report(1))
-        a.receive(now, report(2, known_incarnation=now, echo=1))
-        for wait in (2 * SILENCE_TIMEOUT_US, SILENCE_TIMEOUT_US, AGGREGATOR_TICK_US):
-            now += wait
-            a.tick(now)
-            self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 0))
-        for _ in range(SILENCE_TIMEOUT_US // AGGREGATOR_TICK_US + 1):
-            now += AGGREGATOR_TICK_US
-            a.tick(now)
-        self.assertEqual((a.count(now), a.figures(now)["cut"]), (1, 1))  # all that there were fell silent: a cut
-
-    def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time(self):
-        now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        for n in range(1, 6):
-            a.receive(now, report(1, sender=f"d{n}"))
-            a.receive(now, report(2, sender=f"d{n}", known_incarnation=1_000 * S, echo=1))
-        now += 60 * S  # it stands still; what waited is read before its beat
-        for n in range(1, 6):
-            a.receive(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
-            a.receive(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
+        assert (a.count(now), a.figures(now)["cut"]) == (1, 0)
+    for _ in range(SILENCE_TIMEOUT_US // AGGREGATOR_TICK_US + 1):
+        now += AGGREGATOR_TICK_US
         a.tick(now)
-        for k in range((SILENCE_TIMEOUT_US + S) // AGGREGATOR_TICK_US):
-            now += AGGREGATOR_TICK_US
-            for n in range(2, 6):  # one is dead by now
-                at = 5 + k
-                a.receive(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
-            a.tick(now)
-        self.assertEqual(a.count(now), 4)
-
-    def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over(self):
-        now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        a.receive(now, report(1))
-        for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
-            hello = Hello("d0", "a0", 4, 1, 77)  # a report's incarnation is 5
-            self.assertEqual([type(f) for f in a.receive(now + wait, hello)], answers)
-        self.assertEqual([type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))], [Superseded])
-
-    def test_what_comes_twice_or_from_strangers_is_not_taken(self):
-        now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
-        self.assertEqual(len(a.receive(now, report(1))), 1)
-        self.assertEqual(a.receive(now, report(1)), [])
-        hello = Hello("d1", "a0", 5, 1, 77)
-        self.assertEqual(a.receive(now, hello), [HelloAck("a0", "d1", now, 2, 77)])
-        self.assertEqual(a.receive(now, hello), [])
-        for frame in (
-            MemberList("a9", "a0", 5, 1, 0, 1, (("x", 1, 1, 0),)),
-            Superseded("d1", "a0", 5, 2, 9),
-            report(2, sender="a1"),
-        ):
-            self.assertEqual(a.receive(now, frame), [])
-        self.assertEqual(a.count(now), 0)
-        window = ReplayWindow()
-        for incarnation, sequence, first in (
-            (1, 5, True),
-            (1, 5, False),
-            (1, 4, True),
-            (1, 4, False),
-            (1, 2_000, True),
-            (1, 2_000 - WINDOW_MESSAGES, False),
-            (1, 2_001 - WINDOW_MESSAGES, True),
-            (2, 1, True),
-            (1, 2_001, False),
-        ):
-            self.assertEqual(window.first_time("d", incarnation, sequence), first, (incarnation, sequence))
+    assert (a.count(now), a.figures(now)["cut"]) == (1, 1)  # all that there were fell silent: a cut
+
+
+def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time():
+    now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+    for n in range(1, 6):
+        a.receive(now, report(1, sender=f"d{n}"))
+        a.receive(now, report(2, sender=f"d{n}", known_incarnation=1_000 * S, echo=1))
+    now += 60 * S  # it stands still; what waited is read before its beat
+    for n in range(1, 6):
+        a.receive(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
+        a.receive(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
+    a.tick(now)
+    for k in range((SILENCE_TIMEOUT_US + S) // AGGREGATOR_TICK_US):
+        now += AGGREGATOR_TICK_US
+        for n in range(2, 6):  # one is dead by now
+            at = 5 + k
+            a.receive(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
+        a.tick(now)
+    assert a.count(now) == 4
+
+
+def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over():
+    now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+    a.receive(now, report(1))
+    for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
+        hello = Hello("d0", "a0", 4, 1, 77)  # a report's incarnation is 5
+        assert [type(f) for f in a.receive(now + wait, hello)] == answers
+    assert [type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))] == [Superseded]
+
+
+def test_what_comes_twice_or_from_strangers_is_not_taken():
+    now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
+    assert len(a.receive(now, report(1))) == 1
+    assert a.receive(now, report(1)) == []
+    hello = Hello("d1", "a0", 5, 1, 77)
+    assert a.receive(now, hello) == [HelloAck("a0", "d1", now, 2, 77)]
+    assert a.receive(now, hello) == []
+    for frame in (
+        MemberList("a9", "a0", 5, 1, 0, 1, (("x", 1, 1, 0),)),
+        Superseded("d1", "a0", 5, 2, 9),
+        report(2, sender="a1"),
+    ):
+        assert a.receive(now, frame) == []
+    assert a.count(now) == 0
+    window = ReplayWindow()
+    for incarnation, sequence, first in (
+        (1, 5, True),
+        (1, 5, False),
+        (1, 4, True),
+        (1, 4, False),
+        (1, 2_000, True),
+        (1, 2_000 - WINDOW_MESSAGES, False),
+        (1, 2_001 - WINDOW_MESSAGES, True),
+        (2, 1, True),
+        (1, 2_001, False),
+    ):
+        assert window.first_time("d", incarnation, sequence) == first, (incarnation, sequence)
