--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-import unittest
 from collections import Counter
 from unittest import mock
 
+import pytest
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
@@ -128,202 +128,210 @@
 TestFleet = Fleet.TestCase
 
 
-class TestSteadyState(unittest.TestCase):
-    def test_all_are_counted_once_and_sums_scale_to_those_unheard(self):
-        world = World(6, 1)
-        world.checked(6 * S)
-        self.assertEqual(world.wrong_views(), [])
-        self.assertEqual(world.counts(), {None})  # aggregators that have just begun may not know all
-        world.checked(6 * S)
-        self.assertEqual(world.wrong_views(), [])
-        self.assertEqual(world.counts(), {6})
-        p = world.processes[0]
-        waiting, load, sure = p.reporter.others(world.now, 2, 0, 0)
-        self.assertTrue(4_500 < waiting < 5_500 and 9_000 < load < 11_000 and 0.9 < sure <= 1)
-        # Half of them unheard: who is not heard counts as the mean of those that are.
-        for chunk in p.reporter._sums.ranges:
-            chunk.reporting, chunk.asked_at = 2, world.now
-        self.assertAlmostEqual(p.reporter.others(world.now, 2, 0, 0)[1] / load, 2, delta=0.2)
-        self.assertAlmostEqual(p.reporter.others(world.now, 2, 0, 0)[2], 0.4)
-
-
-class TestFaults(unittest.TestCase):
-    def test_the_dead_are_forgotten_and_one_that_leaves_at_once(self):
-        world = World(7, 2)
-        world.checked(12 * S)
-        dead, leaving = world.processes[0], world.processes[1]
-        dead.up = False
-        world.send(leaving, leaving.reporter.leave(world.now))
-        leaving.up = False
-        world.checked(S)
-        self.assertEqual(world.counts(), {6})
-        world.checked(LEASE_US + PARTIAL_SUM_LEASE_US)
-        self.assertEqual(world.wrong_views(), [])  # the work of both is gone
-        world.checked(SILENCE_TIMEOUT_US - 6 * S)  # elsewhere its silence is told a second too long
-        self.assertEqual(world.counts(), {6})
-        world.checked(3 * S)
-        self.assertEqual(world.counts(), {5})
-
-    def test_an_aggregator_lost_moves_its_dispatchers_and_they_come_home_spread_out(self):
-        world = World(24, 3)
-        world.run(12 * S)
-        del world.aggregators["a1"]
-        for n in range(160):
-            world.run(AGGREGATOR_TICK_US)
-            self.assertEqual(world.counts(), {24})
-            if n % 4 == 0:
-                world.check()
-        self.assertEqual(world.wrong_views(), [])
-        self.assertEqual({p.reporter.moves for p in world.up() if p.region == "r1"}, {1})
-        taken = Counter(p.reporter.current for p in world.up() if p.region == "r1")
-        self.assertTrue(all(taken[name] >= 2 for name in ("a0", "a2")))  # the survivors share
-        world.most_moves.clear()
-        before = {p: p.reporter.moves for p in world.up()}
-        world.start_aggregator("a1")
-        per_window = []
-        for n in range(140):
-            moved = sum(p.reporter.moves - before[p] for p in world.up())
-            world.run(AGGREGATOR_TICK_US * 5 // 2)
-            if n % 5 == 0:
-                world.check()
-            self.assertEqual(world.counts(), {24})
-            per_window.append(sum(p.reporter.moves - before[p] for p in world.up()) - moved)
-        self.assertEqual(sum(per_window), 8)
-        self.assertLessEqual(max(per_window), 4)
-        self.assertEqual(world.wrong_views(), [])
-
-    def test_with_all_aggregators_gone_confidence_falls_to_0_the_count_stays_and_the_return_is_spread_out(self):
-        world = World(24, 4)
-        world.run(12 * S)
-        world.aggregators.clear()
-        world.run(MAX_SUMS_AGE_US)
-        for p in world.up():
-            self.assertEqual(p.reporter.others(world.now, 1, 0, 30), (0.0, 23 * 30.0, 0.0))
-        world.run(10 * S)
-        tries = [p.reporter._reports.newest_number for p in world.up()]
-        world.run(20 * S)
-        for p, before in zip(world.up(), tries, strict=True):
-            self.assertTrue(1 <= p.reporter._reports.newest_number - before <= 12)  # 1 to 8 s between them
-        self.assertEqual(world.counts(), {24})
-        for site in SITES:
-            world.start_aggregator(site.name)
-        world.arrivals.clear()
-        began = world.now
-        for _ in range(30):
-            world.run(S)
+def test_all_are_counted_once_and_sums_scale_to_those_unheard():
+    world = World(6, 1)
+    world.checked(6 * S)
+    assert world.wrong_views() == []
+    assert world.counts() == {None}  # aggregators that have just begun may not know all
+    world.checked(6 * S)
+    assert world.wrong_views() == []
+    assert world.counts() == {6}
+    p = world.processes[0]
+    waiting, load, sure = p.reporter.others(world.now, 2, 0, 0)
+    assert 4_500 < waiting < 5_500
+    assert 9_000 < load < 11_000
+    assert 0.9 < sure <= 1
+    # Half of them unheard: who is not heard counts as the mean of those that are.
+    for chunk in p.reporter._sums.ranges:
+        chunk.reporting, chunk.asked_at = 2, world.now
+    assert p.reporter.others(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
+    assert p.reporter.others(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
+
+
+def test_the_dead_are_forgotten_and_one_that_leaves_at_once():
+    world = World(7, 2)
+    world.checked(12 * S)
+    dead, leaving = world.processes[0], world.processes[1]
+    dead.up = False
+    world.send(leaving, leaving.reporter.leave(world.now))
+    leaving.up = False
+    world.checked(S)
+    assert world.counts() == {6}
+    world.checked(LEASE_US + PARTIAL_SUM_LEASE_US)
+    assert world.wrong_views() == []  # the work of both is gone
+    world.checked(SILENCE_TIMEOUT_US - 6 * S)  # elsewhere its silence is told a second too long
+    assert world.counts() == {6}
+    world.checked(3 * S)
+    assert world.counts() == {5}
+
+
+def test_an_aggregator_lost_moves_its_dispatchers_and_they_come_home_spread_out():
+    world = World(24, 3)
+    world.run(12 * S)
+    del world.aggregators["a1"]
+    for n in range(160):
+        world.run(AGGREGATOR_TICK_US)
+        assert world.counts() == {24}
+        if n % 4 == 0:
+            world.check()
+    assert world.wrong_views() == []
+    assert {p.reporter.moves for p in world.up() if p.region == "r1"} == {1}
+    taken = Counter(p.reporter.current for p in world.up() if p.region == "r1")
+    assert all(taken[name] >= 2 for name in ("a0", "a2"))  # the survivors share
+    world.most_moves.clear()
+    before = {p: p.reporter.moves for p in world.up()}
+    world.start_aggregator("a1")
+    per_window = []
+    for n in range(140):
+        moved = sum(p.reporter.moves - before[p] for p in world.up())
+        world.run(AGGREGATOR_TICK_US * 5 // 2)
+        if n % 5 == 0:
             world.check()
-            self.assertEqual(world.counts(), {24})
-        first = Counter((at - began) // 250_000 for at, _ in world.arrivals if at - began < S)
-        self.assertLessEqual(max(first.values()), 14)
+        assert world.counts() == {24}
+        per_window.append(sum(p.reporter.moves - before[p] for p in world.up()) - moved)
+    assert sum(per_window) == 8
+    assert max(per_window) <= 4
+    assert world.wrong_views() == []
+
+
+def test_with_all_aggregators_gone_confidence_falls_to_0_the_count_stays_and_the_return_is_spread_out():
+    world = World(24, 4)
+    world.run(12 * S)
+    world.aggregators.clear()
+    world.run(MAX_SUMS_AGE_US)
+    for p in world.up():
+        assert p.reporter.others(world.now, 1, 0, 30) == (0.0, 23 * 30.0, 0.0)
+    world.run(10 * S)
+    tries = [p.reporter._reports.newest_number for p in world.up()]
+    world.run(20 * S)
+    for p, before in zip(world.up(), tries, strict=True):
+        assert 1 <= p.reporter._reports.newest_number - before <= 12  # 1 to 8 s between them
+    assert world.counts() == {24}
+    for site in SITES:
+        world.start_aggregator(site.name)
+    world.arrivals.clear()
+    began = world.now
+    for _ in range(30):
+        world.run(S)
+        world.check()
+        assert world.counts() == {24}
+    first = Counter((at - began) // 250_000 for at, _ in world.arrivals if at - began < S)
+    assert max(first.values()) <= 14
+    world.run(20 * S)
+    assert world.wrong_views() == []
+
+
+@pytest.mark.parametrize(("count", "sides"), [(3, ("r2",)), (9, ("r2",)), (9, ("r0", "r1", "r2"))])
+def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(count, sides, monkeypatch):
+    monkeypatch.setattr(reporter, "REPORT_INTERVAL_US", 500_000)
+    world = World(count, 5)
+    world.run(14 * S)
+    world.cut("r2")
+    if len(sides) > 1:
+        world.cut("r1")
+    for _ in range(45):
+        world.run(2 * S)
+        assert world.counts() == {count}
+        world.check()
+    if len(sides) == 1:
+        world.heal()
+        world.run(4 * S)
+        assert (world.counts(), world.wrong_views()) == ({count}, [])
+        return
+    for p in world.up():
+        p.up = p.region == "r0"  # they had died there
+    world.run(PARTITION_TIMEOUT_US)
+    assert world.counts() == {3}
+
+
+def test_one_that_starts_anew_takes_its_own_place():
+    world = World(5, 6)
+    world.checked(12 * S)
+    world.processes[0].up = False
+    world.start("d0", "r1")  # elsewhere: its work waits until the old one's is surely over
+    for _ in range(60):
+        world.checked(AGGREGATOR_TICK_US)
+        assert {c for c in world.counts() if c is not None} == {5}
+    assert world.wrong_views() == []
+
+
+def test_of_two_of_one_name_the_older_waits_until_the_newer_is_silent():
+    world = World(4, 7)
+    world.checked(12 * S)
+    old = world.processes[0]
+    new = world.start("d0", "r0")
+    world.checked(8 * S)
+    assert world.aggregators["a0"].directory.records["d0"].incarnation.started == new.reporter.incarnation
+    assert old.reporter.incarnation < new.reporter.incarnation
+    new.up = False
+    world.checked(30 * S)
+    assert old.reporter.incarnation == new.reporter.incarnation + 1
+    assert (world.counts(), world.wrong_views()) == ({4}, [])
+
+
+def test_one_that_stood_still_counts_nobody_twice_and_leaves_no_good_aggregator():
+    world = World(6, 8)
+    world.checked(12 * S)
+    world.stalled["a0"] = []
+    world.checked(9 * S)
+    world.wake()  # reports of dispatchers that others have counted for long
+    world.checked(40 * S)
+    assert (world.counts(), world.wrong_views()) == ({6}, [])
+    moves = [p.reporter.moves for p in world.up()]
+    for p in world.up():
+        p.stalled = True
+    world.run(6 * S)
+    world.wake()
+    world.checked(6 * S)
+    assert [p.reporter.moves for p in world.up()] == moves
+    assert (world.counts(), world.wrong_views()) == ({6}, [])
+
+
+def test_bytes_stay_within_the_budget_while_a_large_table_is_told():
+    rows = [ReplicaLoad(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
+    with mock.patch.object(Process, "rows", return_value=rows):
+        world, codec = World(3, 9), AggregationCodec([KEY])
+        total, seen = Counter[str](), list[tuple[int, int]]()
+        pack = codec.pack
+
+        def send(sender: object, frames: list[AggregationMessage]) -> None:
+            for f in frames:
+                size = len(pack(f))  # ValueError: too long
+                if isinstance(sender, Process) and sender.name == "d0" or f.to == "d0":
+                    total["d0"] += size + HEADER_BYTES
+                    seen.append((world.now, size + HEADER_BYTES))
+                if isinstance(sender, Process):
+                    sender.reporter.sent(size)
+                world.at(
+                    2_000,
+                    "frame",
+                    (
+                        f.to if isinstance(sender, Process) else world.addresses.get((str(sender), f.to), f.to),
+                        f,
+                        sender,
+                    ),
+                )
+
+        world.send = send  # type: ignore[method-assign]
+        world.size = 1_400
         world.run(20 * S)
-        self.assertEqual(world.wrong_views(), [])
-
-    def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(self):
-        for count, sides in ((3, ("r2",)), (9, ("r2",)), (9, ("r0", "r1", "r2"))):
-            with self.subTest(count=count, sides=sides), mock.patch.object(reporter, "REPORT_INTERVAL_US", 500_000):
-                world = World(count, 5)
-                world.run(14 * S)
-                world.cut("r2")
-                if len(sides) > 1:
-                    world.cut("r1")
-                for _ in range(45):
-                    world.run(2 * S)
-                    self.assertEqual(world.counts(), {count})
-                    world.check()
-                if len(sides) == 1:
-                    world.heal()
-                    world.run(4 * S)
-                    self.assertEqual((world.counts(), world.wrong_views()), ({count}, []))
-                    continue
-                for p in world.up():
-                    p.up = p.region == "r0"  # they had died there
-                world.run(PARTITION_TIMEOUT_US)
-                self.assertEqual(world.counts(), {3})
-
-    def test_one_that_starts_anew_takes_its_own_place(self):
-        world = World(5, 6)
-        world.checked(12 * S)
-        world.processes[0].up = False
-        world.start("d0", "r1")  # elsewhere: its work waits until the old one's is surely over
-        for _ in range(60):
-            world.checked(AGGREGATOR_TICK_US)
-            self.assertEqual({c for c in world.counts() if c is not None}, {5})
-        self.assertEqual(world.wrong_views(), [])
-
-    def test_of_two_of_one_name_the_older_waits_until_the_newer_is_silent(self):
-        world = World(4, 7)
-        world.checked(12 * S)
-        old = world.processes[0]
-        new = world.start("d0", "r0")
-        world.checked(8 * S)
-        self.assertEqual(world.aggregators["a0"].directory.records["d0"].incarnation.started, new.reporter.incarnation)
-        self.assertLess(old.reporter.incarnation, new.reporter.incarnation)
-        new.up = False
-        world.checked(30 * S)
-        self.assertEqual(old.reporter.incarnation, new.reporter.incarnation + 1)
-        self.assertEqual((world.counts(), world.wrong_views()), ({4}, []))
-
-    def test_one_that_stood_still_counts_nobody_twice_and_leaves_no_good_aggregator(self):
-        world = World(6, 8)
-        world.checked(12 * S)
-        world.stalled["a0"] = []
-        world.checked(9 * S)
-        world.wake()  # reports of dispatchers that others have counted for long
-        world.checked(40 * S)
-        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
-        moves = [p.reporter.moves for p in world.up()]
-        for p in world.up():
-            p.stalled = True
-        world.run(6 * S)
-        world.wake()
-        world.checked(6 * S)
-        self.assertEqual([p.reporter.moves for p in world.up()], moves)
-        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
-
-    def test_bytes_stay_within_the_budget_while_a_large_table_is_told(self):
-        rows = [ReplicaLoad(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
-        with mock.patch.object(Process, "rows", return_value=rows):
-            world, codec = World(3, 9), AggregationCodec([KEY])
-            total, seen = Counter[str](), list[tuple[int, int]]()
-            pack = codec.pack
-
-            def send(sender: object, frames: list[AggregationMessage]) -> None:
-                for f in frames:
-                    size = len(pack(f))  # ValueError: too long
-                    if isinstance(sender, Process) and sender.name == "d0" or f.to == "d0":
-                        total["d0"] += size + HEADER_BYTES
-                        seen.append((world.now, size + HEADER_BYTES))
-                    if isinstance(sender, Process):
-                        sender.reporter.sent(size)
-                    world.at(
-                        2_000,
-                        "frame",
-                        (
-                            f.to if isinstance(sender, Process) else world.addresses.get((str(sender), f.to), f.to),
-                            f,
-                            sender,
-                        ),
-                    )
-
-            world.send = send  # type: ignore[method-assign]
-            world.size = 1_400
-            world.run(20 * S)
-        for start in range(20):
-            within = sum(size for at, size in seen if 0 <= at - 1_000 * S - start * S < S)
-            self.assertLessEqual(within, MAX_BYTES_PER_S + MAX_BYTES_PER_S // 2 + 3 * MAX_DATAGRAM_BYTES)
-        self.assertLessEqual(total["d0"], 21 * MAX_BYTES_PER_S)
-        self.assertEqual(len(world.processes[0].reporter._tables["a0"].slot_of), 940)
-
-    def test_aggregators_are_replaced_while_it_runs(self):
-        world = World(6, 10)
-        world.checked(12 * S)
-        p = world.processes[0]
-        p.reporter.reconfigure(SITES[1:], world.now)
-        world.checked(8 * S)
-        self.assertNotEqual(p.reporter.current, "a0")
-        self.assertEqual((world.counts(), world.wrong_views()), ({6}, []))
-        world.aggregators["a0"].reconfigure([], world.now)
-        world.checked(3 * S)
-        told = p.reporter.peer_load(world.now, 4)  # of d3, at a0
-        self.assertEqual(world.aggregators["a0"].figures(world.now)["peers"], {})
-        self.assertIsNotNone(told)
+    for start in range(20):
+        within = sum(size for at, size in seen if 0 <= at - 1_000 * S - start * S < S)
+        assert within <= MAX_BYTES_PER_S + MAX_BYTES_PER_S // 2 + 3 * MAX_DATAGRAM_BYTES
+    assert total["d0"] <= 21 * MAX_BYTES_PER_S
+    assert len(world.processes[0].reporter._tables["a0"].slot_of) == 940
+
+
+def test_aggregators_are_replaced_while_it_runs():
+    world = World(6, 10)
+    world.checked(12 * S)
+    p = world.processes[0]
+    p.reporter.reconfigure(SITES[1:], world.now)
+    world.checked(8 * S)
+    assert p.reporter.current != "a0"
+    assert (world.counts(), world.wrong_views()) == ({6}, [])
+    world.aggregators["a0"].reconfigure([], world.now)
+    world.checked(3 * S)
+    told = p.reporter.peer_load(world.now, 4)  # of d3, at a0
+    assert world.aggregators["a0"].figures(world.now)["peers"] == {}
+    assert told is not None
