--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import pathlib
 import re
@@ -10,10 +11,13 @@
 import tempfile
 import threading
 import time
-import unittest
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any
 
+import pytest
+
+from pearhill.chat import setup
+from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
 from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
@@ -24,21 +28,26 @@
 WAIT_S = 30  # for what must come about; it takes some seconds
 
 
-class TestProcesses(unittest.TestCase):
+class TestProcesses:
     NAMES = ("d1", "d2", "d3", "d4", "d5")
 
+    @pytest.fixture(autouse=True)
+    def clean_up(self) -> Iterator[None]:
+        with contextlib.ExitStack() as self.cleanup:
+            yield
+
     def start(self, replicas: int = 2) -> None:
         print(f"seed {SEED}")
         self.relay = Relay(list(self.NAMES), SEED)
-        self.addCleanup(self.relay.close)
+        self.cleanup.callback(self.relay.close)
         self.replicas = [Standin() for _ in range(replicas)]
         self.go = threading.Event()
         for replica in self.replicas:
             replica.respond = self.hold
-            self.addCleanup(replica.close)
-        self.addCleanup(self.go.set)
+            self.cleanup.callback(replica.close)
+        self.cleanup.callback(self.go.set)
         folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         (self.folder / "key").write_text("a-key-that-all-five-of-them-hold\n")
         self.programs: dict[str, Program] = {}
@@ -62,7 +71,7 @@
         path = self.folder / f"{name}.toml"
         path.write_text(text.replace("[chat]\n", "[chat]\nadmin_addr = '127.0.0.1:0'\n"))
         program = self.programs[name] = Program("--chat", str(path))
-        self.addCleanup(program.kill)
+        self.cleanup.callback(program.kill)
         host, port = program.wait_line(rf"{name} talks on ([\d.]+):(\d+)").groups()
         self.relay.place(name, host, int(port))
         self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
@@ -70,13 +79,13 @@
 
     def told(self, name: str) -> dict[str, Any]:
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
-        self.assertEqual(status, 200)
+        assert status == 200
         return json.loads(answer)
 
     def until(self, what: Callable[[], Any], names: str = "") -> None:
         end = time.monotonic() + WAIT_S
         while not what():
-            self.assertLess(time.monotonic(), end, [self.told(n) for n in names.split()])
+            assert time.monotonic() < end, [self.told(n) for n in names.split()]
             time.sleep(0.05)
 
     def agree(self, count: int, heard: int, *names: str) -> None:
@@ -92,12 +101,12 @@
         """A stream through this dispatcher, which stays open."""
         program, sent = self.programs[name], body(stream=True)
         client = socket.create_connection((program.host, program.port), 20)
-        self.addCleanup(client.close)
+        self.cleanup.callback(client.close)
         client.sendall(
             b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
             % (PATH.encode(), len(sent), sent)
         )
-        self.assertIn(b" 200 OK", client.recv(200))
+        assert b" 200 OK" in client.recv(200)
 
     def known_load(self, name: str) -> float:
         return sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
@@ -105,32 +114,32 @@
     def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self):
         self.start()
         self.agree(5, 5, *self.NAMES)
-        with self.subTest("a bad path condemns nobody"):
-            self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
-            seen = self.relay.passed
-            self.until(lambda: self.relay.passed > seen + 600)
-            self.assertEqual({self.told(n)["count"] for n in self.NAMES}, {5})
-            self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
-            self.agree(5, 5, *self.NAMES)
-        with self.subTest("a crash"):
-            self.programs["d5"].process.kill()
-            self.agree(4, 4, "d1", "d2", "d3", "d4")
-            self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them are heard of")
-        with self.subTest("the same name starts anew"):
-            self.run_one("d5")
-            self.agree(5, 5, *self.NAMES)
-        with self.subTest("one stands still, and comes back"):
-            self.programs["d4"].process.send_signal(signal.SIGSTOP)
-            self.agree(4, 4, "d1", "d2", "d3", "d5")
-            self.programs["d4"].process.send_signal(signal.SIGCONT)
-            self.agree(5, 5, *self.NAMES)
-            self.assertFalse(re.search(r"[0-3] of them are heard", "".join(self.programs["d4"].lines[5:])))
-        with self.subTest("a cut in two: nobody believes that two fifths have died, or three"):
-            self.relay.cut(["d1", "d2"], ["d3", "d4", "d5"])
-            self.agree(5, 2, "d1", "d2")
-            self.agree(5, 3, "d3", "d4", "d5")
-            self.relay.cut()
-            self.agree(5, 5, *self.NAMES)
+        # A bad path condemns nobody.
+        self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
+        seen = self.relay.passed
+        self.until(lambda: self.relay.passed > seen + 600)
+        assert {self.told(n)["count"] for n in self.NAMES} == {5}
+        self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
+        self.agree(5, 5, *self.NAMES)
+        # A crash.
+        self.programs["d5"].process.kill()
+        self.agree(4, 4, "d1", "d2", "d3", "d4")
+        self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them are heard of")
+        # The same name starts anew.
+        self.run_one("d5")
+        self.agree(5, 5, *self.NAMES)
+        # One stands still, and comes back.
+        self.programs["d4"].process.send_signal(signal.SIGSTOP)
+        self.agree(4, 4, "d1", "d2", "d3", "d5")
+        self.programs["d4"].process.send_signal(signal.SIGCONT)
+        self.agree(5, 5, *self.NAMES)
+        assert not re.search(r"[0-3] of them are heard", "".join(self.programs["d4"].lines[5:]))
+        # A cut in two: nobody believes that two fifths have died, or three.
+        self.relay.cut(["d1", "d2"], ["d3", "d4", "d5"])
+        self.agree(5, 2, "d1", "d2")
+        self.agree(5, 3, "d3", "d4", "d5")
+        self.relay.cut()
+        self.agree(5, 5, *self.NAMES)
 
     def test_each_takes_the_replica_that_all_the_others_have_left_alone(self):
         """One conversation's requests, each at another dispatcher that has nothing open itself: they alternate between
@@ -140,9 +149,8 @@
         for asked, name in enumerate(self.NAMES, 1):
             self.ask(name)
             self.until(lambda asked=asked: min(map(self.known_load, self.NAMES)) > (asked - 0.5) * LOAD)
-            with self.subTest(asked):
-                runs = sorted(replica.runs for replica in self.replicas)
-                self.assertEqual(runs, [0, 0, 0, 0, asked // 2, asked - asked // 2])
+            runs = sorted(replica.runs for replica in self.replicas)
+            assert runs == [0, 0, 0, 0, asked // 2, asked - asked // 2]
 
     def test_forged_datagrams_change_nothing_and_are_counted(self):
         self.start()
@@ -155,29 +163,35 @@
         self.agree(5, 5, *self.NAMES)
 
 
-class Files(unittest.TestCase):
-    def test_bad_settings_of_the_fleet_are_told_by_their_path(self):
-        from pearhill.chat import setup
-        from pearhill.config import ConfigError
+PEER = '[[fleet.peer]]\nname = "d2"\naddress = "127.0.0.1:1"\n'
 
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        good, short = pathlib.Path(folder.name) / "good", pathlib.Path(folder.name) / "short"
-        good.write_text("k" * 32), short.write_text("k" * 15)
-        peer = '[[fleet.peer]]\nname = "d2"\naddress = "127.0.0.1:1"\n'
-
-        def fleet(peers: str = peer, key: str = f'["{good}"]', listen: str = "127.0.0.1:0") -> str:
-            return f'[fleet]\nname = "d1"\nlisten = "{listen}"\nkey_files = {key}\n{peers}'
-
-        self.assertEqual(set(setup.loads(operator_file(["a:1"], fleet())).fleet.peers), {"d2"})
-        for text, why in (
-            (fleet(peers=peer + peer), r"fleet.peer\[1\].name: found 'd2'; allowed: a name that no other peer has"),
-            (fleet(peers=""), "fleet.peer: found nothing; allowed: a list"),
-            (fleet(key="[]"), "fleet.key_files: found"),
-            (fleet(key='["/nowhere"]'), r"fleet.key_files\[0\]: "),
-            (fleet(key=f'["{short}"]'), r"fleet.key_files\[0\]: found .*15 characters.*; allowed: 16 at least"),
-            (fleet(listen="nowhere"), "fleet.listen"),
-            (fleet() + "porto = 1\n", "fleet.peer.*porto"),
-        ):
-            with self.subTest(why), self.assertRaisesRegex(ConfigError, why):
-                setup.loads(operator_file(["a:1"], text))
+
+def fleet_file(folder: pathlib.Path, peers: str = PEER, key: str = '["{}/good"]', listen: str = "127.0.0.1:0") -> str:
+    """An operator's file with a fleet; `{}` in `key` stands for the folder of the key files."""
+    (folder / "good").write_text("k" * 32)
+    (folder / "short").write_text("k" * 15)
+    keys = key.replace("{}", str(folder))
+    fleet = f'[fleet]\nname = "d1"\nlisten = "{listen}"\nkey_files = {keys}\n{peers}'
+    return operator_file(["a:1"], fleet)
+
+
+def test_a_file_with_a_fleet_names_its_peers(tmp_path):
+    assert set(setup.loads(fleet_file(tmp_path)).fleet.peers) == {"d2"}
+
+
+@pytest.mark.parametrize(
+    ("changes", "why"),
+    [
+        ({"peers": PEER + PEER}, r"fleet.peer\[1\].name: found 'd2'; allowed: a name that no other peer has"),
+        ({"peers": ""}, "fleet.peer: found nothing; allowed: a list"),
+        ({"key": "[]"}, "fleet.key_files: found"),
+        ({"key": '["/nowhere"]'}, r"fleet.key_files\[0\]: "),
+        ({"key": '["{}/short"]'}, r"fleet.key_files\[0\]: found .*15 characters.*; allowed: 16 at least"),
+        ({"listen": "nowhere"}, "fleet.listen"),
+        ({"peers": PEER + "porto = 1\n"}, "fleet.peer.*porto"),
+    ],
+)
+def test_bad_settings_of_the_fleet_are_told_by_their_path(tmp_path, changes, why):
+    text = fleet_file(tmp_path, **changes)
+    with pytest.raises(ConfigError, match=why):
+        setup.loads(text)
