--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import pathlib
 import re
@@ -11,11 +12,15 @@
 import tempfile
 import threading
 import time
-import unittest
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
+import pytest
+
+from pearhill.aggregator import setup as aggregator
+from pearhill.chat import setup as chat
+from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
 from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
@@ -28,22 +33,27 @@
 A, D = ("a1", "a2", "a3"), tuple(HOMES)
 
 
-class Case(unittest.TestCase):
+class Case:
+    @pytest.fixture(autouse=True)
+    def clean_up(self) -> Iterator[None]:
+        with contextlib.ExitStack() as self.cleanup:
+            yield
+
     def begin(self, *names: str) -> None:
         print(f"seed {SEED}")
         self.aggregators = tuple(name for name in names if name not in HOMES)
         folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         self.keys = ["key"]
         for name in ("key", "new"):
             (self.folder / name).write_text(f"a-{name}-that-all-of-them-hold\n")
         self.relay = Relay(names, SEED)
-        self.addCleanup(self.relay.close)
+        self.cleanup.callback(self.relay.close)
         self.replica, self.go = Standin(), threading.Event()
         self.replica.respond = self.hold
-        self.addCleanup(self.replica.close)
-        self.addCleanup(self.go.set)
+        self.cleanup.callback(self.replica.close)
+        self.cleanup.callback(self.go.set)
         self.programs: dict[str, Program] = {}
         self.admin_addresses: dict[str, str] = {}
 
@@ -88,7 +98,7 @@
         program = self.programs[name] = (
             Program("--chat", str(path)) if name in HOMES else Served("aggregator", str(path))
         )
-        self.addCleanup(program.kill)
+        self.cleanup.callback(program.kill)
         program.config = path
         at = program.wait_line(rf"(?:{name} talks|aggregator {name} listens) on ([\d.]+):(\d+)")
         self.relay.place(name, at[1], int(at[2]))
@@ -100,13 +110,13 @@
 
     def told(self, name: str) -> dict[str, Any]:
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
-        self.assertEqual(status, 200)
+        assert status == 200
         return json.loads(answer)
 
     def until(self, what: Callable[[], Any], *names: str) -> None:
         end = time.monotonic() + WAIT_S
         while not what():
-            self.assertLess(time.monotonic(), end, [self.told(n) for n in names])
+            assert time.monotonic() < end, [self.told(n) for n in names]
             time.sleep(0.05)
 
     def agree(self, count: int, heard: int, *names: str, source: str = "sums") -> None:
@@ -130,62 +140,62 @@
             list(pool.map(self.run_one, A))
             list(pool.map(self.run_one, D))
         self.agree(5, 5, *D)
-        self.assertEqual({d: self.uses(d) for d in D}, HOMES)
+        assert {d: self.uses(d) for d in D} == HOMES
         self.open_stream("d1")
         self.own_load = self.told("d1")["engines"][0]["mine"]["load"]
-        self.assertGreater(self.own_load, 0)
+        assert self.own_load > 0
         self.until(self.all_know, *D)
-        with self.subTest("a bad path"):
-            self.see_a_bad_path_through()
-        with self.subTest("one aggregator is killed, and another one stands still"):
-            self.lose_two_aggregators()
-        with self.subTest("a dispatcher crashes, and starts anew under its name"):
-            self.send(signal.SIGKILL, "d5")
-            self.agree(4, 4, *D[:4])
-            self.run_one("d5")
-            self.agree(5, 5, *D)
-        with self.subTest("a region is cut off"):
-            self.relay.cut(["a3", "d5"], [n for n in (*A, *D) if n not in ("a3", "d5")])
-            self.agree(5, 4, *D[:4])
-            self.agree(5, 1, "d5")
-            self.relay.cut()
-            self.agree(5, 5, *D)
-        with self.subTest("all come home"):
-            self.until(lambda: {d: self.uses(d) for d in D} == HOMES, *D)
-        with self.subTest("all aggregators are killed: each goes by its own work, and the last count"):
-            self.lose_all_aggregators()
-        with self.subTest("one that ends takes its leave"):
-            self.send(signal.SIGTERM, "d4")
-            self.agree(4, 4, "d1", "d2", "d3", "d5")
-        self.assertFalse(re.search("Traceback", "".join(line for p in self.programs.values() for line in p.lines)))
+        # A bad path.
+        self.see_a_bad_path_through()
+        # One aggregator is killed, and another one stands still.
+        self.lose_two_aggregators()
+        # A dispatcher crashes, and starts anew under its name.
+        self.send(signal.SIGKILL, "d5")
+        self.agree(4, 4, *D[:4])
+        self.run_one("d5")
+        self.agree(5, 5, *D)
+        # A region is cut off.
+        self.relay.cut(["a3", "d5"], [n for n in (*A, *D) if n not in ("a3", "d5")])
+        self.agree(5, 4, *D[:4])
+        self.agree(5, 1, "d5")
+        self.relay.cut()
+        self.agree(5, 5, *D)
+        # All come home.
+        self.until(lambda: {d: self.uses(d) for d in D} == HOMES, *D)
+        # All aggregators are killed: each goes by its own work, and the last count.
+        self.lose_all_aggregators()
+        # One that ends takes its leave.
+        self.send(signal.SIGTERM, "d4")
+        self.agree(4, 4, "d1", "d2", "d3", "d5")
+        assert not re.search("Traceback", "".join(line for p in self.programs.values() for line in p.lines))
 
     def open_stream(self, name: str) -> None:
         """A request at this dispatcher whose answer stays under way."""
         sent = body(stream=True)
         client = socket.create_connection((self.programs[name].host, self.programs[name].port), 20)
-        self.addCleanup(client.close)
+        self.cleanup.callback(client.close)
         client.sendall(
             b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
             % (PATH.encode(), len(sent), sent)
         )
-        self.assertIn(b" 200 OK", client.recv(200))
+        assert b" 200 OK" in client.recv(200)
 
     def all_know(self) -> bool:
         """Whether each of the others knows d1's one request, as much as it is; never twice."""
         known = dict[str, float]()
         for d in D[1:]:
             t = self.told(d)
-            self.assertLessEqual(t["reports"]["heard"], 5)
+            assert t["reports"]["heard"] <= 5
             if t["reports"]["heard"] == 5:  # else the sums are a sample
                 known[d] = t["engines"][0]["others"]["load"]
-        self.assertLess(max(known.values(), default=0), 1.3 * self.own_load)
+        assert max(known.values(), default=0) < 1.3 * self.own_load
         return len(known) == 4 and min(known.values()) > 0.5 * self.own_load
 
     def see_a_bad_path_through(self) -> None:
         self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
         seen = self.relay.passed
         self.until(lambda: self.all_know() and self.relay.passed > seen + 100, *D)
-        self.assertEqual({self.told(d)["count"] for d in D}, {5})
+        assert {self.told(d)["count"] for d in D} == {5}
         self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
 
     def lose_two_aggregators(self) -> None:
@@ -193,14 +203,14 @@
         self.send(signal.SIGSTOP, "a2")
         self.until(lambda: {self.uses(d) for d in D} == {"a3"} and self.all_know(), *D)
         self.programs["a3"].wait_line("aggregator: a1 is not heard")
-        self.assertEqual({self.told(d)["count"] for d in D}, {5})
+        assert {self.told(d)["count"] for d in D} == {5}
         self.send(signal.SIGCONT, "a2")
         self.run_one("a1")
 
     def lose_all_aggregators(self) -> None:
         self.send(signal.SIGKILL, *A)
         self.agree(5, 5, *D, source="")
-        self.assertEqual([self.told(d)["engines"][0]["others"]["sure"] for d in D], [0] * 5)
+        assert [self.told(d)["engines"][0]["others"]["sure"] for d in D] == [0] * 5
         for name in A:
             self.run_one(name)
         self.until(self.all_know, *D)
@@ -215,106 +225,123 @@
         for d in trio:  # the sums lack d1, so that all go by the talk
             self.until(lambda d=d: [self.told(d)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"], d)
         self.until(lambda: self.told("d2")["reports"]["counted"] == self.told("a1")["counted"] == 2, "d2")
-        with self.subTest("foreign datagrams change nothing, are counted, and named once"):
-            wanted = {"rejected size": 3, "rejected forged": 1, "rejected version": 1}
-            for name in ("a1", "d2"):
-                with socket.socket(type=socket.SOCK_DGRAM) as foe:
-                    for data in (b"", b"\x02", b"\x02" + b"x" * 200, b"\x03" * 60, b"\x02" * 1401):
-                        foe.sendto(data, self.relay.to[name])
-                self.until(lambda name=name: wanted.items() <= self.told(name)["datagrams"].items(), name)
-                program = self.programs[name]
-                program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
-                self.assertEqual(sum("not taken" in line for line in program.lines), 1)
+        # Foreign datagrams change nothing, are counted, and named once.
+        wanted = {"rejected size": 3, "rejected forged": 1, "rejected version": 1}
+        for name in ("a1", "d2"):
+            with socket.socket(type=socket.SOCK_DGRAM) as foe:
+                for data in (b"", b"\x02", b"\x02" + b"x" * 200, b"\x03" * 60, b"\x02" * 1401):
+                    foe.sendto(data, self.relay.to[name])
+            self.until(lambda name=name: wanted.items() <= self.told(name)["datagrams"].items(), name)
+            program = self.programs[name]
+            program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
+            assert sum("not taken" in line for line in program.lines) == 1
         self.programs["d1"].reload(self.fleet("d1", ("a1",), ("d2", "d3")))
         self.agree(3, 3, *trio)
-        with self.subTest("the talk ends, and another key takes the old one's place"):
-            self.keys = ["key", "new"]
-            self.programs["a1"].reload(self.control("a1"), "reload: done, 0 other aggregators")
-            self.keys = ["new", "key"]
-            for d in trio:
-                self.programs[d].reload(self.fleet(d, ("a1",)))
-            self.keys = ["new"]
-            self.programs["a1"].reload(self.control("a1"))
-            seen = {d: self.told(d)["datagrams"]["taken"] for d in trio}
-            self.until(lambda: all(self.told(d)["datagrams"]["taken"] > seen[d] + 2 for d in trio), *trio)
-            self.agree(3, 3, *trio)
-            self.assertEqual([self.told(d)["members"] for d in trio], [{}] * 3)
-            self.assertEqual(self.told("a1")["datagrams"]["rejected forged"], 1)
-        with self.subTest("one look at all"):
-            code, out, err = run("fleet", *self.admin_addresses.values())
-            self.assertEqual((code, err), (0, ""))
-            self.assertRegex(out, r"d1 +counts 3 dispatchers, goes by sums; the talk hears 0 others; sums of a1, ")
-            self.assertRegex(out, r"a1 +aggregator: counts 3 dispatchers, hears 3, 3 report to it; no other is named")
-        with self.subTest("the aggregator is gone for good: back to the talk"):
-            self.send(signal.SIGKILL, "a1")
-            for d in trio:
-                self.programs[d].reload(self.fleet(d, (), tuple(p for p in trio if p != d)))
-            self.until(
-                lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.told, trio)} == {(3, "talk", None)},
-                *trio,
-            )
-
-
-class TestFiles(unittest.TestCase):
-    def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
-        (self.folder / "good").write_text("k" * 32), (self.folder / "short").write_text("k" * 15)
-
-    def test_bad_files_are_told_by_file_path_found_and_allowed(self):
-        from pearhill.aggregator import setup as aggregator
-        from pearhill.chat import setup as chat
-        from pearhill.config import ConfigError
-
-        path = self.folder / "file.toml"
-
-        def fleet(more: str = "", name: str = "d1") -> str:
-            return operator_file(
-                ["a:1"],
-                f'[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\n' f'key_files = ["{self.folder}/good"]\n{more}',
-            )
-
-        def control(more: str = "", key: str = "good", listen: str = "127.0.0.1:0") -> str:
-            return f'[aggregator]\nname = "a1"\nlisten = "{listen}"\nkey_files = ["{self.folder}/{key}"]\n{more}'
-
-        def named(kind: str, name: str = "a2", more: str = "") -> str:
-            return f'[[{kind}]]\nname = "{name}"\naddress = "127.0.0.1:1"\n{more}'
-
-        ours, theirs = "fleet.aggregator", "aggregator.peer"
-        for load, text, why in (
-            (chat, fleet(), "fleet.peer: found nothing; allowed: a list of one or more, where fleet.aggregator "),
-            (chat, fleet(named(ours) * 2), r"fleet.aggregator\[1\].name: found 'a2'; allowed: a name that no oth"),
-            (chat, fleet(named(ours, "d1")), r"aggregator\[0\].name: found 'd1'; allowed: a name that no dispatc"),
-            (chat, fleet(named(ours) + named("fleet.peer")), r"aggregator\[0\].name: found 'a2'; allowed: a name"),
-            (chat, fleet(named(ours, more="zone = 1\n")), r"fleet.aggregator\[0\].zone: found a key that is not"),
-            (chat, fleet(named(ours, more="region = 1\n")), r"fleet.aggregator\[0\].region: found 1; allowed: te"),
-            (chat, fleet(named(ours, "x" * 97)), r"fleet.aggregator\[0\].name: found 'x"),
-            (chat, fleet(named(ours), "x" * 97), "fleet.name: found 'x+...; allowed: 96 characters at most"),
-            (chat, fleet(named(ours).replace(":1", ":99999")), r"aggregator\[0\].address: found .*; allowed: HOST"),
-            (aggregator, "", "aggregator: found nothing; allowed: a table; it must be given"),
-            (aggregator, control(named(theirs) * 2), r"aggregator.peer\[1\].name: found 'a2'; allowed: a name tha"),
-            (aggregator, control(key="short"), r"aggregator.key_files\[0\]: found .*15 characters.*; allowed: 16"),
-            (aggregator, control(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
-            (aggregator, control(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
-            (aggregator, control('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
-            (aggregator, control("[chat]\n"), "chat: found a key that is not known; allowed: aggregator"),
-        ):
-            with self.subTest(why):
-                path.write_text(text)
-                with self.assertRaisesRegex(ConfigError, f"{path}: .*{why}"):
-                    load.load(str(path))
-        code, _, err = run("aggregator", str(path))
-        self.assertEqual((code, err.count("\n")), (2, 1))
-        path.write_text(fleet("".join(named(ours, f"a{k}") + named("fleet.peer", f"p{k}") for k in range(1024))))
-        found = chat.load(str(path)).fleet
-        self.assertEqual((len(found.sites), len(found.peers)), (1024, 1024))
-
-    def test_the_commented_file_is_good(self):
-        path = self.folder / "aggregator.toml"
-        text = (ROOT / "deploy/aggregator.toml").read_text()
-        path.write_text(text.replace("/etc/pearhill/fleet.key", f"{self.folder}/good"))
-        self.assertEqual(
-            run("aggregator", "--check", str(path)),
-            (0, f"{path}: good. control-north listens on 10.0.0.21:7947, 2 other aggregators\n", ""),
+        # The talk ends, and another key takes the old one's place.
+        self.keys = ["key", "new"]
+        self.programs["a1"].reload(self.control("a1"), "reload: done, 0 other aggregators")
+        self.keys = ["new", "key"]
+        for d in trio:
+            self.programs[d].reload(self.fleet(d, ("a1",)))
+        self.keys = ["new"]
+        self.programs["a1"].reload(self.control("a1"))
+        seen = {d: self.told(d)["datagrams"]["taken"] for d in trio}
+        self.until(lambda: all(self.told(d)["datagrams"]["taken"] > seen[d] + 2 for d in trio), *trio)
+        self.agree(3, 3, *trio)
+        assert [self.told(d)["members"] for d in trio] == [{}] * 3
+        assert self.told("a1")["datagrams"]["rejected forged"] == 1
+        # One look at all.
+        code, out, err = run("fleet", *self.admin_addresses.values())
+        assert (code, err) == (0, "")
+        assert re.search(r"d1 +counts 3 dispatchers, goes by sums; the talk hears 0 others; sums of a1, ", out)
+        assert re.search(r"a1 +aggregator: counts 3 dispatchers, hears 3, 3 report to it; no other is named", out)
+        # The aggregator is gone for good: back to the talk.
+        self.send(signal.SIGKILL, "a1")
+        for d in trio:
+            self.programs[d].reload(self.fleet(d, (), tuple(p for p in trio if p != d)))
+        self.until(
+            lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.told, trio)} == {(3, "talk", None)},
+            *trio,
         )
+
+
+OURS, THEIRS = "fleet.aggregator", "aggregator.peer"
+
+
+@pytest.fixture
+def folder(tmp_path: pathlib.Path) -> pathlib.Path:
+    """With two files of keys, of which one is too short."""
+    (tmp_path / "good").write_text("k" * 32)
+    (tmp_path / "short").write_text("k" * 15)
+    return tmp_path
+
+
+def write(folder: pathlib.Path, text: str) -> pathlib.Path:
+    """A file of this text, in which FOLDER stands for the folder of the keys."""
+    path = folder / "file.toml"
+    path.write_text(text.replace("FOLDER", str(folder)))
+    return path
+
+
+def fleet(more: str = "", name: str = "d1") -> str:
+    head = f'[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = ["FOLDER/good"]\n'
+    return operator_file(["a:1"], f"{head}{more}")
+
+
+def control(more: str = "", key: str = "good", listen: str = "127.0.0.1:0") -> str:
+    return f'[aggregator]\nname = "a1"\nlisten = "{listen}"\nkey_files = ["FOLDER/{key}"]\n{more}'
+
+
+def named(kind: str, name: str = "a2", more: str = "") -> str:
+    return f'[[{kind}]]\nname = "{name}"\naddress = "127.0.0.1:1"\n{more}'
+
+
+UNKNOWN_TABLE = control("[chat]\n")
+
+
+@pytest.mark.parametrize(
+    ("module", "text", "why"),
+    [
+        (chat, fleet(), "fleet.peer: found nothing; allowed: a list of one or more, where fleet.aggregator "),
+        (chat, fleet(named(OURS) * 2), r"fleet.aggregator\[1\].name: found 'a2'; allowed: a name that no oth"),
+        (chat, fleet(named(OURS, "d1")), r"aggregator\[0\].name: found 'd1'; allowed: a name that no dispatc"),
+        (chat, fleet(named(OURS) + named("fleet.peer")), r"aggregator\[0\].name: found 'a2'; allowed: a name"),
+        (chat, fleet(named(OURS, more="zone = 1\n")), r"fleet.aggregator\[0\].zone: found a key that is not"),
+        (chat, fleet(named(OURS, more="region = 1\n")), r"fleet.aggregator\[0\].region: found 1; allowed: te"),
+        (chat, fleet(named(OURS, "x" * 97)), r"fleet.aggregator\[0\].name: found 'x"),
+        (chat, fleet(named(OURS), "x" * 97), "fleet.name: found 'x+...; allowed: 96 characters at most"),
+        (chat, fleet(named(OURS).replace(":1", ":99999")), r"aggregator\[0\].address: found .*; allowed: HOST"),
+        (aggregator, "", "aggregator: found nothing; allowed: a table; it must be given"),
+        (aggregator, control(named(THEIRS) * 2), r"aggregator.peer\[1\].name: found 'a2'; allowed: a name tha"),
+        (aggregator, control(key="short"), r"aggregator.key_files\[0\]: found .*15 characters.*; allowed: 16"),
+        (aggregator, control(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
+        (aggregator, control(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
+        (aggregator, control('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
+        (aggregator, UNKNOWN_TABLE, "chat: found a key that is not known; allowed: aggregator"),
+    ],
+)
+def test_bad_files_are_told_by_file_path_found_and_allowed(folder, module, text, why):
+    path = write(folder, text)
+    with pytest.raises(ConfigError, match=f"{path}: .*{why}"):
+        module.load(str(path))
+
+
+def test_a_bad_file_ends_the_command_with_one_line_and_exit_code_2(folder):
+    code, _, err = run("aggregator", str(write(folder, UNKNOWN_TABLE)))
+    assert (code, err.count("\n")) == (2, 1)
+
+
+def test_a_file_may_name_1024_aggregators_and_as_many_peers(folder):
+    tables = (named(OURS, f"a{k}") + named("fleet.peer", f"p{k}") for k in range(1024))
+    found = chat.load(str(write(folder, fleet("".join(tables))))).fleet
+    assert (len(found.sites), len(found.peers)) == (1024, 1024)
+
+
+def test_the_commented_file_is_good(folder):
+    text = (ROOT / "deploy/aggregator.toml").read_text()
+    path = write(folder, text.replace("/etc/pearhill/fleet.key", "FOLDER/good"))
+    assert run("aggregator", "--check", str(path)) == (
+        0,
+        f"{path}: good. control-north listens on 10.0.0.21:7947, 2 other aggregators\n",
+        "",
+    )
