--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,9 +1,10 @@
 """The budgets by themselves: a virtual clock, tables of cases, and a state machine against a plain model."""
 
+import datetime
 import random
-import unittest
 from fractions import Fraction
 
+import pytest
 from hypothesis import settings as how
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -28,133 +29,133 @@
     return TenantPlan(Limit(**limit), account, weight, key)
 
 
-class Periods(unittest.TestCase):
-    def test_against_the_calendar(self):
-        import datetime
+@pytest.mark.parametrize(
+    "wall", [0, DAY_S - 1, DAY_S, 951_782_400, 951_868_800, 1_796_083_199, 1_796_083_200, 4_102_444_799]
+)
+def test_periods_against_the_calendar(wall):
+    date = datetime.datetime.fromtimestamp(wall, datetime.UTC)
+    day, month = periods(wall)
+    assert (day, month_name(month)) == (wall // DAY_S, f"{date.year}-{date.month:02}")
+    assert month_of(month_name(month)) == month
 
-        for wall in (0, DAY_S - 1, DAY_S, 951_782_400, 951_868_800, 1_796_083_199, 1_796_083_200, 4_102_444_799):
-            date = datetime.datetime.fromtimestamp(wall, datetime.UTC)
-            day, month = periods(wall)
-            self.assertEqual((day, month_name(month)), (wall // DAY_S, f"{date.year}-{date.month:02}"))
-            self.assertEqual(month_of(month_name(month)), month)
-        for bad in ("2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"):
-            with self.subTest(bad=bad), self.assertRaises(ValueError):
-                month_of(bad)
 
+@pytest.mark.parametrize("bad", ["2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"])
+def test_what_is_no_month_is_rejected(bad):
+    with pytest.raises(ValueError, match=f"'{bad}' is no month as in 2026-12"):
+        month_of(bad)
 
-class Admission(unittest.TestCase):
+
+class TestAdmission:
     def test_a_bucket_gives_its_burst_and_then_its_rate(self):
         b = budgets(a=plan(tokens_per_min=600, burst=1_000))
         first = b.admit(T0, WALL, "a", "", 500, 500)
-        self.assertEqual(first.status, AdmissionStatus.WITHIN_LIMIT)
+        assert first.status == AdmissionStatus.WITHIN_LIMIT
         second = b.admit(T0, WALL, "a", "", 50, 50)
-        self.assertEqual(
-            (second.status, second.retry_after, second.reservation), (AdmissionStatus.OVER_LIMIT, 10 * S, None)
-        )
-        self.assertEqual(b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).retry_after, 1)
-        self.assertEqual(b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).status, AdmissionStatus.WITHIN_LIMIT)
+        assert (second.status, second.retry_after, second.reservation) == (AdmissionStatus.OVER_LIMIT, 10 * S, None)
+        assert b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).retry_after == 1
+        assert b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).status == AdmissionStatus.WITHIN_LIMIT
 
     def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
         b.answer_lengths.clear()
         held = b.admit(T0, WALL, "a", "", 100, 100, hint=50).reservation
-        self.assertEqual(b.settle(T0, held, Usage(100, 0, 10)), 110 * MILLI_PER_TOKEN)
-        self.assertEqual(b.balance(T0, WALL, "a")["remaining_tokens"], 890)
+        assert b.settle(T0, held, Usage(100, 0, 10)) == 110 * MILLI_PER_TOKEN
+        assert b.balance(T0, WALL, "a")["remaining_tokens"] == 890
         held = b.admit(T0, WALL, "a", "", 90, 2_400, hint=800).reservation
-        self.assertEqual(held.amount, 890 * MILLI_PER_TOKEN)
+        assert held.amount == 890 * MILLI_PER_TOKEN
         b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved: served whole
-        self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 1_600)
+        assert b.balance(T0, WALL, "a")["debt_tokens"] == 1_600
         decision = b.admit(T0, WALL, "a", "", 1, 1)
-        self.assertEqual((decision.status, decision.retry_after), (AdmissionStatus.OVERDRAWN, 1_602 * S))
-        self.assertEqual(b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status, AdmissionStatus.WITHIN_LIMIT)
+        assert (decision.status, decision.retry_after) == (AdmissionStatus.OVERDRAWN, 1_602 * S)
+        assert b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status == AdmissionStatus.WITHIN_LIMIT
 
     def test_a_run_that_never_was_costs_nothing_and_settles_once(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, day=5_000, open=1))
         held = b.admit(T0, WALL, "a", "", 500, 100).reservation
-        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).reason, "a: requests open at once")
-        self.assertEqual((b.settle(T0, held, None), b.settle(T0, held, Usage(9, 0, 9))), (0, 0))
+        assert b.admit(T0, WALL, "a", "", 1, 1).reason == "a: requests open at once"
+        assert (b.settle(T0, held, None), b.settle(T0, held, Usage(9, 0, 9))) == (0, 0)
         balance = b.balance(T0, WALL, "a")
-        self.assertEqual((balance["remaining_tokens"], balance["day_tokens"], balance["open_requests"]), (1_000, 0, 0))
+        assert (balance["remaining_tokens"], balance["day_tokens"], balance["open_requests"]) == (1_000, 0, 0)
 
     def test_cached_tokens_have_their_own_price(self):
         b = Budgets(Plan({"a": plan(tokens_per_min=60, burst=10_000)}, prices=Prices(cached=100, answer=4_000)), T0)
         held = b.admit(T0, WALL, "a", "", 1_000, 10).reservation
-        self.assertEqual(held.amount, 1_040 * MILLI_PER_TOKEN)
-        self.assertEqual(b.settle(T0, held, Usage(1_000, 800, 5)), (200 + 80 + 20) * MILLI_PER_TOKEN)
+        assert held.amount == 1_040 * MILLI_PER_TOKEN
+        assert b.settle(T0, held, Usage(1_000, 800, 5)) == (200 + 80 + 20) * MILLI_PER_TOKEN
 
-    def test_levels_nest(self):
-        cases = (
+    @pytest.mark.parametrize(
+        ("name", "made", "why"),
+        [
             ("account", Plan({"a": plan(account="x")}, {"x": Limit(tokens_per_min=60, burst=100)}), "x: tokens a"),
             ("key", Plan({"a": plan(key=Limit(tokens_per_min=60, burst=100))}), "k1: tokens a minute"),
             ("open", Plan({"a": plan(key=Limit(open=1))}), "k1: requests open"),
             ("day", Plan({"a": plan(day=100)}), "a: tokens a day"),
             ("month", Plan({"a": plan(month=100)}), "a: tokens a month"),
-        )
-        for name, made, why in cases:
-            with self.subTest(name=name):
-                b = Budgets(made, T0)
-                self.assertTrue(b.admit(T0, WALL, "a", "k1", 50, 30).admitted)
-                decision = b.admit(T0, WALL, "a", "k1", 50, 30)
-                self.assertEqual((decision.status, decision.reason[: len(why)]), (AdmissionStatus.OVER_LIMIT, why))
-                self.assertEqual(decision.quota_exhausted, name in ("day", "month"))
+        ],
+    )
+    def test_levels_nest(self, name, made, why):
+        b = Budgets(made, T0)
+        assert b.admit(T0, WALL, "a", "k1", 50, 30).admitted
+        decision = b.admit(T0, WALL, "a", "k1", 50, 30)
+        assert (decision.status, decision.reason[: len(why)]) == (AdmissionStatus.OVER_LIMIT, why)
+        assert decision.quota_exhausted == (name in ("day", "month"))
 
     def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
-        self.assertTrue(b.admit(T0, WALL, "a", "", 100, 50).admitted)
-        self.assertEqual(b.admit(T0, WALL, "a", "", 1, 1).status, AdmissionStatus.OVERDRAWN)
+        assert b.admit(T0, WALL, "a", "", 100, 50).admitted
+        assert b.admit(T0, WALL, "a", "", 1, 1).status == AdmissionStatus.OVERDRAWN
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
-        self.assertTrue(b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted)
+        assert b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted
 
     def test_answers_are_reserved_by_what_they_have_been(self):
         b = budgets(a=plan(tokens_per_min=10**6, burst=10**6, debt=10**6))
         for _ in range(20):
             held = b.admit(T0, WALL, "a", "", 10, 1_000).reservation
             b.settle(T0, held, Usage(10, 0, 100))
-        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount, 110 * MILLI_PER_TOKEN)
-        self.assertEqual(b.admit(T0, WALL, "a", "", 10, 50).reservation.amount, 60 * MILLI_PER_TOKEN)
+        assert b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount == 110 * MILLI_PER_TOKEN
+        assert b.admit(T0, WALL, "a", "", 10, 50).reservation.amount == 60 * MILLI_PER_TOKEN
 
     def test_a_period_ends_under_load_and_each_charge_is_in_one(self):
         b = budgets(a=plan(day=1_000))
         end = (WALL // DAY_S + 1) * DAY_S
         held = b.admit(T0, end - 1, "a", "", 900, 100).reservation
         after = b.admit(T0 + S, end, "a", "", 800, 100)
-        self.assertTrue(after.admitted)
+        assert after.admitted
         b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
-        self.assertEqual(b.balance(T0, end, "a")["day_tokens"], 900)
-        self.assertEqual((held.day, after.reservation.day), (end // DAY_S - 1, end // DAY_S))
+        assert b.balance(T0, end, "a")["day_tokens"] == 900
+        assert (held.day, after.reservation.day) == (end // DAY_S - 1, end // DAY_S)
         stepped = b.admit(T0 + 3 * S, end - 5, "a", "", 50, 10)  # the calendar steps back over midnight
-        self.assertEqual(stepped.reservation.day, end // DAY_S)
-        self.assertEqual(b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason, "a: tokens a day")
+        assert stepped.reservation.day == end // DAY_S
+        assert b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason == "a: tokens a day"
 
     def test_a_clock_that_goes_back_gives_and_takes_nothing(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100))
         b.admit(T0, WALL, "a", "", 90, 10)
         for now in (T0 - 50 * S, T0, T0 - 1, T0):
-            self.assertEqual(b.balance(now, WALL, "a")["remaining_tokens"], 0)
-        self.assertEqual(b.balance(T0 + S, WALL, "a")["remaining_tokens"], 1)
+            assert b.balance(now, WALL, "a")["remaining_tokens"] == 0
+        assert b.balance(T0 + S, WALL, "a")["remaining_tokens"] == 1
 
     def test_a_lower_budget_keeps_what_is_reserved(self):
         b = budgets(a=plan(tokens_per_min=60, burst=1_000))
         held = b.admit(T0, WALL, "a", "", 600, 100).reservation
         b.reconfigure(Plan({"a": plan(tokens_per_min=60, burst=100)}), T0)
-        self.assertEqual(b.balance(T0, WALL, "a")["remaining_tokens"], 100)
+        assert b.balance(T0, WALL, "a")["remaining_tokens"] == 100
         b.settle(T0, held, Usage(600, 0, 350))
-        self.assertEqual(b.balance(T0, WALL, "a")["debt_tokens"], 150)
+        assert b.balance(T0, WALL, "a")["debt_tokens"] == 150
 
     def test_a_key_that_moves_settles_where_it_was_taken(self):
         limit = Limit(tokens_per_min=60, burst=1_000)
         b = budgets(a=plan(key=limit), b=plan(key=limit))
         held = b.admit(T0, WALL, "a", "k", 500, 100).reservation
         moved = b.admit(T0, WALL, "b", "k", 900, 100)
-        self.assertTrue(moved.admitted)
+        assert moved.admitted
         b.settle(T0, held, Usage(100))
-        self.assertEqual(
-            [node.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for node in (b.keys["a", "k"], b.keys["b", "k"])],
-            [900, 0],
-        )
+        assert [
+            node.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for node in (b.keys["a", "k"], b.keys["b", "k"])
+        ] == [900, 0]
 
 
-class BurstCapacityShares(unittest.TestCase):
+class TestBurstCapacityShares:
     def run_load(
         self,
         rates: dict[str, float],
@@ -184,14 +185,15 @@
     def test_three_overspend_fivefold_and_the_fourth_is_never_rejected(self):
         own = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
         served, used, rejected = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
-        self.assertEqual(rejected["d"], 0)
-        self.assertAlmostEqual(served["d"], 50_000, delta=5_000)
+        assert rejected["d"] == 0
+        assert served["d"] == pytest.approx(50_000, abs=5_000)
         for name in "abc":
-            self.assertAlmostEqual(served[name], 250_000 / 3, delta=5_000)
-        self.assertGreater(used, 0.95)
+            assert served[name] == pytest.approx(250_000 / 3, abs=5_000)
+        assert used > 0.95
 
-    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(self):
-        cases = (
+    @pytest.mark.parametrize(
+        ("weights", "rates", "wanted"),
+        [
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 400_000}, {"a": 50_000, "b": 150_000}),
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 60_000}, {"a": 140_000, "b": 60_000}),
             (
@@ -199,20 +201,20 @@
                 {"a": 20_000, "b": 400_000, "c": 400_000},
                 {"a": 20_000, "b": 60_000, "c": 120_000},
             ),
-        )
-        for weights, rates, wanted in cases:
-            with self.subTest(weights=weights, rates=rates):
-                own = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
-                served, used, _ = self.run_load(rates, own, 200_000)
-                self.assertGreater(used, 0.95)
-                for name, share in wanted.items():
-                    self.assertAlmostEqual(served[name], share, delta=0.12 * share)
+        ],
+    )
+    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(self, weights, rates, wanted):
+        own = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
+        served, used, _ = self.run_load(rates, own, 200_000)
+        assert used > 0.95
+        for name, share in wanted.items():
+            assert served[name] == pytest.approx(share, abs=0.12 * share)
 
     def test_without_weight_there_is_no_burst_capacity(self):
         own = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
         served, _, rejected = self.run_load({"a": 60_000}, own, 600_000)
-        self.assertAlmostEqual(served["a"], 6_000, delta=700)
-        self.assertGreater(rejected["a"], 500)
+        assert served["a"] == pytest.approx(6_000, abs=700)
+        assert rejected["a"] > 500
 
     def test_ten_thousand_tenants_wake_in_one_second(self):
         b = Budgets(
@@ -220,15 +222,15 @@
         )
         for k in range(10_000):
             decision = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
-            self.assertEqual(decision.status, AdmissionStatus.WITHIN_LIMIT)
+            assert decision.status == AdmissionStatus.WITHIN_LIMIT
             b.settle(T0 + k * 100, decision.reservation, Usage(90, 0, 10))
-        self.assertEqual(
-            b.admit(T0 + S, WALL, "t1", "", 190, 10).status, AdmissionStatus.OVER_LIMIT
+        assert (
+            b.admit(T0 + S, WALL, "t1", "", 190, 10).status == AdmissionStatus.OVER_LIMIT
         )  # guaranteed work has taken all
         now = T0 + 30 * S
         for _ in range(1_000):
             now = b.tick(now)
-        self.assertEqual(len(b.tenants), 10_000)  # what was used in a period is not forgotten before its end
+        assert len(b.tenants) == 10_000  # what was used in a period is not forgotten before its end
 
     def test_tenants_that_have_used_nothing_are_forgotten(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100))
@@ -237,10 +239,10 @@
         now = T0 + 30 * S
         for _ in range(60):
             now = b.tick(now)
-        self.assertEqual(len(b.tenants), 0)
+        assert len(b.tenants) == 0
 
 
-class RebuiltFromTheJournal(unittest.TestCase):
+class TestRebuiltFromTheJournal:
     def test_a_snapshot_and_the_charges_behind_it_make_the_same_balances(self):
         rng = random.Random(3)
         made = Plan(
@@ -290,15 +292,15 @@
             rebuild(again, state, journal, now)
             live.settle(now, held.reservation, None) if held.reservation else None
             for tenant in "ab":
-                self.assertEqual(again.balance(now + S, WALL, tenant), live.balance(now + S, WALL, tenant))
-                self.assertEqual(
-                    again.admit(now, WALL, tenant, "k", 1, 50).reservation is None,
-                    live.admit(now, WALL, tenant, "k", 1, 50).reservation is None,
+                assert again.balance(now + S, WALL, tenant) == live.balance(now + S, WALL, tenant)
+                assert (again.admit(now, WALL, tenant, "k", 1, 50).reservation is None) == (
+                    live.admit(now, WALL, tenant, "k", 1, 50).reservation is None
                 )
 
     def test_a_state_of_another_version_is_rejected(self):
-        with self.assertRaises(ValueError):
-            budgets().restore({"version": 2}, T0)
+        fresh = budgets()
+        with pytest.raises(ValueError, match="balances of version 2 cannot be read"):
+            fresh.restore({"version": 2}, T0)
 
 
 class BudgetMachine(RuleBasedStateMachine):
