--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -6,10 +6,9 @@
 import signal
 import subprocess
 import sys
-import tempfile
 import threading
-import unittest
-from unittest.mock import patch
+
+import pytest
 
 from pearhill.durable.frames import FRAME_HEAD, TornFrameError, decode_frames, encode_frame
 from pearhill.durable.journal import Journal
@@ -17,13 +16,13 @@
 from tests.standins import ROOT
 
 SEED = 20261201
+TWO_FRAMES = encode_frame(1, b"one") + encode_frame(2, b"two")
 
 
-class JournalCase(unittest.TestCase):
-    def setUp(self) -> None:
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.folder = pathlib.Path(made.name)
+class JournalCase:
+    @pytest.fixture(autouse=True)
+    def begin(self, tmp_path: pathlib.Path) -> None:
+        self.folder = tmp_path
         self.synced, self.failures, self.changed = 0, [], threading.Condition()
 
     def on_synced(self, seq: int) -> None:
@@ -41,13 +40,13 @@
 
     def wait_synced(self, seq: int) -> None:
         with self.changed:
-            self.assertTrue(self.changed.wait_for(lambda: self.synced >= seq, 20))
+            assert self.changed.wait_for(lambda: self.synced >= seq, 20)
 
     def bodies(self) -> list[bytes]:
         return [one.body for one in read_frames(self.folder)]
 
 
-class WrittenAndRead(JournalCase):
+class TestWrittenAndRead(JournalCase):
     def test_what_was_appended_comes_back_in_order_and_once(self):
         wanted = []
         for _ in range(3):
@@ -55,10 +54,10 @@
             for _ in range(20):
                 wanted.append(b"body %d" % len(wanted))
                 self.wait_synced(journal.append(wanted[-1]) - 3)
-            self.assertTrue(journal.close())
-        self.assertEqual(self.bodies(), wanted)
-        self.assertEqual(self.synced, len(wanted))
-        self.assertGreater(len(segments(self.folder)), 3)
+            assert journal.close()
+        assert self.bodies() == wanted
+        assert self.synced == len(wanted)
+        assert len(segments(self.folder)) > 3
 
     def test_cut_at_every_byte_it_reads_as_what_was_whole_before(self):
         journal = self.open()
@@ -76,26 +75,25 @@
             path.with_suffix(".torn").unlink(missing_ok=True)
             whole = sum(end <= cut for end in ends) - 1
             found = recover(self.folder)
-            self.assertEqual([f.body for f in found.frames], wanted[:whole])
-            self.assertEqual((found.seq, found.torn_bytes), (whole, cut - ends[whole]))
-            self.assertEqual(path.stat().st_size, ends[whole])
+            assert [f.body for f in found.frames] == wanted[:whole]
+            assert (found.seq, found.torn_bytes) == (whole, cut - ends[whole])
+            assert path.stat().st_size == ends[whole]
             if found.torn_bytes:  # nothing is thrown away
-                self.assertEqual(path.with_suffix(".torn").read_bytes(), data[ends[whole] : cut])
+                assert path.with_suffix(".torn").read_bytes() == data[ends[whole] : cut]
             again = Journal(self.folder, found.seq, self.on_synced, self.on_failure)
             again.append(b"after")
-            self.assertTrue(again.close())
-            self.assertEqual(self.bodies(), [*wanted[:whole], b"after"])
+            assert again.close()
+            assert self.bodies() == [*wanted[:whole], b"after"]
             for other in segments(self.folder):
                 if other != path:
                     other.unlink()
 
-    def test_a_changed_byte_is_found_wherever_it_stands(self):
-        data = encode_frame(1, b"one") + encode_frame(2, b"two")
-        for at in range(len(data)):
-            spoilt = bytearray(data)
-            spoilt[at] ^= 1
-            with self.subTest(at=at), self.assertRaises(TornFrameError):
-                list(decode_frames(bytes(spoilt)))
+    @pytest.mark.parametrize("at", range(len(TWO_FRAMES)))
+    def test_a_changed_byte_is_found_wherever_it_stands(self, at):
+        spoilt = bytearray(TWO_FRAMES)
+        spoilt[at] ^= 1
+        with pytest.raises(TornFrameError):
+            list(decode_frames(bytes(spoilt)))
 
     def test_damage_in_the_middle_is_not_cut_away(self):
         journal = self.open(segment_bytes=60)
@@ -107,9 +105,9 @@
         data = bytearray(first.read_bytes())
         data[-1] ^= 1
         first.write_bytes(bytes(data))
-        with self.assertRaises(CorruptJournalError):
+        with pytest.raises(CorruptJournalError):
             recover(self.folder)
-        self.assertEqual(first.read_bytes(), bytes(data))
+        assert first.read_bytes() == bytes(data)
 
     def test_a_snapshot_replaces_what_came_before_it(self):
         journal = self.open(segment_bytes=50)
@@ -120,22 +118,31 @@
         journal.append(b"after")
         journal.close()
         found = recover(self.folder)
-        self.assertEqual((len(found.state), found.state_seq, [f.body for f in found.frames]), (2 << 20, 5, [b"after"]))
+        assert (len(found.state), found.state_seq, [f.body for f in found.frames]) == (2 << 20, 5, [b"after"])
         newest = max(self.folder.glob("*.state"))
         newest.write_bytes(newest.read_bytes()[:-1])  # it is not whole: all that it stood for is there still
         found = recover(self.folder)
-        self.assertEqual((found.state, len(found.frames)), (None, 6))
+        assert (found.state, len(found.frames)) == (None, 6)
         for lost in (0, -1):
             segments(self.folder)[lost].unlink()
-            with self.assertRaises(CorruptJournalError):
+            with pytest.raises(CorruptJournalError):
                 recover(self.folder)
         for path in segments(self.folder):
             path.unlink()
-        with self.assertRaises(CorruptJournalError):
+        with pytest.raises(CorruptJournalError):
             recover(self.folder)
 
 
-class FailingDisk(JournalCase):
+def append_often(journal: Journal) -> None:
+    for _ in range(100):
+        journal.append(b"x" * 50)
+
+
+class TestFailingDisk(JournalCase):
+    @pytest.fixture(autouse=True)
+    def patch_with(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.monkeypatch = monkeypatch
+
     def fail(self, name: str, times: int, error: OSError, partly: bool = False) -> None:
         real, left = getattr(os, name), [times]
 
@@ -147,38 +154,31 @@
                 raise error
             return real(*arguments)
 
-        patched = patch(f"pearhill.durable.journal.os.{name}", call)
-        patched.start()
-        self.addCleanup(patched.stop)
-        shorter = patch("pearhill.durable.journal.RETRY_INTERVAL_S", 0.01)
-        shorter.start()
-        self.addCleanup(shorter.stop)
-
-    def test_a_disk_that_fails_for_a_while_loses_and_doubles_nothing(self):
-        for name, partly in (("write", False), ("write", True), ("fsync", False)):
-            with self.subTest(name=name, partly=partly):
-                self.setUp()
-                journal = self.open()
-                journal.append(b"before")
-                self.wait_synced(1)
-                self.fail(name, 3, OSError(28, "No space left on device"), partly)
-                for k in range(5):
-                    journal.append(b"%d" % k)
-                self.wait_synced(6)
-                self.assertTrue(journal.close())
-                self.assertEqual(self.bodies(), [b"before", *(b"%d" % k for k in range(5))])
-                self.assertEqual(recover(self.folder).seq, 6)
-                self.assertEqual([e is None for e in self.failures], [False, True])
+        self.monkeypatch.setattr(f"pearhill.durable.journal.os.{name}", call)
+        self.monkeypatch.setattr("pearhill.durable.journal.RETRY_INTERVAL_S", 0.01)
+
+    @pytest.mark.parametrize(("name", "partly"), [("write", False), ("write", True), ("fsync", False)])
+    def test_a_disk_that_fails_for_a_while_loses_and_doubles_nothing(self, name, partly):
+        journal = self.open()
+        journal.append(b"before")
+        self.wait_synced(1)
+        self.fail(name, 3, OSError(28, "No space left on device"), partly)
+        for k in range(5):
+            journal.append(b"%d" % k)
+        self.wait_synced(6)
+        assert journal.close()
+        assert self.bodies() == [b"before", *(b"%d" % k for k in range(5))]
+        assert recover(self.folder).seq == 6
+        assert [e is None for e in self.failures] == [False, True]
 
     def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self):
         self.fail("write", -1, OSError(5, "Input/output error"))
         journal = self.open(max_waiting_bytes=300)
-        with self.assertRaises(BufferError):
-            for _ in range(100):
-                journal.append(b"x" * 50)
+        with pytest.raises(BufferError, match="too much waits for the disk"):
+            append_often(journal)
         with self.changed:
-            self.assertTrue(self.changed.wait_for(lambda: self.failures, 20))
-        self.assertFalse(journal.close())
+            assert self.changed.wait_for(lambda: self.failures, 20)
+        assert not journal.close()
 
 
 WRITER = """
@@ -197,7 +197,7 @@
 """
 
 
-class KilledProcess(JournalCase):
+class TestKilledProcess(JournalCase):
     def test_whatever_was_acknowledged_before_a_kill_is_there_once(self):
         """200 points in the measurement; here a few, seeded."""
         rounds = int(os.environ.get("PEARHILL_KILLS", "8"))
@@ -217,10 +217,9 @@
             process.wait()
             acked = max([acked, *map(int, rest[:-1] if rest and not rest[-1].isdigit() else rest)])
             found = recover(self.folder)
-            with self.subTest(turn=turn):
-                self.assertGreaterEqual(found.seq, acked)
-                every = read_frames(self.folder)
-                self.assertEqual([f.seq for f in every], list(range(1, found.seq + 1)))
-                self.assertEqual([f.body for f in every], [b"%d" % f.seq for f in every])
-                if found.state is not None:
-                    self.assertEqual(int(found.state), found.state_seq)
+            assert found.seq >= acked, turn
+            every = read_frames(self.folder)
+            assert [f.seq for f in every] == list(range(1, found.seq + 1)), turn
+            assert [f.body for f in every] == [b"%d" % f.seq for f in every], turn
+            if found.state is not None:
+                assert int(found.state) == found.state_seq, turn
