--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -4,12 +4,14 @@
 
 from __future__ import annotations
 
+import contextlib
 import copy
 import json
-import unittest
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any
 
+import pytest
+
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Standin, dead_address, platform
 
 UNLIKE_FIRST: dict[str, Any] = copy.deepcopy(SETTINGS)
@@ -40,7 +42,36 @@
     return lambda h: h.plain(200, f"active=3,waiting=1,x0={x0},x1={x1}".encode())
 
 
-class LoadReportsOfReplicas(unittest.TestCase):
+def never(h: Any) -> None:
+    h.standin.go.wait(20)
+
+
+def cut(h: Any) -> None:
+    h.send_response(200)
+    h.send_header("Content-Length", "40")
+    h.end_headers()
+    h.wfile.write(b"x0=0.1,")
+    h.close_connection = True
+
+
+BAD_REPORTS: list[Answer] = [
+    lambda h: h.plain(404),
+    lambda h: h.plain(503),
+    lambda h: h.plain(200),
+    lambda h: h.plain(500, b"x0=0,x1=0"),
+    report("nan", 1),
+    report(-1, 2),
+    report(0.5, "1,x1=9"),
+    lambda h: h.plain(200, b"z" * 65536),
+]
+
+
+class TestLoadReportsOfReplicas:
+    @pytest.fixture(autouse=True)
+    def clean_up(self) -> Iterator[None]:
+        with contextlib.ExitStack() as self.cleanup:
+            yield
+
     def start(self, settings: dict[str, Any] = UNLIKE_FIRST, first_is_dead: bool = False) -> None:
         """Two prefill and two decode replicas; `reports` is what each answers to a health check."""
         self.servers = [Standin() for _ in range(4)]
@@ -55,8 +86,8 @@
         self.discovery = Discovery(*targets)
         self.program = platform(self.discovery.address, settings=settings)
         for thing in (*self.servers, self.discovery):
-            self.addCleanup(thing.close)
-        self.addCleanup(self.program.kill)
+            self.cleanup.callback(thing.close)
+        self.cleanup.callback(self.program.kill)
         self.program.wait_ready()
 
     def respond(self, n: int, h: Any) -> None:
@@ -89,65 +120,52 @@
     def test_a_choice_follows_the_reports_and_costs_two_health_checks(self):
         self.start()
         self.reports = [report(0.1, 60), report(0.1, 0.4), report(0.3, 0), report(0.8, 0)]
-        self.assertEqual([self.ask(f"a{n}") for n in range(6)], [200] * 6)
-        self.assertEqual(self.runs(), [0, 6, 6, 0])
-        self.assertLessEqual(self.program.counters()["probes"]["answered"], 6 * 4)
-
-    def test_whatever_a_health_check_brings_every_request_is_answered_once(self):
-        def never(h: Any) -> None:
-            self.servers[0].go.wait(20)
-
-        def cut(h: Any) -> None:
-            h.send_response(200)
-            h.send_header("Content-Length", "40")
-            h.end_headers()
-            h.wfile.write(b"x0=0.1,")
-            h.close_connection = True
-
-        bad_reports: list[Answer] = [
-            lambda h: h.plain(404),
-            lambda h: h.plain(503),
-            lambda h: h.plain(200),
-            lambda h: h.plain(500, b"x0=0,x1=0"),
-            report("nan", 1),
-            report(-1, 2),
-            report(0.5, "1,x1=9"),
-            lambda h: h.plain(200, b"z" * 65536),
-        ]
+        assert [self.ask(f"a{n}") for n in range(6)] == [200] * 6
+        assert self.runs() == [0, 6, 6, 0]
+        assert self.program.counters()["probes"]["answered"] <= 6 * 4
+
+    @pytest.mark.parametrize(
+        "answers",
+        [
+            pytest.param(BAD_REPORTS, id="bad reports"),  # the others eject replicas
+            pytest.param([cut], id="cut"),
+            pytest.param([lambda h: h.connection.close()], id="closed"),
+            pytest.param([never], id="never"),
+        ],
+    )
+    def test_whatever_a_health_check_brings_every_request_is_answered_once(self, answers):
         retries: tuple[dict[str, str], ...] = ({}, {"Client-Retry": "again"}, {"Client-Retry": "perhaps"})
-        for answers in (bad_reports, [cut], [lambda h: h.connection.close()], [never]):  # the last three eject replicas
-            self.start()
-            for n, answer in enumerate(answers):
-                with self.subTest(n):
-                    self.reports = [answer] * 4
-                    before = sum(self.runs())
-                    for k, retry in enumerate(retries):
-                        self.assertEqual(self.ask(f"{n}-{k}", **retry), 200)
-                    self.assertEqual(sum(self.runs()) - before, 6)  # a prefill and an answer each, and nothing twice
-                    self.assertIn(("GET", "/status/load"), self.servers[0].calls)
-            counters = self.program.counters()
-            self.assertEqual((counters["faults"], counters["failed"], counters["refused"]), (0, 0, 0))
+        self.start()
+        for n, answer in enumerate(answers):
+            self.reports = [answer] * 4
+            before = sum(self.runs())
+            for k, retry in enumerate(retries):
+                assert self.ask(f"{n}-{k}", **retry) == 200, n
+            assert sum(self.runs()) - before == 6, n  # a prefill and an answer each, and nothing twice
+            assert ("GET", "/status/load") in self.servers[0].calls
+        counters = self.program.counters()
+        assert (counters["faults"], counters["failed"], counters["refused"]) == (0, 0, 0)
 
     def test_a_dead_replica_is_found_by_a_health_check_and_costs_no_attempt(self):
         self.start(first_is_dead=True)
-        self.assertEqual([self.ask(f"d{n}") for n in range(8)], [200] * 8)
+        assert [self.ask(f"d{n}") for n in range(8)] == [200] * 8
         counters = self.program.counters()
-        self.assertEqual(self.runs(), [0, 8] + self.runs()[2:])
-        self.assertEqual((counters["sent"], counters["probes"]["unreachable"] >= 1), (16, True))
+        assert self.runs() == [0, 8] + self.runs()[2:]
+        assert (counters["sent"], counters["probes"]["unreachable"] >= 1) == (16, True)
 
     def test_a_tenant_that_is_unknown_and_one_without_a_quota_are_served(self):
         self.start()
-        self.assertEqual(
-            [self.ask(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))], [200] * 3
-        )
-
-    def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self):
-        for changes in (
-            {"n-instances": 3},
-            {"report": {"via": "off", "columns": []}},
-            {"allowed": {**UNLIKE_FIRST["allowed"], "probing": False}},
-        ):
-            with self.subTest(changes):
-                self.start({**UNLIKE_FIRST, **changes})
-                self.assertEqual([self.ask(f"f{n}") for n in range(3)], [200] * 3)
-                self.assertFalse([path for s in self.servers for _, path in s.calls if path == "/status/load"])
+        assert [self.ask(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))] == [200] * 3
+
+    @pytest.mark.parametrize(
+        "changes",
+        [
+            pytest.param({"n-instances": 3}, id="few dispatchers"),
+            pytest.param({"report": {"via": "off", "columns": []}}, id="no reports"),
+            pytest.param({"allowed": {**UNLIKE_FIRST["allowed"], "probing": False}}, id="not allowed"),
+        ],
+    )
+    def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self, changes):
+        self.start({**UNLIKE_FIRST, **changes})
+        assert [self.ask(f"f{n}") for n in range(3)] == [200] * 3
+        assert not [path for s in self.servers for _, path in s.calls if path == "/status/load"]
