--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -2,9 +2,10 @@
 
 import contextlib
 import random
-import unittest
+from collections.abc import Iterator
 from typing import Any
 
+import pytest
 from loguru import logger
 
 from pearhill.core.deadlines import Deadlines
@@ -19,14 +20,16 @@
 CODEC = AggregationCodec([b"k" * 16])
 
 
-class Case(unittest.TestCase):
-    def setUp(self) -> None:
+class Case:
+    @pytest.fixture(autouse=True)
+    def begin(self) -> Iterator[None]:
         self.now, self.sent, self.lines = 1000 * S, list[tuple[bytes, Any]](), list[str]()
         self.deadlines = Deadlines(lambda: self.now)
         self.datagrams = Datagrams(self.deadlines)
         self.datagrams.connection_made(self)  # type: ignore[arg-type]
         sink = logger.add(self.lines.append, format="{message}")
-        self.addCleanup(logger.remove, sink)
+        yield
+        logger.remove(sink)
 
     # The transport's side.
     def is_closing(self) -> bool:
@@ -54,22 +57,23 @@
         self.datagrams.receivers[2] = receiver
         for data in (b"\2", b"\2x", b"\2x", b"\1", b""):
             self.datagrams.datagram_received(data, ("10.0.0.9", 77))
-        self.assertEqual(
-            self.datagrams.counts,
-            {"received": 5, "bytes_in": 6, "taken": 1, "rejected forged": 2, "rejected version": 1, "rejected size": 1},
-        )
-        self.assertEqual(len(self.lines), 1)
+        assert self.datagrams.counts == {
+            "received": 5,
+            "bytes_in": 6,
+            "taken": 1,
+            "rejected forged": 2,
+            "rejected version": 1,
+            "rejected size": 1,
+        }
+        assert len(self.lines) == 1
         self.run_for(REJECTION_LOG_INTERVAL_US)
         self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing logged
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
-        self.assertEqual(
-            [str(line).strip() for line in self.lines],
-            [
-                "fleet: 1 datagrams are not taken: reasons=forged:1, the last from 10.0.0.9:77",
-                "fleet: 3 datagrams are not taken: reasons=forged:1,size:1,version:1, the last from 10.0.0.9:77",
-                "fleet: 1 datagrams are not taken: reasons=version:1, the last from 10.0.0.8:77",
-            ],
-        )
+        assert [str(line).strip() for line in self.lines] == [
+            "fleet: 1 datagrams are not taken: reasons=forged:1, the last from 10.0.0.9:77",
+            "fleet: 3 datagrams are not taken: reasons=forged:1,size:1,version:1, the last from 10.0.0.9:77",
+            "fleet: 1 datagrams are not taken: reasons=version:1, the last from 10.0.0.8:77",
+        ]
 
 
 class TestAggregation(Case):
@@ -77,7 +81,7 @@
         aggregator = Aggregator("a1", ["a2"], self.now, random.Random(1))
         driver = Aggregation(aggregator, CODEC, {"a2": ("10.0.0.2", 2)}, self.deadlines, self.datagrams)
         driver.start()
-        self.assertEqual({address for _, address in self.sent}, {("10.0.0.2", 2)})
+        assert {address for _, address in self.sent} == {("10.0.0.2", 2)}
         self.sent.clear()
 
         def receive_hello(sender: str, sequence: int, address: tuple[str, int]) -> list[Any]:
@@ -87,10 +91,10 @@
 
         for sequence, port in ((1, 11), (2, 12)):  # a dispatcher may move
             ((answer, to),) = receive_hello("d1", sequence, ("10.0.0.3", port))
-            self.assertIsInstance(answer, HelloAck)
-            self.assertEqual(to, ("10.0.0.3", port))
-        self.assertEqual(receive_hello("d1", 2, ("6.6.6.6", 6)), [])  # sent again by somebody: nothing goes there
-        self.assertEqual(receive_hello("a2", 1, ("6.6.6.6", 6)), [])
+            assert isinstance(answer, HelloAck)
+            assert to == ("10.0.0.3", port)
+        assert receive_hello("d1", 2, ("6.6.6.6", 6)) == []  # sent again by somebody: nothing goes there
+        assert receive_hello("a2", 1, ("6.6.6.6", 6)) == []
 
 
 class TestReporting(Case):
@@ -110,7 +114,7 @@
                 return []
 
             def receive(self, now: int, frame: Any, size: int) -> list[Any]:
-                case.assertEqual(size, len(case.data))
+                assert size == len(case.data)
                 return []
 
             def count(self, now: int) -> int:
@@ -135,14 +139,12 @@
         for _ in range(100):
             self.datagrams.datagram_received(self.data, at)
             self.run_for(MIN_TICK_INTERVAL_US // 10)
-        self.assertGreaterEqual(len(reporter.ticks), 14)
-        self.assertTrue(
-            all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.ticks, reporter.ticks[1:], strict=False))
-        )
-        self.assertEqual(counts[:2], [2, 3])
+        assert len(reporter.ticks) >= 14
+        assert all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.ticks, reporter.ticks[1:], strict=False))
+        assert counts[:2] == [2, 3]
         driver.close()  # leaves, and neither sends nor receives any more
-        self.assertEqual([(len(data), address) for data, address in self.sent], [(reporter.sizes[0], at)])
+        assert [(len(data), address) for data, address in self.sent] == [(reporter.sizes[0], at)]
         ticks = len(reporter.ticks)
         self.run_for(S)
         self.datagrams.datagram_received(self.data, at)
-        self.assertEqual((len(reporter.ticks), self.datagrams.counts["rejected version"]), (ticks, 1))
+        assert (len(reporter.ticks), self.datagrams.counts["rejected version"]) == (ticks, 1)
