--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -6,6 +6,8 @@
 import unittest
 from unittest.mock import Mock, patch
 
+import pytest
+
 from pearhill.core.deadlines import Deadlines
 from pearhill.counters import Counters
 from pearhill.net.backend import HttpBackend
@@ -47,7 +49,7 @@
             for _ in range(room):
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
-                with self.assertRaises(PoolExhaustedError):
+                with pytest.raises(PoolExhaustedError):
                     await self.pool.acquire(self.address, no_more)
 
     async def test_a_full_pool_is_no_fault_of_the_replica(self):
@@ -70,7 +72,7 @@
                 task = backend.exchanges[attempt].task
                 for _ in range(100):
                     await asyncio.sleep(0)
-                self.assertFalse(task.done(), errno.errorcode[number])
+                assert not task.done(), errno.errorcode[number]
                 self.now += 10**6  # the time for a connection is over
                 while not task.done():
                     self.deadlines.sweep()
@@ -92,24 +94,24 @@
         self.now = attempt.send_before
         self.deadlines.sweep()
         attempt.withdraw.assert_called_once_with()
-        self.assertTrue(backend.has_started(attempt))
-        self.assertTrue(backend.cancel(attempt))
+        assert backend.has_started(attempt)
+        assert backend.cancel(attempt)
 
     async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self):
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
             backend.update_addresses({n: self.address}, [], full=True)  # each list names one replica, and a new one
-            self.assertIn(n - 1 if n else n, backend.addresses)  # a release may still be owed to the last one
+            assert (n - 1 if n else n) in backend.addresses  # a release may still be owed to the last one
             self.now += 1_000_000
             self.deadlines.sweep()
-        self.assertLess(len(backend.addresses), 100)
+        assert len(backend.addresses) < 100
         backend.update_addresses({}, [999], full=False)
         backend.update_addresses({999: self.address}, [], full=False)  # it is back
         self.now += 100_000_000
         self.deadlines.sweep()
-        self.assertEqual(set(backend.addresses), {999})
+        assert set(backend.addresses) == {999}
         connection = await self.pool.acquire(self.address)
         self.pool.put_back(connection)
-        self.assertEqual(list(self.pool.idle), [self.address])
+        assert list(self.pool.idle) == [self.address]
         backend.update_addresses({}, [999], full=False)
-        self.assertEqual((self.pool.idle, connection.closed), ({}, True))
+        assert (self.pool.idle, connection.closed) == ({}, True)
