--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -106,14 +106,14 @@
             with self.subTest(step_s=step_s):
                 old = self.start_process()
                 old.wait_ready()
-                self.assertEqual(self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0], 200)
+                assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
                 with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
                     new = self.start_process(SOAK_COMMANDS=f"wall {step_s}")
                 old.wait_line("another takes the clients")
                 self.wait_for(lambda new=new: self.is_ready(new))
-                self.assertEqual(json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"], 1)
+                assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
                 old.stop()
-                self.assertEqual(self.call_admin(new, "POST", "/ops/replicas/up?target=s-0")[0], 200)
+                assert self.call_admin(new, "POST", "/ops/replicas/up?target=s-0")[0] == 200
                 new.kill()
 
 
@@ -128,4 +128,4 @@
         with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
             new = self.start_process(SOAK_COMMANDS="fail write-file ENOSPC 1")
         self.wait_for(lambda: self.is_ready(new))
-        self.assertGreater(time.monotonic() - began, READY_WITHIN_US / 1e6)
+        assert time.monotonic() - began > READY_WITHIN_US / 1e6
