--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -11,12 +11,14 @@
 import tempfile
 import threading
 import time
-import unittest
+from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import replace
 from types import SimpleNamespace
 from typing import Any
 
+import pytest
+
 from pearhill import settings
 from pearhill.core.replica_ids import replica_id
 from pearhill.net.clock import start_clock
@@ -50,7 +52,12 @@
     }
 
 
-class PlatformCase(unittest.TestCase):
+class PlatformCase:
+    @pytest.fixture(autouse=True)
+    def clean_up(self) -> Iterator[None]:
+        with contextlib.ExitStack() as self.cleanup:
+            yield
+
     def start(self, *kinds: str, **changes: Any) -> list[Standin]:
         servers = [Standin() for _ in kinds]
         self.discovery = Discovery(
@@ -58,25 +65,25 @@
         )
         self.program = platform(self.discovery.address, **changes)
         for thing in (*servers, self.discovery):
-            self.addCleanup(thing.close)
-        self.addCleanup(self.program.kill)
+            self.cleanup.callback(thing.close)
+        self.cleanup.callback(self.program.kill)
         if kinds:
             self.program.wait_ready()
         return servers
 
 
-class Serving(PlatformCase):
+class TestServing(PlatformCase):
     def test_two_stages_pass_everything_on_unchanged(self):
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(202, b'{"cached_tokens":0}')
         status, _, body = self.program.ask("POST", PATH + "?q=1", BODY, headers("abc"))
-        self.assertEqual((status, body), (200, b"".join(TOKENS) + LAST))
+        assert (status, body) == (200, b"".join(TOKENS) + LAST)
         for server in (reader, writer):
-            self.assertEqual(server.calls, [("POST", PATH + "?q=1")])
-            self.assertEqual(server.bodies, [BODY])
-            self.assertEqual(server.headers[0]["Request-Id"], "abc")
+            assert server.calls == [("POST", PATH + "?q=1")]
+            assert server.bodies == [BODY]
+            assert server.headers[0]["Request-Id"] == "abc"
         counters = self.program.counters()
-        self.assertEqual((counters["taken"], counters["sent"], counters["served"]), (1, 2, 1))
+        assert (counters["taken"], counters["sent"], counters["served"]) == (1, 2, 1)
 
     def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self):
         """The replicas discard repeats by it; who has none sends none on."""
@@ -90,39 +97,38 @@
             {(h["Request-Id"], h.get("Idempotency-Key")) for h in server.headers if "Request-Id" in h}
             for server in servers
         ]
-        self.assertEqual(got[0] & got[1] & {("k1", "f882f41b")}, {("k1", "f882f41b")})
-        self.assertEqual(got[0] | got[1], {("k1", "f882f41b"), ("k2", None)})
+        assert got[0] & got[1] & {("k1", "f882f41b")} == {("k1", "f882f41b")}
+        assert got[0] | got[1] == {("k1", "f882f41b"), ("k2", None)}
 
     def test_a_booking_that_may_have_run_is_not_sent_again(self):
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(500)
         status, _, _ = self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))
-        self.assertEqual(status, 500)
-        self.assertEqual(sum(s.runs for s in servers), 1)
-
-    def test_a_503_proves_nothing_without_its_mark(self):
-        for mark, status, again in (({}, 500, False), ({"Not_Started": "1"}, 503, True)):
-            with self.subTest(mark=mark):
-                servers = self.start("all-in-one", "all-in-one")
-                for server in servers:
-                    server.respond = lambda h, b, mark=mark: h.plain(503, **mark)
-                self.assertEqual(self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0], status)
-                self.assertEqual(sum(s.runs for s in servers) > 1, again)
+        assert status == 500
+        assert sum(s.runs for s in servers) == 1
+
+    @pytest.mark.parametrize(("mark", "status", "again"), [({}, 500, False), ({"Not_Started": "1"}, 503, True)])
+    def test_a_503_proves_nothing_without_its_mark(self, mark, status, again):
+        servers = self.start("all-in-one", "all-in-one")
+        for server in servers:
+            server.respond = lambda h, b: h.plain(503, **mark)
+        assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
+        assert (sum(s.runs for s in servers) > 1) == again
 
     def test_a_dead_replica_costs_one_attempt_and_a_refusal_tells_when_to_come_back(self):
         (alive,) = self.start("all-in-one")
         self.discovery.update(("s-9", dead_address(), "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?", 2)
         status, _, _ = self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))
-        self.assertEqual((status, alive.runs), (503, 0))
-        self.assertGreaterEqual(self.program.counters()["outcomes"]["unreachable"], 1)
+        assert (status, alive.runs) == (503, 0)
+        assert self.program.counters()["outcomes"]["unreachable"] >= 1
 
     def test_a_silent_replica_is_given_up_by_the_deadline(self):
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: server.go.wait(20)
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0], 500)
-        self.assertEqual(server.runs, 1)
+        assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
+        assert server.runs == 1
 
     def test_a_broken_stream_is_closed_without_its_last_chunk(self):
         (server,) = self.start("all-in-one")
@@ -138,17 +144,17 @@
                 f"POST {PATH} HTTP/1.1\r\nHost: a\r\n{head}Content-Length: {len(BODY)}\r\n\r\n".encode() + BODY
             )
             got = b"".join(iter(lambda: client.recv(4096), b""))
-        self.assertIn(b"one ", got)
-        self.assertFalse(got.endswith(b"0\r\n\r\n"))
-        self.assertEqual(server.runs, 1)
+        assert b"one " in got
+        assert not got.endswith(b"0\r\n\r\n")
+        assert server.runs == 1
 
     def test_what_a_reader_holds_is_released_when_no_writer_takes_it(self):
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         writer.respond = lambda h, b: h.plain(204 if h.command == "DELETE" else 500)
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers("b7", "job-booking"))[0], 500)
+        assert self.program.ask("POST", PATH, BODY, headers("b7", "job-booking"))[0] == 500
         reader.wait_for("DELETE", "/state/b7")
-        self.assertEqual(writer.runs, 1)
+        assert writer.runs == 1
 
     def test_a_read_cut_off_in_flight_is_released_too(self):
         reader, _ = self.start("reader", "writer")
@@ -158,10 +164,10 @@
         reader.wait_for("POST")
         connection.close()  # the client leaves
         reader.wait_for("DELETE", "/state/c3")
-        self.assertEqual(self.program.counters()["left"], 1)
+        assert self.program.counters()["left"] == 1
 
 
-class Input(PlatformCase):
+class TestInput(PlatformCase):
     def test_bad_input_is_a_plain_4xx_and_counted(self):
         (server,) = self.start("all-in-one")
         good = headers()
@@ -176,10 +182,9 @@
             (413, b"x" * 300_000, good),
         ]
         for status, body, given in cases:
-            with self.subTest(given=given, body=body[:9]):
-                self.assertEqual(self.program.ask("POST", PATH, body, given)[0], status)
-        self.assertEqual(self.program.ask("GET", "/nothing")[0], 404)
-        self.assertEqual(self.program.ask("GET", PATH)[0], 405)
+            assert self.program.ask("POST", PATH, body, given)[0] == status, (given, body[:9])
+        assert self.program.ask("GET", "/nothing")[0] == 404
+        assert self.program.ask("GET", PATH)[0] == 405
         raw = [
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", b"400"),
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", b"400"),
@@ -189,12 +194,12 @@
         ]
         for sent, status in raw:
             address = self.program.host, self.program.port
-            with self.subTest(sent=sent[:60]), socket.create_connection(address, 20) as s:
+            with socket.create_connection(address, 20) as s:
                 s.sendall(sent)
                 got = b"".join(iter(lambda s=s: s.recv(4096), b""))
-                self.assertEqual(got.split(b" ")[1], status)
-        self.assertEqual(self.program.counters()["rejected"], len(cases) + len(raw) + 2)
-        self.assertEqual(server.calls, [])
+            assert got.split(b" ")[1] == status, sent[:60]
+        assert self.program.counters()["rejected"] == len(cases) + len(raw) + 2
+        assert server.calls == []
 
     def test_nothing_behind_bad_input_is_served(self):
         (server,) = self.start("all-in-one")
@@ -206,7 +211,7 @@
         with socket.create_connection((self.program.host, self.program.port), 20) as s:
             s.sendall(request("bad", "unheard-of") + request("good", "advice"))
             got = b"".join(iter(lambda: s.recv(4096), b""))
-        self.assertEqual((got.count(b"HTTP/1.1"), got.split(b" ")[1], server.calls), (1, b"400", []))
+        assert (got.count(b"HTTP/1.1"), got.split(b" ")[1], server.calls) == (1, b"400", [])
 
     def test_who_trickles_or_says_nothing_is_cut_off_in_time(self):
         self.start("all-in-one")
@@ -219,24 +224,24 @@
                 trickling.sendall(b"x")
                 with contextlib.suppress(TimeoutError):
                     got = trickling.recv(4096)
-            self.assertIn(b"408", got)
-            self.assertEqual(silent.recv(1), b"")
+            assert b"408" in got
+            assert silent.recv(1) == b""
         self.program.wait_line("side=client .* reason=silent")
 
     def test_bad_configuration_is_one_line_that_names_the_key(self):
         for environ, key in (({}, "RELAY_CONFIG"), ({"RELAY_CONFIG": "/nowhere"}, "RELAY_CONFIG")):
             done = subprocess.run([sys.executable, "-m", "pearhill"], env=environ, cwd=ROOT, capture_output=True)
-            self.assertEqual(done.returncode, 2)
-            self.assertEqual(done.stderr.count(b"\n"), 1)
-            self.assertIn(key.encode(), done.stderr)
+            assert done.returncode == 2
+            assert done.stderr.count(b"\n") == 1
+            assert key.encode() in done.stderr
 
 
-class Limits(PlatformCase):
+class TestLimits(PlatformCase):
     def idle(self, count: int) -> list[socket.socket]:
         """So many clients that connect and say nothing."""
         made = [socket.create_connection((self.program.host, self.program.port), 20) for _ in range(count)]
         for client in made:
-            self.addCleanup(client.close)
+            self.cleanup.callback(client.close)
         return made
 
     def test_past_the_budget_the_longest_idle_client_makes_room(self):
@@ -247,11 +252,11 @@
         half, first = self.idle(2)
         half.sendall(b"GET / HT")  # its rest may be on its way: it is read, and closed over it would be lost
         self.idle(20)
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers())[0], 200)
-        self.assertEqual(first.recv(1), b"")
-        self.assertEqual(half.recv(12), b"HTTP/1.1 408")
+        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
+        assert first.recv(1) == b""
+        assert half.recv(12) == b"HTTP/1.1 408"
         used.request("GET", "/ready")  # it has been of use: others make room first
-        self.assertEqual(used.getresponse().status, 200)
+        assert used.getresponse().status == 200
         self.program.wait_line("side=client .* reason=room-needed")
 
     def test_requests_leave_nothing_behind_in_memory(self):
@@ -263,22 +268,22 @@
             stay = [self.program.connect() for _ in range(asked)]
             for n, connection in enumerate(stay):
                 connection.request("POST", PATH, large, headers(f"{asked}-{n}"))
-                self.assertEqual(connection.getresponse().read(), b"".join(TOKENS) + LAST)
-                connection.close() if n % 2 else self.addCleanup(connection.close)
+                assert connection.getresponse().read() == b"".join(TOKENS) + LAST
+                connection.close() if n % 2 else self.cleanup.callback(connection.close)
             with open(f"/proc/{self.program.process.pid}/statm") as file:
                 return int(file.read().split()[1]) * resource.getpagesize() >> 20
 
         before = resident(40)
-        self.assertLess(resident(160) - before, 8)  # their bodies alone are 24
+        assert resident(160) - before < 8  # their bodies alone are 24
 
     def test_out_of_descriptors_accepting_pauses_and_goes_on(self):
         self.start("all-in-one", files=24)
         self.idle(40)
         self.program.wait_line("accepting pauses")
-        self.assertEqual(self.program.ask("GET", "/ready")[0], 200)
+        assert self.program.ask("GET", "/ready")[0] == 200
 
 
-class Spoilt(PlatformCase):
+class TestSpoilt(PlatformCase):
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def raw(self, *parts: bytes) -> Any:
@@ -304,17 +309,17 @@
         (server,) = self.start("all-in-one")
         for n, parts in enumerate(((b"noise\r\n\r\n",), (endless,), (self.HEAD, lying))):
             server.respond = self.raw(*parts)
-            self.assertEqual(self.program.ask("POST", PATH, BODY, headers(f"a{n}", "job-booking"))[0], 500)
-            self.assertEqual(server.runs, n + 1)
+            assert self.program.ask("POST", PATH, BODY, headers(f"a{n}", "job-booking"))[0] == 500
+            assert server.runs == n + 1
         for n, spoilt in enumerate((lying, huge, half + b"zz\r\n")):
             server.respond = self.raw(self.HEAD, first, spoilt)
             connection = self.program.connect()
-            self.addCleanup(connection.close)
+            self.cleanup.callback(connection.close)
             connection.request("POST", PATH, BODY, headers(f"b{n}"))
             response, got = connection.getresponse(), b""
-            with self.assertRaises(http.client.IncompleteRead) as broken:
+            with pytest.raises(http.client.IncompleteRead) as broken:
                 got = response.read()
-            self.assertEqual(got + broken.exception.partial, TOKENS[0])
+            assert got + broken.value.partial == TOKENS[0]
         self.program.wait_line("side=server .* reason=lost-malformed")
 
     def test_interim_answers_do_no_harm_and_a_second_answer_is_never_read_as_the_next(self):
@@ -322,24 +327,24 @@
         (server,) = self.start("all-in-one")
         server.respond = self.raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + whole + whole)
         for n in range(3):
-            self.assertEqual(self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2], b"".join(TOKENS) + LAST)
-        self.assertEqual(server.runs, 3)
+            assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
+        assert server.runs == 3
 
     def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self):
         """Of two answers neither can be believed; the one may be another request's."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = self.raw(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + self.HEAD)
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers("d1", "job-booking"))[0], 500)
-        self.assertEqual(sum(server.runs for server in servers), 1)
+        assert self.program.ask("POST", PATH, BODY, headers("d1", "job-booking"))[0] == 500
+        assert sum(server.runs for server in servers) == 1
 
 
-class Reload(PlatformCase):
+class TestReload(PlatformCase):
     def test_a_new_discovery_is_asked_for_the_whole_list_and_what_is_open_lives_on(self):
         old, new = self.start("all-in-one")[0], Standin()
         other = Discovery(("s-9", new.address, "all-in-one"))
         for thing in (new, other):
-            self.addCleanup(thing.close)
+            self.cleanup.callback(thing.close)
 
         def waits(handler, body):
             handler.chunks(TOKENS[0], last=False)
@@ -353,11 +358,11 @@
         response = connection.getresponse()
         self.program.reload(platform_file(other.address))  # its environment still names the old one
         other.wait_for("GET", "/v1/endpoints?")
-        self.assertEqual(other.calls[0], ("GET", "/v1/endpoints"))
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers("next"))[0], 200)
+        assert other.calls[0] == ("GET", "/v1/endpoints")
+        assert self.program.ask("POST", PATH, BODY, headers("next"))[0] == 200
         old.go.set()
-        self.assertEqual(response.read(), b"".join(TOKENS) + LAST)
-        self.assertEqual((old.runs, new.runs), (1, 1))
+        assert response.read() == b"".join(TOKENS) + LAST
+        assert (old.runs, new.runs) == (1, 1)
 
     def test_settings_change_and_a_bad_file_keeps_the_old_ones(self):
         self.start()
@@ -371,7 +376,7 @@
         ):
             self.program.reload(text, f"reload: the old configuration stays: {key}")
         status, answered, _ = self.program.ask("POST", PATH, BODY, headers())
-        self.assertEqual((status, answered["retry-after"]), (503, "0.250"))
+        assert (status, answered["retry-after"]) == (503, "0.250")
 
     def test_in_a_drain_it_does_no_harm(self):
         (server,) = self.start("all-in-one")
@@ -383,11 +388,11 @@
         self.program.wait_line("draining")
         self.program.reload(platform_file(self.discovery.address))
         server.go.set()
-        self.assertEqual(connection.getresponse().status, 200)
-        self.assertEqual(self.program.process.wait(20), 0)
+        assert connection.getresponse().status == 200
+        assert self.program.process.wait(20) == 0
 
 
-class Lists(unittest.TestCase):
+class TestTargets:
     TARGET = {
         "uid": "s-1",
         "endpoint": "127.0.0.1:8080",
@@ -402,18 +407,18 @@
     def test_a_target_is_a_replica_that_started_on_the_programs_clock(self):
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = parse_endpoints([self.TARGET], deployment)
-        self.assertEqual(entry, Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000))
-        self.assertEqual(addresses, {entry.replica: ("127.0.0.1", 8080)})
+        assert entry == Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000)
+        assert addresses == {entry.replica: ("127.0.0.1", 8080)}
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
-        self.assertLess(abs(start_clock()() - time.time() * 1e6), 60e6)
+        assert abs(start_clock()() - time.time() * 1e6) < 60e6
 
     def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self):
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
-        self.assertEqual((entry.zone, entry.kind), (1, 2))
+        assert (entry.zone, entry.kind) == (1, 2)
         for change in ({"az": "z"}, {"model": "m9"}, {"state": "asleep"}, {"endpoint": "nowhere"}, {"uid": None}):
             bad = {k: v for k, v in {**self.TARGET, **change}.items() if v is not None}
-            self.assertEqual(parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone, 1)
+            assert parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone == 1
 
     def test_an_invalid_target_that_says_that_a_known_replica_leaves_counts_for_that(self):
         deployment = settings.parse(SETTINGS)
@@ -422,11 +427,11 @@
         for state, phase in (("leaving", Phase.DRAINING), ("left", Phase.GONE)):
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
-                self.assertEqual(parse_endpoints([target], deployment, known)[0], (replace(entry, phase=phase),))
-                self.assertEqual(parse_endpoints([target], deployment)[0], ())  # not listed before: nothing to end
+                assert parse_endpoints([target], deployment, known)[0] == (replace(entry, phase=phase),)
+                assert parse_endpoints([target], deployment)[0] == ()  # not listed before: nothing to end
 
 
-class Ending(PlatformCase):
+class TestEnding(PlatformCase):
     def test_sigterm_answers_what_was_taken_then_exits_well(self):
         (server,) = self.start("all-in-one")
 
@@ -440,12 +445,12 @@
         server.wait_for("POST")
         self.program.process.terminate()
         self.program.wait_line("draining: 1 requests open")
-        self.assertEqual(self.program.ask("GET", "/ready")[0], 503)
+        assert self.program.ask("GET", "/ready")[0] == 503
         server.go.set()
         response = connection.getresponse()
-        self.assertEqual((response.status, response.getheader("Connection")), (200, "close"))
-        self.assertEqual(response.read(), b"".join(TOKENS) + LAST)
-        self.assertEqual(self.program.process.wait(20), 0)
+        assert (response.status, response.getheader("Connection")) == (200, "close")
+        assert response.read() == b"".join(TOKENS) + LAST
+        assert self.program.process.wait(20) == 0
         self.program.wait_line(r'counters .*"served": 1')
 
     def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self):
@@ -467,20 +472,19 @@
             closed.set()
 
         reader.respond, writer.respond = read, write
-        self.addCleanup(released.set)
+        self.cleanup.callback(released.set)
         for cls in ("advice", "job-booking"):
             released.clear()
             closed.clear()
             deletes = sum(method == "DELETE" for method, _ in reader.calls)
-            self.assertEqual(
-                self.program.ask("POST", PATH, BODY, headers(f"g-{cls}", cls, wait_ms=900))[0],
-                503 if cls == "advice" else 500,
+            assert self.program.ask("POST", PATH, BODY, headers(f"g-{cls}", cls, wait_ms=900))[0] == (
+                503 if cls == "advice" else 500
             )
             reader.wait_for("DELETE", count=deletes + 1)
-            with self.assertRaises(BlockingIOError):
+            with pytest.raises(BlockingIOError):
                 held[-1].recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             released.set()
-            self.assertTrue(closed.wait(20))
+            assert closed.wait(20)
             reader.wait_for("DELETE", count=deletes + 2)  # sent before, it releases nothing that an attempt waits for
 
     def test_an_idle_connection_that_the_replica_closed_is_not_used_again(self):
@@ -492,8 +496,8 @@
 
         server.respond = once
         for n in range(5):
-            self.assertEqual(self.program.ask("POST", PATH, BODY, headers(f"d{n}", "job-booking"))[0], 200)
-        self.assertEqual(server.runs, 5)
+            assert self.program.ask("POST", PATH, BODY, headers(f"d{n}", "job-booking"))[0] == 200
+        assert server.runs == 5
         self.program.wait_line("side=server .* reason=(server-eof|stale)")
 
     def test_a_replica_that_is_leaving_gets_nothing_new(self):
@@ -501,26 +505,26 @@
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
         for n in range(6):
-            self.assertEqual(self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0], 200)
-        self.assertEqual((first.runs, second.runs), (0, 6))
+            assert self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
+        assert (first.runs, second.runs) == (0, 6)
 
     def test_an_indented_list_of_a_thousand_servers_in_one_chunk_is_in_force(self):
         server = Standin()
-        self.addCleanup(server.close)
+        self.cleanup.callback(server.close)
         gone = dead_address()
         self.start(settings={**SETTINGS, "n-instances": 1024})
         self.discovery.respond = lambda h, b: h.chunks(json.dumps(self.discovery.answer(), indent=4).encode())
         self.discovery.update(*((f"s-{n:08x}", gone, "writer") for n in range(1023)), ("s-9", server.address, "reader"))
         self.program.wait_ready()
-        self.assertGreater(len(json.dumps(self.discovery.answer(), indent=4)), 256 * 1024)
+        assert len(json.dumps(self.discovery.answer(), indent=4)) > 256 * 1024
         calls = len(self.discovery.calls)
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 3)
-        self.assertLess(self.program.counters()["lists"], 20)  # though none of its calls may wait there
+        assert self.program.counters()["lists"] < 20  # though none of its calls may wait there
 
     def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self):
         """The first replica's connections come up late: its queue of them is full until the list has taken it away."""
         second = Standin()
-        self.addCleanup(second.close)
+        self.cleanup.callback(second.close)
         with socket.socket() as late, socket.socket() as before:
             late.bind(("127.0.0.1", 0))
             late.listen(0)
@@ -531,7 +535,7 @@
             with ThreadPoolExecutor() as pool:
                 asked = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
                 while not self.program.counters()["sent"]:
-                    self.assertFalse(asked.done())
+                    assert not asked.done()
                 known = self.discovery.rev
                 self.discovery.leaving = {"s-0"}
                 self.discovery.update(*self.discovery.targets, ("s-1", second.address, "all-in-one"))
@@ -539,9 +543,9 @@
                 late.settimeout(20)
                 with late.accept()[0]:  # room: from here on its connection comes up at the next try
                     status, _, body = asked.result(20)
-        self.assertEqual((status, body), (200, b"".join(TOKENS) + LAST))
+        assert (status, body) == (200, b"".join(TOKENS) + LAST)
         counters = self.program.counters()
-        self.assertEqual((second.runs, counters["sent"], counters["outcomes"]), (1, 2, {"withdrawn": 1, "answered": 1}))
+        assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
     def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self):
         """Its calls hang for good, those on new connections too for a while; then one is answered."""
@@ -558,22 +562,22 @@
         self.program.wait_line("discovery: answers again")
         self.discovery.update(("s-0", first.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=3")
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers())[0], 200)
-        self.assertEqual((first.runs, second.runs), (1, 0))
-        self.assertLess(len(self.discovery.calls) - known, 20)  # watches again, and not a call every few milliseconds
+        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
+        assert (first.runs, second.runs) == (1, 0)
+        assert len(self.discovery.calls) - known < 20  # watches again, and not a call every few milliseconds
 
     def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self):
         gone, server = Standin(), Standin()
         discovery = Discovery(("s-1", server.address, "all-in-one"))
         for thing in (gone, server, discovery):
-            self.addCleanup(thing.close)
+            self.cleanup.callback(thing.close)
         whole, asked = discovery.respond, threading.Event()
         discovery.respond = lambda h, b: (asked.set(), discovery.go.wait(0.3), whole(h, b))
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             address = "{}:{}".format(*free.getsockname())
         folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
+        self.cleanup.callback(folder.cleanup)
         path = pathlib.Path(folder.name) / "config.json"
         yesterday = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", gone.address, "all-in-one")])
         path.write_text(platform_file(discovery.address, Discovery.answer(yesterday)["targets"], listen=address))
@@ -590,17 +594,17 @@
                 finally:
                     connection.close()
             self.program = program.result(20)
-            self.addCleanup(self.program.kill)
-        self.assertEqual((status, gone.runs, server.runs), (200, 0, 1))
+            self.cleanup.callback(self.program.kill)
+        assert (status, gone.runs, server.runs) == (200, 0, 1)
 
     def test_a_list_known_at_the_start_must_do_while_discovery_is_silent(self):
         server, silent = Standin(), Standin()
         silent.respond = lambda h, b: silent.go.wait(20)
-        self.addCleanup(server.close)
-        self.addCleanup(silent.close)
+        self.cleanup.callback(server.close)
+        self.cleanup.callback(silent.close)
         known = Discovery(("s-1", server.address, "all-in-one"))
-        self.addCleanup(known.close)
+        self.cleanup.callback(known.close)
         self.program = platform(silent.address, known.answer()["targets"])
-        self.addCleanup(self.program.kill)
+        self.cleanup.callback(self.program.kill)
         self.program.wait_ready()
-        self.assertEqual(self.program.ask("POST", PATH, BODY, headers())[0], 200)
+        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
