--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -125,7 +125,8 @@
         assert (late.bytes_received, good.runs) == (0, 3)
         for program in programs[:2]:
             outcomes = program.counters()["outcomes"]
-            assert outcomes["withdrawn"] and outcomes["answered"] == 1
+            assert outcomes["withdrawn"]
+            assert outcomes["answered"] == 1
     finally:
         for stand_in in stand_ins:
             stand_in.close()
