--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -34,14 +34,14 @@
 ) -> None:
     """Run a scenario and write its results: FILE.parquet and FILE.html."""
     from pearhill.config import ConfigError
-    from pearhill.conformance.runner import Unreachable
+    from pearhill.conformance.errors import ConformanceRunError
 
     report, run, scenario = _parts()
     try:
         made = scenario.load(str(file))
         with typer.progressbar(length=1000, label=file.stem, file=sys.stderr) as bar:
             rows = asyncio.run(run.run(made, lambda done, total: bar.update(1000 * done // total - bar.pos)))
-    except (ConfigError, Unreachable, OSError) as e:
+    except (ConfigError, ConformanceRunError, OSError) as e:
         _fail(e)
     out.mkdir(parents=True, exist_ok=True)
     target = out / f"{file.stem}.parquet"
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -145,14 +145,15 @@
     write: Annotated[str, typer.Option(help="write the report to this Markdown file")] = "",
 ) -> None:
     """Run the conformance suite. Exit code 1: some case does not hold."""
-    from pearhill.conformance.runner import Unreachable, conform_own, conform_url
+    from pearhill.conformance.errors import ConformanceRunError
+    from pearhill.conformance.runner import conform_own, conform_url
 
     try:
         report = asyncio.run(conform_url(url, listen, key, only) if url else conform_own(only))
-    except (Unreachable, ValueError, OSError) as e:
+    except (ConformanceRunError, ValueError, OSError) as e:
         _fail(str(e))
     for result in report.failed:
-        print(f"FAIL {result.case.name}: {result.why}")
+        print(f"FAIL {result.case.name}: {result.failure}")
     print(f"{len(report.held)} of {len(report.results)} cases hold")
     if write:
         Path(write).write_text(report.markdown(), encoding="utf-8")
--- a/pearhill/conformance/__init__.py
+++ b/pearhill/conformance/__init__.py
@@ -1,5 +1,5 @@
-"""The conformance suite of the chat API: cases as data, a scripted server, and a runner for any front.
+"""The conformance suite of the chat API: cases as data, a scripted replica, and a runner for any front.
 
-A front under test must have the scripted server as its only server, and two models: `conform-safe`, whose requests may
-be repeated, and `conform-once`, whose requests must never run twice. `deploy/conform.toml` is such a file for pearhill.
+A front under test must have the scripted replica as its only replica, and two models: `conform-safe`, whose requests
+are idempotent, and `conform-once`, whose requests must never run twice. `front.toml` is such an operator's file.
 """
--- a/pearhill/conformance/case.py
+++ b/pearhill/conformance/case.py
@@ -1,52 +1,51 @@
-"""What a case is: a request, what the server does, what must come back, and what the server must have seen."""
+"""What a conformance case is: a request, the replica's scripts, the response and the upstream requests expected."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any, Literal
+from typing import Any
 
 import msgspec
 
-SAFE, ONCE = "conform-safe", "conform-once"
-CHAT, TEXT, RESPONSES, MODELS = "/v1/chat/completions", "/v1/completions", "/v1/responses", "/v1/models"
+from pearhill.conformance.scripts import Script
 
+IDEMPOTENT_MODEL = "conform-safe"
+NON_IDEMPOTENT_MODEL = "conform-once"
 
-@dataclass(frozen=True, slots=True)
-class Step:
-    """One thing that the scripted server does. `hold`: nothing, until the client's side is done; `seen`: nothing, until
-    the client has the first piece of its answer."""
-
-    kind: Literal["raw", "chunk", "hold", "seen", "reset"]
-    data: bytes = b""
-
-
-Script = tuple[Step, ...]
+CHAT_PATH = "/v1/chat/completions"
+COMPLETIONS_PATH = "/v1/completions"
+RESPONSES_PATH = "/v1/responses"
+MODELS_PATH = "/v1/models"
 
 
 @dataclass(frozen=True, slots=True)
-class Expect:
-    """`json` and each of `events` are matched as parts: what they name must be there, the rest may be. `ends`: whole;
-    broken: the connection ends without the body's end. `usable`: the connection takes another request. `body`: the
-    bytes, to the letter."""
+class ExpectedResponse:
+    """The response that the client must receive. What is None or empty is not checked.
+
+    `json` and each of `events` are matched as parts by `mismatch`. Of a stream, "[DONE]" is an event, and the text of
+    the first choice is put together from its events. A header's value "*" stands for any value.
+    """
 
     status: int = 200
     json: Any = None
     headers: dict[str, str] = field(default_factory=dict)
     absent_headers: tuple[str, ...] = ()
     events: tuple[Any, ...] | None = None
-    names: tuple[str, ...] | None = None  # of the events, in order
-    body: bytes | None = None
-    ends: Literal["whole", "broken"] = "whole"
-    usable: bool | None = None
-    text: str | None = None  # the answer's text, put together from a stream's events
+    event_names: tuple[str, ...] | None = None  # in order
+    body: bytes | None = None  # byte for byte
+    truncated: bool = False  # the connection ends before the body does
+    connection_usable: bool | None = None  # whether the connection takes another request
+    text: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """`runs`: requests that the server has had whole; None: any number above 0. `fields`: parts of the last one's body;
-    `absent`: names that must not be in it; the same for headers."""
+class ExpectedRequests:
+    """What the scripted replica must have received: how many complete requests, and of the last one what it held.
 
-    runs: int | None = 1
+    `fields` is matched as a part of the body, by `mismatch`; `absent` are names that the body must not have.
+    """
+
+    count: int | None = 1  # None: one or more
     fields: Any = None
     absent: tuple[str, ...] = ()
     headers: dict[str, str] = field(default_factory=dict)
@@ -55,123 +54,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    name: str
-    why: str  # what it guards against
+    """One request to the front under test, and all that must come of it."""
+
+    name: str  # "group/name", unique in the suite
+    guards_against: str  # the fault that the case would show, for the report
     body: Any  # a JSON value, or the bytes themselves
-    expect: Expect
-    script: tuple[Script, ...] = ()  # by run; the last one goes on
-    seen: Seen = Seen(runs=0)
-    path: str = CHAT
+    expected_response: ExpectedResponse
+    scripts: tuple[Script, ...] = ()  # one for each request that the replica receives; the last one repeats
+    expected_requests: ExpectedRequests = ExpectedRequests(count=0)
+    path: str = CHAT_PATH
     method: str = "POST"
     headers: dict[str, str] = field(default_factory=dict)
-    alone: bool = False  # not for a front inside an application, whose own or whose server's matter it is
-    leaves: bool = False  # the client goes after the first event
-    pause: float = 0.0  # seconds before the next case, for what the front must forget
+    standalone_only: bool = False  # left out where an application or its HTTP server decides, not the front
+    client_disconnects: bool = False  # after the first piece of the body
+    pause_after_s: float = 0.0  # until the front no longer remembers what the replica asked for
 
     @property
     def group(self) -> str:
+        """The part of the name before the slash; the report has one table for each."""
         return self.name.partition("/")[0]
 
     @property
-    def sent(self) -> bytes:
+    def request_body(self) -> bytes:
+        """The body as it is sent."""
         return self.body if isinstance(self.body, bytes) else msgspec.json.encode(self.body)
 
 
-def within(part: Any, whole: Any) -> str:
-    """Where a part is not in a whole, in words; empty where it is. Lists are compared item by item, and in length."""
-    if isinstance(part, dict):
-        if not isinstance(whole, dict):
-            return f"found {whole!r:.80} where an object should be"
-        for name, value in part.items():
-            if name not in whole:
-                return f"no {name!r} in {sorted(whole)}"
-            if why := within(value, whole[name]):
-                return f"{name}: {why}"
-        return ""
-    if isinstance(part, list):
-        if not isinstance(whole, list) or len(part) != len(whole):
-            return f"found {whole!r:.80}, not {len(part)} items"
-        pairs = enumerate(zip(part, whole, strict=True))
-        return next((f"[{k}]: {why}" for k, (p, w) in pairs if (why := within(p, w))), "")
-    return "" if part == whole and type(part) is type(whole) else f"found {whole!r:.120}, not {part!r:.120}"
-
-
-# Words for the suite.
-
-
-def raw(data: bytes) -> Step:
-    return Step("raw", data)
-
-
-def head(status: int = 200, **headers: str) -> Step:
-    told = {
-        "Content-Type": "text/event-stream",
-        "Transfer-Encoding": "chunked",
-        **{name.replace("_", "-"): value for name, value in headers.items()},
-    }
-    lines = "".join(f"{name}: {value}\r\n" for name, value in told.items() if value)
-    return raw(f"HTTP/1.1 {status} Scripted\r\n{lines}\r\n".encode())
-
-
-def chunk(data: bytes) -> Step:
-    return Step("chunk", data)
-
-
-LAST, HOLD, SEEN, RESET = raw(b"0\r\n\r\n"), Step("hold"), Step("seen"), Step("reset")
+def mismatch(expected: Any, actual: Any) -> str:
+    """Where `actual` differs from what is expected, in words; empty where it does not.
 
-
-def event(value: Any) -> bytes:
-    return b"data: %b\n\n" % (value if isinstance(value, bytes) else msgspec.json.encode(value))
-
-
-DONE = event(b"[DONE]")
-TOP = {"id": "chatcmpl-1", "object": "chat.completion.chunk", "created": 7, "model": "m"}
-
-
-def delta(finish: str | None = None, index: int = 0, logprobs: Any = None, **parts: Any) -> dict[str, Any]:
-    choice = {"index": index, "delta": parts, "finish_reason": finish}
-    return {**TOP, "choices": [{**choice, **({"logprobs": logprobs} if logprobs else {})}]}
-
-
-USAGE = {
-    **TOP,
-    "choices": [],
-    "usage": {
-        "prompt_tokens": 9,
-        "completion_tokens": 2,
-        "total_tokens": 11,
-        "prompt_tokens_details": {"cached_tokens": 4},
-    },
-}
-WORDS = (delta(role="assistant", content="one "), delta(content="two"), delta(finish="stop"))
-ANSWER = (*map(event, WORDS), event(USAGE), DONE)
-
-
-def stream(*parts: bytes, last: bool = True) -> Script:
-    """A stream in good order, a chunk an event, unless `last` is left out."""
-    return (head(), *map(chunk, parts), *((LAST,) if last else ()))
-
-
-GOOD = (stream(*ANSWER),)
-
-
-def plain(status: int, body: Any = b"", **headers: str) -> Script:
-    """An answer in one piece."""
-    data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-    told = {
-        "Content-Type": "application/json",
-        "Content-Length": str(len(data)),
-        **{name.replace("_", "-"): value for name, value in headers.items()},
-    }
-    lines = "".join(f"{name}: {value}\r\n" for name, value in told.items())
-    return (raw(f"HTTP/1.1 {status} Scripted\r\n{lines}\r\n".encode() + data),)
-
-
-def failing(code: str | None = None, param: str | None = None, kind: str | None = None) -> dict[str, Any]:
-    """An error object, as far as it is told."""
-    told = {"code": code, "param": param, "type": kind}
-    return {"error": {name: value for name, value in told.items() if value is not None}}
-
-
-def say(*messages: Any, model: Any = SAFE, **more: Any) -> dict[str, Any]:
-    return {"model": model, "messages": list(messages) or [{"role": "user", "content": "Hi"}], **more}
+    An object may have more fields than the expected one. Lists are compared item by item and must have the same length;
+    all other values must be equal and of the same type, so that 1, 1.0 and true differ.
+    """
+    if isinstance(expected, dict):
+        return _object_mismatch(expected, actual)
+    if isinstance(expected, list):
+        return _list_mismatch(expected, actual)
+    if expected == actual and type(expected) is type(actual):
+        return ""
+    return f"found {actual!r:.120}, not {expected!r:.120}"
+
+
+def _object_mismatch(expected: dict[str, Any], actual: Any) -> str:
+    if not isinstance(actual, dict):
+        return f"found {actual!r:.80} where an object should be"
+    for name, value in expected.items():
+        if name not in actual:
+            return f"no {name!r} in {sorted(actual)}"
+        failure = mismatch(value, actual[name])
+        if failure:
+            return f"{name}: {failure}"
+    return ""
+
+
+def _list_mismatch(expected: list[Any], actual: Any) -> str:
+    if not isinstance(actual, list) or len(expected) != len(actual):
+        return f"found {actual!r:.80}, not {len(expected)} items"
+    for index, (expected_item, item) in enumerate(zip(expected, actual, strict=True)):
+        failure = mismatch(expected_item, item)
+        if failure:
+            return f"[{index}]: {failure}"
+    return ""
--- a/pearhill/conformance/client.py
+++ b/pearhill/conformance/client.py
@@ -1,4 +1,4 @@
-"""One request on one connection, and everything that came back, however it ended."""
+"""An HTTP/1.1 client that reports all that it received, however the response ended."""
 
 from __future__ import annotations
 
@@ -10,49 +10,55 @@
 
 from pearhill.http1.messages import request
 
+READ_BYTES = 65_536
+
 
 @dataclass(slots=True)
-class Got:
-    """`whole`: the body's end has come. `closed`: the connection has ended."""
+class ReceivedResponse:
+    """A response, as far as it arrived. Header names are in lower case."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
-    closed: bool = False
+    complete: bool = False  # the end of the body has arrived
+    closed: bool = False  # the connection has ended
+
 
+class _ResponseParser:
+    """Collects one response. The `on_` methods are called by httptools."""
 
-class _Reading:
     def __init__(self) -> None:
-        self.got = Got()
+        self.response = ReceivedResponse()
         self.body = bytearray()
         self.parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.got.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+        self.response.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        self.got.status = self.parser.get_status_code()
+        self.response.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.got.whole = self.got.status >= 200
+        self.response.complete = self.response.status >= 200
 
 
-class Wire:
-    """A client's connection to a front."""
+class ClientConnection:
+    """A client's connection to a front, for one request after the other."""
 
     def __init__(self, host: str, port: int) -> None:
-        self.host, self.port = host, port
+        self.host = host
+        self.port = port
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
 
     async def open(self) -> None:
+        """Connect. OSError: the front cannot be reached."""
         self._reader, self._writer = await asyncio.open_connection(self.host, self.port)
 
-    async def ask(
+    async def exchange(
         self,
         method: str,
         path: str,
@@ -60,31 +66,40 @@
         body: bytes | None,
         timeout: float,
         on_first: Callable[[], bool] = lambda: False,
-    ) -> Got:
-        """`on_first` is called at the first piece of the body; True from it: leave there. TimeoutError: no end
-        within so many seconds."""
+    ) -> ReceivedResponse:
+        """Send a request and receive its response, up to the end of the body or of the connection.
+
+        `on_first` is called when the first piece of the body has arrived; if it returns True, nothing more is read.
+        TimeoutError: neither end has come within `timeout` seconds.
+        """
         assert self._reader
         assert self._writer
-        told = {"Content-Type": "application/json", **headers} if body is not None else headers
-        self._writer.write(request(method, path, f"{self.host}:{self.port}", tuple(told.items()), body))
-        reading, told_first = _Reading(), False
+        fields = {"Content-Type": "application/json", **headers} if body is not None else headers
+        self._writer.write(request(method, path, f"{self.host}:{self.port}", tuple(fields.items()), body))
+        parser = _ResponseParser()
         async with asyncio.timeout(timeout):
-            while not reading.got.whole:
-                try:
-                    data = await self._reader.read(1 << 16)
-                except ConnectionError:
-                    data = b""
-                if not data:
-                    reading.got.closed = True
-                    break
-                reading.parser.feed_data(data)
-                if reading.body and not told_first:
-                    told_first = True
-                    if on_first():
-                        break
-        reading.got.body = bytes(reading.body)
-        return reading.got
+            await self._receive(self._reader, parser, on_first)
+        parser.response.body = bytes(parser.body)
+        return parser.response
+
+    @staticmethod
+    async def _receive(reader: asyncio.StreamReader, parser: _ResponseParser, on_first: Callable[[], bool]) -> None:
+        first_arrived = False
+        while not parser.response.complete:
+            try:
+                data = await reader.read(READ_BYTES)
+            except ConnectionError:
+                data = b""
+            if not data:
+                parser.response.closed = True
+                return
+            parser.parser.feed_data(data)
+            if parser.body and not first_arrived:
+                first_arrived = True
+                if on_first():
+                    return
 
     def close(self) -> None:
+        """End the connection at once; what is not yet sent is dropped."""
         if self._writer:
             self._writer.transport.abort()
--- /dev/null
+++ b/pearhill/conformance/payloads.py
@@ -0,0 +1,71 @@
+"""Request bodies, events and complete answers of the OpenAI API that the cases are made of."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from pearhill.conformance.case import IDEMPOTENT_MODEL
+from pearhill.conformance.scripts import Script, event_stream
+
+
+def sse_event(value: Any) -> bytes:
+    """A server-sent event with a JSON value, or with bytes as they are, as its data."""
+    return b"data: %b\n\n" % (value if isinstance(value, bytes) else msgspec.json.encode(value))
+
+
+DONE_EVENT = sse_event(b"[DONE]")
+CHUNK_FIELDS = {"id": "chatcmpl-1", "object": "chat.completion.chunk", "created": 7, "model": "m"}
+
+
+def chat_chunk(finish: str | None = None, index: int = 0, logprobs: Any = None, **delta: Any) -> dict[str, Any]:
+    """A `chat.completion.chunk` object with one choice. `finish`: its finish reason."""
+    choice = {"index": index, "delta": delta, "finish_reason": finish}
+    if logprobs:
+        choice["logprobs"] = logprobs
+    return {**CHUNK_FIELDS, "choices": [choice]}
+
+
+USAGE_CHUNK = {
+    **CHUNK_FIELDS,
+    "choices": [],
+    "usage": {
+        "prompt_tokens": 9,
+        "completion_tokens": 2,
+        "total_tokens": 11,
+        "prompt_tokens_details": {"cached_tokens": 4},
+    },
+}
+# The answer "one two", as objects, as events and as the script of a replica that needs one request for it.
+CHAT_CHUNKS = (chat_chunk(role="assistant", content="one "), chat_chunk(content="two"), chat_chunk(finish="stop"))
+ANSWER_EVENTS = (*map(sse_event, CHAT_CHUNKS), sse_event(USAGE_CHUNK), DONE_EVENT)
+GOOD_SCRIPTS = (event_stream(*ANSWER_EVENTS),)
+
+
+def error_body(code: str | None = None, param: str | None = None, kind: str | None = None) -> dict[str, Any]:
+    """An error object with those fields that are given. `kind`: its `type`."""
+    fields = {"code": code, "param": param, "type": kind}
+    return {"error": {name: value for name, value in fields.items() if value is not None}}
+
+
+def chat_request(*messages: Any, model: Any = IDEMPOTENT_MODEL, **fields: Any) -> dict[str, Any]:
+    """The body of a chat request; without messages, one user's "Hi"."""
+    return {"model": model, "messages": list(messages) or [{"role": "user", "content": "Hi"}], **fields}
+
+
+def tool_call_delta(index: int, arguments: str = "", id: str | None = None, name: str | None = None) -> dict[str, Any]:
+    """One item of a chunk's `tool_calls`: a piece of a call's arguments, and in its first piece its id and name."""
+    function = {"arguments": arguments}
+    if name:
+        function["name"] = name
+    call: dict[str, Any] = {"index": index, "function": function}
+    if id:
+        call["id"] = id
+        call["type"] = "function"
+    return call
+
+
+def chunk_scripts(*chunks: dict[str, Any]) -> tuple[Script, ...]:
+    """Scripts of a replica that streams these chunks, the usage chunk and the end."""
+    return (event_stream(*map(sse_event, chunks), sse_event(USAGE_CHUNK), DONE_EVENT),)
--- a/pearhill/conformance/suite/__init__.py
+++ b/pearhill/conformance/suite/__init__.py
@@ -1,13 +1,13 @@
-"""The cases, by what they are about. Each table is plain data."""
+"""The cases, one module for each subject. The order is that in which they run."""
 
 from pearhill.conformance.case import Case
-from pearhill.conformance.suite import answers, bodies, completions, responses, servers, streams
+from pearhill.conformance.suite import answers, bodies, completions, replicas, responses, streams
 
 CASES: tuple[Case, ...] = (
     *bodies.CASES,
     *answers.CASES,
     *streams.CASES,
-    *servers.CASES,
+    *replicas.CASES,
     *completions.CASES,
     *responses.CASES,
 )
--- a/pearhill/conformance/suite/answers.py
+++ b/pearhill/conformance/suite/answers.py
@@ -1,67 +1,92 @@
-"""Whole answers, and what servers are sent for them."""
+"""Complete answers, and what the replica receives for them."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
-from pearhill.conformance.case import (
-    DONE,
-    GOOD,
-    ONCE,
-    SAFE,
-    USAGE,
-    WORDS,
-    Case,
-    Expect,
-    Script,
-    Seen,
-    delta,
-    event,
-    plain,
-    say,
-    stream,
+from pearhill.conformance.case import IDEMPOTENT_MODEL, NON_IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
+from pearhill.conformance.payloads import (
+    CHAT_CHUNKS,
+    GOOD_SCRIPTS,
+    chat_chunk,
+    chat_request,
+    chunk_scripts,
+    tool_call_delta,
 )
+from pearhill.conformance.scripts import plain_response
 
 TOOL = {"type": "function", "function": {"name": "book", "parameters": {"type": "object"}, "strict": True}}
-ASKED = {"stream": True, "stream_options": {"include_usage": True}, "model": SAFE}
+STREAM_FIELDS = {"stream": True, "stream_options": {"include_usage": True}, "model": IDEMPOTENT_MODEL}
 
 
-def message(**told: Any) -> Expect:
-    finish = told.pop("finish", "stop")
-    return Expect(
+class AnswerRow(NamedTuple):
+    """A case of a complete answer: what the replica streams, and what the client must receive for it."""
+
+    name: str
+    guards_against: str
+    fields: dict[str, Any]  # of the request, beside its message
+    chunks: tuple[dict[str, Any], ...]  # of the replica's stream
+    expected: ExpectedResponse
+
+    def case(self) -> Case:
+        """The row as a case of the group "answers"."""
+        return Case(
+            f"answers/{self.name}",
+            self.guards_against,
+            chat_request(**self.fields),
+            self.expected,
+            chunk_scripts(*self.chunks),
+            ExpectedRequests(),
+        )
+
+
+class ForwardedRow(NamedTuple):
+    """A case of what the replica must receive of a request."""
+
+    name: str
+    fields: dict[str, Any]  # of the request, beside its message or in its place
+    forwarded: dict[str, Any]  # fields that the replica must receive
+
+    def case(self) -> Case:
+        """The row as a case of the group "sent"."""
+        return Case(
+            f"sent/{self.name}",
+            "a field that is lost or changed on its way to the server",
+            {**chat_request(), **self.fields},
+            ExpectedResponse(),
+            GOOD_SCRIPTS,
+            ExpectedRequests(fields=self.forwarded),
+        )
+
+
+def expected_message(finish: str = "stop", **fields: Any) -> ExpectedResponse:
+    """A complete answer with one message that has these fields. `finish`: its finish reason."""
+    return ExpectedResponse(
         json={
             "object": "chat.completion",
             "id": "chatcmpl-1",
             "created": 7,
-            "choices": [{"index": 0, "message": {"role": "assistant", **told}, "finish_reason": finish}],
+            "choices": [{"index": 0, "message": {"role": "assistant", **fields}, "finish_reason": finish}],
         },
         headers={"Content-Type": "application/json"},
-        usable=True,
+        connection_usable=True,
     )
 
 
-def said(*chunks: dict[str, Any]) -> tuple[Script, ...]:
-    return (stream(*map(event, chunks), event(USAGE), DONE),)
-
-
-def call(index: int, id: str | None = None, name: str | None = None, arguments: str = "") -> dict[str, Any]:
-    function = {"arguments": arguments, **({"name": name} if name else {})}
-    return {"index": index, "function": function, **({"id": id, "type": "function"} if id else {})}
-
+def tool_call_chunk(*deltas: dict[str, Any]) -> dict[str, Any]:
+    """A chunk with pieces of tool calls."""
+    return chat_chunk(tool_calls=list(deltas))
 
-def calls(*parts: dict[str, Any], finish: str | None = None) -> dict[str, Any]:
-    return delta(finish, tool_calls=list(parts))
 
-
-def made(id: str, name: str, arguments: str) -> dict[str, Any]:
+def tool_call(id: str, name: str, arguments: str) -> dict[str, Any]:
+    """A complete tool call, as it stands in a message."""
     return {"id": id, "type": "function", "function": {"name": name, "arguments": arguments}}
 
 
 LOGPROBS = {"content": [{"token": "one ", "logprob": -0.5, "bytes": [111], "top_logprobs": []}]}
-# name, what it guards against, what the request has beside its message, the server's chunks, what must come back
-WHOLE: tuple[tuple[str, str, dict[str, Any], tuple[dict[str, Any], ...], Expect], ...] = (
-    ("text", "an answer in one piece", {}, WORDS, message(content="one two")),
-    (
+ANSWER_ROWS: tuple[AnswerRow, ...] = (
+    AnswerRow("text", "an answer in one piece", {}, CHAT_CHUNKS, expected_message(content="one two")),
+    AnswerRow(
         "null-fields",
         "fields that clients send as null",
         {
@@ -73,70 +98,82 @@
             "stream_options": None,
             "max_tokens": None,
         },
-        WORDS,
-        message(content="one two"),
+        CHAT_CHUNKS,
+        expected_message(content="one two"),
     ),
-    (
+    AnswerRow(
         "length",
         "an answer that was cut by its limit",
         {"max_tokens": 2},
-        (WORDS[0], delta("length")),
-        message(content="one ", finish="length"),
+        (CHAT_CHUNKS[0], chat_chunk("length")),
+        expected_message(content="one ", finish="length"),
     ),
-    (
+    AnswerRow(
         "refusal",
         "a refusal, which is no content",
         {},
-        (delta(refusal="I "), delta(refusal="won't."), delta("stop")),
-        message(refusal="I won't.", content=None),
+        (chat_chunk(refusal="I "), chat_chunk(refusal="won't."), chat_chunk("stop")),
+        expected_message(refusal="I won't.", content=None),
     ),
-    (
+    AnswerRow(
         "tool-call",
         "a call whose arguments come in pieces",
         {"tools": [TOOL], "tool_choice": "required"},
-        (calls(call(0, "c1", "book", '{"a')), calls(call(0, arguments='":1}')), delta("tool_calls")),
-        message(content=None, tool_calls=[made("c1", "book", '{"a":1}')], finish="tool_calls"),
+        (
+            tool_call_chunk(tool_call_delta(0, '{"a', "c1", "book")),
+            tool_call_chunk(tool_call_delta(0, arguments='":1}')),
+            chat_chunk("tool_calls"),
+        ),
+        expected_message(content=None, tool_calls=[tool_call("c1", "book", '{"a":1}')], finish="tool_calls"),
     ),
-    (
+    AnswerRow(
         "two-tool-calls",
         "calls that come in turns",
         {"tools": [TOOL]},
         (
-            calls(call(0, "c1", "book", "{")),
-            calls(call(1, "c2", "book", "[")),
-            calls(call(0, arguments="}")),
-            calls(call(1, arguments="]")),
-            delta("tool_calls"),
+            tool_call_chunk(tool_call_delta(0, "{", "c1", "book")),
+            tool_call_chunk(tool_call_delta(1, "[", "c2", "book")),
+            tool_call_chunk(tool_call_delta(0, arguments="}")),
+            tool_call_chunk(tool_call_delta(1, arguments="]")),
+            chat_chunk("tool_calls"),
+        ),
+        expected_message(
+            tool_calls=[tool_call("c1", "book", "{}"), tool_call("c2", "book", "[]")], finish="tool_calls"
         ),
-        message(tool_calls=[made("c1", "book", "{}"), made("c2", "book", "[]")], finish="tool_calls"),
     ),
-    (
+    AnswerRow(
         "tool-call-holes",
         "indices that leave holes: no empty call may come of it",
         {"tools": [TOOL]},
-        (calls(call(5, "c5", "book", "{}")), calls(call(2, "c2", "book", "[]")), delta("tool_calls")),
-        message(tool_calls=[made("c2", "book", "[]"), made("c5", "book", "{}")], finish="tool_calls"),
+        (
+            tool_call_chunk(tool_call_delta(5, "{}", "c5", "book")),
+            tool_call_chunk(tool_call_delta(2, "[]", "c2", "book")),
+            chat_chunk("tool_calls"),
+        ),
+        expected_message(
+            tool_calls=[tool_call("c2", "book", "[]"), tool_call("c5", "book", "{}")], finish="tool_calls"
+        ),
     ),
-    (
+    AnswerRow(
         "logprobs",
         "log probabilities lost on the way",
         {"logprobs": True, "top_logprobs": 0},
-        (delta(content="one ", logprobs=LOGPROBS), delta("stop")),
-        Expect(json={"choices": [{"logprobs": LOGPROBS}]}),
+        (chat_chunk(content="one ", logprobs=LOGPROBS), chat_chunk("stop")),
+        ExpectedResponse(json={"choices": [{"logprobs": LOGPROBS}]}),
     ),
-    (
+    AnswerRow(
         "n",
         "several answers, mixed up",
         {"n": 2},
         (
-            delta(content="a"),
-            delta(index=1, content="b"),
-            delta(content="A"),
-            delta(index=1, content="B"),
-            delta("stop", index=1),
-            delta("length"),
+            chat_chunk(content="a"),
+            chat_chunk(index=1, content="b"),
+            chat_chunk(content="A"),
+            chat_chunk(index=1, content="B"),
+            chat_chunk("stop", index=1),
+            chat_chunk("length"),
         ),
-        Expect(
+        ExpectedResponse(
             json={
                 "choices": [
                     {"index": 0, "message": {"content": "aA"}, "finish_reason": "length"},
@@ -145,19 +182,19 @@
             }
         ),
     ),
-    (
+    AnswerRow(
         "unknown-delta-field",
         "a server's own field, such as its reasoning",
         {},
-        (delta(reasoning_content="hm"), delta(reasoning_content="m"), *WORDS),
-        message(content="one two", reasoning_content="hmm"),
+        (chat_chunk(reasoning_content="hm"), chat_chunk(reasoning_content="m"), *CHAT_CHUNKS),
+        expected_message(content="one two", reasoning_content="hmm"),
     ),
-    (
+    AnswerRow(
         "usage",
         "counts lost on the way",
         {},
-        WORDS,
-        Expect(
+        CHAT_CHUNKS,
+        ExpectedResponse(
             json={
                 "usage": {
                     "prompt_tokens": 9,
@@ -168,51 +205,51 @@
             }
         ),
     ),
-    ("model", "the server's own name for its model", {}, WORDS, Expect(json={"model": "m"})),
-    (
+    AnswerRow("model", "the server's own name for its model", {}, CHAT_CHUNKS, ExpectedResponse(json={"model": "m"})),
+    AnswerRow(
         "unicode",
         "text beyond ASCII",
         {},
-        (delta(content="Saläm ⵣ "), delta(content="👋"), delta("stop")),
-        message(content="Saläm ⵣ 👋"),
+        (chat_chunk(content="Saläm ⵣ "), chat_chunk(content="👋"), chat_chunk("stop")),
+        expected_message(content="Saläm ⵣ 👋"),
+    ),
+    AnswerRow(
+        "empty",
+        "an answer of no tokens, which is an answer",
+        {},
+        (chat_chunk("stop", content=""),),
+        expected_message(content=""),
     ),
-    ("empty", "an answer of no tokens, which is an answer", {}, (delta("stop", content=""),), message(content="")),
 )
 
-# name, what the request has beside its message, what the server must get
-SENT: tuple[tuple[str, dict[str, Any], dict[str, Any], tuple[str, ...]], ...] = (
-    ("always-a-stream", {}, ASKED, ()),
-    (
+FORWARDED_ROWS: tuple[ForwardedRow, ...] = (
+    ForwardedRow("always-a-stream", {}, STREAM_FIELDS),
+    ForwardedRow(
         "unknown-fields",
         {"x_own": {"deep": [1, {"a": None}]}, "guided": "a|b"},
-        {"x_own": {"deep": [1, {"a": None}]}, "guided": "a|b", **ASKED},
-        (),
+        {"x_own": {"deep": [1, {"a": None}]}, "guided": "a|b", **STREAM_FIELDS},
     ),
-    (
+    ForwardedRow(
         "unknown-in-messages",
         {"messages": [{"role": "user", "content": "Hi", "x_tag": 1}]},
         {"messages": [{"role": "user", "content": "Hi", "x_tag": 1}]},
-        (),
     ),
-    (
+    ForwardedRow(
         "unknown-stream-option",
         {"stream": True, "stream_options": {"x": 1}},
         {"stream_options": {"x": 1, "include_usage": True}},
-        (),
     ),
-    (
+    ForwardedRow(
         "numbers-as-they-are",
         {"temperature": 0.7, "seed": 12345678901234, "top_p": 1},
         {"temperature": 0.7, "seed": 12345678901234, "top_p": 1},
-        (),
     ),
-    (
+    ForwardedRow(
         "tools",
         {"tools": [TOOL], "tool_choice": {"type": "function", "function": {"name": "book"}}},
         {"tools": [TOOL], "tool_choice": {"type": "function", "function": {"name": "book"}}},
-        (),
     ),
-    (
+    ForwardedRow(
         "allowed-tools",
         {
             "tools": [TOOL],
@@ -222,15 +259,13 @@
             },
         },
         {"tools": [TOOL]},
-        (),
     ),
-    (
+    ForwardedRow(
         "json-schema",
         {"response_format": {"type": "json_schema", "json_schema": {"name": "s", "schema": {}}}},
         {"response_format": {"type": "json_schema", "json_schema": {"name": "s", "schema": {}}}},
-        (),
     ),
-    (
+    ForwardedRow(
         "every-part",
         {
             "messages": [
@@ -253,16 +288,15 @@
                 }
             ]
         },
-        (),
     ),
-    (
+    ForwardedRow(
         "a-whole-talk",
         {
             "messages": [
                 {"role": "system", "content": "Help."},
                 {"role": "developer", "content": [{"type": "text", "text": "Kindly."}]},
                 {"role": "user", "content": "Book", "name": "amal"},
-                {"role": "assistant", "content": None, "tool_calls": [made("c1", "book", "{}")]},
+                {"role": "assistant", "content": None, "tool_calls": [tool_call("c1", "book", "{}")]},
                 {"role": "tool", "tool_call_id": "c1", "content": "done"},
                 {
                     "role": "assistant",
@@ -273,81 +307,66 @@
             ]
         },
         {"messages": [{}, {}, {}, {}, {}, {}, {}, {}]},
-        (),
     ),
-    ("alias", {"model": "conform-alias"}, {"model": SAFE}, ()),
-    ("served-as", {"model": ONCE}, {"model": "served-once"}, ()),
-    (
+    ForwardedRow("alias", {"model": "conform-alias"}, {"model": IDEMPOTENT_MODEL}),
+    ForwardedRow("served-as", {"model": NON_IDEMPOTENT_MODEL}, {"model": "served-once"}),
+    ForwardedRow(
         "escapes",
         {"messages": [{"role": "user", "content": '\u2028 " \\ \n é'}]},
         {"messages": [{"role": "user", "content": '\u2028 " \\ \n é'}]},
-        (),
     ),
 )
 CASES: tuple[Case, ...] = (
-    *(
-        Case(f"answers/{name}", why, say(**more), expect, said(*chunks), Seen())
-        for name, why, more, chunks, expect in WHOLE
-    ),
-    *(
-        Case(
-            f"sent/{name}",
-            "a field that is lost or changed on its way to the server",
-            {**say(), **more},
-            Expect(),
-            GOOD,
-            Seen(fields=fields, absent=absent),
-        )
-        for name, more, fields, absent in SENT
-    ),
+    *(row.case() for row in ANSWER_ROWS),
+    *(row.case() for row in FORWARDED_ROWS),
     Case(
         "sent/duplicate-field",
         "a field named twice, where two readers could each believe another one",
         b'{"model": "nobody", "messages": [{"role": "user", "content": "a"}], "model": "conform-safe"}',
-        Expect(),
-        GOOD,
-        Seen(fields={"model": SAFE}),
+        ExpectedResponse(),
+        GOOD_SCRIPTS,
+        ExpectedRequests(fields={"model": IDEMPOTENT_MODEL}),
     ),
     Case(
         "sent/no-client-key",
         "the client's key at a server",
-        say(),
-        Expect(),
-        GOOD,
-        Seen(absent_headers=("authorization", "api-key", "cookie")),
+        chat_request(),
+        ExpectedResponse(),
+        GOOD_SCRIPTS,
+        ExpectedRequests(absent_headers=("authorization", "api-key", "cookie")),
         headers={"Authorization": "Bearer somebodys-key", "Cookie": "a=b"},
     ),
     Case(
         "sent/request-id",
         "an answer that cannot be found in the server's log",
-        say(),
-        Expect(),
-        GOOD,
-        Seen(headers={"Request-Id": "*", "Request-Timeout-Ms": "*"}),
+        chat_request(),
+        ExpectedResponse(),
+        GOOD_SCRIPTS,
+        ExpectedRequests(headers={"Request-Id": "*", "Request-Timeout-Ms": "*"}),
     ),
     Case(
         "sent/content-encoding-identity",
         "an encoding that is none",
-        say(),
-        Expect(),
-        GOOD,
-        Seen(),
+        chat_request(),
+        ExpectedResponse(),
+        GOOD_SCRIPTS,
+        ExpectedRequests(),
         headers={"Content-Encoding": "identity"},
     ),
     Case(
         "retries/500-then-good",
         "a question that is not tried again",
-        say(),
-        Expect(),
-        (plain(500), *GOOD),
-        Seen(runs=2),
+        chat_request(),
+        ExpectedResponse(),
+        (plain_response(500), *GOOD_SCRIPTS),
+        ExpectedRequests(count=2),
     ),
     Case(
         "retries/500-then-good-stream",
         "the same in a stream, before its first event",
-        say(stream=True),
-        Expect(text="one two"),
-        (plain(500), *GOOD),
-        Seen(runs=2),
+        chat_request(stream=True),
+        ExpectedResponse(text="one two"),
+        (plain_response(500), *GOOD_SCRIPTS),
+        ExpectedRequests(count=2),
     ),
 )
--- a/pearhill/conformance/suite/bodies.py
+++ b/pearhill/conformance/suite/bodies.py
@@ -1,72 +1,105 @@
-"""What clients may not send: a plain 4xx that names the place, and a connection that goes on."""
+"""Requests that are rejected: with a 4xx that names the parameter, and with a connection that stays usable."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
-from pearhill.conformance.case import CHAT, MODELS, ONCE, RESPONSES, SAFE, TEXT, Case, Expect, failing, say
+from pearhill.conformance.case import (
+    CHAT_PATH,
+    COMPLETIONS_PATH,
+    IDEMPOTENT_MODEL,
+    MODELS_PATH,
+    NON_IDEMPOTENT_MODEL,
+    RESPONSES_PATH,
+    Case,
+    ExpectedResponse,
+)
+from pearhill.conformance.payloads import chat_request, error_body
 
-USER = {"role": "user", "content": "Hi"}
+USER_MESSAGE = {"role": "user", "content": "Hi"}
 TOOL = {"type": "function", "function": {"name": "book", "parameters": {"type": "object"}}}
 
 
-def parts(*content: Any) -> dict[str, Any]:
-    return say({"role": "user", "content": list(content)})
+def rejection(status: int, code: str, param: str | None = None, **more: Any) -> ExpectedResponse:
+    """An `invalid_request_error`; `more` are fields of ExpectedResponse."""
+    return ExpectedResponse(status, error_body(code, param, "invalid_request_error"), connection_usable=True, **more)
+
+
+class RejectedRow(NamedTuple):
+    """A case of a chat request that is rejected with status 400."""
+
+    name: str
+    body: Any  # a JSON value, or the bytes themselves
+    param: str | None  # of the error object: where the fault is
+    code: str  # of the error object
+
+    def case(self) -> Case:
+        """The row as a case of the group "bodies"."""
+        return Case(
+            f"bodies/{self.name}",
+            f"{self.param or 'a body'} that is {self.code.replace('_', ' ')}",
+            self.body,
+            rejection(400, self.code, self.param),
+        )
+
+
+def request_with_parts(*content: Any) -> dict[str, Any]:
+    """A chat request with one message that has these content parts."""
+    return chat_request({"role": "user", "content": list(content)})
 
 
-# name, body, param, code
-BAD: tuple[tuple[str, Any, str | None, str], ...] = (
-    ("no-json", b"{", None, "invalid_json"),
-    ("empty-body", b"", None, "invalid_json"),
-    ("array", b"[]", None, "invalid_type"),
-    ("null", b"null", None, "invalid_type"),
-    ("trailing-comma", b'{"model": "conform-safe",}', None, "invalid_json"),
-    (
+REJECTED_ROWS: tuple[RejectedRow, ...] = (
+    RejectedRow("no-json", b"{", None, "invalid_json"),
+    RejectedRow("empty-body", b"", None, "invalid_json"),
+    RejectedRow("array", b"[]", None, "invalid_type"),
+    RejectedRow("null", b"null", None, "invalid_type"),
+    RejectedRow("trailing-comma", b'{"model": "conform-safe",}', None, "invalid_json"),
+    RejectedRow(
         "two-values",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}]} {}',
         None,
         "invalid_json",
     ),
-    (
+    RejectedRow(
         "nan",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}], "temperature": NaN}',
         None,
         "invalid_json",
     ),
-    (
+    RejectedRow(
         "nan-in-unknown-field",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}], "x": NaN}',
         None,
         "invalid_json",
     ),
-    (
+    RejectedRow(
         "infinity",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}], "top_p": Infinity}',
         None,
         "invalid_json",
     ),
-    (
+    RejectedRow(
         "bad-utf-8",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "\xff"}]}',
         None,
         "invalid_json",
     ),
-    (
+    RejectedRow(
         "bad-utf-8-in-unknown-field",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}], ' b'"x": "\xc3"}',
         None,
         "invalid_json",
     ),
-    ("utf-16", '{"model": "conform-safe"}'.encode("utf-16"), None, "invalid_json"),
-    ("byte-order-mark", b'\xef\xbb\xbf{"model": "conform-safe"}', None, "invalid_json"),
-    (
+    RejectedRow("utf-16", '{"model": "conform-safe"}'.encode("utf-16"), None, "invalid_json"),
+    RejectedRow("byte-order-mark", b'\xef\xbb\xbf{"model": "conform-safe"}', None, "invalid_json"),
+    RejectedRow(
         "lone-surrogate",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "\\ud800"}]}',
         None,
         "invalid_json",
     ),
-    ("deep-nesting", b'{"x": ' + b"[" * 50_000 + b"]" * 50_000 + b"}", None, "invalid_json"),
-    (
+    RejectedRow("deep-nesting", b'{"x": ' + b"[" * 50_000 + b"]" * 50_000 + b"}", None, "invalid_json"),
+    RejectedRow(
         "deep-nesting-in-tools",
         b'{"model": "conform-safe", "messages": [{"role": "user", "content": "a"}], "tools": '
         b'[{"type": "function", "function": {"name": "f", "parameters": '
@@ -77,75 +110,95 @@
         None,
         "invalid_json",
     ),
-    ("no-model", {"messages": [USER]}, "model", "missing_required_parameter"),
-    ("empty-model", say(model=""), "model", "invalid_value"),
-    ("model-number", say(model=7), "model", "invalid_type"),
-    ("no-messages", {"model": SAFE}, "messages", "missing_required_parameter"),
-    ("empty-messages", {"model": SAFE, "messages": []}, "messages", "invalid_value"),
-    ("messages-text", {"model": SAFE, "messages": "Hi"}, "messages", "invalid_type"),
-    ("message-text", say("Hi"), "messages[0]", "invalid_type"),
-    ("no-role", say({"content": "Hi"}), "messages[0].role", "missing_required_parameter"),
-    ("unknown-role", say(USER, {"role": "robot", "content": "Hi"}), "messages[1].role", "invalid_value"),
-    ("role-number", say({"role": 1, "content": "Hi"}), "messages[0].role", "invalid_type"),
-    ("no-content", say({"role": "user"}), "messages[0].content", "missing_required_parameter"),
-    ("content-number", say({"role": "user", "content": 5}), "messages[0].content", "invalid_type"),
-    ("content-null", say({"role": "user", "content": None}), "messages[0].content", "invalid_type"),
-    ("empty-parts", parts(), "messages[0].content", "invalid_value"),
-    (
+    RejectedRow("no-model", {"messages": [USER_MESSAGE]}, "model", "missing_required_parameter"),
+    RejectedRow("empty-model", chat_request(model=""), "model", "invalid_value"),
+    RejectedRow("model-number", chat_request(model=7), "model", "invalid_type"),
+    RejectedRow("no-messages", {"model": IDEMPOTENT_MODEL}, "messages", "missing_required_parameter"),
+    RejectedRow("empty-messages", {"model": IDEMPOTENT_MODEL, "messages": []}, "messages", "invalid_value"),
+    RejectedRow("messages-text", {"model": IDEMPOTENT_MODEL, "messages": "Hi"}, "messages", "invalid_type"),
+    RejectedRow("message-text", chat_request("Hi"), "messages[0]", "invalid_type"),
+    RejectedRow("no-role", chat_request({"content": "Hi"}), "messages[0].role", "missing_required_parameter"),
+    RejectedRow(
+        "unknown-role",
+        chat_request(USER_MESSAGE, {"role": "robot", "content": "Hi"}),
+        "messages[1].role",
+        "invalid_value",
+    ),
+    RejectedRow("role-number", chat_request({"role": 1, "content": "Hi"}), "messages[0].role", "invalid_type"),
+    RejectedRow("no-content", chat_request({"role": "user"}), "messages[0].content", "missing_required_parameter"),
+    RejectedRow("content-number", chat_request({"role": "user", "content": 5}), "messages[0].content", "invalid_type"),
+    RejectedRow("content-null", chat_request({"role": "user", "content": None}), "messages[0].content", "invalid_type"),
+    RejectedRow("empty-parts", request_with_parts(), "messages[0].content", "invalid_value"),
+    RejectedRow(
         "unknown-part",
-        say(USER, {"role": "user", "content": [{"type": "smell", "smell": "rose"}]}),
+        chat_request(USER_MESSAGE, {"role": "user", "content": [{"type": "smell", "smell": "rose"}]}),
         "messages[1].content[0].type",
         "invalid_value",
     ),
-    ("part-without-type", parts({"text": "Hi"}), "messages[0].content[0].type", "missing_required_parameter"),
-    ("text-part-without-text", parts({"type": "text"}), "messages[0].content[0].text", "missing_required_parameter"),
-    (
+    RejectedRow(
+        "part-without-type",
+        request_with_parts({"text": "Hi"}),
+        "messages[0].content[0].type",
+        "missing_required_parameter",
+    ),
+    RejectedRow(
+        "text-part-without-text",
+        request_with_parts({"type": "text"}),
+        "messages[0].content[0].text",
+        "missing_required_parameter",
+    ),
+    RejectedRow(
         "image-without-url",
-        parts({"type": "image_url", "image_url": {}}),
+        request_with_parts({"type": "image_url", "image_url": {}}),
         "messages[0].content[0].image_url.url",
         "missing_required_parameter",
     ),
-    (
+    RejectedRow(
         "image-detail",
-        parts({"type": "image_url", "image_url": {"url": "data:,", "detail": "fine"}}),
+        request_with_parts({"type": "image_url", "image_url": {"url": "data:,", "detail": "fine"}}),
         "messages[0].content[0].image_url.detail",
         "invalid_value",
     ),
-    (
+    RejectedRow(
         "audio-format",
-        parts({"type": "input_audio", "input_audio": {"data": "AA==", "format": "midi"}}),
+        request_with_parts({"type": "input_audio", "input_audio": {"data": "AA==", "format": "midi"}}),
         "messages[0].content[0].input_audio.format",
         "invalid_value",
     ),
-    (
+    RejectedRow(
         "file-without-file",
-        parts({"type": "file", "file": {"filename": "a.pdf"}}),
+        request_with_parts({"type": "file", "file": {"filename": "a.pdf"}}),
         "messages[0].content[0].file",
         "missing_required_parameter",
     ),
-    (
+    RejectedRow(
         "image-in-system",
-        say({"role": "system", "content": [{"type": "image_url", "image_url": {"url": "data:,"}}]}),
+        chat_request({"role": "system", "content": [{"type": "image_url", "image_url": {"url": "data:,"}}]}),
         "messages[0].content[0].type",
         "invalid_value",
     ),
-    ("assistant-with-nothing", say(USER, {"role": "assistant"}), "messages[1].content", "missing_required_parameter"),
-    (
+    RejectedRow(
+        "assistant-with-nothing",
+        chat_request(USER_MESSAGE, {"role": "assistant"}),
+        "messages[1].content",
+        "missing_required_parameter",
+    ),
+    RejectedRow(
         "tool-without-id",
-        say(USER, {"role": "tool", "content": "7"}),
+        chat_request(USER_MESSAGE, {"role": "tool", "content": "7"}),
         "messages[1].tool_call_id",
         "missing_required_parameter",
     ),
-    (
+    RejectedRow(
         "tool-call-without-function",
-        say(USER, {"role": "assistant", "tool_calls": [{"id": "a", "type": "function"}]}),
+        chat_request(USER_MESSAGE, {"role": "assistant", "tool_calls": [{"id": "a", "type": "function"}]}),
         "messages[1].tool_calls[0].function",
         "missing_required_parameter",
     ),
-    (
+    RejectedRow(
         "arguments-object",
-        say(
-            USER,
+        chat_request(
+            USER_MESSAGE,
             {
                 "role": "assistant",
                 "tool_calls": [{"id": "a", "type": "function", "function": {"name": "f", "arguments": {}}}],
@@ -154,182 +207,198 @@
         "messages[1].tool_calls[0].function.arguments",
         "invalid_type",
     ),
-    ("temperature-high", say(temperature=2.1), "temperature", "invalid_value"),
-    ("temperature-text", say(temperature="hot"), "temperature", "invalid_type"),
-    ("top-p", say(top_p=-0.1), "top_p", "invalid_value"),
-    ("penalty", say(presence_penalty=3), "presence_penalty", "invalid_value"),
-    ("n-zero", say(n=0), "n", "invalid_value"),
-    ("n-fraction", say(n=1.5), "n", "invalid_type"),
-    ("n-true", say(n=True), "n", "invalid_type"),
-    ("max-tokens-zero", say(max_tokens=0), "max_tokens", "invalid_value"),
-    ("max-tokens-huge", say(max_completion_tokens=10**30), "max_completion_tokens", "invalid_value"),
-    ("max-tokens-over-the-model", say(model=ONCE, max_tokens=1001), "max_tokens", "invalid_value"),
-    ("prompt-over-the-model", say({"role": "user", "content": "x" * 200_100}), "messages", "context_length_exceeded"),
-    ("stream-text", say(stream="yes"), "stream", "invalid_type"),
-    ("stream-options-without-stream", say(stream_options={"include_usage": True}), "stream_options", "invalid_value"),
-    (
+    RejectedRow("temperature-high", chat_request(temperature=2.1), "temperature", "invalid_value"),
+    RejectedRow("temperature-text", chat_request(temperature="hot"), "temperature", "invalid_type"),
+    RejectedRow("top-p", chat_request(top_p=-0.1), "top_p", "invalid_value"),
+    RejectedRow("penalty", chat_request(presence_penalty=3), "presence_penalty", "invalid_value"),
+    RejectedRow("n-zero", chat_request(n=0), "n", "invalid_value"),
+    RejectedRow("n-fraction", chat_request(n=1.5), "n", "invalid_type"),
+    RejectedRow("n-true", chat_request(n=True), "n", "invalid_type"),
+    RejectedRow("max-tokens-zero", chat_request(max_tokens=0), "max_tokens", "invalid_value"),
+    RejectedRow(
+        "max-tokens-huge", chat_request(max_completion_tokens=10**30), "max_completion_tokens", "invalid_value"
+    ),
+    RejectedRow(
+        "max-tokens-over-the-model",
+        chat_request(model=NON_IDEMPOTENT_MODEL, max_tokens=1001),
+        "max_tokens",
+        "invalid_value",
+    ),
+    RejectedRow(
+        "prompt-over-the-model",
+        chat_request({"role": "user", "content": "x" * 200_100}),
+        "messages",
+        "context_length_exceeded",
+    ),
+    RejectedRow("stream-text", chat_request(stream="yes"), "stream", "invalid_type"),
+    RejectedRow(
+        "stream-options-without-stream",
+        chat_request(stream_options={"include_usage": True}),
+        "stream_options",
+        "invalid_value",
+    ),
+    RejectedRow(
         "stream-options-type",
-        say(stream=True, stream_options={"include_usage": 1}),
+        chat_request(stream=True, stream_options={"include_usage": 1}),
         "stream_options.include_usage",
         "invalid_type",
     ),
-    ("five-stops", say(stop=list("abcde")), "stop", "invalid_value"),
-    ("stop-number", say(stop=[1]), "stop[0]", "invalid_type"),
-    ("logit-bias", say(logit_bias={"50256": 101}), None, "invalid_value"),
-    ("top-logprobs-alone", say(top_logprobs=2), "top_logprobs", "invalid_value"),
-    ("top-logprobs-many", say(logprobs=True, top_logprobs=21), "top_logprobs", "invalid_value"),
-    ("response-format", say(response_format={"type": "xml"}), "response_format.type", "invalid_value"),
-    (
+    RejectedRow("five-stops", chat_request(stop=list("abcde")), "stop", "invalid_value"),
+    RejectedRow("stop-number", chat_request(stop=[1]), "stop[0]", "invalid_type"),
+    RejectedRow("logit-bias", chat_request(logit_bias={"50256": 101}), None, "invalid_value"),
+    RejectedRow("top-logprobs-alone", chat_request(top_logprobs=2), "top_logprobs", "invalid_value"),
+    RejectedRow("top-logprobs-many", chat_request(logprobs=True, top_logprobs=21), "top_logprobs", "invalid_value"),
+    RejectedRow(
+        "response-format", chat_request(response_format={"type": "xml"}), "response_format.type", "invalid_value"
+    ),
+    RejectedRow(
         "schema-without-name",
-        say(response_format={"type": "json_schema", "json_schema": {}}),
+        chat_request(response_format={"type": "json_schema", "json_schema": {}}),
         "response_format.json_schema.name",
         "missing_required_parameter",
     ),
-    ("tool-type", say(tools=[{"type": "hammer"}]), "tools[0].type", "invalid_value"),
-    (
+    RejectedRow("tool-type", chat_request(tools=[{"type": "hammer"}]), "tools[0].type", "invalid_value"),
+    RejectedRow(
         "tool-name",
-        say(tools=[{"type": "function", "function": {"name": "a b"}}]),
+        chat_request(tools=[{"type": "function", "function": {"name": "a b"}}]),
         "tools[0].function.name",
         "invalid_value",
     ),
-    ("choice-without-tools", say(tool_choice="auto"), "tool_choice", "invalid_value"),
-    (
+    RejectedRow("choice-without-tools", chat_request(tool_choice="auto"), "tool_choice", "invalid_value"),
+    RejectedRow(
         "choice-of-no-tool",
-        say(tools=[TOOL], tool_choice={"type": "function", "function": {"name": "other"}}),
+        chat_request(tools=[TOOL], tool_choice={"type": "function", "function": {"name": "other"}}),
         "tool_choice.function.name",
         "invalid_value",
     ),
-    ("choice-word", say(tools=[TOOL], tool_choice="maybe"), "tool_choice", "invalid_value"),
-    ("parallel-without-tools", say(parallel_tool_calls=True), "parallel_tool_calls", "invalid_value"),
-    ("audio-without-voice", say(modalities=["text", "audio"]), "audio", "missing_required_parameter"),
-    ("store", say(store=True), "store", "unsupported_value"),
-    ("metadata-number", say(metadata={"a": 1}), None, "invalid_type"),
-    ("metadata-many", say(metadata={str(k): "" for k in range(17)}), "metadata", "invalid_value"),
-    ("class-unknown", say(metadata={"class": "unheard-of"}), "metadata.class", "invalid_value"),
-    ("reasoning-effort", say(reasoning_effort="heroic"), "reasoning_effort", "invalid_value"),
+    RejectedRow("choice-word", chat_request(tools=[TOOL], tool_choice="maybe"), "tool_choice", "invalid_value"),
+    RejectedRow(
+        "parallel-without-tools", chat_request(parallel_tool_calls=True), "parallel_tool_calls", "invalid_value"
+    ),
+    RejectedRow(
+        "audio-without-voice", chat_request(modalities=["text", "audio"]), "audio", "missing_required_parameter"
+    ),
+    RejectedRow("store", chat_request(store=True), "store", "unsupported_value"),
+    RejectedRow("metadata-number", chat_request(metadata={"a": 1}), None, "invalid_type"),
+    RejectedRow("metadata-many", chat_request(metadata={str(k): "" for k in range(17)}), "metadata", "invalid_value"),
+    RejectedRow("class-unknown", chat_request(metadata={"class": "unheard-of"}), "metadata.class", "invalid_value"),
+    RejectedRow("reasoning-effort", chat_request(reasoning_effort="heroic"), "reasoning_effort", "invalid_value"),
 )
 
 
-def _error(status: int, code: str, param: str | None = None, **more: Any) -> Expect:
-    return Expect(status, failing(code, param, "invalid_request_error"), usable=True, **more)
-
-
-GOOD_BODY = say()
-OTHER: tuple[Case, ...] = (
+CHAT_BODY = chat_request()
+OTHER_CASES: tuple[Case, ...] = (
     Case(
         "bodies/content-encoding",
         "a compressed body that would be read as noise",
-        GOOD_BODY,
-        _error(415, "unsupported_encoding"),
+        CHAT_BODY,
+        rejection(415, "unsupported_encoding"),
         headers={"Content-Encoding": "gzip"},
     ),
     Case(
         "bodies/too-large",
         "a body past the limit that is taken in whole",
         b"x" * 300_000,
-        Expect(413, failing("bad_http"), usable=False),
-        alone=True,
+        ExpectedResponse(413, error_body("bad_http"), connection_usable=False),
+        standalone_only=True,
     ),
     Case(
         "bodies/timeout-header",
         "a deadline that cannot be read",
-        GOOD_BODY,
-        _error(400, "invalid_value"),
+        CHAT_BODY,
+        rejection(400, "invalid_value"),
         headers={"X-Request-Timeout-Ms": "soon"},
     ),
     Case(
         "bodies/idempotency-key-long",
         "a key that fills the store",
-        GOOD_BODY,
-        _error(400, "invalid_value"),
+        CHAT_BODY,
+        rejection(400, "invalid_value"),
         headers={"Idempotency-Key": "k" * 257},
     ),
     Case(
         "bodies/unknown-model",
         "a model that nobody has declared",
-        say(model="nobody"),
-        _error(404, "model_not_found", "model"),
+        chat_request(model="nobody"),
+        rejection(404, "model_not_found", "model"),
     ),
     Case(
         "bodies/unknown-url",
         "a path that the API does not have",
-        GOOD_BODY,
-        _error(404, "unknown_url"),
+        CHAT_BODY,
+        rejection(404, "unknown_url"),
         path="/v1/embeddings",
-        alone=True,
+        standalone_only=True,
     ),
     Case(
         "bodies/method",
         "a call by the wrong method",
-        GOOD_BODY,
-        _error(405, "unknown_url", headers={"Allow": "POST"}),
-        path=CHAT,
+        CHAT_BODY,
+        rejection(405, "unknown_url", headers={"Allow": "POST"}),
+        path=CHAT_PATH,
         method="PUT",
     ),
-    Case("bodies/get-chat", "a chat asked for by GET", None, _error(405, "unknown_url"), method="GET"),
+    Case("bodies/get-chat", "a chat asked for by GET", None, rejection(405, "unknown_url"), method="GET"),
     Case(
         "bodies/text-no-prompt",
         "the older endpoint's required field",
-        {"model": SAFE},
-        _error(400, "missing_required_parameter", "prompt"),
-        path=TEXT,
+        {"model": IDEMPOTENT_MODEL},
+        rejection(400, "missing_required_parameter", "prompt"),
+        path=COMPLETIONS_PATH,
     ),
     Case(
         "bodies/responses-no-input",
         "the newer endpoint's required field",
-        {"model": SAFE},
-        _error(400, "missing_required_parameter", "input"),
-        path=RESPONSES,
+        {"model": IDEMPOTENT_MODEL},
+        rejection(400, "missing_required_parameter", "input"),
+        path=RESPONSES_PATH,
     ),
     Case(
         "models/list",
         "clients that ask for the models first",
         None,
-        Expect(
-            json={"object": "list", "data": [{"id": SAFE, "object": "model"}, {"id": ONCE, "object": "model"}]},
-            usable=True,
+        ExpectedResponse(
+            json={
+                "object": "list",
+                "data": [{"id": IDEMPOTENT_MODEL, "object": "model"}, {"id": NON_IDEMPOTENT_MODEL, "object": "model"}],
+            },
+            connection_usable=True,
         ),
-        path=MODELS,
+        path=MODELS_PATH,
         method="GET",
     ),
     Case(
         "models/one",
         "a look at one model",
         None,
-        Expect(json={"id": SAFE, "object": "model", "owned_by": "pearhill"}),
-        path=f"{MODELS}/{SAFE}",
+        ExpectedResponse(json={"id": IDEMPOTENT_MODEL, "object": "model", "owned_by": "pearhill"}),
+        path=f"{MODELS_PATH}/{IDEMPOTENT_MODEL}",
         method="GET",
     ),
     Case(
         "models/alias",
         "an alias, which stands for its model",
         None,
-        Expect(json={"id": SAFE}),
-        path=f"{MODELS}/conform-alias",
+        ExpectedResponse(json={"id": IDEMPOTENT_MODEL}),
+        path=f"{MODELS_PATH}/conform-alias",
         method="GET",
     ),
     Case(
         "models/escaped",
         "a name that comes percent-encoded",
         None,
-        Expect(json={"id": SAFE}),
-        path=f"{MODELS}/conform%2Dsafe",
+        ExpectedResponse(json={"id": IDEMPOTENT_MODEL}),
+        path=f"{MODELS_PATH}/conform%2Dsafe",
         method="GET",
     ),
     Case(
         "models/none",
         "a model that nobody has declared",
         None,
-        _error(404, "model_not_found", "model"),
-        path=f"{MODELS}/nobody",
+        rejection(404, "model_not_found", "model"),
+        path=f"{MODELS_PATH}/nobody",
         method="GET",
     ),
-    Case("models/post", "a model looked at by POST", {}, _error(405, "unknown_url"), path=MODELS),
-)
-CASES: tuple[Case, ...] = (
-    *(
-        Case(f"bodies/{name}", f"{param or 'a body'} that is {code.replace('_', ' ')}", body, _error(400, code, param))
-        for name, body, param, code in BAD
-    ),
-    *OTHER,
+    Case("models/post", "a model looked at by POST", {}, rejection(405, "unknown_url"), path=MODELS_PATH),
 )
+CASES: tuple[Case, ...] = (*(row.case() for row in REJECTED_ROWS), *OTHER_CASES)
--- a/pearhill/conformance/suite/completions.py
+++ b/pearhill/conformance/suite/completions.py
@@ -1,80 +1,90 @@
-"""`/v1/completions`: text prompts, whole and streamed."""
+"""`/v1/completions`: text prompts, with complete and streamed answers."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from pearhill.conformance.case import (
-    DONE,
-    GOOD,
-    SAFE,
-    SEEN,
-    TEXT,
-    USAGE,
-    WORDS,
-    Case,
-    Expect,
-    Seen,
-    chunk,
-    delta,
-    event,
-    failing,
-    head,
-    stream,
+from pearhill.conformance.case import COMPLETIONS_PATH, IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
+from pearhill.conformance.payloads import (
+    CHAT_CHUNKS,
+    DONE_EVENT,
+    GOOD_SCRIPTS,
+    USAGE_CHUNK,
+    chat_chunk,
+    error_body,
+    sse_event,
 )
+from pearhill.conformance.scripts import WAIT_FOR_CLIENT, Script, event_stream, http_chunk, response_head
 
 
-def ask(prompt: Any = "Hi", **more: Any) -> dict[str, Any]:
-    return {"model": SAFE, "prompt": prompt, **more}
+def completion_request(prompt: Any = "Hi", **fields: Any) -> dict[str, Any]:
+    """The body of a request to `/v1/completions`."""
+    return {"model": IDEMPOTENT_MODEL, "prompt": prompt, **fields}
 
 
-def bad(name: str, body: Any, param: str, code: str) -> Case:
+def rejected_case(name: str, body: Any, param: str, code: str) -> Case:
+    """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
     return Case(
         f"text/{name}",
         f"{param}: {code.replace('_', ' ')}",
         body,
-        Expect(400, failing(code, param), usable=True),
-        path=TEXT,
+        ExpectedResponse(400, error_body(code, param), connection_usable=True),
+        path=COMPLETIONS_PATH,
     )
 
 
-def good(
-    name: str, why: str, body: Any, expect: Expect, script: Any = GOOD, fields: Any = None, absent: tuple[str, ...] = ()
+def answered_case(
+    name: str,
+    guards_against: str,
+    body: Any,
+    expected: ExpectedResponse,
+    scripts: tuple[Script, ...] = GOOD_SCRIPTS,
+    fields: Any = None,
+    absent: tuple[str, ...] = (),
 ) -> Case:
-    return Case(f"text/{name}", why, body, expect, script, Seen(fields=fields, absent=absent), path=TEXT)
+    """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
+    return Case(
+        f"text/{name}",
+        guards_against,
+        body,
+        expected,
+        scripts,
+        ExpectedRequests(fields=fields, absent=absent),
+        path=COMPLETIONS_PATH,
+    )
 
 
-PROBS = {"content": [{"token": "one ", "logprob": -0.5, "top_logprobs": [{"token": "one ", "logprob": -0.5}]}]}
-USED = {"prompt_tokens": 9, "completion_tokens": 2, "total_tokens": 11}
+LOGPROBS = {"content": [{"token": "one ", "logprob": -0.5, "top_logprobs": [{"token": "one ", "logprob": -0.5}]}]}
+USAGE = {"prompt_tokens": 9, "completion_tokens": 2, "total_tokens": 11}
 CASES: tuple[Case, ...] = (
-    good(
+    answered_case(
         "whole",
         "an answer in the wrong words",
-        ask(),
-        Expect(
+        completion_request(),
+        ExpectedResponse(
             json={
                 "object": "text_completion",
-                "model": SAFE,
-                "usage": USED,
+                "model": IDEMPOTENT_MODEL,
+                "usage": USAGE,
                 "choices": [{"index": 0, "text": "one two", "finish_reason": "stop", "logprobs": None}],
             },
-            usable=True,
+            connection_usable=True,
         ),
         fields={"messages": [{"role": "user", "content": "Hi"}], "stream": True},
         absent=("prompt",),
     ),
-    good(
+    answered_case(
         "list-of-one",
         "a prompt in a list",
-        ask(["Hi"]),
-        Expect(json={"choices": [{"text": "one two"}]}),
+        completion_request(["Hi"]),
+        ExpectedResponse(json={"choices": [{"text": "one two"}]}),
         fields={"messages": [{"role": "user", "content": "Hi"}]},
     ),
-    good(
+    answered_case(
         "stream",
         "a stream in chat's words",
-        ask(stream=True),
-        Expect(
+        completion_request(stream=True),
+        ExpectedResponse(
             text="one two",
             events=(
                 {"object": "text_completion", "choices": [{"index": 0, "text": "one ", "finish_reason": None}]},
@@ -84,33 +94,44 @@
             ),
         ),
     ),
-    good(
+    answered_case(
         "stream-usage",
         "the usage event, where it is asked for",
-        ask(stream=True, stream_options={"include_usage": True}),
-        Expect(events=({"usage": None}, {"usage": None}, {"usage": None}, {"choices": [], "usage": USED}, "[DONE]")),
+        completion_request(stream=True, stream_options={"include_usage": True}),
+        ExpectedResponse(
+            events=({"usage": None}, {"usage": None}, {"usage": None}, {"choices": [], "usage": USAGE}, "[DONE]")
+        ),
     ),
-    good(
+    answered_case(
         "echo",
         "a prompt that does not come back",
-        ask(echo=True),
-        Expect(json={"choices": [{"text": "Hione two"}]}),
+        completion_request(echo=True),
+        ExpectedResponse(json={"choices": [{"text": "Hione two"}]}),
         absent=("echo",),
     ),
-    good("echo-stream", "the same in a stream", ask(echo=True, stream=True), Expect(text="Hione two")),
-    good(
+    answered_case(
+        "echo-stream",
+        "the same in a stream",
+        completion_request(echo=True, stream=True),
+        ExpectedResponse(text="Hione two"),
+    ),
+    answered_case(
         "n",
         "several answers, mixed up",
-        ask(n=2, best_of=2),
-        Expect(json={"choices": [{"index": 0, "text": "a"}, {"index": 1, "text": "b"}]}),
-        (stream(event(delta(index=1, content="b")), event(delta("stop", content="a")), DONE),),
+        completion_request(n=2, best_of=2),
+        ExpectedResponse(json={"choices": [{"index": 0, "text": "a"}, {"index": 1, "text": "b"}]}),
+        (
+            event_stream(
+                sse_event(chat_chunk(index=1, content="b")), sse_event(chat_chunk("stop", content="a")), DONE_EVENT
+            ),
+        ),
         absent=("best_of",),
     ),
-    good(
+    answered_case(
         "logprobs",
         "log probabilities in chat's form",
-        ask(logprobs=1),
-        Expect(
+        completion_request(logprobs=1),
+        ExpectedResponse(
             json={
                 "choices": [
                     {
@@ -124,30 +145,44 @@
                 ]
             }
         ),
-        (stream(event(delta(content="one ", logprobs=PROBS)), event(delta("stop")), DONE),),
+        (
+            event_stream(
+                sse_event(chat_chunk(content="one ", logprobs=LOGPROBS)), sse_event(chat_chunk("stop")), DONE_EVENT
+            ),
+        ),
         fields={"logprobs": True, "top_logprobs": 1},
     ),
-    good("unknown-fields", "a field that is lost on its way", ask(x_own=[1]), Expect(), fields={"x_own": [1]}),
-    good(
+    answered_case(
+        "unknown-fields",
+        "a field that is lost on its way",
+        completion_request(x_own=[1]),
+        ExpectedResponse(),
+        fields={"x_own": [1]},
+    ),
+    answered_case(
         "refusal",
         "a refusal, which is all the text there is",
-        ask(),
-        Expect(json={"choices": [{"text": "No."}]}),
-        (stream(event(delta(refusal="No.")), event(delta("stop")), event(USAGE), DONE),),
+        completion_request(),
+        ExpectedResponse(json={"choices": [{"text": "No."}]}),
+        (
+            event_stream(
+                sse_event(chat_chunk(refusal="No.")), sse_event(chat_chunk("stop")), sse_event(USAGE_CHUNK), DONE_EVENT
+            ),
+        ),
     ),
     Case(
         "text/broken",
         "a break that passes for an end",
         {"model": "conform-once", "prompt": "Hi", "stream": True},
-        Expect(ends="broken", events=({"choices": [{"text": "one "}]}, failing("stream_broken"))),
-        ((head(), chunk(event(WORDS[0])), SEEN),),
-        Seen(),
-        path=TEXT,
+        ExpectedResponse(truncated=True, events=({"choices": [{"text": "one "}]}, error_body("stream_broken"))),
+        ((response_head(), http_chunk(sse_event(CHAT_CHUNKS[0])), WAIT_FOR_CLIENT),),
+        ExpectedRequests(),
+        path=COMPLETIONS_PATH,
     ),
-    bad("tokens", ask([1, 2]), "prompt[0]", "invalid_type"),
-    bad("two-prompts", ask(["a", "b"]), "prompt", "unsupported_value"),
-    bad("suffix", ask(suffix="x"), "suffix", "unsupported_parameter"),
-    bad("best-of", ask(best_of=3), "best_of", "unsupported_value"),
-    bad("logprobs-many", ask(logprobs=6), "logprobs", "invalid_value"),
-    bad("stream-options", ask(stream_options={}), "stream_options", "invalid_value"),
+    rejected_case("tokens", completion_request([1, 2]), "prompt[0]", "invalid_type"),
+    rejected_case("two-prompts", completion_request(["a", "b"]), "prompt", "unsupported_value"),
+    rejected_case("suffix", completion_request(suffix="x"), "suffix", "unsupported_parameter"),
+    rejected_case("best-of", completion_request(best_of=3), "best_of", "unsupported_value"),
+    rejected_case("logprobs-many", completion_request(logprobs=6), "logprobs", "invalid_value"),
+    rejected_case("stream-options", completion_request(stream_options={}), "stream_options", "invalid_value"),
 )
--- a/pearhill/conformance/suite/responses.py
+++ b/pearhill/conformance/suite/responses.py
@@ -4,67 +4,65 @@
 
 from typing import Any
 
-from pearhill.conformance.case import (
-    DONE,
-    GOOD,
-    RESPONSES,
-    SAFE,
-    SEEN,
-    USAGE,
-    WORDS,
-    Case,
-    Expect,
-    Seen,
-    chunk,
-    delta,
-    event,
-    failing,
-    head,
-    stream,
+from pearhill.conformance.case import IDEMPOTENT_MODEL, RESPONSES_PATH, Case, ExpectedRequests, ExpectedResponse
+from pearhill.conformance.payloads import (
+    CHAT_CHUNKS,
+    GOOD_SCRIPTS,
+    chat_chunk,
+    chunk_scripts,
+    error_body,
+    sse_event,
+    tool_call_delta,
 )
+from pearhill.conformance.scripts import WAIT_FOR_CLIENT, Script, http_chunk, response_head
 
 TOOL = {"type": "function", "name": "book", "parameters": {"type": "object"}, "strict": True}
-BEGIN, END = ("response.created", "response.in_progress"), ("response.completed",)
+STREAM_BEGIN, STREAM_END = ("response.created", "response.in_progress"), ("response.completed",)
 TEXT_BEGIN = ("response.output_item.added", "response.content_part.added")
 TEXT_END = ("response.output_text.done", "response.content_part.done", "response.output_item.done")
 CALL_END = ("response.function_call_arguments.done", "response.output_item.done")
-CALL = "response.function_call_arguments.delta"
-DELTA = "response.output_text.delta"
+CALL_DELTA = "response.function_call_arguments.delta"
+TEXT_DELTA = "response.output_text.delta"
 
 
-def ask(input: Any = "Hi", **more: Any) -> dict[str, Any]:
-    return {"model": SAFE, "input": input, **more}
+def response_request(input: Any = "Hi", **fields: Any) -> dict[str, Any]:
+    """The body of a request to `/v1/responses`."""
+    return {"model": IDEMPOTENT_MODEL, "input": input, **fields}
 
 
-def bad(name: str, body: Any, param: str, code: str) -> Case:
+def rejected_case(name: str, body: Any, param: str, code: str) -> Case:
+    """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
     return Case(
         f"responses/{name}",
         f"{param}: {code.replace('_', ' ')}",
         body,
-        Expect(400, failing(code, param), usable=True),
-        path=RESPONSES,
+        ExpectedResponse(400, error_body(code, param), connection_usable=True),
+        path=RESPONSES_PATH,
     )
 
 
-def good(
-    name: str, why: str, body: Any, expect: Expect, script: Any = GOOD, fields: Any = None, absent: tuple[str, ...] = ()
+def answered_case(
+    name: str,
+    guards_against: str,
+    body: Any,
+    expected: ExpectedResponse,
+    scripts: tuple[Script, ...] = GOOD_SCRIPTS,
+    fields: Any = None,
+    absent: tuple[str, ...] = (),
 ) -> Case:
-    return Case(f"responses/{name}", why, body, expect, script, Seen(fields=fields, absent=absent), path=RESPONSES)
-
-
-def said(*chunks: Any) -> Any:
-    return (stream(*map(event, chunks), event(USAGE), DONE),)
-
-
-def piece(index: int, arguments: str, id: str | None = None, name: str | None = None) -> dict[str, Any]:
-    return {
-        "index": index,
-        "function": {"arguments": arguments, **({"name": name} if name else {})},
-        **({"id": id, "type": "function"} if id else {}),
-    }
+    """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
+    return Case(
+        f"responses/{name}",
+        guards_against,
+        body,
+        expected,
+        scripts,
+        ExpectedRequests(fields=fields, absent=absent),
+        path=RESPONSES_PATH,
+    )
 
 
-TALK = [
+INPUT_ITEMS = [
     {"role": "user", "content": "Book"},
     {"type": "reasoning", "summary": []},
     {"type": "message", "role": "assistant", "content": [{"type": "output_text", "text": "Which?"}]},
@@ -80,7 +78,7 @@
         ],
     },
 ]
-AS_CHAT = [
+ITEMS_AS_MESSAGES = [
     {"role": "system", "content": "Be kind."},
     {"role": "user", "content": "Book"},
     {
@@ -101,20 +99,20 @@
         ],
     },
 ]
-USED = {"input_tokens": 9, "input_tokens_details": {"cached_tokens": 4}, "output_tokens": 2, "total_tokens": 11}
+USAGE = {"input_tokens": 9, "input_tokens_details": {"cached_tokens": 4}, "output_tokens": 2, "total_tokens": 11}
 CASES: tuple[Case, ...] = (
-    good(
+    answered_case(
         "whole",
         "an answer in the wrong words",
-        ask(),
-        Expect(
+        response_request(),
+        ExpectedResponse(
             json={
                 "object": "response",
                 "status": "completed",
-                "model": SAFE,
+                "model": IDEMPOTENT_MODEL,
                 "error": None,
                 "store": False,
-                "usage": USED,
+                "usage": USAGE,
                 "output": [
                     {
                         "type": "message",
@@ -124,22 +122,24 @@
                     }
                 ],
             },
-            usable=True,
+            connection_usable=True,
         ),
         fields={"messages": [{"role": "user", "content": "Hi"}], "stream": True},
         absent=("input",),
     ),
-    good(
+    answered_case(
         "stream",
         "events in another order, or without numbers",
-        ask(stream=True),
-        Expect(names=(*BEGIN, *TEXT_BEGIN, DELTA, DELTA, *TEXT_END, *END), text="one two"),
+        response_request(stream=True),
+        ExpectedResponse(
+            event_names=(*STREAM_BEGIN, *TEXT_BEGIN, TEXT_DELTA, TEXT_DELTA, *TEXT_END, *STREAM_END), text="one two"
+        ),
     ),
-    good(
+    answered_case(
         "stream-fields",
         "events that do not say which item they belong to",
-        ask(stream=True),
-        Expect(
+        response_request(stream=True),
+        ExpectedResponse(
             events=(
                 {"type": "response.created", "sequence_number": 0, "response": {"status": "in_progress", "output": []}},
                 {"type": "response.in_progress"},
@@ -150,29 +150,29 @@
                 {"text": "one two"},
                 {"part": {"text": "one two"}},
                 {"item": {"status": "completed"}},
-                {"response": {"status": "completed", "usage": USED, "output": [{"type": "message"}]}},
+                {"response": {"status": "completed", "usage": USAGE, "output": [{"type": "message"}]}},
             )
         ),
     ),
-    good(
+    answered_case(
         "instructions",
         "instructions that are lost",
-        ask(instructions="Be kind."),
-        Expect(json={"instructions": "Be kind."}),
+        response_request(instructions="Be kind."),
+        ExpectedResponse(json={"instructions": "Be kind."}),
         fields={"messages": [{"role": "system", "content": "Be kind."}, {}]},
         absent=("instructions",),
     ),
-    good(
+    answered_case(
         "items",
         "a conversation that changes on its way",
-        ask(TALK, instructions="Be kind."),
-        Expect(),
-        fields={"messages": AS_CHAT},
+        response_request(INPUT_ITEMS, instructions="Be kind."),
+        ExpectedResponse(),
+        fields={"messages": ITEMS_AS_MESSAGES},
     ),
-    good(
+    answered_case(
         "options",
         "options under another name in chat",
-        ask(
+        response_request(
             max_output_tokens=5,
             text={"format": {"type": "json_schema", "name": "s", "schema": {}}, "verbosity": "low"},
             reasoning={"effort": "low"},
@@ -180,7 +180,7 @@
             temperature=0.5,
             x_own=1,
         ),
-        Expect(json={"max_output_tokens": 5, "temperature": 0.5}),
+        ExpectedResponse(json={"max_output_tokens": 5, "temperature": 0.5}),
         fields={
             "max_completion_tokens": 5,
             "response_format": {"type": "json_schema", "json_schema": {"name": "s", "schema": {}}},
@@ -193,11 +193,11 @@
         },
         absent=("text", "reasoning", "max_output_tokens"),
     ),
-    good(
+    answered_case(
         "tools",
         "tools in the wrong form",
-        ask(tools=[TOOL], tool_choice={"type": "function", "name": "book"}),
-        Expect(json={"tools": [{"type": "function", "name": "book"}]}),
+        response_request(tools=[TOOL], tool_choice={"type": "function", "name": "book"}),
+        ExpectedResponse(json={"tools": [{"type": "function", "name": "book"}]}),
         fields={
             "tools": [
                 {"type": "function", "function": {"name": "book", "parameters": {"type": "object"}, "strict": True}}
@@ -205,11 +205,11 @@
             "tool_choice": {"type": "function", "function": {"name": "book"}},
         },
     ),
-    good(
+    answered_case(
         "call",
         "a call as text",
-        ask(tools=[TOOL]),
-        Expect(
+        response_request(tools=[TOOL]),
+        ExpectedResponse(
             json={
                 "output": [
                     {
@@ -222,110 +222,139 @@
                 ]
             }
         ),
-        said(
-            delta(tool_calls=[piece(0, '{"a', "c1", "book")]), delta(tool_calls=[piece(0, '":1}')]), delta("tool_calls")
+        chunk_scripts(
+            chat_chunk(tool_calls=[tool_call_delta(0, '{"a', "c1", "book")]),
+            chat_chunk(tool_calls=[tool_call_delta(0, '":1}')]),
+            chat_chunk("tool_calls"),
         ),
     ),
-    good(
+    answered_case(
         "call-stream",
         "a call's events",
-        ask(tools=[TOOL], stream=True),
-        Expect(names=(*BEGIN, "response.output_item.added", CALL, CALL, *CALL_END, *END)),
-        said(delta(tool_calls=[piece(0, "{", "c1", "book")]), delta(tool_calls=[piece(0, "}")]), delta("tool_calls")),
+        response_request(tools=[TOOL], stream=True),
+        ExpectedResponse(
+            event_names=(*STREAM_BEGIN, "response.output_item.added", CALL_DELTA, CALL_DELTA, *CALL_END, *STREAM_END)
+        ),
+        chunk_scripts(
+            chat_chunk(tool_calls=[tool_call_delta(0, "{", "c1", "book")]),
+            chat_chunk(tool_calls=[tool_call_delta(0, "}")]),
+            chat_chunk("tool_calls"),
+        ),
     ),
-    good(
+    answered_case(
         "calls-in-turns",
         "two calls whose pieces mix",
-        ask(tools=[TOOL], stream=True),
-        Expect(
-            names=(
-                *BEGIN,
+        response_request(tools=[TOOL], stream=True),
+        ExpectedResponse(
+            event_names=(
+                *STREAM_BEGIN,
                 *TEXT_BEGIN,
-                DELTA,
+                TEXT_DELTA,
                 *TEXT_END,
                 "response.output_item.added",
-                CALL,
+                CALL_DELTA,
                 "response.output_item.added",
-                CALL,
-                CALL,
+                CALL_DELTA,
+                CALL_DELTA,
                 *CALL_END,
                 *CALL_END,
-                *END,
+                *STREAM_END,
             )
         ),
-        said(
-            delta(content="Well"),
-            delta(tool_calls=[piece(0, "{", "c1", "book")]),
-            delta(tool_calls=[piece(1, "[]", "c2", "book")]),
-            delta(tool_calls=[piece(0, "}")]),
-            delta("tool_calls"),
+        chunk_scripts(
+            chat_chunk(content="Well"),
+            chat_chunk(tool_calls=[tool_call_delta(0, "{", "c1", "book")]),
+            chat_chunk(tool_calls=[tool_call_delta(1, "[]", "c2", "book")]),
+            chat_chunk(tool_calls=[tool_call_delta(0, "}")]),
+            chat_chunk("tool_calls"),
         ),
     ),
-    good(
+    answered_case(
         "refusal",
         "a refusal as text",
-        ask(stream=True),
-        Expect(names=(*BEGIN, *TEXT_BEGIN, "response.refusal.delta", "response.refusal.done", *TEXT_END[1:], *END)),
-        said(delta(refusal="No."), delta("stop")),
+        response_request(stream=True),
+        ExpectedResponse(
+            event_names=(
+                *STREAM_BEGIN,
+                *TEXT_BEGIN,
+                "response.refusal.delta",
+                "response.refusal.done",
+                *TEXT_END[1:],
+                *STREAM_END,
+            )
+        ),
+        chunk_scripts(chat_chunk(refusal="No."), chat_chunk("stop")),
     ),
-    good(
+    answered_case(
         "incomplete",
         "a cut answer that passes for whole",
-        ask(max_output_tokens=1),
-        Expect(
+        response_request(max_output_tokens=1),
+        ExpectedResponse(
             json={
                 "status": "incomplete",
                 "incomplete_details": {"reason": "max_output_tokens"},
                 "output": [{"status": "incomplete"}],
             }
         ),
-        said(WORDS[0], delta("length")),
+        chunk_scripts(CHAT_CHUNKS[0], chat_chunk("length")),
     ),
-    good(
+    answered_case(
         "incomplete-stream",
         "the same in a stream",
-        ask(stream=True),
-        Expect(names=(*BEGIN, *TEXT_BEGIN, DELTA, *TEXT_END, "response.incomplete")),
-        said(WORDS[0], delta("content_filter")),
+        response_request(stream=True),
+        ExpectedResponse(event_names=(*STREAM_BEGIN, *TEXT_BEGIN, TEXT_DELTA, *TEXT_END, "response.incomplete")),
+        chunk_scripts(CHAT_CHUNKS[0], chat_chunk("content_filter")),
+    ),
+    answered_case(
+        "empty",
+        "an answer of no tokens",
+        response_request(stream=True),
+        ExpectedResponse(event_names=(*STREAM_BEGIN, *STREAM_END)),
+        chunk_scripts(chat_chunk("stop")),
     ),
-    good("empty", "an answer of no tokens", ask(stream=True), Expect(names=(*BEGIN, *END)), said(delta("stop"))),
     Case(
         "responses/broken",
         "a break that passes for an end",
         {"model": "conform-once", "input": "Hi", "stream": True},
-        Expect(ends="broken", names=(*BEGIN, *TEXT_BEGIN, DELTA, "response.failed")),
-        ((head(), chunk(event(WORDS[0])), SEEN),),
-        Seen(),
-        path=RESPONSES,
+        ExpectedResponse(truncated=True, event_names=(*STREAM_BEGIN, *TEXT_BEGIN, TEXT_DELTA, "response.failed")),
+        ((response_head(), http_chunk(sse_event(CHAT_CHUNKS[0])), WAIT_FOR_CLIENT),),
+        ExpectedRequests(),
+        path=RESPONSES_PATH,
+    ),
+    rejected_case(
+        "previous", response_request(previous_response_id="resp_1"), "previous_response_id", "unsupported_parameter"
+    ),
+    rejected_case("conversation", response_request(conversation="c"), "conversation", "unsupported_parameter"),
+    rejected_case("store", response_request(store=True), "store", "unsupported_value"),
+    rejected_case("background", response_request(background=True), "background", "unsupported_value"),
+    rejected_case("truncation", response_request(truncation="auto"), "truncation", "unsupported_value"),
+    rejected_case("include", response_request(include=["file_search_call.results"]), "include[0]", "unsupported_value"),
+    rejected_case("web-search", response_request(tools=[{"type": "web_search"}]), "tools[0].type", "invalid_value"),
+    rejected_case(
+        "item-type", response_request([{"type": "item_reference", "id": "x"}]), "input[0].type", "invalid_value"
+    ),
+    rejected_case("item-role", response_request([{"role": "robot", "content": "x"}]), "input[0].role", "invalid_value"),
+    rejected_case(
+        "item-content", response_request([{"role": "user"}]), "input[0].content", "missing_required_parameter"
     ),
-    bad("previous", ask(previous_response_id="resp_1"), "previous_response_id", "unsupported_parameter"),
-    bad("conversation", ask(conversation="c"), "conversation", "unsupported_parameter"),
-    bad("store", ask(store=True), "store", "unsupported_value"),
-    bad("background", ask(background=True), "background", "unsupported_value"),
-    bad("truncation", ask(truncation="auto"), "truncation", "unsupported_value"),
-    bad("include", ask(include=["file_search_call.results"]), "include[0]", "unsupported_value"),
-    bad("web-search", ask(tools=[{"type": "web_search"}]), "tools[0].type", "invalid_value"),
-    bad("item-type", ask([{"type": "item_reference", "id": "x"}]), "input[0].type", "invalid_value"),
-    bad("item-role", ask([{"role": "robot", "content": "x"}]), "input[0].role", "invalid_value"),
-    bad("item-content", ask([{"role": "user"}]), "input[0].content", "missing_required_parameter"),
-    bad(
+    rejected_case(
         "call-name",
-        ask([{"type": "function_call", "call_id": "c", "arguments": ""}]),
+        response_request([{"type": "function_call", "call_id": "c", "arguments": ""}]),
         "input[0].name",
         "missing_required_parameter",
     ),
-    bad(
+    rejected_case(
         "part-type",
-        ask([{"role": "user", "content": [{"type": "text", "text": "x"}]}]),
+        response_request([{"role": "user", "content": [{"type": "text", "text": "x"}]}]),
         "input[0].content[0].type",
         "invalid_value",
     ),
-    bad(
+    rejected_case(
         "part-of-others",
-        ask([{"role": "user", "content": [{"type": "output_text", "text": "x"}]}]),
+        response_request([{"role": "user", "content": [{"type": "output_text", "text": "x"}]}]),
         "input[0].content[0].type",
         "invalid_value",
     ),
-    bad("choice", ask(tool_choice="required"), "tool_choice", "invalid_value"),
-    bad("empty-input", ask([]), "input", "invalid_value"),
+    rejected_case("choice", response_request(tool_choice="required"), "tool_choice", "invalid_value"),
+    rejected_case("empty-input", response_request([]), "input", "invalid_value"),
 )
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -1,72 +1,77 @@
-"""Streams: byte for byte, cut anywhere, broken in every way."""
+"""Streams: unchanged byte for byte, cut into reads at any place, and truncated or malformed."""
 
 from __future__ import annotations
 
-from pearhill.conformance.case import (
-    ANSWER,
-    DONE,
-    GOOD,
-    HOLD,
-    LAST,
-    ONCE,
+from pearhill.conformance.case import NON_IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
+from pearhill.conformance.payloads import (
+    ANSWER_EVENTS,
+    CHAT_CHUNKS,
+    DONE_EVENT,
+    GOOD_SCRIPTS,
+    USAGE_CHUNK,
+    chat_chunk,
+    chat_request,
+    error_body,
+    sse_event,
+)
+from pearhill.conformance.scripts import (
+    LAST_CHUNK,
     RESET,
-    SEEN,
-    USAGE,
-    WORDS,
-    Case,
-    Expect,
+    WAIT_FOR_CLIENT,
+    WAIT_FOR_RELEASE,
     Script,
-    Seen,
     Step,
-    chunk,
-    delta,
-    event,
-    failing,
-    head,
-    raw,
-    say,
-    stream,
+    event_stream,
+    http_chunk,
+    response_head,
+    send_bytes,
 )
 
-ASK = say(stream=True)
-ASK_USAGE = say(stream=True, stream_options={"include_usage": True})
-BOOK = say(model=ONCE, stream=True)
-WITHOUT_USAGE = (*map(event, WORDS), DONE)
-SSE = {"Content-Type": "text/event-stream; charset=utf-8", "Cache-Control": "no-cache"}
-FIRST = event(WORDS[0])
-BROKEN = failing("stream_broken", kind="server_error")
-UTF8 = (event(delta(content="é⵿👋é")), event(delta("stop")), DONE)
+STREAM_REQUEST = chat_request(stream=True)
+USAGE_REQUEST = chat_request(stream=True, stream_options={"include_usage": True})
+NON_IDEMPOTENT_REQUEST = chat_request(model=NON_IDEMPOTENT_MODEL, stream=True)
+EVENTS_WITHOUT_USAGE = (*map(sse_event, CHAT_CHUNKS), DONE_EVENT)
+STREAM_HEADERS = {"Content-Type": "text/event-stream; charset=utf-8", "Cache-Control": "no-cache"}
+FIRST_EVENT = sse_event(CHAT_CHUNKS[0])
+TRUNCATED_BODY = error_body("stream_broken", kind="server_error")
+UTF8_EVENTS = (sse_event(chat_chunk(content="é⵿👋é")), sse_event(chat_chunk("stop")), DONE_EVENT)
 
 
-def bytewise(parts: tuple[bytes, ...], size: int) -> Script:
-    whole = b"".join(parts)
-    return (head(), *(chunk(whole[at : at + size]) for at in range(0, len(whole), size)), LAST)
+def script_cut_every(size: int, events: tuple[bytes, ...]) -> Script:
+    """A stream in chunks of `size` bytes, which end anywhere within events, lines and characters."""
+    stream = b"".join(events)
+    chunks = (http_chunk(stream[at : at + size]) for at in range(0, len(stream), size))
+    return (response_head(), *chunks, LAST_CHUNK)
 
 
-def endings(parts: tuple[bytes, ...], end: bytes) -> tuple[bytes, ...]:
-    return tuple(part.replace(b"\n", end) for part in parts)
+def with_line_ends(events: tuple[bytes, ...], end: bytes) -> tuple[bytes, ...]:
+    """The events with other line ends: the HTML standard takes CR LF, LF and CR (9.2.5)."""
+    return tuple(event.replace(b"\n", end) for event in events)
 
 
-def broken(name: str, why: str, *steps: Step) -> tuple[Case, Case]:
-    """The same break at a booking, before its first event and after it: one run, never a second."""
+def truncated_cases(name: str, guards_against: str, *steps: Step) -> tuple[Case, Case]:
+    """The same fault of a non-idempotent request before its first event and after it; never is it sent twice."""
     return (
         Case(
             f"broken/{name}-at-once",
-            why,
-            BOOK,
-            Expect(
-                500, failing("request_failed", kind="server_error"), headers={"X-Should-Retry": "false"}, usable=True
+            guards_against,
+            NON_IDEMPOTENT_REQUEST,
+            ExpectedResponse(
+                500,
+                error_body("request_failed", kind="server_error"),
+                headers={"X-Should-Retry": "false"},
+                connection_usable=True,
             ),
-            ((head(), *steps),),
-            Seen(),
+            ((response_head(), *steps),),
+            ExpectedRequests(),
         ),
         Case(
             f"broken/{name}-later",
-            why,
-            BOOK,
-            Expect(ends="broken", headers=SSE, events=(WORDS[0], BROKEN)),
-            ((head(), chunk(FIRST), SEEN, *steps),),
-            Seen(),
+            guards_against,
+            NON_IDEMPOTENT_REQUEST,
+            ExpectedResponse(truncated=True, headers=STREAM_HEADERS, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+            ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_CLIENT, *steps),),
+            ExpectedRequests(),
         ),
     )
 
@@ -74,260 +79,296 @@
 BAD_EVENTS: tuple[tuple[str, bytes], ...] = (
     ("no-json", b"data: {broken\n\n"),
     ("number", b"data: 7\n\n"),
-    ("no-choices", event({"id": "x"})),
-    ("error-event", event({"error": {"message": "no"}})),
-    ("error-beside-choices", event({**WORDS[0], "error": "x"})),
-    ("no-delta", event({"choices": [{"index": 0}]})),
+    ("no-choices", sse_event({"id": "x"})),
+    ("error-event", sse_event({"error": {"message": "no"}})),
+    ("error-beside-choices", sse_event({**CHAT_CHUNKS[0], "error": "x"})),
+    ("no-delta", sse_event({"choices": [{"index": 0}]})),
     ("bad-utf-8", b"data: \xff\n\n"),
     ("bad-utf-8-inside", b'data: {"choices": [{"index": 0, "delta": {"x": "\xff"}}]}\n\n'),
     ("nan", b'data: {"choices": [{"index": 0, "delta": {"x": NaN}}]}\n\n'),
-    ("content-number", event({"choices": [{"index": 0, "delta": {"content": 5}}]})),
-    ("choice-index-negative", event(delta(index=-1, content="a"))),
-    ("choice-index-huge", event(delta(index=10**9, content="a"))),
-    ("call-index-negative", event(delta(tool_calls=[{"index": -1, "function": {}}]))),
-    ("call-index-huge", event(delta(tool_calls=[{"index": 10**12, "function": {}}]))),
-    ("call-index-missing", event(delta(tool_calls=[{"function": {}}]))),
-    ("call-arguments-object", event(delta(tool_calls=[{"index": 0, "function": {"arguments": {}}}]))),
-    ("logprobs-odd", event(delta(content="a", logprobs={"content": [{"token": 1}]}))),
-    ("usage-negative", event({**USAGE, "usage": {"prompt_tokens": -1}})),
+    ("content-number", sse_event({"choices": [{"index": 0, "delta": {"content": 5}}]})),
+    ("choice-index-negative", sse_event(chat_chunk(index=-1, content="a"))),
+    ("choice-index-huge", sse_event(chat_chunk(index=10**9, content="a"))),
+    ("call-index-negative", sse_event(chat_chunk(tool_calls=[{"index": -1, "function": {}}]))),
+    ("call-index-huge", sse_event(chat_chunk(tool_calls=[{"index": 10**12, "function": {}}]))),
+    ("call-index-missing", sse_event(chat_chunk(tool_calls=[{"function": {}}]))),
+    ("call-arguments-object", sse_event(chat_chunk(tool_calls=[{"index": 0, "function": {"arguments": {}}}]))),
+    ("logprobs-odd", sse_event(chat_chunk(content="a", logprobs={"content": [{"token": 1}]}))),
+    ("usage-negative", sse_event({**USAGE_CHUNK, "usage": {"prompt_tokens": -1}})),
     ("deep", b"data: " + b"[" * 50_000 + b"\n\n"),
 )
 CASES: tuple[Case, ...] = (
     Case(
         "streams/unchanged",
         "events that are not what the server sent",
-        ASK,
-        Expect(headers=SSE, body=b"".join(WITHOUT_USAGE), usable=True, text="one two"),
-        GOOD,
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(
+            headers=STREAM_HEADERS, body=b"".join(EVENTS_WITHOUT_USAGE), connection_usable=True, text="one two"
+        ),
+        GOOD_SCRIPTS,
+        ExpectedRequests(),
     ),
     Case(
         "streams/usage",
         "the usage event, where it is asked for",
-        ASK_USAGE,
-        Expect(body=b"".join(ANSWER)),
-        GOOD,
-        Seen(),
+        USAGE_REQUEST,
+        ExpectedResponse(body=b"".join(ANSWER_EVENTS)),
+        GOOD_SCRIPTS,
+        ExpectedRequests(),
     ),
     Case(
         "streams/usage-null",
         "usage: null on each chunk, as some servers send it",
-        ASK,
-        Expect(text="one two"),
-        (stream(*(event({**w, "usage": None}) for w in WORDS), DONE),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (event_stream(*(sse_event({**w, "usage": None}) for w in CHAT_CHUNKS), DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/spaces",
         "events written with spaces, which must stay",
-        ASK,
-        Expect(body=b'data:  {"choices": [ {"delta" : {} } ]}  \n\ndata: [DONE]\n\n'),
-        (stream(b'data:  {"choices": [ {"delta" : {} } ]}  \n\n', DONE),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b'data:  {"choices": [ {"delta" : {} } ]}  \n\ndata: [DONE]\n\n'),
+        (event_stream(b'data:  {"choices": [ {"delta" : {} } ]}  \n\n', DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/no-space",
         "data: without a space behind its colon",
-        ASK,
-        Expect(text="one two"),
-        (stream(*(part.replace(b"data: ", b"data:") for part in ANSWER)),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (event_stream(*(part.replace(b"data: ", b"data:") for part in ANSWER_EVENTS)),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/comments",
         "comments of the server's, which are no progress",
-        ASK,
-        Expect(body=b"".join(WITHOUT_USAGE)),
-        (stream(b": hello\n\n", *ANSWER[:1], b":\n\n", *ANSWER[1:]),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b"".join(EVENTS_WITHOUT_USAGE)),
+        (event_stream(b": hello\n\n", *ANSWER_EVENTS[:1], b":\n\n", *ANSWER_EVENTS[1:]),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/other-fields",
         "id, event and retry fields beside the data",
-        ASK,
-        Expect(text="one two"),
-        (stream(*(b"id: 1\nevent: message\nretry: 5\n" + part for part in ANSWER)),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (event_stream(*(b"id: 1\nevent: message\nretry: 5\n" + part for part in ANSWER_EVENTS)),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/two-data-lines",
         "an event in two data lines",
-        ASK,
-        Expect(body=b'data: {"choices":\ndata: [{"delta":{}}]}\n\ndata: [DONE]\n\n'),
-        (stream(b'data: {"choices":\ndata: [{"delta":{}}]}\n\n', DONE),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b'data: {"choices":\ndata: [{"delta":{}}]}\n\ndata: [DONE]\n\n'),
+        (event_stream(b'data: {"choices":\ndata: [{"delta":{}}]}\n\n', DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/cr-lf",
         "lines that end in CR LF",
-        ASK,
-        Expect(text="one two"),
-        (stream(*endings(ANSWER, b"\r\n")),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (event_stream(*with_line_ends(ANSWER_EVENTS, b"\r\n")),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/cr",
         "lines that end in CR",
-        ASK,
-        Expect(text="one two"),
-        ((*stream(*endings(ANSWER, b"\r"), b"\n", last=False), LAST),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        ((*event_stream(*with_line_ends(ANSWER_EVENTS, b"\r"), b"\n", last=False), LAST_CHUNK),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/bom",
         "a byte order mark before the first event",
-        ASK,
-        Expect(text="one two"),
-        (stream(b"\xef\xbb\xbf" + ANSWER[0], *ANSWER[1:]),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (event_stream(b"\xef\xbb\xbf" + ANSWER_EVENTS[0], *ANSWER_EVENTS[1:]),),
+        ExpectedRequests(),
     ),
     *(
         Case(
             f"streams/cut-every-{size}",
             "events, lines and characters cut anywhere",
-            ASK,
-            Expect(text="é⵿👋é"),
-            (bytewise(UTF8, size),),
-            Seen(),
+            STREAM_REQUEST,
+            ExpectedResponse(text="é⵿👋é"),
+            (script_cut_every(size, UTF8_EVENTS),),
+            ExpectedRequests(),
         )
         for size in (1, 2, 3, 5, 7)
     ),
     Case(
         "streams/cut-cr-lf",
         "a CR at the end of one read and its LF in the next",
-        ASK,
-        Expect(text="one two"),
-        (bytewise(endings(ANSWER, b"\r\n"), 1),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (script_cut_every(1, with_line_ends(ANSWER_EVENTS, b"\r\n")),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/all-in-one",
         "all events in one piece",
-        ASK,
-        Expect(body=b"".join(WITHOUT_USAGE)),
-        ((head(), chunk(b"".join(ANSWER)), LAST),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b"".join(EVENTS_WITHOUT_USAGE)),
+        ((response_head(), http_chunk(b"".join(ANSWER_EVENTS)), LAST_CHUNK),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/no-last-chunk",
         "an answer that is whole with [DONE], whatever its connection does",
-        ASK,
-        Expect(text="one two"),
-        ((head(), *map(chunk, ANSWER), HOLD),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        ((response_head(), *map(http_chunk, ANSWER_EVENTS), WAIT_FOR_RELEASE),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/reset-after-done",
         "a reset behind the end",
-        ASK,
-        Expect(text="one two"),
-        ((head(), *map(chunk, ANSWER), RESET),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        ((response_head(), *map(http_chunk, ANSWER_EVENTS), RESET),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/done-doubled",
         "a second [DONE], which nobody may see",
-        ASK,
-        Expect(body=b"".join(WITHOUT_USAGE)),
-        (stream(*ANSWER, DONE),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b"".join(EVENTS_WITHOUT_USAGE)),
+        (event_stream(*ANSWER_EVENTS, DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/after-done",
         "events behind the end",
-        ASK,
-        Expect(body=b"".join(WITHOUT_USAGE)),
-        (stream(*ANSWER, event(WORDS[0])),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(body=b"".join(EVENTS_WITHOUT_USAGE)),
+        (event_stream(*ANSWER_EVENTS, sse_event(CHAT_CHUNKS[0])),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/large-event",
         "an event of 200 KB, which is still one",
-        ASK,
-        Expect(text="x" * 200_000),
-        (stream(event(delta(content="x" * 200_000)), event(delta("stop")), DONE),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="x" * 200_000),
+        (event_stream(sse_event(chat_chunk(content="x" * 200_000)), sse_event(chat_chunk("stop")), DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "streams/upper-case-type",
         "a content type in capitals",
-        ASK,
-        Expect(text="one two"),
-        ((head(Content_Type="Text/Event-Stream; charset=UTF-8"), *map(chunk, ANSWER), LAST),),
-        Seen(),
+        STREAM_REQUEST,
+        ExpectedResponse(text="one two"),
+        (
+            (
+                response_head(Content_Type="Text/Event-Stream; charset=UTF-8"),
+                *map(http_chunk, ANSWER_EVENTS),
+                LAST_CHUNK,
+            ),
+        ),
+        ExpectedRequests(),
     ),
     Case(
         "streams/leaves",
         "a client that goes in mid-stream: one run, seen through",
-        BOOK,
-        Expect(),
-        ((head(), chunk(FIRST), HOLD, *map(chunk, ANSWER[1:]), LAST),),
-        Seen(),
-        leaves=True,
+        NON_IDEMPOTENT_REQUEST,
+        ExpectedResponse(),
+        (
+            (
+                response_head(),
+                http_chunk(FIRST_EVENT),
+                WAIT_FOR_RELEASE,
+                *map(http_chunk, ANSWER_EVENTS[1:]),
+                LAST_CHUNK,
+            ),
+        ),
+        ExpectedRequests(),
+        client_disconnects=True,
     ),
     Case(
         "streams/leaves-text",
         "the same at the older endpoint",
-        {"model": ONCE, "prompt": "Hi", "stream": True},
-        Expect(),
-        ((head(), chunk(FIRST), HOLD, *map(chunk, ANSWER[1:]), LAST),),
-        Seen(),
-        leaves=True,
+        {"model": NON_IDEMPOTENT_MODEL, "prompt": "Hi", "stream": True},
+        ExpectedResponse(),
+        (
+            (
+                response_head(),
+                http_chunk(FIRST_EVENT),
+                WAIT_FOR_RELEASE,
+                *map(http_chunk, ANSWER_EVENTS[1:]),
+                LAST_CHUNK,
+            ),
+        ),
+        ExpectedRequests(),
+        client_disconnects=True,
         path="/v1/completions",
     ),
     Case(
         "streams/leaves-responses",
         "the same at the newer endpoint",
-        {"model": ONCE, "input": "Hi", "stream": True},
-        Expect(),
-        ((head(), chunk(FIRST), HOLD, *map(chunk, ANSWER[1:]), LAST),),
-        Seen(),
-        leaves=True,
+        {"model": NON_IDEMPOTENT_MODEL, "input": "Hi", "stream": True},
+        ExpectedResponse(),
+        (
+            (
+                response_head(),
+                http_chunk(FIRST_EVENT),
+                WAIT_FOR_RELEASE,
+                *map(http_chunk, ANSWER_EVENTS[1:]),
+                LAST_CHUNK,
+            ),
+        ),
+        ExpectedRequests(),
+        client_disconnects=True,
         path="/v1/responses",
     ),
-    *broken("done-early", "a [DONE] before any answer, or an end without it", LAST),
-    *broken("eof", "a connection that ends in mid-stream", raw(b"")),
-    *broken("reset", "a reset in mid-stream", RESET),
-    *broken("half-event", "an end in the middle of an event", chunk(FIRST[:20]), LAST),
-    *broken("half-chunk", "an end in the middle of a chunk", raw(b"40\r\ndata: ")),
-    *broken("event-of-10-MB", "an event without an end", *(chunk(b"x" * 200_000),) * 50),
-    *broken("chunk-of-10-MB", "a chunk without an end", raw(b"a00000\r\n"), *(raw(b"x" * 100_000),) * 100),
-    *broken("bad-chunk-size", "a chunk whose size is no number", raw(b"zz\r\n")),
+    *truncated_cases("done-early", "a [DONE] before any answer, or an end without it", LAST_CHUNK),
+    *truncated_cases("eof", "a connection that ends in mid-stream", send_bytes(b"")),
+    *truncated_cases("reset", "a reset in mid-stream", RESET),
+    *truncated_cases("half-event", "an end in the middle of an event", http_chunk(FIRST_EVENT[:20]), LAST_CHUNK),
+    *truncated_cases("half-chunk", "an end in the middle of a chunk", send_bytes(b"40\r\ndata: ")),
+    *truncated_cases("event-of-10-MB", "an event without an end", *(http_chunk(b"x" * 200_000),) * 50),
+    *truncated_cases(
+        "chunk-of-10-MB", "a chunk without an end", send_bytes(b"a00000\r\n"), *(send_bytes(b"x" * 100_000),) * 100
+    ),
+    *truncated_cases("bad-chunk-size", "a chunk whose size is no number", send_bytes(b"zz\r\n")),
     *(
         case
         for name, bad in BAD_EVENTS
-        for case in broken(f"event-{name}", f"an event that makes no sense: {name}", chunk(bad), LAST)
+        for case in truncated_cases(
+            f"event-{name}", f"an event that makes no sense: {name}", http_chunk(bad), LAST_CHUNK
+        )
     ),
     Case(
         "broken/done-alone",
         "an end without an answer",
-        BOOK,
-        Expect(500, failing("request_failed")),
-        (stream(DONE),),
-        Seen(),
+        NON_IDEMPOTENT_REQUEST,
+        ExpectedResponse(500, error_body("request_failed")),
+        (event_stream(DONE_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "broken/whole-answer",
         "a whole answer made of half a stream",
-        say(model=ONCE),
-        Expect(502, BROKEN, headers={"X-Should-Retry": "false"}, usable=True),
-        (stream(FIRST),),
-        Seen(),
+        chat_request(model=NON_IDEMPOTENT_MODEL),
+        ExpectedResponse(502, TRUNCATED_BODY, headers={"X-Should-Retry": "false"}, connection_usable=True),
+        (event_stream(FIRST_EVENT),),
+        ExpectedRequests(),
     ),
     Case(
         "broken/silent",
         "a server that falls silent in mid-stream",
-        BOOK,
-        Expect(ends="broken", events=(WORDS[0], BROKEN)),
-        ((head(), chunk(FIRST), HOLD),),
-        Seen(),
+        NON_IDEMPOTENT_REQUEST,
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_RELEASE),),
+        ExpectedRequests(),
     ),
     Case(
         "broken/comments-only",
         "a server that sends comments and nothing else",
-        BOOK,
-        Expect(ends="broken", events=(WORDS[0], BROKEN)),
-        ((head(), chunk(FIRST), *(chunk(b": still here\n\n"),) * 40, HOLD),),
-        Seen(),
+        NON_IDEMPOTENT_REQUEST,
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ((response_head(), http_chunk(FIRST_EVENT), *(http_chunk(b": still here\n\n"),) * 40, WAIT_FOR_RELEASE),),
+        ExpectedRequests(),
     ),
 )
--- /dev/null
+++ b/pearhill/conformance/verdict.py
@@ -0,0 +1,160 @@
+"""Whether a response, and the requests that the replica received, are as a case expects.
+
+Each check returns why it fails, in words, or an empty text.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from pearhill.chat.errors import ErrorObject
+from pearhill.chat.schema import answers
+from pearhill.chat.schema.chat import Chunk
+from pearhill.conformance.case import (
+    CHAT_PATH,
+    COMPLETIONS_PATH,
+    MODELS_PATH,
+    RESPONSES_PATH,
+    ExpectedRequests,
+    ExpectedResponse,
+    mismatch,
+)
+from pearhill.conformance.client import ReceivedResponse
+from pearhill.conformance.replica import ScriptedReplica
+from pearhill.http1.sse import EventParser
+
+MAX_EVENT_BYTES = 64 << 20
+DONE = b"[DONE]"
+ANY_VALUE = "*"  # of a header
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerTypes:
+    """The types that a good answer of an endpoint must decode to."""
+
+    complete: type
+    event: type | None = None  # of a stream; None: the endpoint has none
+
+
+ANSWER_TYPES = {
+    CHAT_PATH: AnswerTypes(answers.ChatCompletion, Chunk),
+    COMPLETIONS_PATH: AnswerTypes(answers.TextCompletion, answers.TextCompletion),
+    RESPONSES_PATH: AnswerTypes(answers.Response, answers.ResponseEvent),
+    MODELS_PATH: AnswerTypes(answers.ModelList),
+}
+MODEL_CARD = AnswerTypes(answers.ModelCard)  # at the path of one model
+
+
+def judge_response(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
+    """Why a response is not what the case expects; empty where it is."""
+    return (
+        _status_failure(response, expected)
+        or _header_failure(response.headers, {"x-request-id": ANY_VALUE, **expected.headers}, expected.absent_headers)
+        or _body_failure(response, expected)
+        or _json_failure(response, expected)
+        or (form_failure(response, path) if expected.status == 200 else "")
+        or _stream_failure(response, expected)
+    )
+
+
+def judge_requests(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
+    """Why the replica did not receive what the case expects; empty where it did."""
+    count = len(replica.requests)
+    if expected.count is None and not count:
+        return "the server had 0 runs, not some"
+    if expected.count is not None and count != expected.count:
+        return f"the server had {count} runs, not {expected.count}"
+    if not count:
+        return ""
+    body = replica.last_body()
+    failure = mismatch(expected.fields, body) if expected.fields is not None else ""
+    if failure:
+        return f"the server was sent: {failure}"
+    present = [name for name in expected.absent if name in body]
+    if present:
+        return f"the server was sent {present[0]!r}"
+    return _header_failure(replica.requests[-1].headers, expected.headers, expected.absent_headers)
+
+
+def form_failure(response: ReceivedResponse, path: str) -> str:
+    """Why a good answer does not have the form of its endpoint (the types of `pearhill.chat.schema`); empty where it
+    has. A stream's events may be error objects."""
+    types = ANSWER_TYPES.get(path, MODEL_CARD)
+    try:
+        if not response.headers.get("content-type", "").startswith("text/event-stream"):
+            msgspec.json.decode(response.body, type=types.complete)
+            return ""
+        for event in EventParser(MAX_EVENT_BYTES).feed(response.body):
+            if event.data is not None and event.data != DONE:
+                is_error = b'"error"' in event.data[:12]
+                msgspec.json.decode(event.data, type=ErrorObject if is_error else types.event)
+    except msgspec.DecodeError as e:
+        return f"the answer is not of its form: {e}"
+    return ""
+
+
+def stream_text(events: Iterable[Any]) -> str:
+    """The text of a stream's first choice, of whichever endpoint."""
+    text = ""
+    for value in events:
+        if not isinstance(value, dict):
+            continue
+        if value.get("type") == "response.output_text.delta":
+            text += value["delta"]
+        for choice in value.get("choices") or ():
+            if choice.get("index", 0) == 0:
+                text += choice.get("text") or (choice.get("delta") or {}).get("content") or ""
+    return text
+
+
+def _status_failure(response: ReceivedResponse, expected: ExpectedResponse) -> str:
+    if response.status == expected.status:
+        return ""
+    return f"status {response.status}, not {expected.status}: {response.body[:200]!r}"
+
+
+def _header_failure(headers: dict[str, str], expected: dict[str, str], absent: tuple[str, ...]) -> str:
+    """`headers` have names in lower case; the other names may be in any case."""
+    for name, value in expected.items():
+        actual = headers.get(name.lower())
+        if actual is None or value not in (ANY_VALUE, actual):
+            return f"header {name}: found {actual!r}, not {value!r}"
+    return next((f"header {name} is there" for name in absent if name.lower() in headers), "")
+
+
+def _body_failure(response: ReceivedResponse, expected: ExpectedResponse) -> str:
+    if response.complete == expected.truncated:
+        return f"the answer is {'whole' if response.complete else 'broken'}"
+    if expected.body is not None and response.body != expected.body:
+        return f"body {response.body[:200]!r}, not {expected.body[:200]!r}"
+    return ""
+
+
+def _json_failure(response: ReceivedResponse, expected: ExpectedResponse) -> str:
+    if expected.json is None:
+        return ""
+    try:
+        value = msgspec.json.decode(response.body)
+    except msgspec.DecodeError:
+        return f"the body is no JSON: {response.body[:100]!r}"
+    return mismatch(expected.json, value)
+
+
+def _stream_failure(response: ReceivedResponse, expected: ExpectedResponse) -> str:
+    if expected.events is None and expected.event_names is None and expected.text is None:
+        return ""
+    events = [event for event in EventParser(MAX_EVENT_BYTES).feed(response.body) if event.data is not None]
+    values = [DONE.decode() if e.data == DONE else msgspec.json.decode(e.data) for e in events if e.data]
+    if expected.text is not None and stream_text(values) != expected.text:
+        return f"text {stream_text(values)!r}, not {expected.text!r}"
+    names = tuple(event.name for event in events)
+    if expected.event_names is not None and names != expected.event_names:
+        return f"events {names}"
+    numbers = [v["sequence_number"] for v in values if isinstance(v, dict) and "sequence_number" in v]
+    if numbers and numbers != list(range(len(values))):
+        return "sequence numbers do not rise by one"
+    return mismatch(list(expected.events), values) if expected.events is not None else ""
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy
 
-from pearhill.conformance.client import Wire
+from pearhill.conformance.client import ClientConnection
 from pearhill.lab.scenario import Scenario, TenantTable
 
 SERVED, REFUSED, FAILED = "served", "refused", "failed"
@@ -66,14 +66,14 @@
         first[0] = time.monotonic() - began - planned
         return False
 
-    wire, status, outcome, tokens = Wire(*front), 0, FAILED, 0
+    wire, status, outcome, tokens = ClientConnection(*front), 0, FAILED, 0
     try:
         await wire.open()
-        got = await wire.ask(
+        got = await wire.exchange(
             "POST", "/v1/chat/completions", {"Authorization": f"Bearer {key}"}, msgspec.json.encode(body), WITHIN, seen
         )
         status, tokens = got.status, got.body.count(b'"content"')
-        if status == 200 and got.whole and got.body.endswith(b"data: [DONE]\n\n"):
+        if status == 200 and got.complete and got.body.endswith(b"data: [DONE]\n\n"):
             outcome = SERVED
         elif status in (429, 503):
             outcome = REFUSED
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -16,7 +16,7 @@
 import pyarrow.parquet
 
 from pearhill.chat.keys import new_key, record_of
-from pearhill.conformance.runner import own_daemon
+from pearhill.conformance.daemon import own_daemon
 from pearhill.lab import load
 from pearhill.lab.scenario import Scenario
 
@@ -53,7 +53,7 @@
 
 
 async def run(scenario: Scenario, progress: load.Progress = lambda done, total: None) -> list[load.Row]:
-    """OSError, Unreachable: the dispatcher or a server did not come up."""
+    """OSError, ConformanceRunError: the dispatcher or a server did not come up."""
     keys = {tenant.name: new_key() for tenant in scenario.tenant}
     async with servers(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
         host, _, port = url.removeprefix("http://").rpartition(":")
--- a/tests/chat/test_conformance.py
+++ b/tests/chat/test_conformance.py
@@ -3,8 +3,11 @@
 import asyncio
 import unittest
 
-from pearhill.conformance.runner import Report, Unreachable, conform_own, front_file, run_cases
-from pearhill.conformance.server import ScriptedServer
+from pearhill.conformance.daemon import front_file
+from pearhill.conformance.errors import ConformanceRunError
+from pearhill.conformance.replica import ScriptedReplica
+from pearhill.conformance.report import Report
+from pearhill.conformance.runner import conform_own, run_cases
 from pearhill.conformance.suite import CASES
 from tests.chat.test_asgi import Example
 from tests.chat.test_front import write_file
@@ -13,7 +16,7 @@
 
 class Conformance(unittest.TestCase):
     def holds(self, report: Report, least: int) -> None:
-        self.assertEqual([f"{r.case.name}: {r.why}" for r in report.failed], [])
+        self.assertEqual([f"{r.case.name}: {r.failure}" for r in report.failed], [])
         self.assertGreaterEqual(len(report.held), least)
 
     def test_the_daemon(self):
@@ -27,7 +30,7 @@
 
     def test_the_middleware(self):
         async def run() -> Report:
-            server = ScriptedServer()
+            server = ScriptedReplica()
             await server.start()
             try:
                 program = Example(write_file(self, front_file(server.address)))
@@ -40,19 +43,19 @@
 
     def test_a_suite_that_finds_nothing_says_so(self):
         """Danger: a runner that runs no case, or a front that is not there, would pass."""
-        with self.assertRaises(Unreachable):
-            asyncio.run(run_cases("http://127.0.0.1:1", ScriptedServer()))
-        with self.assertRaises(Unreachable):
-            asyncio.run(run_cases("http://127.0.0.1:1", ScriptedServer(), only="no such case"))
+        with self.assertRaises(ConformanceRunError):
+            asyncio.run(run_cases("http://127.0.0.1:1", ScriptedReplica()))
+        with self.assertRaises(ConformanceRunError):
+            asyncio.run(run_cases("http://127.0.0.1:1", ScriptedReplica(), only="no such case"))
 
     def test_a_front_that_does_wrong_is_found_out(self):
         """The same suite against a server that is no front: what it answers itself must not hold."""
 
         async def run() -> Report:
-            server, other = ScriptedServer(), ScriptedServer()
+            server, other = ScriptedReplica(), ScriptedReplica()
             await server.start()
             await other.start()
-            other.load((CASES[-1].script or ((),))[:1])
+            other.load((CASES[-1].scripts or ((),))[:1])
             try:
                 return await run_cases(f"http://{other.address}", server, only="answers/")
             finally:
--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -7,7 +7,7 @@
 import httpx2
 import openai
 
-from pearhill.conformance.case import ANSWER
+from pearhill.conformance.payloads import ANSWER_EVENTS
 from tests.chat.test_front import ChatCase
 from tests.standins import LAST, TOKENS
 
@@ -53,7 +53,7 @@
         chunks = list(stream)
         self.assertEqual("".join(c.choices[0].delta.content or "" for c in chunks if c.choices), "one two")
         self.assertEqual(chunks[-1].usage.total_tokens, 11)
-        self.server.respond = lambda h, b: h.chunks(*ANSWER)  # the helper looks at `object`
+        self.server.respond = lambda h, b: h.chunks(*ANSWER_EVENTS)  # the helper looks at `object`
         with client.chat.completions.stream(model="help", messages=HI) as events:
             events.until_done()
             self.assertEqual(events.get_final_completion().choices[0].message.content, "one two")
--- a/tests/chat/test_under_load.py
+++ b/tests/chat/test_under_load.py
@@ -10,15 +10,23 @@
 import time
 import unittest
 
-from pearhill.conformance.case import ANSWER, HOLD, LAST, SEEN, chunk, delta, event, head, stream
-from pearhill.conformance.client import Wire
-from pearhill.conformance.server import ScriptedServer
+from pearhill.conformance.client import ClientConnection
+from pearhill.conformance.payloads import ANSWER_EVENTS, chat_chunk, sse_event
+from pearhill.conformance.replica import ScriptedReplica
+from pearhill.conformance.scripts import (
+    LAST_CHUNK,
+    WAIT_FOR_CLIENT,
+    WAIT_FOR_RELEASE,
+    event_stream,
+    http_chunk,
+    response_head,
+)
 from pearhill.http1.messages import request
 from tests.chat.test_front import PATH, ChatCase, body, operator_file, write_file
 from tests.standins import LAST as END
 from tests.standins import TOKENS, Program
 
-BIG = delta(content="x" * 8_000)
+BIG = chat_chunk(content="x" * 8_000)
 
 
 def resident(pid: int) -> int:
@@ -35,7 +43,7 @@
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if soft < 8_192:
             resource.setrlimit(resource.RLIMIT_NOFILE, (min(8_192, hard), hard))
-        self.server = ScriptedServer()
+        self.server = ScriptedReplica()
         await self.server.start()
         self.addAsyncCleanup(self.server.close)
 
@@ -45,19 +53,19 @@
         self.addCleanup(program.kill)
         return program
 
-    async def ask(self, program: Program, sent: bytes) -> Wire:
+    async def ask(self, program: Program, sent: bytes) -> ClientConnection:
         """A stream that has begun."""
-        wire = Wire(program.host, program.port)
+        wire = ClientConnection(program.host, program.port)
         await wire.open()
         self.addCleanup(wire.close)
-        got = await wire.ask("POST", PATH, {}, sent, 20, lambda: True)
+        got = await wire.exchange("POST", PATH, {}, sent, 20, lambda: True)
         self.assertEqual(got.status, 200, got.body)
         return wire
 
     async def test_streams_that_nobody_reads_stay_small_and_harm_nobody(self):
         """900 clients take the first event and read no more; their servers would send 1.2 MB each."""
         program = self.begin("sockets = 4096\nmax_answer_bytes = 16777216")
-        self.server.load((stream(*[event(BIG)] * 150, *ANSWER[1:]),))
+        self.server.load((event_stream(*[sse_event(BIG)] * 150, *ANSWER_EVENTS[1:]),))
         before = resident(program.process.pid)
         stalled, sent = [], request("POST", PATH, "a", (), body(stream=True))
         loop = asyncio.get_running_loop()
@@ -72,19 +80,19 @@
             stalled.append(sock)
 
         async def whole() -> int:
-            wire = Wire(program.host, program.port)
+            wire = ClientConnection(program.host, program.port)
             await wire.open()
             try:
-                got = await wire.ask("POST", PATH, {}, body(stream=True), 60)
+                got = await wire.exchange("POST", PATH, {}, body(stream=True), 60)
             finally:
                 wire.close()
-            self.assertTrue(got.whole and got.body.endswith(b"data: [DONE]\n\n"))
+            self.assertTrue(got.complete and got.body.endswith(b"data: [DONE]\n\n"))
             return len(got.body)
 
         for _ in range(self.READ // 10):
             self.assertEqual(
                 set(await asyncio.gather(*(whole() for _ in range(10)))),
-                {150 * len(event(BIG)) + sum(map(len, (*ANSWER[1:3], ANSWER[4])))},
+                {150 * len(sse_event(BIG)) + sum(map(len, (*ANSWER_EVENTS[1:3], ANSWER_EVENTS[4])))},
             )
         told = await asyncio.to_thread(program.counters)
         self.assertEqual((told["served"], told["taken"]), (self.READ, self.OPEN), "the others must still be open")
@@ -95,75 +103,96 @@
 
     async def test_heartbeats_come_between_events_and_not_before_the_first(self):
         program = self.begin("heartbeat_s = 0.05")
-        self.server.load(((head(), HOLD, chunk(ANSWER[0]), SEEN, *map(chunk, ANSWER[1:]), LAST),))
-        wire = Wire(program.host, program.port)
+        self.server.load(
+            (
+                (
+                    response_head(),
+                    WAIT_FOR_RELEASE,
+                    http_chunk(ANSWER_EVENTS[0]),
+                    WAIT_FOR_CLIENT,
+                    *map(http_chunk, ANSWER_EVENTS[1:]),
+                    LAST_CHUNK,
+                ),
+            )
+        )
+        wire = ClientConnection(program.host, program.port)
         await wire.open()
         self.addCleanup(wire.close)
         assert wire._reader and wire._writer
         wire._writer.write(request("POST", PATH, "a", (), body(stream=True)))
         with self.assertRaises(TimeoutError):  # nothing is sent yet, so a refusal would keep its status
             await asyncio.wait_for(wire._reader.readexactly(1), 0.2)
-        self.server._go.set()
+        self.server.resume()
         got = b""
         while got.count(b": keep-alive\n\n") < 3:
             got += await asyncio.wait_for(wire._reader.read(65_536), 20)
-        self.server.seen()
+        self.server.client_received()
         while b"0\r\n\r\n" not in got:
             got += await asyncio.wait_for(wire._reader.read(65_536), 20)
         events = b"".join(part for part in got.partition(b"\r\n\r\n")[2].split(b"\r\n")[1::2])
-        self.assertEqual(events.replace(b": keep-alive\n\n", b""), b"".join((*ANSWER[:3], ANSWER[4])))
-        self.assertTrue(events.startswith(ANSWER[0] + b": keep-alive\n\n"))
+        self.assertEqual(events.replace(b": keep-alive\n\n", b""), b"".join((*ANSWER_EVENTS[:3], ANSWER_EVENTS[4])))
+        self.assertTrue(events.startswith(ANSWER_EVENTS[0] + b": keep-alive\n\n"))
 
     async def test_the_same_key_at_once_on_many_connections_and_endpoints_is_one_run(self):
         program = self.begin("")
-        self.server.load(((head(), chunk(ANSWER[0]), HOLD, *map(chunk, ANSWER[1:]), LAST),))
+        self.server.load(
+            (
+                (
+                    response_head(),
+                    http_chunk(ANSWER_EVENTS[0]),
+                    WAIT_FOR_RELEASE,
+                    *map(http_chunk, ANSWER_EVENTS[1:]),
+                    LAST_CHUNK,
+                ),
+            )
+        )
 
         async def repeat(path: str, sent: bytes) -> tuple[int, bytes]:
-            wire = Wire(program.host, program.port)
+            wire = ClientConnection(program.host, program.port)
             await wire.open()
             try:
-                got = await wire.ask("POST", path, {"Idempotency-Key": "one"}, sent, 20)
+                got = await wire.exchange("POST", path, {"Idempotency-Key": "one"}, sent, 20)
             finally:
                 wire.close()
             return got.status, got.body
 
         booking, other = body("booking", stream=True), json.dumps({"model": "booking", "prompt": "Hi"}).encode()
         first = asyncio.create_task(repeat(PATH, booking))
-        while not self.server.runs:
+        while not self.server.requests:
             await asyncio.sleep(0.01)
         others = [asyncio.create_task(repeat(PATH, booking)) for _ in range(20)]
         self.assertEqual((await repeat("/v1/completions", other))[0], 422)
         self.server.release()
         answers = await asyncio.gather(first, *others)
         self.assertEqual({status for status, _ in answers}, {200})
-        self.assertEqual({got for _, got in answers}, {b"".join((*ANSWER[:3], ANSWER[4]))})
-        self.assertEqual(len(self.server.runs), 1)
+        self.assertEqual({got for _, got in answers}, {b"".join((*ANSWER_EVENTS[:3], ANSWER_EVENTS[4]))})
+        self.assertEqual(len(self.server.requests), 1)
 
     async def test_a_flood_of_bad_requests_beside_good_ones(self):
         program = self.begin("")
-        self.server.load((stream(*ANSWER),))
+        self.server.load((event_stream(*ANSWER_EVENTS),))
         bad = [b"{", body(temperature=9), body("nobody"), b'{"x": ' + b"[" * 9_000, body(messages=[])]
         over = asyncio.Event()
         counts = {"bad": 0}
 
         async def flood(sent: bytes) -> None:
-            wire = Wire(program.host, program.port)
+            wire = ClientConnection(program.host, program.port)
             await wire.open()
             try:
                 while not over.is_set():
-                    got = await wire.ask("POST", PATH, {}, sent, 20)
+                    got = await wire.exchange("POST", PATH, {}, sent, 20)
                     self.assertIn(got.status, (400, 404))
                     counts["bad"] += 1
             finally:
                 wire.close()
 
         floods = [asyncio.create_task(flood(sent)) for sent in bad * 4]
-        wire = Wire(program.host, program.port)
+        wire = ClientConnection(program.host, program.port)
         await wire.open()
         self.addCleanup(wire.close)
         for _ in range(50):
-            got = await wire.ask("POST", PATH, {}, body(stream=True), 20)
-            self.assertTrue(got.whole and got.status == 200, got.body)
+            got = await wire.exchange("POST", PATH, {}, body(stream=True), 20)
+            self.assertTrue(got.complete and got.status == 200, got.body)
         over.set()
         await asyncio.gather(*floods)
         self.assertGreater(counts["bad"], 50)
@@ -172,7 +201,7 @@
 
     async def test_a_client_that_goes_in_a_heartbeat_leaves_nothing_behind(self):
         program = self.begin("heartbeat_s = 0.02")
-        self.server.load(((head(), chunk(ANSWER[0]), HOLD),))
+        self.server.load(((response_head(), http_chunk(ANSWER_EVENTS[0]), WAIT_FOR_RELEASE),))
         for _ in range(20):
             wire = await self.ask(program, body(stream=True))
             wire.close()
