--- a/tests/test_panels.py
+++ b/tests/test_panels.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from benchmarks.panels import FAILED, Failed, again_verdict, due, gate, oldest, read, table, verdict
+from benchmarks.panels import FAILED_DAYS, FailedDays, again_verdict, due, gate, oldest, read, table, verdict
 from pearhill.config.typed import load
 
 REPORT = """playing herd+vast ...
@@ -112,6 +112,6 @@
 
 
 def test_the_days_on_which_a_rule_was_ever_broken_are_kept_with_their_cause():
-    failed, _ = load(str(FAILED), Failed)
+    failed, _ = load(str(FAILED_DAYS), FailedDays)
     assert {day.rule for day in failed.day} >= {"drain", "pinned"}
     assert all(day.cause and day.seen for day in failed.day)
