--- a/tests/test_panels.py
+++ b/tests/test_panels.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "played, next_one",
+    ("played", "next_one"),
     [
         ([], "a"),
         ([("a", "calm+mass", "2")], "b"),
@@ -95,8 +95,10 @@
     ):
         (tmp_path / f"{n}.json").write_text(told)
     rows = oldest(tmp_path, ["a", "b"])
-    assert rows[-2:] == [("2", "a", "join+mass"), ("3", "a", "join+brink")] and {at for at, _, _ in rows[:-2]} == {""}
-    assert ("", "b", "herd+mass") in rows and len(rows) == 24
+    assert rows[-2:] == [("2", "a", "join+mass"), ("3", "a", "join+brink")]
+    assert {row.at for row in rows[:-2]} == {""}
+    assert ("", "b", "herd+mass") in rows
+    assert len(rows) == 24
     assert table(tmp_path, "2")[2:] == [
         "| a | join+mass | 7 | 0.00 | 0.500 (0.250) | drain | 19 of 112 MB, 88 of 928 | a2 |",
         "| a | join+brink | 7 | 0.00 | 0.500 (0.250) | drain | 19 of 112 MB, 88 of 928 | a3 |",
