--- a/benchmarks/chat_front.py
+++ b/benchmarks/chat_front.py
@@ -1,15 +1,16 @@
-"""The chat front, this version and an earlier one, side by side and in turn, on loopback stand-ins.
+"""The chat front of this version and of an earlier one, in turn, on loopback, with a simulated replica.
 
     .venv/bin/python benchmarks/chat_front.py [--before 9212b0a] [--rounds 5] [--quick]
 
-Each round starts each version anew on core 1; the stand-in server runs on core 2 and the clients on cores 3 and up.
-CPU is what the system books to the daemon. Figures are medians over the rounds, with the least and the most.
+Each round starts each version anew on core 1; the replica runs on core 2 and the clients on cores 3 and up.
+CPU time is what the system accounts to the daemon. Figures are medians over the rounds, with minimum and maximum.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
+import contextlib
 import json
 import os
 import pathlib
@@ -20,6 +21,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import AsyncIterator, Iterator
 from typing import Any
 
 import uvloop
@@ -37,36 +39,52 @@
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11}}\n\ndata: [DONE]\n\n'
 )
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+DAEMON_CORE = 1
+REPLICA_CORE = 2
+FIRST_CLIENT_CORE = 3
+START_TIMEOUT_S = 20
+STOP_TIMEOUT_S = 30
+EVENTS_PER_WRITE = 8  # where they come without a pause
+STALLED_STREAMS = 300
+QUICK_DIVISOR = 4  # of the load
 
 
 def chunk(data: bytes) -> bytes:
+    """One chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-# The stand-in server: streams what a request's own fields ask for.
+# The replica.
 
 
-class Server(asyncio.Protocol):
+class Replica(asyncio.Protocol):
+    """Streams what a request's fields ask for: `x_events`, `x_gap` (seconds between them), `x_pad` (bytes of text)."""
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop, like all methods but `answer`."""
         self.transport: Any = transport
         self.buffer = b""
         self.task: asyncio.Task[None] | None = None
-        self.room = asyncio.Event()
-        self.room.set()
+        self.may_write = asyncio.Event()
+        self.may_write.set()
 
     def pause_writing(self) -> None:
-        self.room.clear()
+        """The transport's buffer is full."""
+        self.may_write.clear()
 
     def resume_writing(self) -> None:
-        self.room.set()
+        """The transport's buffer has been written."""
+        self.may_write.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.room.set()
+        """End the answer that is under way."""
+        self.may_write.set()
         if self.task:
             self.task.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Answer once the request is complete; requests are not pipelined."""
         self.buffer += data
         head, found, body = self.buffer.partition(b"\r\n\r\n")
         if not found:
@@ -76,29 +94,31 @@
         if len(body) < length:
             return
         self.buffer = body[length:]
-        asked = json.loads(body[:length])
+        request = json.loads(body[:length])
         self.task = asyncio.ensure_future(
-            self.answer(asked.get("x_events", 2), asked.get("x_gap", 0.0), asked.get("x_pad", 0))
+            self.answer(request.get("x_events", 2), request.get("x_gap", 0.0), request.get("x_pad", 0))
         )
 
     async def answer(self, events: int, gap: float, pad: int) -> None:
+        """Stream events; without a gap, the first with the head and the others several a write."""
         event = chunk(EVENT.replace(b"hello ", b"x" * pad) if pad else EVENT)
         if not gap:
             self.transport.write(HEAD + event)
-            for _ in range(0, events - 1, 8):
-                await self.room.wait()
-                self.transport.write(event * 8)
+            for _ in range(0, events - 1, EVENTS_PER_WRITE):
+                await self.may_write.wait()
+                self.transport.write(event * EVENTS_PER_WRITE)
         else:
             self.transport.write(HEAD)
             for _ in range(events):
-                await self.room.wait()
+                await self.may_write.wait()
                 self.transport.write(event)
                 await asyncio.sleep(gap)
         self.transport.write(chunk(END) + b"0\r\n\r\n")
 
 
 async def serve() -> None:
-    server = await asyncio.get_running_loop().create_server(Server, "127.0.0.1", 0, backlog=1024)
+    """Run the replica; its port is printed as the first line."""
+    server = await asyncio.get_running_loop().create_server(Replica, "127.0.0.1", 0, backlog=1024)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
@@ -106,7 +126,8 @@
 # The clients.
 
 
-def request_bytes(**more: Any) -> bytes:
+def request_bytes(**fields: Any) -> bytes:
+    """A chat request with these fields beside its messages."""
     body = json.dumps(
         {
             "model": "help",
@@ -114,7 +135,7 @@
                 {"role": "system", "content": "You help with printers."},
                 {"role": "user", "content": "How long does it take?"},
             ],
-            **more,
+            **fields,
         }
     ).encode()
     return b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
@@ -125,48 +146,55 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection, one request after the other. `ended` gets (time of the first body byte, time of the end)."""
+    """One connection, for one request after the other. Its future gets (time of the first event, of the end)."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop, like all methods but `ask`."""
         self.transport: Any = transport
         self.ended: asyncio.Future[tuple[float, float]] | None = None
 
-    def ask(self, data: bytes, whole: bool) -> asyncio.Future[tuple[float, float]]:
-        self.tail, self.first, self.whole = b"", 0.0, whole
+    def ask(self, data: bytes, complete: bool) -> asyncio.Future[tuple[float, float]]:
+        """Send a request; times are of `time.perf_counter`. `complete`: its answer is no stream but one JSON object."""
+        self.tail = b""
+        self.first = 0.0
+        self.complete = complete
         self.ended = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         return self.ended
 
     def data_received(self, data: bytes) -> None:
+        """Note the first event, and end the request's future at the end of its answer or at another status than 200."""
+        assert self.ended
         if not self.first:
             if not data.startswith(b"HTTP/1.1 200") and not self.tail:
-                self.ended.set_exception(RuntimeError(data[:300].decode()))  # type: ignore[union-attr]
+                self.ended.set_exception(RuntimeError(data[:300].decode()))
                 return
-            if self.whole or b"data:" in self.tail + data:
+            if self.complete or b"data:" in self.tail + data:
                 self.first = time.perf_counter()
         self.tail = (self.tail + data)[-4096:]
-        if self.tail.endswith(b"0\r\n\r\n") or (self.whole and self.tail.endswith(b"}")):
-            assert self.ended
-            if not self.ended.done():
-                self.ended.set_result((self.first, time.perf_counter()))
+        has_ended = self.tail.endswith(b"0\r\n\r\n") or (self.complete and self.tail.endswith(b"}"))
+        if has_ended and not self.ended.done():
+            self.ended.set_result((self.first, time.perf_counter()))
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the request under way."""
         if self.ended and not self.ended.done():
             self.ended.set_exception(RuntimeError("closed"))
 
 
 async def connect(port: int) -> Client:
+    """A client's new connection to a port of loopback."""
     _, client = await asyncio.get_running_loop().create_connection(Client, "127.0.0.1", port)
     return client
 
 
-async def burst(port: int, clients: int, each: int, data: bytes, whole: bool) -> float:
+async def burst(port: int, clients: int, each: int, data: bytes, complete: bool = False) -> float:
     """Seconds that `clients` take for `each` requests, one behind the other."""
 
     async def one() -> None:
         client = await connect(port)
         for _ in range(each):
-            await client.ask(data, whole)
+            await client.ask(data, complete)
         client.transport.close()
 
     started = time.perf_counter()
@@ -175,8 +203,10 @@
 
 
 async def first_events(port: int, count: int) -> list[float]:
-    """Times from sending to the first event, in microseconds, one request at a time."""
-    client, times, data = await connect(port), [], request_bytes(stream=True)
+    """Times from sending to the first event, in microseconds, one request at a time. The first tenth is left out."""
+    client = await connect(port)
+    data = request_bytes(stream=True)
+    times: list[float] = []
     for _ in range(count):
         sent = time.perf_counter()
         first, _ = await client.ask(data, False)
@@ -188,19 +218,22 @@
 # The daemon.
 
 
-def cpu(pid: int) -> float:
+def cpu_time(pid: int) -> float:
+    """Seconds of CPU time that a process has used, of user and system (proc(5), `stat`)."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident(pid: int) -> int:
+    """Bytes that a process has in memory."""
     return int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def operator_file(port: int) -> str:
-    from tests.chat.test_front import operator_file as made
+    """The text of a daemon's file for the replica at a port, with limits that the load does not reach."""
+    from tests.chat.test_front import operator_file as small_file
 
-    text = made([f"127.0.0.1:{port}"]).replace("[chat]\n", "[chat]\nsockets = 4096\n")
+    text = small_file([f"127.0.0.1:{port}"]).replace("[chat]\n", "[chat]\nsockets = 4096\n")
     return (
         text.replace('"most-held" = 1000', '"most-held" = 9000')
         .replace('"tokens-by-kind" = [200000, 200000, 200000]', '"tokens-by-kind" = [90000000, 90000000, 90000000]')
@@ -210,25 +243,26 @@
 
 
 class Daemon:
-    def __init__(self, tree: pathlib.Path, path: str) -> None:
+    """A version's daemon as a process."""
+
+    def __init__(self, tree: pathlib.Path, path: str, port: int) -> None:
+        self.port = port  # as the file at `path` has it
         self.process = subprocess.Popen(
             [sys.executable, "-m", "pearhill", "--chat", path],
             cwd=tree,
             stderr=subprocess.PIPE,
             text=True,
             env={**os.environ, "PEARHILL_LOG": "WARNING", "PYTHONPATH": str(tree)},
-            preexec_fn=lambda: os.sched_setaffinity(0, {1}),
+            preexec_fn=lambda: os.sched_setaffinity(0, {DAEMON_CORE}),
         )
-        self.port = 0
 
-    async def up(self, port: int) -> None:
-        """Its port: PEARHILL_LOG is quiet, so it is set in the file."""
-        end = time.monotonic() + 20
+    async def wait_until_up(self) -> None:
+        """Wait until it accepts connections; its log is too quiet to say so. RuntimeError: it did not start."""
+        end = time.monotonic() + START_TIMEOUT_S
         while True:
             try:
-                client = await connect(port)
+                client = await connect(self.port)
                 client.transport.close()
-                self.port = port
                 return
             except OSError:
                 if time.monotonic() > end or self.process.poll() is not None:
@@ -236,65 +270,104 @@
                 await asyncio.sleep(0.02)
 
     def stop(self) -> None:
+        """End it by SIGTERM, and wait for its end."""
         self.process.terminate()
-        self.process.communicate(timeout=30)
+        self.process.communicate(timeout=STOP_TIMEOUT_S)
 
 
-async def measure(tree: pathlib.Path, server: int, quick: bool) -> dict[str, float]:
+@contextlib.asynccontextmanager
+async def running_daemon(tree: pathlib.Path, replica_port: int) -> AsyncIterator[Daemon]:
+    """The daemon of the version at `tree`, before the replica, on a port that was free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
-        file.write(operator_file(server).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
+        file.write(operator_file(replica_port).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
         file.flush()
-        daemon = Daemon(tree, file.name)
-        pid, scale = daemon.process.pid, 4 if quick else 1
+        daemon = Daemon(tree, file.name, port)
         try:
-            await daemon.up(port)
-            await burst(port, 4, 50, request_bytes(stream=True), False)  # warm
-            found: dict[str, float] = {}
-            # Events that come one by one, as they do from a model.
-            streams, events = 100, 400 // scale
-            before = cpu(pid)
-            await burst(port, streams, 1, request_bytes(stream=True, x_events=events, x_gap=0.02), False)
-            found["CPU us per event, one by one"] = (cpu(pid) - before) / (streams * events) * 1e6
-            # Events that come several at a time, as they do when the daemon or the network is behind.
-            before = cpu(pid)
-            await burst(port, 20, 2, request_bytes(stream=True, x_events=8_000 // scale), False)
-            found["CPU us per event, in bursts"] = (cpu(pid) - before) / (40 * 8_000 / scale) * 1e6
-            # Requests.
-            for name, stream in (("whole", False), ("streamed", True)):
-                count, before = 4_000 // scale, cpu(pid)
-                took = await burst(port, 8, count // 8, request_bytes(stream=stream), not stream)
-                found[f"CPU us per request, {name}"] = (cpu(pid) - before) / count * 1e6
-                if stream:
-                    found["streams a second on one core"] = count / took
-            # Added time to the first event.
-            direct, through = await first_events(server, 1_000 // scale), await first_events(port, 1_000 // scale)
-            found["added us to the first event, median"] = statistics.median(through) - statistics.median(direct)
-            found["added us to the first event, 99%"] = statistics.quantiles(through, n=100)[98] - statistics.median(
-                direct
-            )
-            # What a stalled stream holds.
-            before, stalled = resident(pid), []
-            data, loop = request_bytes(stream=True, x_events=400, x_pad=8_000), asyncio.get_running_loop()
-            for _ in range(300):
-                sock = socket.socket()
-                sock.setblocking(False)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                await loop.sock_connect(sock, ("127.0.0.1", port))
-                await loop.sock_sendall(sock, data)
-                await loop.sock_recv(sock, 64)
-                stalled.append(sock)
-            await asyncio.sleep(1)
-            found["KiB that a stalled stream holds"] = (resident(pid) - before) / len(stalled) / 1024
-            for sock in stalled:
-                sock.close()
-            return found
+            await daemon.wait_until_up()
+            yield daemon
         finally:
             daemon.stop()
 
 
+# The measurements. Each returns figures by the name under which they are printed.
+
+
+async def event_costs(daemon: Daemon, divisor: int) -> dict[str, float]:
+    """Events that come one by one, as they do from a model, and several at a time, as they do after a delay."""
+    pid = daemon.process.pid
+    streams = 100
+    events = 400 // divisor
+    before = cpu_time(pid)
+    await burst(daemon.port, streams, 1, request_bytes(stream=True, x_events=events, x_gap=0.02))
+    one_by_one = (cpu_time(pid) - before) / (streams * events) * 1e6
+    before = cpu_time(pid)
+    await burst(daemon.port, 20, 2, request_bytes(stream=True, x_events=8_000 // divisor))
+    in_bursts = (cpu_time(pid) - before) / (40 * 8_000 / divisor) * 1e6
+    return {"CPU us per event, one by one": one_by_one, "CPU us per event, in bursts": in_bursts}
+
+
+async def request_costs(daemon: Daemon, divisor: int) -> dict[str, float]:
+    """Short requests of 8 clients, with complete and with streamed answers."""
+    pid = daemon.process.pid
+    count = 4_000 // divisor
+    figures: dict[str, float] = {}
+    for name, stream in (("whole", False), ("streamed", True)):
+        before = cpu_time(pid)
+        elapsed = await burst(daemon.port, 8, count // 8, request_bytes(stream=stream), complete=not stream)
+        figures[f"CPU us per request, {name}"] = (cpu_time(pid) - before) / count * 1e6
+        if stream:
+            figures["streams a second on one core"] = count / elapsed
+    return figures
+
+
+async def added_latency(daemon: Daemon, replica_port: int, divisor: int) -> dict[str, float]:
+    """What the daemon adds to the time to the first event."""
+    direct = await first_events(replica_port, 1_000 // divisor)
+    through = await first_events(daemon.port, 1_000 // divisor)
+    median = statistics.median(direct)
+    return {
+        "added us to the first event, median": statistics.median(through) - median,
+        "added us to the first event, 99%": statistics.quantiles(through, n=100)[98] - median,
+    }
+
+
+async def stalled_memory(daemon: Daemon) -> dict[str, float]:
+    """What a stream holds in memory whose client reads the first bytes and no more."""
+    loop = asyncio.get_running_loop()
+    data = request_bytes(stream=True, x_events=400, x_pad=8_000)
+    before = resident(daemon.process.pid)
+    stalled: list[socket.socket] = []
+    for _ in range(STALLED_STREAMS):
+        sock = socket.socket()
+        sock.setblocking(False)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+        await loop.sock_connect(sock, ("127.0.0.1", daemon.port))
+        await loop.sock_sendall(sock, data)
+        await loop.sock_recv(sock, 64)
+        stalled.append(sock)
+    await asyncio.sleep(1)
+    held = (resident(daemon.process.pid) - before) / len(stalled) / 1024
+    for sock in stalled:
+        sock.close()
+    return {"KiB that a stalled stream holds": held}
+
+
+async def measure(tree: pathlib.Path, replica_port: int, quick: bool) -> dict[str, float]:
+    """All figures of the version at `tree`, from a daemon that is started for them."""
+    divisor = QUICK_DIVISOR if quick else 1
+    async with running_daemon(tree, replica_port) as daemon:
+        await burst(daemon.port, 4, 50, request_bytes(stream=True))  # to warm up
+        return {
+            **await event_costs(daemon, divisor),
+            **await request_costs(daemon, divisor),
+            **await added_latency(daemon, replica_port, divisor),
+            **await stalled_memory(daemon),
+        }
+
+
 def checkout(revision: str, folder: str) -> pathlib.Path:
     """An earlier version of this program, out of its own history."""
     archive = subprocess.run(["git", "archive", revision, "pearhill"], cwd=ROOT, check=True, capture_output=True)
@@ -302,7 +375,48 @@
     return pathlib.Path(folder)
 
 
+@contextlib.contextmanager
+def running_replica() -> Iterator[int]:
+    """The replica as a process; its port."""
+    process = subprocess.Popen(
+        [sys.executable, __file__, "--server"],
+        stdout=subprocess.PIPE,
+        text=True,
+        preexec_fn=lambda: os.sched_setaffinity(0, {REPLICA_CORE}),
+    )
+    assert process.stdout
+    try:
+        yield int(process.stdout.readline())
+    finally:
+        process.terminate()
+        process.wait()
+
+
+def measure_rounds(revision: str, rounds: int, quick: bool) -> dict[str, dict[str, list[float]]]:
+    """The figures of all rounds by version ("before", "now") and name; every other round begins with "now"."""
+    found: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
+    with running_replica() as port, tempfile.TemporaryDirectory() as folder:
+        trees = {"before": checkout(revision, folder), "now": ROOT}
+        for turn in range(rounds):
+            order = list(trees) if turn % 2 == 0 else list(trees)[::-1]
+            for name in order:
+                for key, value in asyncio.run(measure(trees[name], port, quick)).items():
+                    found[name].setdefault(key, []).append(value)
+    return found
+
+
+def print_table(found: dict[str, dict[str, list[float]]], revision: str, rounds: int) -> None:
+    """Print a row for each figure."""
+    print(f"| {rounds} rounds, median (least to most) | before ({revision}) | now | now / before |")
+    print("| --- | --- | --- | --- |")
+    for key, old in found["before"].items():
+        new = found["now"][key]
+        cells = [f"{statistics.median(v):,.1f} ({min(v):,.1f} to {max(v):,.1f})" for v in (old, new)]
+        print(f"| {key} | {cells[0]} | {cells[1]} | {statistics.median(new) / statistics.median(old):.2f} |")
+
+
 def main() -> None:
+    """Run the benchmark, or with the hidden `--server` its replica."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--before", default="9212b0a", help="the earlier version")
     parser.add_argument("--rounds", type=int, default=5)
@@ -315,33 +429,9 @@
         return
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, hard), hard))
-    os.sched_setaffinity(0, set(range(3, os.cpu_count() or 4)) or {0})
-    server = subprocess.Popen(
-        [sys.executable, __file__, "--server"],
-        stdout=subprocess.PIPE,
-        text=True,
-        preexec_fn=lambda: os.sched_setaffinity(0, {2}),
-    )
-    assert server.stdout
-    port = int(server.stdout.readline())
-    found: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
-    try:
-        with tempfile.TemporaryDirectory() as folder:
-            trees = {"before": checkout(options.before, folder), "now": ROOT}
-            for turn in range(options.rounds):
-                order = list(trees) if turn % 2 == 0 else list(trees)[::-1]
-                for name in order:
-                    for key, value in asyncio.run(measure(trees[name], port, options.quick)).items():
-                        found[name].setdefault(key, []).append(value)
-    finally:
-        server.terminate()
-        server.wait()
-    print(f"| {options.rounds} rounds, median (least to most) | before ({options.before}) | now | now / before |")
-    print("| --- | --- | --- | --- |")
-    for key, old in found["before"].items():
-        new = found["now"][key]
-        cells = [f"{statistics.median(v):,.1f} ({min(v):,.1f} to {max(v):,.1f})" for v in (old, new)]
-        print(f"| {key} | {cells[0]} | {cells[1]} | {statistics.median(new) / statistics.median(old):.2f} |")
+    os.sched_setaffinity(0, set(range(FIRST_CLIENT_CORE, os.cpu_count() or 4)) or {0})
+    found = measure_rounds(options.before, options.rounds, options.quick)
+    print_table(found, options.before, options.rounds)
 
 
 if __name__ == "__main__":
