--- a/tests/platform/test_failing_calls.py
+++ b/tests/platform/test_failing_calls.py
@@ -48,7 +48,7 @@
     day.things += [day.discovery, server]
     day.program, command = start(tmp_path, day.discovery, monkeypatch)
     day.program.wait_ready()
-    condition, lines = day.program.heard, day.program.lines
+    condition, lines = day.program.line_read, day.program.lines
 
     def pauses() -> int:
         return sum("accepting pauses" in line for line in lines)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the tests of the network code: the real program as a process, servers that count every run, and
-the registries that name them. All on loopback, all on ports that the system picks."""
+"""Stand-ins for the tests of the network code: the real program as a process, servers that record every request, and
+the discovery that lists them. All on loopback, all on ports that the system chooses."""
 
 from __future__ import annotations
 
@@ -60,79 +60,108 @@
 )
 
 
+HTTP_METHODS = ("GET", "POST", "PUT", "DELETE")
+
+
+class StandinHandler(BaseHTTPRequestHandler):
+    """Records each complete request at its stand-in, which responds by the other methods."""
+
+    protocol_version = "HTTP/1.1"
+    server: StandinServer
+
+    @property
+    def standin(self) -> Standin:
+        """Whose request this is."""
+        return self.server.standin
+
+    def serve(self) -> None:
+        """Receive a request of whichever method, and have the stand-in respond."""
+        body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
+        with self.standin.seen:
+            self.standin.calls.append((self.command, self.path))
+            self.standin.bodies.append(body)
+            self.standin.headers.append(dict(self.headers))
+            self.standin.seen.notify_all()
+        try:
+            self.standin.respond(self, body)
+        except OSError:
+            self.close_connection = True
+
+    def log_message(self, *args: Any) -> None:
+        """Nothing is logged."""
+
+    def plain(self, status: int, body: bytes = b"", **headers: str) -> None:
+        """Send a response in one piece. Names of headers have `_` for `-`."""
+        self.send_response(status)
+        for name, value in headers.items():
+            self.send_header(name.replace("_", "-"), value)
+        if status != 204:
+            self.send_header("Content-Length", str(len(body)))
+        self.end_headers()
+        self.wfile.write(body)
+
+    def chunks(self, *parts: bytes, last: bool = True) -> None:
+        """Send an event stream, a chunk for each part. `last` False: its body is not ended."""
+        self.send_response(200)
+        self.send_header("Content-Type", "text/event-stream")
+        self.send_header("Transfer-Encoding", "chunked")
+        self.end_headers()
+        for part in parts:
+            self.more(part)
+        if last:
+            self.wfile.write(b"0\r\n\r\n")
+
+    def more(self, part: bytes) -> None:
+        """Send one more chunk of a body that is not ended."""
+        self.wfile.write(b"%x\r\n%b\r\n" % (len(part), part))
+        self.wfile.flush()
+
+
+for _method in HTTP_METHODS:
+    setattr(StandinHandler, f"do_{_method}", StandinHandler.serve)  # the names that http.server calls
+
+
+class StandinServer(ThreadingHTTPServer):
+    """A stand-in's server on loopback, on a port that the system chooses."""
+
+    daemon_threads = True
+
+    def __init__(self, standin: Standin) -> None:
+        self.standin = standin
+        super().__init__(("127.0.0.1", 0), StandinHandler)
+
+    def handle_error(self, *args: Any) -> None:
+        """Nothing is printed: a dispatcher that gives an attempt up closes its connection."""
+
+
 class Standin:
-    """A server whose `respond(handler, body)` a test may replace. `calls` lists (method, path), `runs` counts POSTs
-    that came in whole on each path."""
+    """A server whose `respond(handler, body)` a test may replace."""
 
     def __init__(self) -> None:
-        self.calls: list[tuple[str, str]] = []
-        self.bodies: list[bytes] = []
-        self.headers: list[dict[str, str]] = []
-        self.seen = threading.Condition()
+        self.calls: list[tuple[str, str]] = []  # method and path of each complete request
+        self.bodies: list[bytes] = []  # of each
+        self.headers: list[dict[str, str]] = []  # of each
+        self.seen = threading.Condition()  # of the three lists
         self.go = threading.Event()  # for answers that wait for the test
-
-        class Handler(BaseHTTPRequestHandler):
-            protocol_version = "HTTP/1.1"
-            standin: Standin = self
-
-            def serve(self) -> None:
-                body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-                with self.standin.seen:
-                    self.standin.calls.append((self.command, self.path))
-                    self.standin.bodies.append(body)
-                    self.standin.headers.append(dict(self.headers))
-                    self.standin.seen.notify_all()
-                try:
-                    self.standin.respond(self, body)
-                except OSError:
-                    self.close_connection = True
-
-            do_GET = do_POST = do_PUT = do_DELETE = serve
-
-            def log_message(self, *args: Any) -> None:
-                pass
-
-            def plain(self, status: int, body: bytes = b"", **headers: str) -> None:
-                self.send_response(status)
-                for name, value in headers.items():
-                    self.send_header(name.replace("_", "-"), value)
-                if status != 204:
-                    self.send_header("Content-Length", str(len(body)))
-                self.end_headers()
-                self.wfile.write(body)
-
-            def chunks(self, *parts: bytes, last: bool = True) -> None:
-                self.send_response(200)
-                self.send_header("Content-Type", "text/event-stream")
-                self.send_header("Transfer-Encoding", "chunked")
-                self.end_headers()
-                for part in parts:
-                    self.more(part)
-                if last:
-                    self.wfile.write(b"0\r\n\r\n")
-
-            def more(self, part: bytes) -> None:
-                self.wfile.write(b"%x\r\n%b\r\n" % (len(part), part))
-                self.wfile.flush()
-
-        class Server(ThreadingHTTPServer):
-            daemon_threads = True
-
-            def handle_error(self, *args: Any) -> None:
-                pass  # a dispatcher that gives an attempt up closes its connection
-
-        self.server = Server(("127.0.0.1", 0), Handler)
+        self.server = StandinServer(self)
         self.address = f"127.0.0.1:{self.server.server_port}"
         threading.Thread(target=self.server.serve_forever, kwargs={"poll_interval": 0.02}, daemon=True).start()
 
     def respond(self, handler: Any, body: bytes) -> None:
-        handler.plain(204) if handler.command == "DELETE" else handler.chunks(*TOKENS, LAST)
+        """Answer a request: a release (DELETE) with 204, all others with the stream of TOKENS and LAST."""
+        if handler.command == "DELETE":
+            handler.plain(204)
+        else:
+            handler.chunks(*TOKENS, LAST)
 
     @property
     def runs(self) -> int:
+        """How many POST requests came in complete."""
         return sum(method == "POST" for method, _ in self.calls)
 
     def wait_for(self, method: str, path: str = "", count: int = 1) -> None:
+        """Wait until so many requests of the method came in, with paths that begin so; fails after 20 s."""
+
         def found() -> bool:
             return sum(m == method and p.startswith(path) for m, p in self.calls) >= count
 
@@ -140,27 +169,31 @@
             assert self.seen.wait_for(found, 20), f"no {method} {path} among {self.calls}"
 
     def close(self) -> None:
+        """Let the answers that wait go on, and stop listening."""
         self.go.set()
         self.server.shutdown()
         self.server.server_close()
 
 
 def dead_address() -> str:
-    """Where nothing listens any more."""
+    """An address where nothing listens any more."""
     standin = Standin()
     standin.close()
     return standin.address
 
 
 class Discovery(Standin):
-    """Lists (uid, address, kind) as ready, or as leaving."""
+    """A discovery service that lists (uid, address, kind) as ready, or as leaving."""
 
     def __init__(self, *targets: tuple[str, str, str]) -> None:
-        self.targets, self.rev, self.changed = list(targets), 1, threading.Condition()
-        self.leaving: set[str] = set()
+        self.targets = list(targets)
+        self.rev = 1
+        self.changed = threading.Condition()  # of both
+        self.leaving: set[str] = set()  # uids
         super().__init__()
 
     def answer(self) -> dict[str, Any]:
+        """The list as JSON."""
         return {
             "rev": self.rev,
             "all": True,
@@ -180,11 +213,14 @@
         }
 
     def update(self, *targets: tuple[str, str, str]) -> None:
+        """List these in place of those before, under the next revision."""
         with self.changed:
-            self.targets, self.rev = list(targets), self.rev + 1
+            self.targets = list(targets)
+            self.rev += 1
             self.changed.notify_all()
 
     def respond(self, handler: Any, body: bytes) -> None:
+        """Answer with the list; a watch (`after`) waits for a newer revision, `wait_ms` at most."""
         after = re.search(r"after=(\d+)(?:&wait_ms=(\d+))?", handler.path)
         if after:
             with self.changed:
@@ -193,7 +229,10 @@
 
 
 class Program:
-    """The program as a process. Its log lines are kept; the address is read off the line that tells it."""
+    """The program as a process. Its log lines are kept; its address is read from the line that has it.
+
+    `files`: the limit of its descriptors, 0 for the usual one. `passed`: descriptors that it inherits.
+    """
 
     LAUNCH: tuple[str, ...] = ("-m", "pearhill")
     config = pathlib.Path()  # the file that it was started with
@@ -215,32 +254,37 @@
             env={**inherited, **environ},
         )
         self.follow_log()
-        self.host, _, port = self.wait_line(r"listens on ([\w.:]+)")[1].rpartition(":")
+        address: str = self.wait_line(r"listens on ([\w.:]+)")[1]
+        self.host, _, port = address.rpartition(":")
         self.port = int(port)
 
     def follow_log(self) -> None:
+        """Read the process's log from now on."""
         self.lines: list[str] = []
-        self.heard = threading.Condition()
+        self.line_read = threading.Condition()
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
 
     def _read(self) -> None:
         assert self.process.stderr
         for line in self.process.stderr:
-            with self.heard:
+            with self.line_read:
                 self.lines.append(line)
-                self.heard.notify_all()
+                self.line_read.notify_all()
 
     def wait_line(self, pattern: str, after: int = 0) -> re.Match[str]:
+        """Wait for a log line that has the pattern, behind the first `after` lines; fails after 20 s."""
+
         def find() -> re.Match[str] | None:
             return next(filter(None, (re.search(pattern, line) for line in self.lines[after:])), None)
 
-        with self.heard:
-            found = self.heard.wait_for(find, 20)
+        with self.line_read:
+            found = self.line_read.wait_for(find, 20)
         assert found, f"no line with {pattern!r} in:\n{''.join(self.lines)}"
         return found
 
     def connect(self, timeout: float = 20) -> http.client.HTTPConnection:
+        """A new connection; `timeout` in seconds."""
         return http.client.HTTPConnection(self.host, self.port, timeout=timeout)
 
     def ask(
@@ -250,6 +294,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, dict[str, str], bytes]:
+        """Status, headers (names in lower case) and body of the answer to one request on its own connection."""
         connection = self.connect()
         try:
             connection.request(method, path, body, headers or {})
@@ -259,28 +304,32 @@
             connection.close()
 
     def counters(self) -> dict[str, Any]:
-        return json.loads(self.ask("GET", "/counters")[2])
+        """What `GET /counters` answers."""
+        counters: dict[str, Any] = json.loads(self.ask("GET", "/counters")[2])
+        return counters
 
     def wait_ready(self, status: int = 200) -> None:
+        """Wait until `GET /ready` answers with the status; fails after 20 s."""
         end = time.monotonic() + 20
         while self.ask("GET", "/ready")[0] != status:
             assert time.monotonic() < end, f"never {status}:\n{''.join(self.lines)}"
 
     def kill(self) -> None:
-        """For what a test leaves behind."""
+        """End it at once, and remove its files: for what a test leaves behind."""
         self.process.kill()
         self.stop()
         if self.folder:
             self.folder.cleanup()
 
     def reload(self, text: str, line: str = "reload: done") -> None:
-        """Another text for the file that it was started with; returns once a new line tells what came of it."""
+        """Replace the text of its file and send SIGHUP; returns once a new log line has `line`."""
         self.config.write_text(text)
         known = len(self.lines)
         self.process.send_signal(signal.SIGHUP)
         self.wait_line(line, known)
 
     def stop(self) -> int:
+        """End it by SIGTERM; its exit code."""
         if self.process.poll() is None:
             self.process.terminate()
         code = self.process.wait(20)
@@ -291,6 +340,7 @@
 
 
 def platform_file(discovery: str, known: list[dict[str, Any]] | None = None, **changes: Any) -> str:
+    """The platform's configuration as JSON, with other values for some of its keys."""
     return json.dumps(
         {
             "name": "t1",
