--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,5 +1,5 @@
-"""A third deployment must not surprise: settings drawn over every way in which the first two differ (roles, racks,
-zones, reports, cancelling, resuming, members, limits), a day of trouble on each, the rules audited from outside."""
+"""Days of faults on deployments whose settings are drawn over every way in which the known ones differ: roles, racks,
+zones, load reports, cancelling, resuming, members, limits. The rules are audited from outside, action by action."""
 
 from __future__ import annotations
 
@@ -41,204 +41,301 @@
 from pearhill.routing.topology import Endpoint, MachineKind, Phase, Role
 from tests.driver import CLASS, SETTINGS, S
 
-RUNS = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.TRUNCATED, Outcome.CANCELLED)  # it may have run
-FINAL = (RejectRequest, FailRequest)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.TRUNCATED, Outcome.CANCELLED)
+TIMEOUT = 4 * S  # of each request
+DAY_START = 100 * S
+MEAN_ARRIVAL_GAP = 40_000
 
 
 @dataclass
-class Seen:
-    """What an auditor knows of one request."""
+class RequestAudit:
+    """What the auditor knows of one request."""
 
-    cls: int
-    end: int
-    out: SendAttempt | None = None
-    at: Endpoint | None = None
+    request_class: int
+    deadline: int
+    attempt: SendAttempt | None = None  # under way
+    endpoint: Endpoint | None = None  # of the last attempt
     attempts: int = 0
-    began: bool = False
-    answers: int = 0
-    ran: Endpoint | None = None
-    held: bool = False
+    response_started: bool = False
+    final_answers: int = 0  # or 1 once nothing is owed to its client any more
+    may_have_run_at: Endpoint | None = None  # the first one that may have
+    state_held: bool = False
 
+    @property
+    def settled(self) -> bool:
+        """Whether its client has an answer, or the beginning of one."""
+        return self.response_started or bool(self.final_answers)
 
-class Day:
-    """One router before engines that do as they like. Checks each action as it comes."""
+
+@dataclass(frozen=True)
+class Arrival:
+    """A request arrives."""
+
+    request: int
+
+
+@dataclass(frozen=True)
+class ReplicaStarts:
+    """A replica begins to answer an attempt."""
+
+    attempt: SendAttempt
+
+
+@dataclass(frozen=True)
+class AttemptOver:
+    """An attempt ends."""
+
+    attempt: SendAttempt
+    outcome: Outcome
+
+
+class SimulatedDay:
+    """One router before replicas that do as they like. Each action is checked as it comes."""
 
     def __init__(self, s: RouterSettings, zones: int, reports: bool, rng: random.Random) -> None:
-        self.s, self.rng, self.reports = s, rng, reports
-        self.now, self.heap, self.count = 100 * S, [], 0
-        self.router, self.seen, self.probed = LoadAwareRouter(s, rng.randrange(1 << 60)), {}, set()
-        self.listed = {}
-        for n in range(1, rng.randrange(4, 16)):
-            started, weight = 0 if rng.random() < 0.8 else self.now, rng.choice((0.0, 1.0, 2.5))
-            self.listed[n] = Endpoint(
-                n, n % zones, n % len(s.kinds), n % zones * 10 + n % 2, Phase.READY, weight, started
+        self.settings = s
+        self.reports = reports
+        self.rng = rng
+        self.now = DAY_START
+        self.events: list[tuple[int, int, Any]] = []  # a heap by time; the number keeps the order of equal times
+        self.event_count = 0
+        self.router = LoadAwareRouter(s, rng.randrange(1 << 60))
+        self.requests: dict[int, RequestAudit] = {}
+        self.checked: set[int] = set()  # replicas with a health check under way
+        self.endpoints: dict[int, Endpoint] = {}
+        for replica in range(1, rng.randrange(4, 16)):
+            started_at = 0 if rng.random() < 0.8 else self.now
+            weight = rng.choice((0.0, 1.0, 2.5))
+            self.endpoints[replica] = Endpoint(
+                replica=replica,
+                zone=replica % zones,
+                kind=replica % len(s.kinds),
+                cell=replica % zones * 10 + replica % 2,
+                phase=Phase.READY,
+                weight=weight,
+                started_at=started_at,
             )
-        self.feed(EndpointsUpdated(True, tuple(self.listed.values())))
+        self.feed(EndpointsUpdated(True, tuple(self.endpoints.values())))
 
-    def later(self, wait: int, event: Any) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + wait, self.count, event))
+    def schedule(self, delay: int, event: Any) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (self.now + delay, self.event_count, event))
 
     def feed(self, event: Event) -> None:
         for action in self.router.handle(self.now, event):
             self.audit(action)
 
-    def audit(self, a: Action) -> None:
-        if isinstance(a, SetTimer):
-            return self.later(a.delay, TimerFired(a.timer))
-        if isinstance(a, LogMessage):
-            return None
-        if isinstance(a, SendHealthCheck):
-            assert self.s.health_checks and a.replica in self.listed and a.replica not in self.probed
-            took, end = (
-                int(self.rng.lognormvariate(9, 2)),
-                self.rng.choice((Outcome.ANSWERED,) * 6 + (Outcome.NOT_SENT, Outcome.TIMEOUT)),
-            )
-            load = self.rng.choice((None, (0.4, 7.0), (0.99, 0.0), (math.nan, 1.0), (-1.0, math.inf)))
-            if self.rng.random() < 0.98:  # or nobody ever says how it ended
-                self.probed.add(a.replica)
-                self.later(took, HealthCheckEnded(a.replica, end, took, load))
-            return None
-        seen = self.seen[a.request]
-        spec = self.s.classes[seen.cls]
-        if isinstance(a, SendAttempt):
-            assert not seen.out and not seen.answers, "a second attempt, or one after the final answer"
-            assert seen.attempts < self.s.max_attempts and a.attempt_timeout > 0
-            e = self.listed.get(a.replica)
-            assert e and e.phase == Phase.READY, "a send to an engine that the list does not call ready"
-            reads = self.s.kinds[e.kind].role == Role.PREFILL
-            if seen.ran:
-                assert spec.idempotency != Idempotency.UNSAFE, "an unsafe request that may have run went out again"
-                same = {"all": True, "zone": e.zone == seen.ran.zone, "cell": e.cell == seen.ran.cell}[
-                    spec.idempotency_scope
-                ]
-                assert spec.idempotency == Idempotency.IDEMPOTENT or same or reads
-            if not reads and not seen.held:
-                assert (
-                    self.s.local_prefill or self.s.kinds[e.kind].role == Role.MIXED
-                ), "nothing to fetch, and none may read"
-            seen.out, seen.at, seen.attempts = a, e, seen.attempts + 1
-            self.later(*self.fate(a, e, reads, seen))
-        elif isinstance(a, FINAL):
-            seen.answers += 1
-            assert not seen.began and seen.answers == 1 and self.now <= seen.end
-            if isinstance(a, RejectRequest):
-                assert not (
-                    seen.ran and spec.idempotency == Idempotency.UNSAFE
-                ), "refused as harmless, and it may have run"
-                assert not (seen.out and spec.idempotency == Idempotency.UNSAFE)
-                assert 0 <= a.retry_after <= (self.s.max_retry_after if self.s.retry_hints else 0)
-        elif isinstance(a, CancelAttempt):
-            assert self.s.may_cancel and not seen.began
-        elif isinstance(a, ReleaseState):
-            seen.held = False
-        else:
-            assert isinstance(a, MigrateStream) and self.s.may_migrate
-
-    def fate(self, a: SendAttempt, e: Endpoint, reads: bool, seen: Seen) -> tuple[int, Any]:
-        """What becomes of an attempt, and when: it may also never be heard of again until its patience ends."""
-        took = int(self.rng.lognormvariate(11.5, 1.2))
-        if took >= a.attempt_timeout or self.rng.random() < 0.05:
-            return a.attempt_timeout, (a, Outcome.TIMEOUT)
-        usual = Outcome.PREFILLED if reads else "began"
-        odd = (Outcome.ERROR, Outcome.TRUNCATED, Outcome.FULL, Outcome.UNREACHABLE) + (
-            () if reads else (Outcome.STATE_LOST,)
+    # Actions of the router.
+
+    def audit(self, action: Action) -> None:
+        match action:
+            case SetTimer():
+                self.schedule(action.delay, TimerFired(action.timer))
+            case LogMessage():
+                pass
+            case SendHealthCheck():
+                self.audit_health_check(action)
+            case SendAttempt():
+                self.audit_attempt(action, self.requests[action.request])
+            case RejectRequest() | FailRequest():
+                self.audit_final_answer(action, self.requests[action.request])
+            case CancelAttempt():
+                assert self.settings.may_cancel
+                assert not self.requests[action.request].response_started
+            case ReleaseState():
+                self.requests[action.request].state_held = False
+            case _:
+                assert isinstance(action, MigrateStream)
+                assert action.request in self.requests
+                assert self.settings.may_migrate
+
+    def audit_health_check(self, check: SendHealthCheck) -> None:
+        assert self.settings.health_checks
+        assert check.replica in self.endpoints
+        assert check.replica not in self.checked
+        elapsed = int(self.rng.lognormvariate(9, 2))
+        outcome = self.rng.choice((Outcome.ANSWERED,) * 6 + (Outcome.NOT_SENT, Outcome.TIMEOUT))
+        load = self.rng.choice((None, (0.4, 7.0), (0.99, 0.0), (math.nan, 1.0), (-1.0, math.inf)))
+        if self.rng.random() < 0.98:  # else its end is never reported
+            self.checked.add(check.replica)
+            self.schedule(elapsed, HealthCheckEnded(check.replica, outcome, elapsed, load))
+
+    def audit_attempt(self, attempt: SendAttempt, request: RequestAudit) -> None:
+        assert not request.attempt, "a second attempt"
+        assert not request.final_answers, "an attempt after the final answer"
+        assert request.attempts < self.settings.max_attempts
+        assert attempt.attempt_timeout > 0
+        endpoint = self.endpoints.get(attempt.replica)
+        assert endpoint, "a send to a replica that is not listed"
+        assert endpoint.phase == Phase.READY, "a send to a replica that the list does not call ready"
+        role = self.settings.kinds[endpoint.kind].role
+        if request.may_have_run_at:
+            self.audit_repeat(endpoint, request.may_have_run_at, request)
+        if role != Role.PREFILL and not request.state_held:
+            may_prefill = self.settings.local_prefill or role == Role.MIXED
+            assert may_prefill, "no state to fetch, and the replica may not prefill"
+        request.attempt = attempt
+        request.endpoint = endpoint
+        request.attempts += 1
+        self.schedule(*self.fate(attempt, role))
+
+    def audit_repeat(self, endpoint: Endpoint, ran_at: Endpoint, request: RequestAudit) -> None:
+        """An attempt of a request that another replica may have run."""
+        spec = self.settings.classes[request.request_class]
+        assert spec.idempotency != Idempotency.UNSAFE, "an unsafe request that may have run went out again"
+        if spec.idempotency == Idempotency.IDEMPOTENT or self.settings.kinds[endpoint.kind].role == Role.PREFILL:
+            return
+        in_scope = {"all": True, "zone": endpoint.zone == ran_at.zone, "cell": endpoint.cell == ran_at.cell}
+        assert in_scope[spec.idempotency_scope], "a keyed request was repeated outside of its scope"
+
+    def audit_final_answer(self, answer: RejectRequest | FailRequest, request: RequestAudit) -> None:
+        request.final_answers += 1
+        assert not request.response_started
+        assert request.final_answers == 1
+        assert self.now <= request.deadline
+        if isinstance(answer, FailRequest):
+            return
+        if self.settings.classes[request.request_class].idempotency == Idempotency.UNSAFE:
+            assert not request.may_have_run_at, "rejected as not executed, and it may have run"
+            assert not request.attempt, "rejected while an attempt is under way"
+        assert answer.retry_after >= 0
+        assert answer.retry_after <= (self.settings.max_retry_after if self.settings.retry_hints else 0)
+
+    # What becomes of attempts.
+
+    def fate(self, attempt: SendAttempt, role: str) -> tuple[int, ReplicaStarts | AttemptOver]:
+        """When and how an attempt goes on: it may also get no answer until its time-out."""
+        elapsed = int(self.rng.lognormvariate(11.5, 1.2))
+        if elapsed >= attempt.attempt_timeout or self.rng.random() < 0.05:
+            return attempt.attempt_timeout, AttemptOver(attempt, Outcome.TIMEOUT)
+        faults: tuple[Outcome, ...] = (Outcome.ERROR, Outcome.TRUNCATED, Outcome.FULL, Outcome.UNREACHABLE)
+        if role != Role.PREFILL:
+            faults += (Outcome.STATE_LOST,)
+        if self.rng.random() >= 0.8:
+            return elapsed, AttemptOver(attempt, self.rng.choice(faults))
+        if role == Role.PREFILL:
+            return elapsed, AttemptOver(attempt, Outcome.PREFILLED)
+        return elapsed, ReplicaStarts(attempt)
+
+    def start_response(self, attempt: SendAttempt) -> None:
+        request = self.requests[attempt.request]
+        if request.final_answers:  # too late: the client has its answer
+            self.end_attempt(attempt, Outcome.CANCELLED)
+            return
+        request.response_started = True
+        request.state_held = False
+        self.feed(
+            ResponseStarted(attempt.request, request.attempts - 1, attempt.replica, max(1, self.elapsed(request)))
         )
-        return took, (a, usual if self.rng.random() < 0.8 else self.rng.choice(odd))
-
-    def ended(self, a: SendAttempt, outcome: str) -> None:
-        seen = self.seen[a.request]
-        took = self.now - (seen.end - 4 * S)
-        e = seen.at
-        if outcome == "began":
-            if seen.answers:  # too late: the client has its answer
-                outcome = Outcome.CANCELLED
-            else:
-                seen.began, seen.held = True, False
-                self.feed(ResponseStarted(a.request, seen.attempts - 1, a.replica, max(1, took)))
-                end = Outcome.ANSWERED if self.rng.random() < 0.9 else Outcome.TRUNCATED
-                return self.later(self.rng.randrange(1, 3 * S), (a, end))
-        seen.out = None
-        reads = self.s.kinds[e.kind].role == Role.PREFILL
-        if outcome in RUNS and not reads:
-            seen.ran = seen.ran or e
-        settled = seen.began or bool(seen.answers)
-        seen.held = outcome == Outcome.PREFILLED or (seen.held and outcome != Outcome.STATE_LOST)
-        load = (self.rng.random(), 5.0) if self.reports and self.rng.random() < 0.7 else None
+        outcome = Outcome.ANSWERED if self.rng.random() < 0.9 else Outcome.TRUNCATED
+        self.schedule(self.rng.randrange(1, 3 * S), AttemptOver(attempt, outcome))
+
+    def end_attempt(self, attempt: SendAttempt, outcome: Outcome) -> None:
+        request = self.requests[attempt.request]
+        assert request.endpoint
+        request.attempt = None
+        if outcome in MAY_HAVE_RUN and self.settings.kinds[request.endpoint.kind].role != Role.PREFILL:
+            request.may_have_run_at = request.may_have_run_at or request.endpoint
+        settled = request.settled
+        request.state_held = outcome == Outcome.PREFILLED or (request.state_held and outcome != Outcome.STATE_LOST)
+        has_load = self.reports and self.rng.random() < 0.7
+        load = (self.rng.random(), 5.0) if has_load else None
         self.feed(
             AttemptEnded(
-                a.request,
-                seen.attempts - 1,
-                a.replica,
-                outcome,
-                settled,
-                self.rng.randrange(3000) if outcome in (Outcome.PREFILLED, Outcome.ANSWERED) else 0,
-                max(1, took),
-                load,
-                self.rng.choice((0, 0, 0, S)),
+                request=attempt.request,
+                attempt=request.attempts - 1,
+                replica=attempt.replica,
+                outcome=outcome,
+                answered=settled,
+                cached_tokens=self.rng.randrange(3000) if outcome in (Outcome.PREFILLED, Outcome.ANSWERED) else 0,
+                elapsed=max(1, self.elapsed(request)),
+                load=load,
+                retry_after=self.rng.choice((0, 0, 0, S)),
             )
         )
-        asking = a.request in self.router.pending_queries  # for a bounded time: its timer is set
-        assert settled or seen.out or seen.answers or asking, "an attempt ended, and its request is left alone"
-        assert seen.out or asking or not seen.held, "a state stays pinned"
+        querying = attempt.request in self.router.pending_queries  # for a bounded time: its timer is set
+        goes_on = settled or request.attempt or request.final_answers or querying
+        assert goes_on, "an attempt ended, and its request is left alone"
+        assert request.attempt or querying or not request.state_held, "a state that nobody fetches stays held"
+
+    def elapsed(self, request: RequestAudit) -> int:
+        """Microseconds since the request arrived."""
+        return self.now - (request.deadline - TIMEOUT)
+
+    # Events from outside.
 
     def disturb(self) -> None:
         """The list changes, a client leaves, or the settings are read anew."""
-        n = self.rng.choice(list(self.listed))
+        replica = self.rng.choice(list(self.endpoints))
         kind = self.rng.randrange(4)
-        if kind == 0 and len(self.listed) > 3:
-            gone = replace(self.listed.pop(n), phase=Phase.GONE)
+        if kind == 0 and len(self.endpoints) > 3:
+            gone = replace(self.endpoints.pop(replica), phase=Phase.GONE)
             self.feed(EndpointsUpdated(False, (gone,)))
         elif kind == 1:
-            self.listed[n] = replace(
-                self.listed[n], phase=self.rng.choice((Phase.READY, Phase.DRAINING)), started_at=self.now
-            )
-            self.feed(EndpointsUpdated(False, (self.listed[n],)))
-        elif kind == 2 and self.seen:
-            number = self.rng.choice(list(self.seen))
-            if not self.seen[number].answers and not self.seen[number].began:
-                self.seen[number].answers = 1  # nothing is owed to it any more
+            phase = self.rng.choice((Phase.READY, Phase.DRAINING))
+            self.endpoints[replica] = replace(self.endpoints[replica], phase=phase, started_at=self.now)
+            self.feed(EndpointsUpdated(False, (self.endpoints[replica],)))
+        elif kind == 2 and self.requests:
+            number = self.rng.choice(list(self.requests))
+            if not self.requests[number].settled:
+                self.requests[number].final_answers = 1
                 self.feed(ClientDisconnected(number))
         else:
-            self.router.reconfigure(self.s)
+            self.router.reconfigure(self.settings)
+
+    def arrive(self, number: int) -> None:
+        request_class = self.rng.randrange(len(self.settings.classes))
+        prompt_tokens = self.rng.choice((40, 900, 5000, 60_000))
+        self.requests[number] = RequestAudit(request_class, self.now + TIMEOUT)
+        self.feed(
+            RequestArrived(
+                request=number,
+                request_class=request_class,
+                tenant=self.rng.randrange(3),
+                session=self.rng.randrange(9),
+                prefix=self.rng.randrange(4),
+                prefix_tokens=prompt_tokens // 2,
+                prompt_tokens=prompt_tokens,
+                max_output_tokens=self.rng.choice((0, 300)),
+                timeout=TIMEOUT,
+                is_retry=self.rng.random() < 0.1,
+                resumed=self.settings.may_migrate and self.rng.random() < 0.1,
+            )
+        )
+        if self.rng.random() < 0.08:
+            self.disturb()
 
     def play(self, arrivals: int) -> None:
+        """Play a day with so many requests, and check that it leaves nothing behind."""
         at = self.now
-        for n in range(1, arrivals + 1):
-            at += int(self.rng.expovariate(1) * 40_000)
-            heapq.heappush(self.heap, (at, -n, "arrival"))
-        while self.heap and self.now < at + 40 * S:
-            self.now, order, event = heapq.heappop(self.heap)
-            if event == "arrival":
-                cls, prompt = self.rng.randrange(len(self.s.classes)), self.rng.choice((40, 900, 5000, 60_000))
-                self.seen[-order] = Seen(cls, self.now + 4 * S)
-                self.feed(
-                    RequestArrived(
-                        -order,
-                        cls,
-                        self.rng.randrange(3),
-                        self.rng.randrange(9),
-                        self.rng.randrange(4),
-                        prompt // 2,
-                        prompt,
-                        self.rng.choice((0, 300)),
-                        4 * S,
-                        self.rng.random() < 0.1,
-                        self.s.may_migrate and self.rng.random() < 0.1,
-                    )
-                )
-                if self.rng.random() < 0.08:
-                    self.disturb()
-            elif isinstance(event, HealthCheckEnded):
-                self.probed.discard(event.replica)
+        for number in range(1, arrivals + 1):
+            at += int(self.rng.expovariate(1) * MEAN_ARRIVAL_GAP)
+            heapq.heappush(self.events, (at, -number, Arrival(number)))
+        end = at + 40 * S
+        while self.events and self.now < end:
+            self.now, _, event = heapq.heappop(self.events)
+            self.happen(event)
+        assert all(request.settled for request in self.requests.values()), "a request without its final answer"
+        assert not self.router.router.pending, "requests are left in the router"
+        assert not self.router.pending_queries, "queries are left"
+        assert all(r.tokens_in_flight == r.tokens_queued == 0 for r in self.router.router.replicas.values())
+
+    def happen(self, event: Any) -> None:
+        match event:
+            case Arrival():
+                self.arrive(event.request)
+            case HealthCheckEnded():
+                self.checked.discard(event.replica)
                 self.feed(event)
-            elif isinstance(event, TimerFired):
+            case TimerFired():
                 self.feed(event)
-            elif self.seen[event[0].request].out is event[0]:
-                self.ended(*event)
-        assert all(s.answers or s.began for s in self.seen.values()), "a request without its final answer"
-        assert not self.router.router.pending and not self.router.pending_queries, "books that do not close"
-        assert all(e.tokens_in_flight == e.tokens_queued == 0 for e in self.router.router.replicas.values())
+            case ReplicaStarts() | AttemptOver():
+                if self.requests[event.attempt.request].attempt is not event.attempt:
+                    return  # cancelled, or its request is over
+                if isinstance(event, ReplicaStarts):
+                    self.start_response(event.attempt)
+                else:
+                    self.end_attempt(event.attempt, event.outcome)
 
 
 ROLES = st.lists(st.sampled_from((Role.PREFILL, Role.DECODE, Role.MIXED)), min_size=1, max_size=4)
@@ -274,8 +371,21 @@
     day=st.integers(0, 1 << 30),
 )
 def test_a_day_of_trouble_keeps_the_rules_on_any_deployment(
-    roles, classes, zones, instances, reports, probing, local, cancel, resume, hints, attempts, quotas, cold, day
-):
+    roles: list[Role],
+    classes: list[tuple[Idempotency, str, int, float]],
+    zones: int,
+    instances: int,
+    reports: bool,
+    probing: bool,
+    local: bool,
+    cancel: bool,
+    resume: bool,
+    hints: bool,
+    attempts: int,
+    quotas: tuple[float, ...],
+    cold: tuple[int, float, int],
+    day: int,
+) -> None:
     kinds = tuple(MachineKind(role, 150_000) for role in roles)
     s = replace(
         SETTINGS,
@@ -283,8 +393,14 @@
         kinds=kinds,
         quotas=quotas,
         classes=tuple(
-            replace(CLASS, idempotency=effect, idempotency_scope=group, latency_objective=aim, priority_weight=worth)
-            for effect, group, aim, worth in classes
+            replace(
+                CLASS,
+                idempotency=idempotency,
+                idempotency_scope=scope,
+                latency_objective=latency_objective,
+                priority_weight=priority_weight,
+            )
+            for idempotency, scope, latency_objective, priority_weight in classes
         ),
         health_checks=probing,
         local_prefill=local,
@@ -296,4 +412,4 @@
         slow_start_initial_share=cold[1],
         overload_window=cold[2],
     )
-    Day(s, zones, reports, random.Random(day)).play(120)
+    SimulatedDay(s, zones, reports, random.Random(day)).play(120)
