--- a/tests/routing/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -1,4 +1,4 @@
-"""Long sequences of legal but odd events, and the rules' invariants on the actions."""
+"""Long sequences of legal but odd events, and the invariants of the router's actions."""
 
 import os
 import random
@@ -27,102 +27,134 @@
 )
 
 
-def play(seed: int, effect: str = Idempotency.IDEMPOTENT) -> list[str]:
-    """Drive one router through 600 random events; assert the invariants; return all actions as text."""
-    rng, d = random.Random(seed), RouterDriver(settings(effect, "cell"), FLEET + (endpoint(21, 2),), seed=seed)
-    out: dict[int, int] = {}
-    ended: set[int] = set()
-    open_: dict[int, int] = {}
-    held: set[int] = set()
-    phases = {e.replica: e.phase for e in FLEET}
-    text = []
-
-    def check(actions: list[Action]) -> None:
-        for a in actions:
-            text.append(repr(a))
-            if isinstance(a, SendAttempt):
-                assert a.request not in out
-                assert a.request not in ended
-                assert phases.get(a.replica, Phase.READY) == Phase.READY
-                out[a.request] = a.replica
-                held.discard(a.request)
-            elif isinstance(a, RejectRequest | FailRequest):
-                assert a.request in open_
-                assert a.request not in ended
-                ended.add(a.request)
-                del open_[a.request]
-            elif isinstance(a, ReleaseState):
-                held.discard(a.request)
-        assert not {r for r in held if r not in out}
-
-    for _ in range(600):
-        roll = rng.random()
+EVENTS = 600
+UNKNOWN_REQUEST = 999_999
+UNKNOWN_REPLICA = 777
+UNKNOWN_TIMER = 888_888
+TIMEOUT = 4_000_000  # of each request
+SLACK = 5_000_000  # after which nothing is open any more
+
+
+class OddEvents:
+    """One router under random events, and the invariants that each of its actions must keep."""
+
+    def __init__(self, seed: int, effect: str) -> None:
+        self.rng = random.Random(seed)
+        self.driver = RouterDriver(settings(effect, "cell"), FLEET + (endpoint(21, 2),), seed=seed)
+        self.attempts: dict[int, int] = {}  # under way: request to replica
+        self.ended: set[int] = set()  # requests with their final answer, or without a client
+        self.deadlines: dict[int, int] = {}  # of the requests that have neither
+        self.held: set[int] = set()  # requests whose state is held and was not fetched yet
+        self.phases = {e.replica: e.phase for e in FLEET}
+        self.text: list[str] = []  # all actions
+
+    def check(self, actions: list[Action]) -> None:
+        for action in actions:
+            self.text.append(repr(action))
+            if isinstance(action, SendAttempt):
+                self.check_attempt(action)
+            elif isinstance(action, RejectRequest | FailRequest):
+                assert action.request in self.deadlines
+                assert action.request not in self.ended
+                self.ended.add(action.request)
+                del self.deadlines[action.request]
+            elif isinstance(action, ReleaseState):
+                self.held.discard(action.request)
+        assert not {request for request in self.held if request not in self.attempts}
+
+    def check_attempt(self, attempt: SendAttempt) -> None:
+        assert attempt.request not in self.attempts
+        assert attempt.request not in self.ended
+        assert self.phases.get(attempt.replica, Phase.READY) == Phase.READY
+        self.attempts[attempt.request] = attempt.replica
+        self.held.discard(attempt.request)
+
+    def step(self) -> None:
+        """One random event."""
+        roll = self.rng.random()
         if roll < 0.35:
-            r, actions = d.next, None
-            open_[r] = d.now + 4_000_000
-            _, actions = d.arrive(
-                prompt_tokens=rng.randrange(20, 20_000),
-                session=rng.randrange(9),
-                prefix=rng.randrange(4),
-                prefix_tokens=rng.randrange(0, 4000),
-            )
-            check(actions)
-        elif roll < 0.75 and out:
-            r = rng.choice(sorted(out))
-            outcome = rng.choice(OUTCOMES)
-            if outcome == Outcome.PREFILLED and out[r] > 10:
-                outcome = Outcome.FULL
-            engine = out.pop(r)
-            if outcome == Outcome.PREFILLED:
-                held.add(r)
-            check(d.feed(AttemptEnded(r, d.attempt[r], engine, outcome, r in ended, 0, 9000, (rng.random(), 1.0))))
-        elif roll < 0.8 and open_:
-            r = rng.choice(sorted(open_))
-            del open_[r]
-            ended.add(r)
-            check(d.feed(ClientDisconnected(r)))
+            self.arrive()
+        elif roll < 0.75 and self.attempts:
+            self.end_attempt()
+        elif roll < 0.8 and self.deadlines:
+            self.disconnect()
         elif roll < 0.85:
-            engine = rng.choice(FLEET)
-            phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING, Phase.GONE))
-            phases[engine.replica] = phase
-            check(
-                d.feed(
-                    EndpointsUpdated(
-                        False,
-                        (
-                            endpoint(
-                                engine.replica,
-                                engine.kind,
-                                engine.cell,
-                                phase=phase,
-                                started_at=d.now if phase == Phase.READY else 0,
-                            ),
-                        ),
-                    )
-                )
-            )
+            self.update_endpoint()
         elif roll < 0.9:
-            check(
-                d.feed(ResponseStarted(999_999, 0, 1, 5))
-                + d.feed(ClientDisconnected(999_999))
-                + d.feed(TimerFired(888_888))
-            )
-            check(d.feed(AttemptEnded(999_999, 0, 777, Outcome.TIMEOUT, False, 0, 5, None)))
+            self.send_unknown()
         else:
-            check(d.wait(rng.randrange(500_000)))
-        assert all(deadline >= d.now for deadline in open_.values())
-    check(d.wait(5_000_000))
-    assert not open_
-    return text
+            self.check(self.driver.wait(self.rng.randrange(500_000)))
+        assert all(deadline >= self.driver.now for deadline in self.deadlines.values())
+
+    def arrive(self) -> None:
+        self.deadlines[self.driver.next] = self.driver.now + TIMEOUT
+        _, actions = self.driver.arrive(
+            prompt_tokens=self.rng.randrange(20, 20_000),
+            session=self.rng.randrange(9),
+            prefix=self.rng.randrange(4),
+            prefix_tokens=self.rng.randrange(0, 4000),
+        )
+        self.check(actions)
+
+    def end_attempt(self) -> None:
+        request = self.rng.choice(sorted(self.attempts))
+        outcome = self.rng.choice(OUTCOMES)
+        if outcome == Outcome.PREFILLED and self.attempts[request] > 10:  # no prefill replica
+            outcome = Outcome.FULL
+        replica = self.attempts.pop(request)
+        if outcome == Outcome.PREFILLED:
+            self.held.add(request)
+        load = (self.rng.random(), 1.0)
+        answered = request in self.ended
+        attempt = self.driver.attempt[request]
+        self.check(self.driver.feed(AttemptEnded(request, attempt, replica, outcome, answered, 0, 9000, load)))
+
+    def disconnect(self) -> None:
+        request = self.rng.choice(sorted(self.deadlines))
+        del self.deadlines[request]
+        self.ended.add(request)
+        self.check(self.driver.feed(ClientDisconnected(request)))
+
+    def update_endpoint(self) -> None:
+        listed = self.rng.choice(FLEET)
+        phase = self.rng.choice((Phase.READY, Phase.READY, Phase.DRAINING, Phase.GONE))
+        self.phases[listed.replica] = phase
+        started_at = self.driver.now if phase == Phase.READY else 0
+        updated = endpoint(listed.replica, listed.kind, listed.cell, phase=phase, started_at=started_at)
+        self.check(self.driver.feed(EndpointsUpdated(False, (updated,))))
+
+    def send_unknown(self) -> None:
+        """Events of a request, a replica and a timer that the router does not know."""
+        self.check(
+            self.driver.feed(ResponseStarted(UNKNOWN_REQUEST, 0, 1, 5))
+            + self.driver.feed(ClientDisconnected(UNKNOWN_REQUEST))
+            + self.driver.feed(TimerFired(UNKNOWN_TIMER))
+        )
+        ended = AttemptEnded(UNKNOWN_REQUEST, 0, UNKNOWN_REPLICA, Outcome.TIMEOUT, False, 0, 5, None)
+        self.check(self.driver.feed(ended))
+
+    def finish(self) -> None:
+        """Let all deadlines pass; every request must have its end."""
+        self.check(self.driver.wait(SLACK))
+        assert not self.deadlines
+
+
+def play(seed: int, effect: str = Idempotency.IDEMPOTENT) -> list[str]:
+    """Drive one router through 600 random events; assert the invariants; return all actions as text."""
+    odd = OddEvents(seed, effect)
+    for _ in range(EVENTS):
+        odd.step()
+    odd.finish()
+    return odd.text
 
 
 @pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.UNSAFE])
 @pytest.mark.parametrize("seed", range(6))
-def test_invariants_hold_through_odd_events(seed, effect):
+def test_invariants_hold_through_odd_events(seed: int, effect: str) -> None:
     assert len(play(seed, effect)) > 300
 
 
-def test_same_actions_in_processes_with_different_hash_seeds():
+def test_same_actions_in_processes_with_different_hash_seeds() -> None:
     code = "from tests.routing.test_odd_events import play; print('\\n'.join(play(3)))"
     runs = {
         subprocess.run(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, other, code, words",
+    ("text", "other", "code", "words"),
     [
         (RED, True, 0, "KNOWN RED tests/test_it.py::test_red: known red: it waits (issue 31)"),
         (RED, False, 1, "1 failed, 1 passed, 1 xfailed"),
@@ -25,7 +25,9 @@
     ],
     ids=["red", "another fails", "one passes", "none named", "unknown", "unknown file", "a fourth", "no such line"],
 )
-def test_just_the_tests_that_are_named_may_fail(tmp_path, text, other, code, words):
+def test_just_the_tests_that_are_named_may_fail(
+    tmp_path: pathlib.Path, text: str, other: bool, code: int, words: str
+) -> None:
     tests = tmp_path / "tests"
     tests.mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
