--- a/pearhill/lifecycle/drain.py
+++ b/pearhill/lifecycle/drain.py
@@ -33,8 +33,8 @@
             self.requested_at = now
 
     def end_process(self, now: int, longest_deadline: int) -> None:
-        """The process has been told to end. Told again, or with other settings later, it ends as early as any of them
-        asks for; an end of the operators' drain does not keep it."""
+        """The process was asked to end. Asked again, or with other settings later, it ends as early as any of them
+        requires; an end of the operators' drain does not keep it."""
         times = ShutdownTimes.for_deadline(longest_deadline)
         if self.ending_since is None:
             self.ending_since = now
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -123,7 +123,7 @@
     ) -> list[AggregationMessage]:
         """Answer a sender of whose name a newer incarnation is known. Nothing else changes by its message."""
         if now < running_until:
-            # Told of the other while both run, two of one name would outbid each other for ever.
+            # Two of one name that are notified of each other while both run would outbid each other for ever.
             return []
         if isinstance(message, Hello):
             # Without an answer, a dispatcher whose clock went back would never return to its region's aggregator.
@@ -256,7 +256,7 @@
         return peer is not None and now - peer.last_seen >= LEASE_US
 
     def _sweep(self, now: int) -> None:
-        """Drop what is kept of dispatchers that are gone, and find slots where nobody has work."""
+        """Drop sessions and replay windows that are no longer needed, and find slots where nobody has work."""
         self._sessions = {
             name: session
             for name, session in self._sessions.items()
@@ -324,7 +324,7 @@
     # For others.
 
     def count(self, now: int) -> int:
-        """Dispatchers that share the work, as far as can be told."""
+        """Dispatchers that share the work, as far as is known."""
         return self.directory.count()
 
     def _is_settled(self, now: int) -> bool:
--- a/pearhill/membership/aggregator_choice.py
+++ b/pearhill/membership/aggregator_choice.py
@@ -33,6 +33,7 @@
     """Aggregators' names in the order in which the dispatcher `name` of the region tries them."""
 
     def rank(site: AggregatorSite) -> tuple[bool, bytes]:
+        """Sort key: the own region first, then by rendezvous hash (highest random weight)."""
         return site.region != region, hashlib.sha256(f"{name}\0{site.name}".encode()).digest()
 
     return [site.name for site in sorted(sites, key=rank)]
--- a/pearhill/membership/gauges.py
+++ b/pearhill/membership/gauges.py
@@ -38,7 +38,7 @@
 
 
 def pack(codes: bytes) -> bytes:
-    """A row of codes as a byte that tells how it is packed, then the codes; or a bitmap of those that are not 0 and
+    """A row of codes as a byte that shows how it is packed, then the codes; or a bitmap of those that are not 0 and
     these alone; or all deflated (RFC 1951), since replicas of a fleet are loaded much alike. Whichever is shortest."""
     if not codes:
         return bytes((RAW,))
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -85,7 +85,7 @@
         )
 
     def counted(self, now: int) -> set[str]:
-        """The peers that send requests, as far as can be told: the reachable, and those behind a network partition.
+        """The peers that send requests, as far as is known: the reachable, and those behind a network partition.
 
         Counted as dead, each side of a partition would take the other's share too: together they would give each
         starting replica, each tenant's quota and each retry budget twice what is right.
--- a/pearhill/membership/member_directory.py
+++ b/pearhill/membership/member_directory.py
@@ -94,8 +94,8 @@
             record.last_seen = min(now, record.last_seen + stalled)
 
     def forget_silent(self, now: int, is_silent: Callable[[str], bool]) -> list[str]:
-        """Remove members that have been silent for too long; their names. `is_silent` tells of another aggregator
-        whether nothing comes from it."""
+        """Remove members that have been silent for too long; their names. `is_silent` takes
+        another aggregator's name and returns whether nothing is received from it."""
         silences = {name: now - record.last_seen for name, record in self.records.items()}
         self._mark_partitioned(silences, is_silent)
         forgotten = [name for name, silence in silences.items() if silence >= _timeout(self.records[name])]
@@ -151,7 +151,7 @@
 
 
 def _silence_ms(now: int, record: MemberRecord) -> int:
-    """As a member list says it; -1: it left."""
+    """How long it has been silent, as in a member list; -1: it left."""
     if record.left:
         return -1
     return (max(0, now - record.last_seen) + HOP_ALLOWANCE_US) // 1000
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """A member's state as one message tells it. `state` may be one that this version does not know."""
+    """A member's state as one message reports it. `state` may be one that this version does not know."""
 
     name: str
     incarnation: int
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -20,7 +20,7 @@
         self._sums_count_all = False  # as of the last `count`: they count no fewer than the gossip does
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them; None: no source has ever told. To be called again
+        """Dispatchers that share the work, this one among them; None: no source has ever reported. To be called again
         whenever either source has another count."""
         by_sums = self.reporter.count(now) if self.reporter else None
         by_gossip = self.gossip.count(now) if self.gossip else None
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -100,7 +100,7 @@
             self.ranges.append(new)
 
     def count(self) -> int | None:
-        """Dispatchers that share the work, this one among them. None: no aggregator that surely knew has told.
+        """Dispatchers that share the work, this one among them. None: no aggregator that surely knew has reported.
 
         By the first answer of an aggregator that has just started this dispatcher would be one of few, and take
         nearly all of a cold replica's share.
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -313,7 +313,7 @@
     # What the others have.
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has told."""
+        """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has reported."""
         return self._sums.count()
 
     def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
--- a/pearhill/membership/slot_table.py
+++ b/pearhill/membership/slot_table.py
@@ -1,4 +1,4 @@
-"""An aggregator's table of replicas: small slot numbers in place of 64-bit ids, and a version that tells how much of
+"""An aggregator's table of replicas: small slot numbers in place of 64-bit ids, and a version that shows how much of
 the table another process knows."""
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SlotTable:
-    """Gives slots to replicas. `totals` grows with it; `has_work` tells whether anybody has work at a slot."""
+    """Gives slots to replicas. `totals` grows with it; `has_work` returns whether anybody has work at a slot."""
 
     def __init__(self, totals: SlotTotals, has_work: Callable[[int], bool]) -> None:
         self.replicas: list[int] = []  # by slot
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -30,7 +30,7 @@
         self.since = owner.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
         self._keep_alive = True  # its client lets it live on, and nothing on it has gone wrong
         self._close_after_next = False  # the next answer ends it, whatever its request says
-        self._announced_close = False  # the client was told that this answer is the last one
+        self._announced_close = False  # the client was notified that this answer is the last one
         super().__init__(owner, sock, peer, delayed_accept)
         self._set_timer()
 
@@ -68,7 +68,7 @@
 
     @property
     def owes_a_request(self) -> bool:
-        """Nothing was ever asked on it, or a request has begun and is not complete."""
+        """No request was ever received on it, or a request has begun and is not complete."""
         return self.intake.in_message or not self.requests
 
     # Reply.
@@ -108,8 +108,8 @@
         self._answered()  # what came of the answer still goes out
 
     def _stays_open(self) -> bool:
-        """Whether the connection outlives this answer. The client is told so, hence it is settled once. Requests that
-        were read behind it still get their answers, whatever asks the connection to end."""
+        """Whether the connection outlives this answer. The client is notified of it, hence it is settled once.
+        Requests that were read behind it still get their answers, whatever asks the connection to end."""
         asked_to_end = (self.owner.draining or self._close_after_next) and not self.intake.waiting
         self._announced_close = not self._keep_alive or asked_to_end
         return not self._announced_close
@@ -228,7 +228,7 @@
                 self._timer = deadlines.after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
 
     def _on_closed(self) -> None:
-        """Tell the handler that the client of the request being answered has gone."""
+        """Notify the handler that the client of the request being answered has disconnected."""
         pending = self.pending
         self.pending = None
         if pending:
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -57,7 +57,7 @@
         self.connection: PooledConnection | None = None
         self.may_have_sent = False  # from here on the replica may have the whole request
         self.status = 0
-        self.not_started = False  # the replica has said that it did not execute the request
+        self.not_started = False  # the replica has reported that it did not execute the request
         self.headers: Mapping[str, str] = {}
         self.forwarding = False  # events wait for a slow client
         self.body = bytearray()
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -92,7 +92,7 @@
         self._log_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed; its silence tells the same. Called by the event loop."""
+        """A peer's port is closed; its silence shows the same. Called by the event loop."""
         self.counts[f"unsent {type(exc).__name__}"] += 1
 
     def send(self, data: bytes, address: Address) -> bool:
--- a/pearhill/net/errors.py
+++ b/pearhill/net/errors.py
@@ -12,7 +12,7 @@
 
 
 class PoolExhaustedError(ConnectError):
-    """A connection was not even tried: this process has no descriptor for it. It says nothing about the server."""
+    """A connection was not even tried: this process has no descriptor for it. It is no sign of a fault."""
 
 
 class SystemResourceError(PoolExhaustedError):
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -83,7 +83,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        """Start, reconfigure or close gossip and reports, as the setup says."""
+        """Start, reconfigure or close gossip and reports, as the setup requires."""
         # The time of the start is the incarnation, and seeds the random generator: with equal seeds, all dispatchers
         # would ping the same one at the same time.
         started = self.deadlines.clock()
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -1,4 +1,4 @@
-"""What operators are told of a fleet: loads by replica, how even they are, and the members known by gossip."""
+"""What operators see of a fleet: loads by replica, how even they are, and the members known by gossip."""
 
 from __future__ import annotations
 
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -47,7 +47,7 @@
         """Begin a health check."""
         address = self.addresses.get(replica)
         if address is None or self.in_flight >= MAX_IN_FLIGHT:
-            return self.on_result(replica, Outcome.NOT_SENT, None)  # never asked: it says nothing about the replica
+            return self.on_result(replica, Outcome.NOT_SENT, None)  # not sent: no sign of a fault
         self.in_flight += 1
         self.pool.spawn(self._check(replica, address))
 
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -178,7 +178,7 @@
 
     def _take(self, client: socket.socket, peer: Any) -> None:
         client.setblocking(False)
-        with contextlib.suppress(OSError):  # the client may have gone: its connection's reader will tell
+        with contextlib.suppress(OSError):  # the client may have gone: its connection's reader will notice
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if self.send_buffer:
                 # Left to itself the system grows it to megabytes for a client that reads nothing, unseen by this
@@ -244,7 +244,7 @@
                     self.counters.accept_failures += 1
                     self._accept_failing = True
                     return False
-                continue  # that one has gone; those behind it have not
+                continue  # that client has disconnected; those behind it have not
             self._take(client, peer)
         return True
 
--- a/pearhill/net/output_buffer.py
+++ b/pearhill/net/output_buffer.py
@@ -31,7 +31,7 @@
         once: a task and a deadline for each piece would cost more than the piece."""
         self.unsent += data
         if send_now:
-            with contextlib.suppress(OSError):  # full or broken: the write that follows tells which
+            with contextlib.suppress(OSError):  # full or broken: the write that follows shows which
                 del self.unsent[: self._sock.send(self.unsent)]
         if len(self.unsent) > MAX_BUFFERED_BYTES:
             self.has_capacity.clear()
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -97,7 +97,7 @@
                 self.reporter.sent(len(data))
 
     def close(self) -> None:
-        """Tell the aggregator that this dispatcher leaves, so that nobody waits for it; the socket is still open."""
+        """Notify the aggregator that this dispatcher leaves, so that nobody waits for it; the socket is still open."""
         self.deadlines.cancel(self._tick_key)
         self._send(self.reporter.leave(self.deadlines.clock()))
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -23,7 +23,7 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether a failed read or write says nothing about the connection: it can be tried again."""
+    """Whether a failed read or write is no fault of the connection: it can be tried again."""
     return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGE_ERRNOS
 
 
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -10,7 +10,7 @@
 
 
 class SocketWriter:
-    """One writer at a time. `loop.sock_sendall` would not tell how much had gone out when a call failed."""
+    """One writer at a time. `loop.sock_sendall` would not show how much was sent when a call failed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop = loop
--- a/pearhill/routing/placement.py
+++ b/pearhill/routing/placement.py
@@ -286,6 +286,7 @@
         reported = Role.DECODE in self.query_roles  # then its report says more than this dispatcher's part of its load
 
         def load(replica: ReplicaState) -> tuple[bool, float, float, float]:
+            """Sort key: ejected ones last, then by memory if replicas report it, tokens in flight by weight, memory."""
             memory = self._loads.memory_utilization(now, replica, 0)
             weighted = replica.tokens_in_flight / (replica.endpoint.weight or 1)
             return replica.ejected_until > now, memory if reported else 0.0, weighted, memory
