--- a/pearhill/chat/identification.py
+++ b/pearhill/chat/identification.py
@@ -4,8 +4,7 @@
 
 from pearhill.chat.errors import AUTHENTICATION, PERMISSION, ApiError
 from pearhill.chat.incoming_request import IncomingRequest
-from pearhill.chat.keys import Keyring, Tenant, key_number
-from pearhill.chat.keys import told as key_of
+from pearhill.chat.keys import Keyring, Tenant, key_in_headers, key_number
 from pearhill.chat.setup import Model, Reading
 
 
@@ -14,7 +13,7 @@
     if not keyring:
         request.update_rate_limits()
         return
-    key = key_of(request.message.headers)
+    key = key_in_headers(request.message.headers)
     if not key:
         raise _unauthorized("You didn't provide an API key: send Authorization: Bearer KEY.")
     tenant = keyring.owner(key)
--- a/pearhill/chat/incoming_request.py
+++ b/pearhill/chat/incoming_request.py
@@ -9,7 +9,7 @@
 
 from pearhill.chat.budget_accounting import BudgetAccounting
 from pearhill.chat.errors import JSON, ApiError
-from pearhill.chat.keys import ANYONE, Tenant
+from pearhill.chat.keys import ANONYMOUS, Tenant
 from pearhill.chat.setup import Model, Reading
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.http1.handler import Reply
@@ -53,7 +53,7 @@
         self.message = message
         self.reply = reply
         self.reading = reading
-        self.tenant: Tenant = ANYONE
+        self.tenant: Tenant = ANONYMOUS
         self.key_number = ""
         self.is_authenticated = False
         self.model: Model | None = None
--- a/pearhill/chat/keys.py
+++ b/pearhill/chat/keys.py
@@ -1,8 +1,9 @@
-"""API keys: kept as salted hashes, found by a short public number, compared in constant time.
+"""API keys: stored as salted hashes, looked up by a short public number, compared in constant time.
 
 A key is a secret of at least 24 characters; `pearhill key` makes them with 256 random bits, so that one round of a
-keyed hash is enough (stretching guards weak secrets, and would cost each request as much as an attacker). A record is
-`NUMBER$SALT$HASH` in hexadecimal: NUMBER is the first 4 bytes of the key's own hash and only says where to look.
+keyed hash is enough (stretching protects weak secrets, and would cost each request as much as an attacker). A record is
+`NUMBER$SALT$HASH` in hexadecimal: NUMBER is an unsalted 4-byte hash of the key, by which its record is looked up; SALT
+has 16 bytes, HASH (BLAKE2b, RFC 7693) 32.
 """
 
 from __future__ import annotations
@@ -14,81 +15,122 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-SHORTEST, LONGEST = 24, 256  # characters
+MIN_KEY_CHARS = 24
+MAX_KEY_CHARS = 256
+SALT_BYTES = 16
+DIGEST_BYTES = 32
+_PRINTABLE = re.compile(r"[\x21-\x7e]+")
 _RECORD = re.compile(r"([0-9a-f]{8})\$([0-9a-f]{32})\$([0-9a-f]{64})")
 _BEARER = re.compile(r"[Bb]earer +(\S+)")
 
 
-class BadKey(Exception):
-    """A key, or the record of one, that cannot be used; the text names no secret."""
+class InvalidKeyError(Exception):
+    """A key, or the record of one, that cannot be used; the text contains no secret."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Whom a key belongs to. `models`: the declared models that it may use; empty: all. `number` reaches the Router."""
+    """The owner of keys.
+
+    `number`: the tenant's in the Router's settings and events; `models`: the declared models that it may use; empty:
+    all of them.
+    """
 
     name: str
     number: int
     models: frozenset[str] = frozenset()
 
     def may_use(self, model: str) -> bool:
+        """Whether the tenant's keys allow requests for this declared model."""
         return not self.models or model in self.models
 
 
-ANYONE = Tenant("", 0)
+ANONYMOUS = Tenant("", 0)
+
+
+@dataclass(frozen=True, slots=True)
+class _KeyRecord:
+    """One key of a tenant, as its record has it."""
+
+    salt: bytes
+    digest: bytes
+    tenant: Tenant
+
+    def matches(self, key: str) -> bool:
+        """Whether the record is of this key. The time that this takes does not depend on how much of `key` is right."""
+        return hmac.compare_digest(_hash(key, self.salt), self.digest)
 
 
 def new_key() -> str:
+    """A new random key of 256 bits."""
     return f"ph-{secrets.token_urlsafe(32)}"
 
 
 def key_number(key: str) -> str:
-    """What a key is called where it must not be shown."""
+    """The public number of a key, 8 hexadecimal digits: its name where the key itself must not be shown."""
     return hashlib.blake2b(key.encode(errors="replace"), digest_size=4, person=b"pearhill-number").hexdigest()
 
 
 def _hash(key: str, salt: bytes) -> bytes:
-    return hashlib.blake2b(key.encode(errors="replace"), digest_size=32, salt=salt, person=b"pearhill-key").digest()
+    data = key.encode(errors="replace")
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES, salt=salt, person=b"pearhill-key").digest()
 
 
 def record_of(key: str, salt: bytes | None = None) -> str:
-    """What an operator's file keeps of a key. BadKey: it is too short to be a secret, too long, or no plain text."""
-    if not SHORTEST <= len(key) <= LONGEST or not re.fullmatch(r"[\x21-\x7e]+", key):
-        raise BadKey(f"a key is {SHORTEST} to {LONGEST} printable characters without spaces")
-    salt = secrets.token_bytes(16) if salt is None else salt
+    """The record of a key for the operator's file; without `salt` with a random one.
+
+    InvalidKeyError: the key is too short to be a secret, too long, or not printable ASCII without spaces.
+    """
+    if not MIN_KEY_CHARS <= len(key) <= MAX_KEY_CHARS or not _PRINTABLE.fullmatch(key):
+        raise InvalidKeyError(f"a key is {MIN_KEY_CHARS} to {MAX_KEY_CHARS} printable characters without spaces")
+    salt = secrets.token_bytes(SALT_BYTES) if salt is None else salt
     return f"{key_number(key)}${salt.hex()}${_hash(key, salt).hex()}"
 
 
 class Keyring:
-    """All keys in force. Takes a few microseconds a look, however many there are."""
+    """All valid keys, given as each tenant's records. InvalidKeyError: one of them is no record.
+
+    `tenants`: by name.
+    """
 
     def __init__(self, tenants: Iterable[tuple[Tenant, Iterable[str]]]) -> None:
-        self._found: dict[str, list[tuple[bytes, bytes, Tenant]]] = {}
-        self._nobody = [(secrets.token_bytes(16), secrets.token_bytes(32), ANYONE)]
+        self._records: dict[str, list[_KeyRecord]] = {}  # by the key's number
+        self._decoy = _KeyRecord(secrets.token_bytes(SALT_BYTES), secrets.token_bytes(DIGEST_BYTES), ANONYMOUS)
         self.tenants: dict[str, Tenant] = {}
         for tenant, records in tenants:
             self.tenants[tenant.name] = tenant
             for record in records:
-                parts = _RECORD.fullmatch(record)
-                if not parts:
-                    raise BadKey(f"a key of tenant {tenant.name!r} is no record as `pearhill key` prints it")
-                self._found.setdefault(parts[1], []).append((bytes.fromhex(parts[2]), bytes.fromhex(parts[3]), tenant))
+                self._add(tenant, record)
 
     def __bool__(self) -> bool:
         return bool(self.tenants)
 
     def owner(self, key: str) -> Tenant | None:
-        """Whose key it is. Danger: how long the answer takes must tell nothing of how much of a key is right; a number
-        that nobody has is compared all the same."""
-        found: Tenant | None = None
+        """The tenant whose key this is; None: the key is not valid.
+
+        A number without records is compared with a random one: otherwise the time of the answer would tell an attacker
+        which numbers exist.
+        """
+        owner: Tenant | None = None
         number = key_number(key)
-        for salt, digest, tenant in self._found.get(number, self._nobody):
-            if hmac.compare_digest(_hash(key, salt), digest) and number in self._found:
-                found = tenant
-        return found
+        for record in self._records.get(number, [self._decoy]):
+            if record.matches(key) and number in self._records:
+                owner = record.tenant
+        return owner
+
+    def _add(self, tenant: Tenant, record: str) -> None:
+        parts = _RECORD.fullmatch(record)
+        if not parts:
+            raise InvalidKeyError(f"a key of tenant {tenant.name!r} is no record as `pearhill key` prints it")
+        number, salt, digest = parts.groups()
+        stored = _KeyRecord(bytes.fromhex(salt), bytes.fromhex(digest), tenant)
+        self._records.setdefault(number, []).append(stored)
+
 
+def key_in_headers(headers: Mapping[str, str]) -> str:
+    """The key that a request carries; "": none.
 
-def told(headers: Mapping[str, str]) -> str:
-    """The key that a request carries: `Authorization: Bearer KEY`, or `api-key: KEY` as some clients send it."""
+    It comes as `Authorization: Bearer KEY` (RFC 6750), or as `api-key: KEY`, which some clients send.
+    """
     bearer = _BEARER.fullmatch(headers.get("authorization", ""))
     return bearer[1] if bearer else headers.get("api-key", "")
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -12,7 +12,7 @@
 from pearhill.chat import file as f
 from pearhill.chat.budget_accounting import AccountingSettings
 from pearhill.chat.budget_setup import accounting_settings
-from pearhill.chat.keys import BadKey, Keyring, Tenant
+from pearhill.chat.keys import InvalidKeyError, Keyring, Tenant
 from pearhill.chat.setup_names import number_of
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
@@ -161,7 +161,7 @@
         for n, record in enumerate(table.keys):
             try:
                 Keyring([(tenant, [record])])
-            except BadKey:
+            except InvalidKeyError:
                 # What stands there may be the key itself, which must not be shown: the error's text leaves it out.
                 raise ConfigError(
                     f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` prints it"
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -126,7 +126,7 @@
     made = sys.stdin.readline().strip() if known else keys.new_key()
     try:
         record = keys.record_of(made)
-    except keys.BadKey as e:
+    except keys.InvalidKeyError as e:
         _fail(str(e))
     if not known:
         print(f"key     {made}")
--- a/tests/chat/test_keys.py
+++ b/tests/chat/test_keys.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pearhill.chat.keys import BadKey, Keyring, Tenant, new_key, record_of, told
+from pearhill.chat.keys import InvalidKeyError, Keyring, Tenant, key_in_headers, new_key, record_of
 from tests.chat.test_front import PATH, ChatCase, body, operator_file
 from tests.standins import TOKENS
 
@@ -42,18 +42,18 @@
         self.assertNotEqual(record_of(A), record_of(A))
         self.assertNotIn(A[3:], record_of(A))
         for bad in ("", "short", "x" * 257, "with space" * 5, "ключ" * 10):
-            with self.subTest(bad=bad), self.assertRaises(BadKey):
+            with self.subTest(bad=bad), self.assertRaises(InvalidKeyError):
                 record_of(bad)
         for bad in ("", A, "12$34$56", record_of(A) + "0"):
-            with self.subTest(bad=bad), self.assertRaises(BadKey) as caught:
+            with self.subTest(bad=bad), self.assertRaises(InvalidKeyError) as caught:
                 Keyring([(Tenant("north", 0), [bad])])
             self.assertNotIn(A, str(caught.exception))
 
     @given(st.text(), st.text())
     def test_any_header_gives_a_key_or_none(self, value, other):
-        self.assertIsInstance(told({"authorization": value, "api-key": other}), str)
-        self.assertEqual(told({"authorization": f"Bearer {A}", "api-key": other}), A)
-        self.assertEqual(told({"authorization": "Basic x", "api-key": other}), other)
+        self.assertIsInstance(key_in_headers({"authorization": value, "api-key": other}), str)
+        self.assertEqual(key_in_headers({"authorization": f"Bearer {A}", "api-key": other}), A)
+        self.assertEqual(key_in_headers({"authorization": "Basic x", "api-key": other}), other)
 
 
 class Served(ChatCase):
