--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from pearhill.chat.errors import JSON, SERVER, ApiError, ReplicaErrorResponse, retry_headers
+from pearhill.chat.errors import JSON, ApiError, ErrorType, ReplicaErrorResponse, retry_headers
 from pearhill.chat.prompt import ResponseFormat
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.http1.handler import Reply
@@ -17,9 +17,13 @@
 EVENT_STREAM_HEADERS: Headers = (("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"))
 HEARTBEAT = b": keep-alive\n\n"
 CLIENT_CLOSED_REQUEST = 499  # logged only: nobody is there to read a status
-BUSY = ApiError(503, "The servers are busy; nothing was done. Please try again.", "server_overloaded", type=SERVER)
-FAILED = ApiError(500, "The request failed or ran out of time. It may have run.", "request_failed", type=SERVER)
-TRUNCATED = ApiError(502, "The server's answer broke off or made no sense.", "stream_broken", type=SERVER)
+BUSY = ApiError(
+    503, "The servers are busy; nothing was done. Please try again.", "server_overloaded", type=ErrorType.SERVER
+)
+FAILED = ApiError(
+    500, "The request failed or ran out of time. It may have run.", "request_failed", type=ErrorType.SERVER
+)
+TRUNCATED = ApiError(502, "The server's answer broke off or made no sense.", "stream_broken", type=ErrorType.SERVER)
 
 
 class Spawn(Protocol):
@@ -98,7 +102,7 @@
 
     def reject(self, retry_after: int) -> None:
         """No attempt was made; `retry_after`: microseconds."""
-        may_retry = self.refusal.type != "insufficient_quota"
+        may_retry = self.refusal.type != ErrorType.INSUFFICIENT_QUOTA
         self._answer_error(self.refusal, may_retry, retry_headers(retry_after))
 
     def fail(self) -> None:
--- a/pearhill/chat/budget_answers.py
+++ b/pearhill/chat/budget_answers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pearhill.budgets import AdmissionDecision
-from pearhill.chat.errors import RATE, ApiError
+from pearhill.chat.errors import ApiError, ErrorType
 from pearhill.chat.schema.answers import RequestsUsed, TokensUsed, UsageReport
 from pearhill.http1.messages import Headers
 
@@ -57,11 +57,11 @@
             429,
             f"The quota is used up ({decision.reason}); nothing was done.",
             "insufficient_quota",
-            type="insufficient_quota",
+            type=ErrorType.INSUFFICIENT_QUOTA,
         )
     return ApiError(
         429,
         f"The rate limit is reached ({decision.reason}); nothing was done.",
         "rate_limit_exceeded",
-        type=RATE,
+        type=ErrorType.RATE_LIMIT,
     )
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pearhill.chat.collected import Chunks
-from pearhill.chat.errors import ApiError, invalid
+from pearhill.chat.errors import ApiError, invalid_request
 from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema import responses as r
 from pearhill.chat.schema.chat import MAX_CALLS
@@ -246,7 +246,7 @@
     asked.check()
     messages = items_to_messages(asked)
     if not messages:
-        raise invalid("The input holds no message.", "input")
+        raise invalid_request("The input holds no message.", "input")
     return Prompt(
         asked.model,
         asked.stream is True,
--- a/pearhill/chat/errors.py
+++ b/pearhill/chat/errors.py
@@ -1,25 +1,33 @@
-"""What went wrong, in the form that chat clients read: `{"error": {message, type, param, code}}`."""
+"""Errors as clients of the chat API read them: `{"error": {message, type, param, code}}`.
+
+The form and the values of `type` are those of OpenAI's API reference, "Error codes".
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 import msgspec
 
 from pearhill.http1.messages import Headers
 
 JSON: Headers = (("Content-Type", "application/json"),)
-INVALID, AUTHENTICATION, PERMISSION, RATE, SERVER = (
-    "invalid_request_error",
-    "authentication_error",
-    "permission_error",
-    "rate_limit_error",
-    "server_error",
-)
+
+
+class ErrorType(StrEnum):
+    """The values of an error object's `type`."""
+
+    INVALID_REQUEST = "invalid_request_error"
+    AUTHENTICATION = "authentication_error"
+    PERMISSION = "permission_error"
+    RATE_LIMIT = "rate_limit_error"
+    INSUFFICIENT_QUOTA = "insufficient_quota"
+    SERVER = "server_error"
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """`param` is a path into the request's body, such as `messages[1].content[0].type`."""
+    """The error itself. `param` is a path into the request's body, such as `messages[1].content[0].type`."""
 
     message: str
     type: str
@@ -28,39 +36,53 @@
 
 
 class ErrorObject(msgspec.Struct, frozen=True):
+    """The body of a response that reports an error."""
+
     error: ErrorBody
 
 
 @dataclass
 class ApiError(Exception):
-    """A request that is turned away, or an answer that failed, with its status."""
+    """A request that is rejected, or a response that failed.
+
+    `status`: of HTTP; `code`: by which clients distinguish errors; `headers`: of the response, beside the usual ones.
+    """
 
     status: int
     message: str
     code: str
     param: str | None = None
-    type: str = INVALID
+    type: ErrorType = ErrorType.INVALID_REQUEST
     headers: Headers = ()
 
-    def object(self) -> ErrorObject:
-        return ErrorObject(ErrorBody(self.message, self.type, self.param, self.code))
+    def as_object(self) -> ErrorObject:
+        """The error object."""
+        return ErrorObject(ErrorBody(self.message, self.type.value, self.param, self.code))
 
     def body(self) -> bytes:
-        return msgspec.json.encode(self.object())
+        """The error object as JSON."""
+        return msgspec.json.encode(self.as_object())
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaErrorResponse:
-    """A server's own words about the request itself, which are the client's answer."""
+    """A replica's error about the request itself, which is the client's response. `body` is JSON."""
 
     status: int
     body: bytes
 
 
 def retry_headers(micros: int) -> Headers:
-    """When to come back, for clients that read seconds and for those that read the finer header."""
-    return (("Retry-After", f"{micros / 1e6:.3f}"), ("Retry-After-Ms", str(micros // 1000))) if micros > 0 else ()
+    """The headers for a retry in `micros` microseconds; none for 0.
+
+    `Retry-After` is in seconds with decimals (RFC 9110 has whole ones), `Retry-After-Ms` in milliseconds, as OpenAI's
+    clients read it.
+    """
+    if micros <= 0:
+        return ()
+    return (("Retry-After", f"{micros / 1e6:.3f}"), ("Retry-After-Ms", str(micros // 1000)))
 
 
-def invalid(message: str, param: str | None = None, code: str = "invalid_value", status: int = 400) -> ApiError:
+def invalid_request(message: str, param: str | None = None, code: str = "invalid_value", status: int = 400) -> ApiError:
+    """An error that the client's request itself has caused; `param`: the path of the field at fault."""
     return ApiError(status, message, code, param)
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -17,7 +17,7 @@
 from pearhill.chat.answers import Answer, HeartbeatTimer, Spawn
 from pearhill.chat.budget_accounting import BudgetAccounting
 from pearhill.chat.endpoints import ENDPOINTS
-from pearhill.chat.errors import JSON, ApiError, invalid
+from pearhill.chat.errors import JSON, ApiError, invalid_request
 from pearhill.chat.identification import find_model, identify
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.keys import Keyring, Tenant
@@ -84,14 +84,14 @@
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
         """Headers and body for input that was rejected before it became a request."""
-        return (*JSON, ("x-request-id", secrets.token_hex(12))), invalid(why, code="bad_http").body()
+        return (*JSON, ("x-request-id", secrets.token_hex(12))), invalid_request(why, code="bad_http").body()
 
     def _accept(self, request: IncomingRequest) -> Pending | None:
         """Read a request for an answer of a model, and place it. ApiError: it is rejected."""
         message = request.message
         identify(request, self.keyring)
         if message.headers.get("content-encoding", "identity").lower() != "identity":
-            raise invalid(
+            raise invalid_request(
                 "Bodies are taken as they are: leave Content-Encoding out.", code="unsupported_encoding", status=415
             )
         prompt = ENDPOINTS[message.path](message.body)
@@ -100,7 +100,7 @@
         spec = read_spec(request, prompt, model, self._classes, self._dispatcher.deployment)
         idempotency_key = message.headers.get("idempotency-key", "")
         if len(idempotency_key) > MAX_IDEMPOTENCY_KEY_CHARS:
-            raise invalid(f"Idempotency-Key is longer than {MAX_IDEMPOTENCY_KEY_CHARS} characters.")
+            raise invalid_request(f"Idempotency-Key is longer than {MAX_IDEMPOTENCY_KEY_CHARS} characters.")
         answer = self._new_answer(request, prompt, model, spec.request_class)
         return self._placement.place(ReadRequest(request, prompt, model, spec, answer), idempotency_key)
 
--- a/pearhill/chat/identification.py
+++ b/pearhill/chat/identification.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearhill.chat.errors import AUTHENTICATION, PERMISSION, ApiError
+from pearhill.chat.errors import ApiError, ErrorType
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.keys import Keyring, Tenant, key_in_headers, key_number
 from pearhill.chat.setup import Model, Reading
@@ -32,11 +32,15 @@
         raise ApiError(404, f"The model {name[:200]!r} does not exist.", "model_not_found", "model")
     if not tenant.may_use(model.name):
         raise ApiError(
-            403, f"The model {name[:200]!r} is not allowed for this key.", "model_not_allowed", "model", PERMISSION
+            403,
+            f"The model {name[:200]!r} is not allowed for this key.",
+            "model_not_allowed",
+            "model",
+            ErrorType.PERMISSION,
         )
     return model
 
 
 def _unauthorized(message: str) -> ApiError:
     challenge = (("WWW-Authenticate", "Bearer"),)
-    return ApiError(401, message, "invalid_api_key", type=AUTHENTICATION, headers=challenge)
+    return ApiError(401, message, "invalid_api_key", type=ErrorType.AUTHENTICATION, headers=challenge)
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -11,7 +11,7 @@
 from pearhill.chat.answers import Answer, Spawn
 from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
 from pearhill.chat.budget_answers import rejection_error
-from pearhill.chat.errors import JSON, RATE, ApiError, invalid, retry_headers
+from pearhill.chat.errors import JSON, ApiError, ErrorType, invalid_request, retry_headers
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.meter import Meter
 from pearhill.chat.prompt import Prompt
@@ -93,11 +93,11 @@
 
     def _follow(self, record: Record, digest: bytes, answer: Answer) -> Pending:
         if record.digest != digest:
-            raise invalid(
+            raise invalid_request(
                 "This Idempotency-Key was used with another request.", code="idempotency_key_reused", status=422
             )
         if record.dropped:
-            raise invalid(
+            raise invalid_request(
                 f"The request has ended ({record.state}) and is not run again; its answer is not kept any more.",
                 code="answer_not_kept",
                 status=409,
@@ -111,7 +111,7 @@
         if len(dispatcher.requests) < dispatcher.deployment.max_open_requests:
             return True
         dispatcher.record_rejection(request.spec.request_class)
-        error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=RATE)
+        error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=ErrorType.RATE_LIMIT)
         incoming = request.incoming
         incoming.log_answer(429, error.code)
         retry_after = retry_headers(dispatcher.deployment.router.max_retry_after)
--- a/pearhill/chat/schema/reading.py
+++ b/pearhill/chat/schema/reading.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pearhill.chat.errors import ApiError, invalid
+from pearhill.chat.errors import ApiError, invalid_request
 
 T = TypeVar("T")
 _AT = re.compile(r"^(?P<what>.*?)(?: - at (?P<key>key in )?`\$(?P<path>.*)`)?$", re.DOTALL)
@@ -40,15 +40,15 @@
             body.decode()  # Danger: what stands in a field that nobody here knows would be checked by nobody.
             return self._decoder.decode(body), dict(_fields.decode(body))
         except UnicodeDecodeError as e:
-            raise invalid(f"The body is no UTF-8: byte {e.start}.", code="invalid_json") from None
+            raise invalid_request(f"The body is no UTF-8: byte {e.start}.", code="invalid_json") from None
         except msgspec.ValidationError as e:
             what, path, code = place(e)
             where = f" at '{path}'" if path and "'" + path + "'" not in what else ""
-            raise invalid(f"{what}{where}" + ("" if what.endswith(".") else "."), path, code) from None
+            raise invalid_request(f"{what}{where}" + ("" if what.endswith(".") else "."), path, code) from None
         except msgspec.DecodeError as e:
-            raise invalid(f"The body is no JSON: {e}.", code="invalid_json") from None
+            raise invalid_request(f"The body is no JSON: {e}.", code="invalid_json") from None
         except RecursionError:
-            raise invalid("The body is nested too deeply.", code="invalid_json") from None
+            raise invalid_request("The body is nested too deeply.", code="invalid_json") from None
 
 
 def refuse_unless(holds: bool, message: str, param: str, code: str = "invalid_value") -> None:
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from pearhill.chat.collected import DONE
-from pearhill.chat.errors import SERVER, ApiError, ReplicaErrorResponse
+from pearhill.chat.errors import ApiError, ErrorType, ReplicaErrorResponse
 from pearhill.chat.meter import Meter
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
@@ -170,7 +170,7 @@
                 502,
                 "The server did not let this service in; its operators have been told.",
                 "server_credentials",
-                type=SERVER,
+                type=ErrorType.SERVER,
             )
             return Verdict(Outcome.ERROR, replica_error=ReplicaErrorResponse(error.status, error.body()))
         return None
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -13,7 +13,7 @@
 import re
 from collections.abc import Mapping
 
-from pearhill.chat.errors import invalid
+from pearhill.chat.errors import invalid_request
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.prompt import Prompt
 from pearhill.chat.setup import Model, Reading, Rule
@@ -57,7 +57,7 @@
     named = headers.get(reading.class_header) or prompt.metadata.get(reading.class_field)
     if named:
         if named not in classes:
-            raise invalid(f"There is no class {named[:64]!r}.", f"metadata.{reading.class_field}")
+            raise invalid_request(f"There is no class {named[:64]!r}.", f"metadata.{reading.class_field}")
         return classes[named]
     if rule:
         return rule.request_class
@@ -80,13 +80,13 @@
 
 def _check_lengths(prompt: Prompt, model: Model, tokens: int) -> None:
     if model.max_prompt and tokens > model.max_prompt:
-        raise invalid(
+        raise invalid_request(
             f"The prompt has about {tokens} tokens; {model.name} takes {model.max_prompt}.",
             "messages",
             "context_length_exceeded",
         )
     if model.max_out and prompt.max_out and prompt.max_out > model.max_out:
-        raise invalid(f"{model.name} writes {model.max_out} tokens at most.", "max_tokens")
+        raise invalid_request(f"{model.name} writes {model.max_out} tokens at most.", "max_tokens")
 
 
 def _timeout(reading: Reading, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
@@ -95,7 +95,7 @@
     if header is None:
         return min(class_deadline, rule.deadline) if rule and rule.deadline > 0 else class_deadline
     if not re.fullmatch("[0-9]{1,10}", header) or not int(header):
-        raise invalid(f"{reading.timeout_header} must be a whole number of milliseconds above 0.")
+        raise invalid_request(f"{reading.timeout_header} must be a whole number of milliseconds above 0.")
     return min(class_deadline, int(header) * 1000)
 
 
