--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -19,14 +19,14 @@
 from pearhill.chat.budget_answers import rate_limit_headers, usage_report
 from pearhill.chat.charge_journal import ChargeJournal
 from pearhill.chat.errors import ReplicaErrorResponse
-from pearhill.chat.meter import Meter
+from pearhill.chat.meter import UsageMeter
 from pearhill.chat.records import Record
 from pearhill.chat.schema.answers import UsageReport
 from pearhill.core.deadlines import Deadlines, Key
 from pearhill.http1.messages import Headers
 
 REJECTIONS_INTERVAL_US = 1_000_000  # the rejections of an interval are one charge a tenant and key
-JOURNAL_RETRY_AFTER_US = 1_000_000  # told to clients while the journal cannot be written
+JOURNAL_RETRY_AFTER_US = 1_000_000  # sent to clients while the journal cannot be written
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
         self,
         accounting: BudgetAccounting,
         reservation: Reservation,
-        meter: Meter,
+        meter: UsageMeter,
         prompt_tokens: int,
         id: str,
         model: str,
@@ -78,10 +78,10 @@
         self._settle(c.FAILED)
         self._inner.fail()
 
-    def decline(self, said: ReplicaErrorResponse) -> None:
+    def decline(self, response: ReplicaErrorResponse) -> None:
         """The replica answered with an error that is the client's."""
         self._settle(c.DECLINED)
-        self._inner.decline(said)
+        self._inner.decline(response)
 
     async def forward(self, data: bytes) -> None:
         """Pass on one event of the replica's stream."""
@@ -112,11 +112,11 @@
     def _usage(self, outcome: str) -> Usage | None:
         """The tokens to charge. None: the request was rejected and nothing of it has run."""
         meter = self._meter
-        if meter.told:
-            return Usage(meter.prompt, meter.cached, meter.answer)
-        if meter.events:
+        if meter.is_reported:
+            return Usage(meter.prompt_tokens, meter.cached_tokens, meter.output_tokens)
+        if meter.event_count:
             # The stream ended before the replica reported its usage: an event counts as a token.
-            return Usage(self._prompt_tokens, 0, meter.events)
+            return Usage(self._prompt_tokens, 0, meter.event_count)
         return None if outcome == c.REJECTED else Usage()
 
 
--- a/pearhill/chat/budget_answers.py
+++ b/pearhill/chat/budget_answers.py
@@ -1,4 +1,4 @@
-"""What clients of the chat API are told of their budget: rate-limit headers, the usage report, and rejections."""
+"""Budgets in answers to clients of the chat API: rate-limit headers, the usage report, and rejections."""
 
 from __future__ import annotations
 
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -13,7 +13,7 @@
 from pearhill.chat.budget_answers import rejection_error
 from pearhill.chat.errors import JSON, ApiError, ErrorType, invalid_request, retry_headers
 from pearhill.chat.incoming_request import IncomingRequest
-from pearhill.chat.meter import Meter
+from pearhill.chat.meter import UsageMeter
 from pearhill.chat.prompt import Prompt
 from pearhill.chat.records import Record, Store
 from pearhill.chat.servers import ChatPayload
@@ -152,7 +152,7 @@
             return spec, inner, _payload(request, None)
         incoming.update_rate_limits()
         request.answer.headers = tuple(incoming.headers)
-        meter = Meter()
+        meter = UsageMeter()
         path = incoming.message.path
         client = SettlingClient(
             accounting, decision.reservation, meter, spec.prompt_tokens, incoming.id, request.model.name, path, inner
@@ -181,7 +181,7 @@
     return hashlib.blake2b(b"%b\n%b" % (message.path.encode(), message.body), digest_size=16).digest()
 
 
-def _payload(request: ReadRequest, meter: Meter | None) -> ChatPayload:
+def _payload(request: ReadRequest, meter: UsageMeter | None) -> ChatPayload:
     """What replicas get: the client's fields as they came, but for those that this dispatcher sets."""
     prompt = request.prompt
     model = request.model
--- a/pearhill/chat/servers.py
+++ b/pearhill/chat/servers.py
@@ -11,7 +11,7 @@
 
 from pearhill.chat.collected import DONE
 from pearhill.chat.errors import ApiError, ErrorType, ReplicaErrorResponse
-from pearhill.chat.meter import Meter
+from pearhill.chat.meter import UsageMeter
 from pearhill.chat.schema.chat import Chunk, ServerError
 from pearhill.http1 import messages
 from pearhill.http1.sse import EventParser, EventStreamError
@@ -37,13 +37,13 @@
     body: bytes  # always asks for a stream with its usage: the router learns from it what was kept
     wants_usage: bool  # whether the usage event goes on to the client's words
     most: int = 4 << 20  # bytes that the answer's stream may have
-    meter: Meter | None = None  # is told what the stream shows of its use
+    meter: UsageMeter | None = None  # is told what the stream shows of its use
 
 
 class ChatStream:
     """Passes on whole events that make sense, unchanged, and is whole with `[DONE]`."""
 
-    def __init__(self, wants_usage: bool, most: int, meter: Meter | None = None) -> None:
+    def __init__(self, wants_usage: bool, most: int, meter: UsageMeter | None = None) -> None:
         self.cached_tokens, self._whole, self._chunks = 0, False, 0
         self._wants_usage, self._room = wants_usage, most
         self._parser = EventParser()
@@ -92,11 +92,11 @@
             details = chunk.usage.prompt_tokens_details
             self.cached_tokens = details.cached_tokens or self.cached_tokens if details else self.cached_tokens
             if self._meter:
-                self._meter.usage(chunk.usage.prompt_tokens, self.cached_tokens, chunk.usage.completion_tokens)
+                self._meter.record_usage(chunk.usage.prompt_tokens, self.cached_tokens, chunk.usage.completion_tokens)
         if chunk.choices:
             self._chunks += 1
             if self._meter:
-                self._meter.event()
+                self._meter.count_event()
             return True
         return self._wants_usage
 
