--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -11,12 +11,12 @@
 from pearhill.chat.answers import Answer, Spawn
 from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
 from pearhill.chat.budget_answers import rejection_error
+from pearhill.chat.dialect import ChatPayload
 from pearhill.chat.errors import JSON, ApiError, ErrorType, invalid_request, retry_headers
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.meter import UsageMeter
 from pearhill.chat.prompt import Prompt
 from pearhill.chat.records import Record, Store
-from pearhill.chat.servers import ChatPayload
 from pearhill.chat.setup import Model
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Request, RequestSpec
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -9,9 +9,9 @@
 
 from pearhill.admin.endpoint import AdminEndpoint
 from pearhill.chat.budget_accounting import BudgetAccounting
+from pearhill.chat.dialect import ChatDialect
 from pearhill.chat.front import ChatFront
 from pearhill.chat.records import Store
-from pearhill.chat.servers import ChatDialect
 from pearhill.chat.setup import ChatSetup
 from pearhill.config import for_next_start
 from pearhill.durable.recovery import CorruptJournalError
