--- /dev/null
+++ b/pearhill/chat/replica_stream.py
@@ -0,0 +1,98 @@
+"""The event stream of a replica that speaks the chat API: which events are forwarded, and when it can be trusted."""
+
+from __future__ import annotations
+
+import msgspec
+
+from pearhill.chat.collected import DONE
+from pearhill.chat.meter import UsageMeter
+from pearhill.chat.schema.chat import Chunk, Usage
+from pearhill.http1.sse import EventParser, EventStreamError, ServerEvent
+from pearhill.net.errors import MalformedResponseError
+
+_chunk_decoder: msgspec.json.Decoder[Chunk] = msgspec.json.Decoder(Chunk)
+
+
+class ChatStream:
+    """Forwards events that are well-formed chunks, unchanged; it is complete with `[DONE]`.
+
+    `wants_usage`: whether the usage event is forwarded; `max_bytes`: of all events that are; `meter` counts tokens.
+    """
+
+    def __init__(self, wants_usage: bool, max_bytes: int, meter: UsageMeter | None = None) -> None:
+        self.cached_tokens = 0
+        self._is_complete = False
+        self._chunk_count = 0
+        self._wants_usage = wants_usage
+        self._bytes_left = max_bytes
+        self._parser = EventParser()
+        self._meter = meter
+        if meter:
+            meter.restart()
+
+    @property
+    def whole(self) -> bool:
+        """Whether `[DONE]` has come."""
+        return self._is_complete
+
+    def feed(self, data: bytes) -> bytes:
+        """The complete events to forward. MalformedResponseError: the stream is no answer in chunks, or too large."""
+        if self._is_complete:
+            raise MalformedResponseError("events after the last one")
+        try:
+            forwarded = self._forwarded_events(data)
+        except EventStreamError as e:
+            raise MalformedResponseError(str(e)) from None
+        except msgspec.ValidationError as e:
+            raise MalformedResponseError(f"an event is no chunk of an answer: {e}") from None
+        except (msgspec.DecodeError, RecursionError):
+            raise MalformedResponseError("an event is no JSON") from None
+        self._bytes_left -= len(forwarded)
+        if self._bytes_left < 0:
+            # Without this, an answer that is kept for repeats would take as much memory as a replica sends.
+            raise MalformedResponseError("the answer is too large")
+        return forwarded
+
+    def ends_well(self) -> bool:
+        """Whether the response may end here."""
+        return self._is_complete
+
+    def _forwarded_events(self, data: bytes) -> bytes:
+        """The raw events to forward, up to `[DONE]`: what follows it belongs to no answer."""
+        forwarded = []
+        for event in self._parser.feed(data):
+            if self._is_forwarded(event):
+                forwarded.append(event.raw)
+            if self._is_complete:
+                break
+        return b"".join(forwarded)
+
+    def _is_forwarded(self, event: ServerEvent) -> bool:
+        if event.data is None:
+            return False  # a comment, which only keeps the connection open
+        if event.data != DONE:
+            return self._read_chunk(_chunk_decoder.decode(event.data))
+        if not self._chunk_count:
+            raise MalformedResponseError("an end without an answer")
+        self._is_complete = True
+        return True
+
+    def _read_chunk(self, chunk: Chunk) -> bool:
+        """Count a chunk. Returns whether it is forwarded."""
+        if chunk.error is not msgspec.UNSET and chunk.error is not None:
+            raise MalformedResponseError("the server reports an error in its stream")
+        if chunk.usage is not None:
+            self._read_usage(chunk.usage)
+        if not chunk.choices:
+            return self._wants_usage
+        self._chunk_count += 1
+        if self._meter:
+            self._meter.count_event()
+        return True
+
+    def _read_usage(self, usage: Usage) -> None:
+        details = usage.prompt_tokens_details
+        if details and details.cached_tokens:
+            self.cached_tokens = details.cached_tokens
+        if self._meter:
+            self._meter.record_usage(usage.prompt_tokens, self.cached_tokens, usage.completion_tokens)
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -92,8 +92,8 @@
         self.setup = fresh
         self.front.reading = fresh.reading
         self.front.keyring = fresh.keyring
-        self.dialect.keys = fresh.server_keys
-        self.dialect.key = fresh.server_key
+        self.dialect.replica_keys = fresh.server_keys
+        self.dialect.default_key = fresh.server_key
         if self.fleet and fresh.fleet:
             self.fleet.reconfigure(fresh.fleet)
         if self.accounting and fresh.accounting:
