--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -152,7 +152,7 @@
             self.abort()
             return
         if self._end(200, ""):
-            self.reply.answer(200, (*JSON, *self.headers), self.format.whole())
+            self.reply.answer(200, (*JSON, *self.headers), self.format.complete())
 
     def abort(self) -> None:
         """The answer broke off."""
@@ -160,7 +160,7 @@
             self._answer_error(TRUNCATED, self.repeatable)
             return
         if self._end(502, TRUNCATED.code):
-            self.reply.abort(self.format.broken(TRUNCATED))
+            self.reply.abort(self.format.truncated(TRUNCATED))
 
     def has_disconnected(self) -> bool:
         """Whether the client has gone."""
--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -4,7 +4,7 @@
 
 from pearhill.chat.collected import Collected
 from pearhill.chat.errors import ApiError
-from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_of
+from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_of_message
 from pearhill.chat.schema.chat import ChatRequest
 from pearhill.chat.schema.reading import Reader
 
@@ -21,13 +21,13 @@
     def end(self) -> bytes:
         return b""
 
-    def broken(self, error: ApiError) -> bytes:
+    def truncated(self, error: ApiError) -> bytes:
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
         self._collected.feed(data)
 
-    def whole(self) -> bytes:
+    def complete(self) -> bytes:
         return self._collected.body()
 
 
@@ -40,7 +40,7 @@
         asked.model,
         asked.stream is True,
         asked.stream is not True or usage,
-        [turn_of(message) for message in asked.messages],
+        [turn_of_message(message) for message in asked.messages],
         asked.max_completion_tokens or asked.max_tokens,
         asked.metadata or {},
         fields,
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -62,13 +62,13 @@
     def end(self) -> bytes:
         return b""
 
-    def broken(self, error: ApiError) -> bytes:
+    def truncated(self, error: ApiError) -> bytes:
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
         self._collected.feed(data)
 
-    def whole(self) -> bytes:
+    def complete(self) -> bytes:
         choices = []
         for index in sorted(self._collected.choices):
             choice = self._collected.choices[index]
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -210,7 +210,7 @@
         kind, response = self._final()
         return out + self._event(kind, response=response)
 
-    def broken(self, error: ApiError) -> bytes:
+    def truncated(self, error: ApiError) -> bytes:
         for item in self._items:
             item["status"] = "completed" if item["status"] == "completed" else "incomplete"
         return self._event(
@@ -221,7 +221,7 @@
         for chunk in self._chunks.feed(data):
             self._add(chunk)
 
-    def whole(self) -> bytes:
+    def complete(self) -> bytes:
         self._close()
         return msgspec.json.encode(self._final()[1])
 
--- a/pearhill/chat/prompt.py
+++ b/pearhill/chat/prompt.py
@@ -1,41 +1,50 @@
-"""What every endpoint makes of its request: one form for the front, whatever words the client used."""
+"""A request in the one form that the front works with, whichever endpoint it came to."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 from pearhill.chat.errors import ApiError
 from pearhill.chat.schema import chat
 
-# Tokens that a part counts where it has no text. Sources: OpenAI's guides on image and audio input, rounded up.
-LOW_IMAGE, IMAGE, FILE_ID, TOKENS_A_SECOND, WAV_SECOND, MP3_SECOND = 85, 765, 2_000, 10, 32_000, 16_000
+# Tokens of content that is not text. Sources: OpenAI's guides on image and audio input, rounded up.
+LOW_DETAIL_IMAGE_TOKENS = 85
+IMAGE_TOKENS = 765
+STORED_FILE_TOKENS = 2_000  # of a file that is only named by its id
+AUDIO_TOKENS_PER_SECOND = 10
+WAV_BYTES_PER_SECOND = 32_000
+MP3_BYTES_PER_SECOND = 16_000
 
 
 class ResponseFormat(Protocol):
-    """An endpoint's words for one answer. Fed the servers' events as they come, whole ones that make sense."""
+    """The format of one answer at an endpoint.
+
+    It is fed the replica's events, complete and checked, with `stream` for a client that streams and with `collect` for
+    one that does not.
+    """
 
     def stream(self, data: bytes) -> bytes:
-        """What a client that streams reads of them."""
+        """These events in the endpoint's format."""
 
     def end(self) -> bytes:
-        """What still comes when the stream is whole."""
+        """The last events of a complete stream."""
 
-    def broken(self, error: ApiError) -> bytes:
-        """The last words of a stream that broke after its start."""
+    def truncated(self, error: ApiError) -> bytes:
+        """The last event of a stream that broke off after its start."""
 
     def collect(self, data: bytes) -> None:
-        """Keep them for an answer in one piece. ValueError and the like: they cannot be put together."""
+        """Keep these events for `complete`. Whatever it raises: they are no chunks of one answer."""
 
-    def whole(self) -> bytes:
-        """The answer in one piece."""
+    def complete(self) -> bytes:
+        """The body of the response, made of all collected events."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseIdentity:
-    """What an answer is known by."""
+    """The fields that identify an answer. `created`: seconds since 1970."""
 
     id: str
     model: str
@@ -44,69 +53,92 @@
 
 @dataclass(slots=True)
 class Turn:
-    """One message, as far as routing looks at it. `more`: tokens beside the text's."""
+    """One message, as far as routing looks at it. `extra_tokens`: of content that is not text."""
 
     role: str
     text: str
-    more: int = 0
+    extra_tokens: int = 0
 
 
 @dataclass(slots=True)
 class Prompt:
+    """A request after its endpoint has read it.
+
+    `wants_usage`: whether the format needs the replica's usage event; `max_output_tokens`: of each choice, None: the
+    request names no limit; `fields`: the chat request that replicas get, but for what the front sets (`model` and
+    `stream`); `choice_count`: answers asked for (`n`).
+    """
+
     model: str
     stream: bool
-    wants_usage: bool  # whether the words need the usage event
+    wants_usage: bool
     turns: list[Turn]
-    max_out: int | None
+    max_output_tokens: int | None
     metadata: dict[str, str]
-    fields: dict[str, Any]  # the body that servers get, in chat's words; model and stream are set by the front
+    fields: dict[str, Any]
     new_format: Callable[[ResponseIdentity], ResponseFormat]
-    count: int = 1  # answers asked for
-    _text: int = field(default=-1)
+    choice_count: int = 1
 
-    def tokens(self, chars_per_token: float) -> int:
+    def estimated_tokens(self, chars_per_token: float) -> int:
+        """The prompt's length in tokens, estimated from its characters."""
         text = sum(len(turn.text) for turn in self.turns)
-        return int(text / chars_per_token) + sum(turn.more for turn in self.turns)
+        return int(text / chars_per_token) + sum(turn.extra_tokens for turn in self.turns)
 
 
-def _digest(data: str) -> str:
-    return hashlib.blake2b(data.encode(errors="replace"), digest_size=16).hexdigest()
+def turn_of_message(message: chat.Message) -> Turn:
+    """The text of a message, its tool calls included, and the tokens of its other content."""
+    turn = Turn(str(message.__struct_config__.tag), "")
+    content = message.content
+    if isinstance(content, str):
+        turn.text = content
+    elif content:
+        for part in content:
+            text, extra_tokens = _read_part(part)
+            turn.text += text
+            turn.extra_tokens += extra_tokens
+    if isinstance(message, chat.AssistantMessage):
+        turn.text += message.refusal or ""
+        turn.text += "".join(_call_text(call) for call in message.tool_calls or ())
+    return turn
+
 
+def _read_part(part: object) -> tuple[str, int]:
+    """The text that stands for a content part, and its tokens if it is not text.
 
-def part_of(part: object) -> tuple[str, int]:
-    """The text that stands for a content part in comparing openings, and the tokens that it costs beside it. What is
-    not text is named by its digest: the same picture keeps the same opening."""
+    Other content is represented by its digest: prompts that begin with the same image have the same prefix.
+    """
     match part:
         case chat.TextPart(text):
             return text, 0
         case chat.RefusalPart(refusal):
             return refusal, 0
         case chat.ImagePart(image):
-            return f"<image {_digest(image.url)}>", LOW_IMAGE if image.detail == "low" else IMAGE
+            tokens = LOW_DETAIL_IMAGE_TOKENS if image.detail == "low" else IMAGE_TOKENS
+            return f"<image {_digest(image.url)}>", tokens
         case chat.AudioPart(audio):
-            second = WAV_SECOND if audio.format == "wav" else MP3_SECOND
-            return f"<audio {_digest(audio.data)}>", 1 + len(audio.data) * 3 // 4 * TOKENS_A_SECOND // second
+            return f"<audio {_digest(audio.data)}>", _audio_tokens(audio)
         case chat.FilePart(file):
-            data = file.file_data or ""
-            return f"<file {_digest(data or str(file.file_id))}>", len(data) * 3 // 16 if data else FILE_ID
+            return _read_file(file)
     return "", 0
 
 
-def turn_of(message: chat.Message) -> Turn:
-    turn = Turn(str(message.__struct_config__.tag), "")
-    content = message.content
-    if isinstance(content, str):
-        turn.text = content
-    for part in content if isinstance(content, list) else ():
-        text, more = part_of(part)
-        turn.text += text
-        turn.more += more
-    if isinstance(message, chat.AssistantMessage):
-        turn.text += message.refusal or ""
-        for call in message.tool_calls or ():
-            turn.text += (
-                f"{call.function.name}({call.function.arguments})"
-                if isinstance(call, chat.FunctionToolCall)
-                else f"{call.custom.name}({call.custom.input})"
-            )
-    return turn
+def _audio_tokens(audio: chat.InputAudio) -> int:
+    byte_count = len(audio.data) * 3 // 4  # the data is base64
+    bytes_per_second = WAV_BYTES_PER_SECOND if audio.format == "wav" else MP3_BYTES_PER_SECOND
+    return 1 + byte_count * AUDIO_TOKENS_PER_SECOND // bytes_per_second
+
+
+def _read_file(file: chat.File) -> tuple[str, int]:
+    data = file.file_data or ""
+    text = f"<file {_digest(data or str(file.file_id))}>"
+    return text, len(data) * 3 // 16 if data else STORED_FILE_TOKENS  # base64 of text with 4 bytes a token
+
+
+def _call_text(call: chat.ToolCall) -> str:
+    if isinstance(call, chat.FunctionToolCall):
+        return f"{call.function.name}({call.function.arguments})"
+    return f"{call.custom.name}({call.custom.input})"
+
+
+def _digest(data: str) -> str:
+    return hashlib.blake2b(data.encode(errors="replace"), digest_size=16).hexdigest()
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -195,7 +195,7 @@
         "stream": True,
         "stream_options": {**(options or {}), "include_usage": True},
     }
-    if meter and prompt.max_out is None:
+    if meter and prompt.max_output_tokens is None:
         # An answer without a limit could overdraw its tenant's budget without a limit.
         fields["max_completion_tokens"] = model.max_out or reading.max_out
     body = msgspec.json.encode(fields)
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -30,14 +30,14 @@
     rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
     request_class = _request_class(reading, headers, prompt, model, rule, classes)
     opening, start = _leading_text(prompt)
-    tokens = prompt.tokens(reading.chars_per_token)
+    tokens = prompt.estimated_tokens(reading.chars_per_token)
     _check_lengths(prompt, model, tokens)
     conversation = headers.get(reading.conversation_header) or prompt.metadata.get(reading.conversation_field) or start
     return RequestSpec(
         request_class,
         _timeout(reading, headers, deployment.router.classes[request_class].deadline, rule),
         tokens,
-        prompt.count * (prompt.max_out or model.max_out or reading.max_out),
+        prompt.choice_count * (prompt.max_output_tokens or model.max_out or reading.max_out),
         session=_number_of(conversation),
         prefix=_number_of(opening) if opening else 0,
         prefix_tokens=int(len(opening) / reading.chars_per_token),
@@ -85,7 +85,7 @@
             "messages",
             "context_length_exceeded",
         )
-    if model.max_out and prompt.max_out and prompt.max_out > model.max_out:
+    if model.max_out and prompt.max_output_tokens and prompt.max_output_tokens > model.max_out:
         raise invalid_request(f"{model.name} writes {model.max_out} tokens at most.", "max_tokens")
 
 
