--- a/pearhill/chat/collected.py
+++ b/pearhill/chat/collected.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pearhill.chat.schema.chat import MAX_CALLS
+from pearhill.chat.schema.messages import MAX_CALLS
 from pearhill.http1.sse import EventParser
 
 DONE = b"[DONE]"
--- a/pearhill/chat/dialect.py
+++ b/pearhill/chat/dialect.py
@@ -12,7 +12,7 @@
 from pearhill.chat.errors import ApiError, ErrorType, ReplicaErrorResponse
 from pearhill.chat.meter import UsageMeter
 from pearhill.chat.replica_stream import ChatStream
-from pearhill.chat.schema.chat import ServerError
+from pearhill.chat.schema.chunks import ServerError
 from pearhill.http1 import messages
 from pearhill.net.dialect import Verdict
 from pearhill.routing.outcomes import Outcome
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -15,7 +15,7 @@
 from pearhill.chat.errors import ApiError, invalid_request
 from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema import responses as r
-from pearhill.chat.schema.chat import MAX_CALLS
+from pearhill.chat.schema.messages import MAX_CALLS
 from pearhill.chat.schema.reading import Reader
 from pearhill.chat.translate import items_to_messages, response_to_chat, response_usage
 
--- a/pearhill/chat/prompt.py
+++ b/pearhill/chat/prompt.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from pearhill.chat.errors import ApiError
-from pearhill.chat.schema import chat
+from pearhill.chat.schema import messages
 
 # Tokens of content that is not text. Sources: OpenAI's guides on image and audio input, rounded up.
 LOW_DETAIL_IMAGE_TOKENS = 85
@@ -85,7 +85,7 @@
         return int(text / chars_per_token) + sum(turn.extra_tokens for turn in self.turns)
 
 
-def turn_of_message(message: chat.Message) -> Turn:
+def turn_of_message(message: messages.Message) -> Turn:
     """The text of a message, its tool calls included, and the tokens of its other content."""
     turn = Turn(str(message.__struct_config__.tag), "")
     content = message.content
@@ -96,7 +96,7 @@
             text, extra_tokens = _read_part(part)
             turn.text += text
             turn.extra_tokens += extra_tokens
-    if isinstance(message, chat.AssistantMessage):
+    if isinstance(message, messages.AssistantMessage):
         turn.text += message.refusal or ""
         turn.text += "".join(_call_text(call) for call in message.tool_calls or ())
     return turn
@@ -108,34 +108,34 @@
     Other content is represented by its digest: prompts that begin with the same image have the same prefix.
     """
     match part:
-        case chat.TextPart(text):
+        case messages.TextPart(text):
             return text, 0
-        case chat.RefusalPart(refusal):
+        case messages.RefusalPart(refusal):
             return refusal, 0
-        case chat.ImagePart(image):
+        case messages.ImagePart(image):
             tokens = LOW_DETAIL_IMAGE_TOKENS if image.detail == "low" else IMAGE_TOKENS
             return f"<image {_digest(image.url)}>", tokens
-        case chat.AudioPart(audio):
+        case messages.AudioPart(audio):
             return f"<audio {_digest(audio.data)}>", _audio_tokens(audio)
-        case chat.FilePart(file):
+        case messages.FilePart(file):
             return _read_file(file)
     return "", 0
 
 
-def _audio_tokens(audio: chat.InputAudio) -> int:
+def _audio_tokens(audio: messages.InputAudio) -> int:
     byte_count = len(audio.data) * 3 // 4  # the data is base64
     bytes_per_second = WAV_BYTES_PER_SECOND if audio.format == "wav" else MP3_BYTES_PER_SECOND
     return 1 + byte_count * AUDIO_TOKENS_PER_SECOND // bytes_per_second
 
 
-def _read_file(file: chat.File) -> tuple[str, int]:
+def _read_file(file: messages.File) -> tuple[str, int]:
     data = file.file_data or ""
     text = f"<file {_digest(data or str(file.file_id))}>"
     return text, len(data) * 3 // 16 if data else STORED_FILE_TOKENS  # base64 of text with 4 bytes a token
 
 
-def _call_text(call: chat.ToolCall) -> str:
-    if isinstance(call, chat.FunctionToolCall):
+def _call_text(call: messages.ToolCall) -> str:
+    if isinstance(call, messages.FunctionToolCall):
         return f"{call.function.name}({call.function.arguments})"
     return f"{call.custom.name}({call.custom.input})"
 
--- a/pearhill/chat/replica_stream.py
+++ b/pearhill/chat/replica_stream.py
@@ -6,7 +6,7 @@
 
 from pearhill.chat.collected import DONE
 from pearhill.chat.meter import UsageMeter
-from pearhill.chat.schema.chat import Chunk, Usage
+from pearhill.chat.schema.chunks import Chunk, Usage
 from pearhill.http1.sse import EventParser, EventStreamError, ServerEvent
 from pearhill.net.errors import MalformedResponseError
 
--- a/pearhill/chat/schema/__init__.py
+++ b/pearhill/chat/schema/__init__.py
@@ -1,5 +1,5 @@
-"""The wire's records: every request, answer and stream event of the API, typed.
+"""Records of the API's JSON: every request, response and stream event, typed.
 
-Fields follow OpenAI's published API reference (chat completions, completions, responses, models). What is known is
-checked for type and range; fields that are not known are left alone and go on to the servers as they came.
+Fields follow OpenAI's published API reference (chat completions, completions, responses, models). Known fields are
+checked for type and range; unknown ones go on to the replicas as they came.
 """
--- a/pearhill/chat/schema/answers.py
+++ b/pearhill/chat/schema/answers.py
@@ -1,6 +1,7 @@
-"""Whole answers and streamed events, as clients read them: what the conformance suite takes every good answer for.
+"""Responses to clients, and their streamed events. The conformance suite checks every successful one against these.
 
-Only what the API promises is named; a server's further fields stand beside it. Source: OpenAI's API reference.
+Only what the API promises is named; a replica's further fields stay beside it. Source: OpenAI's API reference, "Chat
+Completions", "Completions", "Responses" and "Models". `UsageReport` is pearhill's own.
 """
 
 from __future__ import annotations
@@ -9,40 +10,52 @@
 
 from msgspec import Struct
 
-from pearhill.chat.schema.chat import FunctionCall, Logprobs, Usage
+from pearhill.chat.schema.chunks import Logprobs, Usage
+from pearhill.chat.schema.messages import FunctionCall
 
 
-class MadeCall(Struct):
+class AnswerToolCall(Struct):
+    """A tool call of a chat completion."""
+
     id: str | None
     type: str
     function: FunctionCall | None = None
 
 
-class MadeMessage(Struct):
+class AnswerMessage(Struct):
+    """The message of a chat completion's choice."""
+
     role: Literal["assistant"]
     content: str | None
     refusal: str | None = None
-    tool_calls: list[MadeCall] | None = None
+    tool_calls: list[AnswerToolCall] | None = None
 
 
-class MadeChoice(Struct):
+class AnswerChoice(Struct):
+    """One choice of a chat completion."""
+
     index: int
-    message: MadeMessage
+    message: AnswerMessage
     finish_reason: str | None
     logprobs: Logprobs | None = None
 
 
 class ChatCompletion(Struct):
+    """The response of `/v1/chat/completions` without a stream."""
+
     object: Literal["chat.completion"]
-    choices: list[MadeChoice]
+    choices: list[AnswerChoice]
     id: str | None = None
     created: int = 0
     model: str | None = None
     usage: Usage | None = None
 
 
-class OldLogprobs(Struct):
-    """Four lists of the same length."""
+class CompletionLogprobs(Struct):
+    """Log probabilities as `/v1/completions` has them: four lists of the same length, one entry a token.
+
+    `text_offset`: where the token begins, in characters of the choice's text.
+    """
 
     tokens: list[str]
     token_logprobs: list[float | None]
@@ -51,14 +64,16 @@
 
 
 class TextChoice(Struct):
+    """One choice of a text completion, or what an event adds to it."""
+
     index: int
     text: str
-    logprobs: OldLogprobs | None
+    logprobs: CompletionLogprobs | None
     finish_reason: str | None
 
 
 class TextCompletion(Struct):
-    """A whole answer, and each event of a stream."""
+    """The response of `/v1/completions`, and each event of its stream."""
 
     id: str
     object: Literal["text_completion"]
@@ -69,6 +84,8 @@
 
 
 class OutputItem(Struct):
+    """One item of a response's output: a message (`role`, `content`) or a function call (`call_id` and after)."""
+
     id: str
     type: Literal["message", "function_call"]
     status: Literal["in_progress", "completed", "incomplete"]
@@ -80,11 +97,15 @@
 
 
 class ResponseError(Struct):
+    """Why a response failed."""
+
     code: str
     message: str
 
 
 class Response(Struct):
+    """The response of `/v1/responses`, and the object that some events of its stream carry."""
+
     id: str
     object: Literal["response"]
     created_at: int
@@ -98,6 +119,8 @@
 
 
 class ResponseEvent(Struct):
+    """One event of a stream of `/v1/responses`. `sequence_number` counts from 0."""
+
     type: str
     sequence_number: int
     response: Response | None = None
@@ -107,6 +130,8 @@
 
 
 class ModelCard(Struct):
+    """A declared model. `created`: seconds since 1970, as the operator's file has it."""
+
     id: str
     created: int
     owned_by: str
@@ -114,16 +139,25 @@
 
 
 class ModelList(Struct):
+    """The response of `GET /v1/models`."""
+
     data: list[ModelCard]
     object: Literal["list"] = "list"
 
 
 class RequestsUsed(Struct):
+    """Open requests of a tenant; `limit` None: there is none."""
+
     open: int
     limit: int | None
 
 
 class TokensUsed(Struct):
+    """Tokens of a tenant.
+
+    `today` and `this_month`: used in the current day and month; `debt`: owed; `remaining`: of its rate. None: no limit.
+    """
+
     today: int
     this_month: int
     day_limit: int | None
@@ -133,7 +167,7 @@
 
 
 class UsageReport(Struct):
-    """`GET /v1/usage`: tokens and requests of one tenant."""
+    """The response of `GET /v1/usage`: tokens and requests of the key's tenant."""
 
     tenant: str
     tokens: TokensUsed
--- a/pearhill/chat/schema/completions.py
+++ b/pearhill/chat/schema/completions.py
@@ -1,4 +1,4 @@
-"""`POST /v1/completions`: text in, text out. Source: OpenAI's API reference, "Completions"."""
+"""The request of `POST /v1/completions`. Source: OpenAI's API reference, "Completions"."""
 
 from __future__ import annotations
 
@@ -7,16 +7,19 @@
 from msgspec import Meta, Struct
 
 from pearhill.chat.schema.chat import Bias, Penalty, Stop, StreamOptions, Tokens
-from pearhill.chat.schema.reading import refuse_unless
+from pearhill.chat.schema.chunks import MAX_CHOICES
+from pearhill.chat.schema.reading import require
 
 
 class CompletionRequest(Struct):
+    """A request for a text completion. Prompts are text: lists of token numbers are not taken."""
+
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     prompt: str | Annotated[list[str], Meta(min_length=1)]
     stream: bool | None = None
     stream_options: StreamOptions | None = None
     max_tokens: Tokens | None = None
-    n: Annotated[int, Meta(ge=1, le=128)] | None = None
+    n: Annotated[int, Meta(ge=1, le=MAX_CHOICES)] | None = None
     best_of: Annotated[int, Meta(ge=1, le=20)] | None = None
     echo: bool | None = None
     suffix: str | None = None
@@ -32,23 +35,24 @@
 
     @property
     def text(self) -> str:
+        """The prompt's text, also where it came as a list of one."""
         return self.prompt if isinstance(self.prompt, str) else self.prompt[0]
 
     def check(self) -> None:
-        """ApiError: what is asked for can't be had by one run at a server that speaks chat."""
-        refuse_unless(
+        """Check what involves several fields. ApiError: no single chat request to a replica can answer this."""
+        require(
             self.stream_options is None or self.stream is True,
             "stream_options is only allowed when stream is true.",
             "stream_options",
         )
-        refuse_unless(
+        require(
             isinstance(self.prompt, str) or len(self.prompt) == 1,
             "One prompt a request: each prompt is a run of its own.",
             "prompt",
             "unsupported_value",
         )
-        refuse_unless(not self.suffix, "suffix is not supported here.", "suffix", "unsupported_parameter")
-        refuse_unless(
+        require(not self.suffix, "suffix is not supported here.", "suffix", "unsupported_parameter")
+        require(
             self.best_of is None or self.best_of == (self.n or 1),
             "best_of is not supported here; leave it out or set it to n.",
             "best_of",
--- a/pearhill/chat/schema/responses.py
+++ b/pearhill/chat/schema/responses.py
@@ -1,4 +1,4 @@
-"""`POST /v1/responses` without stored state. Source: OpenAI's API reference, "Responses" and its streaming events."""
+"""The request of `POST /v1/responses`, without stored state. Source: OpenAI's API reference, "Responses"."""
 
 from __future__ import annotations
 
@@ -6,106 +6,22 @@
 
 from msgspec import Meta, Struct
 
-from pearhill.chat.schema.chat import Effort, JsonFormat, Metadata, Name, TextFormat, Tokens
-from pearhill.chat.schema.reading import refuse_unless
+from pearhill.chat.schema.chat import Effort, JsonFormat, Metadata, TextFormat, Tokens
+from pearhill.chat.schema.items import Item
+from pearhill.chat.schema.reading import require
+from pearhill.chat.schema.tools import Name
 
-
-class InputText(Struct, tag_field="type", tag="input_text"):
-    text: str
-
-
-class InputImage(Struct, tag_field="type", tag="input_image"):
-    image_url: str | None = None
-    file_id: str | None = None
-    detail: Literal["auto", "low", "high"] = "auto"
-
-
-class InputFile(Struct, tag_field="type", tag="input_file"):
-    file_id: str | None = None
-    file_data: str | None = None
-    filename: str | None = None
-    file_url: str | None = None
-
-
-class InputAudio(Struct, tag_field="type", tag="input_audio"):
-    input_audio: dict[str, Any]
-
-
-class OutputText(Struct, tag_field="type", tag="output_text"):
-    text: str
-
-
-class OutputRefusal(Struct, tag_field="type", tag="refusal"):
-    refusal: str
-
-
-InPart = InputText | InputImage | InputFile | InputAudio | OutputText | OutputRefusal
-ITEMS = ("message", "function_call", "function_call_output", "reasoning")
-
-
-class Item(Struct):
-    """One item of the input. `type` may be left out of messages, so that it can't tell the records apart."""
-
-    type: str = "message"
-    role: Literal["user", "assistant", "system", "developer"] | None = None
-    content: str | list[InPart] | None = None
-    call_id: str | None = None
-    name: str | None = None
-    arguments: str | None = None
-    output: str | list[InputText] | None = None
-
-    def check(self, at: str) -> None:
-        refuse_unless(
-            self.type in ITEMS,
-            f"Items of type {self.type!r} are not supported here; allowed: " f"{', '.join(ITEMS)}.",
-            f"{at}.type",
-        )
-        needed = {
-            "message": ("role", "content"),
-            "function_call": ("call_id", "name", "arguments"),
-            "function_call_output": ("call_id", "output"),
-            "reasoning": (),
-        }[self.type]
-        for name in needed:
-            refuse_unless(
-                getattr(self, name) is not None,
-                f"Missing required parameter: '{at}.{name}'.",
-                f"{at}.{name}",
-                "missing_required_parameter",
-            )
-        if self.type != "message" or not isinstance(self.content, list):
-            return
-        refuse_unless(bool(self.content), "A message needs content.", f"{at}.content")
-        said = (OutputText, OutputRefusal)
-        for k, part in enumerate(self.content):
-            where = f"{at}.content[{k}]"
-            if self.role == "assistant":
-                refuse_unless(
-                    isinstance(part, said),
-                    "An assistant's message takes output_text and refusal parts.",
-                    f"{where}.type",
-                )
-            elif self.role == "user":
-                refuse_unless(not isinstance(part, said), "A user's message takes input parts.", f"{where}.type")
-            else:
-                refuse_unless(isinstance(part, InputText), "Instructions take input_text parts.", f"{where}.type")
-            if isinstance(part, InputImage):
-                refuse_unless(
-                    bool(part.image_url),
-                    "Images come as image_url; files are not kept here.",
-                    f"{where}.image_url",
-                    "missing_required_parameter",
-                )
-            if isinstance(part, InputFile):
-                refuse_unless(
-                    bool(part.file_data or part.file_id) and not part.file_url,
-                    "A file comes as file_data or file_id.",
-                    where,
-                    "unsupported_value",
-                )
+# Fields that stand for state that a server has stored, and what to do without them.
+STATE_FIELDS = {
+    "previous_response_id": "send the whole conversation as input",
+    "conversation": "send the whole conversation as input",
+    "prompt": "send instructions and input",
+}
 
 
 class FunctionTool(Struct, tag_field="type", tag="function"):
+    """A function that the model may call. `parameters`: a JSON Schema."""
+
     name: Name
     parameters: dict[str, Any] | None = None
     description: str | None = None
@@ -113,10 +29,14 @@
 
 
 class FunctionChoice(Struct, tag_field="type", tag="function"):
+    """The model must call this function."""
+
     name: str
 
 
 class SchemaFormat(Struct, tag_field="type", tag="json_schema"):
+    """The answer is JSON of this schema."""
+
     name: Name
     schema: dict[str, Any]
     description: str | None = None
@@ -124,16 +44,22 @@
 
 
 class TextOptions(Struct):
+    """The form and the length of the answer's text."""
+
     format: TextFormat | JsonFormat | SchemaFormat | None = None
     verbosity: Literal["low", "medium", "high"] | None = None
 
 
 class Reasoning(Struct):
+    """How much the model reasons before it answers. `summary` is only echoed."""
+
     effort: Effort | None = None
     summary: str | None = None
 
 
 class ResponseRequest(Struct):
+    """A request for a response. Fields as in the reference; those that are not here go on to replicas unread."""
+
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     input: str | Annotated[list[Item], Meta(min_length=1, max_length=4096)]
     instructions: str | None = None
@@ -159,48 +85,47 @@
     prompt: Any = None
 
     def check(self) -> None:
-        """ApiError: two fields do not go together, or what is asked for needs a state that is not kept here."""
-        for name, why in (
-            ("previous_response_id", "send the whole conversation as input"),
-            ("conversation", "send the whole conversation as input"),
-            ("prompt", "send instructions and input"),
-        ):
-            refuse_unless(
-                getattr(self, name) is None,
-                f"{name} is not supported: no state is stored here; {why}.",
-                name,
-                "unsupported_parameter",
-            )
-        refuse_unless(
-            not self.store, "store: true is not supported: no state is stored here.", "store", "unsupported_value"
-        )
-        refuse_unless(
-            not self.background,
-            "background is not supported: no state is stored here.",
-            "background",
-            "unsupported_value",
-        )
-        refuse_unless(self.truncation != "auto", "truncation is not done here.", "truncation", "unsupported_value")
-        refuse_unless(
+        """Check what involves several fields. ApiError: they do not go together, or need stored state."""
+        self._check_state()
+        require(self.truncation != "auto", "truncation is not done here.", "truncation", "unsupported_value")
+        require(
             self.stream_options is None or self.stream is True,
             "stream_options is only allowed when stream is true.",
             "stream_options",
         )
-        for k, name in enumerate(self.include or ()):
-            refuse_unless(
+        for number, name in enumerate(self.include or ()):
+            require(
                 name == "message.output_text.logprobs",
                 f"{name!r} can't be included here.",
-                f"include[{k}]",
+                f"include[{number}]",
                 "unsupported_value",
             )
         if isinstance(self.input, list):
-            for k, item in enumerate(self.input):
-                item.check(f"input[{k}]")
-        choice, names = self.tool_choice, {tool.name for tool in self.tools or ()}
-        refuse_unless(
+            for number, item in enumerate(self.input):
+                item.check(f"input[{number}]")
+        self._check_tool_choice()
+
+    def _check_state(self) -> None:
+        for name, remedy in STATE_FIELDS.items():
+            require(
+                getattr(self, name) is None,
+                f"{name} is not supported: no state is stored here; {remedy}.",
+                name,
+                "unsupported_parameter",
+            )
+        require(not self.store, "store: true is not supported: no state is stored here.", "store", "unsupported_value")
+        require(
+            not self.background,
+            "background is not supported: no state is stored here.",
+            "background",
+            "unsupported_value",
+        )
+
+    def _check_tool_choice(self) -> None:
+        choice = self.tool_choice
+        names = {tool.name for tool in self.tools or ()}
+        require(
             choice in (None, "none") or bool(names), "tool_choice is only allowed when tools are given.", "tool_choice"
         )
         if isinstance(choice, FunctionChoice):
-            refuse_unless(
-                choice.name in names, f"There is no function {choice.name!r} among tools.", "tool_choice.name"
-            )
+            require(choice.name in names, f"There is no function {choice.name!r} among tools.", "tool_choice.name")
--- a/pearhill/chat/translate.py
+++ b/pearhill/chat/translate.py
@@ -8,6 +8,7 @@
 
 from typing import Any
 
+from pearhill.chat.schema import items
 from pearhill.chat.schema import responses as r
 from pearhill.chat.schema.completions import CompletionRequest
 
@@ -58,18 +59,18 @@
     }
 
 
-def _part(part: r.InPart) -> dict[str, Any]:
+def _part(part: items.Part) -> dict[str, Any]:
     match part:
-        case r.InputText(text) | r.OutputText(text):
+        case items.InputText(text) | items.OutputText(text):
             return {"type": "text", "text": text}
-        case r.OutputRefusal(refusal):
+        case items.OutputRefusal(refusal):
             return {"type": "refusal", "refusal": refusal}
-        case r.InputImage(url, _, detail):
+        case items.InputImage(url, _, detail):
             return {"type": "image_url", "image_url": {"url": url, "detail": detail}}
-        case r.InputFile(file_id, data, name):
+        case items.InputFile(file_id, data, name):
             told = {"file_id": file_id, "file_data": data, "filename": name}
             return {"type": "file", "file": {k: v for k, v in told.items() if v is not None}}
-        case r.InputAudio(audio):
+        case items.InputAudio(audio):
             return {"type": "input_audio", "input_audio": audio}
 
 
--- a/pearhill/conformance/runner.py
+++ b/pearhill/conformance/runner.py
@@ -19,7 +19,7 @@
 
 from pearhill.chat.errors import ErrorObject
 from pearhill.chat.schema import answers as a
-from pearhill.chat.schema.chat import Chunk
+from pearhill.chat.schema.chunks import Chunk
 from pearhill.conformance.case import CHAT, MODELS, RESPONSES, TEXT, Case, Expect, Seen, within
 from pearhill.conformance.client import Got, Wire
 from pearhill.conformance.server import ScriptedServer
