--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -12,7 +12,7 @@
 from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema.completions import CompletionRequest
 from pearhill.chat.schema.reading import Reader
-from pearhill.chat.translate import completion_to_chat, legacy_logprobs
+from pearhill.chat.translate import completion_logprobs, completion_to_chat
 from pearhill.http1.sse import EventParser
 
 _reader = Reader(CompletionRequest)
@@ -33,7 +33,7 @@
     def _choice(self, index: int, text: str, logprobs: Any, finish: str | None) -> dict[str, Any]:
         if index not in self._offsets:
             self._offsets[index], text = len(self._echo), self._echo + text
-        told = legacy_logprobs(logprobs, self._offsets[index])
+        told = completion_logprobs(logprobs, self._offsets[index])
         self._offsets[index] += sum(len(token) for token in told["tokens"]) if told else 0
         return {"index": index, "text": text, "logprobs": told, "finish_reason": finish}
 
--- a/pearhill/chat/translate.py
+++ b/pearhill/chat/translate.py
@@ -1,7 +1,7 @@
-"""Between the endpoints' words: requests become chat's, since that is what all servers speak.
+"""Between the formats of the endpoints and chat's, which is the only one that replicas speak.
 
-They differ in words, never in what the core does: whatever the endpoint, a server reads the same chat request, and
-its stream is checked, passed on, given up and kept for repeats in the one same way.
+Requests of all endpoints become chat requests; their answers' parts take the names that the endpoints have for them.
+Sources: OpenAI's API reference, "Chat Completions", "Completions" and "Responses".
 """
 
 from __future__ import annotations
@@ -9,12 +9,13 @@
 from typing import Any
 
 from pearhill.chat.schema import items
-from pearhill.chat.schema import responses as r
+from pearhill.chat.schema.chat import JsonFormat, TextFormat
 from pearhill.chat.schema.completions import CompletionRequest
+from pearhill.chat.schema.responses import FunctionChoice, FunctionTool, ResponseRequest, SchemaFormat
 
-# Fields with another name, another form or no meaning in chat's words. All others go on unchanged.
-_OF_COMPLETIONS = ("prompt", "echo", "suffix", "best_of", "logprobs")
-_OF_RESPONSES = (
+# Fields that have another name, another form or no meaning in a chat request. All others go on unchanged.
+_COMPLETION_FIELDS = ("prompt", "echo", "suffix", "best_of", "logprobs")
+_RESPONSE_FIELDS = (
     "input",
     "instructions",
     "max_output_tokens",
@@ -34,17 +35,21 @@
 )
 
 
-def completion_to_chat(asked: CompletionRequest, fields: dict[str, Any]) -> dict[str, Any]:
-    chat = {name: value for name, value in fields.items() if name not in _OF_COMPLETIONS}
-    chat["messages"] = [{"role": "user", "content": asked.text}]
-    if asked.logprobs is not None:
-        chat |= {"logprobs": True, "top_logprobs": asked.logprobs}
+def completion_to_chat(request: CompletionRequest, fields: dict[str, Any]) -> dict[str, Any]:
+    """The chat request for a text completion; `fields`: all of its body's."""
+    chat = {name: value for name, value in fields.items() if name not in _COMPLETION_FIELDS}
+    chat["messages"] = [{"role": "user", "content": request.text}]
+    if request.logprobs is not None:
+        chat |= {"logprobs": True, "top_logprobs": request.logprobs}
     return chat
 
 
-def legacy_logprobs(told: dict[str, Any] | None, offset: int) -> dict[str, list[Any]] | None:
-    """Chat's log probabilities in the older form: four lists of the same length."""
-    entries = (told or {}).get("content") or []
+def completion_logprobs(logprobs: dict[str, Any] | None, offset: int) -> dict[str, list[Any]] | None:
+    """Chat's log probabilities in the form of completions (`CompletionLogprobs`); None: there are none.
+
+    `offset`: where the first token begins, in characters of the choice's text.
+    """
+    entries = (logprobs or {}).get("content") or []
     if not entries:
         return None
     offsets = []
@@ -53,101 +58,141 @@
         offset += len(entry["token"])
     return {
         "tokens": [entry["token"] for entry in entries],
-        "token_logprobs": [e.get("logprob") for e in entries],
-        "top_logprobs": [{top["token"]: top["logprob"] for top in e.get("top_logprobs") or ()} for e in entries],
+        "token_logprobs": [entry.get("logprob") for entry in entries],
+        "top_logprobs": [_top_logprobs(entry) for entry in entries],
         "text_offset": offsets,
     }
 
 
-def _part(part: items.Part) -> dict[str, Any]:
-    match part:
-        case items.InputText(text) | items.OutputText(text):
-            return {"type": "text", "text": text}
-        case items.OutputRefusal(refusal):
-            return {"type": "refusal", "refusal": refusal}
-        case items.InputImage(url, _, detail):
-            return {"type": "image_url", "image_url": {"url": url, "detail": detail}}
-        case items.InputFile(file_id, data, name):
-            told = {"file_id": file_id, "file_data": data, "filename": name}
-            return {"type": "file", "file": {k: v for k, v in told.items() if v is not None}}
-        case items.InputAudio(audio):
-            return {"type": "input_audio", "input_audio": audio}
-
+def _top_logprobs(entry: dict[str, Any]) -> dict[str, float | None]:
+    return {top["token"]: top["logprob"] for top in entry.get("top_logprobs") or ()}
 
-def _content(content: Any) -> str | list[dict[str, Any]]:
-    return content if isinstance(content, str) else [_part(part) for part in content or ()]
 
+def items_to_messages(request: ResponseRequest) -> list[dict[str, Any]]:
+    """The input as messages of a chat request.
 
-def items_to_messages(asked: r.ResponseRequest) -> list[dict[str, Any]]:
-    """The conversation as chat's messages. Calls that follow one another, or an assistant's words, are one message."""
+    Function calls that follow one another, or a message of the assistant, become tool calls of one message. Reasoning
+    items have no counterpart in chat and are left out.
+    """
     messages: list[dict[str, Any]] = []
-    if asked.instructions is not None:
-        messages.append({"role": "system", "content": asked.instructions})
-    if isinstance(asked.input, str):
-        return [*messages, {"role": "user", "content": asked.input}]
-    for item in asked.input:
+    if request.instructions is not None:
+        messages.append({"role": "system", "content": request.instructions})
+    if isinstance(request.input, str):
+        return [*messages, {"role": "user", "content": request.input}]
+    for item in request.input:
         if item.type == "message":
             messages.append({"role": item.role, "content": _content(item.content)})
         elif item.type == "function_call":
-            if not messages or messages[-1]["role"] != "assistant":
-                messages.append({"role": "assistant", "content": None})
-            messages[-1].setdefault("tool_calls", []).append(
-                {"id": item.call_id, "type": "function", "function": {"name": item.name, "arguments": item.arguments}}
-            )
+            _add_call(messages, item)
         elif item.type == "function_call_output":
             messages.append({"role": "tool", "tool_call_id": item.call_id, "content": _content(item.output)})
     return messages
 
 
-def _function(tool: r.FunctionTool) -> dict[str, Any]:
-    told = {"name": tool.name, "description": tool.description, "parameters": tool.parameters, "strict": tool.strict}
-    return {"type": "function", "function": {name: value for name, value in told.items() if value is not None}}
+def _add_call(messages: list[dict[str, Any]], item: items.Item) -> None:
+    if not messages or messages[-1]["role"] != "assistant":
+        messages.append({"role": "assistant", "content": None})
+    function = {"name": item.name, "arguments": item.arguments}
+    calls = messages[-1].setdefault("tool_calls", [])
+    calls.append({"id": item.call_id, "type": "function", "function": function})
 
 
-def _format(form: Any) -> dict[str, Any]:
-    if not isinstance(form, r.SchemaFormat):
-        return {"type": form.__struct_config__.tag}
-    told = {"name": form.name, "description": form.description, "schema": form.schema, "strict": form.strict}
-    return {"type": "json_schema", "json_schema": {name: value for name, value in told.items() if value is not None}}
+def _content(content: Any) -> str | list[dict[str, Any]]:
+    if isinstance(content, str):
+        return content
+    return [_part(part) for part in content or ()]
+
+
+def _part(part: items.Part) -> dict[str, Any]:
+    match part:
+        case items.InputText(text) | items.OutputText(text):
+            return {"type": "text", "text": text}
+        case items.OutputRefusal(refusal):
+            return {"type": "refusal", "refusal": refusal}
+        case items.InputImage(url, _, detail):
+            return {"type": "image_url", "image_url": {"url": url, "detail": detail}}
+        case items.InputFile(file_id, data, name):
+            return {"type": "file", "file": _present({"file_id": file_id, "file_data": data, "filename": name})}
+        case items.InputAudio(audio):
+            return {"type": "input_audio", "input_audio": audio}
 
 
 def response_to_chat(
-    asked: r.ResponseRequest,
-    messages: list[dict[str, Any]],
-    fields: dict[str, Any],
+    request: ResponseRequest, messages: list[dict[str, Any]], fields: dict[str, Any]
 ) -> dict[str, Any]:
-    chat = {name: value for name, value in fields.items() if name not in _OF_RESPONSES}
+    """The chat request for a response; `messages`: its input (`items_to_messages`), `fields`: all of its body's."""
+    chat = {name: value for name, value in fields.items() if name not in _RESPONSE_FIELDS}
     chat["messages"] = messages
-    if asked.max_output_tokens is not None:
-        chat["max_completion_tokens"] = asked.max_output_tokens
-    if asked.tools:
-        chat["tools"] = [_function(tool) for tool in asked.tools]
-    if isinstance(asked.tool_choice, r.FunctionChoice):
-        chat["tool_choice"] = {"type": "function", "function": {"name": asked.tool_choice.name}}
-    elif asked.tool_choice and asked.tools:
-        chat["tool_choice"] = asked.tool_choice
-    if asked.text and asked.text.format:
-        chat["response_format"] = _format(asked.text.format)
-    if asked.text and asked.text.verbosity:
-        chat["verbosity"] = asked.text.verbosity
-    if asked.reasoning and asked.reasoning.effort:
-        chat["reasoning_effort"] = asked.reasoning.effort
-    if asked.top_logprobs is not None or asked.include:
-        chat |= {"logprobs": True, "top_logprobs": asked.top_logprobs or 0}
+    if request.max_output_tokens is not None:
+        chat["max_completion_tokens"] = request.max_output_tokens
+    chat |= _tool_fields(request)
+    chat |= _text_fields(request)
+    if request.reasoning and request.reasoning.effort:
+        chat["reasoning_effort"] = request.reasoning.effort
+    if request.top_logprobs is not None or request.include:
+        chat |= {"logprobs": True, "top_logprobs": request.top_logprobs or 0}
     return chat
 
 
+def _tool_fields(request: ResponseRequest) -> dict[str, Any]:
+    fields: dict[str, Any] = {}
+    if request.tools:
+        fields["tools"] = [_function(tool) for tool in request.tools]
+    if isinstance(request.tool_choice, FunctionChoice):
+        fields["tool_choice"] = {"type": "function", "function": {"name": request.tool_choice.name}}
+    elif request.tool_choice and request.tools:
+        fields["tool_choice"] = request.tool_choice
+    return fields
+
+
+def _text_fields(request: ResponseRequest) -> dict[str, Any]:
+    fields: dict[str, Any] = {}
+    if request.text and request.text.format:
+        fields["response_format"] = _format(request.text.format)
+    if request.text and request.text.verbosity:
+        fields["verbosity"] = request.text.verbosity
+    return fields
+
+
+def _function(tool: FunctionTool) -> dict[str, Any]:
+    function = {
+        "name": tool.name,
+        "description": tool.description,
+        "parameters": tool.parameters,
+        "strict": tool.strict,
+    }
+    return {"type": "function", "function": _present(function)}
+
+
+def _format(text_format: TextFormat | JsonFormat | SchemaFormat) -> dict[str, Any]:
+    if not isinstance(text_format, SchemaFormat):
+        return {"type": text_format.__struct_config__.tag}
+    schema = {
+        "name": text_format.name,
+        "description": text_format.description,
+        "schema": text_format.schema,
+        "strict": text_format.strict,
+    }
+    return {"type": "json_schema", "json_schema": _present(schema)}
+
+
+def _present(fields: dict[str, Any]) -> dict[str, Any]:
+    """The fields that are not None."""
+    return {name: value for name, value in fields.items() if value is not None}
+
+
 def response_usage(usage: dict[str, Any] | None) -> dict[str, Any] | None:
-    """Chat's counts under the names that responses give them."""
+    """Chat's usage, in tokens, under the names of responses; None: there is none."""
     if not usage:
         return None
-    before, after = usage.get("prompt_tokens") or 0, usage.get("completion_tokens") or 0
-    cached = (usage.get("prompt_tokens_details") or {}).get("cached_tokens") or 0
-    thought = (usage.get("completion_tokens_details") or {}).get("reasoning_tokens") or 0
+    input_tokens = usage.get("prompt_tokens") or 0
+    output_tokens = usage.get("completion_tokens") or 0
+    cached_tokens = (usage.get("prompt_tokens_details") or {}).get("cached_tokens") or 0
+    reasoning_tokens = (usage.get("completion_tokens_details") or {}).get("reasoning_tokens") or 0
     return {
-        "input_tokens": before,
-        "input_tokens_details": {"cached_tokens": cached},
-        "output_tokens": after,
-        "output_tokens_details": {"reasoning_tokens": thought},
-        "total_tokens": before + after,
+        "input_tokens": input_tokens,
+        "input_tokens_details": {"cached_tokens": cached_tokens},
+        "output_tokens": output_tokens,
+        "output_tokens_details": {"reasoning_tokens": reasoning_tokens},
+        "total_tokens": input_tokens + output_tokens,
     }
