--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearhill.chat.collected import Collected
+from pearhill.chat.collected import CollectedCompletion
 from pearhill.chat.errors import ApiError
 from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_of_message
 from pearhill.chat.schema.chat import ChatRequest
@@ -13,7 +13,7 @@
 
 class ChatWords:
     def __init__(self, made: ResponseIdentity) -> None:
-        self._collected = Collected()
+        self._collected = CollectedCompletion()
 
     def stream(self, data: bytes) -> bytes:
         return data
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pearhill.chat.collected import DONE, Collected
+from pearhill.chat.collected import DONE, CollectedCompletion
 from pearhill.chat.errors import ApiError
 from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema.completions import CompletionRequest
@@ -24,7 +24,7 @@
         self._made, self._echo, self._usage = made, echo, usage
         self._parser = EventParser()
         self._offsets: dict[int, int] = {}  # where in its text each choice's next token begins
-        self._collected = Collected()
+        self._collected = CollectedCompletion()
 
     def _top(self) -> dict[str, Any]:
         made = self._made
@@ -74,7 +74,7 @@
             choice = self._collected.choices[index]
             text = choice.message.get("content") or choice.message.get("refusal") or ""
             choices.append(self._choice(index, text, choice.logprobs, choice.finish_reason))
-        usage = {"usage": self._collected.top["usage"]} if "usage" in self._collected.top else {}
+        usage = {"usage": self._collected.fields["usage"]} if "usage" in self._collected.fields else {}
         return msgspec.json.encode({**self._top(), "choices": choices, **usage})
 
 
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pearhill.chat.collected import Chunks
+from pearhill.chat.collected import ChunkReader
 from pearhill.chat.errors import ApiError, invalid_request
 from pearhill.chat.prompt import Prompt, ResponseIdentity, Turn
 from pearhill.chat.schema import responses as r
@@ -40,7 +40,7 @@
 class ResponseWords:
     def __init__(self, asked: r.ResponseRequest, made: ResponseIdentity) -> None:
         self._asked, self._made = asked, made
-        self._chunks = Chunks()
+        self._chunks = ChunkReader()
         self._sequence = 0
         self._begun = False
         self._items: list[dict[str, Any]] = []
@@ -98,7 +98,7 @@
         return b"event: %b\ndata: %b\n\n" % (kind.encode(), data)
 
     def _add(self, chunk: dict[str, Any]) -> bytes:
-        """ODD: the chunk is no chunk of one answer."""
+        """Whatever this raises: it is no chunk of one answer."""
         out = b""
         if not self._begun:
             self._begun = True
