--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -1,4 +1,4 @@
-"""`/v1/chat/completions`: the servers' own words, so that events go on byte for byte."""
+"""`/v1/chat/completions`: the format that replicas speak, so that their events are forwarded byte for byte."""
 
 from __future__ import annotations
 
@@ -11,39 +11,47 @@
 _reader = Reader(ChatRequest)
 
 
-class ChatWords:
-    def __init__(self, made: ResponseIdentity) -> None:
+class ChatFormat:
+    """Answers as chat completions. The replica's own `id` and `model` stay."""
+
+    def __init__(self, identity: ResponseIdentity) -> None:
         self._collected = CollectedCompletion()
 
     def stream(self, data: bytes) -> bytes:
+        """These events, unchanged."""
         return data
 
     def end(self) -> bytes:
+        """Nothing: the replica's `[DONE]` has been forwarded."""
         return b""
 
     def truncated(self, error: ApiError) -> bytes:
+        """An event that has the error object."""
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
+        """Keep these events for `complete`."""
         self._collected.feed(data)
 
     def complete(self) -> bytes:
+        """A chat completion, made of all collected events."""
         return self._collected.body()
 
 
 def read(body: bytes) -> Prompt:
-    """ApiError: the body is no request of this endpoint."""
-    asked, fields = _reader.read(body)
-    asked.check()
-    usage = asked.stream_options is not None and asked.stream_options.include_usage is True
+    """Read a request's body. ApiError: it is no chat request."""
+    request, fields = _reader.read(body)
+    request.check()
+    stream = request.stream is True
+    includes_usage = request.stream_options is not None and request.stream_options.include_usage is True
     return Prompt(
-        asked.model,
-        asked.stream is True,
-        asked.stream is not True or usage,
-        [turn_of_message(message) for message in asked.messages],
-        asked.max_completion_tokens or asked.max_tokens,
-        asked.metadata or {},
-        fields,
-        ChatWords,
-        asked.n or 1,
+        model=request.model,
+        stream=stream,
+        wants_usage=not stream or includes_usage,
+        turns=[turn_of_message(message) for message in request.messages],
+        max_output_tokens=request.max_completion_tokens or request.max_tokens,
+        metadata=request.metadata or {},
+        fields=fields,
+        new_format=ChatFormat,
+        choice_count=request.n or 1,
     )
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -1,4 +1,7 @@
-"""`/v1/completions`: the prompt becomes a user's message, and the answer's text comes back as text."""
+"""`/v1/completions`: the prompt becomes a message of the user, and the answer's text comes back as text.
+
+Source: OpenAI's API reference, "Completions".
+"""
 
 from __future__ import annotations
 
@@ -16,82 +19,110 @@
 from pearhill.http1.sse import EventParser
 
 _reader = Reader(CompletionRequest)
-_decoder: msgspec.json.Decoder[dict[str, Any]] = msgspec.json.Decoder(dict[str, Any])
+_chunk_decoder: msgspec.json.Decoder[dict[str, Any]] = msgspec.json.Decoder(dict[str, Any])
 
 
-class TextWords:
-    def __init__(self, echo: str, usage: bool, made: ResponseIdentity) -> None:
-        self._made, self._echo, self._usage = made, echo, usage
-        self._parser = EventParser()
-        self._offsets: dict[int, int] = {}  # where in its text each choice's next token begins
-        self._collected = CollectedCompletion()
+class CompletionFormat:
+    """Answers as text completions.
 
-    def _top(self) -> dict[str, Any]:
-        made = self._made
-        return {"id": f"cmpl-{made.id}", "object": "text_completion", "created": made.created, "model": made.model}
+    `echo`: text that each choice begins with, the prompt's where the client asks for it; `with_usage`: whether events
+    have the field `usage`.
+    """
 
-    def _choice(self, index: int, text: str, logprobs: Any, finish: str | None) -> dict[str, Any]:
-        if index not in self._offsets:
-            self._offsets[index], text = len(self._echo), self._echo + text
-        told = completion_logprobs(logprobs, self._offsets[index])
-        self._offsets[index] += sum(len(token) for token in told["tokens"]) if told else 0
-        return {"index": index, "text": text, "logprobs": told, "finish_reason": finish}
+    def __init__(self, echo: str, with_usage: bool, identity: ResponseIdentity) -> None:
+        self._identity = identity
+        self._echo = echo
+        self._with_usage = with_usage
+        self._parser = EventParser()
+        self._offsets: dict[int, int] = {}  # by choice: where in its text the next token begins
+        self._collected = CollectedCompletion()
 
     def stream(self, data: bytes) -> bytes:
-        out = b""
+        """One event for each chunk, and `[DONE]`."""
+        events = []
         for event in self._parser.feed(data):
             if event.data == DONE:
-                out += event.raw
+                events.append(event.raw)
             elif event.data is not None:
-                chunk = _decoder.decode(event.data)
-                choices = [
-                    self._choice(
-                        c.get("index", 0),
-                        c["delta"].get("content") or c["delta"].get("refusal") or "",
-                        c.get("logprobs"),
-                        c.get("finish_reason"),
-                    )
-                    for c in chunk["choices"]
-                ]
-                told = {**self._top(), "choices": choices}
-                if self._usage:
-                    told["usage"] = chunk.get("usage")
-                out += b"data: %b\n\n" % msgspec.json.encode(told)
-        return out
+                chunk = _chunk_decoder.decode(event.data)
+                events.append(b"data: %b\n\n" % msgspec.json.encode(self._completion_chunk(chunk)))
+        return b"".join(events)
 
     def end(self) -> bytes:
+        """Nothing: the replica's `[DONE]` has been forwarded."""
         return b""
 
     def truncated(self, error: ApiError) -> bytes:
+        """An event that has the error object."""
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
+        """Keep these events for `complete`."""
         self._collected.feed(data)
 
     def complete(self) -> bytes:
+        """A text completion, made of all collected events."""
         choices = []
         for index in sorted(self._collected.choices):
             choice = self._collected.choices[index]
-            text = choice.message.get("content") or choice.message.get("refusal") or ""
-            choices.append(self._choice(index, text, choice.logprobs, choice.finish_reason))
-        usage = {"usage": self._collected.fields["usage"]} if "usage" in self._collected.fields else {}
-        return msgspec.json.encode({**self._top(), "choices": choices, **usage})
+            choices.append(self._choice(index, _text(choice.message), choice.logprobs, choice.finish_reason))
+        completion = {**self._top_level_fields(), "choices": choices}
+        if "usage" in self._collected.fields:
+            completion["usage"] = self._collected.fields["usage"]
+        return msgspec.json.encode(completion)
+
+    def _top_level_fields(self) -> dict[str, Any]:
+        identity = self._identity
+        return {
+            "id": f"cmpl-{identity.id}",
+            "object": "text_completion",
+            "created": identity.created,
+            "model": identity.model,
+        }
+
+    def _completion_chunk(self, chunk: dict[str, Any]) -> dict[str, Any]:
+        choices = [
+            self._choice(
+                choice.get("index", 0), _text(choice["delta"]), choice.get("logprobs"), choice.get("finish_reason")
+            )
+            for choice in chunk["choices"]
+        ]
+        completion = {**self._top_level_fields(), "choices": choices}
+        if self._with_usage:
+            completion["usage"] = chunk.get("usage")
+        return completion
+
+    def _choice(self, index: int, text: str, chat_logprobs: Any, finish_reason: str | None) -> dict[str, Any]:
+        """A choice, or what an event adds to it: the first time with the echo before it."""
+        if index not in self._offsets:
+            self._offsets[index] = len(self._echo)
+            text = self._echo + text
+        logprobs = completion_logprobs(chat_logprobs, self._offsets[index])
+        if logprobs:
+            self._offsets[index] += sum(len(token) for token in logprobs["tokens"])
+        return {"index": index, "text": text, "logprobs": logprobs, "finish_reason": finish_reason}
+
+
+def _text(message: dict[str, Any]) -> str:
+    """The text of a message or a delta. A refusal counts as text."""
+    return message.get("content") or message.get("refusal") or ""
 
 
 def read(body: bytes) -> Prompt:
-    """ApiError: the body is no request of this endpoint."""
-    asked, fields = _reader.read(body)
-    asked.check()
-    options = asked.stream_options
-    usage = asked.stream is not True or (options is not None and options.include_usage is True)
+    """Read a request's body. ApiError: it is no request for a text completion, or for one that is not offered."""
+    request, fields = _reader.read(body)
+    request.check()
+    stream = request.stream is True
+    includes_usage = request.stream_options is not None and request.stream_options.include_usage is True
+    wants_usage = not stream or includes_usage
     return Prompt(
-        asked.model,
-        asked.stream is True,
-        usage,
-        [Turn("user", asked.text)],
-        asked.max_tokens,
-        {},
-        completion_to_chat(asked, fields),
-        partial(TextWords, asked.text if asked.echo else "", usage),
-        asked.n or 1,
+        model=request.model,
+        stream=stream,
+        wants_usage=wants_usage,
+        turns=[Turn("user", request.text)],
+        max_output_tokens=request.max_tokens,
+        metadata={},
+        fields=completion_to_chat(request, fields),
+        new_format=partial(CompletionFormat, request.text if request.echo else "", wants_usage),
+        choice_count=request.n or 1,
     )
