--- a/tests/chat/test_door.py
+++ b/tests/chat/test_door.py
@@ -10,7 +10,7 @@
         return status, text
 
     def test_figures_replicas_by_hand_and_the_drain(self):
-        first, second = self.start(2, door=True)
+        first, second = self.start(2, admin=True)
         self.assertEqual(self.ops("GET", "/ops/readiness")[0], 200)
         self.assertEqual(self.ops("POST", "/ops/replicas/down?target=s0")[0], 200)
         for n in range(4):
