--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -2,10 +2,10 @@
 
 import asyncio
 import json
-import unittest
 
 import httpx2
 import openai
+import pytest
 
 from pearhill.conformance.case import ANSWER
 from tests.chat.test_front import ChatCase
@@ -16,6 +16,7 @@
 
 
 def call_events(*pieces: str) -> list[bytes]:
+    """Events of a tool call whose arguments come in these pieces."""
     first = {"index": 0, "id": "c1", "type": "function", "function": {"name": "book", "arguments": pieces[0]}}
     parts = [first] + [{"index": 0, "function": {"arguments": piece}} for piece in pieces[1:]]
     chunks = [
@@ -31,9 +32,10 @@
     return [b"data: %b\n\n" % json.dumps(chunk).encode() for chunk in chunks]
 
 
-class Official(ChatCase):
+class OfficialClient(ChatCase):
     def begin(self, **options) -> openai.OpenAI:
-        (self.server,) = self.start()
+        """Start a replica and a dispatcher. Returns a client of that, without retries unless `options` say so."""
+        (self.replica,) = self.start()
         client = openai.OpenAI(
             base_url=f"http://{self.program.host}:{self.program.port}/v1",
             api_key="k" * 30,
@@ -42,101 +44,105 @@
         self.addCleanup(client.close)
         return client
 
-    def test_whole_and_streamed(self):
+    def test_complete_and_streamed(self):
         client = self.begin()
-        whole = client.chat.completions.create(model="help", messages=HI)
-        self.assertEqual((whole.choices[0].message.content, whole.usage.total_tokens), ("one two", 11))
-        self.assertTrue(whole._request_id)
+        completion = client.chat.completions.create(model="help", messages=HI)
+        assert (completion.choices[0].message.content, completion.usage.total_tokens) == ("one two", 11)
+        assert completion._request_id
         stream = client.chat.completions.create(
             model="help", messages=HI, stream=True, stream_options={"include_usage": True}
         )
         chunks = list(stream)
-        self.assertEqual("".join(c.choices[0].delta.content or "" for c in chunks if c.choices), "one two")
-        self.assertEqual(chunks[-1].usage.total_tokens, 11)
-        self.server.respond = lambda h, b: h.chunks(*ANSWER)  # the helper looks at `object`
+        assert "".join(c.choices[0].delta.content or "" for c in chunks if c.choices) == "one two"
+        assert chunks[-1].usage.total_tokens == 11
+        self.replica.respond = lambda h, b: h.chunks(*ANSWER)  # the client's helper checks `object`
         with client.chat.completions.stream(model="help", messages=HI) as events:
             events.until_done()
-            self.assertEqual(events.get_final_completion().choices[0].message.content, "one two")
+            assert events.get_final_completion().choices[0].message.content == "one two"
 
     def test_tools(self):
         client = self.begin()
-        self.server.respond = lambda h, b: h.chunks(*call_events('{"da', 'y":1}'), LAST)
+        self.replica.respond = lambda h, b: h.chunks(*call_events('{"da', 'y":1}'), LAST)
         answer = client.chat.completions.create(model="help", messages=HI, tools=[TOOL])
         call = answer.choices[0].message.tool_calls[0]
-        self.assertEqual((call.id, call.function.name, call.function.arguments), ("c1", "book", '{"day":1}'))
+        assert (call.id, call.function.name, call.function.arguments) == ("c1", "book", '{"day":1}')
         answer = client.responses.create(
             model="help", input="Hi", tools=[{"type": "function", **TOOL["function"], "strict": False}]
         )
-        self.assertEqual((answer.output[0].type, answer.output[0].arguments), ("function_call", '{"day":1}'))
+        assert (answer.output[0].type, answer.output[0].arguments) == ("function_call", '{"day":1}')
 
     def test_responses_and_completions(self):
         client = self.begin()
         answer = client.responses.create(model="help", input="Hi", instructions="Be kind.")
-        self.assertEqual((answer.output_text, answer.status, answer.usage.total_tokens), ("one two", "completed", 11))
+        assert (answer.output_text, answer.status, answer.usage.total_tokens) == ("one two", "completed", 11)
         with client.responses.stream(model="help", input="Hi") as events:
             kinds = [event.type for event in events]
-            self.assertEqual(events.get_final_response().output_text, "one two")
-        self.assertEqual((kinds[0], kinds[-1]), ("response.created", "response.completed"))
+            assert events.get_final_response().output_text == "one two"
+        assert (kinds[0], kinds[-1]) == ("response.created", "response.completed")
         text = client.completions.create(model="help", prompt="Hi")
-        self.assertEqual(text.choices[0].text, "one two")
+        assert text.choices[0].text == "one two"
         pieces = client.completions.create(model="help", prompt="Hi", stream=True)
-        self.assertEqual("".join(piece.choices[0].text for piece in pieces), "one two")
+        assert "".join(piece.choices[0].text for piece in pieces) == "one two"
 
     def test_models(self):
         client = self.begin()
-        self.assertEqual([model.id for model in client.models.list()], ["help", "booking"])
-        self.assertEqual(client.models.retrieve("help").id, "help")
-        with self.assertRaises(openai.NotFoundError):
+        assert [model.id for model in client.models.list()] == ["help", "booking"]
+        assert client.models.retrieve("help").id == "help"
+        with pytest.raises(openai.NotFoundError):
             client.models.retrieve("nobody")
 
     def test_typed_errors(self):
         client = self.begin()
-        with self.assertRaises(openai.BadRequestError) as caught:
+        with pytest.raises(openai.BadRequestError) as caught:
             client.chat.completions.create(model="help", messages=HI, temperature=9)
-        self.assertEqual((caught.exception.param, caught.exception.code), ("temperature", "invalid_value"))
-        self.server.respond = lambda h, b: h.plain(422, b'{"error": {"message": "no", "code": "odd"}}')
-        with self.assertRaises(openai.UnprocessableEntityError):
+        assert (caught.value.param, caught.value.code) == ("temperature", "invalid_value")
+        self.replica.respond = lambda h, b: h.plain(422, b'{"error": {"message": "no", "code": "odd"}}')
+        with pytest.raises(openai.UnprocessableEntityError):
             client.chat.completions.create(model="booking", messages=HI)
-        self.server.respond = lambda h, b: h.plain(500)
-        with self.assertRaises(openai.InternalServerError) as caught:
+        self.replica.respond = lambda h, b: h.plain(500)
+        with pytest.raises(openai.InternalServerError) as caught:
             client.chat.completions.create(model="booking", messages=HI)
-        self.assertEqual(caught.exception.status_code, 500)
+        assert caught.value.status_code == 500
 
-    def test_a_break_in_mid_stream_is_an_error_and_not_an_end(self):
+    def test_a_truncated_stream_is_an_error_and_not_an_end(self):
         client = self.begin()
-        self.server.respond = lambda h, b: h.chunks(TOKENS[0])
-        got = []
-        with self.assertRaises((openai.APIError, httpx2.RemoteProtocolError)):
+        self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
+        received = []
+
+        def read_stream() -> None:
             for chunk in client.chat.completions.create(model="booking", messages=HI, stream=True):
-                got.append(chunk.choices[0].delta.content)
-        self.assertEqual((got, self.server.runs), (["one "], 1))
+                received.append(chunk.choices[0].delta.content)
+
+        with pytest.raises((openai.APIError, httpx2.RemoteProtocolError)):
+            read_stream()
+        assert (received, self.replica.runs) == (["one "], 1)
 
-    def test_its_own_retries_come_only_where_nothing_ran(self):
+    def test_its_own_retries_come_only_where_nothing_was_executed(self):
         client = self.begin(max_retries=2)
-        self.server.respond = lambda h, b: h.plain(500)
-        with self.assertRaises(openai.InternalServerError):
+        self.replica.respond = lambda h, b: h.plain(500)
+        with pytest.raises(openai.InternalServerError):
             client.chat.completions.create(model="booking", messages=HI)
-        self.assertEqual(self.server.runs, 1)  # X-Should-Retry: false
-        left = iter([True])
-        self.server.respond = lambda h, b: (
-            h.plain(503, Not_Started="1") if next(left, False) else h.chunks(*TOKENS, LAST)
+        assert self.replica.runs == 1  # X-Should-Retry: false
+        rejections = iter([True])
+        self.replica.respond = lambda h, b: (
+            h.plain(503, Not_Started="1") if next(rejections, False) else h.chunks(*TOKENS, LAST)
         )
         answer = client.chat.completions.create(model="booking", messages=HI)
-        self.assertEqual(answer.choices[0].message.content, "one two")
+        assert answer.choices[0].message.content == "one two"
 
-    def test_its_time_out_leaves_a_booking_to_its_one_outcome(self):
+    def test_its_timeout_leaves_a_booking_to_its_one_outcome(self):
         client = self.begin(timeout=0.5)
 
         def late(handler, sent):
-            self.server.go.wait(20)
+            self.replica.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        self.server.respond = late
-        with self.assertRaises(openai.APITimeoutError):
+        self.replica.respond = late
+        with pytest.raises(openai.APITimeoutError):
             client.chat.completions.create(model="booking", messages=HI)
-        self.server.go.set()
+        self.replica.go.set()
         self.program.wait_line("outcome request=.* state=answered")
-        self.assertEqual(self.server.runs, 1)
+        assert self.replica.runs == 1
 
     def test_async(self):
         client = self.begin()
@@ -150,8 +156,4 @@
 
                 return await asyncio.gather(*(one() for _ in range(8)))
 
-        self.assertEqual(asyncio.run(ask()), ["one two"] * 8)
-
-
-if __name__ == "__main__":
-    unittest.main()
+        assert asyncio.run(ask()) == ["one two"] * 8
