--- a/tests/chat/test_under_load.py
+++ b/tests/chat/test_under_load.py
@@ -10,6 +10,8 @@
 import time
 import unittest
 
+import pytest
+
 from pearhill.conformance.case import ANSWER, HOLD, LAST, SEEN, chunk, delta, event, head, stream
 from pearhill.conformance.client import Wire
 from pearhill.conformance.server import ScriptedServer
@@ -28,7 +30,8 @@
 
 
 class Streams(unittest.IsolatedAsyncioTestCase):
-    OPEN, READ = 1_000, 100
+    OPEN = 1_000  # streams
+    READ = 100  # of them, by clients that read
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)  # its checks cost more than the streams
@@ -51,15 +54,16 @@
         await wire.open()
         self.addCleanup(wire.close)
         got = await wire.ask("POST", PATH, {}, sent, 20, lambda: True)
-        self.assertEqual(got.status, 200, got.body)
+        assert got.status == 200, got.body
         return wire
 
     async def test_streams_that_nobody_reads_stay_small_and_harm_nobody(self):
-        """900 clients take the first event and read no more; their servers would send 1.2 MB each."""
+        """900 clients take the first event and read no more; their replicas would send 1.2 MB each."""
         program = self.begin("sockets = 4096\nmax_answer_bytes = 16777216")
         self.server.load((stream(*[event(BIG)] * 150, *ANSWER[1:]),))
         before = resident(program.process.pid)
-        stalled, sent = [], request("POST", PATH, "a", (), body(stream=True))
+        stalled = []
+        sent = request("POST", PATH, "a", (), body(stream=True))
         loop = asyncio.get_running_loop()
         for _ in range(self.OPEN - self.READ):
             sock = socket.socket()
@@ -68,28 +72,28 @@
             self.addCleanup(sock.close)
             await loop.sock_connect(sock, (program.host, program.port))
             await loop.sock_sendall(sock, sent)
-            self.assertIn(b" 200 OK", await loop.sock_recv(sock, 100))
+            assert b" 200 OK" in await loop.sock_recv(sock, 100)
             stalled.append(sock)
 
-        async def whole() -> int:
+        async def read_completely() -> int:
+            """The length of a stream that is read to its end."""
             wire = Wire(program.host, program.port)
             await wire.open()
             try:
                 got = await wire.ask("POST", PATH, {}, body(stream=True), 60)
             finally:
                 wire.close()
-            self.assertTrue(got.whole and got.body.endswith(b"data: [DONE]\n\n"))
+            assert got.whole
+            assert got.body.endswith(b"data: [DONE]\n\n")
             return len(got.body)
 
         for _ in range(self.READ // 10):
-            self.assertEqual(
-                set(await asyncio.gather(*(whole() for _ in range(10)))),
-                {150 * len(event(BIG)) + sum(map(len, (*ANSWER[1:3], ANSWER[4])))},
-            )
-        told = await asyncio.to_thread(program.counters)
-        self.assertEqual((told["served"], told["taken"]), (self.READ, self.OPEN), "the others must still be open")
-        held = (resident(program.process.pid) - before) / len(stalled)
-        self.assertLess(held, 400_000, "bytes that a stalled stream holds")
+            lengths = await asyncio.gather(*(read_completely() for _ in range(10)))
+            assert set(lengths) == {150 * len(event(BIG)) + sum(map(len, (*ANSWER[1:3], ANSWER[4])))}
+        counters = await asyncio.to_thread(program.counters)
+        assert (counters["served"], counters["taken"]) == (self.READ, self.OPEN), "the others must still be open"
+        bytes_per_stream = (resident(program.process.pid) - before) / len(stalled)
+        assert bytes_per_stream < 400_000, "bytes that a stalled stream holds"
         for sock in stalled:
             sock.close()
 
@@ -99,9 +103,10 @@
         wire = Wire(program.host, program.port)
         await wire.open()
         self.addCleanup(wire.close)
-        assert wire._reader and wire._writer
+        assert wire._reader
+        assert wire._writer
         wire._writer.write(request("POST", PATH, "a", (), body(stream=True)))
-        with self.assertRaises(TimeoutError):  # nothing is sent yet, so a refusal would keep its status
+        with pytest.raises(TimeoutError):  # nothing is sent yet, so that a rejection would keep its status
             await asyncio.wait_for(wire._reader.readexactly(1), 0.2)
         self.server._go.set()
         got = b""
@@ -111,8 +116,8 @@
         while b"0\r\n\r\n" not in got:
             got += await asyncio.wait_for(wire._reader.read(65_536), 20)
         events = b"".join(part for part in got.partition(b"\r\n\r\n")[2].split(b"\r\n")[1::2])
-        self.assertEqual(events.replace(b": keep-alive\n\n", b""), b"".join((*ANSWER[:3], ANSWER[4])))
-        self.assertTrue(events.startswith(ANSWER[0] + b": keep-alive\n\n"))
+        assert events.replace(b": keep-alive\n\n", b"") == b"".join((*ANSWER[:3], ANSWER[4]))
+        assert events.startswith(ANSWER[0] + b": keep-alive\n\n")
 
     async def test_the_same_key_at_once_on_many_connections_and_endpoints_is_one_run(self):
         program = self.begin("")
@@ -127,33 +132,35 @@
                 wire.close()
             return got.status, got.body
 
-        booking, other = body("booking", stream=True), json.dumps({"model": "booking", "prompt": "Hi"}).encode()
+        booking = body("booking", stream=True)
+        other = json.dumps({"model": "booking", "prompt": "Hi"}).encode()
         first = asyncio.create_task(repeat(PATH, booking))
         while not self.server.runs:
             await asyncio.sleep(0.01)
         others = [asyncio.create_task(repeat(PATH, booking)) for _ in range(20)]
-        self.assertEqual((await repeat("/v1/completions", other))[0], 422)
+        assert (await repeat("/v1/completions", other))[0] == 422
         self.server.release()
         answers = await asyncio.gather(first, *others)
-        self.assertEqual({status for status, _ in answers}, {200})
-        self.assertEqual({got for _, got in answers}, {b"".join((*ANSWER[:3], ANSWER[4]))})
-        self.assertEqual(len(self.server.runs), 1)
+        assert {status for status, _ in answers} == {200}
+        assert {got for _, got in answers} == {b"".join((*ANSWER[:3], ANSWER[4]))}
+        assert len(self.server.runs) == 1
 
     async def test_a_flood_of_bad_requests_beside_good_ones(self):
         program = self.begin("")
         self.server.load((stream(*ANSWER),))
         bad = [b"{", body(temperature=9), body("nobody"), b'{"x": ' + b"[" * 9_000, body(messages=[])]
         over = asyncio.Event()
-        counts = {"bad": 0}
+        bad_requests = 0
 
         async def flood(sent: bytes) -> None:
+            nonlocal bad_requests
             wire = Wire(program.host, program.port)
             await wire.open()
             try:
                 while not over.is_set():
                     got = await wire.ask("POST", PATH, {}, sent, 20)
-                    self.assertIn(got.status, (400, 404))
-                    counts["bad"] += 1
+                    assert got.status in (400, 404)
+                    bad_requests += 1
             finally:
                 wire.close()
 
@@ -163,12 +170,13 @@
         self.addCleanup(wire.close)
         for _ in range(50):
             got = await wire.ask("POST", PATH, {}, body(stream=True), 20)
-            self.assertTrue(got.whole and got.status == 200, got.body)
+            assert got.whole, got.body
+            assert got.status == 200, got.body
         over.set()
         await asyncio.gather(*floods)
-        self.assertGreater(counts["bad"], 50)
-        told = program.counters()
-        self.assertEqual((told["rejected"], told["taken"], told["faults"]), (counts["bad"], 50, 0))
+        assert bad_requests > 50
+        counters = program.counters()
+        assert (counters["rejected"], counters["taken"], counters["faults"]) == (bad_requests, 50, 0)
 
     async def test_a_client_that_goes_in_a_heartbeat_leaves_nothing_behind(self):
         program = self.begin("heartbeat_s = 0.02")
@@ -178,40 +186,40 @@
             wire.close()
         end = time.monotonic() + 20
         while (await asyncio.to_thread(program.counters))["left"] < 20:
-            self.assertLess(time.monotonic(), end)
-        self.assertFalse([line for line in program.lines if "Traceback" in line or "failed" in line])
+            assert time.monotonic() < end
+        assert not [line for line in program.lines if "Traceback" in line or "failed" in line]
 
 
 class Signals(ChatCase):
     def midway(self, sent: bytes):
-        """A stream whose first event has come; the server waits for the test."""
-        (self.server,) = self.start()
+        """A stream whose first event has come; the replica waits for the test."""
+        (self.replica,) = self.start()
 
         def slow(handler, got):
             handler.chunks(TOKENS[0], last=False)
-            self.server.go.wait(20)
+            self.replica.go.wait(20)
             handler.more(TOKENS[1] + END)
             handler.wfile.write(b"0\r\n\r\n")
 
-        self.server.respond = slow
+        self.replica.respond = slow
         connection = self.program.connect()
         self.addCleanup(connection.close)
         connection.request("POST", PATH, sent)
         response = connection.getresponse()
-        self.assertEqual(response.read(len(TOKENS[0])), TOKENS[0])
+        assert response.read(len(TOKENS[0])) == TOKENS[0]
         return response
 
-    def test_sigterm_in_mid_stream_lets_it_end_whole(self):
+    def test_sigterm_in_mid_stream_lets_it_complete(self):
         response = self.midway(body("booking", stream=True))
         self.program.process.send_signal(signal.SIGTERM)
         self.program.wait_line("draining: 1 requests open")
-        self.server.go.set()
-        self.assertTrue(response.read().endswith(b"data: [DONE]\n\n"))
-        self.assertEqual((self.program.stop(), self.server.runs), (0, 1))
+        self.replica.go.set()
+        assert response.read().endswith(b"data: [DONE]\n\n")
+        assert (self.program.stop(), self.replica.runs) == (0, 1)
 
     def test_sighup_in_mid_stream_changes_nothing_of_it(self):
         response = self.midway(body(stream=True))
         self.program.reload(self.program.config.read_text().replace("'booking']", "'other']"))
-        self.server.go.set()
-        self.assertTrue(response.read().endswith(b"data: [DONE]\n\n"))
-        self.assertEqual(self.ask(body("booking"))[0], 404)
+        self.replica.go.set()
+        assert response.read().endswith(b"data: [DONE]\n\n")
+        assert self.ask(body("booking"))[0] == 404
