--- a/pearhill/chat/__init__.py
+++ b/pearhill/chat/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: an OpenAI-style chat API with streamed events, and servers that speak the same."""
+"""The chat API: a front end with streamed events in OpenAI's format, before replicas that speak the same."""
--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -98,12 +98,12 @@
         self.started = False
         self.over = False
         self.is_collectable = True  # the events so far could be put together
-        self.refusal = BUSY  # the answer to a rejection
+        self.rejection_error = BUSY  # what a rejected request is answered
 
     def reject(self, retry_after: int) -> None:
         """No attempt was made; `retry_after`: microseconds."""
-        may_retry = self.refusal.type != ErrorType.INSUFFICIENT_QUOTA
-        self._answer_error(self.refusal, may_retry, retry_headers(retry_after))
+        may_retry = self.rejection_error.type != ErrorType.INSUFFICIENT_QUOTA
+        self._answer_error(self.rejection_error, may_retry, retry_headers(retry_after))
 
     def fail(self) -> None:
         """The request failed, or its time ran out."""
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -148,7 +148,7 @@
         spec = replace(spec, admission=decision.status, retry_after=decision.retry_after)
         if decision.reservation is None:
             accounting.record_rejection(tenant, key)
-            request.answer.refusal = rejection_error(decision)
+            request.answer.rejection_error = rejection_error(decision)
             return spec, inner, _payload(request, None)
         incoming.update_rate_limits()
         request.answer.headers = tuple(incoming.headers)
@@ -161,7 +161,7 @@
 
 
 def _expected_tokens(incoming: IncomingRequest) -> int:
-    """The output tokens that the client expects; 0: it does not say."""
+    """The output tokens that the client expects; 0: unknown."""
     header = incoming.message.headers.get(EXPECTED_TOKENS_HEADER, "")
     return int(header) if re.fullmatch("[0-9]{1,7}", header) else 0
 
@@ -197,6 +197,6 @@
     }
     if meter and prompt.max_output_tokens is None:
         # An answer without a limit could overdraw its tenant's budget without a limit.
-        fields["max_completion_tokens"] = model.max_out or reading.max_out
+        fields["max_completion_tokens"] = model.max_output_tokens or reading.max_output_tokens
     body = msgspec.json.encode(fields)
-    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer, meter)
+    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer_bytes, meter)
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -34,7 +34,7 @@
 
     def __init__(self, setup: ChatSetup) -> None:
         self.setup = setup
-        self.dialect = ChatDialect(setup.server_keys, setup.server_key)
+        self.dialect = ChatDialect(setup.replica_keys, setup.default_replica_key)
         limits = Limits(
             setup.sockets, setup.seed, setup.max_body, SEND_BUFFER_BYTES, has_admin_endpoint=setup.admin is not None
         )
@@ -92,8 +92,8 @@
         self.setup = fresh
         self.front.reading = fresh.reading
         self.front.keyring = fresh.keyring
-        self.dialect.replica_keys = fresh.server_keys
-        self.dialect.default_key = fresh.server_key
+        self.dialect.replica_keys = fresh.replica_keys
+        self.dialect.default_key = fresh.default_replica_key
         if self.fleet and fresh.fleet:
             self.fleet.reconfigure(fresh.fleet)
         if self.accounting and fresh.accounting:
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -54,8 +54,8 @@
     served_as: str
     request_class: int = -1
     kinds: tuple[int, ...] = ()
-    max_out: int = 0
-    max_prompt: int = 0
+    max_output_tokens: int = 0
+    max_prompt_tokens: int = 0
     owned_by: str = "pearhill"
     created: int = 0
 
@@ -71,11 +71,11 @@
     conversation_header: str
     conversation_field: str
     timeout_header: str
-    max_out: int
+    max_output_tokens: int
     chars_per_token: float
     models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the replicas
     heartbeat: int = 0  # microseconds
-    max_answer: int = 4 << 20  # bytes
+    max_answer_bytes: int = 4 << 20
 
     def model(self, name: str) -> Model | None:
         """The model of this name or alias; None: models are declared, and it is none of them."""
@@ -86,8 +86,8 @@
 class ChatSetup:
     """The operator's file, resolved.
 
-    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `server_keys`: by replica;
-    `server_key`: for replicas without a key of their own; `admin`: where operators call.
+    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `replica_keys`: by replica;
+    `default_replica_key`: for replicas without a key of their own; `admin`: where operators call.
     """
 
     listen: Address
@@ -100,8 +100,8 @@
     store_keep: int
     endpoints: tuple[Endpoint, ...]
     addresses: dict[int, Address]
-    server_keys: dict[int, str]
-    server_key: str
+    replica_keys: dict[int, str]
+    default_replica_key: str
     max_body: int
     eureka: EurekaSetup | None
     accounting: AccountingSettings | None = None
@@ -273,7 +273,7 @@
     except settings.SettingsError as e:
         raise ConfigError(f"settings: {e}") from None
     chat = file.chat
-    endpoints, addresses, server_keys = _endpoints(file, deployment)
+    endpoints, addresses, replica_keys = _endpoints(file, deployment)
     if not endpoints and not file.eureka:
         raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
     models = _models(chat, deployment)
@@ -290,8 +290,8 @@
         store_keep=file.idempotency.keep_s * 1_000_000,
         endpoints=tuple(endpoints),
         addresses=addresses,
-        server_keys=server_keys,
-        server_key=values.read_secret("chat.server_key_file", chat.server_key_file),
+        replica_keys=replica_keys,
+        default_replica_key=values.read_secret("chat.server_key_file", chat.server_key_file),
         max_body=chat.max_body_bytes,
         eureka=_eureka(file.eureka) if file.eureka else None,
         accounting=accounting_settings(budgets, deployment) if budgets else None,
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -37,7 +37,7 @@
         request_class,
         _timeout(reading, headers, deployment.router.classes[request_class].deadline, rule),
         tokens,
-        prompt.choice_count * (prompt.max_output_tokens or model.max_out or reading.max_out),
+        prompt.choice_count * (prompt.max_output_tokens or model.max_output_tokens or reading.max_output_tokens),
         session=_number_of(conversation),
         prefix=_number_of(opening) if opening else 0,
         prefix_tokens=int(len(opening) / reading.chars_per_token),
@@ -79,14 +79,14 @@
 
 
 def _check_lengths(prompt: Prompt, model: Model, tokens: int) -> None:
-    if model.max_prompt and tokens > model.max_prompt:
+    if model.max_prompt_tokens and tokens > model.max_prompt_tokens:
         raise invalid_request(
-            f"The prompt has about {tokens} tokens; {model.name} takes {model.max_prompt}.",
+            f"The prompt has about {tokens} tokens; {model.name} takes {model.max_prompt_tokens}.",
             "messages",
             "context_length_exceeded",
         )
-    if model.max_out and prompt.max_output_tokens and prompt.max_output_tokens > model.max_out:
-        raise invalid_request(f"{model.name} writes {model.max_out} tokens at most.", "max_tokens")
+    if model.max_output_tokens and prompt.max_output_tokens and prompt.max_output_tokens > model.max_output_tokens:
+        raise invalid_request(f"{model.name} writes {model.max_output_tokens} tokens at most.", "max_tokens")
 
 
 def _timeout(reading: Reading, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
