--- a/tests/chat/test_keys.py
+++ b/tests/chat/test_keys.py
@@ -77,12 +77,12 @@
     assert re.search(A, str(caught.value)) is None
 
 
-class Served(ChatCase):
+class KeysAtTheDaemon(ChatCase):
     EXTRA = "\n[[chat.tenant]]\nname = 'south'\nkeys = [\"%s\"]\nmodels = ['help']\n"
 
     def begin(self) -> None:
         self.south = record_of(C)
-        (self.server,) = self.start(extra=tenants(north=[A]) + self.EXTRA % self.south)
+        (self.replica,) = self.start(extra=tenants(north=[A]) + self.EXTRA % self.south)
 
     def test_who_may_ask_and_for_what(self):
         self.begin()
@@ -103,8 +103,8 @@
         assert [m["id"] for m in models["data"]] == ["help"]
         assert self.program.ask("GET", "/v1/models")[0] == 401
         assert self.program.ask("GET", "/ready")[0] == 200
-        assert self.server.runs == 2
-        for headers in self.server.headers:
+        assert self.replica.runs == 2
+        for headers in self.replica.headers:
             assert "Authorization" not in headers
         log = "".join(self.program.lines)
         assert not [k for k in (A, B, C) if k in log]
@@ -117,18 +117,18 @@
         for key in (A, C):
             self.ask(body(), Authorization=f"Bearer {key}", Idempotency_Key="same")
         self.ask(body(), api_key=A, Idempotency_Key="same")
-        assert self.server.runs == 2
+        assert self.replica.runs == 2
 
     def test_a_key_removed_in_mid_stream_ends_nothing_and_opens_nothing(self):
         self.begin()
 
         def slow(handler, sent):
             handler.chunks(TOKENS[0], last=False)
-            self.server.go.wait(20)
+            self.replica.go.wait(20)
             handler.more(TOKENS[1] + b"data: [DONE]\n\n")
             handler.wfile.write(b"0\r\n\r\n")
 
-        self.server.respond = slow
+        self.replica.respond = slow
         connection = self.program.connect()
         self.addCleanup(connection.close)
         connection.request("POST", PATH, body(stream=True), {"api-key": C})
@@ -137,9 +137,9 @@
         text = self.program.config.read_text()
         self.program.reload(text.replace(self.south, record_of(B)), "reload: done, 1 rules, 2 tenants")
         assert self.program.ask("POST", PATH, body(), {"api-key": C})[0] == 401
-        self.server.go.set()
+        self.replica.go.set()
         assert (first_event + response.read()).endswith(b"data: [DONE]\n\n")
-        del self.server.respond
+        del self.replica.respond
         assert self.program.ask("POST", PATH, body(), {"api-key": B})[0] == 200
 
     def test_replicas_have_keys_of_their_own(self):
