--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -11,12 +11,12 @@
 from pearhill.chat.answers import Answer, Spawn
 from pearhill.chat.budget_accounting import BudgetAccounting, SettlingClient
 from pearhill.chat.budget_answers import rejection_error
-from pearhill.chat.errors import JSON, RATE, ApiError, invalid, retry_headers
+from pearhill.chat.dialect import ChatPayload
+from pearhill.chat.errors import JSON, ApiError, ErrorType, invalid_request, retry_headers
 from pearhill.chat.incoming_request import IncomingRequest
-from pearhill.chat.meter import Meter
+from pearhill.chat.meter import UsageMeter
 from pearhill.chat.prompt import Prompt
 from pearhill.chat.records import Record, Store
-from pearhill.chat.servers import ChatPayload
 from pearhill.chat.setup import Model
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Request, RequestSpec
@@ -93,11 +93,11 @@
 
     def _follow(self, record: Record, digest: bytes, answer: Answer) -> Pending:
         if record.digest != digest:
-            raise invalid(
+            raise invalid_request(
                 "This Idempotency-Key was used with another request.", code="idempotency_key_reused", status=422
             )
         if record.dropped:
-            raise invalid(
+            raise invalid_request(
                 f"The request has ended ({record.state}) and is not run again; its answer is not kept any more.",
                 code="answer_not_kept",
                 status=409,
@@ -111,7 +111,7 @@
         if len(dispatcher.requests) < dispatcher.deployment.max_open_requests:
             return True
         dispatcher.record_rejection(request.spec.request_class)
-        error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=RATE)
+        error = ApiError(429, "Too many requests are open.", "rate_limit_exceeded", type=ErrorType.RATE_LIMIT)
         incoming = request.incoming
         incoming.log_answer(429, error.code)
         retry_after = retry_headers(dispatcher.deployment.router.max_retry_after)
@@ -148,11 +148,11 @@
         spec = replace(spec, admission=decision.status, retry_after=decision.retry_after)
         if decision.reservation is None:
             accounting.record_rejection(tenant, key)
-            request.answer.refusal = rejection_error(decision)
+            request.answer.rejection_error = rejection_error(decision)
             return spec, inner, _payload(request, None)
         incoming.update_rate_limits()
         request.answer.headers = tuple(incoming.headers)
-        meter = Meter()
+        meter = UsageMeter()
         path = incoming.message.path
         client = SettlingClient(
             accounting, decision.reservation, meter, spec.prompt_tokens, incoming.id, request.model.name, path, inner
@@ -161,7 +161,7 @@
 
 
 def _expected_tokens(incoming: IncomingRequest) -> int:
-    """The output tokens that the client expects; 0: it does not say."""
+    """The output tokens that the client expects; 0: unknown."""
     header = incoming.message.headers.get(EXPECTED_TOKENS_HEADER, "")
     return int(header) if re.fullmatch("[0-9]{1,7}", header) else 0
 
@@ -181,7 +181,7 @@
     return hashlib.blake2b(b"%b\n%b" % (message.path.encode(), message.body), digest_size=16).digest()
 
 
-def _payload(request: ReadRequest, meter: Meter | None) -> ChatPayload:
+def _payload(request: ReadRequest, meter: UsageMeter | None) -> ChatPayload:
     """What replicas get: the client's fields as they came, but for those that this dispatcher sets."""
     prompt = request.prompt
     model = request.model
@@ -195,8 +195,8 @@
         "stream": True,
         "stream_options": {**(options or {}), "include_usage": True},
     }
-    if meter and prompt.max_out is None:
+    if meter and prompt.max_output_tokens is None:
         # An answer without a limit could overdraw its tenant's budget without a limit.
-        fields["max_completion_tokens"] = model.max_out or reading.max_out
+        fields["max_completion_tokens"] = model.max_output_tokens or reading.max_output_tokens
     body = msgspec.json.encode(fields)
-    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer, meter)
+    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer_bytes, meter)
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -12,7 +12,7 @@
 from pearhill.chat import file as f
 from pearhill.chat.budget_accounting import AccountingSettings
 from pearhill.chat.budget_setup import accounting_settings
-from pearhill.chat.keys import BadKey, Keyring, Tenant
+from pearhill.chat.keys import InvalidKeyError, Keyring, Tenant
 from pearhill.chat.setup_names import number_of
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
@@ -54,8 +54,8 @@
     served_as: str
     request_class: int = -1
     kinds: tuple[int, ...] = ()
-    max_out: int = 0
-    max_prompt: int = 0
+    max_output_tokens: int = 0
+    max_prompt_tokens: int = 0
     owned_by: str = "pearhill"
     created: int = 0
 
@@ -71,11 +71,11 @@
     conversation_header: str
     conversation_field: str
     timeout_header: str
-    max_out: int
+    max_output_tokens: int
     chars_per_token: float
     models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the replicas
     heartbeat: int = 0  # microseconds
-    max_answer: int = 4 << 20  # bytes
+    max_answer_bytes: int = 4 << 20
 
     def model(self, name: str) -> Model | None:
         """The model of this name or alias; None: models are declared, and it is none of them."""
@@ -86,8 +86,8 @@
 class ChatSetup:
     """The operator's file, resolved.
 
-    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `server_keys`: by replica;
-    `server_key`: for replicas without a key of their own; `admin`: where operators call.
+    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `replica_keys`: by replica;
+    `default_replica_key`: for replicas without a key of their own; `admin`: where operators call.
     """
 
     listen: Address
@@ -100,8 +100,8 @@
     store_keep: int
     endpoints: tuple[Endpoint, ...]
     addresses: dict[int, Address]
-    server_keys: dict[int, str]
-    server_key: str
+    replica_keys: dict[int, str]
+    default_replica_key: str
     max_body: int
     eureka: EurekaSetup | None
     accounting: AccountingSettings | None = None
@@ -124,7 +124,7 @@
         model = Model(
             table.name,
             table.served_as or table.name,
-            number_of(f"{path}.class", table.cls, deployment.class_names) if table.cls else -1,
+            number_of(f"{path}.class", table.request_class, deployment.class_names) if table.request_class else -1,
             tuple(number_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
             table.max_out_tokens,
             table.max_prompt_tokens,
@@ -161,7 +161,7 @@
         for n, record in enumerate(table.keys):
             try:
                 Keyring([(tenant, [record])])
-            except BadKey:
+            except InvalidKeyError:
                 # What stands there may be the key itself, which must not be shown: the error's text leaves it out.
                 raise ConfigError(
                     f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` prints it"
@@ -173,7 +173,7 @@
     names = deployment.class_names
     rules = tuple(
         Rule(
-            number_of(f"chat.rule[{k}].class", rule.cls, names),
+            number_of(f"chat.rule[{k}].class", rule.request_class, names),
             rule.model,
             rule.header.lower(),
             rule.value,
@@ -273,7 +273,7 @@
     except settings.SettingsError as e:
         raise ConfigError(f"settings: {e}") from None
     chat = file.chat
-    endpoints, addresses, server_keys = _endpoints(file, deployment)
+    endpoints, addresses, replica_keys = _endpoints(file, deployment)
     if not endpoints and not file.eureka:
         raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
     models = _models(chat, deployment)
@@ -290,8 +290,8 @@
         store_keep=file.idempotency.keep_s * 1_000_000,
         endpoints=tuple(endpoints),
         addresses=addresses,
-        server_keys=server_keys,
-        server_key=values.read_secret("chat.server_key_file", chat.server_key_file),
+        replica_keys=replica_keys,
+        default_replica_key=values.read_secret("chat.server_key_file", chat.server_key_file),
         max_body=chat.max_body_bytes,
         eureka=_eureka(file.eureka) if file.eureka else None,
         accounting=accounting_settings(budgets, deployment) if budgets else None,
--- a/pearhill/conformance/verdict.py
+++ b/pearhill/conformance/verdict.py
@@ -13,7 +13,7 @@
 
 from pearhill.chat.errors import ErrorObject
 from pearhill.chat.schema import answers
-from pearhill.chat.schema.chat import Chunk
+from pearhill.chat.schema.chunks import Chunk
 from pearhill.conformance.case import (
     CHAT_PATH,
     COMPLETIONS_PATH,
