--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -32,19 +32,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassOfRequests:
+class RequestClass:
     name: str
     effect: str
     window: int
     ttl_ms: int
 
 
-class Closed(Exception):
+class ConnectionEndedError(Exception):
     """The connection ended before the answer was whole."""
 
 
 @dataclass(slots=True)
-class Door:
+class ListenAddress:
     """Where a dispatcher listens now."""
 
     name: str
@@ -63,25 +63,25 @@
         self.port: int = writer.get_extra_info("sockname")[1]
 
     @classmethod
-    async def open(cls, door: Door) -> Exchange:
-        return cls(*await asyncio.wait_for(asyncio.open_connection(door.host, door.port), 5))
+    async def open(cls, address: ListenAddress) -> Exchange:
+        return cls(*await asyncio.wait_for(asyncio.open_connection(address.host, address.port), 5))
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Its end is there already: a client sees that, and does not ask on it."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
-    def expect(self) -> None:
+    def expect_response(self) -> None:
         self._machine.expect()
 
-    async def next(self, within_s: float) -> Event:
+    async def next_event(self, within_s: float) -> Event:
         """Closed or TimeoutError: nothing more comes, or not in time."""
         while not self._events:
             data = await asyncio.wait_for(self.reader.read(1 << 16), within_s)
             self._events = self._machine.feed(data) if data else [Lost("closed")]
         event = self._events.pop(0)
         if isinstance(event, Lost):
-            raise Closed(event.why)
+            raise ConnectionEndedError(event.why)
         return event
 
     def close(self) -> None:
@@ -90,16 +90,16 @@
 
 
 class Clients:
-    """Open-loop arrivals. `doors` are the dispatchers that the front gives connections to now."""
+    """Open-loop arrivals. `addresses`: of the dispatchers to which new connections go now."""
 
-    def __init__(self, seed: int, classes: list[ClassOfRequests], oracle: Oracle, clock: Callable[[], int]) -> None:
+    def __init__(self, seed: int, classes: list[RequestClass], oracle: Oracle, clock: Callable[[], int]) -> None:
         self.rng, self.classes, self.oracle, self.clock = random.Random(seed), classes, oracle, clock
-        self.doors: dict[str, Door] = {}
+        self.addresses: dict[str, ListenAddress] = {}
         self.outcomes: Counter[str] = Counter()
-        self.ending: dict[str, asyncio.Event] = {}  # set once a dispatcher has been told to end
-        self.last_request_s = 0.0  # for so long clients may still ask of a dispatcher that is to end
+        self.shutdown_begun: dict[str, asyncio.Event] = {}  # set once a dispatcher has been told to end
+        self.kill_after_s = 0.0  # for so long clients may still ask of a dispatcher that is to end
         self._count = 0
-        self._over = False
+        self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, rate: float, seconds: float) -> None:
@@ -107,14 +107,14 @@
         end = self.clock() + int(seconds * SECOND)
         while self.clock() < end:
             await asyncio.sleep(self.rng.expovariate(rate))
-            if self.doors:
+            if self.addresses:
                 how = self.rng.choices(BEHAVIOURS, SHARES)[0]
-                self._spawn(self._one(how, self.rng.choice(list(self.doors.values()))))
+                self._spawn(self._run_one(how, self.rng.choice(list(self.addresses.values()))))
 
     async def finish(self) -> None:
         """Wait for all that are still open; the regulars stop with their next answer."""
-        self._over = True
-        for ending in self.ending.values():
+        self._stopping = True
+        for ending in self.shutdown_begun.values():
             ending.set()
         for result in await asyncio.gather(*self._tasks, return_exceptions=True):
             if isinstance(result, Exception):
@@ -123,39 +123,39 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or task.exception() is None:  # a fault of the soak itself is kept for `finish`
             self._tasks.discard(task)
 
-    def opened(self, door: Door) -> None:
+    def add_dispatcher(self, address: ListenAddress) -> None:
         """The front gives out connections to this dispatcher from now on."""
-        self.doors[door.name] = door
-        if door.name not in self.ending:
+        self.addresses[address.name] = address
+        if address.name not in self.shutdown_begun:
             for _ in range(REGULARS):
-                self._spawn(self._regular(door.name))
-        self.ending[door.name] = asyncio.Event()
+                self._spawn(self._run_regular(address.name))
+        self.shutdown_begun[address.name] = asyncio.Event()
 
-    def told_to_end(self, name: str) -> None:
-        self.ending[name].set()
+    def dispatcher_terminated(self, name: str) -> None:
+        self.shutdown_begun[name].set()
 
-    async def _regular(self, name: str) -> None:
-        while not self._over:
-            door = self.doors.get(name)
-            if door is None:
+    async def _run_regular(self, name: str) -> None:
+        while not self._stopping:
+            address = self.addresses.get(name)
+            if address is None:
                 await asyncio.sleep(0.05)
                 continue
-            ending = self.ending[name]
+            ending = self.shutdown_begun[name]
             try:
-                exchange = await Exchange.open(door)
+                exchange = await Exchange.open(address)
             except (OSError, TimeoutError):
                 self.outcomes["unreachable"] += 1
                 await asyncio.sleep(0.05)
                 continue
             try:
-                while not self._over and not exchange.over and await self._ask(exchange, door):
-                    await self._pause(ending, self.rng.uniform(0, THINK_S))
+                while not self._stopping and not exchange.ended and await self._request(exchange, address):
+                    await self._pause_until_shutdown(ending, self.rng.uniform(0, THINK_S))
                 await asyncio.sleep(RETRY_S)
             except (OSError, TimeoutError):
                 self.outcomes["regular: cut off"] += 1
@@ -163,147 +163,151 @@
                 exchange.close()
 
     @staticmethod
-    async def _pause(ending: asyncio.Event, seconds: float) -> None:
+    async def _pause_until_shutdown(ending: asyncio.Event, seconds: float) -> None:
         """Cut short by the dispatcher's end."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(ending.wait(), seconds)
 
-    async def _one(self, how: str, door: Door) -> None:
+    async def _run_one(self, how: str, address: ListenAddress) -> None:
         try:
-            exchange = await Exchange.open(door)
+            exchange = await Exchange.open(address)
         except (OSError, TimeoutError):
             self.outcomes["unreachable"] += 1
             return
         try:
-            await getattr(self, "_" + how.replace("-", "_"))(exchange, door)
-        except (OSError, TimeoutError, Closed) as error:
+            await getattr(self, "_" + how.replace("-", "_"))(exchange, address)
+        except (OSError, TimeoutError, ConnectionEndedError) as error:
             self.outcomes[f"{how}: {type(error).__name__}"] += 1
         finally:
             exchange.close()
 
     # What they do.
 
-    async def _plain(self, exchange: Exchange, door: Door) -> None:
-        await self._ask(exchange, door)
+    async def _plain(self, exchange: Exchange, address: ListenAddress) -> None:
+        await self._request(exchange, address)
 
-    async def _kept(self, exchange: Exchange, door: Door) -> None:
+    async def _kept(self, exchange: Exchange, address: ListenAddress) -> None:
         for _ in range(3):
-            if exchange.over or not await self._ask(exchange, door):
+            if exchange.ended or not await self._request(exchange, address):
                 return
             await asyncio.sleep(self.rng.uniform(0, 1.0))
 
-    async def _resting(self, exchange: Exchange, door: Door) -> None:
+    async def _resting(self, exchange: Exchange, address: ListenAddress) -> None:
         """Asks again just as the dispatcher may end an idle connection."""
-        if await self._ask(exchange, door):
+        if await self._request(exchange, address):
             await asyncio.sleep(self.rng.choice((4.95, 4.99, 5.0, 5.01)))
-            if not exchange.over:
-                await self._ask(exchange, door)
+            if not exchange.ended:
+                await self._request(exchange, address)
 
-    async def _rests(self, exchange: Exchange, door: Door) -> None:
+    async def _rests(self, exchange: Exchange, address: ListenAddress) -> None:
         """Asks once, and again somewhere between its dispatcher's signal to end and the kill."""
-        if not await self._ask(exchange, door):
+        if not await self._request(exchange, address):
             return
-        await self._pause(self.ending[door.name], RESTS_S)
-        await asyncio.sleep(self.rng.uniform(0, self.last_request_s))
-        if exchange.over:
+        await self._pause_until_shutdown(self.shutdown_begun[address.name], RESTS_S)
+        await asyncio.sleep(self.rng.uniform(0, self.kill_after_s))
+        if exchange.ended:
             self.outcomes["ended at rest"] += 1
         else:
-            await self._ask(exchange, door)
+            await self._request(exchange, address)
 
-    async def _late_first(self, exchange: Exchange, door: Door) -> None:
+    async def _late_first(self, exchange: Exchange, address: ListenAddress) -> None:
         await asyncio.sleep(self.rng.uniform(0, 1.9))
-        if exchange.over:
+        if exchange.ended:
             self.outcomes["ended unused"] += 1
         else:
             exchange.used = True  # it has been idle: a close may cross what comes now
-            await self._ask(exchange, door)
+            await self._request(exchange, address)
 
-    async def _slow_writer(self, exchange: Exchange, door: Door) -> None:
-        await self._ask(exchange, door, pieces=8)
+    async def _slow_writer(self, exchange: Exchange, address: ListenAddress) -> None:
+        await self._request(exchange, address, pieces=8)
 
-    async def _leaves(self, exchange: Exchange, door: Door) -> None:
-        kind = self.rng.choice(self.classes)
-        request, data = self._message(kind)
-        self._asked(request, kind, door)
+    async def _leaves(self, exchange: Exchange, address: ListenAddress) -> None:
+        request_class = self.rng.choice(self.classes)
+        request, data = self._message(request_class)
+        self._record_sent(request, request_class, address)
         exchange.writer.write(data)
         await asyncio.sleep(self.rng.uniform(0, 0.6))
         self.oracle.client_closed(self.clock(), request)
         self.outcomes["left"] += 1
 
-    async def _pipelined(self, exchange: Exchange, door: Door) -> None:
+    async def _pipelined(self, exchange: Exchange, address: ListenAddress) -> None:
         sent = []
         for _ in range(PIPELINED):
-            kind = self.rng.choice(self.classes)
-            request, data = self._message(kind)
-            self._asked(request, kind, door)
+            request_class = self.rng.choice(self.classes)
+            request, data = self._message(request_class)
+            self._record_sent(request, request_class, address)
             exchange.writer.write(data)
             sent.append(request)
         for request in sent:
-            if not await self._answer(exchange, request, None):
+            if not await self._read_answer(exchange, request, None):
                 break
         for request in sent:
             self.oracle.client_closed(self.clock(), request)
 
-    async def _half(self, exchange: Exchange, door: Door) -> None:
+    async def _half(self, exchange: Exchange, address: ListenAddress) -> None:
         """Stops in the middle of its request, and stays."""
         _, data = self._message(self.classes[0])
         exchange.writer.write(data[: self.rng.randrange(1, len(data))])
-        await self._is_sent_away(exchange, door)
+        await self._wait_until_ended(exchange, address)
 
-    async def _silent(self, exchange: Exchange, door: Door) -> None:
-        await self._is_sent_away(exchange, door)
+    async def _silent(self, exchange: Exchange, address: ListenAddress) -> None:
+        await self._wait_until_ended(exchange, address)
 
-    async def _is_sent_away(self, exchange: Exchange, door: Door) -> None:
+    async def _wait_until_ended(self, exchange: Exchange, address: ListenAddress) -> None:
         since = self.clock()
         try:
             await asyncio.wait_for(exchange.reader.read(1), NEVER_S)
             self.outcomes["sent away"] += 1
         except TimeoutError:
             self.outcomes["never sent away"] += 1
-        self.oracle.sent_away(self.clock(), door.name, since)
+        self.oracle.sent_away(self.clock(), address.name, since)
 
     # One request.
 
-    def _message(self, kind: ClassOfRequests, request: str = "") -> tuple[str, bytes]:
+    def _message(self, request_class: RequestClass, request: str = "") -> tuple[str, bytes]:
         self._count += 1
         request = request or f"soak-{self._count:06x}"
         prompt = self.rng.choice((300, 900, 3000, 8000))
         body = json.dumps({"model": "chat", "stream": True, "messages": [{"role": "user", "content": "w" * 400}]})
-        key = f"Idempotency-Key: {request}\r\n" if kind.effect == KEYED else ""
+        key = f"Idempotency-Key: {request}\r\n" if request_class.effect == KEYED else ""
         head = (
-            f"POST {PATH} HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {request}\r\nRequest-Class: {kind.name}\r\n"
-            f"Affinity-Key: {self.rng.randrange(40):x}\r\nRequest-Timeout-Ms: {kind.ttl_ms}\r\n"
+            f"POST {PATH} HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {request}\r\nRequest-Class: {request_class.name}\r\n"
+            f"Affinity-Key: {self.rng.randrange(40):x}\r\nRequest-Timeout-Ms: {request_class.ttl_ms}\r\n"
             f"Request-Info: prompt_len={prompt},max_out=100\r\n{key}Content-Length: {len(body)}\r\n\r\n"
         )
         return request, (head + body).encode()
 
-    def _asked(self, request: str, kind: ClassOfRequests, door: Door) -> None:
-        self.oracle.asked(self.clock(), request, door.name, kind.effect, kind.window, kind.ttl_ms * 1000)
+    def _record_sent(self, request: str, request_class: RequestClass, address: ListenAddress) -> None:
+        self.oracle.asked(
+            self.clock(), request, address.name, request_class.effect, request_class.window, request_class.ttl_ms * 1000
+        )
 
-    async def _ask(self, exchange: Exchange, door: Door, pieces: int = 1) -> bool:
+    async def _request(self, exchange: Exchange, address: ListenAddress, pieces: int = 1) -> bool:
         """True: the answer was whole, and the connection may be used again."""
-        kind = self.rng.choice(self.classes)
-        request, data = self._message(kind)
+        request_class = self.rng.choice(self.classes)
+        request, data = self._message(request_class)
         size = len(data) // pieces + 1
         for at in range(0, len(data), size):
             if at:
                 await asyncio.sleep(0.05)
-                if exchange.over:  # it was never written whole, so that nobody has taken it
+                if exchange.ended:  # it was never written whole, so that nobody has taken it
                     self.outcomes["ended half-written"] += 1
                     return False
             exchange.writer.write(data[at : at + size])
-        self._asked(request, kind, door)
-        return await self._answer(exchange, request, (kind, door))
+        self._record_sent(request, request_class, address)
+        return await self._read_answer(exchange, request, (request_class, address))
 
-    async def _answer(self, exchange: Exchange, request: str, again: tuple[ClassOfRequests, Door] | None) -> bool:
+    async def _read_answer(
+        self, exchange: Exchange, request: str, again: tuple[RequestClass, ListenAddress] | None
+    ) -> bool:
         """True: it was whole, and the connection may be used again. `again`: how the request is sent once more, if its
         connection was closed before it was read; None: it is not."""
-        exchange.expect()
+        exchange.expect_response()
         used, exchange.used = exchange.used, True
         status, began = 0, False
         try:
             while True:
-                event = await exchange.next(STREAM_STALL_S if began else NEVER_S)
+                event = await exchange.next_event(STREAM_STALL_S if began else NEVER_S)
                 match event:
                     case Head(code):
                         status = code
@@ -315,61 +319,63 @@
                         self.oracle.finished(self.clock(), request)
                         self.outcomes[str(status)] += 1
                         return reusable and status == 200
-        except (OSError, Closed):
+        except (OSError, ConnectionEndedError):
             if status:
                 self.oracle.stream_broke(self.clock(), request, exchange.port)
                 self.outcomes["broken"] += 1
                 return False
             if self.oracle.ended_unanswered(self.clock(), request, exchange.port, used) and again:
-                return await self._once_more(request, *again)
+                return await self._resend(request, *again)
         except TimeoutError:
             self.oracle.lost(self.clock(), request, "a stream stood still for 6 s" if began else "never answered")
         self.oracle.client_closed(self.clock(), request)
         return False
 
-    async def _once_more(self, request: str, kind: ClassOfRequests, door: Door) -> bool:
+    async def _resend(self, request: str, request_class: RequestClass, address: ListenAddress) -> bool:
         """On a new connection, to whichever dispatcher the front gives it."""
-        doors = [each for each in self.doors.values() if each.name != door.name] or list(self.doors.values())
+        addresses = [each for each in self.addresses.values() if each.name != address.name] or list(
+            self.addresses.values()
+        )
         self.outcomes["sent once more"] += 1
         try:
-            fresh = await Exchange.open(self.rng.choice(doors))
+            fresh = await Exchange.open(self.rng.choice(addresses))
         except (OSError, TimeoutError, IndexError):
             self.oracle.client_closed(self.clock(), request)
             return False
         try:
-            self._asked(request, kind, self._door_of(fresh, doors))
-            fresh.writer.write(self._message(kind, request)[1])
-            await self._answer(fresh, request, None)
+            self._record_sent(request, request_class, self._address_of(fresh, addresses))
+            fresh.writer.write(self._message(request_class, request)[1])
+            await self._read_answer(fresh, request, None)
         finally:
             fresh.close()
         return False
 
     @staticmethod
-    def _door_of(exchange: Exchange, doors: list[Door]) -> Door:
+    def _address_of(exchange: Exchange, addresses: list[ListenAddress]) -> ListenAddress:
         port = exchange.writer.get_extra_info("peername")[1]
-        return next(door for door in doors if door.port == port)
+        return next(address for address in addresses if address.port == port)
 
 
-class Crowd:
+class ConnectionFlood:
     """Clients that connect to one dispatcher, ask for nothing, and come again when they are sent away."""
 
-    def __init__(self, door: Door, size: int) -> None:
-        self.door, self.size = door, size
+    def __init__(self, address: ListenAddress, size: int) -> None:
+        self.address, self.size = address, size
         self._tasks: list[asyncio.Task[None]] = []
 
-    def gather(self) -> None:
-        self._tasks = [asyncio.ensure_future(self._stand()) for _ in range(self.size)]
+    def start(self) -> None:
+        self._tasks = [asyncio.ensure_future(self._hold_connection()) for _ in range(self.size)]
 
-    async def _stand(self) -> None:
+    async def _hold_connection(self) -> None:
         while True:
             with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection(self.door.host, self.door.port)
+                reader, writer = await asyncio.open_connection(self.address.host, self.address.port)
                 try:
                     await reader.read(1)
                 finally:
                     writer.transport.abort()
             await asyncio.sleep(0.1)
 
-    def disperse(self) -> None:
+    def stop(self) -> None:
         for task in self._tasks:
             task.cancel()
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pearhill.lab.soak.clients import ClassOfRequests
+from pearhill.lab.soak.clients import RequestClass
 from pearhill.lab.soak.records import KEYED, SAFE, UNSAFE
 from pearhill.lab.soak.replicas import MISBEHAVIOURS
 from pearhill.lab.soak.slow_start import Rules
@@ -80,7 +80,7 @@
     mixed: int
     rate: float
     settings: dict[str, Any]
-    classes: list[ClassOfRequests]
+    classes: list[RequestClass]
     rules: Rules
     troubles: list[Trouble]
     sockets: int  # of each dispatcher
@@ -91,7 +91,7 @@
         return max(each.ttl_ms for each in self.classes) / 1000
 
 
-def _settings(rng: random.Random, dispatchers: int, classes: list[ClassOfRequests]) -> dict[str, Any]:
+def _settings(rng: random.Random, dispatchers: int, classes: list[RequestClass]) -> dict[str, Any]:
     told = [
         {
             "name": c.name,
@@ -176,9 +176,9 @@
     rng = random.Random(seed)
     times = rng.choice((LONG_MS, SHORT_MS))
     classes = [
-        ClassOfRequests("advice", SAFE, 0, rng.choice(times)),
-        ClassOfRequests("edit", KEYED, rng.choice((300_000, 600_000, 2_000_000)), rng.choice(times)),
-        ClassOfRequests("booking", UNSAFE, 0, rng.choice(times)),
+        RequestClass("advice", SAFE, 0, rng.choice(times)),
+        RequestClass("edit", KEYED, rng.choice((300_000, 600_000, 2_000_000)), rng.choice(times)),
+        RequestClass("booking", UNSAFE, 0, rng.choice(times)),
     ]
     settings = _settings(rng, dispatchers, classes)
     readers, writers, mixed = rng.randint(3, 4), rng.randint(3, 5), rng.randint(0, 2)
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pearhill.lab.soak.clients import Door
+from pearhill.lab.soak.clients import ListenAddress
 from pearhill.lab.soak.oracle import Oracle
 
 READY_WITHIN_S = 30.0
@@ -51,7 +51,7 @@
         self.oracle, self.clock, self.seed = oracle, clock, seed
         self.path = folder / f"{name}.json"
         self.log: list[str] = []
-        self.door: Door | None = None
+        self.door: ListenAddress | None = None
         self.starts = 0
         self.ending = False
         self.commands: list[str] = []  # given to each new process too
@@ -101,7 +101,7 @@
             self.log.append(line)
             del self.log[:-KEPT_LINES]
             if found := _LISTENS.search(line):
-                self.door = Door(self.name, found[1], int(found[2]))
+                self.door = ListenAddress(self.name, found[1], int(found[2]))
                 self._listening.set()
             if found := _BROKE.search(line):
                 self.oracle.peer_lost(self.name, int(found[1]))
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from pearhill.lab.soak.clients import Clients, Crowd
+from pearhill.lab.soak.clients import Clients, ConnectionFlood
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.plan import BREAKING, ZONES, Plan, Trouble, draw
@@ -76,7 +76,7 @@
         self.folder = folder
         self.dispatchers: list[Dispatcher] = []
         self.clients = Clients(plan.seed, plan.classes, self.oracle, _now)
-        self.clients.last_request_s = self._term_s
+        self.clients.kill_after_s = self._term_s
         self.played: list[str] = []
         self._began = 0
         self._busy: set[str] = set()  # dispatchers that are being restarted
@@ -155,7 +155,7 @@
 
     def _open(self, dispatcher: Dispatcher) -> None:
         if dispatcher.door:
-            self.clients.opened(dispatcher.door)
+            self.clients.add_dispatcher(dispatcher.door)
 
     async def _scan(self) -> None:
         while True:
@@ -187,9 +187,9 @@
 
     async def _end(self, dispatcher: Dispatcher, others: Sequence[SignalAt]) -> None:
         ended = asyncio.ensure_future(dispatcher.terminate(self._term_s, others))
-        self.clients.told_to_end(dispatcher.name)
+        self.clients.dispatcher_terminated(dispatcher.name)
         await asyncio.sleep(self.rng.uniform(*NEWS_OF_TERM_S))
-        self.clients.doors.pop(dispatcher.name, None)
+        self.clients.addresses.pop(dispatcher.name, None)
         await ended
 
     def _series(self, how: str) -> list[SignalAt]:
@@ -216,7 +216,7 @@
     async def _kill(self, trouble: Trouble) -> None:
         if dispatcher := self._dispatcher(trouble):
             self._busy.add(dispatcher.name)
-            self.clients.doors.pop(dispatcher.name, None)
+            self.clients.addresses.pop(dispatcher.name, None)
             await dispatcher.kill()
             await self._again(dispatcher)
 
@@ -330,19 +330,19 @@
 
     async def _crowd(self, trouble: Trouble) -> None:
         """Idle clients fill the descriptors of some, also while discovery is down."""
-        doors = list(self.clients.doors.values())
+        doors = list(self.clients.addresses.values())
         self.rng.shuffle(doors)
-        crowds = [Crowd(door, int(trouble.amount)) for door in doors[: max(1, len(doors) // 3)]]
+        crowds = [ConnectionFlood(door, int(trouble.amount)) for door in doors[: max(1, len(doors) // 3)]]
         for crowd in crowds:
-            self.oracle.crowded(_now(), crowd.door.name, True)
-            crowd.gather()
+            self.oracle.crowded(_now(), crowd.address.name, True)
+            crowd.start()
         if trouble.how:
             await self._silence_agents(trouble)
         else:
             await asyncio.sleep(trouble.lasts)
         for crowd in crowds:
-            crowd.disperse()
-            self.oracle.crowded(_now() + SECOND, crowd.door.name, False)
+            crowd.stop()
+            self.oracle.crowded(_now() + SECOND, crowd.address.name, False)
 
 
 def play(seed: int, seconds: float, dispatchers: int) -> Report:
