--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -260,7 +260,7 @@
             self.outcomes["sent away"] += 1
         except TimeoutError:
             self.outcomes["never sent away"] += 1
-        self.oracle.sent_away(self.clock(), address.name, since)
+        self.oracle.bad_client_ended(self.clock(), address.name, since)
 
     # One request.
 
@@ -278,7 +278,7 @@
         return request, (head + body).encode()
 
     def _record_sent(self, request: str, request_class: RequestClass, address: ListenAddress) -> None:
-        self.oracle.asked(
+        self.oracle.request_sent(
             self.clock(), request, address.name, request_class.effect, request_class.window, request_class.ttl_ms * 1000
         )
 
@@ -311,23 +311,25 @@
                 match event:
                     case Head(code):
                         status = code
-                        self.oracle.answered(self.clock(), request, code)
+                        self.oracle.answer_started(self.clock(), request, code)
                     case Data(data):
                         if began := status == 200:
-                            self.oracle.received(request, data)
+                            self.oracle.answer_received(request, data)
                     case End(reusable):
-                        self.oracle.finished(self.clock(), request)
+                        self.oracle.answer_completed(self.clock(), request)
                         self.outcomes[str(status)] += 1
                         return reusable and status == 200
         except (OSError, ConnectionEndedError):
             if status:
-                self.oracle.stream_broke(self.clock(), request, exchange.port)
+                self.oracle.answer_broken(self.clock(), request, exchange.port)
                 self.outcomes["broken"] += 1
                 return False
-            if self.oracle.ended_unanswered(self.clock(), request, exchange.port, used) and again:
+            if self.oracle.connection_ended(self.clock(), request, exchange.port, used) and again:
                 return await self._resend(request, *again)
         except TimeoutError:
-            self.oracle.lost(self.clock(), request, "a stream stood still for 6 s" if began else "never answered")
+            self.oracle.answer_missing(
+                self.clock(), request, "a stream stood still for 6 s" if began else "never answered"
+            )
         self.oracle.client_closed(self.clock(), request)
         return False
 
--- a/pearhill/lab/soak/endings.py
+++ b/pearhill/lab/soak/endings.py
@@ -7,17 +7,17 @@
 
 from dataclasses import dataclass
 
-from pearhill.lab.soak.records import Request, Sent
+from pearhill.lab.soak.records import RequestRecord, SentRequest
 
-EXCUSED_AFTER_TERM = 700_000
-CROSSING = 100_000  # for a close and a request that meet on the way: moments, and not a second
+EXCUSED_AFTER_SIGTERM_US = 700_000
+MAX_CROSSING_US = 100_000  # for a close and a request that meet on the way: moments, and not a second
 # The platform's clients open connections until 0.4 s after SIGTERM at the latest and ask at once; from 0.5 s on a
 # dispatcher may end those on which nothing was asked.
-FIRST_REQUESTS_AFTER_TERM = 500_000
+FIRST_REQUESTS_AFTER_SIGTERM_US = 500_000
 
 
 @dataclass(slots=True)
-class Ending:
+class ProcessEnd:
     """One process's end, in microseconds; 0: not so."""
 
     terminated: int = 0
@@ -25,55 +25,55 @@
     exited: int = 0  # by itself
 
 
-class Endings:
+class ProcessEnds:
     def __init__(self) -> None:
-        self._of: dict[str, list[Ending]] = {}
+        self._by_dispatcher: dict[str, list[ProcessEnd]] = {}
 
     def terminated(self, at: int, dispatcher: str) -> None:
         last = self.last(dispatcher)
         if last is None or last.killed or not last.terminated:
-            self._of.setdefault(dispatcher, []).append(Ending(terminated=at))
+            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(terminated=at))
 
     def killed(self, at: int, dispatcher: str) -> None:
         last = self.last(dispatcher)
         if last and last.terminated and not last.killed:
             last.killed = at
         else:
-            self._of.setdefault(dispatcher, []).append(Ending(killed=at))
+            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(killed=at))
 
     def exited(self, at: int, dispatcher: str) -> None:
         """It ended by itself: a later signal is another process's."""
         if last := self.last(dispatcher):
             last.exited = at
-        self._of.setdefault(dispatcher, []).append(Ending())
+        self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd())
 
-    def last(self, dispatcher: str) -> Ending | None:
-        endings = self._of.get(dispatcher)
+    def last(self, dispatcher: str) -> ProcessEnd | None:
+        endings = self._by_dispatcher.get(dispatcher)
         return endings[-1] if endings else None
 
-    def first_request_was_late(self, sent: Sent) -> bool:
+    def first_request_was_late(self, sent: SentRequest) -> bool:
         """Whether a connection's first request was written when its dispatcher was ending, and later than any client of
         the platform writes one: this machine kept its client back."""
-        for ending in self._of.get(sent.dispatcher, ()):
+        for ending in self._by_dispatcher.get(sent.dispatcher, ()):
             over = ending.killed or ending.exited
-            still_there = not over or sent.at <= over + CROSSING
-            if ending.terminated and still_there and sent.at > ending.terminated + FIRST_REQUESTS_AFTER_TERM:
+            still_there = not over or sent.at <= over + MAX_CROSSING_US
+            if ending.terminated and still_there and sent.at > ending.terminated + FIRST_REQUESTS_AFTER_SIGTERM_US:
                 return True
         return False
 
-    def excuse(self, request: Request, at: int) -> bool:
+    def excuses(self, request: RequestRecord, at: int) -> bool:
         """Whether a kill excuses what became of the request by `at`."""
         return self._excuses(request.sent[-1], at)
 
-    def excuse_any(self, request: Request, at: int) -> bool:
+    def excuses_any(self, request: RequestRecord, at: int) -> bool:
         """The same for what any dispatcher that was asked may have left behind."""
         return any(self._excuses(sent, at) for sent in request.sent)
 
-    def _excuses(self, sent: Sent, at: int) -> bool:
+    def _excuses(self, sent: SentRequest, at: int) -> bool:
         return any(
             ending.killed
-            and sent.at <= ending.killed + CROSSING
-            and ending.killed <= at + CROSSING
-            and (not ending.terminated or sent.at <= ending.terminated + EXCUSED_AFTER_TERM)
-            for ending in self._of.get(sent.dispatcher, ())
+            and sent.at <= ending.killed + MAX_CROSSING_US
+            and ending.killed <= at + MAX_CROSSING_US
+            and (not ending.terminated or sent.at <= ending.terminated + EXCUSED_AFTER_SIGTERM_US)
+            for ending in self._by_dispatcher.get(sent.dispatcher, ())
         )
--- a/pearhill/lab/soak/lateness.py
+++ b/pearhill/lab/soak/lateness.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-EVERY_S = 0.01
-LEAST = 3_000  # microseconds; less is how timers are
-AROUND = 50_000  # a span counts for what happened so long before or after it
+PROBE_INTERVAL_S = 0.01
+MIN_LATENESS_US = 3_000  # microseconds; less is how timers are
+MARGIN_US = 50_000  # a span counts for what happened so long before or after it
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,16 +31,16 @@
         self.clock, self.base = clock, base
         self.loop: list[Span] = []
         self.probe: list[Span] = []
-        self.holds: list[Span] = []  # dispatchers that were stopped on purpose
+        self.stops: list[Span] = []  # dispatchers that were stopped on purpose
 
     def between(self, since: int, until: int) -> int:
         """What may be added to a limit for something that began and was seen then: all that each source was late by.
         What passes proxies takes several turns of the loop, and each may be late."""
-        return self.base + sum(self._sum(spans, since, until) for spans in (self.loop, self.probe, self.holds))
+        return self.base + sum(self._sum(spans, since, until) for spans in (self.loop, self.probe, self.stops))
 
     @staticmethod
     def _sum(spans: list[Span], since: int, until: int) -> int:
-        return sum(s.late for s in spans if s.since <= until + AROUND and s.until >= since - AROUND)
+        return sum(s.late for s in spans if s.since <= until + MARGIN_US and s.until >= since - MARGIN_US)
 
     @property
     def worst(self) -> int:
@@ -49,8 +49,8 @@
     async def watch_loop(self) -> None:
         while True:
             before = self.clock()
-            await asyncio.sleep(EVERY_S)
-            note(self.loop, before, self.clock())
+            await asyncio.sleep(PROBE_INTERVAL_S)
+            record_sleep(self.loop, before, self.clock())
 
     async def watch_probe(self) -> None:
         process = await asyncio.create_subprocess_exec(
@@ -60,16 +60,16 @@
         try:
             while line := await process.stdout.readline():
                 since, until = map(int, line.split())
-                note(self.probe, since, until)
+                record_sleep(self.probe, since, until)
         finally:
             process.kill()
             await process.wait()
 
 
-def note(spans: list[Span], since: int, until: int) -> None:
+def record_sleep(spans: list[Span], since: int, until: int) -> None:
     """A sleep of `EVERY_S` began and ended then."""
-    late = until - since - int(EVERY_S * 1e6)
-    if late >= LEAST:
+    late = until - since - int(PROBE_INTERVAL_S * 1e6)
+    if late >= MIN_LATENESS_US:
         spans.append(Span(since, until, late))
 
 
@@ -77,9 +77,9 @@
     """Tells each late sleep: when it began and ended, in microseconds of the monotonic clock, which processes share."""
     while True:
         before = time.monotonic_ns() // 1000
-        time.sleep(EVERY_S)
+        time.sleep(PROBE_INTERVAL_S)
         after = time.monotonic_ns() // 1000
-        if after - before - EVERY_S * 1e6 >= LEAST:
+        if after - before - PROBE_INTERVAL_S * 1e6 >= MIN_LATENESS_US:
             print(before, after, flush=True)
 
 
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -7,15 +7,15 @@
 from typing import Any
 
 from pearhill.lab.soak.clients import RequestClass
-from pearhill.lab.soak.records import KEYED, SAFE, UNSAFE
-from pearhill.lab.soak.replicas import MISBEHAVIOURS
-from pearhill.lab.soak.slow_start import Rules
+from pearhill.lab.soak.records import IDEMPOTENT, KEYED, NON_IDEMPOTENT
+from pearhill.lab.soak.replicas import MISBEHAVIOUR_KINDS
+from pearhill.lab.soak.slow_start import PlatformLimits
 
 ZONES = ("north", "south")
 FEW_SOCKETS, MANY_SOCKETS = 160, 512  # limits of a dispatcher; few where a crowd is to fill them
-CROWD = 80  # idle clients, more than fit
+FLOOD_CONNECTIONS = 80  # idle clients, more than fit
 REGULAR_RATE = 5.0  # requests a second of all regulars of a dispatcher, roughly
-TROUBLES = (
+FAULT_KINDS = (
     "terminate",
     "kill",
     "reload",
@@ -33,7 +33,7 @@
     "hang-and-terminate",
 )
 # The likelier ones: ends, and what meets them.
-OFTEN = {"terminate": 4, "hang-and-terminate": 2, "misbehave": 3, "reload": 2}
+FAULT_WEIGHTS = {"terminate": 4, "hang-and-terminate": 2, "misbehave": 3, "reload": 2}
 CALL_ERRORS = (
     ("accept", "ECONNABORTED"),
     ("accept", "ENFILE"),
@@ -52,21 +52,26 @@
     ("recv-client", "ETIMEDOUT"),
     ("send-client", "EHOSTUNREACH"),
 )
-BREAKING = ("recv-server", "send-server", "recv-client", "send-client")  # a connection that fails so is over
+CONNECTION_BREAKING_CALLS = (
+    "recv-server",
+    "send-server",
+    "recv-client",
+    "send-client",
+)  # a connection that fails so is over
 SERIES = ("plain", "twice", "reload", "report", "all")  # what comes with a SIGTERM
 LONG_MS, SHORT_MS = (1500, 2000, 3000, 4000), (250, 400, 600, 1000)
 WALL_STEPS_S = (-3600.0, -7.0, -2.0, 2.0, 7.0, 3600.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """`at` and `lasts` in seconds from the first request; `pick` chooses whom it meets."""
 
     kind: str
-    at: float
-    lasts: float
+    at_s: float
+    duration_s: float
     pick: float
-    how: str = ""
+    variant: str = ""
     amount: float = 0.0
 
 
@@ -75,24 +80,24 @@
     seed: int
     seconds: float
     dispatchers: int
-    readers: int
-    writers: int
-    mixed: int
+    prefill_replicas: int
+    decode_replicas: int
+    mixed_replicas: int
     rate: float
     settings: dict[str, Any]
     classes: list[RequestClass]
-    rules: Rules
-    troubles: list[Trouble]
+    rules: PlatformLimits
+    faults: list[Fault]
     sockets: int  # of each dispatcher
 
     @property
-    def longest_s(self) -> float:
+    def longest_timeout_s(self) -> float:
         """The longest deadline of the settings."""
         return max(each.ttl_ms for each in self.classes) / 1000
 
 
 def _settings(rng: random.Random, dispatchers: int, classes: list[RequestClass]) -> dict[str, Any]:
-    told = [
+    classes_settings = [
         {
             "name": c.name,
             "aim": c.ttl_ms * 300,
@@ -116,7 +121,7 @@
             "retry-after": True,
             "second-copies": False,
         },
-        "classes": told,
+        "classes": classes_settings,
         "extra": {
             "aim-us-per-1000-prompt-tokens": [40000] * 3,
             "local-read": rng.random() < 0.5,
@@ -140,34 +145,34 @@
     }
 
 
-def _trouble(rng: random.Random, kind: str, seconds: float) -> Trouble:
-    at, lasts, pick = rng.uniform(0.5, seconds - 1), rng.uniform(0.5, seconds / 2), rng.random()
+def _draw_fault(rng: random.Random, kind: str, seconds: float) -> Fault:
+    at_s, duration_s, pick = rng.uniform(0.5, seconds - 1), rng.uniform(0.5, seconds / 2), rng.random()
     match kind:
         case "hold":
-            return Trouble(kind, at, rng.uniform(0.02, 0.15), pick)
+            return Fault(kind, at_s, rng.uniform(0.02, 0.15), pick)
         case "wall":
-            return Trouble(kind, at, 0, pick, amount=rng.choice(WALL_STEPS_S))
+            return Fault(kind, at_s, 0, pick, amount=rng.choice(WALL_STEPS_S))
         case "misbehave":
-            return Trouble(kind, at, lasts, pick, rng.choice(MISBEHAVIOURS), rng.choice((0.3, 1.0)))
+            return Fault(kind, at_s, duration_s, pick, rng.choice(MISBEHAVIOUR_KINDS), rng.choice((0.3, 1.0)))
         case "fail-calls":
-            return Trouble(kind, at, min(lasts, 1.0), pick, _failing_calls(rng))
+            return Fault(kind, at_s, min(duration_s, 1.0), pick, _failing_calls(rng))
         case "terminate" | "hang-and-terminate":
-            return Trouble(kind, at, lasts, pick, rng.choice(SERIES))
+            return Fault(kind, at_s, duration_s, pick, rng.choice(SERIES))
         case "reload":
-            return Trouble(kind, at, lasts, pick, amount=rng.choice((2, 5)))
+            return Fault(kind, at_s, duration_s, pick, amount=rng.choice((2, 5)))
         case "crowd":
-            return Trouble(kind, at, lasts, pick, rng.choice(("", "discovery is down")), CROWD)
+            return Fault(kind, at_s, duration_s, pick, rng.choice(("", "discovery is down")), FLOOD_CONNECTIONS)
         case "resets":
-            return Trouble(kind, at, lasts, pick, amount=0.05)
+            return Fault(kind, at_s, duration_s, pick, amount=0.05)
         case "pieces":
-            return Trouble(kind, at, lasts, pick, amount=rng.choice((7, 100)))
-    return Trouble(kind, at, lasts, pick)
+            return Fault(kind, at_s, duration_s, pick, amount=rng.choice((7, 100)))
+    return Fault(kind, at_s, duration_s, pick)
 
 
 def _failing_calls(rng: random.Random) -> str:
     """One kind, or two at once: CALL ERRNO SHARE, divided by commas."""
     chosen = rng.sample(CALL_ERRORS, rng.choice((1, 2)))
-    shares = [rng.choice((0.01, 0.03) if call in BREAKING else (0.3, 0.8)) for call, _ in chosen]
+    shares = [rng.choice((0.01, 0.03) if call in CONNECTION_BREAKING_CALLS else (0.3, 0.8)) for call, _ in chosen]
     return ",".join(f"{call} {error} {share}" for (call, error), share in zip(chosen, shares, strict=True))
 
 
@@ -176,24 +181,37 @@
     rng = random.Random(seed)
     times = rng.choice((LONG_MS, SHORT_MS))
     classes = [
-        RequestClass("advice", SAFE, 0, rng.choice(times)),
+        RequestClass("advice", IDEMPOTENT, 0, rng.choice(times)),
         RequestClass("edit", KEYED, rng.choice((300_000, 600_000, 2_000_000)), rng.choice(times)),
-        RequestClass("booking", UNSAFE, 0, rng.choice(times)),
+        RequestClass("booking", NON_IDEMPOTENT, 0, rng.choice(times)),
     ]
     settings = _settings(rng, dispatchers, classes)
-    readers, writers, mixed = rng.randint(3, 4), rng.randint(3, 5), rng.randint(0, 2)
+    prefill_replicas, decode_replicas, mixed_replicas = rng.randint(3, 4), rng.randint(3, 5), rng.randint(0, 2)
     rate, rules = rng.choice((25.0, 40.0)), settings["rules"]
-    limits = Rules(
+    limits = PlatformLimits(
         300_000,
         rules["drain-grace"],
         rules["cold"],
         rules["cold-from"],
         rules["fall"],
         rules["fall-multiple"],
-        1.4 * (rate + REGULAR_RATE * dispatchers) / (min(readers, writers) + mixed),
+        1.4 * (rate + REGULAR_RATE * dispatchers) / (min(prefill_replicas, decode_replicas) + mixed_replicas),
     )
-    weights = [OFTEN.get(kind, 1) for kind in TROUBLES]
-    kinds = rng.choices(TROUBLES, weights, k=rng.randint(7, 12))
-    troubles = sorted((_trouble(rng, kind, seconds) for kind in kinds), key=lambda t: t.at)
+    weights = [FAULT_WEIGHTS.get(kind, 1) for kind in FAULT_KINDS]
+    kinds = rng.choices(FAULT_KINDS, weights, k=rng.randint(7, 12))
+    faults = sorted((_draw_fault(rng, kind, seconds) for kind in kinds), key=lambda t: t.at_s)
     sockets = FEW_SOCKETS if "crowd" in kinds else MANY_SOCKETS
-    return Plan(seed, seconds, dispatchers, readers, writers, mixed, rate, settings, classes, limits, troubles, sockets)
+    return Plan(
+        seed,
+        seconds,
+        dispatchers,
+        prefill_replicas,
+        decode_replicas,
+        mixed_replicas,
+        rate,
+        settings,
+        classes,
+        limits,
+        faults,
+        sockets,
+    )
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -17,11 +17,11 @@
 from pearhill.lab.soak.clients import ListenAddress
 from pearhill.lab.soak.oracle import Oracle
 
-READY_WITHIN_S = 30.0
-KEPT_LINES = 400
-_LISTENS = re.compile(r"listens on ([\d.]+):(\d+)")
-_BROKE = re.compile(r"shim: broke the connection of [\d.]+:(\d+)")
-_FAULTS = re.compile(r"Traceback|task failed|failed on|reached its deadline without an answer|violation rule=")
+START_TIMEOUT_S = 30.0
+MAX_LOG_LINES = 400
+_LISTENING = re.compile(r"listens on ([\d.]+):(\d+)")
+_BROKEN_CONNECTION = re.compile(r"shim: broke the connection of [\d.]+:(\d+)")
+_FAULT_LINES = re.compile(r"Traceback|task failed|failed on|reached its deadline without an answer|violation rule=")
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,9 +51,9 @@
         self.oracle, self.clock, self.seed = oracle, clock, seed
         self.path = folder / f"{name}.json"
         self.log: list[str] = []
-        self.door: ListenAddress | None = None
+        self.address: ListenAddress | None = None
         self.starts = 0
-        self.ending = False
+        self.shutting_down = False
         self.commands: list[str] = []  # given to each new process too
         self._listening = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
@@ -76,7 +76,7 @@
 
     async def start(self) -> None:
         self.starts += 1
-        self.ending = False
+        self.shutting_down = False
         self.write_config()
         environ = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
         environ |= {"RELAY_CONFIG": str(self.path), "SOAK_SEED": str(self.seed)}
@@ -90,31 +90,31 @@
             env=environ,
         )
         for line in self.commands:
-            self._say(line)
+            self._send_command(line)
         self._follower = asyncio.ensure_future(self._follow(process))
-        await asyncio.wait_for(self._listening.wait(), READY_WITHIN_S)
+        await asyncio.wait_for(self._listening.wait(), START_TIMEOUT_S)
 
     async def _follow(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
         while raw := await process.stderr.readline():
             line = raw.decode(errors="replace").rstrip()
             self.log.append(line)
-            del self.log[:-KEPT_LINES]
-            if found := _LISTENS.search(line):
-                self.door = ListenAddress(self.name, found[1], int(found[2]))
+            del self.log[:-MAX_LOG_LINES]
+            if found := _LISTENING.search(line):
+                self.address = ListenAddress(self.name, found[1], int(found[2]))
                 self._listening.set()
-            if found := _BROKE.search(line):
-                self.oracle.peer_lost(self.name, int(found[1]))
-            if _FAULTS.search(line):
+            if found := _BROKEN_CONNECTION.search(line):
+                self.oracle.client_connection_broken(self.name, int(found[1]))
+            if _FAULT_LINES.search(line):
                 self.oracle.process_fault(self.clock(), self.name, line)
         code = await process.wait()
-        if self.ending:
+        if self.shutting_down:
             if code not in (0, -signal.SIGKILL):
                 self.oracle.process_fault(self.clock(), self.name, f"exit code {code} after SIGTERM")
         else:
             self.oracle.process_fault(self.clock(), self.name, f"ended by itself with exit code {code}")
 
-    def _say(self, line: str) -> None:
+    def _send_command(self, line: str) -> None:
         if self.process and self.process.stdin and self.process.returncode is None:
             self.process.stdin.write(line.encode() + b"\n")
 
@@ -122,7 +122,7 @@
         """A line to the shim. `lasting`: processes started later get it too."""
         if lasting:
             self.commands.append(line)
-        self._say(line)
+        self._send_command(line)
 
     def signal(self, number: int) -> None:
         if self.process and self.process.returncode is None:
@@ -137,10 +137,10 @@
         """SIGTERM, and SIGKILL after so long. `others`: signals that come meanwhile. True: it ended by itself."""
         process = self.process
         assert process
-        self.ending = True
+        self.shutting_down = True
         self.oracle.terminated(self.clock(), self.name)
         self.signal(signal.SIGTERM)
-        later = asyncio.ensure_future(self._signal_later(process, others))
+        later = asyncio.ensure_future(self._send_signals(process, others))
         try:
             await asyncio.wait_for(process.wait(), within_s)
             self.oracle.exited(self.clock(), self.name)
@@ -153,14 +153,14 @@
             return False
         finally:
             later.cancel()
-            await self._seen_off()
+            await self._wait_for_follower()
 
-    async def _seen_off(self) -> None:
+    async def _wait_for_follower(self) -> None:
         """Its last lines are read, and its exit code, before another process takes its name."""
         if self._follower:
             await self._follower
 
-    async def _signal_later(self, process: asyncio.subprocess.Process, others: Sequence[SignalAt]) -> None:
+    async def _send_signals(self, process: asyncio.subprocess.Process, others: Sequence[SignalAt]) -> None:
         for each in others:
             await asyncio.sleep(each.after_s)
             if process.returncode is None:
@@ -169,8 +169,8 @@
     async def kill(self) -> None:
         process = self.process
         if process and process.returncode is None:
-            self.ending = True
+            self.shutting_down = True
             process.kill()
             self.oracle.killed(self.clock(), self.name)
             await process.wait()
-        await self._seen_off()
+        await self._wait_for_follower()
--- a/pearhill/lab/soak/proxy.py
+++ b/pearhill/lab/soak/proxy.py
@@ -16,38 +16,38 @@
 from dataclasses import dataclass
 from typing import Any
 
-PIECE = 16 * 1024
+READ_BYTES = 16 * 1024
 LINGER_RESET = struct.pack("ii", 1, 0)
 _REQUEST_ID = re.compile(rb"Request-Id: (\S+)", re.IGNORECASE)
 
 
-class End(enum.Enum):
+class InputEnd(enum.Enum):
     """What stands behind the bytes that were read."""
 
     NONE, CLOSED, RESET = range(3)
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReadResult:
     """All that was there to read."""
 
     data: bytes
-    end: End
+    end: InputEnd
 
 
-class Pair:
+class ProxiedConnection:
     """One connection on both sides of the proxy. It is closed by the task that serves it, and by nobody else: a socket
     that is closed while the loop still polls it may hand its number to another."""
 
     def __init__(self, outer: socket.socket, inner: socket.socket) -> None:
         self.outer, self.inner = outer, inner
         self.request = ""  # the last one that passed
-        self.ways: list[asyncio.Task[None]] = []
+        self.directions: list[asyncio.Task[None]] = []
 
     def end_with_reset(self) -> None:
         for sock in (self.outer, self.inner):
             reset_at_close(sock)
-        for way in self.ways:
+        for way in self.directions:
             way.cancel()
 
     def close(self) -> None:
@@ -68,7 +68,7 @@
         self.address = ""
         self._loop = asyncio.get_running_loop()
         self._healed = asyncio.Event()
-        self._stale: set[Pair] = set()
+        self._stale: set[ProxiedConnection] = set()
         self._unpaired: set[socket.socket] = set()  # came up while the proxy was silent
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = socket.create_server(("127.0.0.1", 0), backlog=1024)
@@ -118,26 +118,29 @@
             return
         inner = socket.socket()
         inner.setblocking(False)
-        pair = Pair(outer, inner)
+        pair = ProxiedConnection(outer, inner)
         try:
             await self._loop.sock_connect(inner, ("127.0.0.1", self.port))
             inner.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            pair.ways = [self._spawn(self._pass(pair, outer, inner)), self._spawn(self._pass(pair, inner, outer))]
-            await asyncio.wait(pair.ways, return_when=asyncio.FIRST_COMPLETED)
-            for way in pair.ways:
+            pair.directions = [
+                self._spawn(self._forward(pair, outer, inner)),
+                self._spawn(self._forward(pair, inner, outer)),
+            ]
+            await asyncio.wait(pair.directions, return_when=asyncio.FIRST_COMPLETED)
+            for way in pair.directions:
                 way.cancel()
-            await asyncio.gather(*pair.ways, return_exceptions=True)
+            await asyncio.gather(*pair.directions, return_exceptions=True)
         except OSError:
             pass
         finally:
             self._stale.discard(pair)
             pair.close()
 
-    async def _pass(self, pair: Pair, source: socket.socket, to: socket.socket) -> None:
+    async def _forward(self, pair: ProxiedConnection, source: socket.socket, to: socket.socket) -> None:
         """One way, until its end or its reset, which is passed on right behind the last bytes."""
         with contextlib.suppress(OSError):
             while True:
-                taken = await self._take(source)
+                taken = await self._read_available(source)
                 if source is pair.outer and (found := _REQUEST_ID.search(taken.data)):
                     pair.request = found[1].decode()
                 if self.silent:
@@ -152,23 +155,23 @@
                     await self._loop.sock_sendall(to, taken.data)
                 if resets:
                     return self._reset(pair)
-                if taken.end == End.RESET:
+                if taken.end == InputEnd.RESET:
                     return reset_at_close(to)
-                if taken.end == End.CLOSED:
+                if taken.end == InputEnd.CLOSED:
                     return
 
-    async def _take(self, source: socket.socket) -> Taken:
+    async def _read_available(self, source: socket.socket) -> ReadResult:
         gathered = bytearray()
         try:
-            while data := (source.recv(PIECE) if gathered else await self._loop.sock_recv(source, PIECE)):
+            while data := (source.recv(READ_BYTES) if gathered else await self._loop.sock_recv(source, READ_BYTES)):
                 gathered += data
         except BlockingIOError:
-            return Taken(bytes(gathered), End.NONE)
+            return ReadResult(bytes(gathered), InputEnd.NONE)
         except OSError:
-            return Taken(bytes(gathered), End.RESET)
-        return Taken(bytes(gathered), End.CLOSED)
+            return ReadResult(bytes(gathered), InputEnd.RESET)
+        return ReadResult(bytes(gathered), InputEnd.CLOSED)
 
-    def _reset(self, pair: Pair) -> None:
+    def _reset(self, pair: ProxiedConnection) -> None:
         if pair.request:
             self.on_reset(pair.request)
         pair.end_with_reset()
--- a/pearhill/lab/soak/records.py
+++ b/pearhill/lab/soak/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 SECOND = 1_000_000
-SAFE, KEYED, UNSAFE = "read_like", "idempotency_key", "non_idempotent"
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = "read_like", "idempotency_key", "non_idempotent"
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,32 +22,32 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class AttemptRecord:
     """One request that arrived whole at a replica."""
 
     replica: str
     at: int
-    answers: bool  # the replica writes the answer; a reader's run has no effect
+    writes_answer: bool  # the replica writes the answer; a reader's run has no effect
     ended: int = 0
-    may_have_run: bool = True
+    may_have_executed: bool = True
     closed_by_dispatcher: bool = False
-    wrote: bytearray = field(default_factory=bytearray)  # whole events of its stream
-    wrote_at: int = 0  # the last of them
+    written: bytearray = field(default_factory=bytearray)  # whole events of its stream
+    written_at: int = 0  # the last of them
     finished: bool = False  # the last chunk too
     broken_at: int = 0  # the replica, or the network, ended its connection before that, or spoilt its stream
 
 
 @dataclass(slots=True)
-class Held:
+class HeldState:
     """A state that waits at a reader; `since`: the last moment at which an attempt was out for it."""
 
-    reader: str
+    replica: str
     since: int
     reported: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentRequest:
     """One writing of a request to a dispatcher: its last byte."""
 
     dispatcher: str
@@ -55,21 +55,21 @@
 
 
 @dataclass(slots=True)
-class Request:
+class RequestRecord:
     """One request of a client, known by its id; sent once more, it is the same one."""
 
-    effect: str
-    window: int
-    ttl: int
-    sent: list[Sent]
+    idempotency: str
+    idempotency_window: int
+    timeout: int
+    sent: list[SentRequest]
     closed: int = 0  # its client has gone
     answered: int = 0  # the final answer's first byte
     status: int = 0
     ended: int = 0  # nothing more of an answer comes: it was whole, it broke, or the client has gone
     late_end_reported: bool = False
-    got: bytearray = field(default_factory=bytearray)  # of a stream
-    attempts: list[Attempt] = field(default_factory=list)
-    held: Held | None = None
+    received: bytearray = field(default_factory=bytearray)  # of a stream
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    held: HeldState | None = None
     trace: list[str] = field(default_factory=list)
 
     @property
@@ -86,6 +86,10 @@
         self.trace.append(f"{(at - self.sent[0].at) / 1000:+.0f} {what}")
 
     @property
-    def streaming(self) -> Attempt | None:
+    def streaming(self) -> AttemptRecord | None:
         """The attempt whose events the client has begun to get."""
-        return next((a for a in self.attempts if a.wrote and a.wrote.startswith(self.got)), None) if self.got else None
+        return (
+            next((a for a in self.attempts if a.written and a.written.startswith(self.received)), None)
+            if self.received
+            else None
+        )
--- a/pearhill/lab/soak/replicas.py
+++ b/pearhill/lab/soak/replicas.py
@@ -14,12 +14,12 @@
 from pearhill.http1.server import ServerConnection
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.proxy import Proxy, reset
-from pearhill.lab.soak.records import Attempt
+from pearhill.lab.soak.records import AttemptRecord
 
-READER, WRITER, MIXED = "read", "write", "both"
+PREFILL, DECODE, MIXED = "read", "write", "both"
 EVENTS = 6
 HANG_S = 60.0
-MISBEHAVIOURS = (
+MISBEHAVIOUR_KINDS = (
     "error",
     "reset",
     "hang",
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Speeds:
-    read_s: float
+    prefill_s: float
     first_event_s: float
     event_s: float
 
@@ -62,7 +62,7 @@
     ) -> None:
         self.uid, self.role, self.zone, self.cell, self.speeds = uid, role, zone, cell, speeds
         self.oracle, self.rng, self.clock, self.seed = oracle, random.Random(seed), clock, seed
-        self.misbehaves, self.how = 0.0, "error"
+        self.misbehaving_share, self.misbehaviour = 0.0, "error"
         self.state, self.boot_ms = "active", 0
         self.requests = 0
         self._server: asyncio.Server | None = None
@@ -74,13 +74,13 @@
         await self.proxy.start()
 
     def _connection_reset(self, request: str) -> None:
-        self.oracle.stream_spoilt(self.clock(), request)
+        self.oracle.attempt_stream_broken(self.clock(), request)
 
     def restart(self, wall_ms: int) -> None:
         """The process dies, its connections with it, and a cold one is there at once."""
         for task in list(self._connections):
             task.cancel()
-        self.oracle.reader_restarted(self.uid)
+        self.oracle.prefill_replica_restarted(self.uid)
         self.boot_ms = wall_ms
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,7 +104,7 @@
         """False: the connection ends here."""
         if message.path.startswith("/state/"):
             request = message.path.removeprefix("/state/")
-            self.oracle.released(self.clock(), request, self.uid)
+            self.oracle.release_arrived(self.clock(), request, self.uid)
             writer.write(answer(204 if message.method == "DELETE" else 404))
             return True
         if message.method != "POST":
@@ -119,102 +119,114 @@
         writer: asyncio.StreamWriter,
     ) -> bool:
         request = message.headers.get("request-id", "")
-        told = int(message.headers.get("request-timeout-ms", "0"))
+        timeout_ms = int(message.headers.get("request-timeout-ms", "0"))
         self.requests += 1
-        attempt = self.oracle.arrived(self.clock(), request, self.uid, self.role != READER, told, self.role)
-        left = asyncio.ensure_future(_end_of(reader))
+        attempt = self.oracle.attempt_arrived(
+            self.clock(), request, self.uid, self.role != PREFILL, timeout_ms, self.role
+        )
+        connection_end = asyncio.ensure_future(_end_of(reader))
         work = asyncio.ensure_future(self._work(request, attempt, writer))
         try:
-            await asyncio.wait((left, work), return_when=asyncio.FIRST_COMPLETED)
-            return work.done() and not left.done() and await work
+            await asyncio.wait((connection_end, work), return_when=asyncio.FIRST_COMPLETED)
+            return work.done() and not connection_end.done() and await work
         finally:
-            if left.done():
+            if connection_end.done():
                 attempt.closed_by_dispatcher = True
             elif not work.done():  # this process ends
-                self.oracle.stream_spoilt(self.clock(), request, attempt)
-            left.cancel()
+                self.oracle.attempt_stream_broken(self.clock(), request, attempt)
+            connection_end.cancel()
             work.cancel()
-            await asyncio.gather(left, work, return_exceptions=True)
+            await asyncio.gather(connection_end, work, return_exceptions=True)
             if not attempt.ended:
-                self.oracle.attempt_over(self.clock(), request, attempt)
+                self.oracle.attempt_ended(self.clock(), request, attempt)
 
-    async def _work(self, request: str, attempt: Attempt, writer: asyncio.StreamWriter) -> bool:
-        how = self.how if self.rng.random() < self.misbehaves else ""
-        if how == "full":
-            return self._turned_away(request, attempt, writer, 503)
-        if how == "hang":
+    async def _work(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
+        misbehaviour = self.misbehaviour if self.rng.random() < self.misbehaving_share else ""
+        if misbehaviour == "full":
+            return self._reject(request, attempt, writer, 503)
+        if misbehaviour == "hang":
             await asyncio.sleep(HANG_S)
-        if self.role == READER:
-            return await self._read(request, attempt, writer, how)
-        return await self._write(request, attempt, writer, how)
+        if self.role == PREFILL:
+            return await self._prefill(request, attempt, writer, misbehaviour)
+        return await self._decode(request, attempt, writer, misbehaviour)
 
-    def _turned_away(self, request: str, attempt: Attempt, writer: asyncio.StreamWriter, status: int) -> bool:
-        self.oracle.attempt_over(self.clock(), request, attempt, never_ran=True)
+    def _reject(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, status: int) -> bool:
+        self.oracle.attempt_ended(self.clock(), request, attempt, never_ran=True)
         writer.write(answer(status, (("Not-Started", "1"),)))
         return True
 
-    async def _read(self, request: str, attempt: Attempt, writer: asyncio.StreamWriter, how: str) -> bool:
-        await asyncio.sleep(self.speeds.read_s * self.rng.uniform(0.5, 1.5) * (4 if how == "late-answer" else 1))
-        if how in ("error", "half-line"):
+    async def _prefill(
+        self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
+    ) -> bool:
+        await asyncio.sleep(
+            self.speeds.prefill_s * self.rng.uniform(0.5, 1.5) * (4 if misbehaviour == "late-answer" else 1)
+        )
+        if misbehaviour in ("error", "half-line"):
             writer.write(answer(500))
             return True
-        self.oracle.read(self.clock(), request, self.uid)
-        self.oracle.attempt_over(self.clock(), request, attempt)
-        if how in ("reset", "stall"):  # the read has ended well, its answer is lost
+        self.oracle.prompt_prefilled(self.clock(), request, self.uid)
+        self.oracle.attempt_ended(self.clock(), request, attempt)
+        if misbehaviour in ("reset", "stall"):  # the read has ended well, its answer is lost
             reset(writer)
             return False
         writer.write(answer(202, (("Content-Type", "application/json"),), json.dumps({"cached_tokens": 4}).encode()))
-        return await self._second_answer(writer) if how == "second-answer" else True
+        return await self._second_answer(writer) if misbehaviour == "second-answer" else True
 
     async def _second_answer(self, writer: asyncio.StreamWriter) -> bool:
         await asyncio.sleep(0.002)
         writer.write(answer(500))
         return True
 
-    async def _write(self, request: str, attempt: Attempt, writer: asyncio.StreamWriter, how: str) -> bool:
-        if self.role == WRITER and not self.oracle.holds(request):
-            return self._turned_away(request, attempt, writer, 410)
-        if how == "error":
+    async def _decode(
+        self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
+    ) -> bool:
+        if self.role == DECODE and not self.oracle.holds_state(request):
+            return self._reject(request, attempt, writer, 410)
+        if misbehaviour == "error":
             writer.write(answer(500))
             return True
-        await asyncio.sleep(self.speeds.first_event_s * self.rng.uniform(0.5, 2.0) * (4 if how == "late-answer" else 1))
-        if how == "reset":
+        await asyncio.sleep(
+            self.speeds.first_event_s * self.rng.uniform(0.5, 2.0) * (4 if misbehaviour == "late-answer" else 1)
+        )
+        if misbehaviour == "reset":
             reset(writer)
             return False
-        self.oracle.fetched(request)
+        self.oracle.state_fetched(request)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
         for number in range(EVENTS):
             # No two attempts write the same: what a client gets is some one's alone.
             event = _EVENT % f"{self.uid}.{self.requests}.{number}".encode()
-            self.oracle.wrote(self.clock(), attempt, event)
+            self.oracle.attempt_wrote(self.clock(), attempt, event)
             writer.write(chunk(event))
-            if number == EVENTS // 2 and not await self._goes_on(request, attempt, writer, how):
+            if number == EVENTS // 2 and not await self._continues(request, attempt, writer, misbehaviour):
                 return False
             await writer.drain()
             await asyncio.sleep(self.speeds.event_s)
-        self.oracle.wrote(self.clock(), attempt, _LAST)
+        self.oracle.attempt_wrote(self.clock(), attempt, _LAST)
         attempt.finished = True
         writer.write(chunk(_LAST) + LAST_CHUNK)
-        if how == "last-reset":
+        if misbehaviour == "last-reset":
             reset(writer)
             return False
         await writer.drain()
-        return await self._second_answer(writer) if how == "second-answer" else True
+        return await self._second_answer(writer) if misbehaviour == "second-answer" else True
 
-    async def _goes_on(self, request: str, attempt: Attempt, writer: asyncio.StreamWriter, how: str) -> bool:
+    async def _continues(
+        self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
+    ) -> bool:
         """What goes wrong in the middle of a stream. False: it has ended there."""
-        if how == "stall":
+        if misbehaviour == "stall":
             await asyncio.sleep(HANG_S)
-        if how not in ("half-line", "event-reset"):
+        if misbehaviour not in ("half-line", "event-reset"):
             return True
-        self.oracle.stream_spoilt(self.clock(), request, attempt)
-        if how == "event-reset":  # right behind the event
+        self.oracle.attempt_stream_broken(self.clock(), request, attempt)
+        if misbehaviour == "event-reset":  # right behind the event
             reset(writer)
         else:
             writer.write(chunk(b'data: {"choi'))
         return False
 
-    def target(self) -> dict[str, object]:
+    def endpoint(self) -> dict[str, object]:
         """This replica as discovery lists it."""
         return {
             "uid": self.uid,
@@ -238,68 +250,68 @@
     await reader.read(1)
 
 
-ASKED_WITHIN = 250_000  # a silent agent is asked each 50 to 100 ms; one that is back has been asked by then
+POLLED_WITHIN_US = 250_000  # a silent agent is asked each 50 to 100 ms; one that is back has been asked by then
 REQUEST_TARGET = re.compile(r"after=(\d+)(?:&wait_ms=(\d+))?")
 
 
-class Agent:
+class DiscoveryAgent:
     """One dispatcher's discovery agent: it has the list, and may be silent."""
 
     def __init__(self, dispatcher: str, oracle: Oracle, clock: Callable[[], int]) -> None:
         self.dispatcher, self.oracle, self.clock = dispatcher, oracle, clock
-        self.rev, self.targets = 1, dict[str, dict[str, object]]()
+        self.revision, self.endpoints = 1, dict[str, dict[str, object]]()
         self._changed = asyncio.Condition()
-        self._silent: asyncio.Event | None = None
-        self._late: list[dict[str, object]] = []
-        self._learned: dict[str, int] = {}  # when each target was last learned
+        self._silence_over: asyncio.Event | None = None
+        self._unpublished: list[dict[str, object]] = []
+        self._published_at: dict[str, int] = {}  # when each target was last learned
         self._server: asyncio.Server | None = None
         self.address = ""
 
     @property
     def is_silent(self) -> bool:
-        return self._silent is not None
+        return self._silence_over is not None
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=64)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    async def tell(self, target: dict[str, object]) -> None:
+    async def publish(self, endpoint: dict[str, object]) -> None:
         """A change. While the agent is silent it learns nothing; what it gets at its return counts at once."""
-        if self._silent:
-            self._late.append(target)
+        if self._silence_over:
+            self._unpublished.append(endpoint)
             return
         async with self._changed:
-            self._learn(target)
+            self._apply(endpoint)
             self._changed.notify_all()
 
-    def _learn(self, target: dict[str, object]) -> None:
-        uid = str(target["uid"])
-        self.rev += 1
-        self.targets[uid], self._learned[uid] = target, self.clock()
-        self.oracle.told(self.clock(), self.dispatcher, uid, target["state"] == "active")
+    def _apply(self, endpoint: dict[str, object]) -> None:
+        uid = str(endpoint["uid"])
+        self.revision += 1
+        self.endpoints[uid], self._published_at[uid] = endpoint, self.clock()
+        self.oracle.endpoint_published(self.clock(), self.dispatcher, uid, endpoint["state"] == "active")
 
-    async def silence(self, on: bool) -> None:
+    async def set_silent(self, on: bool) -> None:
         if on:
-            if self._silent is None:
-                self._silent = asyncio.Event()
-                self._take_back_latest()
+            if self._silence_over is None:
+                self._silence_over = asyncio.Event()
+                self._retract_latest()
             return
-        if self._silent:
-            self._silent.set()
-            self._silent = None
+        if self._silence_over:
+            self._silence_over.set()
+            self._silence_over = None
         async with self._changed:
-            late, self._late = self._late, []
-            for target in late:
-                self._learn(target)
+            unpublished, self._unpublished = self._unpublished, []
+            for endpoint in unpublished:
+                self._apply(endpoint)
             self._changed.notify_all()
 
-    def _take_back_latest(self) -> None:
+    def _retract_latest(self) -> None:
         """What it learned in the last moment nobody can have asked for: that counts as told at its return."""
-        for uid, at in self._learned.items():
-            if self.clock() < at + ASKED_WITHIN:
-                self.oracle.not_told(self.dispatcher, uid)
-                self._late.append(self.targets[uid])
+        for uid, at in self._published_at.items():
+            if self.clock() < at + POLLED_WITHIN_US:
+                self.oracle.endpoint_retracted(self.dispatcher, uid)
+                self._unpublished.append(self.endpoints[uid])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         machine = ServerConnection()
@@ -308,7 +320,7 @@
                 for message in machine.feed(data):
                     if not isinstance(message, RequestMessage):
                         return
-                    if silent := self._silent:  # a connection on which an answer was missed stays silent for good
+                    if silent := self._silence_over:  # a connection on which an answer was missed stays silent for good
                         await silent.wait()
                         return
                     writer.write(answer(200, (("Content-Type", "application/json"),), await self._list(message.target)))
@@ -323,10 +335,10 @@
             after, wait_s = int(found[1]), int(found[2] or 0) / 1000
             async with self._changed:
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._changed.wait_for(lambda: self.rev > after), wait_s)
-                if self.rev == after:  # a change may have come in the moment in which the wait was over
-                    return json.dumps({"rev": self.rev, "all": False, "targets": []}).encode()
-        return json.dumps({"rev": self.rev, "all": True, "targets": list(self.targets.values())}).encode()
+                    await asyncio.wait_for(self._changed.wait_for(lambda: self.revision > after), wait_s)
+                if self.revision == after:  # a change may have come in the moment in which the wait was over
+                    return json.dumps({"rev": self.revision, "all": False, "targets": []}).encode()
+        return json.dumps({"rev": self.revision, "all": True, "targets": list(self.endpoints.values())}).encode()
 
     def close(self) -> None:
         if self._server:
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -9,23 +9,26 @@
 import tempfile
 import time
 from collections import Counter
-from collections.abc import Sequence
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field, replace
 
 from pearhill.lab.soak.clients import Clients, ConnectionFlood
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import Oracle
-from pearhill.lab.soak.plan import BREAKING, ZONES, Plan, Trouble, draw
+from pearhill.lab.soak.plan import CONNECTION_BREAKING_CALLS, ZONES, Fault, Plan, draw
 from pearhill.lab.soak.processes import Dispatcher, SignalAt
 from pearhill.lab.soak.records import SECOND, Violation
-from pearhill.lab.soak.replicas import MIXED, READER, WRITER, Agent, Replica, Speeds
+from pearhill.lab.soak.replicas import DECODE, MIXED, PREFILL, DiscoveryAgent, Replica, Speeds
 
-NEWS_OF_TERM_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
-LONGEST_S, KILL_AFTER_S = 3.0, 0.7  # SIGKILL comes the longest deadline, 3 s at most, and so much after SIGTERM
+NEW_CONNECTIONS_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
+MAX_KILL_DEADLINE_S, KILL_AFTER_S = (
+    3.0,
+    0.7,
+)  # SIGKILL comes the longest deadline, 3 s at most, and so much after SIGTERM
 BETWEEN_SIGNALS_S = 0.05
 SCAN_EVERY_S = 0.05
-DRAIN_NEWS_S = 0.6  # between the list's word that a replica leaves and its end
-SPEEDS = Speeds(read_s=0.04, first_event_s=0.05, event_s=0.02)
+DRAIN_NOTICE_S = 0.6  # between the list's word that a replica leaves and its end
+SPEEDS = Speeds(prefill_s=0.04, first_event_s=0.05, event_s=0.02)
 TRACE_LINES = 60
 
 
@@ -42,7 +45,7 @@
     outcomes: Counter[str]
     exposure: Counter[str]
     latest_ms: float
-    troubles: list[str] = field(default_factory=list)
+    faults: list[str] = field(default_factory=list)
     traces: dict[str, list[str]] = field(default_factory=dict)
     logs: dict[str, list[str]] = field(default_factory=dict)
 
@@ -52,7 +55,7 @@
             f"  could have been broken: {dict(sorted(self.exposure.items()))}; latest {self.latest_ms:.0f} ms",
         ]
         if self.violations:
-            lines += [f"  trouble {line}" for line in self.troubles]
+            lines += [f"  trouble {line}" for line in self.faults]
             for v in self.violations:
                 lines.append(f"  VIOLATION at {v.at / SECOND:.3f} {v.rule} {v.request}: {v.detail}")
                 lines.append(f"    {'; '.join(self.traces.get(v.request, ()))}")
@@ -66,26 +69,43 @@
         self.plan, self.rng = plan, random.Random(plan.seed ^ 0x50A6)
         self.lateness = Lateness(_now)
         self.oracle = Oracle(plan.rules, self.lateness)
-        self.wall_us = 0  # the step of everybody's wall clock
-        roles = [READER] * plan.readers + [WRITER] * plan.writers + [MIXED] * plan.mixed
+        self.wall_offset_us = 0  # the step of everybody's wall clock
+        roles = [PREFILL] * plan.prefill_replicas + [DECODE] * plan.decode_replicas + [MIXED] * plan.mixed_replicas
         self.replicas = [
             Replica(f"s-{n:02}", role, ZONES[n % 2], n % 2, SPEEDS, self.oracle, plan.seed * 100 + n, _now)
             for n, role in enumerate(roles)
         ]
-        self.agents = [Agent(f"d-{n:02}", self.oracle, _now) for n in range(plan.dispatchers)]
+        self.agents = [DiscoveryAgent(f"d-{n:02}", self.oracle, _now) for n in range(plan.dispatchers)]
         self.folder = folder
         self.dispatchers: list[Dispatcher] = []
         self.clients = Clients(plan.seed, plan.classes, self.oracle, _now)
-        self.clients.kill_after_s = self._term_s
-        self.played: list[str] = []
+        self.clients.kill_after_s = self._kill_after_s
+        self.injected: list[str] = []
         self._began = 0
         self._busy: set[str] = set()  # dispatchers that are being restarted
+        self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
+            "terminate": self._terminate,
+            "kill": self._kill,
+            "reload": self._reload,
+            "hold": self._hold,
+            "wall": self._wall,
+            "cut": self._cut,
+            "misbehave": self._misbehave,
+            "restart-replica": self._restart_replica,
+            "drain-replica": self._drain_replica,
+            "silence-agents": self._silence_agents,
+            "resets": self._resets,
+            "fail-calls": self._fail_calls,
+            "pieces": self._pieces,
+            "crowd": self._flood,
+            "hang-and-terminate": self._hang_and_terminate,
+        }
 
     async def run(self) -> Report:
         await asyncio.gather(*(r.start() for r in self.replicas), *(a.start() for a in self.agents))
         for agent in self.agents:
             for replica in self.replicas:
-                await agent.tell(replica.target())
+                await agent.publish(replica.endpoint())
         self.dispatchers = [
             Dispatcher(
                 agent.dispatcher,
@@ -106,12 +126,12 @@
         try:
             await asyncio.gather(*(d.start() for d in self.dispatchers))
             for dispatcher in self.dispatchers:
-                self._open(dispatcher)
+                self._add_to_front(dispatcher)
             self._began = _now()
             load = asyncio.ensure_future(self.clients.run(self.plan.rate, self.plan.seconds))
-            await asyncio.gather(*(self._bring(trouble) for trouble in self.plan.troubles))
+            await asyncio.gather(*(self._inject(fault) for fault in self.plan.faults))
             await load
-            await asyncio.gather(*(self._end(d, ()) for d in self.dispatchers))
+            await asyncio.gather(*(self._shut_down(d, ()) for d in self.dispatchers))
             await self.clients.finish()
         finally:
             await asyncio.gather(*(d.kill() for d in self.dispatchers), return_exceptions=True)
@@ -133,9 +153,9 @@
         }
         violations = [Violation(v.at - self._began, v.rule, v.request, v.detail) for v in self.oracle.violations]
         traces = {
-            v.request: [asked.dispatcher, asked.effect, *asked.trace]
+            v.request: [record.dispatcher, record.idempotency, *record.trace]
             for v in violations
-            if (asked := self.oracle.requests.get(v.request))
+            if (record := self.oracle.requests.get(v.request))
         }
         return Report(
             self.plan.seed,
@@ -143,56 +163,56 @@
             self.clients.outcomes,
             self.oracle.exposure,
             self.lateness.worst / 1000,
-            self.played,
+            self.injected,
             traces,
             {d.name: d.log[-TRACE_LINES:] for d in self.dispatchers if d.name in named},
         )
 
     @property
-    def _term_s(self) -> float:
+    def _kill_after_s(self) -> float:
         """From SIGTERM to SIGKILL."""
-        return min(LONGEST_S, self.plan.longest_s) + KILL_AFTER_S
+        return min(MAX_KILL_DEADLINE_S, self.plan.longest_timeout_s) + KILL_AFTER_S
 
-    def _open(self, dispatcher: Dispatcher) -> None:
-        if dispatcher.door:
-            self.clients.add_dispatcher(dispatcher.door)
+    def _add_to_front(self, dispatcher: Dispatcher) -> None:
+        if dispatcher.address:
+            self.clients.add_dispatcher(dispatcher.address)
 
     async def _scan(self) -> None:
         while True:
             await asyncio.sleep(SCAN_EVERY_S)
             self.oracle.scan(_now())
 
-    async def _bring(self, trouble: Trouble) -> None:
-        await asyncio.sleep(trouble.at)
-        self.played.append(
-            f"{trouble.at:.3f} {trouble.kind} {trouble.how} {trouble.amount} for {trouble.lasts:.3f} s, "
-            f"pick {trouble.pick:.3f}"
+    async def _inject(self, fault: Fault) -> None:
+        await asyncio.sleep(fault.at_s)
+        self.injected.append(
+            f"{fault.at_s:.3f} {fault.kind} {fault.variant} {fault.amount} for {fault.duration_s:.3f} s, "
+            f"pick {fault.pick:.3f}"
         )
-        await getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble)
+        await self._injectors[fault.kind](fault)
 
-    def _dispatcher(self, trouble: Trouble) -> Dispatcher | None:
+    def _pick_dispatcher(self, fault: Fault) -> Dispatcher | None:
         free = [d for d in self.dispatchers if d.name not in self._busy]
-        return free[int(trouble.pick * len(free))] if free else None
+        return free[int(fault.pick * len(free))] if free else None
 
-    def _replica(self, trouble: Trouble) -> Replica:
-        return self.replicas[int(trouble.pick * len(self.replicas))]
+    def _pick_replica(self, fault: Fault) -> Replica:
+        return self.replicas[int(fault.pick * len(self.replicas))]
 
     # Troubles.
 
-    async def _terminate(self, trouble: Trouble) -> None:
-        if dispatcher := self._dispatcher(trouble):
+    async def _terminate(self, fault: Fault) -> None:
+        if dispatcher := self._pick_dispatcher(fault):
             self._busy.add(dispatcher.name)
-            await self._end(dispatcher, self._series(trouble.how))
-            await self._again(dispatcher)
+            await self._shut_down(dispatcher, self._signals_after_sigterm(fault.variant))
+            await self._restart(dispatcher)
 
-    async def _end(self, dispatcher: Dispatcher, others: Sequence[SignalAt]) -> None:
-        ended = asyncio.ensure_future(dispatcher.terminate(self._term_s, others))
+    async def _shut_down(self, dispatcher: Dispatcher, others: Sequence[SignalAt]) -> None:
+        ended = asyncio.ensure_future(dispatcher.terminate(self._kill_after_s, others))
         self.clients.dispatcher_terminated(dispatcher.name)
-        await asyncio.sleep(self.rng.uniform(*NEWS_OF_TERM_S))
+        await asyncio.sleep(self.rng.uniform(*NEW_CONNECTIONS_S))
         self.clients.addresses.pop(dispatcher.name, None)
         await ended
 
-    def _series(self, how: str) -> list[SignalAt]:
+    def _signals_after_sigterm(self, how: str) -> list[SignalAt]:
         """What follows a SIGTERM."""
         numbers = {
             "plain": [],
@@ -203,146 +223,146 @@
         }[how]
         return [SignalAt(number, self.rng.uniform(0, 0.3)) for number in numbers]
 
-    async def _hang_and_terminate(self, trouble: Trouble) -> None:
+    async def _hang_and_terminate(self, fault: Fault) -> None:
         """A restart while all replicas of one role hang, also those that the last process has asked."""
-        chosen = self._replica(trouble)
+        chosen = self._pick_replica(fault)
         hanging = [r for r in self.replicas if r.role == chosen.role]
         for replica in hanging:
-            replica.how, replica.misbehaves = "hang", 1.0
-        await self._terminate(trouble)
+            replica.misbehaviour, replica.misbehaving_share = "hang", 1.0
+        await self._terminate(fault)
         for replica in hanging:
-            replica.misbehaves = 0.0
+            replica.misbehaving_share = 0.0
 
-    async def _kill(self, trouble: Trouble) -> None:
-        if dispatcher := self._dispatcher(trouble):
+    async def _kill(self, fault: Fault) -> None:
+        if dispatcher := self._pick_dispatcher(fault):
             self._busy.add(dispatcher.name)
             self.clients.addresses.pop(dispatcher.name, None)
             await dispatcher.kill()
-            await self._again(dispatcher)
+            await self._restart(dispatcher)
 
-    async def _again(self, dispatcher: Dispatcher) -> None:
+    async def _restart(self, dispatcher: Dispatcher) -> None:
         await dispatcher.start()
-        self._open(dispatcher)
+        self._add_to_front(dispatcher)
         self._busy.discard(dispatcher.name)
 
-    async def _reload(self, trouble: Trouble) -> None:
+    async def _reload(self, fault: Fault) -> None:
         """In quick succession, for all that run; sometimes a SIGTERM in the midst, or a report."""
-        for turn in range(int(trouble.amount)):
+        for turn in range(int(fault.amount)):
             for dispatcher in self.dispatchers:
                 if dispatcher.name not in self._busy:
                     dispatcher.reload(dispatcher.discovery)
                     if turn % 2:
                         dispatcher.signal(signal.SIGUSR1)
             await asyncio.sleep(self.rng.uniform(0, BETWEEN_SIGNALS_S))
-        if trouble.pick < 0.5:
-            await self._terminate(replace(trouble, how="reload"))
+        if fault.pick < 0.5:
+            await self._terminate(replace(fault, variant="reload"))
 
-    async def _hold(self, trouble: Trouble) -> None:
+    async def _hold(self, fault: Fault) -> None:
         since = _now()
         for dispatcher in self.dispatchers:
             dispatcher.signal(signal.SIGSTOP)
-        await asyncio.sleep(trouble.lasts)
-        self.lateness.holds.append(Span(since, _now(), _now() - since))
+        await asyncio.sleep(fault.duration_s)
+        self.lateness.stops.append(Span(since, _now(), _now() - since))
         for dispatcher in self.dispatchers:
             dispatcher.signal(signal.SIGCONT)
 
-    async def _wall(self, trouble: Trouble) -> None:
+    async def _wall(self, fault: Fault) -> None:
         """Every machine reads the same clock. A moment later a replica comes back cold."""
-        self.wall_us += int(trouble.amount * SECOND)
+        self.wall_offset_us += int(fault.amount * SECOND)
         for dispatcher in self.dispatchers:
-            dispatcher.command(f"wall {trouble.amount}", lasting=True)
+            dispatcher.command(f"wall {fault.amount}", lasting=True)
         await asyncio.sleep(0.3)
-        await self._restart_replica(trouble)
+        await self._restart_replica(fault)
 
-    async def _restart_replica(self, trouble: Trouble) -> None:
-        replica = self._replica(trouble)
-        replica.restart(int(time.time() * 1000) + self.wall_us // 1000)
+    async def _restart_replica(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.restart(int(time.time() * 1000) + self.wall_offset_us // 1000)
         if not any(agent.is_silent for agent in self.agents):
-            self.oracle.started(_now(), replica.uid)
-        await self._tell(replica)
+            self.oracle.replica_started(_now(), replica.uid)
+        await self._publish(replica)
 
-    async def _drain_replica(self, trouble: Trouble) -> None:
-        replica = self._replica(trouble)
+    async def _drain_replica(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
         if sum(r.role == replica.role and r.state == "active" for r in self.replicas) < 3:
             return
         replica.state = "leaving"
-        await self._tell(replica)
+        await self._publish(replica)
 
-    async def _tell(self, replica: Replica) -> None:
+    async def _publish(self, replica: Replica) -> None:
         for agent in self.agents:
-            await agent.tell(replica.target())
+            await agent.publish(replica.endpoint())
 
-    async def _cut(self, trouble: Trouble) -> None:
+    async def _cut(self, fault: Fault) -> None:
         """A zone's replicas of one role fall silent."""
-        chosen = self._replica(trouble)
+        chosen = self._pick_replica(fault)
         cut = [r for r in self.replicas if r.role == chosen.role and r.zone == chosen.zone]
         for replica in cut:
-            self.oracle.cut(_now(), replica.uid, True)
+            self.oracle.replica_cut_off(_now(), replica.uid, True)
             replica.proxy.cut(True)
-        await asyncio.sleep(trouble.lasts)
+        await asyncio.sleep(fault.duration_s)
         for replica in cut:
             replica.proxy.cut(False)
-            self.oracle.cut(_now(), replica.uid, False)
+            self.oracle.replica_cut_off(_now(), replica.uid, False)
 
-    async def _misbehave(self, trouble: Trouble) -> None:
-        replica = self._replica(trouble)
-        replica.how, replica.misbehaves = trouble.how, trouble.amount
-        await asyncio.sleep(trouble.lasts)
-        replica.misbehaves = 0.0
+    async def _misbehave(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.misbehaviour, replica.misbehaving_share = fault.variant, fault.amount
+        await asyncio.sleep(fault.duration_s)
+        replica.misbehaving_share = 0.0
 
-    async def _silence_agents(self, trouble: Trouble) -> None:
+    async def _silence_agents(self, fault: Fault) -> None:
         """Discovery is down for all. A replica begins to leave within a moment of its return."""
         for agent in self.agents:
-            await agent.silence(True)
-        await asyncio.sleep(trouble.lasts)
+            await agent.set_silent(True)
+        await asyncio.sleep(fault.duration_s)
         for agent in self.agents:
-            await agent.silence(False)
+            await agent.set_silent(False)
         await asyncio.sleep(0.2)
-        await self._drain_replica(trouble)
+        await self._drain_replica(fault)
 
-    async def _resets(self, trouble: Trouble) -> None:
-        replica = self._replica(trouble)
-        replica.proxy.reset_share = trouble.amount
-        await asyncio.sleep(trouble.lasts)
+    async def _resets(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.proxy.reset_share = fault.amount
+        await asyncio.sleep(fault.duration_s)
         replica.proxy.reset_share = 0.0
 
-    async def _fail_calls(self, trouble: Trouble) -> None:
-        calls = [each.split() for each in trouble.how.split(",")]
-        breaks = any(call in BREAKING for call, _, _ in calls)
+    async def _fail_calls(self, fault: Fault) -> None:
+        calls = [each.split() for each in fault.variant.split(",")]
+        breaks = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
         for dispatcher in self.dispatchers:
             for call, error, share in calls:
                 dispatcher.command(f"fail {call} {error} {share}")
             if breaks:
-                self.oracle.calls_fail(_now(), dispatcher.name, True)
-        await asyncio.sleep(trouble.lasts)
+                self.oracle.system_calls_fail(_now(), dispatcher.name, True)
+        await asyncio.sleep(fault.duration_s)
         for dispatcher in self.dispatchers:
             for call, error, _ in calls:
                 dispatcher.command(f"fail {call} {error} 0")
             if breaks:
-                self.oracle.calls_fail(_now(), dispatcher.name, False)
+                self.oracle.system_calls_fail(_now(), dispatcher.name, False)
 
-    async def _pieces(self, trouble: Trouble) -> None:
+    async def _pieces(self, fault: Fault) -> None:
         for dispatcher in self.dispatchers:
-            dispatcher.command(f"pieces {int(trouble.amount)}")
-        await asyncio.sleep(trouble.lasts)
+            dispatcher.command(f"pieces {int(fault.amount)}")
+        await asyncio.sleep(fault.duration_s)
         for dispatcher in self.dispatchers:
             dispatcher.command("pieces 0")
 
-    async def _crowd(self, trouble: Trouble) -> None:
+    async def _flood(self, fault: Fault) -> None:
         """Idle clients fill the descriptors of some, also while discovery is down."""
-        doors = list(self.clients.addresses.values())
-        self.rng.shuffle(doors)
-        crowds = [ConnectionFlood(door, int(trouble.amount)) for door in doors[: max(1, len(doors) // 3)]]
-        for crowd in crowds:
-            self.oracle.crowded(_now(), crowd.address.name, True)
-            crowd.start()
-        if trouble.how:
-            await self._silence_agents(trouble)
+        addresses = list(self.clients.addresses.values())
+        self.rng.shuffle(addresses)
+        floods = [ConnectionFlood(address, int(fault.amount)) for address in addresses[: max(1, len(addresses) // 3)]]
+        for flood in floods:
+            self.oracle.dispatcher_flooded(_now(), flood.address.name, True)
+            flood.start()
+        if fault.variant:
+            await self._silence_agents(fault)
         else:
-            await asyncio.sleep(trouble.lasts)
-        for crowd in crowds:
-            crowd.stop()
-            self.oracle.crowded(_now() + SECOND, crowd.address.name, False)
+            await asyncio.sleep(fault.duration_s)
+        for flood in floods:
+            flood.stop()
+            self.oracle.dispatcher_flooded(_now() + SECOND, flood.address.name, False)
 
 
 def play(seed: int, seconds: float, dispatchers: int) -> Report:
--- a/pearhill/lab/soak/slow_start.py
+++ b/pearhill/lab/soak/slow_start.py
@@ -12,28 +12,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class PlatformLimits:
     """The limits that the settings name, in microseconds; `warm_rate`: requests a second that a warm replica bears at
     the least."""
 
     release_within: int
     drain_grace: int
-    cold: int
-    cold_from: float
-    fall: int
-    fall_multiple: float
+    warm_up_time: int
+    initial_share: float
+    window: int
+    window_multiple: float
     warm_rate: float
 
     def slow_start_limit(self, age: int, warm_rate: float) -> float:
         """Requests that a replica started so long ago bears within one window, if warm ones bear so many a second."""
-        share = min(1.0, self.cold_from + (1 - self.cold_from) * max(0, age) / self.cold)
-        calls = self.fall_multiple * share * warm_rate * self.fall / SECOND
+        share = min(1.0, self.initial_share + (1 - self.initial_share) * max(0, age) / self.warm_up_time)
+        calls = self.window_multiple * share * warm_rate * self.window / SECOND
         root = math.sqrt(calls)
         return calls + (3 * root + 3 if calls < 30 else 2 * root + 2)
 
 
 @dataclass(slots=True)
-class _Cold:
+class _ColdReplica:
     started: int
     arrivals: deque[int] = field(default_factory=deque)
 
@@ -41,29 +41,31 @@
 class ColdReplicas:
     """Those whose cold start discovery has told everybody, and what their warm peers get meanwhile."""
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: PlatformLimits) -> None:
         self.rules = rules
-        self._cold: dict[str, _Cold] = {}
+        self._cold: dict[str, _ColdReplica] = {}
         self._warm: dict[str, dict[str, deque[int]]] = {}  # by role and replica: its arrivals of late
 
-    def started(self, at: int, replica: str) -> None:
-        self._cold[replica] = _Cold(at)
+    def replica_started(self, at: int, replica: str) -> None:
+        self._cold[replica] = _ColdReplica(at)
         for peers in self._warm.values():
             peers.pop(replica, None)
 
     def is_cold(self, replica: str) -> bool:
         return replica in self._cold
 
-    def arrived(self, at: int, replica: str, role: str) -> str:
+    def attempt_arrived(self, at: int, replica: str, role: str) -> str:
         """One request more. What is wrong with it; empty: nothing."""
         cold = self._cold.get(replica)
-        if cold and at > cold.started + self.rules.cold:  # a warm one does not fall
+        if cold and at > cold.started + self.rules.warm_up_time:  # a warm one does not fall
             del self._cold[replica]
             cold = None
         if cold is None:
-            _keep(self._warm.setdefault(role, {}).setdefault(replica, deque()), at, PEERS_WINDOWS * self.rules.fall)
+            _add_arrival(
+                self._warm.setdefault(role, {}).setdefault(replica, deque()), at, PEERS_WINDOWS * self.rules.window
+            )
             return ""
-        _keep(cold.arrivals, at, self.rules.fall)
+        _add_arrival(cold.arrivals, at, self.rules.window)
         age, count = at - cold.started, len(cold.arrivals)
         limit = self.rules.slow_start_limit(age, self._warm_rate(at, role))
         if count <= limit:
@@ -73,12 +75,12 @@
 
     def _warm_rate(self, at: int, role: str) -> float:
         """Requests a second that some warm peer is seen to bear: all replicas of a role are alike."""
-        span = PEERS_WINDOWS * self.rules.fall
+        span = PEERS_WINDOWS * self.rules.window
         seen = max((sum(each >= at - span for each in got) for got in self._warm.get(role, {}).values()), default=0)
         return max(self.rules.warm_rate, seen * SECOND / span)
 
 
-def _keep(arrivals: deque[int], at: int, span: int) -> None:
+def _add_arrival(arrivals: deque[int], at: int, span: int) -> None:
     arrivals.append(at)
     while arrivals[0] < at - span:
         arrivals.popleft()
