--- /dev/null
+++ b/pearhill/lab/soak/attempt_rules.py
@@ -0,0 +1,132 @@
+"""The rules for attempts, by what replicas and discovery saw of them. Times are microseconds."""
+
+from __future__ import annotations
+
+from pearhill.lab.soak.oracle_state import OracleState
+from pearhill.lab.soak.records import KEYED, NON_IDEMPOTENT, SECOND, AttemptRecord, RequestRecord
+from pearhill.lab.soak.slow_start import ColdReplicas
+
+MAX_START_DELAY_US = 100_000  # an attempt may begin so long after its client closed, or its request was answered
+MAX_EXCESS_TIMEOUT_US = 150_000  # a replica may be given so much more time than the client has left
+
+
+class AttemptRules:
+    """What may be sent to replicas, when, and how often."""
+
+    def __init__(self, state: OracleState) -> None:
+        self._state = state
+        self._draining_since: dict[tuple[str, str], int] = {}  # since when a dispatcher knows that a replica leaves
+        self._cold_replicas = ColdReplicas(state.limits)
+
+    def arrived(
+        self, at: int, request: str, replica: str, writes_answer: bool, timeout_ms: int, role: str = ""
+    ) -> AttemptRecord:
+        """The last byte of an attempt has reached a running replica. `answers`: it writes the answer."""
+        attempt = AttemptRecord(replica, at, writes_answer)
+        record = self._state.requests.get(request)
+        if record is None:
+            self._state.add_violation(at, "unknown", request, f"no client sent this id, seen at {replica}")
+            return attempt
+        record.note(at, f"arrived at {replica}, told {timeout_ms} ms")
+        self._check_still_wanted(at, request, record, replica)
+        self._check_time_left(at, request, record, replica, timeout_ms)
+        self._check_not_draining(at, request, record, replica)
+        self._check_repeat(at, record, request, attempt)
+        if record.attempts:
+            self._state.exposure["further attempts"] += 1
+        record.attempts.append(attempt)
+        if self._cold_replicas.is_cold(replica):
+            self._state.exposure["arrivals at cold replicas"] += 1
+        if wrong := self._cold_replicas.attempt_arrived(at, replica, role):
+            self._state.add_violation(at, "slow-start", request, wrong)
+        return attempt
+
+    def _check_still_wanted(self, at: int, request: str, record: RequestRecord, replica: str) -> None:
+        for rule, since, what in (
+            ("cancelled", record.closed, "its client closed"),
+            ("after-answer", record.answered, "its final answer had begun"),
+        ):
+            if since and at > since + MAX_START_DELAY_US:
+                detail = f"begun at {replica} {(at - since) // 1000} ms after {what}"
+                self._state.add_violation(at, rule, request, detail, at - since - MAX_START_DELAY_US, since)
+
+    def _check_time_left(self, at: int, request: str, record: RequestRecord, replica: str, timeout_ms: int) -> None:
+        left = max(0, record.at + record.timeout - at)
+        excess = timeout_ms * 1000 - left - MAX_EXCESS_TIMEOUT_US
+        if excess > 0:
+            detail = f"{replica} was told {timeout_ms} ms, {left // 1000} ms are left"
+            self._state.add_violation(at, "deadline", request, detail, excess, record.at)
+
+    def _check_not_draining(self, at: int, request: str, record: RequestRecord, replica: str) -> None:
+        draining_since = self._draining_since.get((record.dispatcher, replica))
+        if draining_since is None:
+            return
+        self._state.exposure["arrivals at replicas that leave"] += 1
+        excess = at - draining_since - self._state.limits.drain_grace
+        if excess > 0:
+            late_ms = (at - draining_since) // 1000
+            detail = f"{record.dispatcher} sent to {replica} {late_ms} ms after it was told that it leaves"
+            self._state.add_violation(at, "drain", request, detail, excess, at - SECOND // 2)
+
+    def _check_repeat(self, at: int, record: RequestRecord, request: str, attempt: AttemptRecord) -> None:
+        ran = [a for a in record.attempts if a.writes_answer and a.may_have_executed]
+        if not attempt.writes_answer or not ran:
+            return
+        if record.idempotency == NON_IDEMPOTENT:
+            self._state.add_violation(
+                at, "duplicate", request, f"at {attempt.replica} after {ran[0].replica}, may have run twice"
+            )
+        elif record.idempotency == KEYED and at > ran[0].at + record.idempotency_window:
+            detail = f"repeated {(at - ran[0].at) // 1000} ms after its first attempt"
+            self._state.add_violation(
+                at, "window", request, detail, at - ran[0].at - record.idempotency_window, ran[0].at
+            )
+
+    def ended(self, at: int, request: str, attempt: AttemptRecord, never_ran: bool = False) -> None:
+        """It was answered, turned away (`never_ran`), or its connection has ended."""
+        attempt.ended = at
+        attempt.may_have_executed = attempt.may_have_executed and not never_ran
+        record = self._state.requests.get(request)
+        if record is None:
+            return
+        record.note(at, f"over at {attempt.replica}{', never ran' if never_ran else ''}")
+        if record.held and attempt.writes_answer:
+            record.held.since = at
+        later = [a for a in record.attempts if a.at > attempt.at and at > a.at + MAX_START_DELAY_US]
+        if later and not self._state.was_cut_off(attempt.replica, attempt.at, at):
+            detail = (
+                f"still out at {attempt.replica} {(at - later[0].at) // 1000} ms after it arrived at {later[0].replica}"
+            )
+            self._state.add_violation(
+                at, "second-copy", request, detail, at - later[0].at - MAX_START_DELAY_US, later[0].at
+            )
+
+    def wrote(self, at: int, attempt: AttemptRecord, data: bytes) -> None:
+        """Whole events of an attempt's stream, written by its replica."""
+        attempt.written += data
+        attempt.written_at = at
+
+    def stream_broken(self, at: int, request: str, attempt: AttemptRecord | None = None) -> None:
+        """The replica or the network ended or spoilt the stream of an attempt; without one: of the request's last."""
+        record = self._state.requests.get(request)
+        if attempt is None and record:
+            attempt = next((a for a in reversed(record.attempts) if a.writes_answer), None)
+        if attempt:
+            attempt.broken_at = attempt.broken_at or at
+        if record and attempt:
+            record.note(at, f"stream of {attempt.replica} spoilt")
+
+    def endpoint_published(self, at: int, dispatcher: str, replica: str, ready: bool) -> None:
+        """What discovery has for this dispatcher."""
+        if ready:
+            self._draining_since.pop((dispatcher, replica), None)
+        else:
+            self._draining_since.setdefault((dispatcher, replica), at)
+
+    def endpoint_retracted(self, dispatcher: str, replica: str) -> None:
+        """Its discovery fell silent before the dispatcher could ask."""
+        self._draining_since.pop((dispatcher, replica), None)
+
+    def replica_started(self, at: int, replica: str) -> None:
+        """A cold start that discovery has told everybody."""
+        self._cold_replicas.replica_started(at, replica)
--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -227,7 +227,7 @@
         self._record_sent(request, request_class, address)
         exchange.writer.write(data)
         await asyncio.sleep(self.rng.uniform(0, 0.6))
-        self.oracle.client_closed(self.clock(), request)
+        self.oracle.clients.client_closed(self.clock(), request)
         self.outcomes["left"] += 1
 
     async def _pipelined(self, exchange: Exchange, address: ListenAddress) -> None:
@@ -242,7 +242,7 @@
             if not await self._read_answer(exchange, request, None):
                 break
         for request in sent:
-            self.oracle.client_closed(self.clock(), request)
+            self.oracle.clients.client_closed(self.clock(), request)
 
     async def _half(self, exchange: Exchange, address: ListenAddress) -> None:
         """Stops in the middle of its request, and stays."""
@@ -260,7 +260,7 @@
             self.outcomes["sent away"] += 1
         except TimeoutError:
             self.outcomes["never sent away"] += 1
-        self.oracle.bad_client_ended(self.clock(), address.name, since)
+        self.oracle.clients.bad_client_ended(self.clock(), address.name, since)
 
     # One request.
 
@@ -278,7 +278,7 @@
         return request, (head + body).encode()
 
     def _record_sent(self, request: str, request_class: RequestClass, address: ListenAddress) -> None:
-        self.oracle.request_sent(
+        self.oracle.clients.request_sent(
             self.clock(), request, address.name, request_class.effect, request_class.window, request_class.ttl_ms * 1000
         )
 
@@ -311,26 +311,26 @@
                 match event:
                     case Head(code):
                         status = code
-                        self.oracle.answer_started(self.clock(), request, code)
+                        self.oracle.clients.answer_started(self.clock(), request, code)
                     case Data(data):
                         if began := status == 200:
-                            self.oracle.answer_received(request, data)
+                            self.oracle.clients.answer_received(request, data)
                     case End(reusable):
-                        self.oracle.answer_completed(self.clock(), request)
+                        self.oracle.clients.answer_completed(self.clock(), request)
                         self.outcomes[str(status)] += 1
                         return reusable and status == 200
         except (OSError, ConnectionEndedError):
             if status:
-                self.oracle.answer_broken(self.clock(), request, exchange.port)
+                self.oracle.clients.answer_broken(self.clock(), request, exchange.port)
                 self.outcomes["broken"] += 1
                 return False
-            if self.oracle.connection_ended(self.clock(), request, exchange.port, used) and again:
+            if self.oracle.clients.connection_ended(self.clock(), request, exchange.port, used) and again:
                 return await self._resend(request, *again)
         except TimeoutError:
-            self.oracle.answer_missing(
+            self.oracle.clients.answer_missing(
                 self.clock(), request, "a stream stood still for 6 s" if began else "never answered"
             )
-        self.oracle.client_closed(self.clock(), request)
+        self.oracle.clients.client_closed(self.clock(), request)
         return False
 
     async def _resend(self, request: str, request_class: RequestClass, address: ListenAddress) -> bool:
@@ -342,7 +342,7 @@
         try:
             fresh = await Exchange.open(self.rng.choice(addresses))
         except (OSError, TimeoutError, IndexError):
-            self.oracle.client_closed(self.clock(), request)
+            self.oracle.clients.client_closed(self.clock(), request)
             return False
         try:
             self._record_sent(request, request_class, self._address_of(fresh, addresses))
--- /dev/null
+++ b/pearhill/lab/soak/held_states.py
@@ -0,0 +1,72 @@
+"""The states of prompts that prefill replicas hold, and how long they may. Times are microseconds."""
+
+from __future__ import annotations
+
+from pearhill.lab.soak.oracle_state import OracleState
+from pearhill.lab.soak.records import HeldState, RequestRecord
+
+MAX_RELEASE_DELAY_US = 300_000  # beyond `release-within`
+
+
+class HeldStates:
+    """Who holds what, and what is held too long while no attempt is out for it."""
+
+    def __init__(self, state: OracleState) -> None:
+        self._state = state
+
+    def prefilled(self, at: int, request: str, replica: str) -> None:
+        """A reader has read the prompt and holds its state."""
+        if record := self._state.requests.get(request):
+            record.held = HeldState(replica, at)
+            record.note(at, f"held at {replica}")
+
+    def release_arrived(self, at: int, request: str, replica: str) -> None:
+        """A DELETE has arrived. It lets go of nothing while an attempt waits for the state."""
+        record = self._state.requests.get(request)
+        if record:
+            record.note(at, f"release at {replica}")
+        if record and record.held and record.held.replica == replica and not self._has_attempt_out(record):
+            record.held = None
+
+    def fetched(self, request: str) -> bool:
+        """A writer's first event: the state is gone. False: there was none."""
+        record = self._state.requests.get(request)
+        if record is None or record.held is None:
+            return False
+        record.held = None
+        return True
+
+    def exists(self, request: str) -> bool:
+        record = self._state.requests.get(request)
+        return record is not None and record.held is not None
+
+    def replica_restarted(self, replica: str) -> None:
+        for record in self._state.requests.values():
+            if record.held and record.held.replica == replica:
+                record.held = None
+
+    @staticmethod
+    def _has_attempt_out(record: RequestRecord) -> bool:
+        return any(a.writes_answer and not a.ended for a in record.attempts)
+
+    def scan(self, at: int) -> None:
+        limit = self._state.limits.release_within + MAX_RELEASE_DELAY_US
+        for request, record in self._state.requests.items():
+            held = record.held
+            if (
+                held is None
+                or held.reported
+                or self._has_attempt_out(record)
+                or at <= held.since + limit + self._state.lateness.base
+            ):
+                continue
+            if self._state.process_ends.excuses_any(record, at) or self._state.was_cut_off(
+                held.replica, held.since, at
+            ):
+                continue
+            excess = at - held.since - limit
+            if excess <= self._state.lateness.between(held.since, at):  # looked at again: it may be let go of by then
+                continue
+            held.reported = True
+            detail = f"held at {held.replica} for {(at - held.since) // 1000} ms with no attempt out"
+            self._state.add_violation(at, "pinned", request, detail)
--- a/pearhill/lab/soak/replicas.py
+++ b/pearhill/lab/soak/replicas.py
@@ -74,13 +74,13 @@
         await self.proxy.start()
 
     def _connection_reset(self, request: str) -> None:
-        self.oracle.attempt_stream_broken(self.clock(), request)
+        self.oracle.attempts.stream_broken(self.clock(), request)
 
     def restart(self, wall_ms: int) -> None:
         """The process dies, its connections with it, and a cold one is there at once."""
         for task in list(self._connections):
             task.cancel()
-        self.oracle.prefill_replica_restarted(self.uid)
+        self.oracle.held_states.replica_restarted(self.uid)
         self.boot_ms = wall_ms
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,7 +104,7 @@
         """False: the connection ends here."""
         if message.path.startswith("/state/"):
             request = message.path.removeprefix("/state/")
-            self.oracle.release_arrived(self.clock(), request, self.uid)
+            self.oracle.held_states.release_arrived(self.clock(), request, self.uid)
             writer.write(answer(204 if message.method == "DELETE" else 404))
             return True
         if message.method != "POST":
@@ -121,7 +121,7 @@
         request = message.headers.get("request-id", "")
         timeout_ms = int(message.headers.get("request-timeout-ms", "0"))
         self.requests += 1
-        attempt = self.oracle.attempt_arrived(
+        attempt = self.oracle.attempts.arrived(
             self.clock(), request, self.uid, self.role != PREFILL, timeout_ms, self.role
         )
         connection_end = asyncio.ensure_future(_end_of(reader))
@@ -133,12 +133,12 @@
             if connection_end.done():
                 attempt.closed_by_dispatcher = True
             elif not work.done():  # this process ends
-                self.oracle.attempt_stream_broken(self.clock(), request, attempt)
+                self.oracle.attempts.stream_broken(self.clock(), request, attempt)
             connection_end.cancel()
             work.cancel()
             await asyncio.gather(connection_end, work, return_exceptions=True)
             if not attempt.ended:
-                self.oracle.attempt_ended(self.clock(), request, attempt)
+                self.oracle.attempts.ended(self.clock(), request, attempt)
 
     async def _work(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
         misbehaviour = self.misbehaviour if self.rng.random() < self.misbehaving_share else ""
@@ -151,7 +151,7 @@
         return await self._decode(request, attempt, writer, misbehaviour)
 
     def _reject(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, status: int) -> bool:
-        self.oracle.attempt_ended(self.clock(), request, attempt, never_ran=True)
+        self.oracle.attempts.ended(self.clock(), request, attempt, never_ran=True)
         writer.write(answer(status, (("Not-Started", "1"),)))
         return True
 
@@ -164,8 +164,8 @@
         if misbehaviour in ("error", "half-line"):
             writer.write(answer(500))
             return True
-        self.oracle.prompt_prefilled(self.clock(), request, self.uid)
-        self.oracle.attempt_ended(self.clock(), request, attempt)
+        self.oracle.held_states.prefilled(self.clock(), request, self.uid)
+        self.oracle.attempts.ended(self.clock(), request, attempt)
         if misbehaviour in ("reset", "stall"):  # the read has ended well, its answer is lost
             reset(writer)
             return False
@@ -180,7 +180,7 @@
     async def _decode(
         self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
     ) -> bool:
-        if self.role == DECODE and not self.oracle.holds_state(request):
+        if self.role == DECODE and not self.oracle.held_states.exists(request):
             return self._reject(request, attempt, writer, 410)
         if misbehaviour == "error":
             writer.write(answer(500))
@@ -191,18 +191,18 @@
         if misbehaviour == "reset":
             reset(writer)
             return False
-        self.oracle.state_fetched(request)
+        self.oracle.held_states.fetched(request)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
         for number in range(EVENTS):
             # No two attempts write the same: what a client gets is some one's alone.
             event = _EVENT % f"{self.uid}.{self.requests}.{number}".encode()
-            self.oracle.attempt_wrote(self.clock(), attempt, event)
+            self.oracle.attempts.wrote(self.clock(), attempt, event)
             writer.write(chunk(event))
             if number == EVENTS // 2 and not await self._continues(request, attempt, writer, misbehaviour):
                 return False
             await writer.drain()
             await asyncio.sleep(self.speeds.event_s)
-        self.oracle.attempt_wrote(self.clock(), attempt, _LAST)
+        self.oracle.attempts.wrote(self.clock(), attempt, _LAST)
         attempt.finished = True
         writer.write(chunk(_LAST) + LAST_CHUNK)
         if misbehaviour == "last-reset":
@@ -219,7 +219,7 @@
             await asyncio.sleep(HANG_S)
         if misbehaviour not in ("half-line", "event-reset"):
             return True
-        self.oracle.attempt_stream_broken(self.clock(), request, attempt)
+        self.oracle.attempts.stream_broken(self.clock(), request, attempt)
         if misbehaviour == "event-reset":  # right behind the event
             reset(writer)
         else:
@@ -289,7 +289,7 @@
         uid = str(endpoint["uid"])
         self.revision += 1
         self.endpoints[uid], self._published_at[uid] = endpoint, self.clock()
-        self.oracle.endpoint_published(self.clock(), self.dispatcher, uid, endpoint["state"] == "active")
+        self.oracle.attempts.endpoint_published(self.clock(), self.dispatcher, uid, endpoint["state"] == "active")
 
     async def set_silent(self, on: bool) -> None:
         if on:
@@ -310,7 +310,7 @@
         """What it learned in the last moment nobody can have asked for: that counts as told at its return."""
         for uid, at in self._published_at.items():
             if self.clock() < at + POLLED_WITHIN_US:
-                self.oracle.endpoint_retracted(self.dispatcher, uid)
+                self.oracle.attempts.endpoint_retracted(self.dispatcher, uid)
                 self._unpublished.append(self.endpoints[uid])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -147,21 +147,21 @@
     def _report(self) -> Report:
         named = {v.request for v in self.oracle.violations}
         named |= {
-            self.oracle.requests[v.request].dispatcher
+            self.oracle.state.requests[v.request].dispatcher
             for v in self.oracle.violations
-            if v.request in self.oracle.requests
+            if v.request in self.oracle.state.requests
         }
         violations = [Violation(v.at - self._began, v.rule, v.request, v.detail) for v in self.oracle.violations]
         traces = {
             v.request: [record.dispatcher, record.idempotency, *record.trace]
             for v in violations
-            if (record := self.oracle.requests.get(v.request))
+            if (record := self.oracle.state.requests.get(v.request))
         }
         return Report(
             self.plan.seed,
             violations,
             self.clients.outcomes,
-            self.oracle.exposure,
+            self.oracle.state.exposure,
             self.lateness.worst / 1000,
             self.injected,
             traces,
@@ -278,7 +278,7 @@
         replica = self._pick_replica(fault)
         replica.restart(int(time.time() * 1000) + self.wall_offset_us // 1000)
         if not any(agent.is_silent for agent in self.agents):
-            self.oracle.replica_started(_now(), replica.uid)
+            self.oracle.attempts.replica_started(_now(), replica.uid)
         await self._publish(replica)
 
     async def _drain_replica(self, fault: Fault) -> None:
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -23,82 +23,82 @@
 
 def asked(effect: str = IDEMPOTENT, window: int = 0) -> Oracle:
     oracle = Oracle(RULES)
-    oracle.request_sent(0, "r", "d", effect, window, 2 * S)
+    oracle.clients.request_sent(0, "r", "d", effect, window, 2 * S)
     return oracle
 
 
 def streaming(oracle: Oracle, got: bytes = b"one ") -> object:
     """A writer has written two events; the client has got so much."""
-    attempt = oracle.attempt_arrived(10 * MS, "r", "w", True, 1000)
-    oracle.attempt_wrote(20 * MS, attempt, b"one ")
-    oracle.attempt_wrote(30 * MS, attempt, b"two ")
-    oracle.answer_started(25 * MS, "r", 200)
-    oracle.answer_received("r", got)
+    attempt = oracle.attempts.arrived(10 * MS, "r", "w", True, 1000)
+    oracle.attempts.wrote(20 * MS, attempt, b"one ")
+    oracle.attempts.wrote(30 * MS, attempt, b"two ")
+    oracle.clients.answer_started(25 * MS, "r", 200)
+    oracle.clients.answer_received("r", got)
     return attempt
 
 
 def cancelled(oracle: Oracle) -> None:
-    oracle.client_closed(10 * MS, "r")
-    oracle.attempt_arrived(140 * MS, "r", "w", True, 1000)
+    oracle.clients.client_closed(10 * MS, "r")
+    oracle.attempts.arrived(140 * MS, "r", "w", True, 1000)
 
 
 def begun_after_its_answer(oracle: Oracle) -> None:
-    oracle.answer_started(10 * MS, "r", 503)
-    oracle.answer_completed(10 * MS, "r")
-    oracle.attempt_arrived(140 * MS, "r", "w", True, 1000)
+    oracle.clients.answer_started(10 * MS, "r", 503)
+    oracle.clients.answer_completed(10 * MS, "r")
+    oracle.attempts.arrived(140 * MS, "r", "w", True, 1000)
 
 
 def ended_long_after_it_was_written(oracle: Oracle) -> None:
-    assert oracle.connection_ended(300 * MS, "r", PORT, used=True)
+    assert oracle.clients.connection_ended(300 * MS, "r", PORT, used=True)
 
 
 def ended_on_a_new_connection(oracle: Oracle) -> None:
-    assert not oracle.connection_ended(1 * MS, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(1 * MS, "r", PORT, used=False)
 
 
 def twice_over_two_dispatchers(oracle: Oracle) -> None:
-    oracle.attempt_ended(20 * MS, "r", oracle.attempt_arrived(10 * MS, "r", "w1", True, 1000))
-    assert oracle.connection_ended(30 * MS, "r", PORT, used=True)
-    oracle.request_sent(40 * MS, "r", "e", NON_IDEMPOTENT, 0, 2 * S)
-    oracle.attempt_arrived(50 * MS, "r", "w2", True, 1000)
+    oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
+    assert oracle.clients.connection_ended(30 * MS, "r", PORT, used=True)
+    oracle.clients.request_sent(40 * MS, "r", "e", NON_IDEMPOTENT, 0, 2 * S)
+    oracle.attempts.arrived(50 * MS, "r", "w2", True, 1000)
 
 
 def broken_while_written(oracle: Oracle) -> None:
     streaming(oracle)
-    oracle.answer_broken(100 * MS, "r", PORT)
+    oracle.clients.answer_broken(100 * MS, "r", PORT)
 
 
 def broken_when_finished(oracle: Oracle) -> None:
     attempt = streaming(oracle)
     attempt.finished = True
-    oracle.answer_broken(6 * S, "r", PORT)
+    oracle.clients.answer_broken(6 * S, "r", PORT)
 
 
 def other_bytes(oracle: Oracle) -> None:
     streaming(oracle, b"one tow ")
     oracle.scan(50 * MS)
-    oracle.client_closed(60 * MS, "r")
-    oracle.attempt_stream_broken(60 * MS, "r")
-    oracle.answer_broken(70 * MS, "r", PORT)
+    oracle.clients.client_closed(60 * MS, "r")
+    oracle.attempts.stream_broken(60 * MS, "r")
+    oracle.clients.answer_broken(70 * MS, "r", PORT)
 
 
 def anothers_answer_behind_the_first_event(oracle: Oracle) -> None:
     first = streaming(oracle)
-    oracle.attempt_stream_broken(40 * MS, "r", first)
-    second = oracle.attempt_arrived(50 * MS, "r", "w2", True, 1000)
-    oracle.attempt_wrote(60 * MS, second, b"three")
+    oracle.attempts.stream_broken(40 * MS, "r", first)
+    second = oracle.attempts.arrived(50 * MS, "r", "w2", True, 1000)
+    oracle.attempts.wrote(60 * MS, second, b"three")
     second.finished = True
-    oracle.answer_received("r", b"three")
-    oracle.answer_broken(70 * MS, "r", PORT)
+    oracle.clients.answer_received("r", b"three")
+    oracle.clients.answer_broken(70 * MS, "r", PORT)
 
 
 def whole_too_soon(oracle: Oracle) -> None:
     streaming(oracle)
-    oracle.answer_completed(60 * MS, "r")
+    oracle.clients.answer_completed(60 * MS, "r")
 
 
 def left_without_its_end(oracle: Oracle) -> None:
-    oracle.attempt_stream_broken(40 * MS, "r", streaming(oracle))
+    oracle.attempts.stream_broken(40 * MS, "r", streaming(oracle))
     oracle.scan(1_000 * MS)
     assert not oracle.violations
     oracle.scan(1_100 * MS)
@@ -111,72 +111,72 @@
 
 
 def lost_before_the_kill(oracle: Oracle) -> None:
-    oracle.answer_missing(S, "r", "closed")
+    oracle.clients.answer_missing(S, "r", "closed")
     oracle.killed(2 * S, "d")
 
 
 def lost_at_the_kill_long_after_the_signal_to_end(oracle: Oracle) -> None:
     oracle.terminated(-800 * MS, "d")
     oracle.killed(S, "d")
-    oracle.connection_ended(S, "r", PORT, used=True)
+    oracle.clients.connection_ended(S, "r", PORT, used=True)
 
 
 def lost_when_it_exited_by_itself(oracle: Oracle) -> None:
     oracle.terminated(10 * MS, "d")
     oracle.exited(900 * MS, "d")
-    oracle.connection_ended(S, "r", PORT, used=True)
+    oracle.clients.connection_ended(S, "r", PORT, used=True)
     oracle.killed(5 * S, "d")  # the next process
 
 
 def ended_on_a_new_connection_while_new_ones_come(oracle: Oracle) -> None:
     oracle.terminated(-450 * MS, "d")
-    assert not oracle.connection_ended(60 * MS, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(60 * MS, "r", PORT, used=False)
 
 
 def ended_long_after_a_late_first_request(oracle: Oracle) -> None:
     oracle.terminated(-600 * MS, "d")
-    oracle.connection_ended(300 * MS, "r", PORT, used=False)
+    oracle.clients.connection_ended(300 * MS, "r", PORT, used=False)
 
 
 def ended_on_a_new_connection_to_the_next_process(oracle: Oracle) -> None:
     oracle.terminated(-2 * S, "d")
     oracle.exited(-S, "d")
-    assert not oracle.connection_ended(1 * MS, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(1 * MS, "r", PORT, used=False)
 
 
 def drained(oracle: Oracle) -> None:
-    oracle.endpoint_published(0, "d", "w", False)
-    oracle.attempt_arrived(700 * MS, "r", "w", True, 1000)
+    oracle.attempts.endpoint_published(0, "d", "w", False)
+    oracle.attempts.arrived(700 * MS, "r", "w", True, 1000)
 
 
 def pinned(oracle: Oracle) -> None:
-    oracle.prompt_prefilled(0, "r", "reader")
+    oracle.held_states.prefilled(0, "r", "reader")
     oracle.scan(600 * MS)
     assert not oracle.violations
     oracle.scan(800 * MS)
 
 
 def twice(oracle: Oracle) -> None:
-    oracle.attempt_ended(20 * MS, "r", oracle.attempt_arrived(10 * MS, "r", "w1", True, 1000))
-    oracle.attempt_arrived(900 * MS, "r", "w2", True, 1000)
+    oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
+    oracle.attempts.arrived(900 * MS, "r", "w2", True, 1000)
 
 
 def refused(oracle: Oracle) -> None:
-    oracle.attempt_ended(20 * MS, "r", oracle.attempt_arrived(10 * MS, "r", "w1", True, 1000))
-    oracle.answer_started(30 * MS, "r", 503)
+    oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
+    oracle.clients.answer_started(30 * MS, "r", 503)
 
 
 def copied(oracle: Oracle) -> None:
-    first = oracle.attempt_arrived(10 * MS, "r", "w1", True, 1000)
-    oracle.attempt_arrived(20 * MS, "r", "w2", True, 1000)
-    oracle.attempt_ended(500 * MS, "r", first)
+    first = oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000)
+    oracle.attempts.arrived(20 * MS, "r", "w2", True, 1000)
+    oracle.attempts.ended(500 * MS, "r", first)
 
 
 def pushed(oracle: Oracle) -> None:
-    oracle.replica_started(0, "w")
+    oracle.attempts.replica_started(0, "w")
     for number in range(20):
-        oracle.request_sent(number, f"r{number}", "d", IDEMPOTENT, 0, 2 * S)
-        oracle.attempt_arrived(number * MS, f"r{number}", "w", True, 1000)
+        oracle.clients.request_sent(number, f"r{number}", "d", IDEMPOTENT, 0, 2 * S)
+        oracle.attempts.arrived(number * MS, f"r{number}", "w", True, 1000)
 
 
 @pytest.mark.parametrize(
@@ -190,10 +190,10 @@
         ("refused", NON_IDEMPOTENT, refused),
         ("second-copy", IDEMPOTENT, copied),
         ("slow-start", IDEMPOTENT, pushed),
-        ("deadline", IDEMPOTENT, lambda oracle: oracle.attempt_arrived(S, "r", "w", True, 1300)),
-        ("late", IDEMPOTENT, lambda oracle: oracle.answer_started(2700 * MS, "r", 200)),
-        ("lost", IDEMPOTENT, lambda oracle: oracle.answer_missing(S, "r", "closed")),
-        ("bad-client", IDEMPOTENT, lambda oracle: oracle.bad_client_ended(3200 * MS, "d", 0)),
+        ("deadline", IDEMPOTENT, lambda oracle: oracle.attempts.arrived(S, "r", "w", True, 1300)),
+        ("late", IDEMPOTENT, lambda oracle: oracle.clients.answer_started(2700 * MS, "r", 200)),
+        ("lost", IDEMPOTENT, lambda oracle: oracle.clients.answer_missing(S, "r", "closed")),
+        ("bad-client", IDEMPOTENT, lambda oracle: oracle.clients.bad_client_ended(3200 * MS, "d", 0)),
         ("after-answer", IDEMPOTENT, begun_after_its_answer),
         ("lost", IDEMPOTENT, ended_long_after_it_was_written),
         ("lost", IDEMPOTENT, ended_on_a_new_connection),
@@ -221,67 +221,67 @@
 
 def test_what_is_allowed_is_no_violation():
     oracle = asked(NON_IDEMPOTENT)
-    turned_away = oracle.attempt_arrived(10 * MS, "r", "w1", True, 1000)
-    oracle.attempt_ended(20 * MS, "r", turned_away, never_ran=True)
-    oracle.prompt_prefilled(50 * MS, "r", "reader")
-    fetch = oracle.attempt_arrived(60 * MS, "r", "w2", True, 1000)
+    turned_away = oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000)
+    oracle.attempts.ended(20 * MS, "r", turned_away, never_ran=True)
+    oracle.held_states.prefilled(50 * MS, "r", "reader")
+    fetch = oracle.attempts.arrived(60 * MS, "r", "w2", True, 1000)
     oracle.scan(S)
-    assert oracle.state_fetched("r")
-    oracle.answer_started(S, "r", 200)
-    oracle.attempt_ended(2 * S, "r", fetch)
+    assert oracle.held_states.fetched("r")
+    oracle.clients.answer_started(S, "r", 200)
+    oracle.attempts.ended(2 * S, "r", fetch)
     oracle.scan(3 * S)
     assert oracle.violations == []
 
 
 def a_close_that_crossed_its_request(oracle: Oracle) -> None:
-    assert oracle.connection_ended(20 * MS, "r", PORT, used=True)
+    assert oracle.clients.connection_ended(20 * MS, "r", PORT, used=True)
 
 
 def a_kill_under_way(oracle: Oracle) -> None:
     oracle.killed(S, "d")
-    assert not oracle.connection_ended(S + 1 * MS, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(S + 1 * MS, "r", PORT, used=False)
 
 
 def a_kill_after_the_signal(oracle: Oracle) -> None:
     oracle.terminated(-600 * MS, "d")
     oracle.killed(S, "d")
-    assert not oracle.connection_ended(S, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(S, "r", PORT, used=False)
 
 
 def a_crowd(oracle: Oracle) -> None:
     oracle.dispatcher_flooded(-S, "d", True)
-    assert oracle.connection_ended(10 * MS, "r", PORT, used=False)
+    assert oracle.clients.connection_ended(10 * MS, "r", PORT, used=False)
 
 
 def a_first_request_after_new_ones_have_ceased(oracle: Oracle) -> None:
     oracle.terminated(-600 * MS, "d")
-    assert oracle.connection_ended(60 * MS, "r", PORT, used=False)
+    assert oracle.clients.connection_ended(60 * MS, "r", PORT, used=False)
 
 
 def a_connection_that_the_system_broke(oracle: Oracle) -> None:
     oracle.client_connection_broken("d", PORT)
-    assert not oracle.connection_ended(S, "r", PORT, used=False)
+    assert not oracle.clients.connection_ended(S, "r", PORT, used=False)
 
 
 def a_stream_that_its_replica_broke(oracle: Oracle) -> None:
-    oracle.attempt_stream_broken(40 * MS, "r", streaming(oracle))
-    oracle.answer_broken(50 * MS, "r", PORT)
+    oracle.attempts.stream_broken(40 * MS, "r", streaming(oracle))
+    oracle.clients.answer_broken(50 * MS, "r", PORT)
 
 
 def a_stream_that_stood_still(oracle: Oracle) -> None:
     streaming(oracle)
-    oracle.answer_broken(4600 * MS, "r", PORT)
+    oracle.clients.answer_broken(4600 * MS, "r", PORT)
 
 
 def a_list_that_nobody_could_ask_for(oracle: Oracle) -> None:
-    oracle.endpoint_published(0, "d", "w", False)
-    oracle.endpoint_retracted("d", "w")
-    oracle.attempt_arrived(700 * MS, "r", "w", True, 1000)
+    oracle.attempts.endpoint_published(0, "d", "w", False)
+    oracle.attempts.endpoint_retracted("d", "w")
+    oracle.attempts.arrived(700 * MS, "r", "w", True, 1000)
 
 
 def a_whole_stream(oracle: Oracle) -> None:
     streaming(oracle, b"one two ").finished = True
-    oracle.answer_completed(40 * MS, "r")
+    oracle.clients.answer_completed(40 * MS, "r")
 
 
 @pytest.mark.parametrize(
@@ -312,7 +312,7 @@
         lateness = Lateness(lambda: 0)
         lateness.loop += [Span(since + n * 20 * MS, since + n * 20 * MS + late, late) for n, late in enumerate(lates)]
         oracle = Oracle(RULES, lateness)
-        oracle.request_sent(0, "r", "d", IDEMPOTENT, 0, 2 * S)
+        oracle.clients.request_sent(0, "r", "d", IDEMPOTENT, 0, 2 * S)
         cancelled(oracle)
         assert [violation.rule for violation in oracle.violations] == found
 
