--- a/pearhill/lab/soak/client_rules.py
+++ b/pearhill/lab/soak/client_rules.py
@@ -34,6 +34,7 @@
             self._state.exposure["written after SIGTERM"] += 1
 
     def is_ending(self, dispatcher: str) -> bool:
+        """Whether the dispatcher has had SIGTERM and was not killed yet."""
         last = self._state.process_ends.last(dispatcher)
         return last is not None and bool(last.terminated) and not last.killed
 
--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pearhill.http1.client import ClientConnection, Data, End, Event, Head, Lost
+from pearhill.http1.client import Data, End, Head
+from pearhill.lab.soak.connection import ConnectionEndedError, Exchange, ListenAddress
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.records import KEYED, SECOND
 
@@ -33,62 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A class of requests of the settings. `window`: of its idempotency keys, in microseconds."""
+
     name: str
     effect: str
     window: int
     ttl_ms: int
 
 
-class ConnectionEndedError(Exception):
-    """The connection ended before the answer was whole."""
-
-
-@dataclass(slots=True)
-class ListenAddress:
-    """Where a dispatcher listens now."""
-
-    name: str
-    host: str
-    port: int
-
-
-class Exchange:
-    """One connection to a dispatcher."""
-
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self._machine = ClientConnection()
-        self._events: list[Event] = []
-        self.used = False  # it has carried a request
-        self.port: int = writer.get_extra_info("sockname")[1]
-
-    @classmethod
-    async def open(cls, address: ListenAddress) -> Exchange:
-        return cls(*await asyncio.wait_for(asyncio.open_connection(address.host, address.port), 5))
-
-    @property
-    def ended(self) -> bool:
-        """Its end is there already: a client sees that, and does not ask on it."""
-        return self.reader.at_eof() or self.reader.exception() is not None
-
-    def expect_response(self) -> None:
-        self._machine.expect()
-
-    async def next_event(self, within_s: float) -> Event:
-        """Closed or TimeoutError: nothing more comes, or not in time."""
-        while not self._events:
-            data = await asyncio.wait_for(self.reader.read(1 << 16), within_s)
-            self._events = self._machine.feed(data) if data else [Lost("closed")]
-        event = self._events.pop(0)
-        if isinstance(event, Lost):
-            raise ConnectionEndedError(event.why)
-        return event
-
-    def close(self) -> None:
-        self._machine.close()
-        self.writer.transport.abort()
-
-
 class Clients:
     """Open-loop arrivals. `addresses`: of the dispatchers to which new connections go now."""
 
@@ -138,6 +91,7 @@
         self.shutdown_begun[address.name] = asyncio.Event()
 
     def dispatcher_terminated(self, name: str) -> None:
+        """The dispatcher was sent SIGTERM: its regular clients ask without a pause from now on."""
         self.shutdown_begun[name].set()
 
     async def _run_regular(self, name: str) -> None:
@@ -356,28 +310,3 @@
     def _address_of(exchange: Exchange, addresses: list[ListenAddress]) -> ListenAddress:
         port = exchange.writer.get_extra_info("peername")[1]
         return next(address for address in addresses if address.port == port)
-
-
-class ConnectionFlood:
-    """Clients that connect to one dispatcher, ask for nothing, and come again when they are sent away."""
-
-    def __init__(self, address: ListenAddress, size: int) -> None:
-        self.address, self.size = address, size
-        self._tasks: list[asyncio.Task[None]] = []
-
-    def start(self) -> None:
-        self._tasks = [asyncio.ensure_future(self._hold_connection()) for _ in range(self.size)]
-
-    async def _hold_connection(self) -> None:
-        while True:
-            with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection(self.address.host, self.address.port)
-                try:
-                    await reader.read(1)
-                finally:
-                    writer.transport.abort()
-            await asyncio.sleep(0.1)
-
-    def stop(self) -> None:
-        for task in self._tasks:
-            task.cancel()
--- a/pearhill/lab/soak/endings.py
+++ b/pearhill/lab/soak/endings.py
@@ -26,15 +26,19 @@
 
 
 class ProcessEnds:
+    """The ends of each dispatcher's processes, in their order. Times are microseconds."""
+
     def __init__(self) -> None:
         self._by_dispatcher: dict[str, list[ProcessEnd]] = {}
 
     def terminated(self, at: int, dispatcher: str) -> None:
+        """The running process was sent SIGTERM; a second one changes nothing."""
         last = self.last(dispatcher)
         if last is None or last.killed or not last.terminated:
             self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(terminated=at))
 
     def killed(self, at: int, dispatcher: str) -> None:
+        """The running process was sent SIGKILL."""
         last = self.last(dispatcher)
         if last and last.terminated and not last.killed:
             last.killed = at
@@ -48,6 +52,7 @@
         self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd())
 
     def last(self, dispatcher: str) -> ProcessEnd | None:
+        """The end of the last process that was told to end; empty once it has exited by itself, None before any."""
         endings = self._by_dispatcher.get(dispatcher)
         return endings[-1] if endings else None
 
--- a/pearhill/lab/soak/held_states.py
+++ b/pearhill/lab/soak/held_states.py
@@ -37,10 +37,12 @@
         return True
 
     def exists(self, request: str) -> bool:
+        """Whether a prefill replica holds a state for the request."""
         record = self._state.requests.get(request)
         return record is not None and record.held is not None
 
     def replica_restarted(self, replica: str) -> None:
+        """What the replica held went with its process."""
         for record in self._state.requests.values():
             if record.held and record.held.replica == replica:
                 record.held = None
@@ -50,6 +52,7 @@
         return any(a.writes_answer and not a.ended for a in record.attempts)
 
     def scan(self, at: int) -> None:
+        """Report what is held too long while no attempt is out for it."""
         limit = self._state.limits.release_within + MAX_RELEASE_DELAY_US
         for request, record in self._state.requests.items():
             held = record.held
--- a/pearhill/lab/soak/lateness.py
+++ b/pearhill/lab/soak/lateness.py
@@ -19,6 +19,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
+    """One sleep that ended late, by `late`; a stop counts with its whole length. Microseconds."""
+
     since: int
     until: int
     late: int
@@ -44,15 +46,18 @@
 
     @property
     def worst(self) -> int:
+        """By how much the latest sleep was late, in microseconds."""
         return max((span.late for span in (*self.loop, *self.probe)), default=0)
 
     async def watch_loop(self) -> None:
+        """Record how late this event loop runs, until cancelled."""
         while True:
             before = self.clock()
             await asyncio.sleep(PROBE_INTERVAL_S)
             record_sleep(self.loop, before, self.clock())
 
     async def watch_probe(self) -> None:
+        """Record how late a process of its own runs, until cancelled; the process ends with this."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pearhill.lab.soak.lateness", stdout=asyncio.subprocess.PIPE
         )
--- a/pearhill/lab/soak/oracle.py
+++ b/pearhill/lab/soak/oracle.py
@@ -35,6 +35,7 @@
         self.clients.scan(at)
 
     def replica_cut_off(self, at: int, replica: str, on: bool) -> None:
+        """Nothing reaches the replica from now on, or (not `on`) everything does again."""
         self.state.unreachable.mark(at, replica, on)
 
     def system_calls_fail(self, at: int, dispatcher: str, on: bool) -> None:
@@ -42,6 +43,7 @@
         self.state.failing.mark(at, dispatcher, on)
 
     def dispatcher_flooded(self, at: int, dispatcher: str, on: bool) -> None:
+        """Idle connections fill the dispatcher's descriptors from now on, or no longer do."""
         self.state.flooded.mark(at, dispatcher, on)
 
     def client_connection_broken(self, dispatcher: str, port: int) -> None:
@@ -49,18 +51,22 @@
         self.state.broken_clients.add((dispatcher, port))
 
     def terminated(self, at: int, dispatcher: str) -> None:
+        """The dispatcher's process was sent SIGTERM."""
         self.state.process_ends.terminated(at, dispatcher)
         self.state.exposure["under way at a SIGTERM"] += self._under_way(dispatcher)
 
     def killed(self, at: int, dispatcher: str) -> None:
+        """The dispatcher's process was sent SIGKILL."""
         self.state.process_ends.killed(at, dispatcher)
         self.state.exposure["under way at a kill"] += self._under_way(dispatcher)
 
     def exited(self, at: int, dispatcher: str) -> None:
+        """The dispatcher's process ended by itself after SIGTERM."""
         self.state.process_ends.exited(at, dispatcher)
 
     def _under_way(self, dispatcher: str) -> int:
         return sum(self.state.requests[request].dispatcher == dispatcher for request in self.state.open_requests)
 
     def process_fault(self, at: int, dispatcher: str, detail: str) -> None:
+        """The dispatcher logged a fault, or ended as it must not."""
         self.state.add_violation(at, "process", dispatcher, detail)
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -77,6 +77,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """What one play consists of. `rate`: requests a second beside the regular clients; `seconds`: of load."""
+
     seed: int
     seconds: float
     dispatchers: int
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pearhill.lab.soak.clients import ListenAddress
+from pearhill.lab.soak.connection import ListenAddress
 from pearhill.lab.soak.oracle import Oracle
 
 START_TIMEOUT_S = 30.0
@@ -60,6 +60,7 @@
         self._follower: asyncio.Task[None] | None = None
 
     def write_config(self) -> None:
+        """Write the configuration that the next start or reload reads."""
         self.path.write_text(
             json.dumps(
                 {
@@ -75,6 +76,7 @@
         )
 
     async def start(self) -> None:
+        """Start a process and wait until it listens. TimeoutError: it does not within 30 s."""
         self.starts += 1
         self.shutting_down = False
         self.write_config()
@@ -125,10 +127,12 @@
         self._send_command(line)
 
     def signal(self, number: int) -> None:
+        """Send a signal, if the process still runs."""
         if self.process and self.process.returncode is None:
             self.process.send_signal(number)
 
     def reload(self, discovery: str) -> None:
+        """Write the configuration with this discovery address, and send SIGHUP."""
         self.discovery = discovery
         self.write_config()
         self.signal(signal.SIGHUP)
@@ -167,6 +171,7 @@
                 process.send_signal(each.number)
 
     async def kill(self) -> None:
+        """SIGKILL, if the process still runs, and wait for its end."""
         process = self.process
         if process and process.returncode is None:
             self.shutting_down = True
--- a/pearhill/lab/soak/proxy.py
+++ b/pearhill/lab/soak/proxy.py
@@ -45,12 +45,14 @@
         self.directions: list[asyncio.Task[None]] = []
 
     def end_with_reset(self) -> None:
+        """Reset both sides."""
         for sock in (self.outer, self.inner):
             reset_at_close(sock)
         for way in self.directions:
             way.cancel()
 
     def close(self) -> None:
+        """Close both sides; its own task alone may call this."""
         for sock in (self.outer, self.inner):
             with contextlib.suppress(OSError):
                 sock.close()
@@ -74,6 +76,7 @@
         self._server = socket.create_server(("127.0.0.1", 0), backlog=1024)
 
     async def start(self) -> None:
+        """Accept connections from now on, at `address`."""
         self._server.setblocking(False)
         host, port = self._server.getsockname()
         self.address = f"{host}:{port}"
@@ -177,6 +180,7 @@
         pair.end_with_reset()
 
     def close(self) -> None:
+        """Stop accepting and end all tasks."""
         for task in list(self._tasks):
             task.cancel()
         self._server.close()
--- a/pearhill/lab/soak/records.py
+++ b/pearhill/lab/soak/records.py
@@ -74,6 +74,7 @@
 
     @property
     def dispatcher(self) -> str:
+        """The dispatcher that it was last sent to."""
         return self.sent[-1].dispatcher
 
     @property
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -8,17 +8,19 @@
 import signal
 import tempfile
 import time
-from collections import Counter
 from collections.abc import Awaitable, Callable, Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 
-from pearhill.lab.soak.clients import Clients, ConnectionFlood
+from pearhill.lab.soak.clients import Clients
+from pearhill.lab.soak.connection_flood import ConnectionFlood
+from pearhill.lab.soak.discovery_agent import DiscoveryAgent
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.plan import CONNECTION_BREAKING_CALLS, ZONES, Fault, Plan, draw
 from pearhill.lab.soak.processes import Dispatcher, SignalAt
 from pearhill.lab.soak.records import SECOND, Violation
-from pearhill.lab.soak.replicas import DECODE, MIXED, PREFILL, DiscoveryAgent, Replica, Speeds
+from pearhill.lab.soak.replicas import DECODE, MIXED, PREFILL, Replica, Speeds
+from pearhill.lab.soak.report import Report
 
 NEW_CONNECTIONS_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
 MAX_KILL_DEADLINE_S, KILL_AFTER_S = (
@@ -36,32 +38,6 @@
     return time.monotonic_ns() // 1000
 
 
-@dataclass(slots=True)
-class Report:
-    """What came of one seed. `logs`: the last lines of each dispatcher that a violation names."""
-
-    seed: int
-    violations: list[Violation]
-    outcomes: Counter[str]
-    exposure: Counter[str]
-    latest_ms: float
-    faults: list[str] = field(default_factory=list)
-    traces: dict[str, list[str]] = field(default_factory=dict)
-    logs: dict[str, list[str]] = field(default_factory=dict)
-
-    def text(self) -> str:
-        lines = [
-            f"seed {self.seed}: {len(self.violations)} violations, {dict(self.outcomes)}",
-            f"  could have been broken: {dict(sorted(self.exposure.items()))}; latest {self.latest_ms:.0f} ms",
-        ]
-        if self.violations:
-            lines += [f"  trouble {line}" for line in self.faults]
-            for v in self.violations:
-                lines.append(f"  VIOLATION at {v.at / SECOND:.3f} {v.rule} {v.request}: {v.detail}")
-                lines.append(f"    {'; '.join(self.traces.get(v.request, ()))}")
-        return "\n".join(lines)
-
-
 class Soak:
     """One run of one plan."""
 
@@ -102,6 +78,7 @@
         }
 
     async def run(self) -> Report:
+        """Play the plan once, to the end of the last process."""
         await asyncio.gather(*(r.start() for r in self.replicas), *(a.start() for a in self.agents))
         for agent in self.agents:
             for replica in self.replicas:
--- a/pearhill/lab/soak/shim.py
+++ b/pearhill/lab/soak/shim.py
@@ -23,7 +23,7 @@
 import sys
 import threading
 import time
-from typing import Any
+from typing import Any, ClassVar
 
 _real_time_ns = time.time_ns
 _RealSocket = socket.socket
@@ -39,6 +39,8 @@
         self.failing: dict[str, tuple[int, float]] = {}
 
     def command(self, line: str) -> None:
+        """Take one line, as the module's docstring has them; any other is ignored. ValueError or AttributeError: a
+        number, or the name of an errno, that is none."""
         match line.split():
             case ["wall", seconds]:
                 self.wall_ns += int(float(seconds) * 1e9)
@@ -54,57 +56,65 @@
             raise OSError(number, os.strerror(number))
 
 
-def _socket_class(faults: Faults) -> type[socket.socket]:
-    class FaultySocket(_RealSocket):
-        def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
-            if fileno is None:
-                faults.check("socket")
-            super().__init__(family, type, proto, fileno)
-            self.side = "server" if fileno is None else "client"
-
-        def accept(self) -> tuple[socket.socket, Any]:
-            faults.check("accept")
-            return super().accept()
-
-        def connect(self, address: Any) -> None:
-            faults.check("connect")
-            super().connect(address)
-
-        def check_bytes(self, call: str) -> None:
-            """An error by which the system ends a connection is told on standard error, with a client's address. The
-            pair by which the event loop wakes itself is left alone: it reads again by itself, and logs a trace."""
-            if self.family not in (socket.AF_INET, socket.AF_INET6):
-                return
-            faults.check(call)
-            try:
-                faults.check(f"{call}-{self.side}")
-            except OSError:
-                if self.side == "client":
-                    host, port = self.getpeername()[:2]
-                    print(f"shim: broke the connection of {host}:{port}", file=sys.stderr, flush=True)
-                raise
-
-        def recv(self, bufsize: int, flags: int = 0) -> bytes:
-            self.check_bytes("recv")
-            return super().recv(bufsize, flags)
-
-        def send(self, data: Any, flags: int = 0) -> int:
-            self.check_bytes("send")
-            return super().send(memoryview(data)[: faults.pieces] if faults.pieces else data, flags)
-
-        def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-            self.check_bytes("recv")
-            view = memoryview(buffer)
-            return super().recv_into(view[: faults.pieces] if faults.pieces else view, nbytes, flags)
-
-    return FaultySocket
+class FaultySocket(_RealSocket):
+    """A socket whose calls fail, and whose bytes are cut in pieces, as `faults` has it."""
+
+    faults: ClassVar[Faults]
+
+    def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
+        if fileno is None:
+            self.faults.check("socket")
+        super().__init__(family, type, proto, fileno)
+        self.side = "server" if fileno is None else "client"
+
+    def accept(self) -> tuple[socket.socket, Any]:
+        """As of a socket, unless `accept` fails now."""
+        self.faults.check("accept")
+        return super().accept()
+
+    def connect(self, address: Any) -> None:
+        """As of a socket, unless `connect` fails now."""
+        self.faults.check("connect")
+        super().connect(address)
+
+    def check_bytes(self, call: str) -> None:
+        """OSError: this call fails now. An error by which the system ends a connection is printed on standard error,
+        with the client's address. The pair by which the event loop wakes itself is left alone: it reads again by
+        itself, and logs a trace."""
+        if self.family not in (socket.AF_INET, socket.AF_INET6):
+            return
+        self.faults.check(call)
+        try:
+            self.faults.check(f"{call}-{self.side}")
+        except OSError:
+            if self.side == "client":
+                host, port = self.getpeername()[:2]
+                print(f"shim: broke the connection of {host}:{port}", file=sys.stderr, flush=True)
+            raise
+
+    def recv(self, bufsize: int, flags: int = 0) -> bytes:
+        """As of a socket, unless `recv` fails now."""
+        self.check_bytes("recv")
+        return super().recv(bufsize, flags)
+
+    def send(self, data: Any, flags: int = 0) -> int:
+        """As of a socket, unless `send` fails now; no more than a piece is sent."""
+        self.check_bytes("send")
+        return super().send(memoryview(data)[: self.faults.pieces] if self.faults.pieces else data, flags)
+
+    def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
+        """As of a socket, unless `recv` fails now; no more than a piece is read."""
+        self.check_bytes("recv")
+        view = memoryview(buffer)
+        return super().recv_into(view[: self.faults.pieces] if self.faults.pieces else view, nbytes, flags)
 
 
 def install(faults: Faults) -> None:
     """Replace the standard library's calls by those that may fail."""
     time.time_ns = lambda: _real_time_ns() + faults.wall_ns
     time.time = lambda: time.time_ns() / 1e9
-    socket.socket = _socket_class(faults)  # type: ignore[misc]
+    FaultySocket.faults = faults
+    socket.socket = FaultySocket  # type: ignore[misc]
     write_bytes, write_log = pathlib.Path.write_bytes, sys.stderr.write
 
     def checked_write_bytes(path: pathlib.Path, data: Any) -> int:
@@ -125,6 +135,7 @@
 
 
 def main() -> int:
+    """Install the faults, follow standard input, and run the real program."""
     faults = Faults(int(os.environ.get("SOAK_SEED", "0")))
     for line in os.environ.get("SOAK_COMMANDS", "").split(";"):
         faults.command(line)
--- a/pearhill/lab/soak/slow_start.py
+++ b/pearhill/lab/soak/slow_start.py
@@ -47,11 +47,13 @@
         self._warm: dict[str, dict[str, deque[int]]] = {}  # by role and replica: its arrivals of late
 
     def replica_started(self, at: int, replica: str) -> None:
+        """The replica has started cold."""
         self._cold[replica] = _ColdReplica(at)
         for peers in self._warm.values():
             peers.pop(replica, None)
 
     def is_cold(self, replica: str) -> bool:
+        """Whether the replica is still warming up, as far as it has been looked at."""
         return replica in self._cold
 
     def attempt_arrived(self, at: int, replica: str, role: str) -> str:
