--- /dev/null
+++ b/pearhill/lab/soak/fault_injection.py
@@ -0,0 +1,231 @@
+"""Brings a plan's faults about: signals, restarts, cuts, silence, floods and failing system calls."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import signal
+import time
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import replace
+
+from pearhill.lab.soak.connection_flood import ConnectionFlood
+from pearhill.lab.soak.fleet import SoakFleet, monotonic_us
+from pearhill.lab.soak.lateness import Span
+from pearhill.lab.soak.plan import CONNECTION_BREAKING_CALLS, Fault
+from pearhill.lab.soak.processes import Dispatcher, SignalAt
+from pearhill.lab.soak.records import SECOND
+from pearhill.lab.soak.replicas import Replica
+
+NEW_CONNECTIONS_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
+BETWEEN_SIGNALS_S = 0.05
+
+
+class FaultInjector:
+    """Faults overlap; a dispatcher that is being restarted is left alone by others. `injected`: a line for each."""
+
+    def __init__(self, fleet: SoakFleet, rng: random.Random) -> None:
+        self.injected: list[str] = []
+        self._fleet = fleet
+        self._rng = rng
+        self._wall_offset_us = 0  # the step of everybody's wall clock
+        self._busy: set[str] = set()  # dispatchers that are being restarted
+        self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
+            "terminate": self._terminate,
+            "kill": self._kill,
+            "reload": self._reload,
+            "hold": self._hold,
+            "wall": self._wall,
+            "cut": self._cut,
+            "misbehave": self._misbehave,
+            "restart-replica": self._restart_replica,
+            "drain-replica": self._drain_replica,
+            "silence-agents": self._silence_agents,
+            "resets": self._resets,
+            "fail-calls": self._fail_calls,
+            "pieces": self._pieces,
+            "crowd": self._flood,
+            "hang-and-terminate": self._hang_and_terminate,
+        }
+
+    async def inject(self, fault: Fault) -> None:
+        """Wait for the fault's time, bring it about, and wait until it is over."""
+        await asyncio.sleep(fault.at_s)
+        self.injected.append(
+            f"{fault.at_s:.3f} {fault.kind} {fault.variant} {fault.amount} for {fault.duration_s:.3f} s, "
+            f"pick {fault.pick:.3f}"
+        )
+        await self._injectors[fault.kind](fault)
+
+    def _pick_dispatcher(self, fault: Fault) -> Dispatcher | None:
+        free = [d for d in self._fleet.dispatchers if d.name not in self._busy]
+        return free[int(fault.pick * len(free))] if free else None
+
+    def _pick_replica(self, fault: Fault) -> Replica:
+        return self._fleet.replicas[int(fault.pick * len(self._fleet.replicas))]
+
+    async def _terminate(self, fault: Fault) -> None:
+        if dispatcher := self._pick_dispatcher(fault):
+            self._busy.add(dispatcher.name)
+            await self.shut_down(dispatcher, self._signals_after_sigterm(fault.variant))
+            await self._restart(dispatcher)
+
+    async def shut_down(self, dispatcher: Dispatcher, others: Sequence[SignalAt] = ()) -> None:
+        """Send SIGTERM, with the signals that follow it, and wait for the process's end; new connections cease soon."""
+        ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, others))
+        self._fleet.clients.dispatcher_terminated(dispatcher.name)
+        await asyncio.sleep(self._rng.uniform(*NEW_CONNECTIONS_S))
+        self._fleet.clients.addresses.pop(dispatcher.name, None)
+        await ended
+
+    def _signals_after_sigterm(self, how: str) -> list[SignalAt]:
+        """What follows a SIGTERM."""
+        numbers = {
+            "plain": [],
+            "twice": [signal.SIGTERM],
+            "reload": [signal.SIGHUP, signal.SIGHUP],
+            "report": [signal.SIGUSR1, signal.SIGUSR1],
+            "all": [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP],
+        }[how]
+        return [SignalAt(number, self._rng.uniform(0, 0.3)) for number in numbers]
+
+    async def _hang_and_terminate(self, fault: Fault) -> None:
+        """A restart while all replicas of one role hang, also those that the last process has asked."""
+        chosen = self._pick_replica(fault)
+        hanging = [r for r in self._fleet.replicas if r.role == chosen.role]
+        for replica in hanging:
+            replica.misbehaviour, replica.misbehaving_share = "hang", 1.0
+        await self._terminate(fault)
+        for replica in hanging:
+            replica.misbehaving_share = 0.0
+
+    async def _kill(self, fault: Fault) -> None:
+        if dispatcher := self._pick_dispatcher(fault):
+            self._busy.add(dispatcher.name)
+            self._fleet.clients.addresses.pop(dispatcher.name, None)
+            await dispatcher.kill()
+            await self._restart(dispatcher)
+
+    async def _restart(self, dispatcher: Dispatcher) -> None:
+        await dispatcher.start()
+        self._fleet.add_to_front(dispatcher)
+        self._busy.discard(dispatcher.name)
+
+    async def _reload(self, fault: Fault) -> None:
+        """In quick succession, for all that run; sometimes a SIGTERM in the midst, or a report."""
+        for turn in range(int(fault.amount)):
+            for dispatcher in self._fleet.dispatchers:
+                if dispatcher.name not in self._busy:
+                    dispatcher.reload(dispatcher.discovery)
+                    if turn % 2:
+                        dispatcher.signal(signal.SIGUSR1)
+            await asyncio.sleep(self._rng.uniform(0, BETWEEN_SIGNALS_S))
+        if fault.pick < 0.5:
+            await self._terminate(replace(fault, variant="reload"))
+
+    async def _hold(self, fault: Fault) -> None:
+        since = monotonic_us()
+        for dispatcher in self._fleet.dispatchers:
+            dispatcher.signal(signal.SIGSTOP)
+        await asyncio.sleep(fault.duration_s)
+        self._fleet.lateness.stops.append(Span(since, monotonic_us(), monotonic_us() - since))
+        for dispatcher in self._fleet.dispatchers:
+            dispatcher.signal(signal.SIGCONT)
+
+    async def _wall(self, fault: Fault) -> None:
+        """Every machine reads the same clock. A moment later a replica comes back cold."""
+        self._wall_offset_us += int(fault.amount * SECOND)
+        for dispatcher in self._fleet.dispatchers:
+            dispatcher.command(f"wall {fault.amount}", lasting=True)
+        await asyncio.sleep(0.3)
+        await self._restart_replica(fault)
+
+    async def _restart_replica(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.restart(int(time.time() * 1000) + self._wall_offset_us // 1000)
+        if not any(agent.is_silent for agent in self._fleet.agents):
+            self._fleet.oracle.attempts.replica_started(monotonic_us(), replica.uid)
+        await self._publish(replica)
+
+    async def _drain_replica(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        if sum(r.role == replica.role and r.state == "active" for r in self._fleet.replicas) < 3:
+            return
+        replica.state = "leaving"
+        await self._publish(replica)
+
+    async def _publish(self, replica: Replica) -> None:
+        for agent in self._fleet.agents:
+            await agent.publish(replica.endpoint())
+
+    async def _cut(self, fault: Fault) -> None:
+        """A zone's replicas of one role fall silent."""
+        chosen = self._pick_replica(fault)
+        cut = [r for r in self._fleet.replicas if r.role == chosen.role and r.zone == chosen.zone]
+        for replica in cut:
+            self._fleet.oracle.replica_cut_off(monotonic_us(), replica.uid, True)
+            replica.proxy.cut(True)
+        await asyncio.sleep(fault.duration_s)
+        for replica in cut:
+            replica.proxy.cut(False)
+            self._fleet.oracle.replica_cut_off(monotonic_us(), replica.uid, False)
+
+    async def _misbehave(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.misbehaviour, replica.misbehaving_share = fault.variant, fault.amount
+        await asyncio.sleep(fault.duration_s)
+        replica.misbehaving_share = 0.0
+
+    async def _silence_agents(self, fault: Fault) -> None:
+        """Discovery is down for all. A replica begins to leave within a moment of its return."""
+        for agent in self._fleet.agents:
+            await agent.set_silent(True)
+        await asyncio.sleep(fault.duration_s)
+        for agent in self._fleet.agents:
+            await agent.set_silent(False)
+        await asyncio.sleep(0.2)
+        await self._drain_replica(fault)
+
+    async def _resets(self, fault: Fault) -> None:
+        replica = self._pick_replica(fault)
+        replica.proxy.reset_share = fault.amount
+        await asyncio.sleep(fault.duration_s)
+        replica.proxy.reset_share = 0.0
+
+    async def _fail_calls(self, fault: Fault) -> None:
+        calls = [each.split() for each in fault.variant.split(",")]
+        breaks = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
+        for dispatcher in self._fleet.dispatchers:
+            for call, error, share in calls:
+                dispatcher.command(f"fail {call} {error} {share}")
+            if breaks:
+                self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, True)
+        await asyncio.sleep(fault.duration_s)
+        for dispatcher in self._fleet.dispatchers:
+            for call, error, _ in calls:
+                dispatcher.command(f"fail {call} {error} 0")
+            if breaks:
+                self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, False)
+
+    async def _pieces(self, fault: Fault) -> None:
+        for dispatcher in self._fleet.dispatchers:
+            dispatcher.command(f"pieces {int(fault.amount)}")
+        await asyncio.sleep(fault.duration_s)
+        for dispatcher in self._fleet.dispatchers:
+            dispatcher.command("pieces 0")
+
+    async def _flood(self, fault: Fault) -> None:
+        """Idle clients fill the descriptors of some, also while discovery is down."""
+        addresses = list(self._fleet.clients.addresses.values())
+        self._rng.shuffle(addresses)
+        floods = [ConnectionFlood(address, int(fault.amount)) for address in addresses[: max(1, len(addresses) // 3)]]
+        for flood in floods:
+            self._fleet.oracle.dispatcher_flooded(monotonic_us(), flood.address.name, True)
+            flood.start()
+        if fault.variant:
+            await self._silence_agents(fault)
+        else:
+            await asyncio.sleep(fault.duration_s)
+        for flood in floods:
+            flood.stop()
+            self._fleet.oracle.dispatcher_flooded(monotonic_us() + SECOND, flood.address.name, False)
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed stands for: settings, a fleet, and a time line of troubles that overlap."""
+"""What a seed stands for: settings, a fleet, and a time line of faults that overlap."""
 
 from __future__ import annotations
 
@@ -179,7 +179,7 @@
 
 
 def draw(seed: int, seconds: float = 12.0, dispatchers: int = 10) -> Plan:
-    """The plan of a seed: the same settings, fleet and troubles every time."""
+    """The plan of a seed: the same settings, fleet and faults every time."""
     rng = random.Random(seed)
     times = rng.choice((LONG_MS, SHORT_MS))
     classes = [
