--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -17,7 +17,7 @@
 
 from pearhill.lab.scale.files import zones
 from pearhill.lab.scale.fleet import AGGREGATOR_UP, RunningFleet
-from pearhill.lab.scale.plan import EventTable, FleetSize, ScaleTable
+from pearhill.lab.scale.plan import FaultEventTable, FleetSize, ScaleTable
 
 LOOK_S = 0.5
 STREAMS_SEEN = 12_000  # dispatchers times replicas at which sums are looked at, about
@@ -178,7 +178,7 @@
         assert self.fleet.discovery
         return await self.fleet.discovery.ask(order, **told)
 
-    async def play(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def play(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """From its begin to its end; what follows from it is undone there."""
         self.extra = {}
         await getattr(self, f"_{event.kind}")(event, end, now)
@@ -186,7 +186,7 @@
     async def _sleep_until(self, at: float, now: Callable[[], float]) -> None:
         await asyncio.sleep(max(0.0, at - now()))
 
-    async def _churn(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _churn(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """Machines of both kinds by their number: each replaced one is back at once, each dead one when it ends."""
         size, began = self.fleet.size, now()
         machines = size.dispatchers + size.replicas
@@ -218,7 +218,7 @@
         self.extra = done
 
     async def _gone(
-        self, event: EventTable, end: float, now: Callable[[], float], names: list[str], **replicas: Any
+        self, event: FaultEventTable, end: float, now: Callable[[], float], names: list[str], **replicas: Any
     ) -> None:
         await self.stop(names, gracefully=False)
         died = (await self._discovery("die", listed_s=min(LEASE_S, event.for_s / 2), **replicas))["changed"]
@@ -235,15 +235,15 @@
                 "add", count=count, kind=kind, zones=[replicas["zone"]] if "zone" in replicas else None
             )
 
-    async def _rack(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _rack(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         size = self.fleet.size
         names = self.rng.sample([p.name for p in self.fleet.places], max(1, size.dispatchers // RACK))
         await self._gone(event, end, now, names, count=max(1, size.replicas // RACK))
 
-    async def _zone(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _zone(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         await self._gone(event, end, now, [p.name for p in self.fleet.places if p.zone == 0], zone=zones(self.scale)[0])
 
-    async def _region_cut(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _region_cut(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """Region 0 hears nothing of the others, nor they of it."""
 
         def address(text: str) -> tuple[str, int]:
@@ -274,15 +274,15 @@
         await self._sleep_until(end, now)
         await asyncio.gather(*(daemon.start(AGGREGATOR_UP) for daemon in lost))
 
-    async def _aggregator_lost(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _aggregator_lost(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         await self._lose(1, end, now)
 
-    async def _aggregators_lost_2(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _aggregators_lost_2(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         await self._lose(2, end, now)
 
-    async def _readers_share(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _readers_share(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """Half as many readers again as there were, in even steps; each is another replica at another address."""
-        count = round(self.fleet.size.replicas * self.scale.readers / 2)
+        count = round(self.fleet.size.replicas * self.scale.prefill_share / 2)
         steps, began, turned = max(1, min(count, int(event.for_s))), now(), 0
         for k in range(steps):
             await self._sleep_until(began + event.for_s * k / steps, now)
@@ -291,7 +291,7 @@
         await self._sleep_until(end, now)
         self.extra = {"turned": turned}
 
-    async def _settings(self, event: EventTable, end: float, now: Callable[[], float]) -> None:
+    async def _settings(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """So many changes as that many ordinary days' share of the time holds, then the burst, each at every one."""
         count, began = max(1, round(SETTINGS_A_DAY * event.factor / DAY_S * event.for_s)), now()
         spent, in_force = list[float](), list[float]()
@@ -315,13 +315,13 @@
         }
 
 
-def factor(event: EventTable) -> float:
+def factor(event: FaultEventTable) -> float:
     """How many times faster than on an ordinary day. A move of the readers' share takes a day."""
     return round(DAY_S / event.for_s, 1) if event.kind == "readers_share" else event.factor
 
 
 async def run(
-    events: list[EventTable],
+    events: list[FaultEventTable],
     size: FleetSize,
     fleet: RunningFleet,
     scale: ScaleTable,
@@ -361,7 +361,7 @@
                     **came,
                     **line.extra,
                     "lasted_s": event.for_s,
-                    "way": size.way,
+                    "way": size.exchange,
                     "dispatchers": size.dispatchers,
                     "replicas": size.replicas,
                 },
--- a/pearhill/lab/scale/files.py
+++ b/pearhill/lab/scale/files.py
@@ -94,7 +94,7 @@
             k % n // s.zones_per_region,
             k % n,
             rng.getrandbits(31),
-            s.heavy if k % s.heavy_every == s.heavy_every - 1 else 1.0,
+            s.heavy_weight if k % s.heavy_every == s.heavy_every - 1 else 1.0,
         )
         for k in range(count)
     ]
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -136,16 +136,16 @@
             key.write_text(new_key())
         self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self.folder)
         opened = await self.discovery.ask(
-            "open", replicas=size.replicas, readers=scale.readers, seed=scale.seed, zones=files.zones(scale)
+            "open", replicas=size.replicas, readers=scale.prefill_share, seed=scale.seed, zones=files.zones(scale)
         )
         self.places = files.places(scale, size.dispatchers)
         self.sites = {f"a{k}": f"{HERE}:{port}" for k, port in enumerate(files.free_ports(size.aggregators))}
-        self.text = files.template(scale, size.way, self.places, self.sites, opened["address"], str(key))
+        self.text = files.template(scale, size.exchange, self.places, self.sites, opened["address"], str(key))
         await self._start_aggregators(str(key))
-        readers = round(size.replicas * scale.readers)
+        readers = round(size.replicas * scale.prefill_share)
         common = {
             "text": self.text,
-            "work": size.work,
+            "work": size.workload,
             "seed": scale.seed,
             "rate_per_s": size.rate_per_s,
             "streams": scale.streams,
@@ -208,7 +208,7 @@
         await asyncio.sleep(self.scale.warm_s)
         while time.monotonic() < began + self.scale.warm_s + SETTLE_S:
             looked = await self.ask_all("look", engines=[])
-            counts = [c for told in looked for c in told["counts"] if self.size.way != "own"]
+            counts = [c for told in looked for c in told["counts"] if self.size.exchange != "own"]
             if all(c == self.size.dispatchers for c in counts) and all(
                 n == self.size.replicas for told in looked for n in told["listed"]
             ):
@@ -232,12 +232,12 @@
         real, machines = await self.snapshot(self.real), await self.snapshot(self.aggregators)
         before = await self.discovery.ask("counts")
         # Requests through the Router have work at every writer, and leave none to a mark.
-        await self.ask_all("begin", marker="" if size.work == "router" else self.places[0].name)
+        await self.ask_all("begin", marker="" if size.workload == "router" else self.places[0].name)
         await self.discovery.ask("replace", count=1)  # a change whose age is seen as each dispatcher comes to fetch it
         await asyncio.sleep(self.scale.seconds)
         hosts, after = await self.ask_all("end"), await self.discovery.ask("counts")
         read_at: list[int] = next((told["read_at"] for told in hosts if told["read_at"]), [])
-        ages = observe.mark_ages(read_at, [mark for told in hosts for mark in told["marks"]], size.way == "talk")
+        ages = observe.mark_ages(read_at, [mark for told in hosts for mark in told["marks"]], size.exchange == "talk")
         alone, hosts = hosts[len(hosts) - size.alone :], hosts[: len(hosts) - size.alone]
         machines_after = await self.snapshot(self.aggregators, last=True)
         real_after = await self.snapshot(self.real, last=True)
@@ -250,13 +250,13 @@
         seconds = after["at"] - before["at"]
         calls = Counter(after["counts"]) - Counter(before["counts"])
         common = {
-            "way": size.way,
-            "work": size.work,
+            "way": size.exchange,
+            "work": size.workload,
             "dispatchers": size.dispatchers,
             "replicas": size.replicas,
             "aggregators": size.aggregators,
             "seconds": round(self.scale.seconds, 1),
-            "rate_per_dispatcher": size.rate_per_s if size.work == "router" else 0.0,
+            "rate_per_dispatcher": size.rate_per_s if size.workload == "router" else 0.0,
             "processes": self.processes,
             "busy": busy,
         }
@@ -276,7 +276,7 @@
             }
         }
         made["hollow"]["dispatcher"]["news_age_ms"] = spread_ms([encoded(array("q", ages))])
-        if size.work == "router":
+        if size.workload == "router":
             made["evenness"] = evenness_of(hosts)
         if alone:
             made["alone"] = {"dispatcher": hollow_figures(alone)}
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -21,18 +21,18 @@
 from pearhill.lab.scale.loaded import under_load
 from pearhill.lab.scale.measure import machine, memory_of, taken
 from pearhill.lab.scale.plan import (
-    MOST_MEMORY,
-    MOST_PROCESSES,
+    MAX_MEMORY_SHARE,
+    MAX_PROCESSES,
+    FaultsTable,
     FleetSize,
     Plan,
     SizeTable,
-    TroublesTable,
-    bounded,
-    checks,
-    evenness,
-    points,
-    seconds,
-    troubled,
+    check_bounds,
+    check_fleets,
+    evenness_fleets,
+    expected_seconds,
+    fault_fleet,
+    grid_fleets,
 )
 
 WITHIN = 0.2  # by which hollow and real may differ
@@ -79,18 +79,18 @@
         plan = self.plan
         if plan.choice:
             await self._choice(folder)
-        for number, (size, load_per_s) in enumerate(checks(plan)):
+        for number, (size, load_per_s) in enumerate(check_fleets(plan)):
             self.told(f"check {number + 1} of {len(plan.check)}: {described(size)}")
             await self._or_not_run(size, self._check(size, load_per_s, folder))
-        sizes = points(plan)
+        sizes = grid_fleets(plan)
         for number, size in enumerate(sizes):
             self.told(f"point {number + 1} of {len(sizes)}: {described(size)}, {time.monotonic() - self.began:.0f} s")
             await self._or_not_run(size, self._point(size, folder))
-        for size in evenness(plan):
+        for size in evenness_fleets(plan):
             self.told(f"evenness: {described(size)}, {size.rate_per_s:g} requests a second each")
             await self._or_not_run(size, self._evenness(size, folder))
-        for table in plan.troubles:
-            size = troubled(table)
+        for table in plan.faults:
+            size = fault_fleet(table)
             self.told(f"troubles: {described(size)}")
             await self._or_not_run(size, self._troubles(table, size, folder))
 
@@ -104,7 +104,7 @@
         finally:
             self.fleet = None
 
-    async def _troubles(self, table: TroublesTable, size: FleetSize, folder: pathlib.Path) -> None:
+    async def _troubles(self, table: FaultsTable, size: FleetSize, folder: pathlib.Path) -> None:
         async with RunningFleet(size, self.plan.scale, folder, self.told, cuttable=True) as self.fleet:
             await self._settled(self.fleet)
             await faults.run(table.event, size, self.fleet, self.plan.scale, self.told, self.troubles)
@@ -131,7 +131,7 @@
         point, even = made["hollow"], made["evenness"]
         self.evenness.append(
             {
-                "way": size.way,
+                "way": size.exchange,
                 "dispatchers": size.dispatchers,
                 "replicas": size.replicas,
                 "aggregators": size.aggregators,
@@ -196,17 +196,17 @@
 
     async def watch(self) -> None:
         """Failed: the processes take more than they may. Danger: past the machine's memory, others' processes die."""
-        most = MOST_MEMORY * machine()["memory_bytes"]
+        most = MAX_MEMORY_SHARE * machine()["memory_bytes"]
         while True:
             await asyncio.sleep(WATCH_S)
             if (fleet := self.fleet) is None:
                 continue
             pids = fleet.pids()
             held = await asyncio.to_thread(memory_of, pids)
-            if held > most or len(pids) >= MOST_PROCESSES:
+            if held > most or len(pids) >= MAX_PROCESSES:
                 raise Stopped(
-                    f"{len(pids)} processes hold {held / 1e9:.1f} GB; allowed: {MOST_PROCESSES}, and "
-                    f"{MOST_MEMORY:.0%} of the machine's memory"
+                    f"{len(pids)} processes hold {held / 1e9:.1f} GB; allowed: {MAX_PROCESSES}, and "
+                    f"{MAX_MEMORY_SHARE:.0%} of the machine's memory"
                 )
 
     def results(self, name: str) -> dict[str, Any]:
@@ -232,8 +232,9 @@
 
 def described(size: FleetSize) -> str:
     real = f" and {size.real} real" if size.real else ""
-    return f"{size.way}, {size.hollow} hollow{real} dispatchers before {size.replicas} replicas, work {size.work}" + (
-        f", {size.aggregators} aggregators" if size.aggregators else ""
+    return (
+        f"{size.exchange}, {size.hollow} hollow{real} dispatchers before {size.replicas} replicas, work {size.workload}"
+        + (f", {size.aggregators} aggregators" if size.aggregators else "")
     )
 
 
@@ -350,12 +351,12 @@
 async def run(plan: Plan, name: str, told: Told = lambda line: None) -> dict[str, Any]:
     """The results. ConfigError: the plan is too large for this machine. Stopped: it did not come through; its processes
     are gone then, too."""
-    bounded(plan, machine()["memory_bytes"])
-    told(f"some {seconds(plan) / 60:.0f} min, seed {plan.scale.seed}")
+    check_bounds(plan, machine()["memory_bytes"])
+    told(f"some {expected_seconds(plan) / 60:.0f} min, seed {plan.scale.seed}")
     made = Run(plan, told)
     with tempfile.TemporaryDirectory() as folder:
         try:
-            await _guarded(made, pathlib.Path(folder), STOP_TIMES * seconds(plan) + STOP_S)
+            await _guarded(made, pathlib.Path(folder), STOP_TIMES * expected_seconds(plan) + STOP_S)
         except (Failed, Stopped, OSError) as e:
             made.not_run.append({"what": "the rest of the plan", "why": str(e)})
             stopped = Stopped(str(e))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -80,14 +80,14 @@
             ("[scale]\nseconds = 3600.0\n" + GRID.replace("[4]", "[4, 5, 6, 7]"), 24 << 30, "a plan of some 4"),
         ):
             with self.subTest(text), self.assertRaisesRegex(ConfigError, why):
-                plan.bounded(plan.load(self.file(text)), memory)
+                plan.check_bounds(plan.load(self.file(text)), memory)
 
     def test_the_plans_that_come_with_it_fit_a_machine_of_24_gb(self):
         found = sorted(PLANS.glob("*.toml"))
         self.assertGreaterEqual(len(found), 3)
         for path in found:
             with self.subTest(path.name):
-                plan.bounded(plan.load(str(path)), 24 << 30)
+                plan.check_bounds(plan.load(str(path)), 24 << 30)
 
     def test_processes_hold_unlike_counts_that_add_up(self):
         for hollow, most in ((1, 40), (2, 40), (4, 8), (20, 12), (330, 40), (333, 7)):
@@ -247,7 +247,7 @@
         # An aggregator counts nobody's work before an earlier lease of it is surely over.
         text = TINY.replace('"talk"', f'"{way}"\naggregators = 2')
         text = text.replace("warm_s = 1.0", f"warm_s = {1 + 2 * machines}")
-        made = asyncio.run(run.run(plan.judged(plan.typed.convert(plan_of(text), plan.Plan)), "tiny", lines.append))
+        made = asyncio.run(run.run(plan.validated(plan.typed.convert(plan_of(text), plan.Plan)), "tiny", lines.append))
         (point,) = made["points"]
         self.assertEqual(
             [point[what] for what in ("way", "kind", "dispatchers", "replicas", "aggregators")],
