--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -16,7 +16,7 @@
 
 from pearhill import settings
 from pearhill.lab.scale.child import Handle, run
-from pearhill.lab.scale.files import SETTINGS
+from pearhill.lab.scale.files import SETTINGS_TEMPLATE, ZONE_MARK
 from pearhill.routing.actions import SendAttempt
 from pearhill.routing.events import AttemptEnded, EndpointsUpdated, RequestArrived, ResponseStarted
 from pearhill.routing.outcomes import Outcome
@@ -29,7 +29,9 @@
 
 
 def router(replicas: int, instances: int, seed: int) -> Router:
-    text = SETTINGS.format(instances=instances, zones=json.dumps([f"z{k}" for k in range(6)])).replace("@zone@", "0")
+    text = SETTINGS_TEMPLATE.format(instances=instances, zones=json.dumps([f"z{k}" for k in range(6)])).replace(
+        ZONE_MARK, "0"
+    )
     made = Router(settings.parse(tomllib.loads(text)["settings"]).router, seed)
     readers = max(2, round(replicas * READERS))
     made.handle(
--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -19,7 +19,7 @@
 from pearhill.http1.messages import RequestMessage, answer
 from pearhill.http1.server import ServerConnection
 from pearhill.lab.scale.child import Handle, run
-from pearhill.lab.scale.files import APP, HERE
+from pearhill.lab.scale.files import LOOPBACK, REGISTRY_APP
 from pearhill.lab.scenario import ServerTable
 from pearhill.lab.servers import Model
 
@@ -50,7 +50,7 @@
         self.rows[id] = row = {
             "instanceId": id,
             "hostName": host,
-            "app": APP,
+            "app": REGISTRY_APP,
             "ipAddr": host,
             "status": status,
             "overriddenstatus": "UNKNOWN",
@@ -65,7 +65,7 @@
                 "cell": str(zlib.crc32(zone.encode()) % 997),
                 "changed_us": str(int(now * 1e6)),
             },
-            "vipAddress": APP.lower(),
+            "vipAddress": REGISTRY_APP.lower(),
             "lastUpdatedTimestamp": str(int(time.time() * 1000)),
             "lastDirtyTimestamp": str(int(time.time() * 1000)),
         }
@@ -90,7 +90,7 @@
             "applications": {
                 "versions__delta": str(self.version),
                 "apps__hashcode": "".join(f"{s}_{counts[s]}_" for s in sorted(counts)),
-                "application": [{"name": APP, "instance": rows}] if rows else [],
+                "application": [{"name": REGISTRY_APP, "instance": rows}] if rows else [],
             }
         }
         self._made[delta] = self.version, now, json.dumps(told).encode()
@@ -161,7 +161,7 @@
 
     async def _open(self, told: dict[str, Any]) -> dict[str, Any]:
         self.rng, self.zones = random.Random(told["seed"]), told["zones"]
-        server = await asyncio.start_server(self._serve, HERE, 0, backlog=2048)
+        server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=2048)
         readers = round(told["replicas"] * told["readers"])
         for k in range(told["replicas"]):
             # Spread evenly: within each zone there are as many readers and writers as in any other.
@@ -174,7 +174,7 @@
         self._made += 1
         id = f"{kind}-{self._made}"
         replica = Replica(SIZES[kind], self._made, time.monotonic())
-        self.servers[id] = server = await asyncio.start_server(replica.serve, HERE, 0, backlog=1024)
+        self.servers[id] = server = await asyncio.start_server(replica.serve, LOOPBACK, 0, backlog=1024)
         self.kinds[id] = kind
         address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
         self.registry.put(id, address, kind, zone, time.monotonic(), UP, started)
--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -15,7 +15,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from pearhill.lab.scale.files import zones
+from pearhill.lab.scale.files import zone_names
 from pearhill.lab.scale.fleet import AGGREGATOR_UP, RunningFleet
 from pearhill.lab.scale.plan import FaultEventTable, FleetSize, ScaleTable
 
@@ -241,7 +241,9 @@
         await self._gone(event, end, now, names, count=max(1, size.replicas // RACK))
 
     async def _zone(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
-        await self._gone(event, end, now, [p.name for p in self.fleet.places if p.zone == 0], zone=zones(self.scale)[0])
+        await self._gone(
+            event, end, now, [p.name for p in self.fleet.places if p.zone == 0], zone=zone_names(self.scale)[0]
+        )
 
     async def _region_cut(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """Region 0 hears nothing of the others, nor they of it."""
--- a/pearhill/lab/scale/files.py
+++ b/pearhill/lab/scale/files.py
@@ -1,4 +1,4 @@
-"""The files of a fleet's processes, as operators would write them. Addresses are of this machine alone."""
+"""Operators' files for the processes of a fleet. All addresses are on the loopback interface."""
 
 from __future__ import annotations
 
@@ -9,14 +9,19 @@
 from dataclasses import dataclass
 
 from pearhill.chat.keys import record_of
-from pearhill.lab.scale.plan import ScaleTable
-
-HERE = "127.0.0.1"
-APP = "REPLICAS"
-MODELS = ("small", "large", "code", "long")
-NAME, LISTEN, SEED, ZONE, REGION = "@name@", "@listen@", "@seed@", "@zone@", "@region@"
-
-SETTINGS = """
+from pearhill.lab.scale.plan import LoadExchange, ScaleTable
+
+LOOPBACK = "127.0.0.1"
+REGISTRY_APP = "REPLICAS"  # the application in the registry under which replicas stand
+MODEL_NAMES = ("small", "large", "code", "long")
+# Marks in the template, replaced by what each dispatcher has of its own.
+NAME_MARK = "@name@"
+LISTEN_MARK = "@listen@"
+SEED_MARK = "@seed@"
+ZONE_MARK = "@zone@"
+REGION_MARK = "@region@"
+
+SETTINGS_TEMPLATE = """
 [settings]
 n-instances = {instances}
 zone = @zone@
@@ -56,8 +61,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """One dispatcher: its name, where it talks, its region and zone, its seed, and how many times the mean it has."""
+class DispatcherSpec:
+    """What one dispatcher has of its own. `listen` is the UDP address of its fleet socket, `weight` its traffic over
+    the mean."""
 
     name: str
     listen: str
@@ -68,94 +74,121 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """UDP ports that nobody has now. All are held until all are known, so that none comes twice."""
-    held = []
+    """UDP ports that nobody has now. All are bound until all are known, so that none comes twice."""
+    sockets: list[socket.socket] = []
     try:
         for _ in range(count):
-            held.append(socket.socket(type=socket.SOCK_DGRAM))
-            held[-1].bind((HERE, 0))
-        return [int(end.getsockname()[1]) for end in held]
+            bound = socket.socket(type=socket.SOCK_DGRAM)
+            sockets.append(bound)
+            bound.bind((LOOPBACK, 0))
+        return [int(bound.getsockname()[1]) for bound in sockets]
     finally:
-        for end in held:
-            end.close()
+        for bound in sockets:
+            bound.close()
+
+
+def zone_names(scale: ScaleTable) -> list[str]:
+    """The zones of all regions, by index: those of one region stand together."""
+    return [f"r{region}-z{zone}" for region in range(scale.regions) for zone in range(scale.zones_per_region)]
 
 
-def zones(s: ScaleTable) -> list[str]:
-    return [f"r{r}-z{z}" for r in range(s.regions) for z in range(s.zones_per_region)]
+def dispatcher_specs(scale: ScaleTable, count: int) -> list[DispatcherSpec]:
+    """Dispatchers spread over the zones in turn; every `heavy_every`th has `heavy_weight`."""
+    rng = random.Random(scale.seed)
+    ports = free_ports(count)
+    return [_dispatcher_spec(scale, k, ports[k], rng.getrandbits(31)) for k in range(count)]
 
 
-def places(s: ScaleTable, count: int) -> list[Place]:
-    """Dispatchers spread over the zones, one after the other; every so many-th is a heavy one."""
-    rng, ports, n = random.Random(s.seed), free_ports(count), s.regions * s.zones_per_region
-    return [
-        Place(
-            f"d{k}",
-            f"{HERE}:{ports[k]}",
-            k % n // s.zones_per_region,
-            k % n,
-            rng.getrandbits(31),
-            s.heavy_weight if k % s.heavy_every == s.heavy_every - 1 else 1.0,
-        )
-        for k in range(count)
-    ]
+def _dispatcher_spec(scale: ScaleTable, index: int, port: int, seed: int) -> DispatcherSpec:
+    zone = index % (scale.regions * scale.zones_per_region)
+    is_heavy = index % scale.heavy_every == scale.heavy_every - 1
+    return DispatcherSpec(
+        name=f"d{index}",
+        listen=f"{LOOPBACK}:{port}",
+        region=zone // scale.zones_per_region,
+        zone=zone,
+        seed=seed,
+        weight=scale.heavy_weight if is_heavy else 1.0,
+    )
 
 
-def tenant_key(seed: int, tenant: int = 0) -> str:
-    """A key that is drawn, and so no secret: it opens nothing but the run's own dispatchers."""
+def tenant_api_key(seed: int, tenant: int = 0) -> str:
+    """A tenant's API key. It is drawn from the seed, and so no secret: it opens the run's own dispatchers alone."""
     return f"ph-{random.Random(f'{seed} {tenant}').getrandbits(256):064x}"
 
 
-def _tenants(count: int, seed: int) -> str:
+def _tenant_tables(count: int, seed: int) -> str:
     rng = random.Random(seed)
-    made = []
+    tables = []
     for k in range(count):
-        record = record_of(tenant_key(seed, k), rng.randbytes(16))
-        made.append(f'\n[[chat.tenant]]\nname = "tenant-{k}"\nkeys = ["{record}"]\nmodels = ["{MODELS[k % 4]}"]\n')
-    return "".join(made)
+        record = record_of(tenant_api_key(seed, k), rng.randbytes(16))
+        model = MODEL_NAMES[k % len(MODEL_NAMES)]
+        tables.append(f'\n[[chat.tenant]]\nname = "tenant-{k}"\nkeys = ["{record}"]\nmodels = ["{model}"]\n')
+    return "".join(tables)
 
 
-def template(
-    s: ScaleTable,
-    way: str,
-    members: Sequence[Place],
+def file_template(
+    scale: ScaleTable,
+    exchange: LoadExchange,
+    dispatchers: Sequence[DispatcherSpec],
     aggregators: Mapping[str, str],
     discovery: str,
     key_file: str,
     max_out: int = 800,
 ) -> str:
-    """The operator's file of every dispatcher, with places for what is each one's own."""
+    """The operator's file of every dispatcher, with marks where `file_of` puts what each has of its own.
+
+    `aggregators`: their addresses by name. `discovery`: the registry's address. `key_file`: the path of the fleet's
+    key. `max_out`: the most tokens of an answer.
+    """
     text = (
-        f'[chat]\nlisten = "{HERE}:0"\nadmin_addr = "{HERE}:0"\nsockets = 512\nseed = @seed@\n'
+        f'[chat]\nlisten = "{LOOPBACK}:0"\nadmin_addr = "{LOOPBACK}:0"\nsockets = 512\nseed = {SEED_MARK}\n'
         f'default_class = "chat"\nmax_out = {max_out}\n'
     )
-    text += "".join(f'\n[[chat.model]]\nname = "{name}"\n' for name in MODELS) + _tenants(s.tenants, s.seed)
-    text += SETTINGS.format(instances=len(members), zones=json.dumps(zones(s)))
-    text += f'\n[eureka]\naddress = "{discovery}"\nservers = "{APP}"\nfetch_s = {s.fetch_s}\n'
-    if way == "own":
+    text += "".join(f'\n[[chat.model]]\nname = "{name}"\n' for name in MODEL_NAMES)
+    text += _tenant_tables(scale.tenants, scale.seed)
+    text += SETTINGS_TEMPLATE.format(instances=len(dispatchers), zones=json.dumps(zone_names(scale)))
+    text += f'\n[eureka]\naddress = "{discovery}"\nservers = "{REGISTRY_APP}"\nfetch_s = {scale.fetch_s}\n'
+    if exchange is LoadExchange.OWN:
         return text
-    text += f'\n[fleet]\nname = "@name@"\nlisten = "@listen@"\nkey_files = ["{key_file}"]\n'
-    if way == "talk":
-        return text + "".join(f'[[fleet.peer]]\nname = "{p.name}"\naddress = "{p.listen}"\n' for p in members)
-    text += 'region = "@region@"\n'
-    return text + "".join(
-        f'[[fleet.aggregator]]\nname = "{name}"\naddress = "{address}"\nregion = "r{k % s.regions}"\n'
+    text += f'\n[fleet]\nname = "{NAME_MARK}"\nlisten = "{LISTEN_MARK}"\nkey_files = ["{key_file}"]\n'
+    if exchange is LoadExchange.GOSSIP:
+        return text + _peer_tables(dispatchers)
+    return text + f'region = "{REGION_MARK}"\n' + _aggregator_tables(aggregators, scale.regions)
+
+
+def _peer_tables(dispatchers: Sequence[DispatcherSpec]) -> str:
+    return "".join(f'[[fleet.peer]]\nname = "{d.name}"\naddress = "{d.listen}"\n' for d in dispatchers)
+
+
+def _aggregator_tables(aggregators: Mapping[str, str], regions: int) -> str:
+    return "".join(
+        f'[[fleet.aggregator]]\nname = "{name}"\naddress = "{address}"\nregion = "r{k % regions}"\n'
         for k, (name, address) in enumerate(aggregators.items())
     )
 
 
-def filled(text: str, place: Place) -> str:
-    for mark, value in (
-        (NAME, place.name),
-        (LISTEN, place.listen),
-        (SEED, str(place.seed)),
-        (ZONE, str(place.zone)),
-        (REGION, f"r{place.region}"),
-    ):
-        text = text.replace(mark, value)
-    return text
+def file_of(dispatcher: DispatcherSpec, template: str) -> str:
+    """The template with this dispatcher's own values in place of the marks."""
+    values = {
+        NAME_MARK: dispatcher.name,
+        LISTEN_MARK: dispatcher.listen,
+        SEED_MARK: str(dispatcher.seed),
+        ZONE_MARK: str(dispatcher.zone),
+        REGION_MARK: f"r{dispatcher.region}",
+    }
+    for mark, value in values.items():
+        template = template.replace(mark, value)
+    return template
 
 
 def aggregator_file(name: str, listen: str, peers: Mapping[str, str], key_file: str) -> str:
-    text = f'[aggregator]\nname = "{name}"\nlisten = "{listen}"\nkey_files = ["{key_file}"]\nadmin_addr = "{HERE}:0"\n'
+    """The operator's file of one aggregator. `peers`: the addresses of all aggregators by name, its own among them."""
+    text = (
+        f'[aggregator]\nname = "{name}"\nlisten = "{listen}"\nkey_files = ["{key_file}"]\n'
+        f'admin_addr = "{LOOPBACK}:0"\n'
+    )
     others = {peer: address for peer, address in peers.items() if peer != name}
-    return text + "".join(f'[[aggregator.peer]]\nname = "{p}"\naddress = "{a}"\n' for p, a in others.items())
+    return text + "".join(
+        f'[[aggregator.peer]]\nname = "{peer}"\naddress = "{address}"\n' for peer, address in others.items()
+    )
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -22,7 +22,7 @@
 from pearhill.lab.relay import Relay
 from pearhill.lab.scale import files, observe
 from pearhill.lab.scale.child import Child, Failed, last_line
-from pearhill.lab.scale.files import HERE, Place, filled
+from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
 from pearhill.lab.scale.measure import LATE_P99_US, Taken, encoded, slope, spread_ms, taken
 from pearhill.lab.scale.plan import FleetSize, ScaleTable
 from pearhill.load_reports.evenness import evenness
@@ -107,7 +107,7 @@
         self.aggregators: list[Daemon] = []
         self.sites: dict[str, str] = {}  # control machines: where each listens
         self.relay: Relay | None = None
-        self.places: list[Place] = []
+        self.places: list[DispatcherSpec] = []
         self.text = ""
 
     async def __aenter__(self) -> RunningFleet:
@@ -136,11 +136,11 @@
             key.write_text(new_key())
         self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self.folder)
         opened = await self.discovery.ask(
-            "open", replicas=size.replicas, readers=scale.prefill_share, seed=scale.seed, zones=files.zones(scale)
+            "open", replicas=size.replicas, readers=scale.prefill_share, seed=scale.seed, zones=files.zone_names(scale)
         )
-        self.places = files.places(scale, size.dispatchers)
-        self.sites = {f"a{k}": f"{HERE}:{port}" for k, port in enumerate(files.free_ports(size.aggregators))}
-        self.text = files.template(scale, size.exchange, self.places, self.sites, opened["address"], str(key))
+        self.places = files.dispatcher_specs(scale, size.dispatchers)
+        self.sites = {f"a{k}": f"{LOOPBACK}:{port}" for k, port in enumerate(files.free_ports(size.aggregators))}
+        self.text = files.file_template(scale, size.exchange, self.places, self.sites, opened["address"], str(key))
         await self._start_aggregators(str(key))
         readers = round(size.replicas * scale.prefill_share)
         common = {
@@ -179,12 +179,12 @@
             self.aggregators.append(Daemon(name, self.folder, (*CLI, "aggregator", str(path))))
         await asyncio.gather(*(a.start(AGGREGATOR_UP) for a in self.aggregators))
 
-    async def _start_real(self, places: list[Place]) -> None:
+    async def _start_real(self, places: list[DispatcherSpec]) -> None:
         gate = asyncio.Semaphore(STARTS_AT_ONCE)
 
-        async def one(place: Place) -> None:
+        async def one(place: DispatcherSpec) -> None:
             async with gate:
-                self.real.append(await self.dispatcher(place.name, filled(self.text, place)))
+                self.real.append(await self.dispatcher(place.name, file_of(place, self.text)))
 
         await asyncio.gather(*map(one, places))
 
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -26,7 +26,7 @@
 from pearhill.eureka.client import Eureka
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.child import Handle, run
-from pearhill.lab.scale.files import Place, filled
+from pearhill.lab.scale.files import DispatcherSpec, file_of
 from pearhill.lab.scale.measure import encoded
 from pearhill.lab.scale.work import Arrivals, Drawn
 from pearhill.load_reports.peer_loads import ReplicaLoad
@@ -85,12 +85,12 @@
 
 
 class Hollow:
-    def __init__(self, host: Host, place: Place, work: str) -> None:
+    def __init__(self, host: Host, place: DispatcherSpec, work: str) -> None:
         self.host, self.place, self.work = host, place, work
         self.rng = random.Random(place.seed)
         # Danger: the process is one, but its dispatchers are not: what each had counted when a window began.
         self.before: Counter[str] = Counter()
-        setup = loads(filled(host.text, place))
+        setup = loads(file_of(place, host.text))
         self.service = HollowService(setup, lambda age: host.window.lists.append(int(age * 1e6)))
         self.drawn: Drawn | None = None
         self.arrivals: Arrivals | None = None
@@ -124,7 +124,7 @@
     def reload(self, text: str) -> float:
         """Another file's text, as at SIGHUP. The seconds of processor time that it took."""
         began = time.thread_time()
-        self.service.reload(loads(filled(text, self.place)))
+        self.service.reload(loads(file_of(self.place, text)))
         return time.thread_time() - began
 
     async def end(self, gracefully: bool) -> None:
@@ -218,7 +218,7 @@
         began, rng = self._loop.time(), random.Random(places[0]["seed"])
         for k, place in enumerate(places):
             await asyncio.sleep(max(0.0, began + spread_s * (k + rng.random()) / len(places) - self._loop.time()))
-            hollow = Hollow(self, Place(**place), self.work)
+            hollow = Hollow(self, DispatcherSpec(**place), self.work)
             await hollow.open()
             self.hollows[hollow.place.name] = hollow
         return {"count": len(self.hollows)}
--- a/pearhill/lab/scale/loaded.py
+++ b/pearhill/lab/scale/loaded.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pearhill.lab import load
-from pearhill.lab.scale.files import MODELS, tenant_key
+from pearhill.lab.scale.files import MODEL_NAMES, tenant_api_key
 from pearhill.lab.scale.fleet import RunningFleet
 from pearhill.lab.scenario import LabTable, Scenario, ServerTable, TenantTable
 
@@ -21,12 +21,12 @@
         host, _, port = daemon.front.rpartition(":")
         fronts.append((host, int(port)))
     tenant = TenantTable(
-        "tenant-0", rate_per_s * len(fronts), MODELS[0], prompt_tokens=400, answer_tokens=8, prefixes=64
+        "tenant-0", rate_per_s * len(fronts), MODEL_NAMES[0], prompt_tokens=400, answer_tokens=8, prefixes=64
     )
     scenario = Scenario(LabTable("", seconds=scale.seconds, seed=scale.seed), [ServerTable("writer")], [tenant])
     turns = itertools.cycle(random.Random(scale.seed).sample(fronts, len(fronts)))
     work = asyncio.create_task(
-        load.run(scenario, lambda: next(turns), {"tenant-0": tenant_key(scale.seed)}, lambda done, total: None)
+        load.run(scenario, lambda: next(turns), {"tenant-0": tenant_api_key(scale.seed)}, lambda done, total: None)
     )
     try:
         point: dict[str, Any] = (await fleet.measure())["real"]
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -16,7 +16,7 @@
 import pearhill
 from pearhill.lab.scale import faults, fit
 from pearhill.lab.scale.child import Child, Failed
-from pearhill.lab.scale.files import filled
+from pearhill.lab.scale.files import file_of
 from pearhill.lab.scale.fleet import RunningFleet
 from pearhill.lab.scale.loaded import under_load
 from pearhill.lab.scale.measure import machine, memory_of, taken
@@ -254,7 +254,7 @@
     """The operator's file without list and fleet: what a process takes before any control."""
     head = text[: text.index("\n[eureka]")].replace("admin_addr", "# admin_addr")
     place = fleet.places[0]
-    return filled(head, place) + '\n[[server]]\nuid = "one"\naddress = "127.0.0.1:9"\nkind = "writer"\n'
+    return file_of(place, head) + '\n[[server]]\nuid = "one"\naddress = "127.0.0.1:9"\nkind = "writer"\n'
 
 
 def _value(figures: dict[str, Any], quantity: str) -> float | None:
