--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -321,7 +321,7 @@
                     if p["way"] == way and p[role] and (value := _value(p[role], quantity)) is not None
                 ]
                 carried = errors.get(quantity, 0.0) if role == "dispatcher" else 0.0
-                found = fit.fit(rows, (size.dispatchers, size.replicas), carried)
+                found = fit.fit(rows, fit.Size(size.dispatchers, size.replicas), carried)
                 if not found:
                     continue
                 bound = bounds.get((role, quantity))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -120,7 +120,7 @@
                             for d in (10, 20, 40, 80)
                             for r in (60, 235, 470, 940)
                         ],
-                        (330, 940),
+                        fit.Size(330, 940),
                     )
                 )
             with self.subTest(form):
@@ -133,14 +133,14 @@
 
     def test_what_flattens_is_never_stretched_to_less_than_was_measured(self):
         points = [fit.Point(d, r, v) for d, v in ((20, 32.0), (40, 64.0), (80, 80.0), (160, 86.0)) for r in (60, 940)]
-        self.assertGreater(fit.fit(points, (330, 940)).at_size, 80)
+        self.assertGreater(fit.fit(points, fit.Size(330, 940)).at_size, 80)
 
     def test_an_error_that_is_carried_widens_the_interval_and_too_few_points_fit_nothing(self):
         points = [fit.Point(d, 60, 1 + 0.1 * d) for d in (10, 20, 40, 80)]
-        plain, wide = fit.fit(points, (330, 940)), fit.fit(points, (330, 940), 0.4)
+        plain, wide = fit.fit(points, fit.Size(330, 940)), fit.fit(points, fit.Size(330, 940), 0.4)
         self.assertAlmostEqual(wide.high, plain.high * 1.4)
         self.assertAlmostEqual(wide.low, plain.low * 0.6)
-        self.assertIsNone(fit.fit(points[:3], (330, 940)))
+        self.assertIsNone(fit.fit(points[:3], fit.Size(330, 940)))
 
     def test_slopes_leave_out_busy_points_and_carry_a_checks_error(self):
         def point(d: int, cpu: float, busy: bool = False) -> dict:
