--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -23,7 +23,7 @@
 from pearhill.lab.scale import files, observe
 from pearhill.lab.scale.child import Child, Failed, last_line
 from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
-from pearhill.lab.scale.measure import LATE_P99_US, Taken, encoded, slope, spread_ms, taken
+from pearhill.lab.scale.measure import MAX_LATE_P99_US, ProcessUsage, encode_histogram, percentiles_ms, slope, usage_of
 from pearhill.lab.scale.plan import FleetSize, ScaleTable
 from pearhill.load_reports.evenness import evenness
 
@@ -85,7 +85,7 @@
 class Snapshot:
     """What real processes have had so far: processor time, memory, datagrams."""
 
-    def __init__(self, at: float, processes: list[Taken], counts: Counter[str]) -> None:
+    def __init__(self, at: float, processes: list[ProcessUsage], counts: Counter[str]) -> None:
         self.at, self.processes, self.counts = at, processes, counts
 
 
@@ -218,11 +218,11 @@
 
     async def snapshot(self, daemons: list[Daemon], last: bool = False) -> Snapshot:
         """`last`: of two. What it costs them to answer at the door is not to stand between the two."""
-        first = [taken(d.pid) for d in daemons] if last else []
+        first = [usage_of(d.pid) for d in daemons] if last else []
         at, counts = time.monotonic(), Counter[str]()
         for told in await asyncio.gather(*(d.ask("/ops/fleet") for d in daemons)):
-            counts.update(observe.datagrams(told["datagrams"]))
-        return Snapshot(at if last else time.monotonic(), first or [taken(d.pid) for d in daemons], counts)
+            counts.update(observe.messages_and_bytes(told["datagrams"]))
+        return Snapshot(at if last else time.monotonic(), first or [usage_of(d.pid) for d in daemons], counts)
 
     async def measure(self) -> dict[str, Any]:
         """One window. The point of the hollow ones, and of the real ones where there are any, in the results' form;
@@ -241,8 +241,8 @@
         alone, hosts = hosts[len(hosts) - size.alone :], hosts[: len(hosts) - size.alone]
         machines_after = await self.snapshot(self.aggregators, last=True)
         real_after = await self.snapshot(self.real, last=True)
-        late = spread_ms(told["late"] for told in hosts)
-        busy = late is None or late["p99"] * 1000 > LATE_P99_US
+        late = percentiles_ms(told["late"] for told in hosts)
+        busy = late is None or late["p99"] * 1000 > MAX_LATE_P99_US
         if busy:
             self.told(
                 "    the machine was too busy for this to be read: own beats late, " f"p99 {late and late['p99']} ms"
@@ -272,10 +272,10 @@
                 "dispatcher": hollow_figures(hosts),
                 "aggregator": aggregator,
                 "discovery": discovery,
-                "list_age_ms": spread_ms(told["lists"] for told in hosts),
+                "list_age_ms": percentiles_ms(told["lists"] for told in hosts),
             }
         }
-        made["hollow"]["dispatcher"]["news_age_ms"] = spread_ms([encoded(array("q", ages))])
+        made["hollow"]["dispatcher"]["news_age_ms"] = percentiles_ms([encode_histogram(array("q", ages))])
         if size.workload == "router":
             made["evenness"] = evenness_of(hosts)
         if alone:
@@ -320,7 +320,7 @@
             for what in ("bytes_in", "bytes_out", "messages_in", "messages_out")
         },
         "memory_bytes": round(memory) if memory == memory else None,
-        "beat_late_ms": spread_ms(told["late"] for told in hosts),
+        "beat_late_ms": percentiles_ms(told["late"] for told in hosts),
         "news_age_ms": None,
     }
 
@@ -355,5 +355,5 @@
             f"{what}_s": round(counts[what] / seconds / count, 2)
             for what in ("bytes_in", "bytes_out", "messages_in", "messages_out")
         },
-        "memory_bytes": round(statistics.mean(p.uss for p in after.processes)),
+        "memory_bytes": round(statistics.mean(p.unshared_bytes for p in after.processes)),
     }
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -27,7 +27,7 @@
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.child import Handle, run
 from pearhill.lab.scale.files import DispatcherSpec, file_of
-from pearhill.lab.scale.measure import encoded
+from pearhill.lab.scale.measure import encode_histogram
 from pearhill.lab.scale.work import Arrivals, Drawn
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
@@ -50,7 +50,7 @@
 
     def _own_load(self) -> list[ReplicaLoad]:
         if self.read_at is not None:
-            observe.mark(self, len(self.read_at))
+            observe.leave_mark(self, len(self.read_at))
             self.read_at.append(time.monotonic_ns() // 1000)
         return super()._own_load()
 
@@ -109,7 +109,7 @@
         service = self.service
         if self.drawn:
             self.drawn.apply(service.node.dispatcher.router.router, self.rng)
-            if marker and (engine := observe.marked(service)):
+            if marker and (engine := observe.marked_replica(service)):
                 engine.tokens_queued = engine.tokens_in_flight = 0
         elif self.arrivals:
             work = self.host.window.work.setdefault(int(time.monotonic()), Counter())
@@ -194,7 +194,7 @@
                 if self.marker in self.hollows:
                     self.hollows[self.marker].service.read_at = []
                 for hollow in self.hollows.values():
-                    hollow.before = observe.counters(hollow.service)
+                    hollow.before = observe.datagram_totals(hollow.service)
                 return {}
             case "end":
                 return self._end()
@@ -209,7 +209,7 @@
             case "cut":
                 far = [set(map(tuple, addresses)) for addresses in told["far"]]
                 for hollow in self.hollows.values():
-                    observe.cut(hollow.service, far[hollow.place.region])
+                    observe.cut_off(hollow.service, far[hollow.place.region])
                 return {}
         raise ValueError(f"order {told['order']!r}")
 
@@ -229,7 +229,7 @@
         read_at, self.marker = list[int](), ""
         counts: Counter[str] = Counter()
         for hollow in self.hollows.values():
-            counts.update(observe.counters(hollow.service) - hollow.before)
+            counts.update(observe.datagram_totals(hollow.service) - hollow.before)
             read_at, hollow.service.read_at = hollow.service.read_at or read_at, None
         ended, roles = Counter[str](), dict[int, str]()
         for hollow in self.hollows.values():
@@ -242,10 +242,10 @@
             "cpu_s": cpu,
             "own_s": window.own_ns / 1e9,
             "counts": dict(counts),
-            "late": encoded(window.late),
+            "late": encode_histogram(window.late),
             "marks": window.marks,
             "read_at": read_at,
-            "lists": encoded(window.lists),
+            "lists": encode_histogram(window.lists),
             "uss": psutil.Process().memory_full_info().uss,
             "ended": dict(ended),
             "work": window.work,
@@ -261,13 +261,13 @@
         sums = []
         for k, hollow in enumerate(self.hollows.values()):
             now = hollow.service.node.deadlines.clock()
-            counts.append(observe.count(hollow.service, now) or 0)
-            total.update(observe.counters(hollow.service))
+            counts.append(observe.counted_dispatchers(hollow.service, now) or 0)
+            total.update(observe.datagram_totals(hollow.service))
             engines = hollow.service.node.dispatcher.router.router.replicas
             for name, number in zip(told["engines"], numbers, strict=True):
                 own[name] += engines[number].tokens_in_flight if number in engines else 0.0
             if k % 8 == 0:
-                sums.append(observe.seen(hollow.service, now, numbers))
+                sums.append(observe.estimated_tokens(hollow.service, now, numbers))
         lists = [len(hollow.service.node.dispatcher.endpoints) for hollow in self.hollows.values()]
         return {
             "at": time.monotonic(),
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -1,4 +1,4 @@
-"""What a dispatcher knows of the fleet, whichever way it learns it: for a choice, for operators, for this run."""
+"""What a dispatcher in this process knows of the fleet, by gossip or by aggregators."""
 
 from __future__ import annotations
 
@@ -14,105 +14,125 @@
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.topology import Role
 
-HEADERS = 28  # bytes of IP and UDP round each datagram, counted with it
-# Marks: one dispatcher's gauge at one writer, where nobody else has work, says how often it was read. Talk carries it
-# whole; aggregators in steps of one code, so that it comes round again after so many.
-TALK_MARK, FIRST_CODE, CODES = 1_000_000, 170, 72
+HEADER_BYTES = 28  # of IP and UDP, counted with each datagram
+# Marks: one dispatcher's load at one decode replica, where nobody else has work, says how often it has been read.
+# Gossip carries the number whole; aggregators carry a code of the gauge, so that a mark returns after so many.
+FIRST_GOSSIP_MARK = 1_000_000  # tokens
+FIRST_MARK_CODE = 170
+MARK_CODES = 72
+NO_MARK = -1
 
 
-def count(service: ChatService, now: int) -> int | None:
+def counted_dispatchers(service: ChatService, now: int) -> int | None:
     """Dispatchers that share the work, as far as this one knows. None: it knows nothing yet."""
     return service.fleet.sources.count(now) if service.fleet else None
 
 
-def counters(service: ChatService) -> Counter[str]:
-    """Datagrams and their bytes at this dispatcher's socket, since its start."""
-    return datagrams(service.fleet.datagrams.counts) if service.fleet else Counter()
+def datagram_totals(service: ChatService) -> Counter[str]:
+    """Messages and bytes at this dispatcher's fleet socket since its start."""
+    return messages_and_bytes(service.fleet.datagrams.counts) if service.fleet else Counter()
 
 
-def datagrams(counts: Mapping[str, int]) -> Counter[str]:
-    """A driver's own counts as messages and bytes each way, headers among them."""
-    came, sent = counts.get("received", 0), counts.get("sent", 0)
+def messages_and_bytes(counts: Mapping[str, int]) -> Counter[str]:
+    """A datagram driver's counts as messages and bytes in each direction, headers included."""
+    received = counts.get("received", 0)
+    sent = counts.get("sent", 0)
     return Counter(
         {
-            "messages_in": came,
+            "messages_in": received,
             "messages_out": sent,
-            "bytes_in": counts.get("bytes_in", 0) + HEADERS * came,
-            "bytes_out": counts.get("bytes_out", 0) + HEADERS * sent,
+            "bytes_in": counts.get("bytes_in", 0) + HEADER_BYTES * received,
+            "bytes_out": counts.get("bytes_out", 0) + HEADER_BYTES * sent,
         }
     )
 
 
-def seen(service: ChatService, now: int, engines: list[int]) -> float:
-    """Tokens under way at these engines in all, as a choice here would reckon them."""
-    scout = service.node.dispatcher.router
+def estimated_tokens(service: ChatService, now: int, replica_ids: list[int]) -> float:
+    """Tokens in flight at these replicas, own and others', as a choice at this dispatcher would estimate them."""
+    router = service.node.dispatcher.router
     total = 0.0
-    for number in engines:
-        if engine := scout.router.replicas.get(number):
-            total += engine.tokens_in_flight + (
-                scout.peers.others(now, number, engine.tokens_queued, engine.tokens_in_flight)[1] if scout.peers else 0
-            )
+    for replica_id in replica_ids:
+        replica = router.router.replicas.get(replica_id)
+        if not replica:
+            continue
+        others = 0.0
+        if router.peers:
+            _, others, _ = router.peers.others(now, replica_id, replica.tokens_queued, replica.tokens_in_flight)
+        total += replica.tokens_in_flight + others
     return total
 
 
-def marked(service: ChatService) -> ReplicaState | None:
-    """The writer at which one dispatcher leaves its marks: the same one at all that have the same list."""
+def marked_replica(service: ChatService) -> ReplicaState | None:
+    """The decode replica at which marks are left: the same one at all dispatchers that have the same list."""
     return next(iter(service.node.dispatcher.router.router.ready[Role.DECODE]), None)
 
 
-def mark(service: ChatService, number: int) -> None:
-    """Have the gauge at the marked writer say this number, from now on."""
-    if (engine := marked(service)) and service.fleet:
-        engine.tokens_in_flight = (
-            TALK_MARK + number if service.fleet.gossip else int(TOKENS[FIRST_CODE + number % CODES])
-        )
+def leave_mark(service: ChatService, number: int) -> None:
+    """Have this dispatcher's load at the marked replica stand for this number."""
+    replica = marked_replica(service)
+    if replica is None or not service.fleet:
+        return
+    if service.fleet.gossip:
+        replica.tokens_in_flight = FIRST_GOSSIP_MARK + number
+    else:
+        replica.tokens_in_flight = int(TOKENS[FIRST_MARK_CODE + number % MARK_CODES])
 
 
 def read_mark(service: ChatService, now: int, marker: str) -> int:
-    """The number that a choice here would stand on now, or what is left of it (aggregators). -1: none."""
-    engine, fleet = marked(service), service.fleet
-    if engine is None or fleet is None:
-        return -1
+    """The last number that is known here of the dispatcher `marker`; with aggregators, its remainder by `MARK_CODES`.
+
+    `NO_MARK`: none is known.
+    """
+    replica = marked_replica(service)
+    fleet = service.fleet
+    if replica is None or fleet is None:
+        return NO_MARK
     if fleet.gossip:
-        row = fleet.gossip.protocol.peer_loads.last_row(marker, engine.id)
-        return row.total_tokens - TALK_MARK if row else -1
+        row = fleet.gossip.protocol.peer_loads.last_row(marker, replica.id)
+        return row.total_tokens - FIRST_GOSSIP_MARK if row else NO_MARK
     assert fleet.reporting
-    theirs = fleet.reporting.reporter.peer_load(now, engine.id)
-    return max(-1, encode(theirs.total_tokens) - FIRST_CODE) if theirs else -1
+    peer_load = fleet.reporting.reporter.peer_load(now, replica.id)
+    return max(NO_MARK, encode(peer_load.total_tokens) - FIRST_MARK_CODE) if peer_load else NO_MARK
+
 
+def mark_ages(read_at: list[int], sightings: Iterable[tuple[int, int]], is_whole: bool) -> list[int]:
+    """Microseconds from the reading of the marker's load until each sighting of it at another dispatcher.
 
-def mark_ages(read_at: list[int], seen: Iterable[tuple[int, int]], talk: bool) -> list[int]:
-    """Microseconds from when the marker's gauge was read (`read_at`, by number) until it was seen elsewhere: `seen` are
-    moments and numbers, or what is left of them."""
+    `read_at`: when the load was read, by number. `sightings`: a moment, and the number that was seen; where not
+    `is_whole`, its remainder by `MARK_CODES`, and the latest number that can be meant counts. Sightings of no mark are
+    left out.
+    """
     ages = []
-    for at, number in seen:
+    for at, number in sightings:
         last = bisect_right(read_at, at) - 1
-        if not talk and number >= 0 and last >= 0:
-            number = last - (last - number) % CODES
+        if not is_whole and number >= 0 and last >= 0:
+            number = last - (last - number) % MARK_CODES
         if 0 <= number <= last:
             ages.append(at - read_at[number])
     return ages
 
 
 class CutTransport:
-    """A socket past which nothing goes to some addresses."""
+    """A datagram socket that sends nothing to the addresses that are cut off."""
 
-    def __init__(self, real: asyncio.DatagramTransport) -> None:
-        self.real, self.far = real, set[Address]()
+    def __init__(self, transport: asyncio.DatagramTransport) -> None:
+        self._transport = transport
+        self.cut_off: set[Address] = set()
 
     def sendto(self, data: bytes, address: Address) -> None:
-        if address not in self.far:
-            self.real.sendto(data, address)
+        """Send, or drop what goes to an address that is cut off."""
+        if address not in self.cut_off:
+            self._transport.sendto(data, address)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.real, name)
+        return getattr(self._transport, name)
 
 
-def cut(service: ChatService, far: set[Address]) -> None:
-    """From now on nothing goes to these; none: everything goes. A cut needs both sides."""
+def cut_off(service: ChatService, addresses: set[Address]) -> None:
+    """From now on send to all but these addresses. A cut in both directions needs both sides."""
     datagrams = service.fleet.datagrams if service.fleet else None
     if datagrams is None or datagrams._transport is None:
         return
     if not isinstance(datagrams._transport, CutTransport):
         datagrams._transport = cast(asyncio.DatagramTransport, CutTransport(datagrams._transport))
-    cast(CutTransport, datagrams._transport).far = far
+    cast(CutTransport, datagrams._transport).cut_off = addresses
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -19,7 +19,7 @@
 from pearhill.lab.scale.files import file_of
 from pearhill.lab.scale.fleet import RunningFleet
 from pearhill.lab.scale.loaded import under_load
-from pearhill.lab.scale.measure import machine, memory_of, taken
+from pearhill.lab.scale.measure import describe_machine, resident_bytes, usage_of
 from pearhill.lab.scale.plan import (
     MAX_MEMORY_SHARE,
     MAX_PROCESSES,
@@ -151,9 +151,9 @@
             bare = await self.fleet.dispatcher("bare", bare_text(self.fleet.text, self.fleet))
             try:
                 settled = await self._settled(self.fleet)
-                idle = taken(bare.pid)
+                idle = usage_of(bare.pid)
                 made = await self.fleet.measure()
-                idles = taken(bare.pid).cpu_s - idle.cpu_s
+                idles = usage_of(bare.pid).cpu_s - idle.cpu_s
             finally:
                 bare.kill()
             if load_per_s:
@@ -162,7 +162,7 @@
         alone = made.pop("alone", None)
         # What a process takes without list and fleet is no control: its own memory, and its loop's idling.
         for point in (real, *(made[what] for what in ("loaded",) if what in made)):
-            point["dispatcher"]["memory_bytes"] -= round(idle.uss)
+            point["dispatcher"]["memory_bytes"] -= round(idle.unshared_bytes)
         real["dispatcher"]["cpu_cores"] = round(real["dispatcher"]["cpu_cores"] - idles / self.plan.scale.seconds, 6)
         for point in made.values():
             point["busy"] = point["busy"] or not settled
@@ -196,13 +196,13 @@
 
     async def watch(self) -> None:
         """Failed: the processes take more than they may. Danger: past the machine's memory, others' processes die."""
-        most = MAX_MEMORY_SHARE * machine()["memory_bytes"]
+        most = MAX_MEMORY_SHARE * describe_machine()["memory_bytes"]
         while True:
             await asyncio.sleep(WATCH_S)
             if (fleet := self.fleet) is None:
                 continue
             pids = fleet.pids()
-            held = await asyncio.to_thread(memory_of, pids)
+            held = await asyncio.to_thread(resident_bytes, pids)
             if held > most or len(pids) >= MAX_PROCESSES:
                 raise Stopped(
                     f"{len(pids)} processes hold {held / 1e9:.1f} GB; allowed: {MAX_PROCESSES}, and "
@@ -218,7 +218,7 @@
             "seed": plan.scale.seed,
             "plan": name,
             "started": self.started,
-            "machine": machine(),
+            "machine": describe_machine(),
             "load_1m": self.load,
             "points": self.points,
             "checks": self.checks,
@@ -351,7 +351,7 @@
 async def run(plan: Plan, name: str, told: Told = lambda line: None) -> dict[str, Any]:
     """The results. ConfigError: the plan is too large for this machine. Stopped: it did not come through; its processes
     are gone then, too."""
-    check_bounds(plan, machine()["memory_bytes"])
+    check_bounds(plan, describe_machine()["memory_bytes"])
     told(f"some {expected_seconds(plan) / 60:.0f} min, seed {plan.scale.seed}")
     made = Run(plan, told)
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -186,20 +186,24 @@
         self.assertFalse(client.apply(json.loads(registry.body(True, now + 90))))  # too old for its delta
 
     def test_histograms_of_processes_add_up_and_memory_is_a_slope(self):
-        told = [measure.encoded(measure.array("q", values)) for values in ([1000] * 98, [2000, 500_000])]
-        self.assertEqual({k: round(v) for k, v in measure.spread_ms(told).items()}, {"p50": 1, "p99": 2, "max": 500})
-        self.assertIsNone(measure.spread_ms([measure.encoded(measure.array("q"))]))
+        told = [measure.encode_histogram(measure.array("q", values)) for values in ([1000] * 98, [2000, 500_000])]
+        self.assertEqual(
+            {k: round(v) for k, v in measure.percentiles_ms(told).items()}, {"p50": 1, "p99": 2, "max": 500}
+        )
+        self.assertIsNone(measure.percentiles_ms([measure.encode_histogram(measure.array("q"))]))
         self.assertAlmostEqual(measure.slope([4, 8, 4, 8], [50.0, 62.0, 50.0, 62.0]), 3.0)
 
     def test_the_age_of_a_mark_is_told_from_when_its_gauge_was_read(self):
         read_at = [1000 * k for k in range(200)]
         self.assertEqual(observe.mark_ages(read_at, [(5500, 3), (5500, 5), (5500, 6), (5500, -1)], True), [2500, 500])
         # By way of aggregators a mark comes round again; the latest that can be meant is.
-        left = [(150_500, 149 % observe.CODES), (150_500, 140 % observe.CODES), (0, 0)]
+        left = [(150_500, 149 % observe.MARK_CODES), (150_500, 140 % observe.MARK_CODES), (0, 0)]
         self.assertEqual(observe.mark_ages(read_at, left, False), [1500, 10_500, 0])
-        self.assertLess(observe.FIRST_CODE + observe.CODES, len(gauges.TOKENS))
-        for k in range(observe.CODES):  # a code's own tokens come back as that code
-            self.assertEqual(gauges.encode(int(gauges.TOKENS[observe.FIRST_CODE + k])), observe.FIRST_CODE + k)
+        self.assertLess(observe.FIRST_MARK_CODE + observe.MARK_CODES, len(gauges.TOKENS))
+        for k in range(observe.MARK_CODES):  # a code's own tokens come back as that code
+            self.assertEqual(
+                gauges.encode(int(gauges.TOKENS[observe.FIRST_MARK_CODE + k])), observe.FIRST_MARK_CODE + k
+            )
 
     def test_how_even_the_work_of_several_processes_was(self):
         roles = {"1": "writer", "2": "writer", "3": "reader"}
