--- a/pearhill/lab/scale/child.py
+++ b/pearhill/lab/scale/child.py
@@ -1,5 +1,7 @@
-"""A process of the scale run that takes orders: one JSON object a line in, one a line out. It ends with its input, so
-that none outlives the command, however that ends."""
+"""A process of the scale run that takes orders: one JSON object a line in, one a line out.
+
+It ends with its input, so that none outlives the command, however that ends.
+"""
 
 from __future__ import annotations
 
@@ -16,30 +18,35 @@
 
 from pearhill.net.log import LogThread
 
-MOST_LINE = 64 << 20
-ANSWER_WITHIN_S = 300.0
-END_WITHIN_S = 10.0
+MAX_LINE_BYTES = 64 << 20
+ANSWER_TIMEOUT_S = 300.0
+EXIT_TIMEOUT_S = 10.0
 
+# Answers one order: an object with "order", its name, and its arguments.
 Handle = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-class Failed(Exception):
-    """A process of the run did not come up, or could not do what it was told; the text says which and why."""
+class ProcessFailedError(Exception):
+    """A process of the run did not come up, or could not carry out an order; the text says which and why."""
 
 
 class Child:
-    """The command's side. Its log is a file in `folder`."""
+    """The command's side of one process. `log` is the file with what it writes to its standard error."""
 
     def __init__(self, name: str, log: pathlib.Path, process: asyncio.subprocess.Process) -> None:
-        self.name, self.log, self.process = name, log, process
-        self._turn = asyncio.Lock()
+        self.name = name
+        self.log = log
+        self.process = process
+        self._one_at_a_time = asyncio.Lock()
 
     @property
     def pid(self) -> int:
+        """The process's number."""
         return self.process.pid
 
     @classmethod
     async def start(cls, name: str, module: str, folder: pathlib.Path) -> Child:
+        """Start `python -m module`, with a log in `folder`."""
         log = folder / f"{name}.log"
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
@@ -49,30 +56,32 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=file,
-                limit=MOST_LINE,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
         return cls(name, log, process)
 
-    async def ask(self, order: str, **told: Any) -> dict[str, Any]:
+    async def call(self, order: str, **arguments: Any) -> dict[str, Any]:
+        """Send an order and return its answer. ProcessFailedError: there is none in time, or it says what failed."""
         assert self.process.stdin
         assert self.process.stdout
-        async with self._turn:
+        async with self._one_at_a_time:
             try:
-                self.process.stdin.write(json.dumps({"order": order, **told}).encode() + b"\n")
-                line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_WITHIN_S)
+                self.process.stdin.write(json.dumps({"order": order, **arguments}).encode() + b"\n")
+                line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_TIMEOUT_S)
                 answer: dict[str, Any] = json.loads(line)
             except (OSError, ValueError, TimeoutError) as e:
-                raise Failed(f"{self.name}: {order}: {last_line(self.log) or repr(e)}") from None
+                raise ProcessFailedError(f"{self.name}: {order}: {last_line(self.log) or repr(e)}") from None
         if "failed" in answer:
-            raise Failed(f"{self.name}: {order}: {answer['failed']}")
+            raise ProcessFailedError(f"{self.name}: {order}: {answer['failed']}")
         return answer
 
     async def close(self) -> None:
+        """End the process by the end of its input; after `EXIT_TIMEOUT_S` by SIGKILL."""
         if self.process.stdin:
             self.process.stdin.close()
         try:
-            await asyncio.wait_for(self.process.wait(), END_WITHIN_S)
+            await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
         except TimeoutError:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -80,14 +89,15 @@
 
 
 def last_line(log: pathlib.Path) -> str:
+    """The last line of a log that is not blank; empty: there is none."""
     lines = log.read_text(errors="replace").split("\n") if log.exists() else []
     return next((line for line in reversed(lines) if line.strip()), "")
 
 
-async def _serve(make: Callable[[], Handle]) -> None:
-    reader = asyncio.StreamReader(limit=MOST_LINE)
+async def _serve(new_handler: Callable[[], Handle]) -> None:
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    handle = make()
+    handle = new_handler()
     while line := await reader.readline():
         try:
             answer = await handle(json.loads(line))
@@ -97,11 +107,11 @@
         sys.stdout.flush()
 
 
-def run(make: Callable[[], Handle]) -> None:
-    """The process's side: `make` is called within its loop, what it returns with every order."""
+def run(new_handler: Callable[[], Handle]) -> None:
+    """The process's side, until its input ends. `new_handler` is called within the event loop."""
     log = LogThread(os.environ.get("PEARHILL_LOG", "INFO"))
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_serve(make))
+            runner.run(_serve(new_handler))
     finally:
         log.close()
--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -77,7 +77,7 @@
     async def draw(self, rng: random.Random) -> None:
         """Other replicas, of those that are listed: the fewer dispatchers, the more replicas even out their draws."""
         assert self.fleet.discovery
-        writers = [id for id in (await self.fleet.discovery.ask("names"))["names"] if id.startswith("writer")]
+        writers = [id for id in (await self.fleet.discovery.call("names"))["names"] if id.startswith("writer")]
         self.engines = rng.sample(writers, min(len(writers), max(40, STREAMS_SEEN // self.fleet.size.dispatchers)))
 
     async def look(self) -> None:
@@ -91,7 +91,7 @@
         # Danger: whoever was stopped took its counters along, and the total would go down.
         rate = max(0.0, (total - self._last[1]) / (now - self._last[0]) / max(1, there)) if self._last else 0.0
         self._last = now, total
-        rows = (await self.fleet.discovery.ask("counts"))["rows"] if self.fleet.discovery else 0
+        rows = (await self.fleet.discovery.call("counts"))["rows"] if self.fleet.discovery else 0
         listed = [n for host in told for n in host["listed"]]
         self.looks.append(
             Look(
@@ -160,7 +160,7 @@
     async def stop(self, names: list[str], gracefully: bool) -> None:
         async def one(k: int) -> None:
             if mine := [name for name in names if self.host_of[name] == k]:
-                await self.fleet.hosts[k].ask("stop", names=mine, gracefully=gracefully)
+                await self.fleet.hosts[k].call("stop", names=mine, gracefully=gracefully)
 
         await asyncio.gather(*map(one, range(len(self.fleet.hosts))))
         self.down |= set(names)
@@ -169,14 +169,14 @@
         async def one(k: int) -> None:
             places = [asdict(p) for p in self.fleet.places if p.name in names and self.host_of[p.name] == k]
             if places:
-                await self.fleet.hosts[k].ask("start", places=places)
+                await self.fleet.hosts[k].call("start", places=places)
 
         await asyncio.gather(*map(one, range(len(self.fleet.hosts))))
         self.down -= set(names)
 
     async def _discovery(self, order: str, **told: Any) -> dict[str, Any]:
         assert self.fleet.discovery
-        return await self.fleet.discovery.ask(order, **told)
+        return await self.fleet.discovery.call(order, **told)
 
     async def play(self, event: FaultEventTable, end: float, now: Callable[[], float]) -> None:
         """From its begin to its end; what follows from it is undone there."""
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -21,7 +21,7 @@
 from pearhill.chat.keys import new_key
 from pearhill.lab.relay import Relay
 from pearhill.lab.scale import files, observe
-from pearhill.lab.scale.child import Child, Failed, last_line
+from pearhill.lab.scale.child import Child, ProcessFailedError, last_line
 from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
 from pearhill.lab.scale.measure import MAX_LATE_P99_US, ProcessUsage, encode_histogram, percentiles_ms, slope, usage_of
 from pearhill.lab.scale.plan import FleetSize, ScaleTable
@@ -58,7 +58,7 @@
         end = time.monotonic() + UP_WITHIN_S
         while not re.search(ready, told := self.log.read_text(errors="replace")):
             if self.process.poll() is not None or time.monotonic() > end:
-                raise Failed(f"{self.name} did not come up: {last_line(self.log) or 'it said nothing'}")
+                raise ProcessFailedError(f"{self.name} did not come up: {last_line(self.log) or 'it said nothing'}")
             await asyncio.sleep(LOOK_S / 5)
         for what, attribute in (("operators are heard", "door"), ("front listens", "front")):
             if found := re.search(rf"{what} on ([\d.]+:\d+)", told):
@@ -73,7 +73,7 @@
         try:
             return await asyncio.to_thread(call)
         except (OSError, ValueError) as e:
-            raise Failed(f"{self.name}: {path}: {e}") from None
+            raise ProcessFailedError(f"{self.name}: {path}: {e}") from None
 
     def kill(self) -> None:
         if self.process and self.process.poll() is None:
@@ -135,7 +135,7 @@
         if not key.exists():
             key.write_text(new_key())
         self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self.folder)
-        opened = await self.discovery.ask(
+        opened = await self.discovery.call(
             "open", replicas=size.replicas, readers=scale.prefill_share, seed=scale.seed, zones=files.zone_names(scale)
         )
         self.places = files.dispatcher_specs(scale, size.dispatchers)
@@ -161,7 +161,7 @@
         )
         starts, first = [], 0
         for host, share in zip(self.hosts, shares, strict=True):
-            starts.append(host.ask("open", places=[asdict(p) for p in self.places[first : first + share]], **common))
+            starts.append(host.call("open", places=[asdict(p) for p in self.places[first : first + share]], **common))
             first += share
         await asyncio.gather(*starts, self._start_real(self.places[first:]))
 
@@ -200,7 +200,7 @@
         return daemon
 
     async def ask_all(self, order: str, **told: Any) -> list[dict[str, Any]]:
-        return list(await asyncio.gather(*(host.ask(order, **told) for host in self.hosts)))
+        return list(await asyncio.gather(*(host.call(order, **told) for host in self.hosts)))
 
     async def settle(self) -> bool:
         """Wait for the warm-up, and until each hollow dispatcher counts them all. False: some still don't."""
@@ -230,12 +230,12 @@
         assert self.discovery
         size = self.size
         real, machines = await self.snapshot(self.real), await self.snapshot(self.aggregators)
-        before = await self.discovery.ask("counts")
+        before = await self.discovery.call("counts")
         # Requests through the Router have work at every writer, and leave none to a mark.
         await self.ask_all("begin", marker="" if size.workload == "router" else self.places[0].name)
-        await self.discovery.ask("replace", count=1)  # a change whose age is seen as each dispatcher comes to fetch it
+        await self.discovery.call("replace", count=1)  # a change whose age is seen as each dispatcher comes to fetch it
         await asyncio.sleep(self.scale.seconds)
-        hosts, after = await self.ask_all("end"), await self.discovery.ask("counts")
+        hosts, after = await self.ask_all("end"), await self.discovery.call("counts")
         read_at: list[int] = next((told["read_at"] for told in hosts if told["read_at"]), [])
         ages = observe.mark_ages(read_at, [mark for told in hosts for mark in told["marks"]], size.exchange == "talk")
         alone, hosts = hosts[len(hosts) - size.alone :], hosts[: len(hosts) - size.alone]
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -15,7 +15,7 @@
 
 import pearhill
 from pearhill.lab.scale import faults, fit
-from pearhill.lab.scale.child import Child, Failed
+from pearhill.lab.scale.child import Child, ProcessFailedError
 from pearhill.lab.scale.files import file_of
 from pearhill.lab.scale.fleet import RunningFleet
 from pearhill.lab.scale.loaded import under_load
@@ -98,7 +98,7 @@
         """One that fails is told of, and the plan goes on."""
         try:
             await part
-        except Failed as e:
+        except ProcessFailedError as e:
             self.not_run.append({"what": described(size), "why": str(e)})
             self.told(f"    not run to its end: {e}")
         finally:
@@ -182,7 +182,7 @@
         try:
             for replicas in self.plan.choice.replicas:
                 self.choice.append(
-                    await child.ask(
+                    await child.call(
                         "choice",
                         replicas=replicas,
                         arrivals=self.plan.choice.arrivals,
@@ -357,7 +357,7 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             await _guarded(made, pathlib.Path(folder), STOP_TIMES * expected_seconds(plan) + STOP_S)
-        except (Failed, Stopped, OSError) as e:
+        except (ProcessFailedError, Stopped, OSError) as e:
             made.not_run.append({"what": "the rest of the plan", "why": str(e)})
             stopped = Stopped(str(e))
             stopped.results = made.results(name)
