--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -28,7 +28,7 @@
 from pearhill.lab.scale.child import Handle, run
 from pearhill.lab.scale.files import DispatcherSpec, file_of
 from pearhill.lab.scale.measure import encode_histogram
-from pearhill.lab.scale.work import Arrivals, Drawn
+from pearhill.lab.scale.work import DrawnGauges, PoissonArrivals
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
 from pearhill.routing.topology import Endpoint
@@ -92,8 +92,8 @@
         self.before: Counter[str] = Counter()
         setup = loads(file_of(place, host.text))
         self.service = HollowService(setup, lambda age: host.window.lists.append(int(age * 1e6)))
-        self.drawn: Drawn | None = None
-        self.arrivals: Arrivals | None = None
+        self.drawn: DrawnGauges | None = None
+        self.arrivals: PoissonArrivals | None = None
         self._turns = self.rng.randrange(LOOK_EVERY)
 
     async def open(self) -> None:
@@ -102,7 +102,7 @@
         if self.work == "drawn":
             self.drawn = self.host.drawn(self.place.weight)
         elif self.work == "router":
-            self.arrivals = Arrivals(self.service.node.dispatcher, self.service.node.deadlines, rate, self.rng)
+            self.arrivals = PoissonArrivals(self.service.node.dispatcher, self.service.node.deadlines, rate, self.rng)
 
     def turn(self, marker: str) -> None:
         """Draw the gauges or look at them, and look at the mark that `marker` has left."""
@@ -149,7 +149,7 @@
         self.readers = self.writers = 0
         self.seed = 0
         self.marker = ""  # who leaves marks in this window
-        self._drawn: dict[float, Drawn] = {}
+        self._drawn: dict[float, DrawnGauges] = {}
         self._loop, self._due, self._turn = asyncio.get_running_loop(), 0.0, 0
 
     def _tick(self) -> None:
@@ -164,10 +164,10 @@
         self._loop.call_at(self._due, self._tick)
         self.window.own_ns += time.thread_time_ns() - began
 
-    def drawn(self, weight: float) -> Drawn:
+    def drawn(self, weight: float) -> DrawnGauges:
         """Drawn gauges are shared by those of one weight: each takes another set, turned otherwise, at each beat."""
         if weight not in self._drawn:
-            self._drawn[weight] = Drawn(
+            self._drawn[weight] = DrawnGauges(
                 self.readers, self.writers, self.rate_per_s * weight, self.streams * weight, self.seed
             )
         return self._drawn[weight]
@@ -233,7 +233,7 @@
             read_at, hollow.service.read_at = hollow.service.read_at or read_at, None
         ended, roles = Counter[str](), dict[int, str]()
         for hollow in self.hollows.values():
-            ended.update(hollow.arrivals.ended if hollow.arrivals else {})
+            ended.update(hollow.arrivals.results if hollow.arrivals else {})
             roles.update((e.id, e.role) for e in hollow.service.node.dispatcher.router.router.replicas.values())
         gc.collect()
         return {
