--- a/pearhill/lab/scale/loaded.py
+++ b/pearhill/lab/scale/loaded.py
@@ -1,4 +1,4 @@
-"""Real dispatchers under load, beside hollow ones whose Routers are fed as many requests by their event clock."""
+"""Real dispatchers under load, for comparison with hollow ones whose Routers get as many requests by an event clock."""
 
 from __future__ import annotations
 
@@ -12,27 +12,47 @@
 from pearhill.lab.scale.fleet import RunningFleet
 from pearhill.lab.scenario import LabTable, Scenario, ServerTable, TenantTable
 
+TENANT = "tenant-0"
+PROMPT_TOKENS = 400
+ANSWER_TOKENS = 8  # short streams, as all replicas are one process
+PREFIXES = 64
 
-async def under_load(fleet: RunningFleet, rate_per_s: float) -> dict[str, Any]:
-    """The point of the real ones, each with so many requests a second on the mean; their streams are short, as the
-    replicas are one process. The load tool runs in this one."""
-    scale, fronts = fleet.scale, list[load.Front]()
-    for daemon in fleet.real:
-        host, _, port = daemon.front.rpartition(":")
-        fronts.append((host, int(port)))
-    tenant = TenantTable(
-        "tenant-0", rate_per_s * len(fronts), MODEL_NAMES[0], prompt_tokens=400, answer_tokens=8, prefixes=64
-    )
-    scenario = Scenario(LabTable("", seconds=scale.seconds, seed=scale.seed), [ServerTable("writer")], [tenant])
-    turns = itertools.cycle(random.Random(scale.seed).sample(fronts, len(fronts)))
-    work = asyncio.create_task(
-        load.run(scenario, lambda: next(turns), {"tenant-0": tenant_api_key(scale.seed)}, lambda done, total: None)
+
+async def measure_under_load(fleet: RunningFleet, rate_per_s: float) -> dict[str, Any]:
+    """The point of the real dispatchers in the results' form, each with so many requests a second on the mean.
+
+    The load generator runs in this process.
+    """
+    fronts = [_front(daemon.front) for daemon in fleet.real]
+    in_turn = itertools.cycle(random.Random(fleet.scale.seed).sample(fronts, len(fronts)))
+    api_keys = {TENANT: tenant_api_key(fleet.scale.seed)}
+    requests = asyncio.create_task(
+        load.run(_scenario(fleet, rate_per_s * len(fronts)), lambda: next(in_turn), api_keys, lambda done, total: None)
     )
     try:
         point: dict[str, Any] = (await fleet.measure())["real"]
-        rows = await work
+        rows = await requests
     finally:
-        work.cancel()
+        requests.cancel()
     served = sum(row.outcome == load.SERVED for row in rows) / max(1, len(rows))
     fleet.told(f"    under load: {len(rows)} requests, {served:.1%} served")
     return {**point, "work": "router", "rate_per_dispatcher": rate_per_s}
+
+
+def _front(address: str) -> load.Front:
+    host, _, port = address.rpartition(":")
+    return host, int(port)
+
+
+def _scenario(fleet: RunningFleet, rate_per_s: float) -> Scenario:
+    """One tenant with so many requests a second, for one window."""
+    tenant = TenantTable(
+        TENANT,
+        rate_per_s,
+        MODEL_NAMES[0],
+        prompt_tokens=PROMPT_TOKENS,
+        answer_tokens=ANSWER_TOKENS,
+        prefixes=PREFIXES,
+    )
+    settings = LabTable("", seconds=fleet.scale.seconds, seed=fleet.scale.seed)
+    return Scenario(settings, [ServerTable("writer")], [tenant])
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -18,7 +18,7 @@
 from pearhill.lab.scale.child import Child, ProcessFailedError
 from pearhill.lab.scale.files import file_of
 from pearhill.lab.scale.fleet import RunningFleet
-from pearhill.lab.scale.loaded import under_load
+from pearhill.lab.scale.loaded import measure_under_load
 from pearhill.lab.scale.measure import describe_machine, resident_bytes, usage_of
 from pearhill.lab.scale.plan import (
     MAX_MEMORY_SHARE,
@@ -157,7 +157,7 @@
             finally:
                 bare.kill()
             if load_per_s:
-                made["loaded"] = await under_load(self.fleet, load_per_s)
+                made["loaded"] = await measure_under_load(self.fleet, load_per_s)
         hollow, real = made["hollow"], made["real"]
         alone = made.pop("alone", None)
         # What a process takes without list and fleet is no control: its own memory, and its loop's idling.
