--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -1,8 +1,8 @@
 """The scale run's discovery and its replicas, in one process.
 
-The registry speaks what `pearhill.eureka` asks for: the whole list, deltas of the last while, the hash code over both.
-Bodies are made once for each version, as Eureka's own response cache does. A replica is a listening address that
-answers requests like `pearhill.lab.servers`, and probes with a report of its load.
+The registry serves what `pearhill.eureka` fetches: the whole list, deltas of the last minutes, and the hash code over
+both. Bodies are made once for each version, as Eureka's own response cache does. A replica is a listening address that
+answers requests like `pearhill.lab.servers`, and health checks with its load.
 """
 
 from __future__ import annotations
@@ -14,6 +14,9 @@
 import time
 import zlib
 from collections import Counter
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
 from pearhill.http1.messages import RequestMessage, answer
@@ -23,225 +26,335 @@
 from pearhill.lab.scenario import ServerTable
 from pearhill.lab.servers import Model
 
-KEEP_S = 180.0  # as far back as Eureka's own deltas reach
-UP, LEAVING = "UP", "OUT_OF_SERVICE"
+DELTA_RETENTION_S = 180.0  # as far back as Eureka's own deltas reach
+DELTA_CACHE_S = 1.0  # for which a delta's body is served again
+MAX_REQUEST_BODY = 1 << 16
+READ_BYTES = 1 << 16
+REGISTRY_BACKLOG = 2048
+REPLICA_BACKLOG = 1024
+CELLS = 997  # zones are hashed to so many cells
 SIZES = {
     "reader": ServerTable("reader", slots=64, queue=256, memory_tokens=400_000),
     "writer": ServerTable("writer", slots=128, queue=256, memory_tokens=400_000, write_tokens_per_s=40.0),
 }
 
+Row = dict[str, Any]  # an instance in Eureka's JSON
+Order = dict[str, Any]
+
+
+class InstanceStatus(StrEnum):
+    """Of a replica, as Eureka names it."""
+
+    UP = "UP"
+    DRAINING = "OUT_OF_SERVICE"
+
+
+class Action(StrEnum):
+    """What a delta says of an instance, as Eureka names it."""
+
+    ADDED = "ADDED"
+    MODIFIED = "MODIFIED"
+    DELETED = "DELETED"
+
+
+@dataclass(frozen=True, slots=True)
+class _Change:
+    at: float
+    action: Action
+    row: Row
+
+
+@dataclass(frozen=True, slots=True)
+class _CachedBody:
+    version: int
+    made_at: float
+    body: bytes
+
 
 class Registry:
-    """The list, and what has lately changed in it. `keep_s`: so long a delta reaches back."""
+    """The list of instances, and its changes of the last `retention_s` seconds. Times are of the monotonic clock."""
 
-    def __init__(self, keep_s: float) -> None:
-        self.rows: dict[str, dict[str, Any]] = {}
-        self.changes: list[tuple[float, str, dict[str, Any]]] = []
-        self.keep_s, self.version = keep_s, 0
-        self._made: dict[bool, tuple[int, float, bytes]] = {}
+    def __init__(self, retention_s: float) -> None:
+        self.rows: dict[str, Row] = {}
+        self.changes: list[_Change] = []
+        self.version = 0
+        self._retention_s = retention_s
+        self._cached: dict[bool, _CachedBody] = {}  # by whether it is the delta's
 
     def put(
-        self, id: str, address: str, kind: str, zone: str, now: float, status: str = UP, started: bool = True
+        self,
+        instance: str,
+        address: str,
+        kind: str,
+        zone: str,
+        now: float,
+        status: InstanceStatus = InstanceStatus.UP,
+        started: bool = True,
     ) -> None:
-        """`now`: of the monotonic clock; it stands in the row, so that who gets it can tell how old the change is."""
-        host, _, port = address.rpartition(":")
-        action, before = "MODIFIED" if id in self.rows else "ADDED", self.rows.get(id)
-        up_ms = int(time.time() * 1000) if started else before["leaseInfo"]["serviceUpTimestamp"] if before else 0
-        self.rows[id] = row = {
-            "instanceId": id,
-            "hostName": host,
-            "app": REGISTRY_APP,
-            "ipAddr": host,
-            "status": status,
-            "overriddenstatus": "UNKNOWN",
-            "port": {"$": int(port), "@enabled": "true"},
-            "securePort": {"$": 443, "@enabled": "false"},
-            "countryId": 1,
-            "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-            "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": up_ms},
-            "metadata": {
-                "kind": kind,
-                "zone": zone,
-                "cell": str(zlib.crc32(zone.encode()) % 997),
-                "changed_us": str(int(now * 1e6)),
-            },
-            "vipAddress": REGISTRY_APP.lower(),
-            "lastUpdatedTimestamp": str(int(time.time() * 1000)),
-            "lastDirtyTimestamp": str(int(time.time() * 1000)),
-        }
-        self._changed(now, action, row)
+        """Add or change an instance. `started`: it has started just now; if not, its time of start stays.
 
-    def drop(self, id: str, now: float) -> None:
-        self._changed(now, "DELETED", self.rows.pop(id))
+        `now` stands in the row's metadata, so that whoever gets the row can tell how old the change is.
+        """
+        before = self.rows.get(instance)
+        up_ms = _wall_clock_ms() if started else _up_since_ms(before)
+        row = _row(instance, address, kind, zone, now, status, up_ms)
+        self.rows[instance] = row
+        self._add_change(now, Action.MODIFIED if before else Action.ADDED, row)
 
-    def _changed(self, now: float, action: str, row: dict[str, Any]) -> None:
+    def drop(self, instance: str, now: float) -> None:
+        """Remove an instance."""
+        self._add_change(now, Action.DELETED, self.rows.pop(instance))
+
+    def _add_change(self, now: float, action: Action, row: Row) -> None:
         self.version += 1
-        self.changes.append((now, action, row))
-
-    def body(self, delta: bool, now: float) -> bytes:
-        version, at, made = self._made.get(delta, (-1, 0.0, b""))
-        if version == self.version and (not delta or now - at < 1.0):
-            return made
-        self.changes = [c for c in self.changes if now - c[0] <= self.keep_s]
-        last = {c[2]["instanceId"]: {**c[2], "actionType": c[1]} for c in self.changes}
-        rows = list(last.values()) if delta else list(self.rows.values())
-        counts = Counter(row["status"] for row in self.rows.values())
-        told = {
-            "applications": {
-                "versions__delta": str(self.version),
-                "apps__hashcode": "".join(f"{s}_{counts[s]}_" for s in sorted(counts)),
-                "application": [{"name": REGISTRY_APP, "instance": rows}] if rows else [],
-            }
+        self.changes.append(_Change(now, action, row))
+
+    def body(self, is_delta: bool, now: float) -> bytes:
+        """The delta or the whole list as a response's JSON, with the hash code over the whole list."""
+        cached = self._cached.get(is_delta)
+        if cached and cached.version == self.version and (not is_delta or now - cached.made_at < DELTA_CACHE_S):
+            return cached.body
+        self.changes = [change for change in self.changes if now - change.at <= self._retention_s]
+        rows = self._delta_rows() if is_delta else list(self.rows.values())
+        applications = {
+            "versions__delta": str(self.version),
+            "apps__hashcode": self._hash_code(),
+            "application": [{"name": REGISTRY_APP, "instance": rows}] if rows else [],
         }
-        self._made[delta] = self.version, now, json.dumps(told).encode()
-        return self._made[delta][2]
+        body = json.dumps({"applications": applications}).encode()
+        self._cached[is_delta] = _CachedBody(self.version, now, body)
+        return body
+
+    def _delta_rows(self) -> list[Row]:
+        """The last change of each instance."""
+        last = {change.row["instanceId"]: {**change.row, "actionType": change.action} for change in self.changes}
+        return list(last.values())
+
+    def _hash_code(self) -> str:
+        counts = Counter(row["status"] for row in self.rows.values())
+        return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
+
+
+def _wall_clock_ms() -> int:
+    return int(time.time() * 1000)
+
+
+def _up_since_ms(row: Row | None) -> int:
+    return int(row["leaseInfo"]["serviceUpTimestamp"]) if row else 0
+
+
+def _row(instance: str, address: str, kind: str, zone: str, now: float, status: InstanceStatus, up_ms: int) -> Row:
+    host, _, port = address.rpartition(":")
+    return {
+        "instanceId": instance,
+        "hostName": host,
+        "app": REGISTRY_APP,
+        "ipAddr": host,
+        "status": status,
+        "overriddenstatus": "UNKNOWN",
+        "port": {"$": int(port), "@enabled": "true"},
+        "securePort": {"$": 443, "@enabled": "false"},
+        "countryId": 1,
+        "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": up_ms},
+        "metadata": {
+            "kind": kind,
+            "zone": zone,
+            "cell": str(zlib.crc32(zone.encode()) % CELLS),
+            "changed_us": str(int(now * 1e6)),
+        },
+        "vipAddress": REGISTRY_APP.lower(),
+        "lastUpdatedTimestamp": str(_wall_clock_ms()),
+        "lastDirtyTimestamp": str(_wall_clock_ms()),
+    }
 
 
 class Replica(Model):
-    """One address. It answers probes as well."""
+    """A model server at one address that answers health checks as well, with its load."""
 
     async def _answer(self, message: RequestMessage, writer: asyncio.StreamWriter) -> bool:
         if message.method != "GET":
             return await super()._answer(message, writer)
-        share = self.held / self.table.memory_tokens
-        writer.write(answer(200, body=f"x0={share:.3f},x1={self.waiting / 10:.3f}".encode()))
+        memory_used = self.held / self.table.memory_tokens
+        writer.write(answer(200, body=f"x0={memory_used:.3f},x1={self.waiting / 10:.3f}".encode()))
         return True
 
 
 class Discovery:
+    """The process: the registry's server, the replicas, and the orders of the command."""
+
     def __init__(self) -> None:
-        self.registry = Registry(KEEP_S)
-        self.rng = random.Random(1)
-        self.counts: Counter[str] = Counter()
-        self.servers: dict[str, asyncio.Server] = {}
-        self.kinds: dict[str, str] = {}
-        self.zones: list[str] = []
-        self._made = 0
-
-    async def handle(self, told: dict[str, Any]) -> dict[str, Any]:
-        match told["order"]:
-            case "open":
-                return await self._open(told)
-            case "counts":
-                return {
-                    "counts": dict(self.counts),
-                    "version": self.registry.version,
-                    "rows": len(self.registry.rows),
-                    "cpu_s": time.process_time(),
-                    "at": time.monotonic(),
-                }
-            case "names":
-                return {"names": list(self.registry.rows)}
-            case "replace":
-                return {"changed": [await self._replace(id) for id in self._drawn(told["count"])]}
-            case "drain":
-                return {"changed": [self._drain(id) for id in self._drawn(told["count"])]}
-            case "die":
-                ids = (
-                    [id for id in self.registry.rows if self.registry.rows[id]["metadata"]["zone"] == told["zone"]]
-                    if told.get("zone")
-                    else self._drawn(told["count"])
-                )
-                return {"changed": [await self._die(id, told["listed_s"]) for id in ids]}
-            case "add":
-                return {
-                    "changed": [
-                        await self._add(self.rng.choice(told.get("zones") or self.zones), told.get("kind") or "writer")
-                        for _ in range(told["count"])
-                    ]
-                }
-            case "turn":
-                ids = [id for id, kind in self.kinds.items() if kind != told["kind"] and id in self.registry.rows]
-                ids = self.rng.sample(ids, min(told["count"], len(ids)))
-                return {"changed": [await self._replace(id, told["kind"]) for id in ids]}
-        raise ValueError(f"order {told['order']!r}")
+        self._registry = Registry(DELTA_RETENTION_S)
+        self._rng = random.Random(1)
+        self._counts: Counter[str] = Counter()
+        self._servers: dict[str, asyncio.Server] = {}
+        self._kinds: dict[str, str] = {}
+        self._zones: list[str] = []
+        self._replicas_made = 0
+        self._orders: dict[str, Callable[[Order], Awaitable[dict[str, Any]]]] = {
+            "open": self._open,
+            "counts": self._report_counts,
+            "names": self._names,
+            "replace": self._replace_some,
+            "drain": self._drain_some,
+            "die": self._kill_some,
+            "add": self._add_some,
+            "turn": self._convert_some,
+        }
+
+    async def handle(self, order: Order) -> dict[str, Any]:
+        """Carry out one order of the command. ValueError: it is not known."""
+        name = order["order"]
+        if name not in self._orders:
+            raise ValueError(f"order {name!r}")
+        return await self._orders[name](order)
+
+    async def _open(self, order: Order) -> dict[str, Any]:
+        """Start the registry's server and the replicas, of which a share of `readers` are for prefill."""
+        self._rng = random.Random(order["seed"])
+        self._zones = order["zones"]
+        server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=REGISTRY_BACKLOG)
+        replicas = order["replicas"]
+        prefill_replicas = round(replicas * order["readers"])
+        for k in range(replicas):
+            # Spread evenly: each zone has as many replicas of each kind as any other.
+            kind = "reader" if (k * prefill_replicas) % replicas < prefill_replicas else "writer"
+            zone = self._zones[k % len(self._zones)]
+            await self._add(zone, kind, started=False)  # up for long: none is warming up
+        self._registry.changes.clear()  # they have long been there
+        return {"address": _address_of(server)}
+
+    async def _report_counts(self, order: Order) -> dict[str, Any]:
+        return {
+            "counts": dict(self._counts),
+            "version": self._registry.version,
+            "rows": len(self._registry.rows),
+            "cpu_s": time.process_time(),
+            "at": time.monotonic(),
+        }
+
+    async def _names(self, order: Order) -> dict[str, Any]:
+        return {"names": list(self._registry.rows)}
+
+    async def _replace_some(self, order: Order) -> dict[str, Any]:
+        return {"changed": [await self._replace(name) for name in self._drawn(order["count"])]}
+
+    async def _drain_some(self, order: Order) -> dict[str, Any]:
+        return {"changed": [self._drain(name) for name in self._drawn(order["count"])]}
+
+    async def _kill_some(self, order: Order) -> dict[str, Any]:
+        """Kill all of a zone, or a drawn number."""
+        zone = order.get("zone")
+        names = self._in_zone(zone) if zone else self._drawn(order["count"])
+        return {"changed": [await self._kill(name, order["listed_s"]) for name in names]}
+
+    async def _add_some(self, order: Order) -> dict[str, Any]:
+        zones = order.get("zones") or self._zones
+        kind = order.get("kind") or "writer"
+        return {"changed": [await self._add(self._rng.choice(zones), kind) for _ in range(order["count"])]}
+
+    async def _convert_some(self, order: Order) -> dict[str, Any]:
+        """Replace replicas of other kinds by replicas of this kind."""
+        kind = order["kind"]
+        others = [name for name, its in self._kinds.items() if its != kind and name in self._registry.rows]
+        drawn = self._rng.sample(others, min(order["count"], len(others)))
+        return {"changed": [await self._replace(name, kind) for name in drawn]}
 
     def _drawn(self, count: int) -> list[str]:
-        return self.rng.sample(list(self.registry.rows), min(count, len(self.registry.rows)))
-
-    async def _open(self, told: dict[str, Any]) -> dict[str, Any]:
-        self.rng, self.zones = random.Random(told["seed"]), told["zones"]
-        server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=2048)
-        readers = round(told["replicas"] * told["readers"])
-        for k in range(told["replicas"]):
-            # Spread evenly: within each zone there are as many readers and writers as in any other.
-            kind = "reader" if (k * readers) % told["replicas"] < readers else "writer"
-            await self._add(self.zones[k % len(self.zones)], kind, started=False)  # up for long: none is cold
-        self.registry.changes.clear()  # they have long been there
-        return {"address": "{}:{}".format(*server.sockets[0].getsockname()[:2])}
+        return self._rng.sample(list(self._registry.rows), min(count, len(self._registry.rows)))
+
+    def _in_zone(self, zone: str) -> list[str]:
+        return [name for name, row in self._registry.rows.items() if row["metadata"]["zone"] == zone]
 
     async def _add(self, zone: str, kind: str, started: bool = True) -> str:
-        self._made += 1
-        id = f"{kind}-{self._made}"
-        replica = Replica(SIZES[kind], self._made, time.monotonic())
-        self.servers[id] = server = await asyncio.start_server(replica.serve, LOOPBACK, 0, backlog=1024)
-        self.kinds[id] = kind
-        address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-        self.registry.put(id, address, kind, zone, time.monotonic(), UP, started)
-        return id
-
-    async def _replace(self, id: str, kind: str = "") -> str:
-        """Another one in its zone, under another name, at another address; then it goes."""
-        zone = self.registry.rows[id]["metadata"]["zone"]
-        await self._add(zone, kind or self.kinds[id])
-        self._end(id)
-        self.registry.drop(id, time.monotonic())
-        return id
-
-    def _drain(self, id: str) -> str:
-        row = self.registry.rows[id]
-        address = f"{row['ipAddr']}:{row['port']['$']}"
-        self.registry.put(id, address, self.kinds[id], row["metadata"]["zone"], time.monotonic(), LEAVING, False)
-        return id
-
-    async def _die(self, id: str, listed_s: float) -> str:
-        """It answers nothing from now on, and is listed until its lease is over."""
-        self._end(id)
-
-        def lost() -> None:
-            if id in self.registry.rows:
-                self.registry.drop(id, time.monotonic())
-
-        asyncio.get_running_loop().call_later(listed_s, lost)
-        return id
-
-    def _end(self, id: str) -> None:
-        if server := self.servers.pop(id, None):
+        """Start a replica and list it; its name."""
+        self._replicas_made += 1
+        name = f"{kind}-{self._replicas_made}"
+        replica = Replica(SIZES[kind], self._replicas_made, time.monotonic())
+        server = await asyncio.start_server(replica.serve, LOOPBACK, 0, backlog=REPLICA_BACKLOG)
+        self._servers[name] = server
+        self._kinds[name] = kind
+        self._registry.put(name, _address_of(server), kind, zone, time.monotonic(), started=started)
+        return name
+
+    async def _replace(self, name: str, kind: str = "") -> str:
+        """Start another replica in its zone, under another name and address; then end this one."""
+        zone = self._registry.rows[name]["metadata"]["zone"]
+        await self._add(zone, kind or self._kinds[name])
+        self._end(name)
+        self._registry.drop(name, time.monotonic())
+        return name
+
+    def _drain(self, name: str) -> str:
+        """List it as draining."""
+        row = self._registry.rows[name]
+        self._registry.put(
+            name,
+            f"{row['ipAddr']}:{row['port']['$']}",
+            self._kinds[name],
+            row["metadata"]["zone"],
+            time.monotonic(),
+            InstanceStatus.DRAINING,
+            started=False,
+        )
+        return name
+
+    async def _kill(self, name: str, listed_s: float) -> str:
+        """End a replica that stays listed until its lease is over, after `listed_s`."""
+        self._end(name)
+        asyncio.get_running_loop().call_later(listed_s, self._expire, name)
+        return name
+
+    def _expire(self, name: str) -> None:
+        if name in self._registry.rows:
+            self._registry.drop(name, time.monotonic())
+
+    def _end(self, name: str) -> None:
+        server = self._servers.pop(name, None)
+        if server:
             server.close()
-        self.kinds.pop(id, None)
+        self._kinds.pop(name, None)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        machine = ServerConnection(max_body=1 << 16)
+        """One connection of a dispatcher to the registry."""
+        connection = ServerConnection(max_body=MAX_REQUEST_BODY)
         try:
-            while data := await reader.read(1 << 16):
-                self.counts["bytes_in"] += len(data)
-                for message in machine.feed(data):
+            while data := await reader.read(READ_BYTES):
+                self._counts["bytes_in"] += len(data)
+                for message in connection.feed(data):
                     if not isinstance(message, RequestMessage):
                         return
-                    self.counts["calls"] += 1
-                    made = self._told(message)
-                    self.counts["bytes_out"] += len(made)
-                    writer.write(made)
+                    self._counts["calls"] += 1
+                    response = self._response(message)
+                    self._counts["bytes_out"] += len(response)
+                    writer.write(response)
                 await writer.drain()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            machine.close()
+            connection.close()
             writer.transport.abort()
 
-    def _told(self, message: RequestMessage) -> bytes:
+    def _response(self, message: RequestMessage) -> bytes:
         path = message.path
         if message.method != "GET" or path not in ("/eureka/apps", "/eureka/apps/delta"):
             return answer(404)
-        delta = path.endswith("/delta")
-        self.counts["delta" if delta else "whole"] += 1
-        return answer(200, (("Content-Type", "application/json"),), self.registry.body(delta, time.monotonic()))
+        is_delta = path.endswith("/delta")
+        self._counts["delta" if is_delta else "whole"] += 1
+        body = self._registry.body(is_delta, time.monotonic())
+        return answer(200, (("Content-Type", "application/json"),), body)
+
+
+def _address_of(server: asyncio.Server) -> str:
+    host, port = server.sockets[0].getsockname()[:2]
+    return f"{host}:{port}"
 
 
-def make() -> Handle:
+def new_handler() -> Handle:
+    """The handler of all orders, within the event loop."""
     return Discovery().handle
 
 
 if __name__ == "__main__":
-    run(make)
+    run(new_handler)
     sys.exit(0)
