--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -112,7 +112,7 @@
         results = asyncio.run(run.run(made, file.name, lambda line: print(line, file=sys.stderr, flush=True)))
     except ConfigError as e:
         _fail(e)
-    except run.Stopped as e:
+    except run.RunStoppedError as e:
         results, stopped = e.results, e
     written = (json_file, json.dumps(results, indent=1) + "\n"), (report_file, report.page(file.stem, results))
     for path, text in written:
--- /dev/null
+++ b/pearhill/lab/scale/daemon.py
@@ -0,0 +1,142 @@
+"""A real process of the scale run, and what real processes use between two moments."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import pathlib
+import re
+import statistics
+import subprocess
+import sys
+import time
+import urllib.request
+from collections import Counter
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from pearhill.lab.scale import observe
+from pearhill.lab.scale.child import ProcessFailedError, last_line
+from pearhill.lab.scale.measure import ProcessUsage, usage_of
+
+START_TIMEOUT_S = 60.0
+LOG_POLL_S = 0.05
+QUERY_TIMEOUT_S = 10
+# The log lines that say where a process listens.
+_ADMIN_ADDRESS = re.compile(r"operators are heard on ([\d.]+:\d+)")
+_FRONT_ADDRESS = re.compile(r"front listens on ([\d.]+:\d+)")
+_TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
+
+
+class Daemon:
+    """A dispatcher before clients, or an aggregator. `arguments`: those of the Python interpreter.
+
+    `admin_address` and `front_address` are as its log says; empty: it has none.
+    """
+
+    def __init__(self, name: str, folder: pathlib.Path, arguments: tuple[str, ...]) -> None:
+        self.name = name
+        self.log = folder / f"{name}.log"
+        self.process: subprocess.Popen[bytes] | None = None
+        self.admin_address = ""
+        self.front_address = ""
+        self._arguments = arguments
+
+    @property
+    def pid(self) -> int:
+        """The process's number, once it is started."""
+        assert self.process
+        return self.process.pid
+
+    async def start(self, ready: str) -> None:
+        """Start the process and wait until its log matches `ready`. ProcessFailedError: it did not come up in time."""
+        with self.log.open("wb") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, *self._arguments], stderr=log, stdout=log, start_new_session=True
+            )
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not re.search(ready, text := self.log.read_text(errors="replace")):
+            if self.process.poll() is not None or time.monotonic() > deadline:
+                raise ProcessFailedError(f"{self.name} did not come up: {last_line(self.log) or 'it said nothing'}")
+            await asyncio.sleep(LOG_POLL_S)
+        if found := _ADMIN_ADDRESS.search(text):
+            self.admin_address = found[1]
+        if found := _FRONT_ADDRESS.search(text):
+            self.front_address = found[1]
+
+    async def query(self, path: str) -> dict[str, Any]:
+        """The answer of an operators' call. ProcessFailedError: there is none in `QUERY_TIMEOUT_S`."""
+        try:
+            return await asyncio.to_thread(self._get, path)
+        except (OSError, ValueError) as e:
+            raise ProcessFailedError(f"{self.name}: {path}: {e}") from None
+
+    def _get(self, path: str) -> dict[str, Any]:
+        with urllib.request.urlopen(f"http://{self.admin_address}{path}", timeout=QUERY_TIMEOUT_S) as response:
+            body: dict[str, Any] = json.loads(response.read())
+            return body
+
+    def kill(self) -> None:
+        """End the process by SIGKILL, if it was started and still runs."""
+        if self.process and self.process.poll() is None:
+            self.process.kill()
+        if self.process:
+            self.process.wait()
+
+
+@dataclass(frozen=True, slots=True)
+class UsageSnapshot:
+    """What processes have used up to a moment: their usage, and messages and bytes of all of them together."""
+
+    at: float
+    processes: list[ProcessUsage]
+    totals: Counter[str]
+
+
+async def snapshot_before(daemons: Sequence[Daemon]) -> UsageSnapshot:
+    """The first of two snapshots. What the queries cost comes before it, and so not between the two."""
+    totals = await _datagram_totals(daemons)
+    at = time.monotonic()
+    return UsageSnapshot(at, [usage_of(daemon.pid) for daemon in daemons], totals)
+
+
+async def snapshot_after(daemons: Sequence[Daemon]) -> UsageSnapshot:
+    """The second of two snapshots. What the queries cost comes after it."""
+    processes = [usage_of(daemon.pid) for daemon in daemons]
+    at = time.monotonic()
+    return UsageSnapshot(at, processes, await _datagram_totals(daemons))
+
+
+async def _datagram_totals(daemons: Sequence[Daemon]) -> Counter[str]:
+    totals: Counter[str] = Counter()
+    for status in await asyncio.gather(*(daemon.query("/ops/fleet") for daemon in daemons)):
+        totals.update(observe.messages_and_bytes(status["datagrams"]))
+    return totals
+
+
+@dataclass(frozen=True, slots=True)
+class UsageWindow:
+    """What processes had used as a window began, and as it ended."""
+
+    before: UsageSnapshot
+    after: UsageSnapshot
+
+    def per_process(self) -> dict[str, Any] | None:
+        """The usage of one process, as the mean of several alike, in the results' form. None: there are none."""
+        count = len(self.after.processes)
+        if not count:
+            return None
+        seconds = self.after.at - self.before.at
+        both = zip(self.before.processes, self.after.processes, strict=True)
+        cpu_s = sum(after.cpu_s - before.cpu_s for before, after in both)
+        return {
+            "cpu_cores": round(cpu_s / seconds / count, 6),
+            **traffic_rates(self.after.totals - self.before.totals, seconds, count),
+            "memory_bytes": round(statistics.mean(usage.unshared_bytes for usage in self.after.processes)),
+        }
+
+
+def traffic_rates(totals: Counter[str], seconds: float, count: int) -> dict[str, float]:
+    """Bytes and messages a second of one of `count` processes or dispatchers, in the results' form."""
+    return {f"{quantity}_s": round(totals[quantity] / seconds / count, 2) for quantity in _TRAFFIC}
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -1,114 +1,81 @@
-"""One fleet, brought up: discovery with its replicas, control machines, hollow dispatchers and real ones."""
+"""One fleet, brought up: discovery with its replicas, aggregators, hollow dispatchers and real ones."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
 import pathlib
-import re
-import statistics
-import subprocess
-import sys
 import time
-import urllib.request
 from array import array
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import asdict
+from dataclasses import asdict, dataclass
 from typing import Any
 
 from pearhill.chat.keys import new_key
 from pearhill.lab.relay import Relay
 from pearhill.lab.scale import files, observe
-from pearhill.lab.scale.child import Child, ProcessFailedError, last_line
+from pearhill.lab.scale.child import Child
+from pearhill.lab.scale.daemon import Daemon, UsageWindow, snapshot_after, snapshot_before
+from pearhill.lab.scale.figures import (
+    FleetMeasurement,
+    HostReport,
+    discovery_figures,
+    evenness_of,
+    hollow_figures,
+)
 from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
-from pearhill.lab.scale.measure import MAX_LATE_P99_US, ProcessUsage, encode_histogram, percentiles_ms, slope, usage_of
-from pearhill.lab.scale.plan import FleetSize, ScaleTable
-from pearhill.load_reports.evenness import evenness
-
-UP_WITHIN_S, LOOK_S = 60.0, 0.25
-STARTS_AT_ONCE = 4
-SETTLE_S = 60.0  # beyond the warm-up, for every dispatcher to count them all
-AGGREGATOR_UP = r"aggregator \S+ listens on"
+from pearhill.lab.scale.measure import MAX_LATE_P99_US, encode_histogram, percentiles_ms
+from pearhill.lab.scale.plan import FleetSize, LoadExchange, ScaleTable, Workload
+
+STARTS_AT_ONCE = 4  # of real dispatchers
+SETTLE_TIMEOUT_S = 60.0  # beyond the warm-up, for every dispatcher to count the whole fleet
+SETTLE_POLL_S = 1.0
+AGGREGATOR_READY = r"aggregator \S+ listens on"
+DISPATCHER_READY = "chat front listens"
 CLI = ("-c", "from pearhill.cli.main import main; main()")
-Told = Callable[[str], None]
 
+PrintLine = Callable[[str], None]
 
-class Daemon:
-    """A real process: a dispatcher before clients, or a control machine."""
 
-    def __init__(self, name: str, folder: pathlib.Path, arguments: tuple[str, ...]) -> None:
-        self.name, self.log, self.arguments = name, folder / f"{name}.log", arguments
-        self.process: subprocess.Popen[bytes] | None = None
-        self.door = self.front = ""
-        self.talks: tuple[str, int] | None = None
+@dataclass(frozen=True, slots=True)
+class _Window:
+    """What was collected in a measurement window. `hosts`: of processes with several hollow dispatchers."""
 
-    @property
-    def pid(self) -> int:
-        assert self.process
-        return self.process.pid
-
-    async def start(self, ready: str) -> None:
-        """`ready`: what its log says once it is up. Failed: it is not."""
-        with self.log.open("wb") as log:
-            self.process = subprocess.Popen(
-                [sys.executable, *self.arguments], stderr=log, stdout=log, start_new_session=True
-            )
-        end = time.monotonic() + UP_WITHIN_S
-        while not re.search(ready, told := self.log.read_text(errors="replace")):
-            if self.process.poll() is not None or time.monotonic() > end:
-                raise ProcessFailedError(f"{self.name} did not come up: {last_line(self.log) or 'it said nothing'}")
-            await asyncio.sleep(LOOK_S / 5)
-        for what, attribute in (("operators are heard", "door"), ("front listens", "front")):
-            if found := re.search(rf"{what} on ([\d.]+:\d+)", told):
-                setattr(self, attribute, found[1])
-
-    async def ask(self, path: str) -> dict[str, Any]:
-        def call() -> dict[str, Any]:
-            with urllib.request.urlopen(f"http://{self.door}{path}", timeout=10) as answer:
-                told: dict[str, Any] = json.loads(answer.read())
-                return told
-
-        try:
-            return await asyncio.to_thread(call)
-        except (OSError, ValueError) as e:
-            raise ProcessFailedError(f"{self.name}: {path}: {e}") from None
-
-    def kill(self) -> None:
-        if self.process and self.process.poll() is None:
-            self.process.kill()
-        if self.process:
-            self.process.wait()
-
-
-class Snapshot:
-    """What real processes have had so far: processor time, memory, datagrams."""
-
-    def __init__(self, at: float, processes: list[ProcessUsage], counts: Counter[str]) -> None:
-        self.at, self.processes, self.counts = at, processes, counts
+    hosts: list[HostReport]
+    alone: list[HostReport]
+    real: UsageWindow
+    aggregators: UsageWindow
+    discovery_before: dict[str, Any]
+    discovery_after: dict[str, Any]
 
 
 class RunningFleet:
-    """Use it as a context: at the end, and on any error, its processes are gone."""
+    """A fleet's processes. Use it as an asynchronous context: at its end, and on any error, they are ended.
+
+    `can_be_cut`: aggregators reach each other by way of a relay, which a fault of the network can cut.
+    """
 
     def __init__(
         self,
         size: FleetSize,
         scale: ScaleTable,
         folder: pathlib.Path,
-        told: Told,
-        cuttable: bool = False,
+        print_line: PrintLine,
+        can_be_cut: bool = False,
     ) -> None:
-        self.size, self.scale, self.folder, self.told, self.cuttable = size, scale, folder, told, cuttable
+        self.size = size
+        self.scale = scale
+        self.print_line = print_line
         self.discovery: Child | None = None
         self.hosts: list[Child] = []
         self.real: list[Daemon] = []
         self.aggregators: list[Daemon] = []
-        self.sites: dict[str, str] = {}  # control machines: where each listens
+        self.aggregator_addresses: dict[str, str] = {}
         self.relay: Relay | None = None
-        self.places: list[DispatcherSpec] = []
-        self.text = ""
+        self.dispatchers: list[DispatcherSpec] = []
+        self.template = ""
+        self._folder = folder
+        self._can_be_cut = can_be_cut
 
     async def __aenter__(self) -> RunningFleet:
         try:
@@ -118,242 +85,247 @@
             raise
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exception: object) -> None:
         await self.close()
 
-    @property
-    def processes(self) -> int:
-        return len(self.pids()) + 1
-
     def pids(self) -> list[int]:
-        children = [*self.hosts, *([self.discovery] if self.discovery else [])]
-        return [c.pid for c in children] + [d.pid for d in (*self.real, *self.aggregators) if d.process]
+        """The processes that were started, without the command's own."""
+        daemons = [daemon for daemon in (*self.real, *self.aggregators) if daemon.process]
+        return [child.pid for child in self._children()] + [daemon.pid for daemon in daemons]
+
+    def _children(self) -> list[Child]:
+        return [*self.hosts, self.discovery] if self.discovery else list(self.hosts)
 
     async def _start(self) -> None:
-        size, scale = self.size, self.scale
-        key = self.folder / "key"
-        if not key.exists():
-            key.write_text(new_key())
-        self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self.folder)
+        size = self.size
+        scale = self.scale
+        key_file = self._folder / "key"
+        if not key_file.exists():
+            key_file.write_text(new_key())
+        registry_address = await self._start_discovery()
+        self.dispatchers = files.dispatcher_specs(scale, size.dispatchers)
+        ports = files.free_ports(size.aggregators)
+        self.aggregator_addresses = {f"a{k}": f"{LOOPBACK}:{port}" for k, port in enumerate(ports)}
+        self.template = files.file_template(
+            scale, size.exchange, self.dispatchers, self.aggregator_addresses, registry_address, str(key_file)
+        )
+        await self._start_aggregators(str(key_file))
+        await self._start_dispatchers()
+
+    async def _start_discovery(self) -> str:
+        """The registry's address."""
+        scale = self.scale
+        self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self._folder)
         opened = await self.discovery.call(
-            "open", replicas=size.replicas, readers=scale.prefill_share, seed=scale.seed, zones=files.zone_names(scale)
+            "open",
+            replicas=self.size.replicas,
+            readers=scale.prefill_share,
+            seed=scale.seed,
+            zones=files.zone_names(scale),
+        )
+        return str(opened["address"])
+
+    async def _start_aggregators(self, key_file: str) -> None:
+        peers = self.aggregator_addresses
+        if self._can_be_cut and peers:
+            self.relay = self._new_relay()
+            peers = {name: self.relay.address(name) for name in peers}
+        for name, address in self.aggregator_addresses.items():
+            path = self._folder / f"{name}.toml"
+            path.write_text(files.aggregator_file(name, address, peers, key_file))
+            self.aggregators.append(Daemon(name, self._folder, (*CLI, "aggregator", str(path))))
+        await asyncio.gather(*(aggregator.start(AGGREGATOR_READY) for aggregator in self.aggregators))
+
+    def _new_relay(self) -> Relay:
+        relay = Relay(list(self.aggregator_addresses), self.scale.seed)
+        for name, address in self.aggregator_addresses.items():
+            host, _, port = address.rpartition(":")
+            relay.place(name, host, int(port))
+        return relay
+
+    async def _start_dispatchers(self) -> None:
+        """Hollow and real ones at the same time: the first specs are for hollow ones, process by process."""
+        counts = [*self.size.hosts(self.scale.per_process), *[1] * self.size.alone]
+        self.hosts = list(
+            await asyncio.gather(
+                *(Child.start(f"host{k}", "pearhill.lab.scale.hollow", self._folder) for k in range(len(counts)))
+            )
         )
-        self.places = files.dispatcher_specs(scale, size.dispatchers)
-        self.sites = {f"a{k}": f"{LOOPBACK}:{port}" for k, port in enumerate(files.free_ports(size.aggregators))}
-        self.text = files.file_template(scale, size.exchange, self.places, self.sites, opened["address"], str(key))
-        await self._start_aggregators(str(key))
-        readers = round(size.replicas * scale.prefill_share)
-        common = {
-            "text": self.text,
+        settings = self._host_settings()
+        starts = []
+        first = 0
+        for host, count in zip(self.hosts, counts, strict=True):
+            specs = [asdict(spec) for spec in self.dispatchers[first : first + count]]
+            starts.append(host.call("open", places=specs, **settings))
+            first += count
+        await asyncio.gather(*starts, self._start_real(self.dispatchers[first:]))
+
+    def _host_settings(self) -> dict[str, Any]:
+        """The arguments of the order "open" that are the same for every process of hollow dispatchers."""
+        size = self.size
+        scale = self.scale
+        prefill_replicas = round(size.replicas * scale.prefill_share)
+        return {
+            "text": self.template,
             "work": size.workload,
             "seed": scale.seed,
             "rate_per_s": size.rate_per_s,
             "streams": scale.streams,
             "spread_s": float(scale.fetch_s),
-            "readers": readers,
-            "writers": size.replicas - readers,
+            "readers": prefill_replicas,
+            "writers": size.replicas - prefill_replicas,
         }
-        shares = [*size.hosts(scale.per_process), *[1] * size.alone]
-        self.hosts = list(
-            await asyncio.gather(
-                *(Child.start(f"host{k}", "pearhill.lab.scale.hollow", self.folder) for k in range(len(shares)))
-            )
-        )
-        starts, first = [], 0
-        for host, share in zip(self.hosts, shares, strict=True):
-            starts.append(host.call("open", places=[asdict(p) for p in self.places[first : first + share]], **common))
-            first += share
-        await asyncio.gather(*starts, self._start_real(self.places[first:]))
-
-    async def _start_aggregators(self, key: str) -> None:
-        peers = self.sites
-        if self.cuttable and self.sites:
-            self.relay = Relay(list(self.sites), self.scale.seed)
-            for name, address in self.sites.items():
-                host, _, port = address.rpartition(":")
-                self.relay.place(name, host, int(port))
-            peers = {name: self.relay.address(name) for name in self.sites}
-        for name, address in self.sites.items():
-            path = self.folder / f"{name}.toml"
-            path.write_text(files.aggregator_file(name, address, peers, key))
-            self.aggregators.append(Daemon(name, self.folder, (*CLI, "aggregator", str(path))))
-        await asyncio.gather(*(a.start(AGGREGATOR_UP) for a in self.aggregators))
-
-    async def _start_real(self, places: list[DispatcherSpec]) -> None:
+
+    async def _start_real(self, specs: list[DispatcherSpec]) -> None:
         gate = asyncio.Semaphore(STARTS_AT_ONCE)
 
-        async def one(place: DispatcherSpec) -> None:
+        async def start(spec: DispatcherSpec) -> None:
             async with gate:
-                self.real.append(await self.dispatcher(place.name, file_of(place, self.text)))
+                self.real.append(await self.start_dispatcher(spec.name, file_of(spec, self.template)))
 
-        await asyncio.gather(*map(one, places))
+        await asyncio.gather(*map(start, specs))
 
-    async def dispatcher(self, name: str, text: str) -> Daemon:
-        path = self.folder / f"{name}.toml"
+    async def start_dispatcher(self, name: str, text: str) -> Daemon:
+        """Start a real dispatcher with this file. ProcessFailedError: it did not come up; it is ended then."""
+        path = self._folder / f"{name}.toml"
         path.write_text(text)
-        daemon = Daemon(name, self.folder, ("-m", "pearhill", "--chat", str(path)))
+        daemon = Daemon(name, self._folder, ("-m", "pearhill", "--chat", str(path)))
         try:
-            await daemon.start("chat front listens")
+            await daemon.start(DISPATCHER_READY)
         except BaseException:
             daemon.kill()
             raise
         return daemon
 
-    async def ask_all(self, order: str, **told: Any) -> list[dict[str, Any]]:
-        return list(await asyncio.gather(*(host.call(order, **told) for host in self.hosts)))
+    async def call_hosts(self, order: str, **arguments: Any) -> list[HostReport]:
+        """Send an order to every process of hollow dispatchers; their answers."""
+        return list(await asyncio.gather(*(host.call(order, **arguments) for host in self.hosts)))
 
     async def settle(self) -> bool:
-        """Wait for the warm-up, and until each hollow dispatcher counts them all. False: some still don't."""
-        began = time.monotonic()
+        """Wait for the warm-up, and until each hollow dispatcher counts the whole fleet and has the whole list.
+
+        False: some still do not after `SETTLE_TIMEOUT_S`.
+        """
+        deadline = time.monotonic() + self.scale.warm_s + SETTLE_TIMEOUT_S
         await asyncio.sleep(self.scale.warm_s)
-        while time.monotonic() < began + self.scale.warm_s + SETTLE_S:
-            looked = await self.ask_all("look", engines=[])
-            counts = [c for told in looked for c in told["counts"] if self.size.exchange != "own"]
-            if all(c == self.size.dispatchers for c in counts) and all(
-                n == self.size.replicas for told in looked for n in told["listed"]
-            ):
+        while time.monotonic() < deadline:
+            if self._is_settled(await self.call_hosts("look", engines=[])):
                 return True
-            await asyncio.sleep(1.0)
+            await asyncio.sleep(SETTLE_POLL_S)
         return False
 
-    async def snapshot(self, daemons: list[Daemon], last: bool = False) -> Snapshot:
-        """`last`: of two. What it costs them to answer at the door is not to stand between the two."""
-        first = [usage_of(d.pid) for d in daemons] if last else []
-        at, counts = time.monotonic(), Counter[str]()
-        for told in await asyncio.gather(*(d.ask("/ops/fleet") for d in daemons)):
-            counts.update(observe.messages_and_bytes(told["datagrams"]))
-        return Snapshot(at if last else time.monotonic(), first or [usage_of(d.pid) for d in daemons], counts)
-
-    async def measure(self) -> dict[str, Any]:
-        """One window. The point of the hollow ones, and of the real ones where there are any, in the results' form;
-        `alone`: of the hollow ones that have a process each."""
+    def _is_settled(self, hosts: list[HostReport]) -> bool:
+        if any(listed != self.size.replicas for host in hosts for listed in host["listed"]):
+            return False
+        if self.size.exchange is LoadExchange.OWN:
+            return True
+        return all(count == self.size.dispatchers for host in hosts for count in host["counts"])
+
+    async def measure(self) -> FleetMeasurement:
+        """Measure one window of `scale.seconds`."""
+        window = await self._collect()
+        common = self._common(self._report_busy(window.hosts))
+        aggregator = window.aggregators.per_process()
+        return FleetMeasurement(
+            hollow=self._hollow_point(window, common, aggregator),
+            real=self._real_point(window, common, aggregator),
+            alone={"dispatcher": hollow_figures(window.alone)} if window.alone else None,
+            evenness=evenness_of(window.hosts) if self.size.workload is Workload.ROUTER else None,
+        )
+
+    async def _collect(self) -> _Window:
         assert self.discovery
-        size = self.size
-        real, machines = await self.snapshot(self.real), await self.snapshot(self.aggregators)
-        before = await self.discovery.call("counts")
-        # Requests through the Router have work at every writer, and leave none to a mark.
-        await self.ask_all("begin", marker="" if size.workload == "router" else self.places[0].name)
-        await self.discovery.call("replace", count=1)  # a change whose age is seen as each dispatcher comes to fetch it
+        real_before = await snapshot_before(self.real)
+        aggregators_before = await snapshot_before(self.aggregators)
+        discovery_before = await self.discovery.call("counts")
+        await self.call_hosts("begin", marker=self._marker())
+        await self.discovery.call("replace", count=1)  # the age of this change is measured at each dispatcher
         await asyncio.sleep(self.scale.seconds)
-        hosts, after = await self.ask_all("end"), await self.discovery.call("counts")
-        read_at: list[int] = next((told["read_at"] for told in hosts if told["read_at"]), [])
-        ages = observe.mark_ages(read_at, [mark for told in hosts for mark in told["marks"]], size.exchange == "talk")
-        alone, hosts = hosts[len(hosts) - size.alone :], hosts[: len(hosts) - size.alone]
-        machines_after = await self.snapshot(self.aggregators, last=True)
-        real_after = await self.snapshot(self.real, last=True)
-        late = percentiles_ms(told["late"] for told in hosts)
-        busy = late is None or late["p99"] * 1000 > MAX_LATE_P99_US
-        if busy:
-            self.told(
-                "    the machine was too busy for this to be read: own beats late, " f"p99 {late and late['p99']} ms"
-            )
-        seconds = after["at"] - before["at"]
-        calls = Counter(after["counts"]) - Counter(before["counts"])
-        common = {
-            "way": size.exchange,
-            "work": size.workload,
+        hosts = await self.call_hosts("end")
+        discovery_after = await self.discovery.call("counts")
+        aggregators_after = await snapshot_after(self.aggregators)
+        real_after = await snapshot_after(self.real)
+        first_alone = len(hosts) - self.size.alone
+        return _Window(
+            hosts=hosts[:first_alone],
+            alone=hosts[first_alone:],
+            real=UsageWindow(real_before, real_after),
+            aggregators=UsageWindow(aggregators_before, aggregators_after),
+            discovery_before=discovery_before,
+            discovery_after=discovery_after,
+        )
+
+    def _marker(self) -> str:
+        """The dispatcher that leaves marks; none with requests through the Router, which have work at every replica."""
+        return "" if self.size.workload is Workload.ROUTER else self.dispatchers[0].name
+
+    def _hollow_point(
+        self, window: _Window, common: dict[str, Any], aggregator: dict[str, Any] | None
+    ) -> dict[str, Any]:
+        news_age_ms = self._news_age_ms([*window.hosts, *window.alone])
+        return {
+            **common,
+            "kind": "hollow",
+            "dispatcher": {**hollow_figures(window.hosts), "news_age_ms": news_age_ms},
+            "aggregator": aggregator,
+            "discovery": discovery_figures(window.discovery_before, window.discovery_after),
+            "list_age_ms": percentiles_ms(host["lists"] for host in window.hosts),
+        }
+
+    def _news_age_ms(self, hosts: list[HostReport]) -> dict[str, float] | None:
+        """The age of the marker's load as the other hollow dispatchers know it."""
+        read_at: list[int] = next((host["read_at"] for host in hosts if host["read_at"]), [])
+        sightings = [sighting for host in hosts for sighting in host["marks"]]
+        ages = observe.mark_ages(read_at, sightings, self.size.exchange is LoadExchange.GOSSIP)
+        return percentiles_ms([encode_histogram(array("q", ages))])
+
+    def _real_point(
+        self, window: _Window, common: dict[str, Any], aggregator: dict[str, Any] | None
+    ) -> dict[str, Any] | None:
+        """None: there are no real dispatchers."""
+        figures = window.real.per_process()
+        if figures is None:
+            return None
+        return {
+            **common,
+            "kind": "real",
+            "dispatcher": {**figures, "beat_late_ms": None, "news_age_ms": None},
+            "aggregator": aggregator,
+            "discovery": None,
+            "list_age_ms": None,
+        }
+
+    def _report_busy(self, hosts: list[HostReport]) -> bool:
+        """Whether the machine was too busy, which is reported: ticks of the processes were late, or there were none."""
+        late = percentiles_ms(host["late"] for host in hosts)
+        is_busy = late is None or late["p99"] * 1000 > MAX_LATE_P99_US
+        if is_busy:
+            p99 = late and late["p99"]
+            self.print_line(f"    the machine was too busy for this to be read: own beats late, p99 {p99} ms")
+        return is_busy
+
+    def _common(self, is_busy: bool) -> dict[str, Any]:
+        """What all points of a window have in common, in the results' form."""
+        size = self.size
+        return {
+            "way": size.exchange.value,
+            "work": size.workload.value,
             "dispatchers": size.dispatchers,
             "replicas": size.replicas,
             "aggregators": size.aggregators,
             "seconds": round(self.scale.seconds, 1),
-            "rate_per_dispatcher": size.rate_per_s if size.workload == "router" else 0.0,
-            "processes": self.processes,
-            "busy": busy,
-        }
-        aggregator = rates(machines, machines_after) if self.aggregators else None
-        discovery = {
-            "calls_s": round(calls["calls"] / seconds, 3),
-            "bytes_s": round((calls["bytes_in"] + calls["bytes_out"]) / seconds, 1),
-        }
-        made: dict[str, Any] = {
-            "hollow": {
-                **common,
-                "kind": "hollow",
-                "dispatcher": hollow_figures(hosts),
-                "aggregator": aggregator,
-                "discovery": discovery,
-                "list_age_ms": percentiles_ms(told["lists"] for told in hosts),
-            }
+            "rate_per_dispatcher": size.rate_per_s if size.workload is Workload.ROUTER else 0.0,
+            "processes": len(self.pids()) + 1,
+            "busy": is_busy,
         }
-        made["hollow"]["dispatcher"]["news_age_ms"] = percentiles_ms([encode_histogram(array("q", ages))])
-        if size.workload == "router":
-            made["evenness"] = evenness_of(hosts)
-        if alone:
-            made["alone"] = {"dispatcher": hollow_figures(alone)}
-        if self.real:
-            figures = {**rates(real, real_after), "beat_late_ms": None, "news_age_ms": None}
-            made["real"] = {
-                **common,
-                "kind": "real",
-                "dispatcher": figures,
-                "aggregator": aggregator,
-                "discovery": None,
-                "list_age_ms": None,
-            }
-        return made
 
     async def close(self) -> None:
+        """End all processes, and remove their logs."""
         for daemon in (*self.real, *self.aggregators):
             daemon.kill()
-        children = [*self.hosts, *([self.discovery] if self.discovery else [])]
-        await asyncio.gather(*(c.close() for c in children), return_exceptions=True)
+        await asyncio.gather(*(child.close() for child in self._children()), return_exceptions=True)
         if self.relay:
             self.relay.close()
         with contextlib.suppress(OSError):
-            for log in self.folder.glob("*.log"):
+            for log in self._folder.glob("*.log"):
                 log.unlink()
-
-
-def hollow_figures(hosts: list[dict[str, Any]]) -> dict[str, Any]:
-    """For one dispatcher. The thread's time in the hollow ones' own ticks is taken off."""
-    count = sum(told["count"] for told in hosts)
-    seconds = statistics.mean(told["seconds"] for told in hosts)
-    counts: Counter[str] = Counter()
-    for told in hosts:
-        counts.update(told["counts"])
-    cpu = sum(told["cpu_s"] - told["own_s"] for told in hosts)
-    memory = slope([told["count"] for told in hosts], [told["uss"] for told in hosts])
-    return {
-        "cpu_cores": round(cpu / seconds / count, 6),
-        **{
-            f"{what}_s": round(counts[what] / seconds / count, 2)
-            for what in ("bytes_in", "bytes_out", "messages_in", "messages_out")
-        },
-        "memory_bytes": round(memory) if memory == memory else None,
-        "beat_late_ms": percentiles_ms(told["late"] for told in hosts),
-        "news_age_ms": None,
-    }
-
-
-def evenness_of(hosts: list[dict[str, Any]]) -> dict[str, Any]:
-    """Peak over mean of all dispatchers' work by engine, in windows of a second, for writers and for readers; and what
-    became of the requests since the fleet came up. The first and the last window are not whole."""
-    roles: dict[str, str] = {}
-    ended, windows = Counter[str](), dict[str, Counter[str]]()
-    for told in hosts:
-        roles.update(told["roles"])
-        ended.update(told["ended"])
-        for second, work in told["work"].items():
-            windows.setdefault(second, Counter()).update(work)
-    whole = [windows[second] for second in sorted(windows, key=int)[1:-1]]
-    made: dict[str, Any] = {"windows": len(whole), **{how: ended[how] for how in ("served", "refused", "failed")}}
-    for role in ("writer", "reader"):
-        names = [engine for engine, known in roles.items() if known == role]
-        peaks = [evenness({name: float(work[name]) for name in names}).peak for work in whole]
-        made[f"{role}s"] = {"mean": round(statistics.mean(peaks), 3), "worst": round(max(peaks), 3)} if peaks else None
-    return made
-
-
-def rates(before: Snapshot, after: Snapshot) -> dict[str, Any]:
-    """For one process of several alike."""
-    seconds, count = after.at - before.at, len(after.processes)
-    cpu = sum(b.cpu_s - a.cpu_s for a, b in zip(before.processes, after.processes, strict=True))
-    counts = after.counts - before.counts
-    return {
-        "cpu_cores": round(cpu / seconds / count, 6),
-        **{
-            f"{what}_s": round(counts[what] / seconds / count, 2)
-            for what in ("bytes_in", "bytes_out", "messages_in", "messages_out")
-        },
-        "memory_bytes": round(statistics.mean(p.unshared_bytes for p in after.processes)),
-    }
--- a/pearhill/lab/scale/loaded.py
+++ b/pearhill/lab/scale/loaded.py
@@ -23,19 +23,20 @@
 
     The load generator runs in this process.
     """
-    fronts = [_front(daemon.front) for daemon in fleet.real]
+    fronts = [_front(daemon.front_address) for daemon in fleet.real]
     in_turn = itertools.cycle(random.Random(fleet.scale.seed).sample(fronts, len(fronts)))
     api_keys = {TENANT: tenant_api_key(fleet.scale.seed)}
     requests = asyncio.create_task(
         load.run(_scenario(fleet, rate_per_s * len(fronts)), lambda: next(in_turn), api_keys, lambda done, total: None)
     )
     try:
-        point: dict[str, Any] = (await fleet.measure())["real"]
+        point = (await fleet.measure()).real
         rows = await requests
     finally:
         requests.cancel()
     served = sum(row.outcome == load.SERVED for row in rows) / max(1, len(rows))
-    fleet.told(f"    under load: {len(rows)} requests, {served:.1%} served")
+    fleet.print_line(f"    under load: {len(rows)} requests, {served:.1%} served")
+    assert point is not None
     return {**point, "work": "router", "rate_per_dispatcher": rate_per_s}
 
 
--- a/pearhill/lab/scale/plan.py
+++ b/pearhill/lab/scale/plan.py
@@ -165,6 +165,11 @@
     factor: Annotated[float, Meta(gt=0, le=100_000)] = 1.0
     burst: Annotated[int, Meta(ge=0, le=50)] = 0
 
+    @property
+    def fault(self) -> FaultKind:
+        """What happens."""
+        return FaultKind(self.kind)
+
     @property
     def settled_s(self) -> float:
         """When the fleet is expected to have recovered."""
@@ -405,14 +410,13 @@
 
 def _check_fault_kind(path: str, event: FaultEventTable, table: FaultsTable, scale: ScaleTable) -> None:
     """ConfigError: this fault cannot happen to this fleet."""
-    kind = FaultKind(event.kind)
-    lost = AGGREGATORS_LOST.get(kind, 0)
+    lost = AGGREGATORS_LOST.get(event.fault, 0)
     has_aggregators = LoadExchange(table.exchange) is LoadExchange.AGGREGATORS
     if lost and (not has_aggregators or table.aggregators <= lost):
         raise ConfigError(
             f"{path}: found {event.kind!r}; allowed: where more than {lost} aggregators are, way 'aggregators'"
         )
-    if kind in (FaultKind.REGION_CUT, FaultKind.ZONE) and scale.regions < 2:
+    if event.fault in (FaultKind.REGION_CUT, FaultKind.ZONE) and scale.regions < 2:
         raise ConfigError(f"{path}: found {event.kind!r}; allowed: where scale.regions is 2 or more")
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -19,7 +19,7 @@
 
 from pearhill.config import ConfigError
 from pearhill.eureka.registry import Registry as Client
-from pearhill.lab.scale import faults, fit, fleet, measure, observe, plan, report, run
+from pearhill.lab.scale import analysis, fault_watch, figures, fit, measure, observe, plan, report, run
 from pearhill.lab.scale.discovery import Registry
 from pearhill.membership import gauges
 from tests.standins import ROOT
@@ -157,12 +157,12 @@
             }
 
         points = [point(d, 0.01 + 0.001 * d) for d in (10, 20, 40, 80)] + [point(160, 9.0, busy=True)]
-        checks = run.compared(point(8, 0.006), point(8, 0.01), {"dispatcher": point(8, 0.0098)["dispatcher"]})
+        checks = analysis.compare(point(8, 0.006), point(8, 0.01), {"dispatcher": point(8, 0.0098)["dispatcher"]})
         self.assertEqual(
             [(c["quantity"], c["within"], c["carried_as_error"]) for c in checks],
             [("cpu_cores", False, 0.6667), ("bytes_s", True, 0.0), ("cpu_cores", True, 0.0), ("bytes_s", True, 0.0)],
         )
-        made = {s["quantity"]: s for s in run.slopes(points, checks, plan.SizeTable())}
+        made = {s["quantity"]: s for s in analysis.slopes(points, checks, plan.SizeTable())}
         self.assertEqual(set(made), {"cpu_cores", "bytes_s"})
         cpu = made["cpu_cores"]
         self.assertEqual((cpu["form"], cpu["fitted_over"]["dispatchers"], cpu["bound"]), ("a + b*D", [10, 80], 0.011))
@@ -216,7 +216,7 @@
             },
         ]
         self.assertEqual(
-            fleet.evenness_of(hosts),
+            figures.evenness_of(hosts),
             {
                 "windows": 2,
                 "served": 3,
@@ -228,11 +228,13 @@
         )
 
     def test_how_long_things_were_wrong_in_a_trouble(self):
-        def look(at: float, right: float = 1.0, sums: float = 0.9) -> faults.Look:
-            return faults.Look(at, 6, right, sums, 100.0, 2.0, 1.0)
+        def sample(at: float, right: float = 1.0, sums: float = 0.9) -> fault_watch.FleetSample:
+            return fault_watch.FleetSample(at, 6, right, sums, 100.0, 2.0, 1.0)
 
-        quiet = [look(0.5 * k) for k in range(8)]
-        made = faults.figures(quiet, [look(4), look(4.5, 0.5), look(5, 0.9, 0.5), look(5.5, 1, 0.5), look(6)])
+        quiet = [sample(0.5 * k) for k in range(8)]
+        made = fault_watch.fault_figures(
+            quiet, [sample(4), sample(4.5, 0.5), sample(5, 0.9, 0.5), sample(5.5, 1, 0.5), sample(6)]
+        )
         self.assertEqual((made["count_wrong_s"], made["sums_wrong_s"], made["right_at_the_end"]), (1.0, 1.0, True))
         self.assertEqual((made["least_share_right"], made["sums_least"]), (0.5, 0.556))
 
