--- a/pearhill/lab/scale/report.py
+++ b/pearhill/lab/scale/report.py
@@ -3,88 +3,151 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from typing import Any
 
 import jinja2
 
 from pearhill.lab.report import COLOURS, HEIGHT, WIDTH
+from pearhill.lab.scale.analysis import Point, figure_of
+
+# Margins of a plot, in its own units.
+LEFT = 60
+BOTTOM = 28
+TOP = 12
+RIGHT = 90
+FRAME_RIGHT = WIDTH - RIGHT
+FRAME_BOTTOM = HEIGHT - BOTTOM
+HEADROOM = 1.05  # of the axis over the largest value
+
+
+@dataclass(frozen=True, slots=True)
+class PlottedQuantity:
+    """A quantity of dispatchers: its key in results, the plot's title, the plot's unit, the bound in the results'."""
+
+    key: str
+    title: str
+    scale: float
+    bound: float
+
 
-LEFT, BOTTOM, TOP, RIGHT = 60, 28, 12, 90
 QUANTITIES = (
-    ("cpu_cores", "Processor time of a dispatcher's control, share of a core", 1.0, 0.011),
-    ("bytes_s", "Bytes a second both ways, KB", 1e-3, 7_000.0),
-    ("memory_bytes", "Memory of a dispatcher's control, MB", 1e-6, 32e6),
+    PlottedQuantity("cpu_cores", "Processor time of a dispatcher's control, share of a core", 1.0, 0.011),
+    PlottedQuantity("bytes_s", "Bytes a second both ways, KB", 1e-3, 7_000.0),
+    PlottedQuantity("memory_bytes", "Memory of a dispatcher's control, MB", 1e-6, 32e6),
 )
-Curve = tuple[str, list[tuple[float, float]]]
 
 
-def value(figures: dict[str, Any], quantity: str) -> float | None:
-    if quantity == "bytes_s":
-        return float(figures["bytes_in_s"] + figures["bytes_out_s"])
-    return None if figures[quantity] is None else float(figures[quantity])
+@dataclass(frozen=True, slots=True)
+class Curve:
+    """A named line through points."""
+
+    name: str
+    points: list[tuple[float, float]]
+
+
+@dataclass(frozen=True, slots=True)
+class Plot:
+    """A plot as SVG, empty where there is nothing to show."""
+
+    title: str
+    svg: str
+
+
+@dataclass(frozen=True, slots=True)
+class _Axes:
+    """From 0 to the largest values, which stand at the frame's right and top."""
+
+    max_x: float
+    max_y: float
+
+    def x(self, value: float) -> str:
+        """The horizontal place of a value."""
+        return f"{LEFT + (FRAME_RIGHT - LEFT) * value / self.max_x:.1f}"
+
+    def y(self, value: float) -> str:
+        """The vertical place of a value."""
+        return f"{TOP + (FRAME_BOTTOM - TOP) * (1 - value / self.max_y):.1f}"
 
 
-def plot(curves: Sequence[Curve], across: str, bound: float | None = None) -> str:
-    """Lines with their points, as SVG; `bound` is a line of its own."""
-    every = [point for _, points in curves for point in points]
-    if not every:
+def plot(curves: Sequence[Curve], x_title: str, bound: float | None = None) -> str:
+    """Lines with their points as SVG; `bound` is a dashed line. Empty: there are no points."""
+    points = [point for curve in curves for point in curve.points]
+    if not points:
         return ""
-    most_x, most_y = max(x for x, _ in every) or 1, max([y for _, y in every] + ([bound] if bound else [])) * 1.05 or 1
-
-    def at(x: float, y: float) -> str:
-        return (
-            f"{LEFT + (WIDTH - LEFT - RIGHT) * x / most_x:.1f},"
-            f"{TOP + (HEIGHT - TOP - BOTTOM) * (1 - y / most_y):.1f}"
-        )
-
-    base = HEIGHT - BOTTOM
-    parts = [
-        f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img">',
-        f'<line x1="{LEFT}" y1="{base}" x2="{WIDTH - RIGHT}" y2="{base}" stroke="#999"/>',
-        f'<text x="0" y="{TOP + 8}" font-size="11">{most_y:.3g}</text>',
-        f'<text x="0" y="{base}" font-size="11">0</text>',
-        f'<text x="{LEFT}" y="{HEIGHT - 8}" font-size="11">{across}</text>',
-        f'<text x="{WIDTH - RIGHT - 20}" y="{HEIGHT - 8}" font-size="11">{most_x:g}</text>',
-    ]
+    values = [y for _, y in points]
     if bound:
-        y = at(0, bound).partition(",")[2]
-        parts.append(
-            f'<line x1="{LEFT}" y1="{y}" x2="{WIDTH - RIGHT}" y2="{y}" stroke="#c00" stroke-dasharray="4"/>'
-            f'<text x="{WIDTH - RIGHT + 4}" y="{y}" font-size="11" fill="#c00">bound</text>'
-        )
-    for k, (name, points) in enumerate(curves):
-        colour, placed = COLOURS[k % len(COLOURS)], [at(*point) for point in sorted(points)]
-        parts.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.8" points="{" ".join(placed)}"/>')
-        parts += [
-            f'<circle cx="{p.partition(",")[0]}" cy="{p.partition(",")[2]}" r="2.6" fill="{colour}"/>' for p in placed
-        ]
-        y_name = TOP + 10 + 13 * k
-        parts.append(f'<text x="{WIDTH - RIGHT + 4}" y="{y_name}" font-size="11" fill="{colour}">{name}</text>')
+        values.append(bound)
+    axes = _Axes(max(x for x, _ in points) or 1, max(values) * HEADROOM or 1)
+    parts = [_frame(axes, x_title)]
+    if bound:
+        parts.append(_bound_line(axes.y(bound)))
+    parts += [_curve(curve, index, axes) for index, curve in enumerate(curves)]
     return "".join(parts) + "</svg>"
 
 
-def _plots(results: dict[str, Any]) -> list[tuple[str, str]]:
-    made = []
+def _frame(axes: _Axes, x_title: str) -> str:
+    return (
+        f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img">'
+        f'<line x1="{LEFT}" y1="{FRAME_BOTTOM}" x2="{FRAME_RIGHT}" y2="{FRAME_BOTTOM}" stroke="#999"/>'
+        f'<text x="0" y="{TOP + 8}" font-size="11">{axes.max_y:.3g}</text>'
+        f'<text x="0" y="{FRAME_BOTTOM}" font-size="11">0</text>'
+        f'<text x="{LEFT}" y="{HEIGHT - 8}" font-size="11">{x_title}</text>'
+        f'<text x="{FRAME_RIGHT - 20}" y="{HEIGHT - 8}" font-size="11">{axes.max_x:g}</text>'
+    )
+
+
+def _bound_line(y: str) -> str:
+    return (
+        f'<line x1="{LEFT}" y1="{y}" x2="{FRAME_RIGHT}" y2="{y}" stroke="#c00" stroke-dasharray="4"/>'
+        f'<text x="{FRAME_RIGHT + 4}" y="{y}" font-size="11" fill="#c00">bound</text>'
+    )
+
+
+def _curve(curve: Curve, index: int, axes: _Axes) -> str:
+    colour = COLOURS[index % len(COLOURS)]
+    places = [(axes.x(x), axes.y(y)) for x, y in sorted(curve.points)]
+    line = " ".join(f"{x},{y}" for x, y in places)
+    dots = "".join(f'<circle cx="{x}" cy="{y}" r="2.6" fill="{colour}"/>' for x, y in places)
+    name_y = TOP + 10 + 13 * index
+    return (
+        f'<polyline fill="none" stroke="{colour}" stroke-width="1.8" points="{line}"/>'
+        f"{dots}"
+        f'<text x="{FRAME_RIGHT + 4}" y="{name_y}" font-size="11" fill="{colour}">{curve.name}</text>'
+    )
+
+
+def _plots(results: dict[str, Any]) -> list[Plot]:
+    """Each quantity for each load exchange, and the choice. Those without points are left out."""
     hollow = [p for p in results["points"] if p["kind"] == "hollow" and p["work"] == "drawn"]
+    plots = []
     for way in sorted({p["way"] for p in hollow}):
-        for quantity, title, scale, bound in QUANTITIES:
-            curves = []
-            for replicas in sorted({p["replicas"] for p in hollow if p["way"] == way}):
-                points = [
-                    (float(p["dispatchers"]), found * scale)
-                    for p in hollow
-                    if (p["way"], p["replicas"]) == (way, replicas)
-                    and (found := value(p["dispatcher"], quantity)) is not None
-                ]
-                curves.append((f"{replicas} replicas", points))
-            made.append((f"{title}: {way}", plot(curves, "dispatchers", bound * scale)))
+        of_way = [p for p in hollow if p["way"] == way]
+        for quantity in QUANTITIES:
+            svg = plot(_curves(of_way, quantity), "dispatchers", quantity.bound * quantity.scale)
+            plots.append(Plot(f"{quantity.title}: {way}", svg))
     if results["choice"]:
-        points = [(float(c["replicas"]), float(c["ms"])) for c in results["choice"]]
-        made.append(("The Router's two choices for one arrival, ms of a core", plot([("", points)], "replicas")))
-    return [(title, svg) for title, svg in made if svg]
+        points = [(float(choice["replicas"]), float(choice["ms"])) for choice in results["choice"]]
+        svg = plot([Curve("", points)], "replicas")
+        plots.append(Plot("The Router's two choices for one arrival, ms of a core", svg))
+    return [made for made in plots if made.svg]
+
+
+def _curves(points: Sequence[Point], quantity: PlottedQuantity) -> list[Curve]:
+    """A quantity over the count of dispatchers, for each count of replicas."""
+    curves = []
+    for replicas in sorted({point["replicas"] for point in points}):
+        values = [
+            (float(point["dispatchers"]), value * quantity.scale)
+            for point in points
+            if point["replicas"] == replicas and (value := figure_of(point["dispatcher"], quantity.key)) is not None
+        ]
+        curves.append(Curve(f"{replicas} replicas", values))
+    return curves
 
 
 def page(title: str, results: dict[str, Any]) -> str:
+    """The results' page as HTML."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab.scale", "."),
         autoescape=True,
@@ -92,4 +155,5 @@
         trim_blocks=True,
         lstrip_blocks=True,
     )
-    return environment.get_template("report.html.j2").render(title=title, results=results, plots=_plots(results))
+    template = environment.get_template("report.html.j2")
+    return template.render(title=title, results=results, plots=_plots(results))
