--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -13,6 +13,8 @@
 import sys
 import time
 from collections.abc import Callable
+from enum import StrEnum
+from typing import get_args
 
 import psutil
 import pytest
@@ -107,6 +109,17 @@
         assert max(hosts) <= max_per_process + 1
         assert hollow < 3 or len(set(hosts)) > 1
 
+    @pytest.mark.parametrize(
+        ("enum", "literal"),
+        [
+            (plan.LoadExchange, plan.AnyExchangeKey),
+            (plan.Workload, plan.WorkloadKey),
+            (plan.FaultKind, plan.FaultKey),
+        ],
+    )
+    def test_the_values_of_a_table_are_those_of_the_enum(self, enum: type[StrEnum], literal: object) -> None:
+        assert [member.value for member in enum] == list(get_args(literal))
+
 
 COSTS: dict[str, Callable[[float, float], float]] = {
     "a": lambda d, r: 5.0,
