--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -8,6 +8,7 @@
 
 from pearhill.core.request import RequestSpec
 from pearhill.routing.actions import Action, RejectRequest, SendAttempt
+from pearhill.routing.events import RequestArrived
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Phase
 from tests.core.harness import ADVICE, BOOKING, MIXED, PREFILL, DispatcherHarness, RecordingClient, endpoint
@@ -265,3 +266,20 @@
     assert closed_after[0] == 2
     assert len(h.sent) > 2
     assert len({attempt.request for attempt in h.sent if not attempt.ended}) == (0 if client.answers else 1)
+
+
+def test_a_stall_while_a_request_is_accepted_leaves_its_answer_to_the_router(h):
+    """The router rejects what no replica answers in time; the core's own answer is a failure, and logged as one."""
+    handle = h.router.handle
+
+    def with_stall(now, event):
+        actions = handle(now, event)
+        if isinstance(event, RequestArrived):
+            h.now += 10_000  # the process is kept from its core
+        return actions
+
+    h.router.handle = with_stall
+    client = h.accept()
+    h.wait(5_000_000)
+    assert client.answers == ["reject"]
+    assert not h.dispatcher.counters.failures
--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -153,3 +153,16 @@
         (1, 2_001, False),
     ):
         assert window.first_time("d", incarnation, sequence) == first, (incarnation, sequence)
+
+
+def test_work_of_a_dispatcher_that_restarts_leaves_the_totals_between_two_ticks_too():
+    """The lease of its work ends just before the new process's second report, and no tick has come in between."""
+    now = 1_000 * S
+    a = Aggregator("a0", [], now, random.Random(1))
+    a.receive(now, report(1))
+    a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
+    assert sum(a.work.totals.loads) > 0
+    a.receive(now + LEASE_US - 50_000, report(1, incarnation=6))
+    a.receive(now + LEASE_US + 50_000, report(2, incarnation=6, known_incarnation=now, echo=1))
+    a.tick(now + LEASE_US + SILENCE_TIMEOUT_US)
+    assert sum(a.work.totals.loads) == 0
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -222,6 +222,36 @@
         loop.close()
 
 
+def test_an_agent_that_takes_almost_a_second_for_each_answer_is_heard():
+    """As on a machine that is too busy. Calls that go out meanwhile must not end those that wait for their answer."""
+
+    async def day(loop: VirtualLoop) -> int:
+        lists = list[bool]()
+
+        async def call(*args: object, **more: object) -> tuple[int, bytes]:
+            await asyncio.sleep(0.9)
+            return 200, json.dumps({"rev": 2, "all": True, "targets": [ENTRY]}).encode()
+
+        deadlines = Deadlines(loop.micros)
+        turns = EventLoopTicks(loop, deadlines)
+        pool = SimpleNamespace(deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None)
+        schedule = CallSchedule(False, 3, 500_000, random.Random(1))
+        deployment = deployments.parse(SETTINGS)
+        with patch.object(discovery, "call", call):
+            watch = discovery.Watch(pool, ("127.0.0.1", 1), deployment, lambda *a: lists.append(True), schedule, {})
+            watch.start()
+            await asyncio.sleep(30)
+            watch.stop()
+        turns.close()
+        return len(lists)
+
+    loop = VirtualLoop()
+    try:
+        assert loop.run_until_complete(day(loop)) > 0
+    finally:
+        loop.close()
+
+
 def test_new_configurations_in_a_row_put_no_call_off():
     """Each names another discovery, and each draws the time of its first call anew. What has changed meanwhile counts
     as reported after 6 s all the same."""
