--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -9,7 +9,6 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
 from pearhill.routing.actions import (
@@ -41,6 +40,7 @@
 from pearhill.routing.permissions import Execution
 from pearhill.routing.placement import Assign, Decision, Decline, Placement, QueryFirst
 from pearhill.routing.prefix_affinity import BATCH_OVERHEAD_TOKENS, PrefixAffinity
+from pearhill.routing.replica_registry import ReplicaRegistry
 from pearhill.routing.replica_state import ReplicaState, UnansweredAttempt
 from pearhill.routing.retry_policy import (
     RetryBudget,
@@ -54,7 +54,7 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.statistics import STEP_INTERVAL_US
-from pearhill.routing.topology import Endpoint, Phase, Role
+from pearhill.routing.topology import Role
 
 LATE_FETCH_SHARE = 0.2  # of the latency objective: a state that takes longer to fetch found no slot or no memory
 DEADLINE_MARGIN_TICKS = 4  # the final answer comes so many ticks before the client's time is over
@@ -74,13 +74,14 @@
         self.settings = settings
         self.now = 0
         self.actions: list[Action] = []
-        self.replicas: dict[int, ReplicaState] = {}
-        self.ready: dict[Role, list[ReplicaState]] = {Role.PREFILL: [], Role.DECODE: [], Role.MIXED: []}
         self.pending: dict[int, PendingRequest] = {}
         self.timers: dict[int, int] = {}  # what each timer is for: a request, or the periodic step
         self._last_timer = 0
 
-        self.rng = random.Random(seed)
+        rng = random.Random(seed)
+        self._registry = ReplicaRegistry(settings, rng)
+        self.replicas = self._registry.replicas
+        self.ready = self._registry.ready
         self.slow_start = SlowStart(settings, tuple(self.ready))
         self.affinity = PrefixAffinity()
         self.loads = LoadEstimates(settings, self.affinity)
@@ -90,7 +91,7 @@
         self.retry_budget = RetryBudget()
         self.placement = Placement(
             settings,
-            self.rng,
+            rng,
             self.ready,
             self.slow_start,
             self.outliers,
@@ -112,6 +113,7 @@
     def reconfigure(self, settings: RouterSettings) -> None:
         """Other settings for the same classes, kinds and zones."""
         self.settings = settings
+        self._registry.settings = settings
         self.slow_start.settings = settings
         self.placement.settings = settings
         self.admission.reconfigure(settings)
@@ -128,44 +130,11 @@
     # The endpoint list.
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> None:
-        named = {endpoint.replica for endpoint in event.endpoints}
-        unnamed = [replica.endpoint for replica in self.replicas.values() if replica.id not in named]
-        for endpoint in event.endpoints:
-            self._update_endpoint(endpoint)
-        if event.full:
-            for endpoint in unnamed:
-                self._update_endpoint(replace(endpoint, phase=Phase.GONE))
-        for role in self.ready:
-            self._update_ready(role)
-
-    def _update_endpoint(self, endpoint: Endpoint) -> None:
-        replica = self.replicas.get(endpoint.replica)
-        # A replica that comes back empty would be believed to have prompts cached, and to be as it was.
-        if replica is None or endpoint.started_at > replica.endpoint.started_at:
-            replica = ReplicaState(endpoint, self.settings.kinds[endpoint.kind], self.rng.random())
-            self.replicas[endpoint.replica] = replica
-        replica.endpoint = endpoint
-        if endpoint.phase != Phase.GONE:
+        lost = self._registry.update(event)
+        if not self.settings.may_cancel:
             return
-        del self.replicas[replica.id]  # attempts in flight there hold it until they end
-        if self.settings.may_cancel:  # an attempt at a lost replica would wait for its whole time-out
-            for attempt in replica.unanswered.values():
-                self.actions.append(CancelAttempt(attempt.request, attempt.attempt))
-
-    def _update_ready(self, role: Role) -> None:
-        ready = [
-            replica
-            for replica in self.replicas.values()
-            if replica.role == role and replica.endpoint.phase == Phase.READY
-        ]
-        ready.sort(key=lambda replica: replica.id)
-        count_before = len(self.ready[role])
-        self.ready[role] = ready
-        # What fewer replicas share comes in one step, and finds slow-start tokens that nobody had asked for.
-        if self.rng.random() * count_before > len(ready):
-            for replica in ready:
-                bucket = replica.slow_start_bucket
-                bucket.tokens = min(bucket.tokens, self.rng.random())
+        for attempt in lost:  # at a lost replica each would wait for its whole time-out
+            self.actions.append(CancelAttempt(attempt.request, attempt.attempt))
 
     # A request's life.
 
