--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -22,6 +22,7 @@
     SetTimer,
 )
 from pearhill.routing.admission import Admission, is_over_budget
+from pearhill.routing.attempt_accounting import AttemptAccounting
 from pearhill.routing.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -34,14 +35,13 @@
 )
 from pearhill.routing.load_estimates import LoadEstimates
 from pearhill.routing.local_prefill import LocalPrefill
-from pearhill.routing.outcomes import NOT_EXECUTED, Outcome, Reason
+from pearhill.routing.outcomes import Outcome, Reason
 from pearhill.routing.outlier_detection import OutlierDetector
 from pearhill.routing.pending_request import NO_HOME, PendingRequest
-from pearhill.routing.permissions import Execution
 from pearhill.routing.placement import Assign, Decision, Decline, Placement, QueryFirst
 from pearhill.routing.prefix_affinity import BATCH_OVERHEAD_TOKENS, PrefixAffinity
 from pearhill.routing.replica_registry import ReplicaRegistry
-from pearhill.routing.replica_state import ReplicaState, UnansweredAttempt
+from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.retry_policy import (
     RetryBudget,
     attempt_timeout,
@@ -63,8 +63,6 @@
 UNKNOWN_TIMER = -2
 
 FAILURES = frozenset((Outcome.TIMEOUT, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.TRUNCATED))
-# After these nothing has reached a replica, so that the time for which a state is held goes on running.
-NOT_ARRIVED = frozenset((Outcome.UNREACHABLE, Outcome.WITHDRAWN, Outcome.NOT_SENT))
 
 
 class Router:
@@ -88,6 +86,7 @@
         self.outliers = OutlierDetector()
         self.admission = Admission(settings)
         self.local_prefill = LocalPrefill()
+        self.accounting = AttemptAccounting(settings, self.ready, self.affinity, self.loads)
         self.retry_budget = RetryBudget()
         self.placement = Placement(
             settings,
@@ -116,6 +115,7 @@
         self._registry.settings = settings
         self.slow_start.settings = settings
         self.placement.settings = settings
+        self.accounting.settings = settings
         self.admission.reconfigure(settings)
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -190,49 +190,13 @@
             self._place_prompt(pending)
 
     def _send(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        self._begin_attempt(pending, replica)
+        self.accounting.begin(self.now, pending, replica)
         expected = self.loads.expected_time(self.now, replica, pending.service_tokens, not pending.fetches_state)
         release_at = release_time(pending, self.settings)
         timeout = attempt_timeout(pending, self.settings, self.now, expected)
         send_before = send_deadline(pending, self.settings, release_at)
         self.actions.append(SendAttempt(pending.request.request, replica.id, timeout, send_before, release_at))
 
-    def _begin_attempt(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        request = pending.request
-        pending.replica = replica
-        pending.is_prefilling = replica.role == Role.PREFILL
-        pending.fetches_state = pending.state_holder is not None
-        pending.expected_cached_tokens = 0
-        pending.prefill_tokens = 0
-        if not pending.fetches_state:
-            home = pending.home if pending.is_prefilling else NO_HOME
-            pending.expected_cached_tokens = self.affinity.cached_tokens(self.now, replica, request)
-            cached_tokens = self.affinity.cached_tokens(self.now, replica, request, home)
-            pending.prefill_tokens = request.prompt_tokens - cached_tokens
-        pending.load_tokens = pending.prefill_tokens
-        if not pending.is_prefilling:
-            pending.load_tokens = request.prompt_tokens + request.max_output_tokens // 2
-        ahead = int(self.loads.queue_ahead(self.now, replica))
-        pending.service_tokens = ahead + pending.prefill_tokens + BATCH_OVERHEAD_TOKENS
-        pending.attempt += 1
-        pending.sent_at = self.now
-        pending.in_flight = True
-        pending.tried_replicas.append(replica.id)
-        self._add_load(pending, replica)
-
-    def _add_load(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        request = pending.request
-        replica.tokens_queued += pending.prefill_tokens
-        replica.tokens_in_flight += pending.load_tokens
-        if not pending.is_prefilling:
-            replica.tokens_since_report += request.prompt_tokens
-        peers = len(self.ready[replica.role])
-        self.affinity.record_sent(replica, pending.prefill_tokens, self.settings.instances, peers)
-        replica.unanswered[request.request] = UnansweredAttempt(
-            request.request, pending.attempt, pending.sent_at, pending.latency_objective
-        )
-        replica.slow_start_bucket.tokens -= 1
-
     def _in_flight_at(self, request: int, replica: int) -> PendingRequest | None:
         """The request, if its attempt at this replica is in flight."""
         pending = self.pending.get(request)
@@ -245,11 +209,10 @@
         if pending is None:
             return
         assert pending.replica is not None
+        self.accounting.start_response(pending, pending.replica)
         self._record_first_token(pending, pending.replica, event.elapsed)
         if pending.fetches_state and event.elapsed > LATE_FETCH_SHARE * pending.latency_objective:
             self.loads.record_late_fetch(self.now, pending.replica, pending)
-        pending.response_started = True
-        pending.state_holder = None
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         pending = self._in_flight_at(event.request, event.replica)
@@ -257,9 +220,7 @@
             return
         assert pending.replica is not None
         replica = pending.replica
-        pending.in_flight = False
-        pending.response_started = False
-        self._remove_load(pending, replica)
+        self.accounting.end(self.now, event, pending, replica)
         if event.retry_after:
             replica.unavailable_until = max(replica.unavailable_until, self.now + event.retry_after)
         if event.load:
@@ -270,21 +231,10 @@
             self._record_prefilled(event, pending, replica)
         elif event.outcome in FAILURES:
             self._record_failure(event, pending, replica)
-        self._record_execution(event, pending, replica)
         if event.outcome == Outcome.ANSWERED:
             self.loads.record_answer(self.now, replica, pending.request.request_class, event.elapsed)
         self._continue(event, pending)
 
-    def _remove_load(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        self._remove_from_queue(pending, replica)
-        replica.tokens_in_flight -= pending.load_tokens
-        if not pending.is_prefilling and pending.sent_at >= replica.reported_at:
-            replica.tokens_since_report -= pending.request.prompt_tokens
-
-    def _remove_from_queue(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        if replica.unanswered.pop(pending.request.request, None) is not None:
-            replica.tokens_queued -= pending.prefill_tokens
-
     def _record_success(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
         """An attempt has prefilled its prompt, or answered."""
         self._count_for_slow_start(pending, replica)
@@ -320,14 +270,12 @@
         return min(1.0, (request.prompt_tokens + BATCH_OVERHEAD_TOKENS) / (mean + BATCH_OVERHEAD_TOKENS))
 
     def _record_prefilled(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        pending.state_holder = replica
         self._record_first_token(pending, replica, event.elapsed)
         self.local_prefill.record_latency(self.now, event.elapsed, pending.latency_objective)
         self.affinity.record_prefilled(pending.request, event.cached_tokens)
 
     def _record_first_token(self, pending: PendingRequest, replica: ReplicaState, elapsed: int) -> None:
         """A replica has prefilled a prompt, or begun an answer."""
-        self._remove_from_queue(pending, replica)
         if not pending.fetches_state:  # a state that was fetched is not cached there
             self.affinity.record_cached(self.now, replica, pending.request)
         replica.last_answer_at = self.now
@@ -355,15 +303,6 @@
         change = f"ejected: {outcome}" if failed else "no longer ejected"
         self.actions.append(LogMessage(f"replica {replica.id} {change}"))
 
-    def _record_execution(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        """What the attempt leaves behind: a state that is held or lost, and an execution that must not be repeated."""
-        if event.outcome == Outcome.STATE_LOST:
-            pending.state_holder = None
-        if event.outcome not in NOT_ARRIVED:
-            pending.state_held_since = self.now
-        if event.outcome not in NOT_EXECUTED and not pending.is_prefilling and pending.execution is None:
-            pending.execution = Execution(replica.endpoint.zone, replica.endpoint.cell, pending.sent_at)
-
     def _continue(self, event: AttemptEnded, pending: PendingRequest) -> None:
         """After an attempt: the end of the request, its decode stage, or a retry."""
         if event.answered or pending.answered:
