--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -14,7 +14,6 @@
 from pearhill.routing.actions import (
     Action,
     CancelAttempt,
-    LogMessage,
     QueryLoad,
     RejectRequest,
     ReleaseState,
@@ -23,6 +22,7 @@
 )
 from pearhill.routing.admission import Admission, is_over_budget
 from pearhill.routing.attempt_accounting import AttemptAccounting
+from pearhill.routing.attempt_feedback import AttemptFeedback
 from pearhill.routing.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -37,9 +37,9 @@
 from pearhill.routing.local_prefill import LocalPrefill
 from pearhill.routing.outcomes import Outcome, Reason
 from pearhill.routing.outlier_detection import OutlierDetector
-from pearhill.routing.pending_request import NO_HOME, PendingRequest
+from pearhill.routing.pending_request import PendingRequest
 from pearhill.routing.placement import Assign, Decision, Decline, Placement, QueryFirst
-from pearhill.routing.prefix_affinity import BATCH_OVERHEAD_TOKENS, PrefixAffinity
+from pearhill.routing.prefix_affinity import PrefixAffinity
 from pearhill.routing.replica_registry import ReplicaRegistry
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.retry_policy import (
@@ -54,16 +54,12 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.statistics import STEP_INTERVAL_US
-from pearhill.routing.topology import Role
 
-LATE_FETCH_SHARE = 0.2  # of the latency objective: a state that takes longer to fetch found no slot or no memory
 DEADLINE_MARGIN_TICKS = 4  # the final answer comes so many ticks before the client's time is over
 
 STEP_TIMER = -1  # what the timer of the periodic step is for; any other is for a request
 UNKNOWN_TIMER = -2
 
-FAILURES = frozenset((Outcome.TIMEOUT, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.TRUNCATED))
-
 
 class Router:
     """One dispatcher's router: feed it each event with its time in microseconds, carry out its actions in order."""
@@ -87,6 +83,9 @@
         self.admission = Admission(settings)
         self.local_prefill = LocalPrefill()
         self.accounting = AttemptAccounting(settings, self.ready, self.affinity, self.loads)
+        self.feedback = AttemptFeedback(
+            self.ready, self.slow_start, self.outliers, self.affinity, self.loads, self.local_prefill
+        )
         self.retry_budget = RetryBudget()
         self.placement = Placement(
             settings,
@@ -210,9 +209,7 @@
             return
         assert pending.replica is not None
         self.accounting.start_response(pending, pending.replica)
-        self._record_first_token(pending, pending.replica, event.elapsed)
-        if pending.fetches_state and event.elapsed > LATE_FETCH_SHARE * pending.latency_objective:
-            self.loads.record_late_fetch(self.now, pending.replica, pending)
+        self.actions += self.feedback.response_started(self.now, pending, pending.replica, event.elapsed)
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         pending = self._in_flight_at(event.request, event.replica)
@@ -221,88 +218,9 @@
         assert pending.replica is not None
         replica = pending.replica
         self.accounting.end(self.now, event, pending, replica)
-        if event.retry_after:
-            replica.unavailable_until = max(replica.unavailable_until, self.now + event.retry_after)
-        if event.load:
-            self.loads.record_memory(self.now, replica, event.load[0])
-        if event.outcome in (Outcome.PREFILLED, Outcome.ANSWERED):
-            self._record_success(event, pending, replica)
-        if event.outcome == Outcome.PREFILLED:
-            self._record_prefilled(event, pending, replica)
-        elif event.outcome in FAILURES:
-            self._record_failure(event, pending, replica)
-        if event.outcome == Outcome.ANSWERED:
-            self.loads.record_answer(self.now, replica, pending.request.request_class, event.elapsed)
+        self.actions += self.feedback.attempt_ended(self.now, event, pending, replica)
         self._continue(event, pending)
 
-    def _record_success(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        """An attempt has prefilled its prompt, or answered."""
-        self._count_for_slow_start(pending, replica)
-        if event.cached_tokens * 2 < pending.expected_cached_tokens - BATCH_OVERHEAD_TOKENS:
-            replica.cached_prefixes.clear()  # it has lost its cache, and long prompts would be prefilled there
-        prompt_tokens = pending.request.prompt_tokens
-        if pending.is_prefilling and pending.home != NO_HOME:
-            self.affinity.record_cached_share(self.now, pending.home, event.cached_tokens, prompt_tokens)
-        if replica.role == Role.DECODE and not pending.fetches_state:
-            self.local_prefill.spend(prompt_tokens - event.cached_tokens - pending.prefill_tokens)
-
-    def _count_for_slow_start(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        """Only finished work tells what a replica bears: an empty one begins answers faster than it finishes them."""
-        if not self._is_warm(replica):
-            return
-        peers = self.ready[replica.role]
-        warm_weight = sum(peer.endpoint.weight or 1 for peer in peers if self._is_warm(peer))
-        self.slow_start.answered(replica.role, warm_weight, self._mean_requests(pending))
-
-    def _is_warm(self, replica: ReplicaState) -> bool:
-        return self.slow_start.is_warm(replica.endpoint, self.now)
-
-    def _mean_requests(self, pending: PendingRequest) -> float:
-        """How many requests of its class's mean work this one is, one at most.
-
-        On a warming-up replica each counts as that mean, while warm ones of a role may get light ones above all: what
-        they answer is not what a warming-up one bears.
-        """
-        if pending.fetches_state:  # decoding takes what it takes, whatever was prefilled before it
-            return 1.0
-        request = pending.request
-        mean = self.affinity.mean_prompt_tokens(request)
-        return min(1.0, (request.prompt_tokens + BATCH_OVERHEAD_TOKENS) / (mean + BATCH_OVERHEAD_TOKENS))
-
-    def _record_prefilled(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        self._record_first_token(pending, replica, event.elapsed)
-        self.local_prefill.record_latency(self.now, event.elapsed, pending.latency_objective)
-        self.affinity.record_prefilled(pending.request, event.cached_tokens)
-
-    def _record_first_token(self, pending: PendingRequest, replica: ReplicaState, elapsed: int) -> None:
-        """A replica has prefilled a prompt, or begun an answer."""
-        if not pending.fetches_state:  # a state that was fetched is not cached there
-            self.affinity.record_cached(self.now, replica, pending.request)
-        replica.last_answer_at = self.now
-        # An answer to an attempt from before the last failure is no sign of recovery.
-        if not replica.failure_rate.value or pending.sent_at > replica.failure_rate.updated_at:
-            self._record_health(replica, failed=False)
-        self.loads.record_time(self.now, replica, pending, elapsed)
-
-    def _record_failure(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        if event.outcome != Outcome.TIMEOUT:
-            self._record_health(replica, failed=True, outcome=event.outcome)
-            return
-        # By the answers alone, a jam would look quick.
-        self.loads.record_time(self.now, replica, pending, event.elapsed)
-        if pending.fetches_state:
-            replica.memory_used.add(self.now, 1.0, replica.memory_used.max_weight)
-            self.loads.record_late_fetch(self.now, replica, pending)
-        if replica.last_answer_at <= pending.sent_at:
-            self._record_health(replica, failed=True, outcome=event.outcome)
-
-    def _record_health(self, replica: ReplicaState, failed: bool, outcome: str = "") -> None:
-        """One attempt has failed, or has not. A dead replica and a cut zone would go on catching requests."""
-        if not self.outliers.record(self.now, replica, failed):
-            return
-        change = f"ejected: {outcome}" if failed else "no longer ejected"
-        self.actions.append(LogMessage(f"replica {replica.id} {change}"))
-
     def _continue(self, event: AttemptEnded, pending: PendingRequest) -> None:
         """After an attempt: the end of the request, its decode stage, or a retry."""
         if event.answered or pending.answered:
@@ -372,11 +290,7 @@
     def _step(self) -> None:
         """Every `STEP_INTERVAL_US`: estimates are updated and decay."""
         self._set_timer(STEP_TIMER, STEP_INTERVAL_US)
-        # Prompts still being prefilled count with their age: a replica that hangs would look fast.
-        for replica in self.ready[Role.PREFILL]:
-            oldest = next(iter(replica.unanswered.values()), None)
-            if oldest is not None:
-                self.local_prefill.record_latency(self.now, self.now - oldest.sent_at, oldest.latency_objective)
+        self.feedback.record_waiting(self.now)
         self.local_prefill.step()
         self.affinity.step()
         self.admission.step()
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -11,10 +11,10 @@
 
 def fail(d, engine, times=2):
     """So many attempts at an engine have failed."""
+    actions = []
     for _ in range(times):
-        d.router.actions = []
-        d.router._record_health(d.router.replicas[engine], failed=True, outcome="test")
-    return d.router.actions
+        actions = d.router.feedback.record_health(d.router.now, d.router.replicas[engine], failed=True, outcome="test")
+    return actions
 
 
 def test_a_silent_reader_is_left_and_comes_back_by_a_real_request():
@@ -24,7 +24,7 @@
     for _ in range(3):
         fail(d, 1, times=1)
         for other in (2, 3):
-            d.router._record_health(d.router.replicas[other], failed=False)
+            d.router.feedback.record_health(d.router.now, d.router.replicas[other], failed=False)
     assert all(d.sent[d.arrive(prompt_tokens=3000, session=s)[0]].replica != 1 for s in range(1, 9))
     d.wait(12 * S)
     hits = [r for r in (d.arrive(prompt_tokens=3000, session=s)[0] for s in range(1, 30)) if d.sent[r].replica == 1]
@@ -40,7 +40,7 @@
         known.serve(known.arrive(prompt_tokens=3000, session=n + 1)[0])
     for engine in (2, 3):
         new.router.now = new.now
-        new.router._record_health(new.router.replicas[engine], failed=False)
+        new.router.feedback.record_health(new.router.now, new.router.replicas[engine], failed=False)
     for d in (new, known):
         fail(d, 1, times=1)
     job = PendingRequest(RequestArrived(9, 0, 0, 9, 0, 0, 3000, 100, 4 * S, False, False), new.now + 4 * S, new.now + S)
@@ -54,7 +54,7 @@
     d.router.now = d.now
     for n in (1, 3):  # two failures in zone 1, one success in zone 0; 5 and 7 were never tried
         fail(d, n, times=1)
-    d.router._record_health(d.router.replicas[2], failed=False)
+    d.router.feedback.record_health(d.router.now, d.router.replicas[2], failed=False)
     assert all(d.sent[d.arrive(prompt_tokens=3000, session=s)[0]].replica % 2 == 0 for s in range(1, 20))
 
 
