--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -34,7 +34,7 @@
     SendHealthCheck,
     SetTimer,
 )
-from pearhill.routing.events import EndpointsUpdated, Event, HealthCheckEnded, TimerFired
+from pearhill.routing.events import EndpointsUpdated, Event, HealthCheckEnded, ReportedLoad, TimerFired
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Endpoint
 from pearhill.settings import Deployment
@@ -131,7 +131,7 @@
 
     # From the backend.
 
-    def health_check_ended(self, replica: int, outcome: Outcome, load: tuple[float, float] | None) -> None:
+    def health_check_ended(self, replica: int, outcome: Outcome, load: ReportedLoad | None) -> None:
         """A health check has ended; `load` as in `HealthCheckEnded`."""
         self.counters.probes[outcome] += 1
         now = self.clock()
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -11,6 +11,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Attempt, Request, RequestSpec
+from pearhill.routing.events import ReportedLoad
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.router import Router
@@ -21,6 +22,7 @@
 LIGHT_READ_S = 0.15  # the same of an engine that answers by a clock, whatever others ask of it
 STREAM_TOKENS, PROMPT = 2_400, 2_000  # tokens of a stream at its writer, and of a prompt at its reader
 TOKEN_S, ANSWER = 0.025, 231  # between tokens; tokens of an answer: 260 streams at 45 requests a second
+REPORT = ReportedLoad(memory_used=0.5, queued_ktokens=1.0)  # of every engine, whatever it has to do
 Gauges = list[list[tuple[int, int]]]  # by set, by engine: tokens to be read there, under way there
 
 
@@ -116,7 +118,7 @@
         return True
 
     def check_health(self, engine: int) -> None:
-        self.deadlines.after(1_000, lambda: self.dispatcher.health_check_ended(engine, Outcome.ANSWERED, (0.5, 1.0)))
+        self.deadlines.after(1_000, lambda: self.dispatcher.health_check_ended(engine, Outcome.ANSWERED, REPORT))
 
     def release(self, request: Request, engines: Collection[int]) -> None:
         pass
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -136,7 +136,7 @@
             case TimerFired() if event.timer >= FIRST_QUERY_TIMER:
                 request = self.pending_queries.timed_out(event.timer)
                 return [] if request is None else self._end_query(now, request)
-            case AttemptEnded() if event.load:
+            case AttemptEnded() if event.load is not None:
                 self._reports.receive(now, event.replica, event.load)
             case ClientDisconnected():
                 self.pending_queries.drop(event.request)
--- a/pearhill/load_reports/reports.py
+++ b/pearhill/load_reports/reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from pearhill.routing.events import LoadReport
+from pearhill.routing.events import LoadReport, ReportedLoad
 
 HALF_LIFE_US = 400_000  # of a report: prefills take 0.1 to 0.5 s each
 MAX_HALF_LIVES = 5  # after which a report counts nothing
@@ -35,15 +35,12 @@
     def __len__(self) -> int:
         return len(self._last)
 
-    def receive(self, now: int, replica: int, load: tuple[float, float] | None) -> bool:
-        """Take in a report: the share of memory in use, and the thousands of tokens that are queued.
-
-        False: there is none, or it cannot be true, and the last one stays.
-        """
+    def receive(self, now: int, replica: int, load: ReportedLoad | None) -> bool:
+        """Take in a report. False: there is none, or it cannot be true, and the last one stays."""
         if load is None or not _is_plausible(load):
             return False
-        memory_used, queued_ktokens = load
-        self._last[replica] = _Received(now, min(1.0, memory_used), queued_ktokens * TOKENS_PER_KTOKEN)
+        queued_tokens = load.queued_ktokens * TOKENS_PER_KTOKEN
+        self._last[replica] = _Received(now, min(1.0, load.memory_used), queued_tokens)
         return True
 
     def fresh(self, now: int, replica: int) -> bool:
@@ -65,9 +62,9 @@
             del self._last[gone]
 
 
-def _is_plausible(load: tuple[float, float]) -> bool:
+def _is_plausible(load: ReportedLoad) -> bool:
     """No NaN in particular: it compares as neither more nor less, and would win every choice."""
-    return all(math.isfinite(value) and value >= 0 for value in load) and load[1] <= MAX_QUEUED_KTOKENS
+    return all(math.isfinite(value) and value >= 0 for value in load) and load.queued_ktokens <= MAX_QUEUED_KTOKENS
 
 
 def _confidence(age: int) -> float:
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -10,6 +10,7 @@
 from pearhill.net.calls import call
 from pearhill.net.errors import ConnectError, PoolExhaustedError
 from pearhill.net.pool import ConnectionPurpose, Pool
+from pearhill.routing.events import ReportedLoad
 from pearhill.routing.outcomes import Outcome
 
 ANSWER_TIMEOUT_US = 250_000  # for a connection, and again for an answer
@@ -17,8 +18,7 @@
 MAX_REPORT_BYTES = 4 * 1024  # of an answer
 MAX_TRIES = 2  # A kept connection that the replica has closed is reset at its next use: that is no silence.
 
-Load = tuple[float, float]  # memory utilization, thousands of tokens waiting
-HealthCheckCallback = Callable[[int, Outcome, Load | None], None]
+HealthCheckCallback = Callable[[int, Outcome, ReportedLoad | None], None]
 
 
 class HealthCheckDialect(Protocol):
@@ -27,7 +27,7 @@
     def health_check(self) -> bytes:
         """The call that asks for the load."""
 
-    def load(self, status: int, body: bytes) -> Load | None:
+    def load(self, status: int, body: bytes) -> ReportedLoad | None:
         """What the answer reports. None: nothing that can be used."""
 
 
@@ -65,7 +65,7 @@
             self.in_flight -= 1
         self.on_result(replica, outcome, load)
 
-    async def _ask(self, address: Address) -> tuple[Outcome, Load | None]:
+    async def _ask(self, address: Address) -> tuple[Outcome, ReportedLoad | None]:
         """One try. OSError: the connection broke, and another try may tell more."""
         try:
             question = self.dialect.health_check()
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -9,6 +9,7 @@
 from pearhill.http1.sse import EventParser, EventStreamError
 from pearhill.net.errors import MalformedResponseError
 from pearhill.platform.front import Payload
+from pearhill.routing.events import ReportedLoad
 
 HOST = "app.svc"
 USAGE_TAIL_BYTES = 512  # at the end of a stream, in which its usage stands
@@ -17,10 +18,10 @@
 _CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
-def parse_load_report(report: str) -> tuple[float, float] | None:
-    """The memory utilization and the thousands of tokens that wait, out of a load report.
+def parse_load_report(report: str) -> ReportedLoad | None:
+    """The replica's load, out of the text of its report.
 
-    None: the report lacks one of them, is torn, or repeats a value, and may be wrong throughout.
+    None: the text lacks one of them, is torn, or repeats a value, and may be wrong throughout.
     """
     values: dict[str, float] = {}
     for part in report.strip().split(","):
@@ -30,7 +31,7 @@
         values[name] = float(value)
     if "x0" not in values or "x1" not in values:
         return None
-    return values["x0"], values["x1"]
+    return ReportedLoad(memory_used=values["x0"], queued_ktokens=values["x1"])
 
 
 class ReplicaStream:
@@ -90,7 +91,7 @@
         """The call for a load report."""
         return messages.request("GET", "/status/load", HOST)
 
-    def load(self, status: int, body: bytes) -> tuple[float, float] | None:
+    def load(self, status: int, body: bytes) -> ReportedLoad | None:
         """What a health check reports (see `parse_load_report`). None: nothing that can be used."""
         if status not in STATUSES_WITH_LOAD:
             return None
--- a/pearhill/routing/attempt_feedback.py
+++ b/pearhill/routing/attempt_feedback.py
@@ -59,8 +59,8 @@
         """The attempt is over, and its load was taken off the replica (`AttemptAccounting.end`)."""
         if event.retry_after:
             replica.unavailable_until = max(replica.unavailable_until, now + event.retry_after)
-        if event.load:
-            self._loads.record_memory(now, replica, event.load[0])
+        if event.load is not None:
+            self._loads.record_memory(now, replica, event.load.memory_used)
         if event.outcome in FAILURES:
             return self._record_failure(now, event, pending, replica)
         if event.outcome not in (Outcome.PREFILLED, Outcome.ANSWERED):
--- a/pearhill/routing/events.py
+++ b/pearhill/routing/events.py
@@ -4,6 +4,7 @@
 
 import enum
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Endpoint
@@ -61,13 +62,23 @@
     elapsed: int
 
 
+class ReportedLoad(NamedTuple):
+    """What a replica reports of its own load.
+
+    `memory_used`: the share of its memory in use. `queued_ktokens`: thousands of tokens yet to be prefilled or fetched
+    there. Both as they came: whoever reads them has to expect any number.
+    """
+
+    memory_used: float
+    queued_ktokens: float
+
+
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
     """One attempt is over.
 
-    `answered`: the request has had its final answer. `load`: the replica's report as (share of memory in use,
-    thousands of tokens yet to prefill), None without one. `retry_after`: for how long the replica has asked to be sent
-    nothing more.
+    `answered`: the request has had its final answer. `load`: the replica's report, None without one. `retry_after`: for
+    how long the replica has asked to be sent nothing more.
     """
 
     request: int
@@ -77,7 +88,7 @@
     answered: bool
     cached_tokens: int
     elapsed: int
-    load: tuple[float, float] | None
+    load: ReportedLoad | None
     retry_after: int = 0
 
 
@@ -99,14 +110,13 @@
 class HealthCheckEnded:
     """How a health check ended: ANSWERED, whatever the answer was; NOT_SENT; anything else: no answer came.
 
-    `load`: the replica's report as (share of memory in use, thousands of tokens yet to prefill or fetch), None where it
-    gave none.
+    `load`: the replica's report, None where it gave none.
     """
 
     replica: int
     outcome: Outcome
     elapsed: int
-    load: tuple[float, float] | None
+    load: ReportedLoad | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -27,6 +27,7 @@
     EndpointsUpdated,
     Event,
     HealthCheckEnded,
+    ReportedLoad,
     RequestArrived,
     ResponseStarted,
     TimerFired,
@@ -193,13 +194,13 @@
     )
 
 
-def _load(body: bytes, offset: int, count: int, positions: LoadPositions) -> tuple[float, float] | None:
+def _load(body: bytes, offset: int, count: int, positions: LoadPositions) -> ReportedLoad | None:
     """The two load values of a report of so many. None: it has not both."""
     report = struct.unpack_from(f"<{count}f", body, offset)
     if min(positions) < 0 or max(positions) >= count:
         return None
     utilization, waiting = positions
-    return report[utilization], report[waiting]
+    return ReportedLoad(memory_used=report[utilization], queued_ktokens=report[waiting])
 
 
 def _health_check_ended(body: bytes, positions: LoadPositions) -> HealthCheckEnded:
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -5,7 +5,15 @@
 from dataclasses import replace
 
 from pearhill.routing.actions import Action, SendAttempt, SetTimer
-from pearhill.routing.events import AttemptEnded, EndpointsUpdated, Event, RequestArrived, ResponseStarted, TimerFired
+from pearhill.routing.events import (
+    AttemptEnded,
+    EndpointsUpdated,
+    Event,
+    ReportedLoad,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.router import Router
 from pearhill.routing.settings import Idempotency, RequestClass, RouterSettings
@@ -132,7 +140,7 @@
         answered: bool = False,
         cached_tokens: int = 0,
         elapsed: int = 50_000,
-        load: tuple[float, float] | None = None,
+        load: ReportedLoad | None = None,
     ) -> list[Action]:
         return self.feed(
             AttemptEnded(
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -12,7 +12,7 @@
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.load_reports.unanswered_checks import FIRST_EJECTION_US, MAX_EJECTION_US
 from pearhill.routing.actions import Action, SendHealthCheck
-from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
+from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded, ReportedLoad
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase
@@ -45,7 +45,7 @@
     def answer(self, replica: int, memory_used: float = 0.1, queued_ktokens: float = 0.0) -> None:
         """The replica answers its health check with a report."""
         self.checks.remove(replica)
-        self.feed(HealthCheckEnded(replica, Outcome.ANSWERED, MS, (memory_used, queued_ktokens)))
+        self.feed(HealthCheckEnded(replica, Outcome.ANSWERED, MS, ReportedLoad(memory_used, queued_ktokens)))
 
     def end_check(self, replica: int, outcome: Outcome) -> None:
         """The replica's health check ends without an answer."""
--- a/tests/platform/test_load_report_text.py
+++ b/tests/platform/test_load_report_text.py
@@ -5,13 +5,14 @@
 import pytest
 
 from pearhill.platform.replica import parse_load_report
+from pearhill.routing.events import ReportedLoad
 
 
 @pytest.mark.parametrize(
     ("text", "load"),
     [
-        ("inflight=7,queue=2,x0=0.61,x1=3.5", (0.61, 3.5)),
-        (" x1=0 , x0=1e-3\r\n", (0.001, 0.0)),
+        ("inflight=7,queue=2,x0=0.61,x1=3.5", ReportedLoad(0.61, 3.5)),
+        (" x1=0 , x0=1e-3\r\n", ReportedLoad(0.001, 0.0)),
         ("", None),
         ("x0=0.5", None),
         ("x0=0.5,x1=nan", None),
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pearhill.routing.actions import RejectRequest, SendAttempt
-from pearhill.routing.events import EndpointsUpdated, RequestArrived
+from pearhill.routing.events import EndpointsUpdated, ReportedLoad, RequestArrived
 from pearhill.routing.local_prefill import INITIAL_RATIO
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.pending_request import PendingRequest
@@ -217,7 +217,7 @@
 def test_with_reports_a_late_fetch_is_remembered_beside_them():
     d = RouterDriver()
     r, _ = d.arrive(prompt_tokens=5000, session=1)
-    d.end(r, Outcome.PREFILLED, load=(0.2, 0.0))
+    d.end(r, Outcome.PREFILLED, load=ReportedLoad(0.2, 0.0))
     d.router.loads._kinds[1].memory_used.add(d.now, 0.2)
     full = d.router.replicas[d.sent[r].replica]
     d.end(r, Outcome.TIMEOUT)
--- a/tests/routing/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -8,7 +8,14 @@
 import pytest
 
 from pearhill.routing.actions import Action, FailRequest, RejectRequest, ReleaseState, SendAttempt
-from pearhill.routing.events import AttemptEnded, ClientDisconnected, EndpointsUpdated, ResponseStarted, TimerFired
+from pearhill.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    ReportedLoad,
+    ResponseStarted,
+    TimerFired,
+)
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import Idempotency
 from pearhill.routing.topology import Phase
@@ -104,7 +111,7 @@
         replica = self.attempts.pop(request)
         if outcome == Outcome.PREFILLED:
             self.held.add(request)
-        load = (self.rng.random(), 1.0)
+        load = ReportedLoad(self.rng.random(), 1.0)
         answered = request in self.ended
         attempt = self.driver.attempt[request]
         self.check(self.driver.feed(AttemptEnded(request, attempt, replica, outcome, answered, 0, 9000, load)))
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -24,6 +24,7 @@
     ClientDisconnected,
     EndpointsUpdated,
     HealthCheckEnded,
+    ReportedLoad,
     RequestArrived,
     ResponseStarted,
     TimerFired,
@@ -91,7 +92,7 @@
     assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # rejected: the replica lives
+    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, ReportedLoad(0.25, 3.5))  # rejected: the replica lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
     assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == Outcome.TIMEOUT
     assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
@@ -105,7 +106,7 @@
     )
     got = read(frame(record(5, b"\x03\0\0\0") + b"\x08" + ended + b"\x03" + listed, 3))
     assert got.events[0][1] == AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, Outcome.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
+        0x5D3A91C4, 0, 0x03124A07, Outcome.ANSWERED, True, 0, 18500, ReportedLoad(pytest.approx(0.4), 1.25)
     )
     assert got.events[1][1] == EndpointsUpdated(
         True,
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -32,6 +32,7 @@
     EndpointsUpdated,
     Event,
     HealthCheckEnded,
+    ReportedLoad,
     RequestArrived,
     ResponseStarted,
     TimerFired,
@@ -42,6 +43,13 @@
 from tests.driver import CLASS, SETTINGS, S
 
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.TRUNCATED, Outcome.CANCELLED)
+LOADS = (
+    None,
+    ReportedLoad(0.4, 7.0),
+    ReportedLoad(0.99, 0.0),
+    ReportedLoad(math.nan, 1.0),
+    ReportedLoad(-1.0, math.inf),
+)
 TIMEOUT = 4 * S  # of each request
 DAY_START = 100 * S
 MEAN_ARRIVAL_GAP = 40_000
@@ -155,7 +163,7 @@
         assert check.replica not in self.checked
         elapsed = int(self.rng.lognormvariate(9, 2))
         outcome = self.rng.choice((Outcome.ANSWERED,) * 6 + (Outcome.NOT_SENT, Outcome.TIMEOUT))
-        load = self.rng.choice((None, (0.4, 7.0), (0.99, 0.0), (math.nan, 1.0), (-1.0, math.inf)))
+        load = self.rng.choice(LOADS)
         if self.rng.random() < 0.98:  # else its end is never reported
             self.checked.add(check.replica)
             self.schedule(elapsed, HealthCheckEnded(check.replica, outcome, elapsed, load))
@@ -239,7 +247,7 @@
         settled = request.settled
         request.state_held = outcome == Outcome.PREFILLED or (request.state_held and outcome != Outcome.STATE_LOST)
         has_load = self.reports and self.rng.random() < 0.7
-        load = (self.rng.random(), 5.0) if has_load else None
+        load = ReportedLoad(self.rng.random(), 5.0) if has_load else None
         self.feed(
             AttemptEnded(
                 request=attempt.request,
