--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -183,7 +183,10 @@
         if not sources:
             return min(pair, key=own.__getitem__)
         source = sources[dispatcher]
-        return min(pair, key=lambda replica: own[replica] + source.others(now, replica, own[replica], own[replica])[1])
+        return min(
+            pair,
+            key=lambda replica: own[replica] + source.others(now, replica, own[replica], own[replica]).total_tokens,
+        )
 
     def _finish(self, now: int, dispatcher: int, replica: int) -> None:
         self.own[dispatcher][replica] -= TOKENS
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -218,15 +218,15 @@
         replica = self.router.replicas.get(number)
         if self.peers is None or replica is None or report.confidence > MIN_REPORT_CONFIDENCE:
             return report
-        queued, total, confidence = self.peers.others(now, number, replica.tokens_queued, replica.tokens_in_flight)
+        others = self.peers.others(now, number, replica.tokens_queued, replica.tokens_in_flight)
         # In a fleet of hundreds most of the sum is never fresh. What is not is assumed to be the mean of what is, so
         # that a small part says as much as a sample does.
-        if confidence <= MIN_PEER_CONFIDENCE:
+        if others.confidence <= MIN_PEER_CONFIDENCE:
             return report
         return LoadReport(
             number,
-            min(1.0, (replica.tokens_in_flight + total) / replica.memory_tokens),
-            replica.tokens_queued + queued,
+            min(1.0, (replica.tokens_in_flight + others.total_tokens) / replica.memory_tokens),
+            replica.tokens_queued + others.queued_tokens,
             1.0,
             report.ejected_until,
         )
--- a/pearhill/load_reports/peer_load_source.py
+++ b/pearhill/load_reports/peer_load_source.py
@@ -2,14 +2,22 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import NamedTuple, Protocol
+
+
+class OthersLoad(NamedTuple):
+    """The other dispatchers' tokens at one replica: yet to be prefilled there, and in flight there in all.
+
+    `confidence`: how much of that is fresh (1) and how much is assumed (0).
+    """
+
+    queued_tokens: float
+    total_tokens: float
+    confidence: float
 
 
 class PeerLoadSource(Protocol):
     """Other dispatchers that share what they have in flight (`pearhill.membership`)."""
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> tuple[float, float, float]:
-        """The others' tokens at a replica where this dispatcher has so many: yet to be prefilled, and in all.
-
-        Third: how much of that is fresh (1) and how much is assumed (0).
-        """
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has so many tokens."""
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -11,6 +11,8 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
+from pearhill.load_reports.peer_load_source import OthersLoad
+
 HALF_LIFE_US = 750_000  # of a digest: some gossip intervals, and the length of a prefill
 MAX_HALF_LIVES = 8  # after which a digest counts nothing
 MAX_ROWS = 48  # replicas of a digest; those with the most work
@@ -28,15 +30,6 @@
     total_tokens: int
 
 
-@dataclass(frozen=True, slots=True)
-class SummedLoad:
-    """The others' tokens at one replica, and how much of it is fresh (1) or assumed (0)."""
-
-    queued_tokens: float
-    total_tokens: float
-    confidence: float
-
-
 @dataclass(frozen=True, slots=True)
 class _Digest:
     version: Version
@@ -91,7 +84,7 @@
             self._weights = {name: self.weight(now, name) for name in counted}
             self._total_weight = 1 + sum(self._weights.values())
 
-    def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> SummedLoad:
+    def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> OthersLoad:
         """The sum over the peers that are `counted`, whether they can be reached or not; `counted` as in `weigh`.
 
         A peer of which nothing is known counts as the mean of this dispatcher and all of which something is known.
@@ -109,7 +102,7 @@
         peers = len(weights)
         unknown = peers + 1 - known
         scale = 1 + unknown / known
-        return SummedLoad(
+        return OthersLoad(
             max(0.0, queued * scale - own.queued_tokens),
             max(0.0, total * scale - own.total_tokens),
             (known - 1) / peers if peers else 1.0,
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.load_reports.peer_loads import PeerLoads, ReplicaLoad, largest_loads
 from pearhill.membership.members import Members, MemberState, MemberUpdate, Payload
 from pearhill.membership.replay_window import ReplayWindow
@@ -105,12 +106,9 @@
         """Dispatchers that share the work, this one among them."""
         return len(self.counted(now)) + 1
 
-    def others(self, now: int, replica: int, waiting: int, load: int) -> tuple[float, float, float]:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all: those
-        still queued, all, and how much of that is fresh (0 to 1)."""
-        own = ReplicaLoad(replica, waiting, load)
-        summed = self.peer_loads.others(now, replica, self._counted_peers, own)
-        return summed.queued_tokens, summed.total_tokens, summed.confidence
+    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
+        return self.peer_loads.others(now, replica, self._counted_peers, ReplicaLoad(replica, waiting, load))
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Name the peers anew. What is known of those that stay, stays."""
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -2,16 +2,19 @@
 
 from __future__ import annotations
 
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.reporter import Reporter
 
+NOTHING_KNOWN = OthersLoad(queued_tokens=0.0, total_tokens=0.0, confidence=0.0)
+
 SOURCE_SUMS = "sums"
 SOURCE_GOSSIP = "talk"
 
 
 class CombinedLoadSource:
-    """Satisfies `load_reports.load_aware_router.PeerLoadSource`. While a fleet changes from one way to the other, some
+    """Satisfies `load_reports.peer_load_source.PeerLoadSource`. While a fleet changes from one way to the other, some
     dispatchers use both; one that uses only one of them is missing from the other."""
 
     def __init__(self) -> None:
@@ -39,14 +42,12 @@
             return SOURCE_SUMS
         return SOURCE_GOSSIP if self.gossip else ""
 
-    def others(self, now: int, replica: int, waiting: int, load: int) -> tuple[float, float, float]:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all: those
-        still queued, all, and how much of that is fresh (0 to 1)."""
-        others: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
+        others = NOTHING_KNOWN
         if self.reporter and (self._sums_count_all or self.gossip is None):
             others = self.reporter.others(now, replica, waiting, load)
-        confidence = others[2]
-        if confidence <= 0 and self.gossip:
+        if others.confidence <= 0 and self.gossip:
             # All aggregators may be gone; the gossip goes on.
             return self.gossip.others(now, replica, waiting, load)
         return others
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.membership.aggregation_messages import Sums
 from pearhill.membership.gauges import TOKENS, unpack
 from pearhill.membership.known_table import KnownTable
@@ -28,14 +29,6 @@
     reported_at: int
 
 
-class OthersLoad(NamedTuple):
-    """Others' tokens at a replica: those still queued, all, and how much of that is fresh (0 to 1)."""
-
-    queued_tokens: float
-    total_tokens: float
-    confidence: float
-
-
 @dataclass(slots=True)
 class SumsRange:
     """Sums over the slots from `first_slot` on. `own`: this dispatcher's gauges that are in them."""
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
     MAX_UNASSIGNED,
@@ -25,7 +26,7 @@
 from pearhill.membership.gauge_ranges import EMPTY_RANGE, single_range, split_into_ranges
 from pearhill.membership.gauges import encode
 from pearhill.membership.known_table import KnownTable
-from pearhill.membership.peer_sums import MAX_SUMS_AGE_US, OthersLoad, PeerLoad, PeerSums
+from pearhill.membership.peer_sums import MAX_SUMS_AGE_US, PeerLoad, PeerSums
 from pearhill.membership.replay_window import ReplayWindow
 from pearhill.membership.sent_reports import GaugePair, OwnGauges, SentReport, SentReports
 
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -66,17 +66,17 @@
     totals: dict[str, float] = {}
     for replica, (waiting, load, avoided) in node.dispatcher.router.loads(now).items():
         address = "{}:{}".format(*node.backend.addresses.get(replica, UNKNOWN_ADDRESS))
-        others_waiting, others_load, confidence = sources.others(now, replica, waiting, load)
-        totals[address] = load + others_load
+        others = sources.others(now, replica, waiting, load)
+        totals[address] = load + others.total_tokens
         rows.append(
             {
                 "address": address,
                 "avoided": avoided,
                 "mine": {"waiting": waiting, "load": load},
                 "others": {
-                    "waiting": round(others_waiting),
-                    "load": round(others_load),
-                    "sure": round(confidence, 3),
+                    "waiting": round(others.queued_tokens),
+                    "load": round(others.total_tokens),
+                    "sure": round(others.confidence, 3),
                 },
             }
         )
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -9,6 +9,7 @@
 import pytest
 
 from pearhill.load_reports.load_aware_router import LoadAwareRouter
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.load_reports.unanswered_checks import FIRST_EJECTION_US, MAX_EJECTION_US
 from pearhill.routing.actions import Action, SendHealthCheck
@@ -78,9 +79,9 @@
         self.tokens = tokens
         self.confidence = confidence
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> tuple[float, float, float]:
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
         tokens = self.tokens.get(replica, 0.0)
-        return tokens, tokens, self.confidence
+        return OthersLoad(tokens, tokens, self.confidence)
 
 
 @pytest.fixture
