--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -12,6 +12,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Attempt, Request, RequestSpec
+from pearhill.routing.events import ReportedLoad
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.router import Router
@@ -31,7 +32,7 @@
 PREFIXES = 512
 TENANTS = 760
 HEALTH_CHECK_US = 1_000  # until a replica that answers by a clock answers a health check
-REPLICA_LOAD = (0.5, 1.0)  # that it reports: share of memory in use, thousands of tokens yet to prefill
+REPLICA_LOAD = ReportedLoad(memory_used=0.5, queued_ktokens=1.0)  # of each replica, whatever it has to do
 US_PER_S = 1e6
 
 # By set, by replica: tokens queued there, tokens in flight there.
--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -1,28 +1,20 @@
-"""The router: events in, actions out. It keeps the state that the decisions of one dispatcher rest on.
+"""The router: the dispatch of events and timers to the parts that decide, and how these parts are put together.
 
-Where a request goes is decided in `placement`, whether it is tried again in `retry_policy` and `permissions`, which
-replicas are left out in `outlier_detection` and `slow_start`, what is shed in `admission`. Each of them reads what is
-known and a clock; only the router changes the state of requests and replicas, and appends actions.
+Events come in, actions go out. `replica_registry` keeps the replicas, `request_flow` the requests. Attempts are counted
+in `attempt_accounting`; what they show of replicas reaches the estimates by `attempt_feedback`. Decisions read these
+and a clock: `placement`, `retry_policy`, `permissions`, `outlier_detection`, `slow_start`, `admission`.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
-from pearhill.routing.actions import (
-    Action,
-    CancelAttempt,
-    LogMessage,
-    QueryLoad,
-    RejectRequest,
-    ReleaseState,
-    SendAttempt,
-    SetTimer,
-)
+from pearhill.routing.actions import Action, CancelAttempt, RejectRequest, SetTimer
 from pearhill.routing.admission import Admission, is_over_budget
+from pearhill.routing.attempt_accounting import AttemptAccounting
+from pearhill.routing.attempt_feedback import AttemptFeedback
 from pearhill.routing.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -35,37 +27,22 @@
 )
 from pearhill.routing.load_estimates import LoadEstimates
 from pearhill.routing.local_prefill import LocalPrefill
-from pearhill.routing.outcomes import NOT_EXECUTED, Outcome, Reason
+from pearhill.routing.outcomes import Reason
 from pearhill.routing.outlier_detection import OutlierDetector
-from pearhill.routing.pending_request import NO_HOME, PendingRequest
-from pearhill.routing.permissions import Execution
-from pearhill.routing.placement import Assign, Decision, Decline, Placement, QueryFirst
-from pearhill.routing.prefix_affinity import BATCH_OVERHEAD_TOKENS, PrefixAffinity
-from pearhill.routing.replica_state import ReplicaState, UnansweredAttempt
-from pearhill.routing.retry_policy import (
-    RetryBudget,
-    attempt_timeout,
-    final_answer,
-    has_attempts_left,
-    holds_state,
-    release_time,
-    send_deadline,
-)
+from pearhill.routing.placement import Placement
+from pearhill.routing.prefix_affinity import PrefixAffinity
+from pearhill.routing.replica_registry import ReplicaRegistry
+from pearhill.routing.request_flow import RequestFlow
+from pearhill.routing.retry_policy import RetryBudget
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.statistics import STEP_INTERVAL_US
-from pearhill.routing.topology import Endpoint, Phase, Role
 
-LATE_FETCH_SHARE = 0.2  # of the latency objective: a state that takes longer to fetch found no slot or no memory
 DEADLINE_MARGIN_TICKS = 4  # the final answer comes so many ticks before the client's time is over
 
 STEP_TIMER = -1  # what the timer of the periodic step is for; any other is for a request
 UNKNOWN_TIMER = -2
 
-FAILURES = frozenset((Outcome.TIMEOUT, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.TRUNCATED))
-# After these nothing has reached a replica, so that the time for which a state is held goes on running.
-NOT_ARRIVED = frozenset((Outcome.UNREACHABLE, Outcome.WITHDRAWN, Outcome.NOT_SENT))
-
 
 class Router:
     """One dispatcher's router: feed it each event with its time in microseconds, carry out its actions in order."""
@@ -73,24 +50,27 @@
     def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.settings = settings
         self.now = 0
-        self.actions: list[Action] = []
-        self.replicas: dict[int, ReplicaState] = {}
-        self.ready: dict[Role, list[ReplicaState]] = {Role.PREFILL: [], Role.DECODE: [], Role.MIXED: []}
-        self.pending: dict[int, PendingRequest] = {}
         self.timers: dict[int, int] = {}  # what each timer is for: a request, or the periodic step
         self._last_timer = 0
 
-        self.rng = random.Random(seed)
+        rng = random.Random(seed)
+        self._registry = ReplicaRegistry(settings, rng)
+        self.replicas = self._registry.replicas
+        self.ready = self._registry.ready
         self.slow_start = SlowStart(settings, tuple(self.ready))
         self.affinity = PrefixAffinity()
         self.loads = LoadEstimates(settings, self.affinity)
         self.outliers = OutlierDetector()
         self.admission = Admission(settings)
         self.local_prefill = LocalPrefill()
+        self.accounting = AttemptAccounting(settings, self.ready, self.affinity, self.loads)
+        self.feedback = AttemptFeedback(
+            self.ready, self.slow_start, self.outliers, self.affinity, self.loads, self.local_prefill
+        )
         self.retry_budget = RetryBudget()
         self.placement = Placement(
             settings,
-            self.rng,
+            rng,
             self.ready,
             self.slow_start,
             self.outliers,
@@ -99,7 +79,11 @@
             self.admission,
             self.local_prefill,
         )
-        self._handlers: dict[type, Callable[[Any], None]] = {
+        self._flow = RequestFlow(
+            settings, self.placement, self.accounting, self.loads, self.local_prefill, self.retry_budget
+        )
+        self.pending = self._flow.pending
+        self._handlers: dict[type, Callable[[Any], list[Action]]] = {
             EndpointsUpdated: self._endpoints_updated,
             RequestArrived: self._request_arrived,
             ResponseStarted: self._response_started,
@@ -112,364 +96,88 @@
     def reconfigure(self, settings: RouterSettings) -> None:
         """Other settings for the same classes, kinds and zones."""
         self.settings = settings
+        self._registry.settings = settings
         self.slow_start.settings = settings
         self.placement.settings = settings
+        self.accounting.settings = settings
+        self._flow.settings = settings
         self.admission.reconfigure(settings)
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """One event in, the actions it asks for out."""
         self.now = now
-        self.actions = []
-        if not self._last_timer:
-            self._set_timer(STEP_TIMER, STEP_INTERVAL_US)
-        self._handlers[type(event)](event)
-        return self.actions
+        if self._last_timer:
+            return self._handlers[type(event)](event)
+        first_step = self._set_timer(STEP_TIMER, STEP_INTERVAL_US)
+        return [first_step, *self._handlers[type(event)](event)]
 
-    # The endpoint list.
+    # Events.
 
-    def _endpoints_updated(self, event: EndpointsUpdated) -> None:
-        named = {endpoint.replica for endpoint in event.endpoints}
-        unnamed = [replica.endpoint for replica in self.replicas.values() if replica.id not in named]
-        for endpoint in event.endpoints:
-            self._update_endpoint(endpoint)
-        if event.full:
-            for endpoint in unnamed:
-                self._update_endpoint(replace(endpoint, phase=Phase.GONE))
-        for role in self.ready:
-            self._update_ready(role)
+    def _endpoints_updated(self, event: EndpointsUpdated) -> list[Action]:
+        lost = self._registry.update(event)
+        if not self.settings.may_cancel:
+            return []
+        # At a lost replica each attempt would wait for its whole time-out.
+        return [CancelAttempt(attempt.request, attempt.attempt) for attempt in lost]
 
-    def _update_endpoint(self, endpoint: Endpoint) -> None:
-        replica = self.replicas.get(endpoint.replica)
-        # A replica that comes back empty would be believed to have prompts cached, and to be as it was.
-        if replica is None or endpoint.started_at > replica.endpoint.started_at:
-            replica = ReplicaState(endpoint, self.settings.kinds[endpoint.kind], self.rng.random())
-            self.replicas[endpoint.replica] = replica
-        replica.endpoint = endpoint
-        if endpoint.phase != Phase.GONE:
-            return
-        del self.replicas[replica.id]  # attempts in flight there hold it until they end
-        if self.settings.may_cancel:  # an attempt at a lost replica would wait for its whole time-out
-            for attempt in replica.unanswered.values():
-                self.actions.append(CancelAttempt(attempt.request, attempt.attempt))
-
-    def _update_ready(self, role: Role) -> None:
-        ready = [
-            replica
-            for replica in self.replicas.values()
-            if replica.role == role and replica.endpoint.phase == Phase.READY
-        ]
-        ready.sort(key=lambda replica: replica.id)
-        count_before = len(self.ready[role])
-        self.ready[role] = ready
-        # What fewer replicas share comes in one step, and finds slow-start tokens that nobody had asked for.
-        if self.rng.random() * count_before > len(ready):
-            for replica in ready:
-                bucket = replica.slow_start_bucket
-                bucket.tokens = min(bucket.tokens, self.rng.random())
-
-    # A request's life.
-
-    def _request_arrived(self, request: RequestArrived) -> None:
+    def _request_arrived(self, request: RequestArrived) -> list[Action]:
         if is_over_budget(request):
             retry_after = request.retry_after if self.settings.retry_hints else 0
-            self.actions.append(RejectRequest(request.request, retry_after, Reason.OVER_BUDGET))
-            return
-        spec = self.settings.classes[request.request_class]
-        per_token = spec.latency_objective_per_1000_tokens * request.prompt_tokens / 1000
-        objective_at = int(self.now + (spec.latency_objective + per_token))
-        pending = PendingRequest(request, self.now + request.timeout, objective_at)
-        self.pending[request.request] = pending
+            return [RejectRequest(request.request, retry_after, Reason.OVER_BUDGET)]
+        pending = self._flow.accept(self.now, request)
         self.affinity.record_arrival(self.now, request)
-        margin = DEADLINE_MARGIN_TICKS * self.settings.tick
-        self._set_timer(request.request, max(1, request.timeout - margin))
         self.admission.record_arrival(request)
         self.local_prefill.record_arrival(request.prompt_tokens)
         self.retry_budget.record_arrival()
-        self._place_prompt(pending)
-
-    def _place_prompt(self, pending: PendingRequest) -> None:
-        self._carry_out(pending, self.placement.place_prompt(self.now, pending))
-
-    def _place_prefilled(self, pending: PendingRequest) -> None:
-        self._carry_out(pending, self.placement.place_prefilled(self.now, pending))
-
-    def _carry_out(self, pending: PendingRequest, decision: Decision) -> None:
-        match decision:
-            case Assign():
-                pending.home = decision.home
-                self.local_prefill.spend(decision.local_tokens)
-                self._send(pending, decision.replica)
-            case QueryFirst():
-                pending.last_query = pending.query_key
-                pending.queried_replicas = decision.replicas
-                replicas = tuple(replica.id for replica in decision.replicas)
-                self.actions.append(QueryLoad(pending.request.request, replicas))
-            case Decline():
-                self._give_up(pending, decision.reason)
+        margin = DEADLINE_MARGIN_TICKS * self.settings.tick
+        deadline = self._set_timer(request.request, max(1, request.timeout - margin))
+        return [deadline, *self._flow.place(self.now, pending)]
 
-    def _load_known(self, event: LoadKnown) -> None:
+    def _load_known(self, event: LoadKnown) -> list[Action]:
         for report in event.reports:
             replica = self.replicas.get(report.replica)
             if replica is not None:
                 self.loads.record_report(self.now, replica, report)
-        pending = self.pending.get(event.request)
-        if pending is None or pending.answered or pending.in_flight:
-            return
-        if pending.state_holder is not None:
-            self._place_prefilled(pending)
-        else:
-            self._place_prompt(pending)
-
-    def _send(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        self._begin_attempt(pending, replica)
-        expected = self.loads.expected_time(self.now, replica, pending.service_tokens, not pending.fetches_state)
-        release_at = release_time(pending, self.settings)
-        timeout = attempt_timeout(pending, self.settings, self.now, expected)
-        send_before = send_deadline(pending, self.settings, release_at)
-        self.actions.append(SendAttempt(pending.request.request, replica.id, timeout, send_before, release_at))
-
-    def _begin_attempt(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        request = pending.request
-        pending.replica = replica
-        pending.is_prefilling = replica.role == Role.PREFILL
-        pending.fetches_state = pending.state_holder is not None
-        pending.expected_cached_tokens = 0
-        pending.prefill_tokens = 0
-        if not pending.fetches_state:
-            home = pending.home if pending.is_prefilling else NO_HOME
-            pending.expected_cached_tokens = self.affinity.cached_tokens(self.now, replica, request)
-            cached_tokens = self.affinity.cached_tokens(self.now, replica, request, home)
-            pending.prefill_tokens = request.prompt_tokens - cached_tokens
-        pending.load_tokens = pending.prefill_tokens
-        if not pending.is_prefilling:
-            pending.load_tokens = request.prompt_tokens + request.max_output_tokens // 2
-        ahead = int(self.loads.queue_ahead(self.now, replica))
-        pending.service_tokens = ahead + pending.prefill_tokens + BATCH_OVERHEAD_TOKENS
-        pending.attempt += 1
-        pending.sent_at = self.now
-        pending.in_flight = True
-        pending.tried_replicas.append(replica.id)
-        self._add_load(pending, replica)
-
-    def _add_load(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        request = pending.request
-        replica.tokens_queued += pending.prefill_tokens
-        replica.tokens_in_flight += pending.load_tokens
-        if not pending.is_prefilling:
-            replica.tokens_since_report += request.prompt_tokens
-        peers = len(self.ready[replica.role])
-        self.affinity.record_sent(replica, pending.prefill_tokens, self.settings.instances, peers)
-        replica.unanswered[request.request] = UnansweredAttempt(
-            request.request, pending.attempt, pending.sent_at, pending.latency_objective
-        )
-        replica.slow_start_bucket.tokens -= 1
-
-    def _in_flight_at(self, request: int, replica: int) -> PendingRequest | None:
-        """The request, if its attempt at this replica is in flight."""
-        pending = self.pending.get(request)
-        if pending is None or not pending.in_flight or pending.replica is None or pending.replica.id != replica:
-            return None
-        return pending
-
-    def _response_started(self, event: ResponseStarted) -> None:
-        pending = self._in_flight_at(event.request, event.replica)
-        if pending is None:
-            return
-        assert pending.replica is not None
-        self._record_first_token(pending, pending.replica, event.elapsed)
-        if pending.fetches_state and event.elapsed > LATE_FETCH_SHARE * pending.latency_objective:
-            self.loads.record_late_fetch(self.now, pending.replica, pending)
-        pending.response_started = True
-        pending.state_holder = None
-
-    def _attempt_ended(self, event: AttemptEnded) -> None:
-        pending = self._in_flight_at(event.request, event.replica)
-        if pending is None:
-            return
-        assert pending.replica is not None
-        replica = pending.replica
-        pending.in_flight = False
-        pending.response_started = False
-        self._remove_load(pending, replica)
-        if event.retry_after:
-            replica.unavailable_until = max(replica.unavailable_until, self.now + event.retry_after)
-        if event.load:
-            self.loads.record_memory(self.now, replica, event.load[0])
-        if event.outcome in (Outcome.PREFILLED, Outcome.ANSWERED):
-            self._record_success(event, pending, replica)
-        if event.outcome == Outcome.PREFILLED:
-            self._record_prefilled(event, pending, replica)
-        elif event.outcome in FAILURES:
-            self._record_failure(event, pending, replica)
-        self._record_execution(event, pending, replica)
-        if event.outcome == Outcome.ANSWERED:
-            self.loads.record_answer(self.now, replica, pending.request.request_class, event.elapsed)
-        self._continue(event, pending)
-
-    def _remove_load(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        self._remove_from_queue(pending, replica)
-        replica.tokens_in_flight -= pending.load_tokens
-        if not pending.is_prefilling and pending.sent_at >= replica.reported_at:
-            replica.tokens_since_report -= pending.request.prompt_tokens
-
-    def _remove_from_queue(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        if replica.unanswered.pop(pending.request.request, None) is not None:
-            replica.tokens_queued -= pending.prefill_tokens
-
-    def _record_success(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        """An attempt has prefilled its prompt, or answered."""
-        self._count_for_slow_start(pending, replica)
-        if event.cached_tokens * 2 < pending.expected_cached_tokens - BATCH_OVERHEAD_TOKENS:
-            replica.cached_prefixes.clear()  # it has lost its cache, and long prompts would be prefilled there
-        prompt_tokens = pending.request.prompt_tokens
-        if pending.is_prefilling and pending.home != NO_HOME:
-            self.affinity.record_cached_share(self.now, pending.home, event.cached_tokens, prompt_tokens)
-        if replica.role == Role.DECODE and not pending.fetches_state:
-            self.local_prefill.spend(prompt_tokens - event.cached_tokens - pending.prefill_tokens)
-
-    def _count_for_slow_start(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        """Only finished work tells what a replica bears: an empty one begins answers faster than it finishes them."""
-        if not self._is_warm(replica):
-            return
-        peers = self.ready[replica.role]
-        warm_weight = sum(peer.endpoint.weight or 1 for peer in peers if self._is_warm(peer))
-        self.slow_start.answered(replica.role, warm_weight, self._mean_requests(pending))
-
-    def _is_warm(self, replica: ReplicaState) -> bool:
-        return self.slow_start.is_warm(replica.endpoint, self.now)
-
-    def _mean_requests(self, pending: PendingRequest) -> float:
-        """How many requests of its class's mean work this one is, one at most.
-
-        On a warming-up replica each counts as that mean, while warm ones of a role may get light ones above all: what
-        they answer is not what a warming-up one bears.
-        """
-        if pending.fetches_state:  # decoding takes what it takes, whatever was prefilled before it
-            return 1.0
-        request = pending.request
-        mean = self.affinity.mean_prompt_tokens(request)
-        return min(1.0, (request.prompt_tokens + BATCH_OVERHEAD_TOKENS) / (mean + BATCH_OVERHEAD_TOKENS))
-
-    def _record_prefilled(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        pending.state_holder = replica
-        self._record_first_token(pending, replica, event.elapsed)
-        self.local_prefill.record_latency(self.now, event.elapsed, pending.latency_objective)
-        self.affinity.record_prefilled(pending.request, event.cached_tokens)
-
-    def _record_first_token(self, pending: PendingRequest, replica: ReplicaState, elapsed: int) -> None:
-        """A replica has prefilled a prompt, or begun an answer."""
-        self._remove_from_queue(pending, replica)
-        if not pending.fetches_state:  # a state that was fetched is not cached there
-            self.affinity.record_cached(self.now, replica, pending.request)
-        replica.last_answer_at = self.now
-        # An answer to an attempt from before the last failure is no sign of recovery.
-        if not replica.failure_rate.value or pending.sent_at > replica.failure_rate.updated_at:
-            self._record_health(replica, failed=False)
-        self.loads.record_time(self.now, replica, pending, elapsed)
-
-    def _record_failure(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        if event.outcome != Outcome.TIMEOUT:
-            self._record_health(replica, failed=True, outcome=event.outcome)
-            return
-        # By the answers alone, a jam would look quick.
-        self.loads.record_time(self.now, replica, pending, event.elapsed)
-        if pending.fetches_state:
-            replica.memory_used.add(self.now, 1.0, replica.memory_used.max_weight)
-            self.loads.record_late_fetch(self.now, replica, pending)
-        if replica.last_answer_at <= pending.sent_at:
-            self._record_health(replica, failed=True, outcome=event.outcome)
-
-    def _record_health(self, replica: ReplicaState, failed: bool, outcome: str = "") -> None:
-        """One attempt has failed, or has not. A dead replica and a cut zone would go on catching requests."""
-        if not self.outliers.record(self.now, replica, failed):
-            return
-        change = f"ejected: {outcome}" if failed else "no longer ejected"
-        self.actions.append(LogMessage(f"replica {replica.id} {change}"))
-
-    def _record_execution(self, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        """What the attempt leaves behind: a state that is held or lost, and an execution that must not be repeated."""
-        if event.outcome == Outcome.STATE_LOST:
-            pending.state_holder = None
-        if event.outcome not in NOT_ARRIVED:
-            pending.state_held_since = self.now
-        if event.outcome not in NOT_EXECUTED and not pending.is_prefilling and pending.execution is None:
-            pending.execution = Execution(replica.endpoint.zone, replica.endpoint.cell, pending.sent_at)
-
-    def _continue(self, event: AttemptEnded, pending: PendingRequest) -> None:
-        """After an attempt: the end of the request, its decode stage, or a retry."""
-        if event.answered or pending.answered:
-            self.actions.append(ReleaseState(event.request))
-            del self.pending[event.request]
-            return
-        if event.outcome == Outcome.PREFILLED:
-            self._place_prefilled(pending)
-            return
-        if event.outcome == Outcome.WITHDRAWN:  # never begun: it counts neither as an attempt nor as a retry
-            pending.attempt -= 1
-            self.retry_budget.refund()
-        self._retry(pending)
-
-    def _retry(self, pending: PendingRequest) -> None:
-        """An attempt has failed: try elsewhere while that is allowed and of use."""
-        if not has_attempts_left(pending, self.settings):
-            self._give_up(pending, Reason.ATTEMPTS_USED)
-            return
-        if not self.retry_budget.take():
-            self._give_up(pending, Reason.RETRY_BUDGET_EMPTY)
-            return
-        if holds_state(pending, self.settings, self.now):
-            self._place_prefilled(pending)
-            return
-        # A state may wait at a replica that was cut off, or while no decode replica's connection comes up.
-        pending.state_holder = None
-        self.actions.append(ReleaseState(pending.request.request))
-        self._place_prompt(pending)
-
-    def _give_up(self, pending: PendingRequest, reason: Reason) -> None:
-        """The final answer; whatever is held for the request is released."""
-        self.actions.append(final_answer(pending, self.settings, reason))
-        self._close(pending)
-
-    def _client_disconnected(self, event: ClientDisconnected) -> None:
-        pending = self.pending.get(event.request)
-        if pending is not None:
-            self._close(pending)
-
-    def _close(self, pending: PendingRequest) -> None:
-        """No answer is owed any more. A state would stay held: neither an answer nor a disconnect releases it."""
-        pending.answered = True
-        number = pending.request.request
-        if not pending.in_flight:
-            del self.pending[number]
-            self.actions.append(ReleaseState(number))
-        elif self.settings.may_cancel and not pending.response_started:
-            self.actions.append(CancelAttempt(number, pending.attempt))
+        return self._flow.place_after_query(self.now, event.request)
+
+    def _response_started(self, event: ResponseStarted) -> list[Action]:
+        in_flight = self._flow.in_flight_at(event.request, event.replica)
+        if in_flight is None:
+            return []
+        pending, replica = in_flight
+        self.accounting.start_response(pending, replica)
+        return self.feedback.response_started(self.now, pending, replica, event.elapsed)
+
+    def _attempt_ended(self, event: AttemptEnded) -> list[Action]:
+        in_flight = self._flow.in_flight_at(event.request, event.replica)
+        if in_flight is None:
+            return []
+        pending, replica = in_flight
+        self.accounting.end(self.now, event, pending, replica)
+        log_lines = self.feedback.attempt_ended(self.now, event, pending, replica)
+        return [*log_lines, *self._flow.continue_after(self.now, event, pending)]
+
+    def _client_disconnected(self, event: ClientDisconnected) -> list[Action]:
+        return self._flow.disconnect(event.request)
 
     # Timers.
 
-    def _set_timer(self, purpose: int, delay: int) -> None:
+    def _set_timer(self, purpose: int, delay: int) -> SetTimer:
         self._last_timer += 1
         self.timers[self._last_timer] = purpose
-        self.actions.append(SetTimer(self._last_timer, delay))
+        return SetTimer(self._last_timer, delay)
 
-    def _timer_fired(self, event: TimerFired) -> None:
+    def _timer_fired(self, event: TimerFired) -> list[Action]:
         purpose = self.timers.pop(event.timer, UNKNOWN_TIMER)
         if purpose == STEP_TIMER:
-            self._step()
-            return
-        pending = self.pending.get(purpose)
-        if pending is not None and not pending.answered and not pending.response_started:
-            self._give_up(pending, Reason.DEADLINE_EXCEEDED)
+            return [self._step()]
+        return self._flow.deadline_reached(purpose)
 
-    def _step(self) -> None:
-        """Every `STEP_INTERVAL_US`: estimates are updated and decay."""
-        self._set_timer(STEP_TIMER, STEP_INTERVAL_US)
-        # Prompts still being prefilled count with their age: a replica that hangs would look fast.
-        for replica in self.ready[Role.PREFILL]:
-            oldest = next(iter(replica.unanswered.values()), None)
-            if oldest is not None:
-                self.local_prefill.record_latency(self.now, self.now - oldest.sent_at, oldest.latency_objective)
+    def _step(self) -> SetTimer:
+        """Every `STEP_INTERVAL_US`: estimates are updated and decay. Returns the timer of the next step."""
+        self.feedback.record_waiting(self.now)
         self.local_prefill.step()
         self.affinity.step()
         self.admission.step()
         self.slow_start.step()
+        return self._set_timer(STEP_TIMER, STEP_INTERVAL_US)
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -9,10 +9,11 @@
 import pytest
 
 from pearhill.load_reports.load_aware_router import LoadAwareRouter
+from pearhill.load_reports.peer_load_source import OthersLoad
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.load_reports.unanswered_checks import FIRST_EJECTION_US, MAX_EJECTION_US
 from pearhill.routing.actions import Action, SendHealthCheck
-from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded
+from pearhill.routing.events import ClientDisconnected, EndpointsUpdated, Event, HealthCheckEnded, ReportedLoad
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase
@@ -45,7 +46,7 @@
     def answer(self, replica: int, memory_used: float = 0.1, queued_ktokens: float = 0.0) -> None:
         """The replica answers its health check with a report."""
         self.checks.remove(replica)
-        self.feed(HealthCheckEnded(replica, Outcome.ANSWERED, MS, (memory_used, queued_ktokens)))
+        self.feed(HealthCheckEnded(replica, Outcome.ANSWERED, MS, ReportedLoad(memory_used, queued_ktokens)))
 
     def end_check(self, replica: int, outcome: Outcome) -> None:
         """The replica's health check ends without an answer."""
@@ -78,9 +79,9 @@
         self.tokens = tokens
         self.confidence = confidence
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> tuple[float, float, float]:
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
         tokens = self.tokens.get(replica, 0.0)
-        return tokens, tokens, self.confidence
+        return OthersLoad(tokens, tokens, self.confidence)
 
 
 @pytest.fixture
