--- a/pearhill/conformance/suite/completions.py
+++ b/pearhill/conformance/suite/completions.py
@@ -8,13 +8,15 @@
 from pearhill.conformance.payloads import (
     CHAT_CHUNKS,
     DONE_EVENT,
-    GOOD_SCRIPTS,
     USAGE_CHUNK,
     chat_chunk,
     error_body,
     sse_event,
 )
-from pearhill.conformance.scripts import WAIT_FOR_CLIENT, Script, event_stream, http_chunk, response_head
+from pearhill.conformance.scripts import WAIT_FOR_CLIENT, event_stream, http_chunk, response_head
+from pearhill.conformance.suite.translated import TranslatedEndpoint
+
+ENDPOINT = TranslatedEndpoint("text", COMPLETIONS_PATH)
 
 
 def completion_request(prompt: Any = "Hi", **fields: Any) -> dict[str, Any]:
@@ -22,42 +24,10 @@
     return {"model": IDEMPOTENT_MODEL, "prompt": prompt, **fields}
 
 
-def rejected_case(name: str, body: Any, param: str, code: str) -> Case:
-    """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
-    return Case(
-        f"text/{name}",
-        f"{param}: {code.replace('_', ' ')}",
-        body,
-        ExpectedResponse(400, error_body(code, param), connection_usable=True),
-        path=COMPLETIONS_PATH,
-    )
-
-
-def answered_case(
-    name: str,
-    guards_against: str,
-    body: Any,
-    expected: ExpectedResponse,
-    scripts: tuple[Script, ...] = GOOD_SCRIPTS,
-    fields: Any = None,
-    absent: tuple[str, ...] = (),
-) -> Case:
-    """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
-    return Case(
-        f"text/{name}",
-        guards_against,
-        body,
-        expected,
-        scripts,
-        ExpectedRequests(fields=fields, absent=absent),
-        path=COMPLETIONS_PATH,
-    )
-
-
 LOGPROBS = {"content": [{"token": "one ", "logprob": -0.5, "top_logprobs": [{"token": "one ", "logprob": -0.5}]}]}
 USAGE = {"prompt_tokens": 9, "completion_tokens": 2, "total_tokens": 11}
 CASES: tuple[Case, ...] = (
-    answered_case(
+    ENDPOINT.answered_case(
         "whole",
         "an answer in the wrong words",
         completion_request(),
@@ -73,14 +43,14 @@
         fields={"messages": [{"role": "user", "content": "Hi"}], "stream": True},
         absent=("prompt",),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "list-of-one",
         "a prompt in a list",
         completion_request(["Hi"]),
         ExpectedResponse(json={"choices": [{"text": "one two"}]}),
         fields={"messages": [{"role": "user", "content": "Hi"}]},
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "stream",
         "a stream in chat's words",
         completion_request(stream=True),
@@ -94,7 +64,7 @@
             ),
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "stream-usage",
         "the usage event, where it is asked for",
         completion_request(stream=True, stream_options={"include_usage": True}),
@@ -102,20 +72,20 @@
             events=({"usage": None}, {"usage": None}, {"usage": None}, {"choices": [], "usage": USAGE}, "[DONE]")
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "echo",
         "a prompt that does not come back",
         completion_request(echo=True),
         ExpectedResponse(json={"choices": [{"text": "Hione two"}]}),
         absent=("echo",),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "echo-stream",
         "the same in a stream",
         completion_request(echo=True, stream=True),
         ExpectedResponse(text="Hione two"),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "n",
         "several answers, mixed up",
         completion_request(n=2, best_of=2),
@@ -127,7 +97,7 @@
         ),
         absent=("best_of",),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "logprobs",
         "log probabilities in chat's form",
         completion_request(logprobs=1),
@@ -152,14 +122,14 @@
         ),
         fields={"logprobs": True, "top_logprobs": 1},
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "unknown-fields",
         "a field that is lost on its way",
         completion_request(x_own=[1]),
         ExpectedResponse(),
         fields={"x_own": [1]},
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "refusal",
         "a refusal, which is all the text there is",
         completion_request(),
@@ -179,10 +149,10 @@
         ExpectedRequests(),
         path=COMPLETIONS_PATH,
     ),
-    rejected_case("tokens", completion_request([1, 2]), "prompt[0]", "invalid_type"),
-    rejected_case("two-prompts", completion_request(["a", "b"]), "prompt", "unsupported_value"),
-    rejected_case("suffix", completion_request(suffix="x"), "suffix", "unsupported_parameter"),
-    rejected_case("best-of", completion_request(best_of=3), "best_of", "unsupported_value"),
-    rejected_case("logprobs-many", completion_request(logprobs=6), "logprobs", "invalid_value"),
-    rejected_case("stream-options", completion_request(stream_options={}), "stream_options", "invalid_value"),
+    ENDPOINT.rejected_case("tokens", completion_request([1, 2]), "prompt[0]", "invalid_type"),
+    ENDPOINT.rejected_case("two-prompts", completion_request(["a", "b"]), "prompt", "unsupported_value"),
+    ENDPOINT.rejected_case("suffix", completion_request(suffix="x"), "suffix", "unsupported_parameter"),
+    ENDPOINT.rejected_case("best-of", completion_request(best_of=3), "best_of", "unsupported_value"),
+    ENDPOINT.rejected_case("logprobs-many", completion_request(logprobs=6), "logprobs", "invalid_value"),
+    ENDPOINT.rejected_case("stream-options", completion_request(stream_options={}), "stream_options", "invalid_value"),
 )
--- a/pearhill/conformance/suite/responses.py
+++ b/pearhill/conformance/suite/responses.py
@@ -5,17 +5,11 @@
 from typing import Any
 
 from pearhill.conformance.case import IDEMPOTENT_MODEL, RESPONSES_PATH, Case, ExpectedRequests, ExpectedResponse
-from pearhill.conformance.payloads import (
-    CHAT_CHUNKS,
-    GOOD_SCRIPTS,
-    chat_chunk,
-    chunk_scripts,
-    error_body,
-    sse_event,
-    tool_call_delta,
-)
-from pearhill.conformance.scripts import WAIT_FOR_CLIENT, Script, http_chunk, response_head
+from pearhill.conformance.payloads import CHAT_CHUNKS, chat_chunk, chunk_scripts, sse_event, tool_call_delta
+from pearhill.conformance.scripts import WAIT_FOR_CLIENT, http_chunk, response_head
+from pearhill.conformance.suite.translated import TranslatedEndpoint
 
+ENDPOINT = TranslatedEndpoint("responses", RESPONSES_PATH)
 TOOL = {"type": "function", "name": "book", "parameters": {"type": "object"}, "strict": True}
 STREAM_BEGIN, STREAM_END = ("response.created", "response.in_progress"), ("response.completed",)
 TEXT_BEGIN = ("response.output_item.added", "response.content_part.added")
@@ -30,38 +24,6 @@
     return {"model": IDEMPOTENT_MODEL, "input": input, **fields}
 
 
-def rejected_case(name: str, body: Any, param: str, code: str) -> Case:
-    """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
-    return Case(
-        f"responses/{name}",
-        f"{param}: {code.replace('_', ' ')}",
-        body,
-        ExpectedResponse(400, error_body(code, param), connection_usable=True),
-        path=RESPONSES_PATH,
-    )
-
-
-def answered_case(
-    name: str,
-    guards_against: str,
-    body: Any,
-    expected: ExpectedResponse,
-    scripts: tuple[Script, ...] = GOOD_SCRIPTS,
-    fields: Any = None,
-    absent: tuple[str, ...] = (),
-) -> Case:
-    """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
-    return Case(
-        f"responses/{name}",
-        guards_against,
-        body,
-        expected,
-        scripts,
-        ExpectedRequests(fields=fields, absent=absent),
-        path=RESPONSES_PATH,
-    )
-
-
 INPUT_ITEMS = [
     {"role": "user", "content": "Book"},
     {"type": "reasoning", "summary": []},
@@ -101,7 +63,7 @@
 ]
 USAGE = {"input_tokens": 9, "input_tokens_details": {"cached_tokens": 4}, "output_tokens": 2, "total_tokens": 11}
 CASES: tuple[Case, ...] = (
-    answered_case(
+    ENDPOINT.answered_case(
         "whole",
         "an answer in the wrong words",
         response_request(),
@@ -127,7 +89,7 @@
         fields={"messages": [{"role": "user", "content": "Hi"}], "stream": True},
         absent=("input",),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "stream",
         "events in another order, or without numbers",
         response_request(stream=True),
@@ -135,7 +97,7 @@
             event_names=(*STREAM_BEGIN, *TEXT_BEGIN, TEXT_DELTA, TEXT_DELTA, *TEXT_END, *STREAM_END), text="one two"
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "stream-fields",
         "events that do not say which item they belong to",
         response_request(stream=True),
@@ -154,7 +116,7 @@
             )
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "instructions",
         "instructions that are lost",
         response_request(instructions="Be kind."),
@@ -162,14 +124,14 @@
         fields={"messages": [{"role": "system", "content": "Be kind."}, {}]},
         absent=("instructions",),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "items",
         "a conversation that changes on its way",
         response_request(INPUT_ITEMS, instructions="Be kind."),
         ExpectedResponse(),
         fields={"messages": ITEMS_AS_MESSAGES},
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "options",
         "options under another name in chat",
         response_request(
@@ -193,7 +155,7 @@
         },
         absent=("text", "reasoning", "max_output_tokens"),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "tools",
         "tools in the wrong form",
         response_request(tools=[TOOL], tool_choice={"type": "function", "name": "book"}),
@@ -205,7 +167,7 @@
             "tool_choice": {"type": "function", "function": {"name": "book"}},
         },
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "call",
         "a call as text",
         response_request(tools=[TOOL]),
@@ -228,7 +190,7 @@
             chat_chunk("tool_calls"),
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "call-stream",
         "a call's events",
         response_request(tools=[TOOL], stream=True),
@@ -241,7 +203,7 @@
             chat_chunk("tool_calls"),
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "calls-in-turns",
         "two calls whose pieces mix",
         response_request(tools=[TOOL], stream=True),
@@ -269,7 +231,7 @@
             chat_chunk("tool_calls"),
         ),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "refusal",
         "a refusal as text",
         response_request(stream=True),
@@ -285,7 +247,7 @@
         ),
         chunk_scripts(chat_chunk(refusal="No."), chat_chunk("stop")),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "incomplete",
         "a cut answer that passes for whole",
         response_request(max_output_tokens=1),
@@ -298,14 +260,14 @@
         ),
         chunk_scripts(CHAT_CHUNKS[0], chat_chunk("length")),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "incomplete-stream",
         "the same in a stream",
         response_request(stream=True),
         ExpectedResponse(event_names=(*STREAM_BEGIN, *TEXT_BEGIN, TEXT_DELTA, *TEXT_END, "response.incomplete")),
         chunk_scripts(CHAT_CHUNKS[0], chat_chunk("content_filter")),
     ),
-    answered_case(
+    ENDPOINT.answered_case(
         "empty",
         "an answer of no tokens",
         response_request(stream=True),
@@ -321,40 +283,46 @@
         ExpectedRequests(),
         path=RESPONSES_PATH,
     ),
-    rejected_case(
+    ENDPOINT.rejected_case(
         "previous", response_request(previous_response_id="resp_1"), "previous_response_id", "unsupported_parameter"
     ),
-    rejected_case("conversation", response_request(conversation="c"), "conversation", "unsupported_parameter"),
-    rejected_case("store", response_request(store=True), "store", "unsupported_value"),
-    rejected_case("background", response_request(background=True), "background", "unsupported_value"),
-    rejected_case("truncation", response_request(truncation="auto"), "truncation", "unsupported_value"),
-    rejected_case("include", response_request(include=["file_search_call.results"]), "include[0]", "unsupported_value"),
-    rejected_case("web-search", response_request(tools=[{"type": "web_search"}]), "tools[0].type", "invalid_value"),
-    rejected_case(
+    ENDPOINT.rejected_case("conversation", response_request(conversation="c"), "conversation", "unsupported_parameter"),
+    ENDPOINT.rejected_case("store", response_request(store=True), "store", "unsupported_value"),
+    ENDPOINT.rejected_case("background", response_request(background=True), "background", "unsupported_value"),
+    ENDPOINT.rejected_case("truncation", response_request(truncation="auto"), "truncation", "unsupported_value"),
+    ENDPOINT.rejected_case(
+        "include", response_request(include=["file_search_call.results"]), "include[0]", "unsupported_value"
+    ),
+    ENDPOINT.rejected_case(
+        "web-search", response_request(tools=[{"type": "web_search"}]), "tools[0].type", "invalid_value"
+    ),
+    ENDPOINT.rejected_case(
         "item-type", response_request([{"type": "item_reference", "id": "x"}]), "input[0].type", "invalid_value"
     ),
-    rejected_case("item-role", response_request([{"role": "robot", "content": "x"}]), "input[0].role", "invalid_value"),
-    rejected_case(
+    ENDPOINT.rejected_case(
+        "item-role", response_request([{"role": "robot", "content": "x"}]), "input[0].role", "invalid_value"
+    ),
+    ENDPOINT.rejected_case(
         "item-content", response_request([{"role": "user"}]), "input[0].content", "missing_required_parameter"
     ),
-    rejected_case(
+    ENDPOINT.rejected_case(
         "call-name",
         response_request([{"type": "function_call", "call_id": "c", "arguments": ""}]),
         "input[0].name",
         "missing_required_parameter",
     ),
-    rejected_case(
+    ENDPOINT.rejected_case(
         "part-type",
         response_request([{"role": "user", "content": [{"type": "text", "text": "x"}]}]),
         "input[0].content[0].type",
         "invalid_value",
     ),
-    rejected_case(
+    ENDPOINT.rejected_case(
         "part-of-others",
         response_request([{"role": "user", "content": [{"type": "output_text", "text": "x"}]}]),
         "input[0].content[0].type",
         "invalid_value",
     ),
-    rejected_case("choice", response_request(tool_choice="required"), "tool_choice", "invalid_value"),
-    rejected_case("empty-input", response_request([]), "input", "invalid_value"),
+    ENDPOINT.rejected_case("choice", response_request(tool_choice="required"), "tool_choice", "invalid_value"),
+    ENDPOINT.rejected_case("empty-input", response_request([]), "input", "invalid_value"),
 )
