--- a/pearhill/conformance/suite/bodies.py
+++ b/pearhill/conformance/suite/bodies.py
@@ -43,6 +43,11 @@
         )
 
 
+def model_case(name: str, guards_against: str, model: str, expected: ExpectedResponse) -> Case:
+    """A case of a client that looks at one model; `model` is as it stands in the path."""
+    return Case(f"models/{name}", guards_against, None, expected, path=f"{MODELS_PATH}/{model}", method="GET")
+
+
 def request_with_parts(*content: Any) -> dict[str, Any]:
     """A chat request with one message that has these content parts."""
     return chat_request({"role": "user", "content": list(content)})
@@ -367,38 +372,25 @@
         path=MODELS_PATH,
         method="GET",
     ),
-    Case(
-        "models/one",
+    model_case(
+        "one",
         "a look at one model",
-        None,
+        IDEMPOTENT_MODEL,
         ExpectedResponse(json={"id": IDEMPOTENT_MODEL, "object": "model", "owned_by": "pearhill"}),
-        path=f"{MODELS_PATH}/{IDEMPOTENT_MODEL}",
-        method="GET",
     ),
-    Case(
-        "models/alias",
+    model_case(
+        "alias",
         "an alias, which stands for its model",
-        None,
+        "conform-alias",
         ExpectedResponse(json={"id": IDEMPOTENT_MODEL}),
-        path=f"{MODELS_PATH}/conform-alias",
-        method="GET",
     ),
-    Case(
-        "models/escaped",
+    model_case(
+        "escaped",
         "a name that comes percent-encoded",
-        None,
+        "conform%2Dsafe",
         ExpectedResponse(json={"id": IDEMPOTENT_MODEL}),
-        path=f"{MODELS_PATH}/conform%2Dsafe",
-        method="GET",
-    ),
-    Case(
-        "models/none",
-        "a model that nobody has declared",
-        None,
-        rejection(404, "model_not_found", "model"),
-        path=f"{MODELS_PATH}/nobody",
-        method="GET",
     ),
+    model_case("none", "a model that nobody has declared", "nobody", rejection(404, "model_not_found", "model")),
     Case("models/post", "a model looked at by POST", {}, rejection(405, "unknown_url"), path=MODELS_PATH),
 )
 CASES: tuple[Case, ...] = (*(row.case() for row in REJECTED_ROWS), *OTHER_CASES)
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -2,7 +2,17 @@
 
 from __future__ import annotations
 
-from pearhill.conformance.case import NON_IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
+from typing import Any
+
+from pearhill.conformance.case import (
+    CHAT_PATH,
+    COMPLETIONS_PATH,
+    NON_IDEMPOTENT_MODEL,
+    RESPONSES_PATH,
+    Case,
+    ExpectedRequests,
+    ExpectedResponse,
+)
 from pearhill.conformance.payloads import (
     ANSWER_EVENTS,
     CHAT_CHUNKS,
@@ -49,6 +59,28 @@
     return tuple(event.replace(b"\n", end) for event in events)
 
 
+def disconnect_case(name: str, guards_against: str, body: dict[str, Any], path: str = CHAT_PATH) -> Case:
+    """A client that disconnects after the first event, while the replica still answers; the request must run once."""
+    return Case(
+        f"streams/{name}",
+        guards_against,
+        body,
+        ExpectedResponse(),
+        (
+            (
+                response_head(),
+                http_chunk(FIRST_EVENT),
+                WAIT_FOR_RELEASE,
+                *map(http_chunk, ANSWER_EVENTS[1:]),
+                LAST_CHUNK,
+            ),
+        ),
+        ExpectedRequests(),
+        client_disconnects=True,
+        path=path,
+    )
+
+
 def truncated_cases(name: str, guards_against: str, *steps: Step) -> tuple[Case, Case]:
     """The same fault of a non-idempotent request before its first event and after it; never is it sent twice."""
     return (
@@ -269,58 +301,18 @@
         ),
         ExpectedRequests(),
     ),
-    Case(
-        "streams/leaves",
-        "a client that goes in mid-stream: one run, seen through",
-        NON_IDEMPOTENT_REQUEST,
-        ExpectedResponse(),
-        (
-            (
-                response_head(),
-                http_chunk(FIRST_EVENT),
-                WAIT_FOR_RELEASE,
-                *map(http_chunk, ANSWER_EVENTS[1:]),
-                LAST_CHUNK,
-            ),
-        ),
-        ExpectedRequests(),
-        client_disconnects=True,
-    ),
-    Case(
-        "streams/leaves-text",
+    disconnect_case("leaves", "a client that goes in mid-stream: one run, seen through", NON_IDEMPOTENT_REQUEST),
+    disconnect_case(
+        "leaves-text",
         "the same at the older endpoint",
         {"model": NON_IDEMPOTENT_MODEL, "prompt": "Hi", "stream": True},
-        ExpectedResponse(),
-        (
-            (
-                response_head(),
-                http_chunk(FIRST_EVENT),
-                WAIT_FOR_RELEASE,
-                *map(http_chunk, ANSWER_EVENTS[1:]),
-                LAST_CHUNK,
-            ),
-        ),
-        ExpectedRequests(),
-        client_disconnects=True,
-        path="/v1/completions",
+        COMPLETIONS_PATH,
     ),
-    Case(
-        "streams/leaves-responses",
+    disconnect_case(
+        "leaves-responses",
         "the same at the newer endpoint",
         {"model": NON_IDEMPOTENT_MODEL, "input": "Hi", "stream": True},
-        ExpectedResponse(),
-        (
-            (
-                response_head(),
-                http_chunk(FIRST_EVENT),
-                WAIT_FOR_RELEASE,
-                *map(http_chunk, ANSWER_EVENTS[1:]),
-                LAST_CHUNK,
-            ),
-        ),
-        ExpectedRequests(),
-        client_disconnects=True,
-        path="/v1/responses",
+        RESPONSES_PATH,
     ),
     *truncated_cases("done-early", "a [DONE] before any answer, or an end without it", LAST_CHUNK),
     *truncated_cases("eof", "a connection that ends in mid-stream", send_bytes(b"")),
