--- a/pearhill/conformance/suite/replicas.py
+++ b/pearhill/conformance/suite/replicas.py
@@ -14,7 +14,15 @@
     ExpectedResponse,
 )
 from pearhill.conformance.payloads import ANSWER_EVENTS, GOOD_SCRIPTS, chat_request, error_body
-from pearhill.conformance.scripts import RESET, event_stream, http_chunk, plain_response, response_head, send_bytes
+from pearhill.conformance.scripts import (
+    RESET,
+    Script,
+    event_stream,
+    http_chunk,
+    plain_response,
+    response_head,
+    send_bytes,
+)
 
 ERROR_BODY = {
     "error": {
@@ -27,6 +35,20 @@
 }
 NO_RETRY_HEADERS = {"X-Should-Retry": "false"}
 FAILED_BODY = error_body("request_failed", kind="server_error")
+
+
+def failed_case(name: str, guards_against: str, script: Script, headers: dict[str, str] | None = None) -> Case:
+    """A non-idempotent request that may have run: sent once, and answered with status 500."""
+    return Case(
+        f"servers/{name}",
+        guards_against,
+        chat_request(model=NON_IDEMPOTENT_MODEL),
+        ExpectedResponse(500, FAILED_BODY, headers=headers or {}),
+        (script,),
+        ExpectedRequests(),
+    )
+
+
 CASES: tuple[Case, ...] = (
     *(
         Case(
@@ -56,31 +78,23 @@
         ExpectedRequests(),
     ),
     *(
-        Case(
-            f"servers/{status}-without-words",
+        failed_case(
+            f"{status}-without-words",
             "an error page from something on the way, which proves nothing",
-            chat_request(model=NON_IDEMPOTENT_MODEL),
-            ExpectedResponse(500, FAILED_BODY, headers=NO_RETRY_HEADERS),
-            (plain_response(status, b"<html>"),),
-            ExpectedRequests(),
+            plain_response(status, b"<html>"),
+            NO_RETRY_HEADERS,
         )
         for status in (400, 404)
     ),
-    Case(
-        "servers/400-followed",
+    failed_case(
+        "400-followed",
         "an error that is followed by another answer",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        ((send_bytes(2 * plain_response(400, ERROR_BODY)[0].data),),),
-        ExpectedRequests(),
+        (send_bytes(2 * plain_response(400, ERROR_BODY)[0].data),),
     ),
-    Case(
-        "servers/400-shorter",
+    failed_case(
+        "400-shorter",
         "an error of another length than told",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        ((send_bytes(b"HTTP/1.1 400 No\r\nContent-Length: 500\r\n\r\n{}"), RESET),),
-        ExpectedRequests(),
+        (send_bytes(b"HTTP/1.1 400 No\r\nContent-Length: 500\r\n\r\n{}"), RESET),
     ),
     *(
         Case(
@@ -123,30 +137,9 @@
         (plain_response(503, b"", Not_Started="1"),),
         ExpectedRequests(count=None),
     ),
-    Case(
-        "servers/503-plain",
-        "a booking that may have run, told as refused",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY, headers=NO_RETRY_HEADERS),
-        (plain_response(503),),
-        ExpectedRequests(),
-    ),
-    Case(
-        "servers/504-plain",
-        "the same from a gateway",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY, headers=NO_RETRY_HEADERS),
-        (plain_response(504),),
-        ExpectedRequests(),
-    ),
-    Case(
-        "servers/500-once",
-        "a booking that is tried again",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY, headers=NO_RETRY_HEADERS),
-        (plain_response(500, ERROR_BODY),),
-        ExpectedRequests(),
-    ),
+    failed_case("503-plain", "a booking that may have run, told as refused", plain_response(503), NO_RETRY_HEADERS),
+    failed_case("504-plain", "the same from a gateway", plain_response(504), NO_RETRY_HEADERS),
+    failed_case("500-once", "a booking that is tried again", plain_response(500, ERROR_BODY), NO_RETRY_HEADERS),
     Case(
         "servers/json-for-a-stream",
         "an answer in one piece where a stream was asked for",
@@ -155,38 +148,12 @@
         (plain_response(200, {"choices": []}),),
         ExpectedRequests(),
     ),
-    Case(
-        "servers/html",
-        "a page of a proxy's with status 200",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        (plain_response(200, b"<html>", Content_Type="text/html"),),
-        ExpectedRequests(),
-    ),
-    Case(
-        "servers/no-http",
-        "bytes that are no HTTP",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        ((send_bytes(b"SSH-2.0-x\r\n"),),),
-        ExpectedRequests(),
-    ),
-    Case(
-        "servers/closes",
-        "a server that reads the request and closes",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        ((send_bytes(b""),),),
-        ExpectedRequests(),
-    ),
-    Case(
-        "servers/resets",
-        "a server that reads the request and resets: it may have run",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY, headers=NO_RETRY_HEADERS),
-        ((RESET,),),
-        ExpectedRequests(),
+    failed_case(
+        "html", "a page of a proxy's with status 200", plain_response(200, b"<html>", Content_Type="text/html")
     ),
+    failed_case("no-http", "bytes that are no HTTP", (send_bytes(b"SSH-2.0-x\r\n"),)),
+    failed_case("closes", "a server that reads the request and closes", (send_bytes(b""),)),
+    failed_case("resets", "a server that reads the request and resets: it may have run", (RESET,), NO_RETRY_HEADERS),
     Case(
         "servers/early-hints",
         "an interim answer before the stream",
@@ -195,13 +162,10 @@
         ((send_bytes(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), *event_stream(*ANSWER_EVENTS)),),
         ExpectedRequests(),
     ),
-    Case(
-        "servers/head-without-end",
+    failed_case(
+        "head-without-end",
         "a head that never ends",
-        chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(500, FAILED_BODY),
-        ((send_bytes(b"HTTP/1.1 200 OK\r\n"), *(send_bytes(b"X-Pad: " + b"x" * 1000 + b"\r\n"),) * 60),),
-        ExpectedRequests(),
+        (send_bytes(b"HTTP/1.1 200 OK\r\n"), *(send_bytes(b"X-Pad: " + b"x" * 1000 + b"\r\n"),) * 60),
     ),
     Case(
         "servers/followed-by-another",
