--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -18,14 +18,14 @@
 from pearhill.http1.handler import Reply
 from pearhill.membership.aggregation_messages import AggregationCodec
 from pearhill.membership.aggregator import Aggregator
+from pearhill.net.address import Address
+from pearhill.net.admin_listener import open_admin_listener
 from pearhill.net.aggregation import Aggregation
 from pearhill.net.clock import start_clock
 from pearhill.net.datagrams import Datagrams
 from pearhill.net.listener import Listener
 from pearhill.net.ticks import EventLoopTicks
 
-MAX_OPERATOR_CONNECTIONS = 16
-MAX_CALL_BODY_BYTES = 4096  # no call has any use for one
 RECEIVE_BUFFER_BYTES = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
 LOG_INTERVAL_US = 1_000_000  # at which the count and the other aggregators are looked at for the log
 PEER_SILENCE_US = 2_000_000  # after which another aggregator is logged as silent
@@ -117,23 +117,8 @@
         )
         logger.info("reload: done, {result}", result=f"{len(new.peers)} other aggregators{for_later}")
 
-    def _listen_for_operators(self, address: tuple[str, int]) -> Listener:
-        listener = Listener(
-            self.loop,
-            self.deadlines,
-            Counters(),
-            self,
-            MAX_OPERATOR_CONNECTIONS,
-            MAX_CALL_BODY_BYTES,
-            side="operator",
-        )
-        listener.close_after_answers()  # one call a connection
-        try:
-            host, port = listener.listen(address)
-        except OSError as e:
-            raise OSError(f"aggregator.admin_addr: {address[0]}:{address[1]}: {e.strerror or e}") from None
-        logger.info("operators are heard on {host}:{port}", host=host, port=port)
-        return listener
+    def _listen_for_operators(self, address: Address) -> Listener:
+        return open_admin_listener(self.loop, self.deadlines, Counters(), address, self, "aggregator.admin_addr")
 
     async def _open_datagrams(self) -> None:
         address = self.setup.listen
--- a/pearhill/node/limits.py
+++ b/pearhill/node/limits.py
@@ -5,11 +5,10 @@
 from dataclasses import dataclass
 
 from pearhill.http1.server import MAX_BODY
+from pearhill.net.admin_listener import MAX_ADMIN_CONNECTIONS
 
 RESERVED_DESCRIPTORS = 48  # for the log, the event loop, the listener, and upkeep
 UPKEEP_DESCRIPTORS = 24  # of the reserved ones: for releases and the endpoint list
-MAX_ADMIN_CONNECTIONS = 16  # descriptors for operators' calls, where they have an address of their own
-MAX_ADMIN_BODY_BYTES = 4096  # of an operators' call, which has no use for a body
 MIN_CONNECTIONS = 8  # to clients, and as many to replicas, however few descriptors there are
 
 
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -17,6 +17,7 @@
 from pearhill.http1.handler import Handler
 from pearhill.lifecycle.drain import Drain
 from pearhill.net.address import Address
+from pearhill.net.admin_listener import open_admin_listener
 from pearhill.net.backend import HttpBackend
 from pearhill.net.clock import start_clock
 from pearhill.net.dialect import Dialect
@@ -25,7 +26,7 @@
 from pearhill.net.ticks import EventLoopTicks, pause
 from pearhill.node.drain_control import DrainControl
 from pearhill.node.limits import UPKEEP_DESCRIPTORS, Limits
-from pearhill.node.listeners import listen_for_clients, open_admin_listener
+from pearhill.node.listeners import listen_for_clients
 from pearhill.node.override_control import OverrideControl
 from pearhill.node.shutdown import GracefulShutdown
 from pearhill.node.signals import block_requests, handle_signals
