--- a/pearhill/http1/server.py
+++ b/pearhill/http1/server.py
@@ -40,9 +40,8 @@
     `in_message`: a request has begun and is not complete.
     """
 
-    def __init__(self, max_body: int = MAX_BODY, max_head: int = MAX_HEAD) -> None:
+    def __init__(self, max_body: int = MAX_BODY) -> None:
         self.max_body = max_body
-        self.max_head = max_head
         self.in_message = False
         self.broken = False
         self._parser = httptools.HttpRequestParser(self)
@@ -64,7 +63,7 @@
             self._parser.feed_data(data)
             # The parser keeps a header that never ends, and says nothing of it until it does. Chunk extensions,
             # trailers and blank lines before a request may be endless too.
-            if self._framing > self.max_head:
+            if self._framing > MAX_HEAD:
                 self._reject(431, "the head of the request is too large")
         except (_RejectedError, httptools.HttpParserError) as e:
             self.broken = True
@@ -83,7 +82,7 @@
 
     def _count_head(self, size: int) -> None:
         self._head_size += size
-        if self._head_size > self.max_head:
+        if self._head_size > MAX_HEAD:
             self._reject(431, "the head of the request is too large")
 
     def _take_events(self) -> list[Event]:
