--- a/pearhill/conformance/scripts.py
+++ b/pearhill/conformance/scripts.py
@@ -49,13 +49,13 @@
 RESET = Step(StepKind.RESET)
 
 
-def response_head(status: int = 200, **headers: str) -> Step:
-    """The head of a chunked event stream.
+def response_head(**headers: str) -> Step:
+    """The head of a chunked event stream, with status 200.
 
     Headers add to the usual ones or replace them, with `_` for `-` in their names; an empty value leaves one out.
     """
     fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **_header_names(headers)}
-    return send_bytes(_head(status, ((name, value) for name, value in fields.items() if value)))
+    return send_bytes(_head(200, ((name, value) for name, value in fields.items() if value)))
 
 
 def event_stream(*parts: bytes, last: bool = True) -> Script:
