--- a/pearhill/net/log.py
+++ b/pearhill/net/log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import queue
 import sys
@@ -49,7 +50,6 @@
         self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._format = FORMATTERS[line_format]
-        self.lost_lines = 0  # that could not be written
         logger.remove()
         # The line is formatted here: loguru's way with times costs as much as all the rest of a line.
         logger.add(self._put, format="{message}", level=level, backtrace=False, diagnose=False)
@@ -61,11 +61,10 @@
 
     def _run(self) -> None:
         while (line := self._lines.get()) is not None:
-            try:
+            # The disk may be full, or the reader gone: the line is lost, and later ones may get through again.
+            with contextlib.suppress(OSError, ValueError):
                 sys.stderr.write(line)
                 sys.stderr.flush()
-            except (OSError, ValueError):
-                self.lost_lines += 1  # the disk is full, or the reader has gone: later lines may get through again
 
     def close(self) -> None:
         """Write what waits, within a second."""
