--- a/pearhill/budgets/reservation.py
+++ b/pearhill/budgets/reservation.py
@@ -14,6 +14,7 @@
 
     `retry_after`: microseconds until it would be, as far as is known. `reason`: the level and the limit that speak
     against it. `quota_exhausted`: a quota is used up, and coming back soon is of no use.
+    `reservation`: None where it is not admitted.
     """
 
     status: AdmissionStatus
@@ -22,11 +23,6 @@
     quota_exhausted: bool = False
     reservation: Reservation | None = None
 
-    @property
-    def admitted(self) -> bool:
-        """Whether the request may be sent."""
-        return self.reservation is not None
-
 
 @dataclass(frozen=True, slots=True)
 class Usage:
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -95,14 +95,14 @@
     )
     def test_levels_nest(self, name, made, why):
         b = Budgets(made, T0)
-        assert b.admit(T0, WALL, "a", "k1", 50, 30).admitted
+        assert b.admit(T0, WALL, "a", "k1", 50, 30).reservation is not None
         decision = b.admit(T0, WALL, "a", "k1", 50, 30)
         assert (decision.status, decision.reason[: len(why)]) == (AdmissionStatus.OVER_LIMIT, why)
         assert decision.quota_exhausted == (name in ("day", "month"))
 
     def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
-        assert b.admit(T0, WALL, "a", "", 100, 50).admitted
+        assert b.admit(T0, WALL, "a", "", 100, 50).reservation is not None
         assert b.admit(T0, WALL, "a", "", 1, 1).status == AdmissionStatus.OVERDRAWN
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         assert b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted
@@ -120,7 +120,7 @@
         end = (WALL // DAY_S + 1) * DAY_S
         held = b.admit(T0, end - 1, "a", "", 900, 100).reservation
         after = b.admit(T0 + S, end, "a", "", 800, 100)
-        assert after.admitted
+        assert after.reservation is not None
         b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
         assert b.balance(T0, end, "a")["day_tokens"] == 900
         assert (held.day, after.reservation.day) == (end // DAY_S - 1, end // DAY_S)
@@ -148,7 +148,7 @@
         b = budgets(a=plan(key=limit), b=plan(key=limit))
         held = b.admit(T0, WALL, "a", "k", 500, 100).reservation
         moved = b.admit(T0, WALL, "b", "k", 900, 100)
-        assert moved.admitted
+        assert moved.reservation is not None
         b.settle(T0, held, Usage(100))
         assert [
             node.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for node in (b.keys["a", "k"], b.keys["b", "k"])
