--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -21,6 +21,7 @@
 MAX_LEVELS_PER_TICK = 500  # bounds the work of one tick, whatever the number of levels
 MAX_CACHED_PATHS = 4_096
 SKETCH_SIZE = 64  # keys of the heavy-hitter sketch
+MAX_TOP_TENANTS = 10  # that the log names
 SAMPLE_MASK = 7  # the sketch is shown one arrival in eight
 STATE_VERSION = 1
 GRAINS_PER_TOKEN = MILLI_PER_TOKEN * GRAINS_PER_MILLI
@@ -217,9 +218,9 @@
             "month_limit": plan.limit.month,
         }
 
-    def top_tenants(self, most: int = 10) -> list[HeavyHitter[str]]:
+    def top_tenants(self) -> list[HeavyHitter[str]]:
         """The tenants that have asked for most of late, in milli."""
-        return self.heavy_hitters.top(most)
+        return self.heavy_hitters.top(MAX_TOP_TENANTS)
 
     # Time and change.
 
