--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -4,6 +4,7 @@
 import functools
 import json
 import os
+import pathlib
 import subprocess
 import threading
 import time
@@ -58,7 +59,9 @@
 
 
 @pytest.mark.parametrize("step_s", [-HOUR_S, -20])
-def test_a_replica_that_restarts_after_the_clock_was_set_back_is_started_slowly(tmp_path, monkeypatch, step_s):
+def test_a_replica_that_restarts_after_the_clock_was_set_back_is_started_slowly(
+    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, step_s: int
+) -> None:
     """Its start lies before the last one, by the new clock: taken for the old one, it would get its whole share."""
     warm, cold, go = Standin(), Standin(), threading.Event()
     discovery = Timed(("s-0", warm.address, "all-in-one"), ("s-1", cold.address, "all-in-one"))
@@ -101,7 +104,7 @@
 
 
 class TakeoverAfterAClockStep(TakeoverCase):
-    def test_the_predecessor_yields_and_a_replica_that_is_down_stays_down(self):
+    def test_the_predecessor_yields_and_a_replica_that_is_down_stays_down(self) -> None:
         for step_s in (-HOUR_S, HOUR_S):
             with self.subTest(step_s=step_s):
                 old = self.start_process()
@@ -118,7 +121,7 @@
 
 
 class TakeoverOnAFullDisk(TakeoverCase):
-    def test_a_successor_whose_message_nobody_can_read_leaves_its_predecessor_the_time(self):
+    def test_a_successor_whose_message_nobody_can_read_leaves_its_predecessor_the_time(self) -> None:
         """The predecessor cannot know of it, and would be ended while it still accepts clients.
 
         In the end the successor reports ready."""
--- a/tests/platform/test_cut_answers.py
+++ b/tests/platform/test_cut_answers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.platform.test_owed import day, request
+from tests.platform.test_owed import Day, day, request
 from tests.standins import TOKENS, Standin
 
 __all__ = ["day"]
@@ -28,7 +28,9 @@
     ("client_leaves", "why", "counter", "reason"),
     [(True, "client-left", "left_in_answer", "called-off"), (False, "broken", "broken", "lost-eof")],
 )
-def test_an_answer_that_is_cut_is_logged_with_its_request_and_connection(day, client_leaves, why, counter, reason):
+def test_an_answer_that_is_cut_is_logged_with_its_request_and_connection(
+    day: Day, client_leaves: bool, why: str, counter: str, reason: str
+) -> None:
     end = threading.Event()
     program = day.start((half_an_answer(end), "all-in-one"))
     client = day.connect()
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -1,6 +1,7 @@
 """The platform's front, replicas and discovery, over real sockets."""
 
 import contextlib
+import functools
 import http.client
 import json
 import pathlib
@@ -32,6 +33,7 @@
     Discovery,
     Program,
     Standin,
+    StandinHandler,
     dead_address,
     platform,
     platform_file,
@@ -73,7 +75,7 @@
 
 
 class TestServing(PlatformCase):
-    def test_two_stages_pass_everything_on_unchanged(self):
+    def test_two_stages_pass_everything_on_unchanged(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(202, b'{"cached_tokens":0}')
         status, _, body = self.program.ask("POST", PATH + "?q=1", BODY, headers("abc"))
@@ -85,13 +87,13 @@
         counters = self.program.counters()
         assert (counters["taken"], counters["sent"], counters["served"]) == (1, 2, 1)
 
-    def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self):
+    def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self) -> None:
         """The replicas discard repeats by it; who has none sends none on."""
         keyed = [{**SETTINGS["classes"][0], "effect": "idempotency_key", "group": "all", "window": 5_000_000}]
         servers = self.start("all-in-one", "all-in-one", settings={**SETTINGS, "classes": keyed})
         for server in servers:
             server.respond = lambda h, b: h.plain(500)
-        self.program.ask("POST", PATH, BODY, headers("k1", **{"Idempotency-Key": "f882f41b"}))
+        self.program.ask("POST", PATH, BODY, headers("k1") | {"Idempotency-Key": "f882f41b"})
         self.program.ask("POST", PATH, BODY, headers("k2"))
         got = [
             {(h["Request-Id"], h.get("Idempotency-Key")) for h in server.headers if "Request-Id" in h}
@@ -100,7 +102,7 @@
         assert got[0] & got[1] & {("k1", "f882f41b")} == {("k1", "f882f41b")}
         assert got[0] | got[1] == {("k1", "f882f41b"), ("k2", None)}
 
-    def test_a_booking_that_may_have_run_is_not_sent_again(self):
+    def test_a_booking_that_may_have_run_is_not_sent_again(self) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(500)
@@ -109,14 +111,14 @@
         assert sum(s.runs for s in servers) == 1
 
     @pytest.mark.parametrize(("mark", "status", "again"), [({}, 500, False), ({"Not_Started": "1"}, 503, True)])
-    def test_a_503_proves_nothing_without_its_mark(self, mark, status, again):
+    def test_a_503_proves_nothing_without_its_mark(self, mark: dict[str, str], status: int, again: bool) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(503, **mark)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
         assert (sum(s.runs for s in servers) > 1) == again
 
-    def test_a_dead_replica_costs_one_attempt_and_a_refusal_tells_when_to_come_back(self):
+    def test_a_dead_replica_costs_one_attempt_and_a_refusal_tells_when_to_come_back(self) -> None:
         (alive,) = self.start("all-in-one")
         self.discovery.update(("s-9", dead_address(), "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?", 2)
@@ -124,16 +126,16 @@
         assert (status, alive.runs) == (503, 0)
         assert self.program.counters()["outcomes"]["unreachable"] >= 1
 
-    def test_a_silent_replica_is_given_up_by_the_deadline(self):
+    def test_a_silent_replica_is_given_up_by_the_deadline(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: server.go.wait(20)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
         assert server.runs == 1
 
-    def test_a_broken_stream_is_closed_without_its_last_chunk(self):
+    def test_a_broken_stream_is_closed_without_its_last_chunk(self) -> None:
         (server,) = self.start("all-in-one")
 
-        def broken(handler, body):
+        def broken(handler: StandinHandler, body: bytes) -> None:
             handler.chunks(TOKENS[0], last=False)
             handler.connection.shutdown(socket.SHUT_RDWR)
 
@@ -148,7 +150,7 @@
         assert not got.endswith(b"0\r\n\r\n")
         assert server.runs == 1
 
-    def test_what_a_reader_holds_is_released_when_no_writer_takes_it(self):
+    def test_what_a_reader_holds_is_released_when_no_writer_takes_it(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         writer.respond = lambda h, b: h.plain(204 if h.command == "DELETE" else 500)
@@ -156,7 +158,7 @@
         reader.wait_for("DELETE", "/state/b7")
         assert writer.runs == 1
 
-    def test_a_read_cut_off_in_flight_is_released_too(self):
+    def test_a_read_cut_off_in_flight_is_released_too(self) -> None:
         reader, _ = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(204) if h.command == "DELETE" else reader.go.wait(20)
         connection = self.program.connect()
@@ -168,7 +170,7 @@
 
 
 class TestInput(PlatformCase):
-    def test_bad_input_is_a_plain_4xx_and_counted(self):
+    def test_bad_input_is_a_plain_4xx_and_counted(self) -> None:
         (server,) = self.start("all-in-one")
         good = headers()
         cases = [
@@ -192,16 +194,16 @@
             (b"nonsense\r\n\r\n", b"400"),
             (b"GET / HTTP/1.1\r\nHost: a\r\nLong: " + b"x" * 40_000 + b"\r\n\r\n", b"431"),
         ]
-        for sent, status in raw:
+        for sent, expected in raw:
             address = self.program.host, self.program.port
             with socket.create_connection(address, 20) as s:
                 s.sendall(sent)
-                got = b"".join(iter(lambda s=s: s.recv(4096), b""))
-            assert got.split(b" ")[1] == status, sent[:60]
+                got = b"".join(iter(functools.partial(s.recv, 4096), b""))
+            assert got.split(b" ")[1] == expected, sent[:60]
         assert self.program.counters()["rejected"] == len(cases) + len(raw) + 2
         assert server.calls == []
 
-    def test_nothing_behind_bad_input_is_served(self):
+    def test_nothing_behind_bad_input_is_served(self) -> None:
         (server,) = self.start("all-in-one")
 
         def request(id: str, cls: str) -> bytes:
@@ -213,7 +215,7 @@
             got = b"".join(iter(lambda: s.recv(4096), b""))
         assert (got.count(b"HTTP/1.1"), got.split(b" ")[1], server.calls) == (1, b"400", [])
 
-    def test_who_trickles_or_says_nothing_is_cut_off_in_time(self):
+    def test_who_trickles_or_says_nothing_is_cut_off_in_time(self) -> None:
         self.start("all-in-one")
         address = self.program.host, self.program.port
         with socket.create_connection(address, 20) as silent, socket.create_connection(address, 20) as trickling:
@@ -228,7 +230,7 @@
             assert silent.recv(1) == b""
         self.program.wait_line("side=client .* reason=silent")
 
-    def test_bad_configuration_is_one_line_that_names_the_key(self):
+    def test_bad_configuration_is_one_line_that_names_the_key(self) -> None:
         for environ, key in (({}, "RELAY_CONFIG"), ({"RELAY_CONFIG": "/nowhere"}, "RELAY_CONFIG")):
             done = subprocess.run([sys.executable, "-m", "pearhill"], env=environ, cwd=ROOT, capture_output=True)
             assert done.returncode == 2
@@ -244,7 +246,7 @@
             self.cleanup.callback(client.close)
         return made
 
-    def test_past_the_budget_the_longest_idle_client_makes_room(self):
+    def test_past_the_budget_the_longest_idle_client_makes_room(self) -> None:
         self.start("all-in-one", limits={"sockets": 64})
         used = self.program.connect()
         used.request("GET", "/ready")
@@ -259,7 +261,7 @@
         assert used.getresponse().status == 200
         self.program.wait_line("side=client .* reason=room-needed")
 
-    def test_requests_leave_nothing_behind_in_memory(self):
+    def test_requests_leave_nothing_behind_in_memory(self) -> None:
         self.start("all-in-one")
         large = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
 
@@ -276,7 +278,7 @@
         before = resident(40)
         assert resident(160) - before < 8  # their bodies alone are 24
 
-    def test_out_of_descriptors_accepting_pauses_and_goes_on(self):
+    def test_out_of_descriptors_accepting_pauses_and_goes_on(self) -> None:
         self.start("all-in-one", files=24)
         self.idle(40)
         self.program.wait_line("accepting pauses")
@@ -289,7 +291,7 @@
     def raw(self, *parts: bytes) -> Any:
         """A server's answer to a POST, byte by byte as the test says; its connection stays open."""
 
-        def respond(handler, body):
+        def respond(handler: StandinHandler, body: bytes) -> None:
             try:
                 for part in parts:
                     handler.wfile.write(part)
@@ -301,7 +303,7 @@
 
         return respond
 
-    def test_before_the_first_event_it_may_have_run_and_later_the_client_gets_good_events_alone(self):
+    def test_before_the_first_event_it_may_have_run_and_later_the_client_gets_good_events_alone(self) -> None:
         first = b"%x\r\n%b\r\n" % (len(TOKENS[0]), TOKENS[0])
         endless = self.HEAD[:-2] + b"A: " + b"x" * 100_000
         lying, huge = b"5\r\n" + TOKENS[1] + b"\r\n", b"BFFFFFFF\r\n" + b"x" * 300_000
@@ -322,7 +324,7 @@
             assert got + broken.value.partial == TOKENS[0]
         self.program.wait_line("side=server .* reason=lost-malformed")
 
-    def test_interim_answers_do_no_harm_and_a_second_answer_is_never_read_as_the_next(self):
+    def test_interim_answers_do_no_harm_and_a_second_answer_is_never_read_as_the_next(self) -> None:
         whole = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
         (server,) = self.start("all-in-one")
         server.respond = self.raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + whole + whole)
@@ -330,7 +332,7 @@
             assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
         assert server.runs == 3
 
-    def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self):
+    def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self) -> None:
         """Of two answers neither can be believed; the one may be another request's."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
@@ -340,13 +342,13 @@
 
 
 class TestReload(PlatformCase):
-    def test_a_new_discovery_is_asked_for_the_whole_list_and_what_is_open_lives_on(self):
+    def test_a_new_discovery_is_asked_for_the_whole_list_and_what_is_open_lives_on(self) -> None:
         old, new = self.start("all-in-one")[0], Standin()
         other = Discovery(("s-9", new.address, "all-in-one"))
         for thing in (new, other):
             self.cleanup.callback(thing.close)
 
-        def waits(handler, body):
+        def waits(handler: StandinHandler, body: bytes) -> None:
             handler.chunks(TOKENS[0], last=False)
             old.go.wait(20)
             handler.more(TOKENS[1] + LAST)
@@ -364,7 +366,7 @@
         assert response.read() == b"".join(TOKENS) + LAST
         assert (old.runs, new.runs) == (1, 1)
 
-    def test_settings_change_and_a_bad_file_keeps_the_old_ones(self):
+    def test_settings_change_and_a_bad_file_keeps_the_old_ones(self) -> None:
         self.start()
         stay = {**SETTINGS["allowed"], "max-retry-after": 250000}
         self.program.reload(platform_file(self.discovery.address, settings={**SETTINGS, "allowed": stay}))
@@ -378,7 +380,7 @@
         status, answered, _ = self.program.ask("POST", PATH, BODY, headers())
         assert (status, answered["retry-after"]) == (503, "0.250")
 
-    def test_in_a_drain_it_does_no_harm(self):
+    def test_in_a_drain_it_does_no_harm(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: (server.go.wait(20), h.chunks(*TOKENS, LAST))
         connection = self.program.connect()
@@ -404,7 +406,7 @@
         "boot_ms": 1_764_600_000_000,
     }
 
-    def test_a_target_is_a_replica_that_started_on_the_programs_clock(self):
+    def test_a_target_is_a_replica_that_started_on_the_programs_clock(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = parse_endpoints([self.TARGET], deployment)
         assert entry == Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000)
@@ -412,7 +414,7 @@
         # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
         assert abs(start_clock()() - time.time() * 1e6) < 60e6
 
-    def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self):
+    def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
         assert (entry.zone, entry.kind) == (1, 2)
@@ -420,7 +422,7 @@
             bad = {k: v for k, v in {**self.TARGET, **change}.items() if v is not None}
             assert parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone == 1
 
-    def test_an_invalid_target_that_says_that_a_known_replica_leaves_counts_for_that(self):
+    def test_an_invalid_target_that_says_that_a_known_replica_leaves_counts_for_that(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([self.TARGET], deployment)
         known = {entry.replica: entry}
@@ -432,10 +434,10 @@
 
 
 class TestEnding(PlatformCase):
-    def test_sigterm_answers_what_was_taken_then_exits_well(self):
+    def test_sigterm_answers_what_was_taken_then_exits_well(self) -> None:
         (server,) = self.start("all-in-one")
 
-        def waits(handler, body):
+        def waits(handler: StandinHandler, body: bytes) -> None:
             server.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
@@ -453,18 +455,18 @@
         assert self.program.process.wait(20) == 0
         self.program.wait_line(r'counters .*"served": 1')
 
-    def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self):
+    def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self) -> None:
         """Else a prefill replica that is cut off holds useless state past its time. Its client is answered at once."""
         reader, writer = self.start("reader", "writer")
         released, closed, held = threading.Event(), threading.Event(), list[socket.socket]()
 
-        def read(handler, body):
+        def read(handler: StandinHandler, body: bytes) -> None:
             if handler.command == "DELETE":
                 released.wait(20)
                 return handler.plain(204)
             return handler.plain(202, b'{"cached_tokens":0}')
 
-        def write(handler, body):
+        def write(handler: StandinHandler, body: bytes) -> None:
             if handler.command == "DELETE":
                 return handler.plain(204)
             held.append(handler.connection)
@@ -487,10 +489,10 @@
             assert closed.wait(20)
             reader.wait_for("DELETE", count=deletes + 2)  # sent before, it releases nothing that an attempt waits for
 
-    def test_an_idle_connection_that_the_replica_closed_is_not_used_again(self):
+    def test_an_idle_connection_that_the_replica_closed_is_not_used_again(self) -> None:
         (server,) = self.start("all-in-one")
 
-        def once(handler, body):
+        def once(handler: StandinHandler, body: bytes) -> None:
             handler.chunks(*TOKENS, LAST)
             handler.close_connection = True
 
@@ -500,7 +502,7 @@
         assert server.runs == 5
         self.program.wait_line("side=server .* reason=(server-eof|stale)")
 
-    def test_a_replica_that_is_leaving_gets_nothing_new(self):
+    def test_a_replica_that_is_leaving_gets_nothing_new(self) -> None:
         first, second = self.start("all-in-one", "all-in-one")
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
@@ -508,7 +510,7 @@
             assert self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
         assert (first.runs, second.runs) == (0, 6)
 
-    def test_an_indented_list_of_a_thousand_servers_in_one_chunk_is_in_force(self):
+    def test_an_indented_list_of_a_thousand_servers_in_one_chunk_is_in_force(self) -> None:
         server = Standin()
         self.cleanup.callback(server.close)
         gone = dead_address()
@@ -521,7 +523,7 @@
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 3)
         assert self.program.counters()["lists"] < 20  # though none of its calls may wait there
 
-    def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self):
+    def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self) -> None:
         """The first replica's connections come up late: its queue of them is full until the list has taken it away."""
         second = Standin()
         self.cleanup.callback(second.close)
@@ -547,7 +549,7 @@
         counters = self.program.counters()
         assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
-    def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self):
+    def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self) -> None:
         """Its calls hang for good, those on new connections too for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
         silent, whole = threading.Event(), self.discovery.respond
@@ -566,20 +568,26 @@
         assert (first.runs, second.runs) == (1, 0)
         assert len(self.discovery.calls) - known < 20  # watches again, and not a call every few milliseconds
 
-    def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self):
+    def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self) -> None:
         gone, server = Standin(), Standin()
         discovery = Discovery(("s-1", server.address, "all-in-one"))
         for thing in (gone, server, discovery):
             self.cleanup.callback(thing.close)
         whole, asked = discovery.respond, threading.Event()
-        discovery.respond = lambda h, b: (asked.set(), discovery.go.wait(0.3), whole(h, b))
+
+        def respond(handler: StandinHandler, body: bytes) -> None:
+            asked.set()
+            discovery.go.wait(0.3)
+            whole(handler, body)
+
+        discovery.respond = respond
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             address = "{}:{}".format(*free.getsockname())
         folder = tempfile.TemporaryDirectory()
         self.cleanup.callback(folder.cleanup)
         path = pathlib.Path(folder.name) / "config.json"
-        yesterday = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", gone.address, "all-in-one")])
+        yesterday: Any = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", gone.address, "all-in-one")])
         path.write_text(platform_file(discovery.address, Discovery.answer(yesterday)["targets"], listen=address))
         with ThreadPoolExecutor() as pool:
             program = pool.submit(Program, RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
@@ -597,7 +605,7 @@
             self.cleanup.callback(self.program.kill)
         assert (status, gone.runs, server.runs) == (200, 0, 1)
 
-    def test_a_list_known_at_the_start_must_do_while_discovery_is_silent(self):
+    def test_a_list_known_at_the_start_must_do_while_discovery_is_silent(self) -> None:
         server, silent = Standin(), Standin()
         silent.respond = lambda h, b: silent.go.wait(20)
         self.cleanup.callback(server.close)
--- a/tests/platform/test_failing_calls.py
+++ b/tests/platform/test_failing_calls.py
@@ -1,5 +1,6 @@
 """Reads and writes that fail for want of memory, or by a signal, end no connection: the real program under the shim."""
 
+import pathlib
 import time
 import unittest.mock
 
@@ -24,7 +25,7 @@
         "pieces 7;fail recv ENOBUFS 0.1",
     ],
 )
-def test_every_request_is_answered_whole_and_runs_once(monkeypatch, faults):
+def test_every_request_is_answered_whole_and_runs_once(monkeypatch: pytest.MonkeyPatch, faults: str) -> None:
     monkeypatch.setenv("SOAK_COMMANDS", faults)
     monkeypatch.setenv("SOAK_SEED", "11")
     print("seed 11")
@@ -41,7 +42,9 @@
         started.end()
 
 
-def test_a_request_that_waited_in_the_accept_queue_has_only_the_rest_of_its_time(day, tmp_path, monkeypatch):
+def test_a_request_that_waited_in_the_accept_queue_has_only_the_rest_of_its_time(
+    day: Day, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """No connection could be accepted meanwhile; its request was there all the while."""
     server, timeout_ms = Standin(), 5000
     day.discovery = Discovery(("s-0", server.address, "all-in-one"))
@@ -71,7 +74,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_start_outlasts_a_moment_in_which_the_system_has_no_sockets(monkeypatch, seed):
+def test_a_start_outlasts_a_moment_in_which_the_system_has_no_sockets(
+    monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     monkeypatch.setenv("SOAK_COMMANDS", "fail socket ENFILE 0.8")
     monkeypatch.setenv("SOAK_SEED", str(seed))
     print(f"seed {seed}")
--- a/tests/platform/test_held_states.py
+++ b/tests/platform/test_held_states.py
@@ -3,8 +3,8 @@
 import threading
 from typing import Any
 
-from tests.platform.test_owed import close, day, request  # noqa: F401
-from tests.standins import Standin
+from tests.platform.test_owed import Day, close, day, request  # noqa: F401
+from tests.standins import Standin, StandinHandler
 
 READ = b'{"cached_tokens":0}'
 
@@ -13,14 +13,14 @@
     handler.plain(204) if handler.command == "DELETE" else handler.plain(202, READ)
 
 
-def test_a_state_is_released_in_time_though_the_fetch_on_an_open_connection_never_arrives(day):  # noqa: F811
+def test_a_state_is_released_in_time_though_the_fetch_on_an_open_connection_never_arrives(day: Day) -> None:  # noqa: F811
     """The decode replica's connection has fallen silent, with no error: what was written there is not out. A release
     while it is out changes nothing, so it is sent long before the attempt times out."""
     prefill, decode, over = Standin(), Standin(), threading.Event()
     outcomes: list[dict[str, int]] = []
     released = threading.Event()
 
-    def read(handler: Any, body: bytes) -> None:
+    def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             outcomes.append(program.counters()["outcomes"])
             released.set()
@@ -39,18 +39,18 @@
     assert "cancelled" not in outcomes[0], outcomes
 
 
-def test_a_release_is_repeated_after_the_end_of_a_fetch_that_the_decode_replica_sees_late(day):  # noqa: F811
+def test_a_release_is_repeated_after_the_end_of_a_fetch_that_the_decode_replica_sees_late(day: Day) -> None:  # noqa: F811
     """The release overtakes the close of the fetch, and releases nothing while the decode replica waits for the state:
     one has to come after that."""
     prefill, decode = Standin(), Standin()
     deletes = threading.Semaphore(0)
 
-    def read(handler: Any, body: bytes) -> None:
+    def read(handler: StandinHandler, body: bytes) -> None:
         answer_reads(handler, body)
         if handler.command == "DELETE":
             deletes.release()
 
-    def write(handler: Any, body: bytes) -> None:
+    def write(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             return handler.plain(204)
         handler.connection.recv(1)
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -6,6 +6,7 @@
 import socket
 import threading
 from concurrent.futures import ThreadPoolExecutor
+from typing import Any
 
 import pytest
 
@@ -82,12 +83,12 @@
 
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
-def test_no_dispatcher_sends_to_a_replica_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int):
+def test_no_dispatcher_sends_to_a_replica_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int) -> None:
     """One plainly, one whose agent is silent while the list changes, one that is killed and starts by yesterday's list.
     Each booking waits for its connection when the list changes, and runs once, elsewhere."""
     late, good = LateReplica(), Standin()
     agents = [Discovery(("s-0", late.address, "all-in-one")) for _ in range(3)]
-    changes = {
+    changes: dict[str, Any] = {
         "settings": {
             **SETTINGS,
             "rules": {**SETTINGS["rules"], "drain-grace": grace},
@@ -95,7 +96,7 @@
         }
     }
     programs = [platform(agent.address, **changes) for agent in agents]
-    stand_ins = [late, good, *agents]
+    stand_ins: list[Any] = [late, good, *agents]
     silent, answer = threading.Event(), agents[1].respond
     agents[1].respond = lambda h, b: agents[1].go.wait(30) if silent.is_set() else answer(h, b)
     try:
--- a/tests/platform/test_load_report_text.py
+++ b/tests/platform/test_load_report_text.py
@@ -24,5 +24,5 @@
         ("<html>" * 900, None),
     ],
 )
-def test_a_report_is_read_completely_or_not_at_all(text, load):
+def test_a_report_is_read_completely_or_not_at_all(text: str, load: tuple[float, float] | None) -> None:
     assert parse_load_report(text) == load
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -11,13 +11,13 @@
 import struct
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any
 
 import pytest
 
 from tests.platform.test_leaving import LateReplica
-from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform
+from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, StandinHandler, platform
 
 PATH = "/v1/chat/completions"
 BODY = json.dumps({"model": "chat", "stream": True, "messages": []}).encode()
@@ -120,7 +120,7 @@
 
 
 @pytest.fixture
-def day():
+def day() -> Iterator[Day]:
     made = Day()
     yield made
     made.end()
@@ -144,7 +144,7 @@
 HALF = request("big").partition(b"Content-Length")[0] + b"Content-Length: 200000\r\n\r\n" + b" " * 150_000
 
 
-def test_nothing_is_begun_for_a_client_whose_end_stands_behind_its_request(day):
+def test_nothing_is_begun_for_a_client_whose_end_stands_behind_its_request(day: Day) -> None:
     """The program comes to read the one when the other is there, and has an idle connection to send it on. All that a
     flood has sent stands between the two."""
     server = Standin()
@@ -160,14 +160,20 @@
             end(client)
             while time.monotonic() < rested:
                 pass
-        day.until(lambda counters, n=n: counters["left"] > n)
+
+        def has_left(counters: dict[str, Any], n: int = n) -> bool:
+            return bool(counters["left"] > n)
+
+        day.until(has_left)
         assert server.runs == n + 1, (end, more[:200])
     before.sendall(request("a0"))  # nothing is left of it, not even its name
     assert answer(before) == (200, SERVED)
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_nothing_is_begun_for_a_client_that_has_gone_when_its_connection_to_the_server_comes_up(day, end):
+def test_nothing_is_begun_for_a_client_that_has_gone_when_its_connection_to_the_server_comes_up(
+    day: Day, end: Callable[[socket.socket], None]
+) -> None:
     """That is up first, so that the loop comes to it first."""
     late = LateReplica()
     program = day.start((late, "all-in-one"), settings=SLOW_CONNECT)
@@ -182,7 +188,7 @@
     assert (late.bytes_received, program.counters()["sent"]) == (0, 1)
 
 
-def test_a_client_that_goes_is_seen_though_it_has_sent_more_than_is_read_of_it(day):
+def test_a_client_that_goes_is_seen_though_it_has_sent_more_than_is_read_of_it(day: Day) -> None:
     """Its request waits for its answer meanwhile; a flood used to stop the reading of its own end."""
     server = Standin()
     server.respond = lambda handler, body: handler.connection.recv(1)
@@ -196,7 +202,7 @@
     assert (counters["outcomes"], counters["left"], server.runs) == ({"cancelled": 1}, 1, 1)
 
 
-def test_of_a_flood_on_one_connection_the_first_are_answered_and_then_it_ends(day):
+def test_of_a_flood_on_one_connection_the_first_are_answered_and_then_it_ends(day: Day) -> None:
     """What is kept of it is bounded; the rest is read and thrown away, so that it hides no end."""
     server = Standin()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
@@ -209,7 +215,7 @@
     assert server.runs == 5
 
 
-def test_a_request_on_the_connection_that_just_then_makes_room_is_answered(day):
+def test_a_request_on_the_connection_that_just_then_makes_room_is_answered(day: Day) -> None:
     """It was read off the socket in the very turn in which another came, for whom the longest idle one had to go; and
     went with it."""
     server = Standin()
@@ -231,7 +237,7 @@
     assert sum(map(stands, idle)) < 8  # another connection has made room
 
 
-def test_a_keyed_request_is_not_begun_again_once_its_window_is_over(day):
+def test_a_keyed_request_is_not_begun_again_once_its_window_is_over(day: Day) -> None:
     """The choice came in time, and the connection after it. A refusal is harmless: all servers discard repeats."""
     window = 2_500_000
     keyed = {
@@ -258,19 +264,19 @@
     assert late.bytes_received == 0
 
 
-def test_another_fetch_is_not_begun_while_the_prefill_replica_that_holds_the_state_answers_nothing(day):
+def test_another_fetch_is_not_begun_while_the_prefill_replica_that_holds_the_state_answers_nothing(day: Day) -> None:
     """Found no state there, nothing would be out, and what is held could not be let go of."""
     silent, given_up = threading.Event(), threading.Event()
     prefill, decode_replicas = Standin(), [Standin(), Standin()]
     asked: list[Standin] = []
 
-    def read(handler: Any, body: bytes) -> None:
+    def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             silent.wait(20)
             return handler.plain(204)
         handler.plain(202, b'{"cached_tokens":0}')
 
-    def write(handler: Any, body: bytes) -> None:
+    def write(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             return handler.plain(204)
         asked.append(handler.standin)
@@ -293,12 +299,12 @@
     assert given_up.wait(20)  # all that holds something answers: it is let go of
 
 
-def test_the_end_waits_for_releases_and_ends_whoever_rests_before_it_can_take_a_request_more(day):
+def test_the_end_waits_for_releases_and_ends_whoever_rests_before_it_can_take_a_request_more(day: Day) -> None:
     """The client came while connections were still accepted, and sent nothing. What it sends once nothing is accepted
     was read, and lost as the process ended; the releases went on for a second."""
     answering, replica = threading.Event(), Standin()
 
-    def read(handler: Any, body: bytes) -> None:
+    def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             answering.wait(30)
             return handler.plain(204)
@@ -328,7 +334,7 @@
     assert program.process.wait(20) == 0
 
 
-def test_idle_clients_that_fill_the_descriptors_take_none_from_the_list_the_servers_or_new_requests(day):
+def test_idle_clients_that_fill_the_descriptors_take_none_from_the_list_the_servers_or_new_requests(day: Day) -> None:
     """Discovery is silent meanwhile, and is called again and again. Whoever has a request open keeps its connection."""
     server, over = Standin(), threading.Event()
     known = [
@@ -393,7 +399,7 @@
         over.wait(20)  # the program has ended this connection
 
 
-def test_events_go_on_one_by_one_while_neighbours_flood_trickle_and_read_nothing(day):
+def test_events_go_on_one_by_one_while_neighbours_flood_trickle_and_read_nothing(day: Day) -> None:
     """The replica writes an event when its client has the last one: none waits for another, or for a neighbour."""
     server, seen, over = Standin(), threading.Semaphore(0), threading.Event()
     events = [b'data: {"n":%d}\n\n' % n for n in range(20)]
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from tests.platform.test_owed import SERVED, day, request  # noqa: F401
+from tests.platform.test_owed import SERVED, Day, day, request  # noqa: F401
 from tests.standins import LAST, TOKENS, Standin
 
 WAITED_S = 3.0
@@ -40,7 +40,7 @@
             return 0, b""
 
 
-def test_a_replica_is_given_no_more_time_than_the_client_has_left(day):  # noqa: F811
+def test_a_replica_is_given_no_more_time_than_the_client_has_left(day: Day) -> None:  # noqa: F811
     """Those behind wait for the first one's answer, and their time runs from their last byte. One whose time is over
     before its turn is rejected, and not sent."""
     server = Standin()
@@ -65,7 +65,7 @@
     assert given <= TIMEOUT_MS - WAITED_S * 1000, given
 
 
-def test_what_was_read_before_a_drain_is_answered_in_it(day):  # noqa: F811
+def test_what_was_read_before_a_drain_is_answered_in_it(day: Day) -> None:  # noqa: F811
     """The first answer came while the process was ending, ended the connection, and the others were dropped."""
     server, ending = Standin(), threading.Event()
     server.respond = lambda handler, body: (ending.wait(20), handler.chunks(*TOKENS, LAST))
@@ -81,7 +81,7 @@
     assert program.process.wait(20) == 0
 
 
-def test_what_arrives_long_after_the_signal_to_end_is_refused(day):  # noqa: F811
+def test_what_arrives_long_after_the_signal_to_end_is_refused(day: Day) -> None:  # noqa: F811
     """Under way when the platform kills, it would be lost; rejected, it is served elsewhere."""
     server, over = Standin(), threading.Event()
     server.respond = lambda handler, body: (over.wait(20), handler.chunks(*TOKENS, LAST))
--- a/tests/platform/test_reset_behind_bytes.py
+++ b/tests/platform/test_reset_behind_bytes.py
@@ -3,6 +3,7 @@
 While the program is stopped (SIGSTOP) the system takes the bytes and the reset, in that order, so that one wake-up of
 its loop brings both. No test here rests on a time: each asks what ended the connection."""
 
+import pathlib
 import socket
 import threading
 from typing import Any
@@ -10,7 +11,7 @@
 import pytest
 
 from tests.platform.test_clock_steps import start
-from tests.platform.test_owed import Stopped, answer, day, request, reset
+from tests.platform.test_owed import Day, Stopped, answer, day, request, reset
 from tests.standins import LAST, TOKENS, Discovery, Standin
 
 __all__ = ["day"]
@@ -40,7 +41,7 @@
 
 
 @pytest.mark.parametrize("behind", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
-def test_a_reset_behind_an_event_ends_the_answer_of_its_client(day, behind):
+def test_a_reset_behind_an_event_ends_the_answer_of_its_client(day: Day, behind: bytes) -> None:
     """Incident 40: it was never seen, and the client was left waiting for the rest."""
     server, stopped, gone = Standin(), threading.Event(), threading.Event()
 
@@ -65,7 +66,7 @@
     assert not rest.endswith(b"0\r\n\r\n")  # nothing says that it is whole
 
 
-def test_a_reset_behind_half_a_list_is_seen_and_the_list_asked_for_again(day):
+def test_a_reset_behind_half_a_list_is_seen_and_the_list_asked_for_again(day: Day) -> None:
     """What discovery has counts as reported; the call was given up only at the end of its time."""
     server, called, stopped, gone = Standin(), threading.Event(), threading.Event(), threading.Event()
     program = day.start((server, "all-in-one"))
@@ -88,7 +89,7 @@
     assert ended_by(day, "server call-failed", RESET_SEEN) == RESET_SEEN
 
 
-def test_a_client_that_resets_behind_more_bytes_is_seen_while_its_request_is_out(day):
+def test_a_client_that_resets_behind_more_bytes_is_seen_while_its_request_is_out(day: Day) -> None:
     server = Standin()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
     program = day.start((server, "all-in-one"))
@@ -126,7 +127,9 @@
 
 
 @pytest.mark.parametrize("early", [b"", b"HTTP/1.1 200 OK\r\n"], ids=["nothing", "half a head"])
-def test_a_reset_while_a_request_waits_to_be_written_ends_its_attempt(day, tmp_path, monkeypatch, early):
+def test_a_reset_while_a_request_waits_to_be_written_ends_its_attempt(
+    day: Day, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, early: bytes
+) -> None:
     """Its last byte was never written, so that it never ran. The system takes no byte of it meanwhile."""
     stuck = Unread()
     day.discovery = Discovery(("s-0", stuck.address, "all-in-one"))
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pearhill.platform.schedule import MAX_CALL_INTERVAL_US, MAX_QUEUE_WAIT_US, WATCH_WAIT_US, CallSchedule
-from tests.standins import SETTINGS, Discovery, Standin, platform
+from tests.standins import SETTINGS, Discovery, Program, Standin, StandinHandler, platform
 
 S = 1_000_000
 GRACE = 250_000
@@ -116,7 +116,9 @@
 
 @pytest.mark.parametrize("how", ["refused", "silent", "nonsense"])
 @pytest.mark.parametrize("count", [1, 30, 230])
-def test_events_of_a_shared_discovery_are_never_six_seconds_old_and_its_calls_do_not_crowd_it(count: int, how: str):
+def test_events_of_a_shared_discovery_are_never_six_seconds_old_and_its_calls_do_not_crowd_it(
+    count: int, how: str
+) -> None:
     """Through 20 s without it, with a change before, in or after that. The oldest event, and the most calls in a
     second, stand in docs/design/owed.md."""
     back, oldest, most = 40 * S, 0, 0
@@ -138,7 +140,9 @@
 
 
 @pytest.mark.parametrize("count", [1, 30, 230])
-def test_a_call_begins_so_soon_after_the_last_one_that_its_turn_comes_before_its_events_count_as_reported(count: int):
+def test_a_call_begins_so_soon_after_the_last_one_that_its_turn_comes_before_its_events_count_as_reported(
+    count: int,
+) -> None:
     one = CallSchedule(True, count, GRACE, random.Random(4))
     assert max(one.first_call_delay() for _ in range(100)) <= MAX_CALL_INTERVAL_US
     for took in (0, 1_000, MAX_QUEUE_WAIT_US, one.answer_timeout(0), one.answer_timeout(one.watch_wait(True))):
@@ -151,7 +155,7 @@
 
 @pytest.mark.parametrize("grace", [1_000, 250_000, 500_000, 1_000_000])
 @pytest.mark.parametrize("shared", [False, True])
-def test_what_a_silent_watch_misses_is_called_for_before_it_counts_as_reported(shared: bool, grace: int):
+def test_what_a_silent_watch_misses_is_called_for_before_it_counts_as_reported(shared: bool, grace: int) -> None:
     """STANDING.md: reported 6 s after the silence began, or 2 s after the call's wait is over, whichever is later. At a
     shared service the new call may stand 2 s in line."""
     one = CallSchedule(shared, 200, grace, random.Random(5))
@@ -164,7 +168,7 @@
 
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
-def test_events_of_a_silent_agent_that_comes_back_are_received_well_within_the_grace(grace: int):
+def test_events_of_a_silent_agent_that_comes_back_are_received_well_within_the_grace(grace: int) -> None:
     """Whether it answers what it was asked while it was silent, or only what it is asked from then on."""
     one = CallSchedule(False, 200, grace, random.Random(5))
     assert one.watch_wait(True) == WATCH_WAIT_US
@@ -180,7 +184,7 @@
     assert one.watch_wait(True) == WATCH_WAIT_US
 
 
-def test_a_reload_that_makes_discovery_shared_spreads_the_calls_from_then_on():
+def test_a_reload_that_makes_discovery_shared_spreads_the_calls_from_then_on() -> None:
     one = CallSchedule(False, 1, GRACE, random.Random(7))
     one.reconfigure(True, 40, GRACE)
     assert max(one.first_call_delay() for _ in range(50)) > 2 * S
@@ -190,7 +194,7 @@
 KNOWN = {"az": "north", "model": "all-in-one", "pod_group": 1, "state": "active", "capacity_hint": 1.0, "boot_ms": 0}
 
 
-def started(discovery: Discovery, server: Standin):
+def started(discovery: Discovery, server: Standin) -> Program:
     return platform(
         discovery.address,
         settings={**SETTINGS, "discovery": "on_request", "n-instances": 2},
@@ -198,7 +202,7 @@
     )
 
 
-def test_the_daemon_asks_a_shared_discovery_for_what_changed_since_the_list_it_knows():
+def test_the_daemon_asks_a_shared_discovery_for_what_changed_since_the_list_it_knows() -> None:
     server, discovery = Standin(), Discovery(("s-0", "127.0.0.1:1", "all-in-one"))
     program = started(discovery, server)
     try:
@@ -210,7 +214,7 @@
             thing()
 
 
-def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list():
+def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list() -> None:
     """An older revision, a failure and nonsense: each is logged in one line, and the next good list is in force."""
     server, discovery = Standin(), Discovery()
     discovery.rev = 7
@@ -222,7 +226,7 @@
     ]
     whole = Discovery.respond
 
-    def respond(handler, body):
+    def respond(handler: StandinHandler, body: bytes) -> None:
         handler.plain(*answers.pop(0)) if answers else whole(discovery, handler, body)
 
     discovery.respond = respond
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -186,7 +186,9 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.05, 0.1, 0.25, 0.4, 1.0, 3.0, 10.0])
-def test_a_shutdown_is_over_by_the_earliest_kill_and_every_request_in_it_is_answered(loop, deadline_s):
+def test_a_shutdown_is_over_by_the_earliest_kill_and_every_request_in_it_is_answered(
+    loop: VirtualLoop, deadline_s: float
+) -> None:
     shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=False))
     open_still = [record.name for record in shutdown.records if record.ended is None]
     lost = [
@@ -200,7 +202,9 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.25, 3.0, 10.0])
-def test_a_replica_that_hangs_keeps_no_connection_open_but_its_own_requests(loop, deadline_s):
+def test_a_replica_that_hangs_keeps_no_connection_open_but_its_own_requests(
+    loop: VirtualLoop, deadline_s: float
+) -> None:
     """That one is answered at its deadline; where this is later than the kill, it came long enough before it."""
     shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=True))
     open_still = [record.name for record in shutdown.records if record.ended is None]
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -9,6 +9,7 @@
 import random
 import re
 from types import SimpleNamespace
+from typing import Any
 from unittest.mock import patch
 
 import pytest
@@ -46,7 +47,7 @@
         self.garbled, self.calls = 0, 0
         self.reported: dict[int, int] = {}  # by version
 
-    async def call(self, pool, address, data: bytes, patience: int, purpose: int) -> tuple[int, bytes]:
+    async def call(self, pool: object, address: object, data: bytes, patience: int, purpose: int) -> tuple[int, bytes]:
         self.calls += 1
         asked = re.search(rb"after=(\d+)&wait_ms=(\d+)", data)
         after, wait = (int(asked[1]), int(asked[2]) * 1000) if asked else (0, 0)
@@ -88,7 +89,7 @@
         self.reported[self.rev] = (
             now
             if watching or not self.open
-            else min(max(c.hushed_at + 6 * S, c.at + c.wait + 2 * S) for c in self.open)
+            else min(max(c.hushed_at + 6 * S, c.at + c.wait + 2 * S) for c in self.open if c.hushed_at is not None)
         )
 
     def _change(self, now: int) -> None:
@@ -139,7 +140,9 @@
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(script=SCRIPT, keeps=st.booleans(), seed=st.integers(0, 9))
-def test_every_change_is_in_force_within_the_grace_after_it_counts_as_reported(grace, script, keeps, seed):
+def test_every_change_is_in_force_within_the_grace_after_it_counts_as_reported(
+    grace: int, script: list[tuple[int, str]], keeps: bool, seed: int
+) -> None:
     loop = VirtualLoop()
     applied: dict[int, int] = {}
     deadlines = Deadlines(loop.micros)
@@ -148,13 +151,19 @@
 
     async def day() -> None:
         turns = EventLoopTicks(loop, deadlines)
-        pool = SimpleNamespace(spawn=Tasks(loop, "a call").spawn, deadlines=deadlines, drop_idle=lambda address: None)
+        pool: Any = SimpleNamespace(
+            spawn=Tasks(loop, "a call").spawn, deadlines=deadlines, drop_idle=lambda address: None
+        )
         schedule = CallSchedule(deployment.shared_discovery, 200, deployment.drain_grace, random.Random(seed))
+
+        def apply(*changes: object) -> None:
+            applied.setdefault(watch.revision, loop.micros())
+
         watch = discovery.Watch(
             pool,
             ("127.0.0.1", 1),
             deployment,
-            lambda whole, entries, addresses: applied.setdefault(watch.revision, loop.micros()),
+            apply,
             schedule,
             {},
         )
@@ -190,7 +199,7 @@
 
 
 @pytest.mark.parametrize("shared", [True, False])
-def test_a_list_that_is_nonsense_of_any_kind_ends_no_watch(shared):
+def test_a_list_that_is_nonsense_of_any_kind_ends_no_watch(shared: bool) -> None:
     """The calls go on, and the next list is applied."""
 
     async def day(loop: VirtualLoop) -> int:
@@ -204,7 +213,9 @@
 
         deadlines = Deadlines(loop.micros)
         turns = EventLoopTicks(loop, deadlines)
-        pool = SimpleNamespace(deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None)
+        pool: Any = SimpleNamespace(
+            deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None
+        )
         schedule = CallSchedule(shared, 3, 500_000, random.Random(1))
         deployment = deployments.parse(SETTINGS)
         with patch.object(discovery, "call", call):
@@ -222,7 +233,7 @@
         loop.close()
 
 
-def test_new_configurations_in_a_row_put_no_call_off():
+def test_new_configurations_in_a_row_put_no_call_off() -> None:
     """Each names another discovery, and each draws the time of its first call anew. What has changed meanwhile counts
     as reported after 6 s all the same."""
 
@@ -235,7 +246,9 @@
 
         deadlines = Deadlines(loop.micros)
         turns = EventLoopTicks(loop, deadlines)
-        pool = SimpleNamespace(deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None)
+        pool: Any = SimpleNamespace(
+            deadlines=deadlines, spawn=Tasks(loop, "a call").spawn, drop_idle=lambda address: None
+        )
         schedule = CallSchedule(True, 200, 500_000, random.Random(seed))
         deployment = deployments.parse(SETTINGS)
         with patch.object(discovery, "call", call):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -147,7 +147,7 @@
         self.address = f"127.0.0.1:{self.server.server_port}"
         threading.Thread(target=self.server.serve_forever, kwargs={"poll_interval": 0.02}, daemon=True).start()
 
-    def respond(self, handler: Any, body: bytes) -> None:
+    def respond(self, handler: Any, body: bytes, /) -> Any:
         """Answer a request: a release (DELETE) with 204, all others with the stream of TOKENS and LAST."""
         if handler.command == "DELETE":
             handler.plain(204)
@@ -219,7 +219,7 @@
             self.rev += 1
             self.changed.notify_all()
 
-    def respond(self, handler: Any, body: bytes) -> None:
+    def respond(self, handler: Any, body: bytes, /) -> Any:
         """Answer with the list; a watch (`after`) waits for a newer revision, `wait_ms` at most."""
         after = re.search(r"after=(\d+)(?:&wait_ms=(\d+))?", handler.path)
         if after:
