--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated, NamedTuple
+from typing import Annotated, NamedTuple, TypedDict
 
 import msgspec
 from msgspec import Meta
@@ -52,6 +52,24 @@
     sequence: int
 
 
+class SumsPart(TypedDict):
+    """The fields that `Sums` and `PartialSum` share, for whoever makes one.
+
+    An answer has `parts` of them, numbered from 0. Each has the gauges of a range of slots; `entries`, the changes of
+    the slot table up to `version`, are in the first one.
+    """
+
+    version: int
+    reused_version: int
+    part: int
+    parts: int
+    first_slot: int
+    loads: bytes
+    waits: bytes
+    entries: tuple[TableEntry, ...]
+    slot_count: int
+
+
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The fields of every message; `sequence` grows with each message of a sender, whoever it is for."""
 
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -24,7 +24,9 @@
     PartialSum,
     Report,
     Sums,
+    SumsPart,
     Superseded,
+    TableEntry,
 )
 from pearhill.membership.gauge_ranges import EMPTY_RANGE, GaugeRange
 from pearhill.membership.member_directory import (
@@ -201,8 +203,6 @@
         entries = self.table.entries_after(known_version)
         # With so much of the table to come, the dispatcher cannot tell yet whose most of the sums are.
         ranges = snapshot.ranges if len(entries) < MAX_TABLE_ENTRIES else []
-        if entries or not ranges:
-            ranges = [EMPTY_RANGE, *ranges]
         included_report = snapshot.included_report(report.sender, report.incarnation)
         counted = self.count(now)
         settled = self._is_settled(now)
@@ -213,6 +213,18 @@
                 included_report=included_report,
                 reporting=snapshot.reporting,
                 counted=counted,
+                settled=settled,
+                **part,
+            )
+            for part in self._parts(entries, ranges)
+        ]
+
+    def _parts(self, entries: tuple[TableEntry, ...], ranges: list[GaugeRange]) -> list[SumsPart]:
+        """Changes of the slot table and ranges of gauges, as the parts of one answer; at least one part."""
+        if entries or not ranges:
+            ranges = [EMPTY_RANGE, *ranges]
+        return [
+            SumsPart(
                 version=self.table.version,
                 reused_version=self.table.reused_version,
                 part=part,
@@ -222,7 +234,6 @@
                 waits=gauges.waits,
                 entries=() if part else entries,
                 slot_count=gauges.slot_count,
-                settled=settled,
             )
             for part, gauges in enumerate(ranges)
         ]
@@ -279,8 +290,6 @@
         self, now: int, name: str, peer: PeerAggregator, ranges: list[GaugeRange], reporting: int
     ) -> list[PartialSum]:
         entries = self.table.entries_after(peer.known_version)
-        if entries or not ranges:
-            ranges = [EMPTY_RANGE, *ranges]
         peer.sent.remember(self._sequence + 1, now)
         return [
             PartialSum(
@@ -289,18 +298,10 @@
                 counted=len(self.work.members),
                 known_incarnation=max(0, peer.incarnation),
                 known_version=peer.version,
-                version=self.table.version,
-                reused_version=self.table.reused_version,
-                part=part,
-                parts=len(ranges),
-                first_slot=gauges.first_slot,
-                loads=gauges.loads,
-                waits=gauges.waits,
-                entries=() if part else entries,
-                slot_count=gauges.slot_count,
                 echo=peer.newest_received,
+                **part,
             )
-            for part, gauges in enumerate(ranges)
+            for part in self._parts(entries, ranges)
         ]
 
     def _due_member_lists(self, now: int) -> list[AggregationMessage]:
