--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -106,9 +106,10 @@
         """Dispatchers that share the work, this one among them."""
         return len(self.counted(now)) + 1
 
-    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
-        return self.peer_loads.others(now, replica, self._counted_peers, ReplicaLoad(replica, waiting, load))
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
+        own = ReplicaLoad(replica, queued_tokens, total_tokens)
+        return self.peer_loads.others(now, replica, self._counted_peers, own)
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Name the peers anew. What is known of those that stay, stays."""
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -42,12 +42,12 @@
             return SOURCE_SUMS
         return SOURCE_GOSSIP if self.gossip else ""
 
-    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
         others = NOTHING_KNOWN
         if self.reporter and (self._sums_count_all or self.gossip is None):
-            others = self.reporter.others(now, replica, waiting, load)
+            others = self.reporter.others(now, replica, queued_tokens, total_tokens)
         if others.confidence <= 0 and self.gossip:
             # All aggregators may be gone; the gossip goes on.
-            return self.gossip.others(now, replica, waiting, load)
+            return self.gossip.others(now, replica, queued_tokens, total_tokens)
         return others
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -100,8 +100,10 @@
         """
         return self.counted if self._settled else None
 
-    def others(self, now: int, table: KnownTable | None, replica: int, waiting: int, load: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all.
+    def others(
+        self, now: int, table: KnownTable | None, replica: int, queued_tokens: int, total_tokens: int
+    ) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has so many queued tokens, and in all.
 
         `table`: of the aggregator the sums come from.
         """
@@ -110,14 +112,14 @@
             return OthersLoad(0.0, 0.0, 1.0 if self.counted else 0.0)
         peer_load = self.peer_load(now, table, replica)
         if peer_load is None:
-            return OthersLoad(float(others * waiting), float(others * load), 0.0)
+            return OthersLoad(float(others * queued_tokens), float(others * total_tokens), 0.0)
         # Each of whom nothing is known counts as the mean of all of whom something is, this dispatcher among them.
         weight = 0.5 ** (max(0, now - peer_load.reported_at) / SUMS_HALF_LIFE_US)
         known = weight * min(peer_load.reporting, others)
         scale = (1 + others) / (1 + known)
         return OthersLoad(
-            max(0.0, (waiting + weight * peer_load.queued_tokens) * scale - waiting),
-            max(0.0, (load + weight * peer_load.total_tokens) * scale - load),
+            max(0.0, (queued_tokens + weight * peer_load.queued_tokens) * scale - queued_tokens),
+            max(0.0, (total_tokens + weight * peer_load.total_tokens) * scale - total_tokens),
             known / others,
         )
 
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -317,9 +317,9 @@
         """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has reported."""
         return self._sums.count()
 
-    def others(self, now: int, replica: int, waiting: int, load: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has `waiting` queued tokens and `load` in all."""
-        return self._sums.others(now, self._sums_table(), replica, waiting, load)
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
+        return self._sums.others(now, self._sums_table(), replica, queued_tokens, total_tokens)
 
     def peer_load(self, now: int, replica: int) -> PeerLoad | None:
         """What the others reported at a replica; None: no sums of it are known, or they are too old."""
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -18,7 +18,7 @@
     def count(self, now: int) -> int | None:
         return self._count
 
-    def others(self, now: int, engine: int, waiting: int, load: int) -> OthersLoad:
+    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
         return self.told
 
     def figures(self, now: int) -> dict[str, Any]:
