--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -4,6 +4,7 @@
 import errno
 import os
 import socket
+from collections.abc import Iterator
 from typing import Any
 
 import pytest
@@ -36,7 +37,7 @@
 
 
 @pytest.fixture
-def loop() -> Any:
+def loop() -> Iterator[VirtualLoop]:
     made = VirtualLoop()
     asyncio.set_event_loop(made)
     yield made
@@ -44,7 +45,7 @@
     asyncio.set_event_loop(None)
 
 
-def test_a_silent_client_is_closed_in_time_though_looks_for_its_bytes_fail(loop):
+def test_a_silent_client_is_closed_in_time_though_looks_for_its_bytes_fail(loop: VirtualLoop) -> None:
     """A look that fails was taken for bytes on their way, and gave it its whole time once more."""
 
     async def until_closed() -> float:
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -39,7 +39,7 @@
         )
         self.addCleanup(self.pool.close)
 
-    async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self):
+    async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self) -> None:
         """And control calls that take all of theirs still leave connections for the endpoint list."""
         for use, room in (
             (ConnectionPurpose.REQUEST, 1),
@@ -50,18 +50,20 @@
                 await self.pool.acquire(self.address, use)
             for no_more in range(use + 1):
                 with pytest.raises(PoolExhaustedError):
-                    await self.pool.acquire(self.address, no_more)
+                    await self.pool.acquire(self.address, ConnectionPurpose(no_more))
 
-    async def test_a_full_pool_is_no_fault_of_the_replica(self):
+    async def test_a_full_pool_is_no_fault_of_the_replica(self) -> None:
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         await self.pool.acquire(self.address)
         attempt = Mock(replica=1, deadline=10**6, send_before=0)
         backend.send(attempt)
-        await backend.exchanges[attempt].task
+        task = backend.exchanges[attempt].task
+        assert task
+        await task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
-    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self):
+    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self) -> None:
         """No attempt is spent on it at once either: the shortage may be over in a moment."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
@@ -70,6 +72,7 @@
             with patch("pearhill.net.pool.socket.socket", side_effect=OSError(number, os.strerror(number))):
                 backend.send(attempt)
                 task = backend.exchanges[attempt].task
+                assert task
                 for _ in range(100):
                     await asyncio.sleep(0)
                 assert not task.done(), errno.errorcode[number]
@@ -79,7 +82,7 @@
                     await asyncio.sleep(0)
             attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
-    async def test_an_attempt_whose_last_byte_is_not_written_in_time_is_withdrawn(self):
+    async def test_an_attempt_whose_last_byte_is_not_written_in_time_is_withdrawn(self) -> None:
         """A replica that reads slowly would execute it after that time."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
@@ -97,7 +100,7 @@
         assert backend.has_started(attempt)
         assert backend.cancel(attempt)
 
-    async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self):
+    async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self) -> None:
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
             backend.update_addresses({n: self.address}, [], full=True)  # each list names one replica, and a new one
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -49,7 +49,7 @@
 
 
 class TestRejectedDatagrams(Case):
-    def test_are_counted_each_and_logged_once_a_minute_with_their_reasons(self):
+    def test_are_counted_each_and_logged_once_a_minute_with_their_reasons(self) -> None:
         def receiver(data: bytes, address: Any) -> None:
             if len(data) > 1:
                 raise MessageRejectedError("forged")
@@ -77,7 +77,7 @@
 
 
 class TestAggregation(Case):
-    def test_answers_go_where_the_datagram_came_from_and_to_other_aggregators_where_the_file_says(self):
+    def test_answers_go_where_the_datagram_came_from_and_to_other_aggregators_where_the_file_says(self) -> None:
         aggregator = Aggregator("a1", ["a2"], self.now, random.Random(1))
         driver = Aggregation(aggregator, CODEC, {"a2": ("10.0.0.2", 2)}, self.deadlines, self.datagrams)
         driver.start()
@@ -98,7 +98,7 @@
 
 
 class TestReporting(Case):
-    def test_ticks_when_due_and_neither_spins_nor_is_put_off_by_what_comes_in(self):
+    def test_ticks_when_due_and_neither_spins_nor_is_put_off_by_what_comes_in(self) -> None:
         case = self
 
         class Eager:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -40,7 +40,7 @@
         await self.listener.close()
         self.ticks.close()
 
-    async def test_a_flood_costs_no_walk_over_all_connections_for_each_client(self):
+    async def test_a_flood_costs_no_walk_over_all_connections_for_each_client(self) -> None:
         clients = []
         for _ in range(FLOOD):
             client = socket.create_connection(self.address)
@@ -57,7 +57,7 @@
         with pytest.raises(BlockingIOError):
             clients[-1].recv(1)
 
-    async def test_no_connection_is_ended_while_the_accept_queue_is_empty(self):
+    async def test_no_connection_is_ended_while_the_accept_queue_is_empty(self) -> None:
         """The last one accepted, whose request was on its way, was ended as soon as the bound was reached."""
         for some in (3, MAX_CONNECTIONS - 3):
             before = len(self.listener.connections)
@@ -69,7 +69,7 @@
             await asyncio.sleep(0)
         assert self.listener.counters.connections["client room-needed"] == 0
 
-    async def test_a_connection_that_has_become_useful_since_it_was_found_is_not_ended(self):
+    async def test_a_connection_that_has_become_useful_since_it_was_found_is_not_ended(self) -> None:
         clients = [socket.create_connection(self.address) for _ in range(MAX_CONNECTIONS - 1)]
         for client in clients:
             self.addCleanup(client.close)
@@ -96,12 +96,13 @@
             await asyncio.sleep(0)
         return clients
 
-    async def test_a_full_table_of_files_of_the_system_ends_no_connection_here(self):
+    async def test_a_full_table_of_files_of_the_system_ends_no_connection_here(self) -> None:
         """ENFILE, ENOBUFS and ENOMEM are the system's: any connection may have a request on its way."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             with self.subTest(errno=errno.errorcode[number]):
                 clients = await self.connect(3)
                 real = self.listener._sock
+                assert real
                 self.listener._sock = FailingAccept(number, real.fileno())  # type: ignore[assignment]
                 try:
                     self.listener._accept()
@@ -114,7 +115,7 @@
                         client.recv(1)
                     client.close()
 
-    async def test_a_partial_request_is_not_ended_while_other_connections_can_be(self):
+    async def test_a_partial_request_is_not_ended_while_other_connections_can_be(self) -> None:
         """Its last byte is on its way: closed now, it would be read and lost."""
         half, silent = await self.connect(2)
         half.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
@@ -129,7 +130,7 @@
         with pytest.raises(BlockingIOError):
             half.recv(1)
 
-    async def test_a_silent_client_is_not_closed_over_a_request_that_waits_to_be_read(self):
+    async def test_a_silent_client_is_not_closed_over_a_request_that_waits_to_be_read(self) -> None:
         """It came in the very moment in which its time was over, and the loop was late."""
         (client,) = await self.connect(1)
         (connection,) = (connection for connection in self.listener.connections if not connection.closed)
@@ -137,7 +138,7 @@
         connection._request_overdue()
         assert not connection.closed
 
-    async def test_a_connection_that_fails_in_the_last_accepts_takes_none_behind_it_along(self):
+    async def test_a_connection_that_fails_in_the_last_accepts_takes_none_behind_it_along(self) -> None:
         """ECONNABORTED is that one connection's; those behind it would be reset with the socket."""
         real = self.listener._sock
         assert real
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -40,7 +40,7 @@
     return Pool(asyncio.get_running_loop(), deadlines, Counters(), **{**defaults, **settings})
 
 
-def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it():
+def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it() -> None:
     """What was written to it would end as a reset, and may have been executed."""
 
     async def scenario() -> None:
@@ -60,7 +60,7 @@
     run(scenario())
 
 
-def test_a_connection_carries_no_request_for_a_while_after_a_response():
+def test_a_connection_carries_no_request_for_a_while_after_a_response() -> None:
     """A second response, some milliseconds behind the first, would be taken for that request's. A control call is sent
     at once: the response to it is of another kind, and nothing is executed twice by it."""
 
@@ -84,7 +84,7 @@
     run(scenario())
 
 
-def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release():
+def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release() -> None:
     """300 ms are the least that a deployment gives, and 300 more are allowed. Two idle ones have fallen silent here."""
 
     async def scenario() -> None:
@@ -113,7 +113,7 @@
             pool.put_back(connection)
         backend = HttpBackend(pool, ReplicaDialect())
         backend.update_addresses({1: address}, [], full=True)
-        request = SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", ""))
+        request: Any = SimpleNamespace(number=7, interrupted=False, payload=Payload("r7", "POST", "/", b"", ""))
         backend.release(request, {1})
         for wait in (FIRST_ANSWER_TIMEOUT_US, FIRST_BACKOFF_US):
             pending = len(deadlines)
@@ -133,7 +133,7 @@
     run(scenario())
 
 
-def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it():
+def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it() -> None:
     """The server may have forgotten it without a sign: what is sent there ends as a reset, and may be executed."""
 
     async def scenario() -> None:
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("how", ["answered early", "closed here"])
-def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how):
+def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how: str) -> None:
     """The reader saw the end, and closed a socket on which the writer was still polled: it waited for good, and the
     connection that got the number next was polled in its place."""
 
--- a/tests/net/test_request_intake.py
+++ b/tests/net/test_request_intake.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import socket
+from typing import Any
 
 from pearhill.http1.messages import RequestMessage
 from pearhill.http1.server import Rejected
@@ -32,11 +33,11 @@
         """What waits: the target of each request, the status of each rejection."""
         return [each.target if isinstance(each, RequestMessage) else each.status for each in self.intake.waiting]
 
-    async def test_requests_wait_in_order(self):
+    async def test_requests_wait_in_order(self) -> None:
         self.feed(b"".join(GET % number for number in range(3)))
         assert self.targets() == ["/0", "/1", "/2"]
 
-    async def test_a_large_buffer_is_only_for_the_rest_of_a_request(self):
+    async def test_a_large_buffer_is_only_for_the_rest_of_a_request(self) -> None:
         assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
         self.feed(POST % (0, 9))
         assert self.intake.in_message
@@ -45,28 +46,28 @@
         assert not self.intake.in_message
         assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
 
-    async def test_a_flood_of_requests_ends_with_a_rejection_and_nothing_behind_it_is_kept(self):
+    async def test_a_flood_of_requests_ends_with_a_rejection_and_nothing_behind_it_is_kept(self) -> None:
         self.feed(b"".join(GET % number for number in range(20)), answering=True)
         assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS)), 429]
         self.feed(GET % 99, answering=True)
         assert len(self.intake.waiting) == MAX_PIPELINED_REQUESTS + 1
 
-    async def test_one_request_more_may_wait_while_none_is_being_answered(self):
+    async def test_one_request_more_may_wait_while_none_is_being_answered(self) -> None:
         self.feed(b"".join(GET % number for number in range(20)))
         assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS + 1)), 429]
 
-    async def test_waiting_bodies_are_bounded_by_one_largest_body(self):
+    async def test_waiting_bodies_are_bounded_by_one_largest_body(self) -> None:
         body = b"x" * (MAX_BODY // 2 + 1)
         self.feed(b"".join(POST % (number, len(body)) + body for number in range(3)), answering=True)
         assert self.targets() == ["/0", "/1", 429]
 
-    async def test_a_malformed_request_is_a_rejection(self):
+    async def test_a_malformed_request_is_a_rejection(self) -> None:
         self.feed(b"nonsense\r\n\r\n")
         (rejected,) = self.intake.waiting
         assert isinstance(rejected, Rejected)
         assert rejected.status == 400
 
-    async def test_an_interim_response_never_lands_inside_an_answer(self):
+    async def test_an_interim_response_never_lands_inside_an_answer(self) -> None:
         head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n"
         self.feed(head)
         assert self.continues == 1
@@ -74,14 +75,15 @@
         self.feed(head)  # behind one that waits
         assert self.continues == 1
 
-    async def test_no_interim_response_is_sent_while_a_request_is_being_answered(self):
+    async def test_no_interim_response_is_sent_while_a_request_is_being_answered(self) -> None:
         self.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n", answering=True)
         assert self.continues == 0
 
-    async def test_a_request_had_arrived_before_the_system_could_be_asked_for_its_bytes(self):
+    async def test_a_request_had_arrived_before_the_system_could_be_asked_for_its_bytes(self) -> None:
         """Its time runs from its last byte, and not from when there was memory to read it."""
         self.intake.socket_reader.delayed_s = 0.25
         self.feed(GET % 0)
         self.intake.socket_reader.delayed_s = 0.0
         self.feed(GET % 1)
-        assert [each.arrived for each in self.intake.waiting] == [NOW - 250_000, NOW]
+        waiting: list[Any] = list(self.intake.waiting)
+        assert [each.arrived for each in waiting] == [NOW - 250_000, NOW]
--- a/tests/net/test_unread_input.py
+++ b/tests/net/test_unread_input.py
@@ -4,6 +4,7 @@
 import os
 import socket
 from collections.abc import Iterator
+from typing import Any
 
 import pytest
 
@@ -28,7 +29,7 @@
             yield ours, theirs
 
 
-def test_a_look_shows_bytes_and_leaves_them(pair):
+def test_a_look_shows_bytes_and_leaves_them(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     assert peek_unread_input(ours) == UnreadInput.NONE
     theirs.sendall(b"two")
@@ -38,7 +39,7 @@
     assert peek_unread_input(ours) == UnreadInput.NONE
 
 
-def test_the_end_of_a_connection_is_no_input(pair):
+def test_the_end_of_a_connection_is_no_input(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     theirs.shutdown(socket.SHUT_WR)
     assert ours.recv(1) == b""
@@ -54,5 +55,6 @@
         (errno.ECONNRESET, UnreadInput.NONE),
     ],
 )
-def test_a_look_that_fails_for_want_of_memory_or_by_a_signal_shows_nothing(number, found):
-    assert peek_unread_input(FailingSocket(number)) == found
+def test_a_look_that_fails_for_want_of_memory_or_by_a_signal_shows_nothing(number: int, found: UnreadInput) -> None:
+    sock: Any = FailingSocket(number)
+    assert peek_unread_input(sock) == found
--- a/tests/node/test_limits.py
+++ b/tests/node/test_limits.py
@@ -16,7 +16,7 @@
     ],
 )
 def test_clients_and_replicas_get_half_each_of_what_is_not_reserved(
-    sockets, has_admin_endpoint, process_count, connections
-):
+    sockets: int, has_admin_endpoint: bool, process_count: int, connections: int
+) -> None:
     limits = Limits(sockets, 7, has_admin_endpoint=has_admin_endpoint)
     assert limits.connections(process_count) == connections
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -19,6 +19,6 @@
 """
 
 
-def test_a_signal_that_asks_for_a_report_or_a_reload_ends_no_process_that_is_starting():
+def test_a_signal_that_asks_for_a_report_or_a_reload_ends_no_process_that_is_starting() -> None:
     done = subprocess.run([sys.executable, "-c", EARLY], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert (done.returncode, done.stderr) == (2, "pearhill: far enough\n")
--- a/tests/node/test_process_info.py
+++ b/tests/node/test_process_info.py
@@ -18,7 +18,7 @@
 ATTEMPTS = 10  # the system counts a start in ticks of 10 ms: each falls elsewhere in its tick
 
 
-def test_a_process_reckons_with_no_more_than_its_true_age():
+def test_a_process_reckons_with_no_more_than_its_true_age() -> None:
     """It reports ready by its age, and otherwise would do so before its predecessor had its time."""
     for _ in range(ATTEMPTS):
         before = time.monotonic()
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -40,16 +40,14 @@
         path = self.folder / f"{time.monotonic_ns()}.json"
         path.write_text(platform_file(discovery or self.discovery.address))
         fd = self.listening_socket.fileno()
-        program = Program(
-            passed=(fd,),
-            **{
-                "RELAY_CONFIG": str(path),
-                "RELAY_PASSED_SOCKET": str(fd),
-                "RELAY_ADMIN_ADDR": "127.0.0.1:0",
-                "TMPDIR": str(self.messages),
-                **environ,
-            },
-        )
+        environment: dict[str, Any] = {
+            "RELAY_CONFIG": str(path),
+            "RELAY_PASSED_SOCKET": str(fd),
+            "RELAY_ADMIN_ADDR": "127.0.0.1:0",
+            "TMPDIR": str(self.messages),
+            **environ,
+        }
+        program = Program(passed=(fd,), **environment)
         program.config = path
         self.addCleanup(program.kill)
         return program
@@ -139,7 +137,7 @@
         assert any(b"operators are heard" in line for line in new.stderr)
         return new
 
-    def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self):
+    def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         traffic = Traffic(self.address, 8)
@@ -158,7 +156,7 @@
         new.wait_line("upgrade: 1 processes serve, this one takes clients")
         assert len(list(self.messages.iterdir())) == 1  # the old process's message is removed
 
-    def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self):
+    def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         down, up = "/ops/replicas/down?target=s-0", "/ops/replicas/up?target=s-0"
@@ -184,7 +182,7 @@
         new.wait_line("upgrade: 1 processes serve")
         assert avoided(new) == 1
 
-    def test_a_successor_that_cannot_serve_takes_nothing_and_its_death_changes_nothing(self):
+    def test_a_successor_that_cannot_serve_takes_nothing_and_its_death_changes_nothing(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_unable_successor()
@@ -195,19 +193,19 @@
         assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
         assert not [line for line in old.lines if "another takes" in line]
 
-    def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self):
+    def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_unable_successor()
         old.wait_line("upgrade: 2 processes serve, this one takes clients")
         new.terminate()
-        answers = []
+        answers: list[int] = []
         while new.poll() is None:
             answers.append(self.ask(f"a{len(answers)}", "job-booking"))
         assert (set(answers), new.wait(20)) == ({200}, 0)
         assert not [line for line in old.lines if "another takes" in line]
 
-    def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self):
+    def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_process()
@@ -217,7 +215,7 @@
         old.wait_line("upgrade: 1 processes serve, this one takes clients")
         assert self.ask("a2", path="/ready") == 200
 
-    def test_readiness_waits_for_what_the_predecessor_answers(self):
+    def test_readiness_waits_for_what_the_predecessor_answers(self) -> None:
         replica = self.replicas[0]
         self.discovery.update(("s-0", replica.address, "all-in-one"))
         old = self.start_process()
@@ -242,7 +240,7 @@
         assert (response.status, response.read()) == (200, b"".join(TOKENS) + LAST)
         self.wait_for(lambda: self.is_ready(new))
 
-    def test_without_a_successor_the_shutdown_is_the_usual_one_and_the_next_start_keeps_what_is_down(self):
+    def test_without_a_successor_the_shutdown_is_the_usual_one_and_the_next_start_keeps_what_is_down(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
@@ -256,7 +254,7 @@
         assert self.ask("a2", path="/ready") == 200  # a drain ends with its process
         assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
 
-    def test_messages_that_cannot_be_stored_or_read_stop_no_start(self):
+    def test_messages_that_cannot_be_stored_or_read_stop_no_start(self) -> None:
         self.messages.rmdir()
         alone = self.start_process()
         self.wait_for(lambda: self.is_ready(alone))
@@ -273,7 +271,7 @@
         self.wait_for(lambda: self.is_ready(again))
         again.wait_line("upgrade: .* is left aside: of another version")
 
-    def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self):
+    def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self) -> None:
         plain = socket.socket()
         self.addCleanup(plain.close)
         path = self.folder / "config.json"
