--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -5,6 +5,7 @@
 import heapq
 import random
 from collections import Counter
+from typing import Any
 
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
@@ -49,7 +50,7 @@
     def __init__(self, count: int, seed: int, size: int = 300) -> None:
         print(f"seed {seed}")
         self.rng, self.now, self.events, self.size = random.Random(seed), 1_000 * S, 0, size
-        self.heap: list[tuple[int, int, str, object]] = []
+        self.heap: list[tuple[int, int, str, Any]] = []
         self.drop = self.double = 0.0
         self.delay, self.cuts, self.codec = 2_000, set[tuple[str, str]](), AggregationCodec([KEY])
         self.processes: list[Process] = []
@@ -58,7 +59,7 @@
             str, list[tuple[AggregationMessage, object]]
         ] = {}  # aggregators, and what waits in their sockets
         self.addresses: dict[tuple[str, str], Process] = {}  # as each aggregator has learnt them
-        self.replayable: list[tuple[object, AggregationMessage]] = []
+        self.replayable: list[tuple[object, AggregationMessage, object]] = []
         self.arrivals: list[tuple[int, str]] = []
         self.most_moves = Counter[int]()
         for site in SITES:
@@ -101,7 +102,7 @@
             for _ in range(1 + (self.rng.random() < self.double)):
                 self.at(self.rng.randrange(1, 2 * self.delay), "frame", (to, f, sender))
 
-    def deliver(self, to: object, f: AggregationMessage, sender: object) -> None:
+    def deliver(self, to: Any, f: AggregationMessage, sender: object) -> None:
         if isinstance(to, Process):
             if to.up and to.stalled:
                 to.received.append((f, sender))
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -29,12 +29,12 @@
 
 class Fleet(RuleBasedStateMachine):
     @initialize(count=st.integers(2, 6), seed=st.integers(0, 1 << 30))
-    def begin(self, count, seed):
+    def begin(self, count: int, seed: int) -> None:
         self.world = World(count, seed)
         self.world.checked(2 * S)
 
     @rule(micros=st.sampled_from((AGGREGATOR_TICK_US // 3, S, 4 * S, 12 * S)))
-    def time_passes(self, micros):
+    def time_passes(self, micros: int) -> None:
         self.world.checked(micros)
 
     @rule(
@@ -42,38 +42,38 @@
         double=st.sampled_from((0.0, 0.5)),
         delay=st.sampled_from((100, 50_000, 500_000)),
     )
-    def the_network_is_bad(self, drop, double, delay):
+    def the_network_is_bad(self, drop: float, double: float, delay: int) -> None:
         self.world.drop, self.world.double, self.world.delay = drop, double, delay
 
     @rule(data=st.data(), one_way=st.booleans())
-    def regions_lose_each_other(self, data, one_way):
+    def regions_lose_each_other(self, data: st.DataObject, one_way: bool) -> None:
         a, b = data.draw(st.permutations(("r0", "r1", "r2")))[:2]
         self.world.cuts |= {(a, b)} if one_way else {(a, b), (b, a)}
 
     @rule()
-    def the_cut_heals(self):
+    def the_cut_heals(self) -> None:
         self.world.cuts.clear()
 
     @rule(name=st.sampled_from([s.name for s in SITES]))
-    def an_aggregator_is_killed(self, name):
+    def an_aggregator_is_killed(self, name: str) -> None:
         self.world.aggregators.pop(name, None)
         self.world.stalled.pop(name, None)
 
     @rule(name=st.sampled_from([s.name for s in SITES]))
-    def an_aggregator_starts(self, name):
+    def an_aggregator_starts(self, name: str) -> None:
         self.world.start_aggregator(name)
 
     @rule(name=st.sampled_from([s.name for s in SITES]))
-    def an_aggregator_stalls(self, name):
+    def an_aggregator_stalls(self, name: str) -> None:
         if name in self.world.aggregators:
             self.world.stalled.setdefault(name, [])
 
     @rule()
-    def the_stalled_wake(self):
+    def the_stalled_wake(self) -> None:
         self.world.wake()
 
     @rule(data=st.data(), how=st.sampled_from(("crash", "leave", "stall", "work")))
-    def something_happens_to_a_dispatcher(self, data, how):
+    def something_happens_to_a_dispatcher(self, data: st.DataObject, how: str) -> None:
         if len(self.world.up()) < 2:
             return
         process = data.draw(st.sampled_from(self.world.up()))
@@ -87,17 +87,17 @@
             process.load = data.draw(st.sampled_from((0, 300, 5_000, 80_000)))
 
     @rule(data=st.data(), region=st.sampled_from(("r0", "r1", "r2")), back=st.sampled_from((0, 0, 5 * S, 500 * S)))
-    def a_dispatcher_starts(self, data, region, back):
+    def a_dispatcher_starts(self, data: st.DataObject, region: str, back: int) -> None:
         """One that is new, or was there, or still is; its clock may have been set back."""
         if len(self.world.up()) < 8:
             self.world.start(f"d{data.draw(st.integers(0, 6))}", region, self.world.now - back)
 
     @rule(data=st.data())
-    def an_old_datagram_comes_again(self, data):
+    def an_old_datagram_comes_again(self, data: st.DataObject) -> None:
         if self.world.replayable:
             self.world.deliver(*data.draw(st.sampled_from(self.world.replayable)))
 
-    def teardown(self):
+    def teardown(self) -> None:
         """Whatever has happened: soon after it is over all agree on the work, and on who is there."""
         if not hasattr(self, "world"):
             return
@@ -114,12 +114,14 @@
         assert world.wrong_views() == []
         assert len(world.counts()) == 1
         names = {p.name for p in world.up()}
-        assert len(names) <= world.counts().pop() <= len({p.name for p in world.processes})
+        count = world.counts().pop()
+        assert count is not None
+        assert len(names) <= count <= len({p.name for p in world.processes})
         for p in world.up():
             assert p.reporter.current == "a" + p.region[1:]
             # All that are there are heard, whoever else is still counted as cut off.
             sure = p.reporter.others(world.now, p.replica, 0, p.load)[2]
-            assert sure * (world.counts().pop() - 1) > 0.5 * (len(names) - 1) or len(names) == 1
+            assert sure * (count - 1) > 0.5 * (len(names) - 1) or len(names) == 1
 
 
 Fleet.TestCase.settings = examples(
@@ -128,7 +130,7 @@
 TestFleet = Fleet.TestCase
 
 
-def test_all_are_counted_once_and_sums_scale_to_those_unheard():
+def test_all_are_counted_once_and_sums_scale_to_those_unheard() -> None:
     world = World(6, 1)
     world.checked(6 * S)
     assert world.wrong_views() == []
@@ -148,7 +150,7 @@
     assert p.reporter.others(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
 
 
-def test_the_dead_are_forgotten_and_one_that_leaves_at_once():
+def test_the_dead_are_forgotten_and_one_that_leaves_at_once() -> None:
     world = World(7, 2)
     world.checked(12 * S)
     dead, leaving = world.processes[0], world.processes[1]
@@ -165,7 +167,7 @@
     assert world.counts() == {5}
 
 
-def test_an_aggregator_lost_moves_its_dispatchers_and_they_come_home_spread_out():
+def test_an_aggregator_lost_moves_its_dispatchers_and_they_come_home_spread_out() -> None:
     world = World(24, 3)
     world.run(12 * S)
     del world.aggregators["a1"]
@@ -194,7 +196,7 @@
     assert world.wrong_views() == []
 
 
-def test_with_all_aggregators_gone_confidence_falls_to_0_the_count_stays_and_the_return_is_spread_out():
+def test_with_all_aggregators_gone_confidence_falls_to_0_the_count_stays_and_the_return_is_spread_out() -> None:
     world = World(24, 4)
     world.run(12 * S)
     world.aggregators.clear()
@@ -222,7 +224,9 @@
 
 
 @pytest.mark.parametrize(("count", "sides"), [(3, ("r2",)), (9, ("r2",)), (9, ("r0", "r1", "r2"))])
-def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(count, sides, monkeypatch):
+def test_a_region_cut_off_for_minutes_stays_counted_on_both_sides_and_dead_after_15(
+    count: int, sides: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(reporter, "REPORT_INTERVAL_US", 500_000)
     world = World(count, 5)
     world.run(14 * S)
@@ -244,7 +248,7 @@
     assert world.counts() == {3}
 
 
-def test_one_that_starts_anew_takes_its_own_place():
+def test_one_that_starts_anew_takes_its_own_place() -> None:
     world = World(5, 6)
     world.checked(12 * S)
     world.processes[0].up = False
@@ -255,7 +259,7 @@
     assert world.wrong_views() == []
 
 
-def test_of_two_of_one_name_the_older_waits_until_the_newer_is_silent():
+def test_of_two_of_one_name_the_older_waits_until_the_newer_is_silent() -> None:
     world = World(4, 7)
     world.checked(12 * S)
     old = world.processes[0]
@@ -269,7 +273,7 @@
     assert (world.counts(), world.wrong_views()) == ({4}, [])
 
 
-def test_one_that_stood_still_counts_nobody_twice_and_leaves_no_good_aggregator():
+def test_one_that_stood_still_counts_nobody_twice_and_leaves_no_good_aggregator() -> None:
     world = World(6, 8)
     world.checked(12 * S)
     world.stalled["a0"] = []
@@ -287,7 +291,7 @@
     assert (world.counts(), world.wrong_views()) == ({6}, [])
 
 
-def test_bytes_stay_within_the_budget_while_a_large_table_is_told():
+def test_bytes_stay_within_the_budget_while_a_large_table_is_told() -> None:
     rows = [ReplicaLoad(1 << 63 | k, 500 + 7 * k, 900 + 11 * k) for k in range(940)]
     with mock.patch.object(Process, "rows", return_value=rows):
         world, codec = World(3, 9), AggregationCodec([KEY])
@@ -322,7 +326,7 @@
     assert len(world.processes[0].reporter._tables["a0"].slot_of) == 940
 
 
-def test_aggregators_are_replaced_while_it_runs():
+def test_aggregators_are_replaced_while_it_runs() -> None:
     world = World(6, 10)
     world.checked(12 * S)
     p = world.processes[0]
--- a/tests/membership/test_aggregation_messages.py
+++ b/tests/membership/test_aggregation_messages.py
@@ -73,7 +73,7 @@
 )
 
 
-def test_frames_come_back_as_they_were_and_the_largest_fit():
+def test_frames_come_back_as_they_were_and_the_largest_fit() -> None:
     codec, noise = AggregationCodec([KEY]), random.Random(1).randbytes(512)
     a, b, version = "x" * 96, "y" * 96, 1 << 40
     entries = tuple((MAX_SLOTS - 1, (1 << 64) - 1 - k, version) for k in range(MAX_TABLE_ENTRIES))
@@ -109,23 +109,23 @@
 
 
 @pytest.mark.parametrize(("data", "reason"), REJECTED, ids=[f"{n}-{reason}" for n, (_, reason) in enumerate(REJECTED)])
-def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(data, reason):
+def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(data: bytes, reason: str) -> None:
     with pytest.raises(MessageRejectedError, match=f"^{reason}$"):
         CODEC.unpack(data, "a0")
 
 
-def test_a_datagram_with_any_byte_changed_is_not_taken():
+def test_a_datagram_with_any_byte_changed_is_not_taken() -> None:
     for n in range(len(GOOD)):
         changed = GOOD[:n] + bytes((GOOD[n] ^ 0x20,)) + GOOD[n + 1 :]
         with pytest.raises(MessageRejectedError):
             CODEC.unpack(changed, "a0")
 
 
-def test_what_is_signed_with_any_of_the_keys_is_taken():
+def test_what_is_signed_with_any_of_the_keys_is_taken() -> None:
     assert AggregationCodec([b"new" * 9, KEY]).unpack(GOOD, "a0") == report()
 
 
 @pytest.mark.parametrize("keys", [[], [b"short"]])
-def test_without_a_key_of_16_bytes_there_is_no_codec(keys):
+def test_without_a_key_of_16_bytes_there_is_no_codec(keys: list[bytes]) -> None:
     with pytest.raises(ValueError, match="at least 16 bytes"):
         AggregationCodec(keys)
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -4,6 +4,7 @@
 from __future__ import annotations
 
 import contextlib
+import functools
 import json
 import pathlib
 import re
@@ -111,7 +112,8 @@
     def told(self, name: str) -> dict[str, Any]:
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         assert status == 200
-        return json.loads(answer)
+        figures: dict[str, Any] = json.loads(answer)
+        return figures
 
     def until(self, what: Callable[[], Any], *names: str) -> None:
         end = time.monotonic() + WAIT_S
@@ -129,11 +131,12 @@
         self.until(lambda: all(so(n) for n in names), *names)
 
     def uses(self, name: str) -> str:
-        return self.told(name)["reports"]["aggregator"]
+        in_use: str = self.told(name)["reports"]["aggregator"]
+        return in_use
 
 
 class TestProcesses(Case):
-    def test_crashes_stalls_cuts_and_the_loss_of_all_are_seen_through(self):
+    def test_crashes_stalls_cuts_and_the_loss_of_all_are_seen_through(self) -> None:
         self.begin(*A, *D)
         with ThreadPoolExecutor() as pool:
             # Aggregators first: a dispatcher whose home is not there yet goes elsewhere, and home after seconds only.
@@ -216,22 +219,31 @@
         self.until(self.all_know, *D)
         self.agree(5, 5, *D)
 
-    def test_old_and_new_stand_side_by_side_and_a_fleet_goes_over_by_reloads(self):
+    def test_old_and_new_stand_side_by_side_and_a_fleet_goes_over_by_reloads(self) -> None:
         trio = ("d1", "d2", "d3")
         self.begin("a1", *trio)
         for name in ("a1", *trio):
             peers = tuple(p for p in trio if p != name)
             self.run_one(name, "" if name == "a1" else self.fleet(name, ("a1",) if name != "d1" else (), peers))
+
+        def goes_by_gossip(name: str) -> bool:
+            return [self.told(name)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"]
+
         for d in trio:  # the sums lack d1, so that all go by the talk
-            self.until(lambda d=d: [self.told(d)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"], d)
+            self.until(functools.partial(goes_by_gossip, d), d)
         self.until(lambda: self.told("d2")["reports"]["counted"] == self.told("a1")["counted"] == 2, "d2")
         # Foreign datagrams change nothing, are counted, and named once.
         wanted = {"rejected size": 3, "rejected forged": 1, "rejected version": 1}
+
+        def has_counted(name: str) -> bool:
+            datagrams: dict[str, int] = self.told(name)["datagrams"]
+            return wanted.items() <= datagrams.items()
+
         for name in ("a1", "d2"):
             with socket.socket(type=socket.SOCK_DGRAM) as foe:
                 for data in (b"", b"\x02", b"\x02" + b"x" * 200, b"\x03" * 60, b"\x02" * 1401):
                     foe.sendto(data, self.relay.to[name])
-            self.until(lambda name=name: wanted.items() <= self.told(name)["datagrams"].items(), name)
+            self.until(functools.partial(has_counted, name), name)
             program = self.programs[name]
             program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
             assert sum("not taken" in line for line in program.lines) == 1
@@ -320,24 +332,27 @@
         (aggregator, UNKNOWN_TABLE, "chat: found a key that is not known; allowed: aggregator"),
     ],
 )
-def test_bad_files_are_told_by_file_path_found_and_allowed(folder, module, text, why):
+def test_bad_files_are_told_by_file_path_found_and_allowed(
+    folder: pathlib.Path, module: Any, text: str, why: str
+) -> None:
     path = write(folder, text)
     with pytest.raises(ConfigError, match=f"{path}: .*{why}"):
         module.load(str(path))
 
 
-def test_a_bad_file_ends_the_command_with_one_line_and_exit_code_2(folder):
+def test_a_bad_file_ends_the_command_with_one_line_and_exit_code_2(folder: pathlib.Path) -> None:
     code, _, err = run("aggregator", str(write(folder, UNKNOWN_TABLE)))
     assert (code, err.count("\n")) == (2, 1)
 
 
-def test_a_file_may_name_1024_aggregators_and_as_many_peers(folder):
+def test_a_file_may_name_1024_aggregators_and_as_many_peers(folder: pathlib.Path) -> None:
     tables = (named(OURS, f"a{k}") + named("fleet.peer", f"p{k}") for k in range(1024))
     found = chat.load(str(write(folder, fleet("".join(tables))))).fleet
+    assert found
     assert (len(found.sites), len(found.peers)) == (1024, 1024)
 
 
-def test_the_commented_file_is_good(folder):
+def test_the_commented_file_is_good(folder: pathlib.Path) -> None:
     text = (ROOT / "deploy/aggregator.toml").read_text()
     path = write(folder, text.replace("/etc/pearhill/fleet.key", "FOLDER/good"))
     assert run("aggregator", "--check", str(path)) == (
--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -13,6 +13,7 @@
     Hello,
     HelloAck,
     MemberList,
+    Sums,
     Superseded,
 )
 from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
@@ -23,7 +24,7 @@
 from tests.membership.simulated_fleet import S
 
 
-def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere():
+def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere() -> None:
     now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
@@ -44,6 +45,7 @@
     (answer,) = a.receive(
         later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
     )
+    assert isinstance(answer, Sums)
     assert (a.work.totals.loads, answer.entries) == ([gauges.TOKENS[120]], ())
     assert later - now > SLOT_IDLE_US
 
@@ -58,7 +60,9 @@
         (60_000, 0, False, False),
     ],
 )
-def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(quiet, wait, echo, counts):
+def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(
+    quiet: int, wait: int, echo: bool, counts: bool
+) -> None:
     now, news = 1_000 * S, ((7, 100, 150),)
     a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
     for k in range(wait // S + 2):
@@ -68,7 +72,7 @@
     assert (sum(a.work.totals.loads) > 0) == counts
 
 
-def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once():
+def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
@@ -83,7 +87,7 @@
     assert (a.count(now), sorted(a.directory.records)) == (0, ["d0"])
 
 
-def test_an_aggregator_that_stood_still_forgets_no_member_for_that():
+def test_an_aggregator_that_stood_still_forgets_no_member_for_that() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.tick(now)
     a.receive(now, report(1))
@@ -98,7 +102,7 @@
     assert (a.count(now), a.figures(now)["cut"]) == (1, 1)  # all that there were fell silent: a cut
 
 
-def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time():
+def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     for n in range(1, 6):
         a.receive(now, report(1, sender=f"d{n}"))
@@ -117,7 +121,7 @@
     assert a.count(now) == 4
 
 
-def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over():
+def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
@@ -126,7 +130,7 @@
     assert [type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))] == [Superseded]
 
 
-def test_what_comes_twice_or_from_strangers_is_not_taken():
+def test_what_comes_twice_or_from_strangers_is_not_taken() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     assert len(a.receive(now, report(1))) == 1
     assert a.receive(now, report(1)) == []
--- a/tests/membership/test_gauges.py
+++ b/tests/membership/test_gauges.py
@@ -14,7 +14,7 @@
 
 @given(st.binary(max_size=900), st.floats(0, 1), st.integers(0, 1 << 30))
 @examples(max_examples=150, deadline=None, database=None, derandomize=True)
-def test_gauges_come_back_and_are_near(codes, thin, seed):
+def test_gauges_come_back_and_are_near(codes: bytes, thin: float, seed: int) -> None:
     rng = random.Random(seed)
     codes = bytes(c if rng.random() < thin else 0 for c in codes)
     assert gauges.unpack(gauges.pack(codes), len(codes)) == codes
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -4,6 +4,8 @@
 
 import heapq
 import random
+from collections.abc import Callable
+from typing import Any
 
 import pytest
 from hypothesis import settings as examples
@@ -27,7 +29,7 @@
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.now, self.count = random.Random(seed), 1_000 * S, 0
         self.names = [f"d{n}" for n in range(count)]
-        self.heap: list[tuple[int, int, str, object]] = []
+        self.heap: list[tuple[int, int, str, Any]] = []
         self.drop = self.double = 0.0
         self.delay, self.cuts = 2_000, set[tuple[str, str]]()
         self.up: dict[str, GossipProtocol] = {}
@@ -79,7 +81,8 @@
 
     def heal(self) -> None:
         self.drop, self.double, self.delay = 0.0, 0.0, 2_000
-        self.cuts.clear(), self.stalled.clear()
+        self.cuts.clear()
+        self.stalled.clear()
 
     def views(self) -> dict[str, dict[str, str]]:
         return {name: {n: m.state for n, m in c.members.members.items()} for name, c in self.up.items()}
@@ -87,12 +90,12 @@
 
 class Fleet(RuleBasedStateMachine):
     @initialize(count=st.integers(3, 9), seed=st.integers(0, 1 << 30))
-    def begin(self, count, seed):
+    def begin(self, count: int, seed: int) -> None:
         self.net = Net(count, seed)
         self.net.run(2 * S)
 
     @rule(micros=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
-    def time_passes(self, micros):
+    def time_passes(self, micros: int) -> None:
         self.net.run(micros)
 
     @rule(
@@ -100,11 +103,11 @@
         double=st.sampled_from((0.0, 0.5)),
         delay=st.sampled_from((100, 20_000, 400_000)),
     )
-    def the_network_is_bad(self, drop, double, delay):
+    def the_network_is_bad(self, drop: float, double: float, delay: int) -> None:
         self.net.drop, self.net.double, self.net.delay = drop, double, delay
 
     @rule(data=st.data())
-    def some_are_cut_off(self, data):
+    def some_are_cut_off(self, data: st.DataObject) -> None:
         side = data.draw(st.sets(st.sampled_from(self.net.names)))
         one_way = data.draw(st.booleans())
         self.net.cuts |= {(a, b) for a in side for b in self.net.names if b not in side}
@@ -112,31 +115,31 @@
             self.net.cuts |= {(b, a) for a, b in list(self.net.cuts)}
 
     @rule()
-    def the_cut_heals(self):
+    def the_cut_heals(self) -> None:
         self.net.cuts.clear()
 
     @rule(data=st.data())
-    def one_crashes(self, data):
+    def one_crashes(self, data: st.DataObject) -> None:
         if len(self.net.up) > 1:
             del self.net.up[data.draw(st.sampled_from(sorted(self.net.up)))]
 
     @rule(data=st.data())
-    def one_starts(self, data):
+    def one_starts(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(self.net.names))
         self.net.start(name)
 
     @rule(data=st.data())
-    def one_stalls(self, data):
+    def one_stalls(self, data: st.DataObject) -> None:
         if self.net.up:
             self.net.stalled.add(data.draw(st.sampled_from(sorted(self.net.up))))
 
     @rule(data=st.data())
-    def an_old_datagram_comes_again(self, data):
+    def an_old_datagram_comes_again(self, data: st.DataObject) -> None:
         if self.net.replayable:
             self.net.deliver(*data.draw(st.sampled_from(self.net.replayable)))
 
     @invariant()
-    def no_work_is_counted_twice(self):
+    def no_work_is_counted_twice(self) -> None:
         for name, protocol in getattr(self, "net", Net(0, 0)).up.items():
             others = protocol.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in protocol.peer_loads._last if n != name)
@@ -144,7 +147,7 @@
             worth = 1 + sum(protocol.peer_loads.weight(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
-    def teardown(self):
+    def teardown(self) -> None:
         """Whatever has happened: soon after it is over all agree, on the living and on the dead."""
         if not hasattr(self, "net"):
             return
@@ -162,7 +165,7 @@
 TestFleet = Fleet.TestCase
 
 
-def test_a_dead_one_is_told_dead_in_bounded_time_and_then_counts_no_more():
+def test_a_dead_one_is_told_dead_in_bounded_time_and_then_counts_no_more() -> None:
     net = Net(9, 1)
     net.run(3 * S)
     assert {c.count(net.now) for c in net.up.values()} == {9}
@@ -172,7 +175,7 @@
     assert {c.count(net.now) for c in net.up.values()} == {6}
 
 
-def test_a_cut_in_two_leaves_all_counted_and_heals():
+def test_a_cut_in_two_leaves_all_counted_and_heals() -> None:
     net = Net(8, 2)
     net.run(3 * S)
     side = net.names[:4]
@@ -185,7 +188,7 @@
     assert {len(c.members.reachable()) for c in net.up.values()} == {8}
 
 
-def test_one_that_stood_still_condemns_nobody_and_is_believed_again():
+def test_one_that_stood_still_condemns_nobody_and_is_believed_again() -> None:
     net = Net(5, 3)
     net.run(3 * S)
     net.delay = 40_000
@@ -201,7 +204,7 @@
     assert net.views()["d0"]["d2"] == MemberState.ALIVE
 
 
-def test_a_suspect_has_its_time_to_object_though_the_one_that_suspects_it_stood_still():
+def test_a_suspect_has_its_time_to_object_though_the_one_that_suspects_it_stood_still() -> None:
     net = Net(2, 6)
     net.run(3 * S)
     del net.up["d1"]
@@ -216,7 +219,7 @@
     assert net.views()["d0"]["d1"] == MemberState.DEAD
 
 
-def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start():
+def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start() -> None:
     net = Net(2, 5)
     first, second = net.up["d0"], net.up["d1"]
     ping = first.tick(net.now)[0]
@@ -229,7 +232,7 @@
     assert len(anew.members._open_pings) == 1
 
 
-def test_a_path_that_fails_in_one_direction_condemns_nobody():
+def test_a_path_that_fails_in_one_direction_condemns_nobody() -> None:
     net = Net(6, 4)
     net.run(3 * S)
     net.cuts = {("d0", "d1")}
@@ -238,7 +241,7 @@
         assert all(MemberState.DEAD not in view.values() for view in net.views().values())
 
 
-def test_the_silent_still_send_as_far_as_anybody_knows():
+def test_the_silent_still_send_as_far_as_anybody_knows() -> None:
     work, mine = PeerLoads(), ReplicaLoad(7, 100, 100)
     assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300  # nothing is known: as much as I have, each
     for name in "abc":
@@ -267,7 +270,7 @@
     )
 
 
-def test_a_message_comes_back_as_it_was_and_the_largest_fits_one_datagram():
+def test_a_message_comes_back_as_it_was_and_the_largest_fits_one_datagram() -> None:
     for m in (message(), message(say=Ack("d2", 5)), message(say=PingRequest("d2", 5, "d3")), message(0, 0)):
         assert GossipCodec([KEY]).unpack(GossipCodec([KEY]).pack(m), "d2") == m
     packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
@@ -293,12 +296,12 @@
         (lambda d: GossipCodec([KEY]).pack(GossipMessage("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
     ],
 )
-def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(spoil, reason):
+def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(spoil: Callable[[bytes], bytes], reason: str) -> None:
     with pytest.raises(MessageRejectedError, match=f"^{reason}$"):
         GossipCodec([KEY]).unpack(spoil(GossipCodec([KEY]).pack(message())), "d2")
 
 
-def test_any_flipped_byte_is_noticed_and_a_key_is_changed_without_a_gap():
+def test_any_flipped_byte_is_noticed_and_a_key_is_changed_without_a_gap() -> None:
     packed = GossipCodec([KEY]).pack(message())
     for n in range(len(packed)):
         with pytest.raises(MessageRejectedError):
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -44,7 +44,9 @@
         pytest.param(StubSource(4, 9, 0.0, GONE), StubSource(2, 7, 0.5), 4, "talk", 7, id="the aggregators are gone"),
     ],
 )
-def test_sums_are_used_while_they_count_all_that_gossip_else_the_gossip(sums, talk, count, in_use, load):
+def test_sums_are_used_while_they_count_all_that_gossip_else_the_gossip(
+    sums: Any, talk: Any, count: int | None, in_use: str, load: float
+) -> None:
     sources = CombinedLoadSource()
     sources.reporter, sources.gossip = sums, talk
     assert (sources.count(0), sources.in_use(0)) == (count, in_use)
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import contextlib
+import functools
 import json
 import pathlib
 import re
@@ -80,7 +81,8 @@
     def told(self, name: str) -> dict[str, Any]:
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         assert status == 200
-        return json.loads(answer)
+        figures: dict[str, Any] = json.loads(answer)
+        return figures
 
     def until(self, what: Callable[[], Any], names: str = "") -> None:
         end = time.monotonic() + WAIT_S
@@ -109,9 +111,13 @@
         assert b" 200 OK" in client.recv(200)
 
     def known_load(self, name: str) -> float:
-        return sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
+        total: float = sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
+        return total
 
-    def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self):
+    def all_know(self, least: float) -> bool:
+        return min(map(self.known_load, self.NAMES)) > least
+
+    def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         # A bad path condemns nobody.
@@ -141,18 +147,19 @@
         self.relay.cut()
         self.agree(5, 5, *self.NAMES)
 
-    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self):
+    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self) -> None:
         """One conversation's requests, each at another dispatcher that has nothing open itself: they alternate between
         its two replicas. Without the others' loads all would go to the first of its order."""
         self.start(replicas=6)
         self.agree(5, 5, *self.NAMES)
         for asked, name in enumerate(self.NAMES, 1):
             self.ask(name)
-            self.until(lambda asked=asked: min(map(self.known_load, self.NAMES)) > (asked - 0.5) * LOAD)
+            wanted = (asked - 0.5) * LOAD
+            self.until(functools.partial(self.all_know, wanted))
             runs = sorted(replica.runs for replica in self.replicas)
             assert runs == [0, 0, 0, 0, asked // 2, asked - asked // 2]
 
-    def test_forged_datagrams_change_nothing_and_are_counted(self):
+    def test_forged_datagrams_change_nothing_and_are_counted(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         host, port = self.relay.to["d1"]
@@ -175,8 +182,10 @@
     return operator_file(["a:1"], fleet)
 
 
-def test_a_file_with_a_fleet_names_its_peers(tmp_path):
-    assert set(setup.loads(fleet_file(tmp_path)).fleet.peers) == {"d2"}
+def test_a_file_with_a_fleet_names_its_peers(tmp_path: pathlib.Path) -> None:
+    fleet = setup.loads(fleet_file(tmp_path)).fleet
+    assert fleet
+    assert set(fleet.peers) == {"d2"}
 
 
 @pytest.mark.parametrize(
@@ -191,7 +200,9 @@
         ({"peers": PEER + "porto = 1\n"}, "fleet.peer.*porto"),
     ],
 )
-def test_bad_settings_of_the_fleet_are_told_by_their_path(tmp_path, changes, why):
+def test_bad_settings_of_the_fleet_are_told_by_their_path(
+    tmp_path: pathlib.Path, changes: dict[str, str], why: str
+) -> None:
     text = fleet_file(tmp_path, **changes)
     with pytest.raises(ConfigError, match=why):
         setup.loads(text)
--- a/tests/membership/test_reporter.py
+++ b/tests/membership/test_reporter.py
@@ -6,16 +6,18 @@
 
 from pearhill.membership import gauges, reporter
 from pearhill.membership.aggregation_messages import (
+    Report,
     Sums,
 )
 from pearhill.membership.reporter import Reporter
 from tests.membership.simulated_fleet import SITES, S
 
 
-def test_replayed_answers_put_no_report_off():
+def test_replayed_answers_put_no_report_off() -> None:
     r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(8), lambda: [])
     at = r.next_tick(S)
     (report,) = r.tick(at)
+    assert isinstance(report, Report)
     sums = Sums(SITES[0].name, "d1", 1, 1, report.number, -1, 1, 1, 0, 0, 0, 1, 0, b"\0", b"\0", ())
     r.receive(at, sums, 1400)
     due = r.next_tick(at)
@@ -24,11 +26,12 @@
     assert r.next_tick(at) == due
 
 
-def test_there_is_no_count_before_a_settled_aggregator_has_sent_one():
+def test_there_is_no_count_before_a_settled_aggregator_has_sent_one() -> None:
     r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(9), lambda: [])
     for n, (counted, settled, count) in enumerate(((2, False, None), (9, True, 9), (3, False, 9), (3, True, 3))):
         at = r.next_tick(S * (n + 1))
         (report,) = r.tick(at)
+        assert isinstance(report, Report)
         r.receive(
             at,
             Sums(
@@ -55,7 +58,7 @@
         assert r.count(at) == count
 
 
-def test_answers_missing_while_this_process_stood_still_are_no_fault_of_the_aggregator():
+def test_answers_missing_while_this_process_stood_still_are_no_fault_of_the_aggregator() -> None:
     now = 1_000 * S
     r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
     for _ in range(5):
@@ -69,13 +72,14 @@
     assert (r.current != "a0", r.attach, r.moves) == (True, 2, 1)
 
 
-def test_half_a_table_gives_no_peer_load():
+def test_half_a_table_gives_no_peer_load() -> None:
     now = 1_000 * S
     r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
     loads = gauges.pack(bytes((100,) * 4))
     for k, (entries, told) in enumerate(((((0, 70, 1), (1, 71, 2)), False), (((2, 72, 3), (3, 73, 4)), True))):
         now = r.next_tick(now)
         (asked,) = r.tick(now)
+        assert isinstance(asked, Report)
         r.receive(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
         for replica in (70, 73, 99):
             assert (r.peer_load(now, replica) is not None) == told
@@ -83,6 +87,8 @@
                 assert r.others(now, replica, 2, 3) == (8.0, 12.0, 0.0)
     now = r.next_tick(now)
     (asked,) = r.tick(now)
+    assert isinstance(asked, Report)
     r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
     assert r.peer_load(now, 80) is None  # the last sums of slot 0 were replica 70's
-    assert (r.peer_load(now, 70).total_tokens, r.peer_load(now, 71).total_tokens) == (0, gauges.TOKENS[100])
+    loads_now = [r.peer_load(now, replica) for replica in (70, 71)]
+    assert tuple(load and load.total_tokens for load in loads_now) == (0, gauges.TOKENS[100])
