--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -13,6 +13,7 @@
 from pearhill.budgets.charges import Charge, encode_charge, encode_state, rebuild
 from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN
 from pearhill.budgets.periods import DAY_S, month_name, month_of, periods
+from pearhill.budgets.reservation import AdmissionDecision, Reservation
 
 S = 1_000_000
 T0, WALL = 10**15, 1_796_083_200  # in seconds: the first of December 2026
@@ -25,6 +26,12 @@
 NO_LIMIT = Limit()
 
 
+def reservation(decision: AdmissionDecision) -> Reservation:
+    """What is reserved for a request, which must have been admitted."""
+    assert decision.reservation is not None
+    return decision.reservation
+
+
 def plan(weight: float = 0.0, account: str = "", key: Limit = NO_LIMIT, **limit: int) -> TenantPlan:
     return TenantPlan(Limit(**limit), account, weight, key)
 
@@ -32,7 +39,7 @@
 @pytest.mark.parametrize(
     "wall", [0, DAY_S - 1, DAY_S, 951_782_400, 951_868_800, 1_796_083_199, 1_796_083_200, 4_102_444_799]
 )
-def test_periods_against_the_calendar(wall):
+def test_periods_against_the_calendar(wall: int) -> None:
     date = datetime.datetime.fromtimestamp(wall, datetime.UTC)
     day, month = periods(wall)
     assert (day, month_name(month)) == (wall // DAY_S, f"{date.year}-{date.month:02}")
@@ -40,13 +47,13 @@
 
 
 @pytest.mark.parametrize("bad", ["2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"])
-def test_what_is_no_month_is_rejected(bad):
+def test_what_is_no_month_is_rejected(bad: str) -> None:
     with pytest.raises(ValueError, match=f"'{bad}' is no month as in 2026-12"):
         month_of(bad)
 
 
 class TestAdmission:
-    def test_a_bucket_gives_its_burst_and_then_its_rate(self):
+    def test_a_bucket_gives_its_burst_and_then_its_rate(self) -> None:
         b = budgets(a=plan(tokens_per_min=600, burst=1_000))
         first = b.admit(T0, WALL, "a", "", 500, 500)
         assert first.status == AdmissionStatus.WITHIN_LIMIT
@@ -55,13 +62,13 @@
         assert b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).retry_after == 1
         assert b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).status == AdmissionStatus.WITHIN_LIMIT
 
-    def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self):
+    def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
         b.answer_lengths.clear()
-        held = b.admit(T0, WALL, "a", "", 100, 100, hint=50).reservation
+        held = reservation(b.admit(T0, WALL, "a", "", 100, 100, hint=50))
         assert b.settle(T0, held, Usage(100, 0, 10)) == 110 * MILLI_PER_TOKEN
         assert b.balance(T0, WALL, "a")["remaining_tokens"] == 890
-        held = b.admit(T0, WALL, "a", "", 90, 2_400, hint=800).reservation
+        held = reservation(b.admit(T0, WALL, "a", "", 90, 2_400, hint=800))
         assert held.amount == 890 * MILLI_PER_TOKEN
         b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved: served whole
         assert b.balance(T0, WALL, "a")["debt_tokens"] == 1_600
@@ -69,17 +76,17 @@
         assert (decision.status, decision.retry_after) == (AdmissionStatus.OVERDRAWN, 1_602 * S)
         assert b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status == AdmissionStatus.WITHIN_LIMIT
 
-    def test_a_run_that_never_was_costs_nothing_and_settles_once(self):
+    def test_a_run_that_never_was_costs_nothing_and_settles_once(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, day=5_000, open=1))
-        held = b.admit(T0, WALL, "a", "", 500, 100).reservation
+        held = reservation(b.admit(T0, WALL, "a", "", 500, 100))
         assert b.admit(T0, WALL, "a", "", 1, 1).reason == "a: requests open at once"
         assert (b.settle(T0, held, None), b.settle(T0, held, Usage(9, 0, 9))) == (0, 0)
         balance = b.balance(T0, WALL, "a")
         assert (balance["remaining_tokens"], balance["day_tokens"], balance["open_requests"]) == (1_000, 0, 0)
 
-    def test_cached_tokens_have_their_own_price(self):
+    def test_cached_tokens_have_their_own_price(self) -> None:
         b = Budgets(Plan({"a": plan(tokens_per_min=60, burst=10_000)}, prices=Prices(cached=100, answer=4_000)), T0)
-        held = b.admit(T0, WALL, "a", "", 1_000, 10).reservation
+        held = reservation(b.admit(T0, WALL, "a", "", 1_000, 10))
         assert held.amount == 1_040 * MILLI_PER_TOKEN
         assert b.settle(T0, held, Usage(1_000, 800, 5)) == (200 + 80 + 20) * MILLI_PER_TOKEN
 
@@ -93,60 +100,60 @@
             ("month", Plan({"a": plan(month=100)}), "a: tokens a month"),
         ],
     )
-    def test_levels_nest(self, name, made, why):
+    def test_levels_nest(self, name: str, made: Plan, why: str) -> None:
         b = Budgets(made, T0)
         assert b.admit(T0, WALL, "a", "k1", 50, 30).reservation is not None
         decision = b.admit(T0, WALL, "a", "k1", 50, 30)
         assert (decision.status, decision.reason[: len(why)]) == (AdmissionStatus.OVER_LIMIT, why)
         assert decision.quota_exhausted == (name in ("day", "month"))
 
-    def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self):
+    def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         assert b.admit(T0, WALL, "a", "", 100, 50).reservation is not None
         assert b.admit(T0, WALL, "a", "", 1, 1).status == AdmissionStatus.OVERDRAWN
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         assert b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted
 
-    def test_answers_are_reserved_by_what_they_have_been(self):
+    def test_answers_are_reserved_by_what_they_have_been(self) -> None:
         b = budgets(a=plan(tokens_per_min=10**6, burst=10**6, debt=10**6))
         for _ in range(20):
-            held = b.admit(T0, WALL, "a", "", 10, 1_000).reservation
+            held = reservation(b.admit(T0, WALL, "a", "", 10, 1_000))
             b.settle(T0, held, Usage(10, 0, 100))
-        assert b.admit(T0, WALL, "a", "", 10, 1_000).reservation.amount == 110 * MILLI_PER_TOKEN
-        assert b.admit(T0, WALL, "a", "", 10, 50).reservation.amount == 60 * MILLI_PER_TOKEN
+        assert reservation(b.admit(T0, WALL, "a", "", 10, 1_000)).amount == 110 * MILLI_PER_TOKEN
+        assert reservation(b.admit(T0, WALL, "a", "", 10, 50)).amount == 60 * MILLI_PER_TOKEN
 
-    def test_a_period_ends_under_load_and_each_charge_is_in_one(self):
+    def test_a_period_ends_under_load_and_each_charge_is_in_one(self) -> None:
         b = budgets(a=plan(day=1_000))
         end = (WALL // DAY_S + 1) * DAY_S
-        held = b.admit(T0, end - 1, "a", "", 900, 100).reservation
+        held = reservation(b.admit(T0, end - 1, "a", "", 900, 100))
         after = b.admit(T0 + S, end, "a", "", 800, 100)
         assert after.reservation is not None
         b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
         assert b.balance(T0, end, "a")["day_tokens"] == 900
-        assert (held.day, after.reservation.day) == (end // DAY_S - 1, end // DAY_S)
+        assert (held.day, reservation(after).day) == (end // DAY_S - 1, end // DAY_S)
         stepped = b.admit(T0 + 3 * S, end - 5, "a", "", 50, 10)  # the calendar steps back over midnight
-        assert stepped.reservation.day == end // DAY_S
+        assert reservation(stepped).day == end // DAY_S
         assert b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason == "a: tokens a day"
 
-    def test_a_clock_that_goes_back_gives_and_takes_nothing(self):
+    def test_a_clock_that_goes_back_gives_and_takes_nothing(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100))
         b.admit(T0, WALL, "a", "", 90, 10)
         for now in (T0 - 50 * S, T0, T0 - 1, T0):
             assert b.balance(now, WALL, "a")["remaining_tokens"] == 0
         assert b.balance(T0 + S, WALL, "a")["remaining_tokens"] == 1
 
-    def test_a_lower_budget_keeps_what_is_reserved(self):
+    def test_a_lower_budget_keeps_what_is_reserved(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000))
-        held = b.admit(T0, WALL, "a", "", 600, 100).reservation
+        held = reservation(b.admit(T0, WALL, "a", "", 600, 100))
         b.reconfigure(Plan({"a": plan(tokens_per_min=60, burst=100)}), T0)
         assert b.balance(T0, WALL, "a")["remaining_tokens"] == 100
         b.settle(T0, held, Usage(600, 0, 350))
         assert b.balance(T0, WALL, "a")["debt_tokens"] == 150
 
-    def test_a_key_that_moves_settles_where_it_was_taken(self):
+    def test_a_key_that_moves_settles_where_it_was_taken(self) -> None:
         limit = Limit(tokens_per_min=60, burst=1_000)
         b = budgets(a=plan(key=limit), b=plan(key=limit))
-        held = b.admit(T0, WALL, "a", "k", 500, 100).reservation
+        held = reservation(b.admit(T0, WALL, "a", "k", 500, 100))
         moved = b.admit(T0, WALL, "b", "k", 900, 100)
         assert moved.reservation is not None
         b.settle(T0, held, Usage(100))
@@ -182,7 +189,7 @@
         minutes = (seconds - 30) / 60
         return ({name: n / minutes for name, n in served.items()}, sum(served.values()) / minutes / capacity, rejected)
 
-    def test_three_overspend_fivefold_and_the_fourth_is_never_rejected(self):
+    def test_three_overspend_fivefold_and_the_fourth_is_never_rejected(self) -> None:
         own = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
         served, used, rejected = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
         assert rejected["d"] == 0
@@ -203,27 +210,29 @@
             ),
         ],
     )
-    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(self, weights, rates, wanted):
+    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(
+        self, weights: dict[str, float], rates: dict[str, float], wanted: dict[str, int]
+    ) -> None:
         own = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
         served, used, _ = self.run_load(rates, own, 200_000)
         assert used > 0.95
         for name, share in wanted.items():
             assert served[name] == pytest.approx(share, abs=0.12 * share)
 
-    def test_without_weight_there_is_no_burst_capacity(self):
+    def test_without_weight_there_is_no_burst_capacity(self) -> None:
         own = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
         served, _, rejected = self.run_load({"a": 60_000}, own, 600_000)
         assert served["a"] == pytest.approx(6_000, abs=700)
         assert rejected["a"] > 500
 
-    def test_ten_thousand_tenants_wake_in_one_second(self):
+    def test_ten_thousand_tenants_wake_in_one_second(self) -> None:
         b = Budgets(
             Plan(default=plan(weight=1, tokens_per_min=600, burst=200), capacity=600_000, capacity_burst=100_000), T0
         )
         for k in range(10_000):
             decision = b.admit(T0 + k * 100, WALL, f"t{k}", "", 90, 10)
             assert decision.status == AdmissionStatus.WITHIN_LIMIT
-            b.settle(T0 + k * 100, decision.reservation, Usage(90, 0, 10))
+            b.settle(T0 + k * 100, reservation(decision), Usage(90, 0, 10))
         assert (
             b.admit(T0 + S, WALL, "t1", "", 190, 10).status == AdmissionStatus.OVER_LIMIT
         )  # guaranteed work has taken all
@@ -232,10 +241,10 @@
             now = b.tick(now)
         assert len(b.tenants) == 10_000  # what was used in a period is not forgotten before its end
 
-    def test_tenants_that_have_used_nothing_are_forgotten(self):
+    def test_tenants_that_have_used_nothing_are_forgotten(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100))
         for k in range(5_000):
-            b.settle(T0, b.admit(T0, WALL, f"t{k}", "", 90, 10).reservation, None)
+            b.settle(T0, reservation(b.admit(T0, WALL, f"t{k}", "", 90, 10)), None)
         now = T0 + 30 * S
         for _ in range(60):
             now = b.tick(now)
@@ -243,7 +252,7 @@
 
 
 class TestRebuiltFromTheJournal:
-    def test_a_snapshot_and_the_charges_behind_it_make_the_same_balances(self):
+    def test_a_snapshot_and_the_charges_behind_it_make_the_same_balances(self) -> None:
         rng = random.Random(3)
         made = Plan(
             {
@@ -255,7 +264,9 @@
             capacity_burst=10_000,
         )
         for cut in range(0, 60, 7):
-            live, journal, state = Budgets(made, T0), [], None
+            live = Budgets(made, T0)
+            journal: list[bytes] = []
+            state: bytes | None = None
             now = T0
             for step in range(60):
                 if step == cut:
@@ -287,17 +298,17 @@
                             )
                         )
                     )
-            held = live.admit(now, WALL, "a", "k", 10, 10)  # open at the crash: let go
+            left_open = live.admit(now, WALL, "a", "k", 10, 10)  # open at the crash: let go
             again = Budgets(made, T0)
             rebuild(again, state, journal, now)
-            live.settle(now, held.reservation, None) if held.reservation else None
+            live.settle(now, left_open.reservation, None) if left_open.reservation else None
             for tenant in "ab":
                 assert again.balance(now + S, WALL, tenant) == live.balance(now + S, WALL, tenant)
                 assert (again.admit(now, WALL, tenant, "k", 1, 50).reservation is None) == (
                     live.admit(now, WALL, tenant, "k", 1, 50).reservation is None
                 )
 
-    def test_a_state_of_another_version_is_rejected(self):
+    def test_a_state_of_another_version_is_rejected(self) -> None:
         fresh = budgets()
         with pytest.raises(ValueError, match="balances of version 2 cannot be read"):
             fresh.restore({"version": 2}, T0)
@@ -313,7 +324,7 @@
         self.now, self.start = T0, T0
         self.made = Plan({"a": TenantPlan(self.LIMIT, weight=0.0)})
         self.budgets = Budgets(self.made, T0)
-        self.held: list = []
+        self.held: list[tuple[Reservation, int, int]] = []
         self.level, self.at = Fraction(300), T0
         self.charged = Fraction(0)
         self.used = 0
@@ -324,12 +335,12 @@
         return self.level
 
     @rule(prompt=st.integers(0, 150), most=st.integers(1, 120), hint=st.integers(0, 120))
-    def arrive(self, prompt, most, hint):
+    def arrive(self, prompt: int, most: int, hint: int) -> None:
         decision = self.budgets.admit(self.now, WALL, "a", "", prompt, most, hint)
         level = self.model()
         if decision.reservation:
             amount = Fraction(decision.reservation.amount, MILLI_PER_TOKEN)
-            assert level >= min(amount, 300), (level, amount)
+            assert level >= min(amount, Fraction(300)), (level, amount)
             self.level -= amount
             self.held.append((decision.reservation, prompt, most))
         else:
@@ -344,7 +355,7 @@
 
     @precondition(lambda self: self.held)
     @rule(data=st.data())
-    def end(self, data):
+    def end(self, data: st.DataObject) -> None:
         held, prompt, most = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
         ran = data.draw(st.booleans())
         answer = data.draw(st.integers(0, most))
@@ -356,23 +367,23 @@
         assert self.budgets.settle(self.now, held, Usage(1, 0, 1)) == 0
 
     @rule(micros=st.integers(-5 * S, 20 * S))
-    def wait(self, micros):
+    def wait(self, micros: int) -> None:
         self.budgets.balance(self.now + min(0, micros), WALL, "a")  # a look from the past changes nothing
         self.now += max(0, micros)
 
     @rule()
-    def tick(self):
+    def tick(self) -> None:
         self.budgets.tick(self.now)
 
     @precondition(lambda self: not self.held)
     @rule()
-    def crash(self):
+    def crash(self) -> None:
         fresh = Budgets(self.made, self.now)
         rebuild(fresh, encode_state(self.budgets), [], self.now)
         self.budgets = fresh
 
     @invariant()
-    def balances_agree_to_the_grain(self):
+    def balances_agree_to_the_grain(self) -> None:
         node = self.budgets.tenants.get("a")
         if node:
             node.refill(self.now)
@@ -384,7 +395,7 @@
             assert not self.held
 
     @invariant()
-    def nobody_spends_more_than_burst_and_rate_and_one_debt(self):
+    def nobody_spends_more_than_burst_and_rate_and_one_debt(self) -> None:
         assert self.charged <= 300 + Fraction(10 * (self.now - self.start), S) + 120
 
 
