--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -7,6 +7,7 @@
 import subprocess
 import sys
 import threading
+from typing import Any
 
 import pytest
 
@@ -23,7 +24,9 @@
     @pytest.fixture(autouse=True)
     def begin(self, tmp_path: pathlib.Path) -> None:
         self.folder = tmp_path
-        self.synced, self.failures, self.changed = 0, [], threading.Condition()
+        self.synced = 0
+        self.failures: list[OSError | None] = []
+        self.changed = threading.Condition()
 
     def on_synced(self, seq: int) -> None:
         with self.changed:
@@ -35,7 +38,7 @@
             self.failures.append(error)
             self.changed.notify_all()
 
-    def open(self, **more) -> Journal:
+    def open(self, **more: int) -> Journal:
         return Journal(self.folder, recover(self.folder).seq, self.on_synced, self.on_failure, **more)
 
     def wait_synced(self, seq: int) -> None:
@@ -47,8 +50,8 @@
 
 
 class TestWrittenAndRead(JournalCase):
-    def test_what_was_appended_comes_back_in_order_and_once(self):
-        wanted = []
+    def test_what_was_appended_comes_back_in_order_and_once(self) -> None:
+        wanted: list[bytes] = []
         for _ in range(3):
             journal = self.open(segment_bytes=200)
             for _ in range(20):
@@ -59,7 +62,7 @@
         assert self.synced == len(wanted)
         assert len(segments(self.folder)) > 3
 
-    def test_cut_at_every_byte_it_reads_as_what_was_whole_before(self):
+    def test_cut_at_every_byte_it_reads_as_what_was_whole_before(self) -> None:
         journal = self.open()
         wanted = [bytes([65 + k]) * (k * 3) for k in range(12)]
         for body in wanted:
@@ -89,13 +92,13 @@
                     other.unlink()
 
     @pytest.mark.parametrize("at", range(len(TWO_FRAMES)))
-    def test_a_changed_byte_is_found_wherever_it_stands(self, at):
+    def test_a_changed_byte_is_found_wherever_it_stands(self, at: int) -> None:
         spoilt = bytearray(TWO_FRAMES)
         spoilt[at] ^= 1
         with pytest.raises(TornFrameError):
             list(decode_frames(bytes(spoilt)))
 
-    def test_damage_in_the_middle_is_not_cut_away(self):
+    def test_damage_in_the_middle_is_not_cut_away(self) -> None:
         journal = self.open(segment_bytes=60)
         for k in range(10):
             journal.append(b"body %d" % k)
@@ -109,7 +112,7 @@
             recover(self.folder)
         assert first.read_bytes() == bytes(data)
 
-    def test_a_snapshot_replaces_what_came_before_it(self):
+    def test_a_snapshot_replaces_what_came_before_it(self) -> None:
         journal = self.open(segment_bytes=50)
         for k in range(5):
             journal.append(b"%d" % k)
@@ -118,6 +121,7 @@
         journal.append(b"after")
         journal.close()
         found = recover(self.folder)
+        assert found.state is not None
         assert (len(found.state), found.state_seq, [f.body for f in found.frames]) == (2 << 20, 5, [b"after"])
         newest = max(self.folder.glob("*.state"))
         newest.write_bytes(newest.read_bytes()[:-1])  # it is not whole: all that it stood for is there still
@@ -146,7 +150,7 @@
     def fail(self, name: str, times: int, error: OSError, partly: bool = False) -> None:
         real, left = getattr(os, name), [times]
 
-        def call(*arguments):
+        def call(*arguments: Any) -> Any:
             if left[0] and threading.current_thread().name == "journal":
                 left[0] -= 1
                 if partly:
@@ -158,7 +162,7 @@
         self.monkeypatch.setattr("pearhill.durable.journal.RETRY_INTERVAL_S", 0.01)
 
     @pytest.mark.parametrize(("name", "partly"), [("write", False), ("write", True), ("fsync", False)])
-    def test_a_disk_that_fails_for_a_while_loses_and_doubles_nothing(self, name, partly):
+    def test_a_disk_that_fails_for_a_while_loses_and_doubles_nothing(self, name: str, partly: bool) -> None:
         journal = self.open()
         journal.append(b"before")
         self.wait_synced(1)
@@ -171,7 +175,7 @@
         assert recover(self.folder).seq == 6
         assert [e is None for e in self.failures] == [False, True]
 
-    def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self):
+    def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self) -> None:
         self.fail("write", -1, OSError(5, "Input/output error"))
         journal = self.open(max_waiting_bytes=300)
         with pytest.raises(BufferError, match="too much waits for the disk"):
@@ -198,7 +202,7 @@
 
 
 class TestKilledProcess(JournalCase):
-    def test_whatever_was_acknowledged_before_a_kill_is_there_once(self):
+    def test_whatever_was_acknowledged_before_a_kill_is_there_once(self) -> None:
         """200 points in the measurement; here a few, seeded."""
         rounds = int(os.environ.get("PEARHILL_KILLS", "8"))
         rng, acked = random.Random(SEED), 0
