--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -12,7 +12,7 @@
 from pearhill.eureka.registry import Registry, RegistryError
 from pearhill.routing.topology import Endpoint, Phase
 from tests.chat.test_front import PATH, body, operator_file, write_file
-from tests.standins import SETTINGS, Program, Standin
+from tests.standins import SETTINGS, Program, Standin, StandinHandler
 
 APP = "HELPDESK"
 
@@ -59,7 +59,7 @@
         self.down = False
         super().__init__()
 
-    def respond(self, handler: Any, body: bytes) -> None:
+    def respond(self, handler: StandinHandler, body: bytes, /) -> None:
         path = handler.path.partition("?")[0]
         if self.down:
             return handler.plain(500)
@@ -95,24 +95,24 @@
             'register_as = "pearhill"\nrenew_s = 1\nfetch_s = 1\n',
         )
 
-    def test_replicas_of_the_registry_serve_and_stay_when_it_is_down(self):
+    def test_replicas_of_the_registry_serve_and_stay_when_it_is_down(self) -> None:
         assert self.program.ask("POST", PATH, body())[0] == 200
         self.eureka.down = True
         self.program.wait_line("the last one stays")
         assert self.program.ask("POST", PATH, body())[0] == 200
 
-    def test_a_replica_that_is_not_up_gets_nothing_new(self):
+    def test_a_replica_that_is_not_up_gets_nothing_new(self) -> None:
         self.eureka.delta = answer(instance("m1", self.replica.address, status="OUT_OF_SERVICE", action="MODIFIED"))
         self.eureka.wait_for("GET", "/eureka/apps/delta")
         self.program.wait_ready(503)
         assert (self.program.ask("POST", PATH, body())[0], self.replica.runs) == (503, 0)
 
-    def test_a_delta_that_does_not_add_up_fetches_the_full_list(self):
+    def test_a_delta_that_does_not_add_up_fetches_the_full_list(self) -> None:
         self.eureka.delta = answer(code="UP_2_")
         self.program.wait_line("does not add up")
         self.eureka.wait_for("GET", "/eureka/apps", 3)
 
-    def test_a_reload_leaves_the_old_registry_and_registers_with_the_new_one(self):
+    def test_a_reload_leaves_the_old_registry_and_registers_with_the_new_one(self) -> None:
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
         other = RegistryStandin()
         self.addCleanup(other.close)
@@ -124,7 +124,7 @@
         other.wait_for("GET", "/eureka/apps")
         assert self.program.ask("POST", PATH, body())[0] == 200
 
-    def test_registered_renewed_registered_anew_and_cancelled(self):
+    def test_registered_renewed_registered_anew_and_cancelled(self) -> None:
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
         self.eureka.wait_for("PUT", "/eureka/apps/PEARHILL")
         own = json.loads(
@@ -145,7 +145,7 @@
     def entries(self) -> list[Endpoint]:
         return list(self.registry.endpoints(APP, self.deployment)[0])
 
-    def test_metadata_gives_role_zone_and_cell(self):
+    def test_metadata_gives_role_zone_and_cell(self) -> None:
         self.registry.replace(
             answer(instance("a", role="reader", zone="south", cell="4"), instance("b", kind="writer"))
         )
@@ -155,7 +155,7 @@
         )
         assert len(self.entries()) == 1  # what makes no sense is left out
 
-    def test_deltas_and_the_hash_code(self):
+    def test_deltas_and_the_hash_code(self) -> None:
         self.registry.replace(answer(instance("a"), instance("b", status="DOWN")))
         assert self.registry.hash_code == "DOWN_1_UP_1_"
         assert self.registry.apply(answer(instance("b", action="DELETED"), instance("c"), code="UP_2_"))
@@ -163,21 +163,22 @@
         assert self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
         assert sorted(e.phase for e in self.entries()) == [Phase.DRAINING, Phase.READY]
 
-    def test_a_list_of_one_may_come_as_the_one_alone(self):
+    def test_a_list_of_one_may_come_as_the_one_alone(self) -> None:
         contents = answer(instance("a"))
         contents["applications"]["application"] = {"name": APP, "instance": instance("a")}
         self.registry.replace(contents)
         assert len(self.entries()) == 1
 
-    def test_nonsense_is_an_error_and_changes_nothing(self):
+    def test_nonsense_is_an_error_and_changes_nothing(self) -> None:
         self.registry.replace(answer(instance("a")))
-        for contents in (
+        nonsense: tuple[Any, ...] = (
             None,
             [],
             {},
             {"applications": {"application": [7]}},
             {"applications": {"application": [{"instance": {}}]}},
-        ):
+        )
+        for contents in nonsense:
             with self.subTest(contents=contents), pytest.raises(RegistryError):
                 self.registry.replace(contents)
         assert len(self.entries()) == 1
