--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -28,7 +28,9 @@
     ("start", "more"),
     [(b"HTTP/1.1 200 OK\r\nA: ", BLOCK), (b"HTTP/1.1 200 ", BLOCK), (b"", INTERIM_ANSWERS)],
 )
-def test_an_endless_head_ends_the_answer_while_it_still_arrives(connection, start, more):
+def test_an_endless_head_ends_the_answer_while_it_still_arrives(
+    connection: ClientConnection, start: bytes, more: bytes
+) -> None:
     events = feed_all(connection, [start] + [more] * 6)
     assert not connection.awaiting
     assert [type(event) for event in events if event != Lost("unasked")] == [Lost]
@@ -45,22 +47,24 @@
     ],
     ids=["too-short", "too-long", "no-number", "negative", "endless"],
 )
-def test_a_chunk_counts_once_its_end_proves_its_size(connection, bad_chunk):
+def test_a_chunk_counts_once_its_end_proves_its_size(connection: ClientConnection, bad_chunk: bytes) -> None:
     events = feed_all(connection, [CHUNKED + b"2\r\nhi\r\n", bad_chunk])
     assert [type(event) for event in events] == [Head, Data, Lost]
 
 
 @pytest.mark.parametrize(("more", "reusable"), [(b"", True), (ANSWER, False), (b"noise", False)])
-def test_bytes_after_an_answer_make_its_connection_unusable(connection, more, reusable):
+def test_bytes_after_an_answer_make_its_connection_unusable(
+    connection: ClientConnection, more: bytes, reusable: bool
+) -> None:
     events = connection.feed(b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + ANSWER + more)
     assert events == [Head(200, {"content-length": "2"}), Data(b"hi"), End(reusable, not more)]
 
 
-def test_bytes_without_a_request_are_an_error():
+def test_bytes_without_a_request_are_an_error() -> None:
     assert ClientConnection().feed(b"HTTP/1.1 200 OK\r\n") == [Lost("unasked")]
 
 
-def test_answers_in_pieces_one_after_another():
+def test_answers_in_pieces_one_after_another() -> None:
     connection = ClientConnection()
     for _ in range(2):
         connection.expect()
@@ -69,7 +73,7 @@
         assert connection.feed(b"0\r\n\r\n") == [End(True)]
 
 
-def test_a_connection_that_ends_loses_the_answer_once(connection):
+def test_a_connection_that_ends_loses_the_answer_once(connection: ClientConnection) -> None:
     connection.feed(ANSWER)
     connection.expect()
     assert connection.eof() == [Lost("eof")]
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -5,6 +5,8 @@
 import gc
 import sys
 import weakref
+from collections.abc import Callable
+from typing import Any
 
 import pytest
 
@@ -24,7 +26,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, len(REQUEST), 2 * len(REQUEST)])
-def test_requests_cut_anywhere_parse_the_same(size):
+def test_requests_cut_anywhere_parse_the_same(size: int) -> None:
     stream = REQUEST * 2
     events = feed_all(ServerConnection(), [stream[at : at + size] for at in range(0, len(stream), size)])
     requests = [event for event in events if isinstance(event, RequestMessage)]
@@ -33,14 +35,15 @@
     ] * 2
 
 
-def test_a_body_past_the_bound_is_rejected_and_nothing_is_accepted_after_it():
+def test_a_body_past_the_bound_is_rejected_and_nothing_is_accepted_after_it() -> None:
     connection = ServerConnection(max_body=4)
     assert connection.feed(HEAD + b"Content-Length: 5\r\n\r\n") == [Rejected(413, "the body is too large")]
     assert connection.feed(REQUEST) == []
 
 
-def test_a_chunked_body_past_the_bound_is_rejected():
+def test_a_chunked_body_past_the_bound_is_rejected() -> None:
     (rejected,) = ServerConnection(max_body=3).feed(REQUEST)
+    assert isinstance(rejected, Rejected)
     assert rejected.status == 413
 
 
@@ -57,8 +60,9 @@
         b"Upgrade: h2c\r\nConnection: upgrade",
     ],
 )
-def test_a_request_whose_framing_is_in_doubt_is_rejected(header):
+def test_a_request_whose_framing_is_in_doubt_is_rejected(header: bytes) -> None:
     (rejected,) = ServerConnection().feed(HEAD + header + b"\r\n\r\n")
+    assert isinstance(rejected, Rejected)
     assert rejected.status == 400
 
 
@@ -73,25 +77,26 @@
         (b"", BLANK_LINES),
     ],
 )
-def test_endless_input_is_rejected_while_it_still_arrives(start, more):
-    events = feed_all(ServerConnection(), [start] + [more] * 6)
+def test_endless_input_is_rejected_while_it_still_arrives(start: bytes, more: bytes) -> None:
+    events: list[Any] = feed_all(ServerConnection(), [start] + [more] * 6)
     assert [event.status for event in events] == [431]
 
 
-def test_a_large_body_in_small_pieces_is_no_endless_head():
+def test_a_large_body_in_small_pieces_is_no_endless_head() -> None:
     parts = [HEAD + b"Content-Length: 200000\r\n\r\n", *[b"x" * 1000] * 200] * 2
-    requests = feed_all(ServerConnection(), parts)
+    requests: list[Any] = feed_all(ServerConnection(), parts)
     assert [len(request.body) for request in requests] == [200_000] * 2
 
 
-def test_a_header_that_comes_twice_is_a_list_and_a_trailer_is_no_header():
+def test_a_header_that_comes_twice_is_a_list_and_a_trailer_is_no_header() -> None:
     head = HEAD + b"Transfer-Encoding: chunked\r\nA: 1\r\na: 2\r\n\r\n"
     (request,) = ServerConnection().feed(head + b"0\r\nB: 3\r\n\r\n")
+    assert isinstance(request, RequestMessage)
     assert request.headers["a"] == "1, 2"
     assert "b" not in request.headers
 
 
-def test_rejected_input_is_released_at_once():
+def test_rejected_input_is_released_at_once() -> None:
     """The connection lives on; it must not keep its callers' frames alive."""
     connection = ServerConnection()
 
@@ -106,7 +111,7 @@
     assert read()() is None
 
 
-def test_nothing_is_kept_of_a_request_that_was_passed_on():
+def test_nothing_is_kept_of_a_request_that_was_passed_on() -> None:
     connection = ServerConnection()
     (request,) = connection.feed(REQUEST)
     assert sys.getrefcount(request) == 2  # this name and the call's own: its body goes with its answer
@@ -119,7 +124,9 @@
 
 
 @pytest.mark.parametrize("open_connection", [server_after_a_request, ClientConnection])
-def test_a_closed_connection_is_freed_without_the_collector(open_connection):
+def test_a_closed_connection_is_freed_without_the_collector(
+    open_connection: Callable[[], ServerConnection | ClientConnection],
+) -> None:
     connection = open_connection()
     was_enabled = gc.isenabled()
     gc.disable()
--- a/tests/http1/test_sse.py
+++ b/tests/http1/test_sse.py
@@ -1,5 +1,7 @@
 """Event streams: whatever the reads, and whichever way through the parser, the same events come out."""
 
+from collections.abc import Iterable
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,18 +23,19 @@
         b"nonsense",
     ]
 )
+EncodedEvents = list[tuple[list[bytes], bytes]]  # lines, and how they end
 EVENTS = st.lists(st.tuples(st.lists(LINES, max_size=3), st.sampled_from([b"\n", b"\r\n", b"\r"])), max_size=8)
 
 
-def encode(events) -> bytes:
+def encode(events: EncodedEvents) -> bytes:
     return b"".join(b"".join(line + end for line in lines) + end for lines, end in events)
 
 
-def parse(parts) -> list[ServerEvent]:
+def parse(parts: Iterable[bytes]) -> list[ServerEvent]:
     return feed_all(EventParser(), parts)
 
 
-def feed_all(parser: EventParser, parts) -> list[ServerEvent]:
+def feed_all(parser: EventParser, parts: Iterable[bytes]) -> list[ServerEvent]:
     return [event for part in parts for event in parser.feed(part)]
 
 
@@ -41,7 +44,7 @@
 
 
 @given(EVENTS, st.lists(st.integers(0, 200), max_size=12), st.booleans())
-def test_reads_that_end_anywhere_change_nothing(events, cuts, marked):
+def test_reads_that_end_anywhere_change_nothing(events: EncodedEvents, cuts: list[int], marked: bool) -> None:
     byte_order_mark = b"\xef\xbb\xbf" if marked else b""
     stream = byte_order_mark + encode(events) + b"data: end\n\n"
     bounds = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
@@ -56,7 +59,7 @@
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20).filter(lambda b: not set(b) & set(b"\r\n")), min_size=1))
-def test_plain_events_parse_as_they_do_line_by_line(values):
+def test_plain_events_parse_as_they_do_line_by_line(values: list[bytes]) -> None:
     stream = b"".join(b"data: %b\n\n" % value for value in values)
     by_lines = [stream[:-1], stream[-1:]]
     try:
@@ -69,7 +72,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 38])
-def test_an_event_past_the_bound_is_rejected_wherever_reads_end(size):
+def test_an_event_past_the_bound_is_rejected_wherever_reads_end(size: int) -> None:
     stream = b"data: " + b"x" * 30 + b"\n\n"
     assert len(stream) == 38
     parser = EventParser(most=20)
@@ -78,7 +81,7 @@
         feed_all(parser, reads)
 
 
-def test_events_cut_anywhere_keep_their_bytes():
+def test_events_cut_anywhere_keep_their_bytes() -> None:
     stream = b": hi\n\ndata: a\ndata: b\r\n\r\nevent: x\rdata:c\r\rid: 1\n\n"
     expected = [(None, "message"), (b"a\nb", "message"), (b"c", "x"), (None, "message")]
     for size in range(1, len(stream) + 1):
@@ -87,6 +90,6 @@
         assert b"".join(event.raw for event in events) == stream
 
 
-def test_an_event_past_the_bound_is_rejected_before_its_end():
+def test_an_event_past_the_bound_is_rejected_before_its_end() -> None:
     with pytest.raises(EventStreamError):
         EventParser(most=10).feed(b"data: " + b"x" * 10)
