--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -43,14 +43,15 @@
         return call(self.admin_address, method, path)[0]
 
     def stats(self) -> dict[str, Any]:
-        return json.loads(call(self.admin_address, "GET", "/ops/stats")[2])
+        stats: dict[str, Any] = json.loads(call(self.admin_address, "GET", "/ops/stats")[2])
+        return stats
 
     def ask(self, id: str, cls: str = "advice") -> int:
         return self.program.ask("POST", PATH, BODY, headers(id, cls))[0]
 
 
 class Calls(AdminEndpointCase):
-    def test_bad_calls_get_their_answer_and_the_endpoint_goes_on(self):
+    def test_bad_calls_get_their_answer_and_the_endpoint_goes_on(self) -> None:
         self.start("all-in-one")
         down = "/ops/replicas/down"
         for status, method, path in (
@@ -71,21 +72,21 @@
                 assert self.call_admin(method, path) == status
         assert call(self.admin_address, "PUT", down)[1]["Allow"] == "POST"
         host, _, port = self.admin_address.rpartition(":")
-        for raw, status in (
+        for raw, expected in (
             (b"GET /ops/stats HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 40_000, b"431"),
             (b"nonsense\r\n\r\n", b"400"),
         ):
             with socket.create_connection((host, int(port)), 20) as caller:
                 caller.sendall(raw)
-                assert status in caller.recv(4096)
+                assert expected in caller.recv(4096)
         assert self.call_admin("GET", "/ops/readiness") == 200
 
-    def test_one_call_a_connection(self):
+    def test_one_call_a_connection(self) -> None:
         self.start("all-in-one")
         _, response_headers, _ = call(self.admin_address, "GET", "/ops/readiness")
         assert response_headers["Connection"] == "close"
 
-    def test_silent_callers_and_half_calls_keep_no_other_caller_out(self):
+    def test_silent_callers_and_half_calls_keep_no_other_caller_out(self) -> None:
         self.start("all-in-one")
         host, _, port = self.admin_address.rpartition(":")
         for n in range(60):  # more connections than operators may have
@@ -96,7 +97,7 @@
         assert self.call_admin("GET", "/ops/stats") == 200
         self.program.wait_line("side=operator .* reason=room-needed")
 
-    def test_a_call_in_single_bytes_is_answered(self):
+    def test_a_call_in_single_bytes_is_answered(self) -> None:
         self.start("all-in-one")
         host, _, port = self.admin_address.rpartition(":")
         with socket.create_connection((host, int(port)), 20) as caller:
@@ -105,7 +106,7 @@
                 caller.send(bytes([byte]))
             assert b"200 OK" in caller.recv(4096)
 
-    def test_not_ready_before_it_can_serve_and_absent_unless_asked_for(self):
+    def test_not_ready_before_it_can_serve_and_absent_unless_asked_for(self) -> None:
         self.start()
         assert self.call_admin("GET", "/ops/readiness") == 503
         replica = Standin()
@@ -119,7 +120,7 @@
         assert plain.ask("GET", "/ops/stats")[0] == 404
         assert not [line for line in plain.lines if "operators" in line]
 
-    def test_a_bad_address_is_one_line_that_names_the_key(self):
+    def test_a_bad_address_is_one_line_that_names_the_key(self) -> None:
         self.start("all-in-one")
         for address, code in (("nowhere", 2), (self.admin_address, 1)):
             with self.subTest(address=address):
@@ -145,7 +146,7 @@
 
 
 class ReportedFigures(AdminEndpointCase):
-    def test_each_request_is_counted_once_where_it_ended(self):
+    def test_each_request_is_counted_once_where_it_ended(self) -> None:
         prefill, decode = self.start("reader", "writer")
         prefill.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         none = {"success": 0, "busy": 0, "failure": 0}
@@ -183,7 +184,7 @@
 
 
 class ReplicasDown(AdminEndpointCase):
-    def test_a_replica_that_is_down_gets_nothing_until_one_call_up_whatever_discovery_lists(self):
+    def test_a_replica_that_is_down_gets_nothing_until_one_call_up_whatever_discovery_lists(self) -> None:
         replicas = self.start("all-in-one", "all-in-one")
         targets = [(f"s-{n}", replica.address, "all-in-one") for n, replica in enumerate(replicas)]
         for _ in range(2):
@@ -206,14 +207,14 @@
             assert time.monotonic() < end
             n += 1
 
-    def test_a_replica_that_is_down_and_no_longer_listed_can_be_restored(self):
+    def test_a_replica_that_is_down_and_no_longer_listed_can_be_restored(self) -> None:
         first, second = self.start("all-in-one", "all-in-one")
         assert self.call_admin("POST", "/ops/replicas/down?target=s-0") == 200
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
         assert [self.call_admin("POST", "/ops/replicas/up?target=s-0") for _ in range(2)] == [200, 404]
 
-    def test_an_answer_under_way_is_completed(self):
+    def test_an_answer_under_way_is_completed(self) -> None:
         replica, _ = self.start("all-in-one", "all-in-one")
 
         def answer_when_told(handler: Any, body: bytes) -> None:
@@ -234,7 +235,7 @@
 
 
 class Draining(AdminEndpointCase):
-    def test_clients_leave_during_a_drain_and_come_back(self):
+    def test_clients_leave_during_a_drain_and_come_back(self) -> None:
         self.start("all-in-one")
         idle, used = self.program.connect(), self.program.connect()
         for connection in (idle, used):
@@ -259,7 +260,7 @@
             assert (response.status, response.getheader("Connection")) == (200, None)
             response.read()
 
-    def test_the_end_of_a_drain_does_not_keep_a_process_that_was_told_to_end(self):
+    def test_the_end_of_a_drain_does_not_keep_a_process_that_was_told_to_end(self) -> None:
         self.start("all-in-one")
         assert self.call_admin("POST", "/ops/drain/start") == 200
         self.program.process.terminate()
