--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -12,7 +12,7 @@
     return {e.replica: e.phase for e in entries}
 
 
-def test_a_replica_that_is_down_is_draining_whatever_the_list_says():
+def test_a_replica_that_is_down_is_draining_whatever_the_list_says() -> None:
     overrides = OperatorOverrides()
     endpoints = EndpointOverrides(overrides)
     assert phases(endpoints.update(True, (endpoint(1, 0), endpoint(2, 1)))) == {1: Phase.READY, 2: Phase.READY}
@@ -31,7 +31,7 @@
     assert not endpoints.knows(1)
 
 
-def test_a_restored_replica_counts_as_cold_until_the_list_has_its_true_start():
+def test_a_restored_replica_counts_as_cold_until_the_list_has_its_true_start() -> None:
     overrides = OperatorOverrides()
     endpoints = EndpointOverrides(overrides)
     endpoints.update(True, (endpoint(1, 0, started_at=3 * S),))
--- a/tests/lifecycle/test_overrides.py
+++ b/tests/lifecycle/test_overrides.py
@@ -9,7 +9,7 @@
 CALLS = st.lists(st.tuples(st.integers(0, 1), st.integers(1, 3), st.integers(0, 20), st.booleans()), max_size=30)
 
 
-def test_two_calls_down_need_one_up_and_a_call_up_alone_is_none():
+def test_two_calls_down_need_one_up_and_a_call_up_alone_is_none() -> None:
     overrides = OperatorOverrides()
     overrides.set_down(1, 5 * S, False)
     assert overrides.down == {}  # or a replica that was never down would be taken for a cold one
@@ -17,11 +17,12 @@
         overrides.set_down(1, at, True)
     overrides.set_down(1, 12 * S, False)
     assert not overrides.is_down(1)
-    assert overrides.restored(1)
-    assert overrides.restored(1).since == 10 * S
+    restored = overrides.restored(1)
+    assert restored
+    assert restored.since == 10 * S
 
 
-def test_overrides_in_force_are_never_forgotten():
+def test_overrides_in_force_are_never_forgotten() -> None:
     overrides = OperatorOverrides()
     overrides.set_down(1, S, True)
     overrides.forget(100 * RETENTION_US)
@@ -29,7 +30,7 @@
 
 
 @given(CALLS)
-def test_of_two_processes_both_end_with_the_override_that_came_last(calls):
+def test_of_two_processes_both_end_with_the_override_that_came_last(calls: list[tuple[int, int, int, bool]]) -> None:
     """Each call reaches one of two; each takes over the other's after it, whatever their clocks say."""
     both = OperatorOverrides(), OperatorOverrides()
     last: dict[int, bool] = {}
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -18,7 +18,7 @@
     return Takeover("n3", started_at, OperatorOverrides())
 
 
-def test_a_successor_knows_its_predecessor_and_the_predecessor_its_successor():
+def test_a_successor_knows_its_predecessor_and_the_predecessor_its_successor() -> None:
     new, old = takeover(9 * S), takeover(5 * S)
     predecessor, successor = (
         replace(MESSAGE, written_at=9 * S),
@@ -42,7 +42,7 @@
         )  # it was killed: the predecessor accepts its clients again
 
 
-def test_the_predecessor_gets_the_time_to_answer_but_readiness_comes_in_time():
+def test_the_predecessor_gets_the_time_to_answer_but_readiness_comes_in_time() -> None:
     new = takeover()
     new.receive(9 * S, [replace(MESSAGE, written_at=9 * S)])
     assert not new.reports_ready(0)
@@ -55,7 +55,7 @@
     assert new.reports_ready(0)
 
 
-def test_what_is_down_outlives_every_process_and_a_drain_only_its_own():
+def test_what_is_down_outlives_every_process_and_a_drain_only_its_own() -> None:
     drained = replace(MESSAGE, drain=Override(6 * S, True, 6 * S))
     for now, down, drain in (
         (6 * S, True, True),
@@ -68,12 +68,12 @@
         assert new.expired(drained, now) == (not drain)  # a message that nobody will write again can go
 
 
-def test_a_predecessor_leaves_its_successors_message_alone():
+def test_a_predecessor_leaves_its_successors_message_alone() -> None:
     old = takeover(4 * S)
     assert not old.expired(MESSAGE, 6 * S + ALIVE_WITHIN_US + 1)
 
 
-def test_a_message_is_written_when_it_says_something_new_and_at_each_interval():
+def test_a_message_is_written_when_it_says_something_new_and_at_each_interval() -> None:
     new = takeover()
     assert new.message(9 * S, False, True)
     assert new.message(9 * S + 1, False, True) is None
--- a/tests/lifecycle/test_takeover_message.py
+++ b/tests/lifecycle/test_takeover_message.py
@@ -31,11 +31,11 @@
         st.none() | OVERRIDES,
     )
 )
-def test_a_message_is_decoded_as_it_was_encoded(message):
+def test_a_message_is_decoded_as_it_was_encoded(message: TakeoverMessage) -> None:
     assert decode(message.encode(), message.name) == message
 
 
-def test_a_message_cut_or_changed_at_any_byte_is_rejected():
+def test_a_message_cut_or_changed_at_any_byte_is_rejected() -> None:
     data = MESSAGE.encode()
     for cut in range(len(data)):
         with pytest.raises(TakeoverMessageError):
@@ -55,6 +55,6 @@
         (replace(MESSAGE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many"),
     ],
 )
-def test_an_error_says_why_a_message_is_rejected(data, why):
+def test_an_error_says_why_a_message_is_rejected(data: bytes, why: str) -> None:
     with pytest.raises(TakeoverMessageError, match=why):
         decode(data, "n3")
