--- a/tests/config/test_typed.py
+++ b/tests/config/test_typed.py
@@ -69,7 +69,7 @@
 
 
 class FileErrors(unittest.TestCase):
-    def test_each_names_its_place_what_was_found_and_what_is_allowed(self):
+    def test_each_names_its_place_what_was_found_and_what_is_allowed(self) -> None:
         loads(GOOD)
         for old, new, error in CASES:
             with self.subTest(error=error):
@@ -80,13 +80,13 @@
                 assert str(caught.value).startswith(error), str(caught.value)
                 assert str(caught.value).count("\n") == 0
 
-    def test_files_that_are_no_toml_or_not_there(self):
+    def test_files_that_are_no_toml_or_not_there(self) -> None:
         for path in (write_file(self, "[chat"), "/nowhere/chat.toml", str(ROOT)):
             with self.subTest(path=path), pytest.raises(ConfigError) as caught:
                 load(path)
             assert str(caught.value).startswith(f"{path}: ")
 
-    def test_the_commented_file_shows_every_key_of_the_chat_table(self):
+    def test_the_commented_file_shows_every_key_of_the_chat_table(self) -> None:
         from pearhill.chat.file import ChatTable, ModelTable, TenantTable
 
         text = (ROOT / "deploy" / "chat.toml").read_text()
