--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -4,15 +4,14 @@
 
 from __future__ import annotations
 
-import contextlib
 import copy
 import json
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import Any
 
 import pytest
 
-from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Standin, dead_address, platform
+from tests.standins import LAST, SETTINGS, TOKENS, CleanupCase, Discovery, Standin, dead_address, platform
 
 UNLIKE_FIRST: dict[str, Any] = copy.deepcopy(SETTINGS)
 UNLIKE_FIRST["allowed"].update({"may-cancel": False, "probing": True, "max-attempts": 6, "max-retry-after": 2000000})
@@ -66,12 +65,7 @@
 ]
 
 
-class TestLoadReportsOfReplicas:
-    @pytest.fixture(autouse=True)
-    def clean_up(self) -> Iterator[None]:
-        with contextlib.ExitStack() as self.cleanup:
-            yield
-
+class TestLoadReportsOfReplicas(CleanupCase):
     def start(self, settings: dict[str, Any] = UNLIKE_FIRST, first_is_dead: bool = False) -> None:
         """Two prefill and two decode replicas; `reports` is what each answers to a health check."""
         self.servers = [Standin() for _ in range(4)]
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -3,17 +3,13 @@
 
 from __future__ import annotations
 
-import contextlib
 import functools
-import json
 import pathlib
 import re
 import signal
 import socket
 import tempfile
 import threading
-import time
-from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
@@ -23,22 +19,18 @@
 from pearhill.chat import setup as chat
 from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
-from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
 from tests.cli.test_cli import Served, run
+from tests.membership.fleet_processes import FleetProcesses
 from tests.standins import LAST, ROOT, TOKENS, Program, Standin
 
 SEED = 20261202
-WAIT_S = 60  # for what must come about; it takes some seconds, a way home up to thirty
 HOMES = {"d1": "a1", "d2": "a1", "d3": "a2", "d4": "a2", "d5": "a3"}
 A, D = ("a1", "a2", "a3"), tuple(HOMES)
 
 
-class Case:
-    @pytest.fixture(autouse=True)
-    def clean_up(self) -> Iterator[None]:
-        with contextlib.ExitStack() as self.cleanup:
-            yield
+class Case(FleetProcesses):
+    WAIT_S = 60  # it takes some seconds, a way home up to thirty
 
     def begin(self, *names: str) -> None:
         print(f"seed {SEED}")
@@ -55,8 +47,8 @@
         self.replica.respond = self.hold
         self.cleanup.callback(self.replica.close)
         self.cleanup.callback(self.go.set)
-        self.programs: dict[str, Program] = {}
-        self.admin_addresses: dict[str, str] = {}
+        self.programs = {}
+        self.admin_addresses = {}
 
     def hold(self, handler: Any, sent: bytes) -> None:
         """A stream that has begun and goes on until the test lets it end."""
@@ -109,18 +101,6 @@
         for name in names:
             self.programs[name].process.send_signal(number)
 
-    def told(self, name: str) -> dict[str, Any]:
-        status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
-        assert status == 200
-        figures: dict[str, Any] = json.loads(answer)
-        return figures
-
-    def until(self, what: Callable[[], Any], *names: str) -> None:
-        end = time.monotonic() + WAIT_S
-        while not what():
-            assert time.monotonic() < end, [self.told(n) for n in names]
-            time.sleep(0.05)
-
     def agree(self, count: int, heard: int, *names: str, source: str = "sums") -> None:
         """Each of these counts so many dispatchers, and the sums that it goes by hold the work of so many."""
 
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
-import contextlib
 import functools
-import json
 import pathlib
 import re
 import signal
 import socket
 import tempfile
 import threading
-import time
-from collections.abc import Callable, Iterator
 from typing import Any
 
 import pytest
@@ -20,23 +16,17 @@
 from pearhill.chat import setup
 from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
-from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
+from tests.membership.fleet_processes import FleetProcesses
 from tests.standins import LAST, TOKENS, Program, Standin
 
 SEED = 20261201
 LOAD = 400  # tokens that one of the test's requests is taken for, roughly: half of the most it may answer
-WAIT_S = 30  # for what must come about; it takes some seconds
 
 
-class TestProcesses:
+class TestProcesses(FleetProcesses):
     NAMES = ("d1", "d2", "d3", "d4", "d5")
 
-    @pytest.fixture(autouse=True)
-    def clean_up(self) -> Iterator[None]:
-        with contextlib.ExitStack() as self.cleanup:
-            yield
-
     def start(self, replicas: int = 2) -> None:
         print(f"seed {SEED}")
         self.relay = Relay(list(self.NAMES), SEED)
@@ -51,8 +41,8 @@
         self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         (self.folder / "key").write_text("a-key-that-all-five-of-them-hold\n")
-        self.programs: dict[str, Program] = {}
-        self.admin_addresses: dict[str, str] = {}
+        self.programs = {}
+        self.admin_addresses = {}
         for name in self.NAMES:
             self.run_one(name)
 
@@ -78,18 +68,6 @@
         self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
         return program
 
-    def told(self, name: str) -> dict[str, Any]:
-        status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
-        assert status == 200
-        figures: dict[str, Any] = json.loads(answer)
-        return figures
-
-    def until(self, what: Callable[[], Any], names: str = "") -> None:
-        end = time.monotonic() + WAIT_S
-        while not what():
-            assert time.monotonic() < end, [self.told(n) for n in names.split()]
-            time.sleep(0.05)
-
     def agree(self, count: int, heard: int, *names: str) -> None:
         """Each of these counts so many dispatchers, and hears so many, itself among them."""
 
@@ -97,7 +75,7 @@
             t = self.told(name)
             return (t["count"], 1 + sum(m["state"] == "alive" for m in t["members"].values())) == (count, heard)
 
-        self.until(lambda: all(so(n) for n in names), " ".join(names))
+        self.until(lambda: all(so(n) for n in names), *names)
 
     def ask(self, name: str) -> None:
         """A stream through this dispatcher, which stays open."""
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -12,7 +12,6 @@
 import tempfile
 import threading
 import time
-from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import replace
 from types import SimpleNamespace
@@ -30,6 +29,7 @@
     ROOT,
     SETTINGS,
     TOKENS,
+    CleanupCase,
     Discovery,
     Program,
     Standin,
@@ -54,12 +54,7 @@
     }
 
 
-class PlatformCase:
-    @pytest.fixture(autouse=True)
-    def clean_up(self) -> Iterator[None]:
-        with contextlib.ExitStack() as self.cleanup:
-            yield
-
+class PlatformCase(CleanupCase):
     def start(self, *kinds: str, **changes: Any) -> list[Standin]:
         servers = [Standin() for _ in kinds]
         self.discovery = Discovery(
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -1,13 +1,12 @@
 """Requests read behind another one on the same connection: their time runs, and they are answered in a drain."""
 
-import http.client
 import signal
 import socket
 import threading
 import time
 from typing import Any
 
-from tests.platform.test_owed import SERVED, Day, day, request  # noqa: F401
+from tests.platform.test_owed import SERVED, Day, answer, day, request  # noqa: F401
 from tests.standins import LAST, TOKENS, Standin
 
 WAITED_S = 3.0
@@ -32,12 +31,7 @@
 
     def next(self) -> tuple[int, bytes]:
         """One answer; (0, b"") where the connection ends without one."""
-        response = http.client.HTTPResponse(self)  # type: ignore[arg-type]
-        try:
-            response.begin()
-            return response.status, response.read()
-        except (OSError, http.client.HTTPException):
-            return 0, b""
+        return answer(self)  # type: ignore[arg-type]
 
 
 def test_a_replica_is_given_no_more_time_than_the_client_has_left(day: Day) -> None:  # noqa: F811
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import http.client
 import json
 import os
@@ -15,9 +16,12 @@
 import tempfile
 import threading
 import time
+from collections.abc import Iterator
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
+import pytest
+
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
     "allowed": {
@@ -63,6 +67,16 @@
 HTTP_METHODS = ("GET", "POST", "PUT", "DELETE")
 
 
+class CleanupCase:
+    """The base of tests that start things: `cleanup` closes what a test has put into it, the last first."""
+
+    @pytest.fixture(autouse=True)
+    def clean_up(self) -> Iterator[None]:
+        """Provide `cleanup` for one test."""
+        with contextlib.ExitStack() as self.cleanup:
+            yield
+
+
 class StandinHandler(BaseHTTPRequestHandler):
     """Records each complete request at its stand-in, which responds by the other methods."""
 
