--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -92,12 +92,12 @@
 
 
 @pytest.mark.parametrize(("empty", "full"), [(1, 2), (2, 1)])
-def test_the_replica_with_the_shorter_reported_queue_prefills(drive, empty, full):
+def test_the_replica_with_the_shorter_reported_queue_prefills(drive: LoadAwareDriver, empty: int, full: int) -> None:
     assert drive.prefill_replica({empty: 0.0, full: 40.0}) == empty
 
 
 @pytest.mark.parametrize(("roomy", "full"), [(11, 12), (12, 11)])
-def test_the_replica_that_reports_memory_to_spare_decodes(drive, roomy, full):
+def test_the_replica_that_reports_memory_to_spare_decodes(drive: LoadAwareDriver, roomy: int, full: int) -> None:
     drive.arrive()
     drive.answer(1)
     drive.answer(2)
@@ -109,7 +109,9 @@
 
 @pytest.mark.parametrize("busy", PREFILL)
 @pytest.mark.parametrize("confidence", [1.0, 0.3])
-def test_the_peers_load_moves_a_choice_without_health_checks_where_replicas_report_nothing(busy, confidence):
+def test_the_peers_load_moves_a_choice_without_health_checks_where_replicas_report_nothing(
+    busy: int, confidence: float
+) -> None:
     drive = LoadAwareDriver(WITHOUT_REPORTS)
     drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
     request, _ = drive.arrive(session=5)
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize("busy", PREFILL)
-def test_the_peers_load_changes_nothing_where_hardly_any_of_it_is_fresh(busy):
+def test_the_peers_load_changes_nothing_where_hardly_any_of_it_is_fresh(busy: int) -> None:
     without_peers = LoadAwareDriver(WITHOUT_REPORTS).prefill_replica({})
     drive = LoadAwareDriver(WITHOUT_REPORTS)
     drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
@@ -132,7 +134,7 @@
 # Health checks.
 
 
-def test_one_health_check_serves_all_that_wait_and_a_fresh_report_is_not_queried_again(drive):
+def test_one_health_check_serves_all_that_wait_and_a_fresh_report_is_not_queried_again(drive: LoadAwareDriver) -> None:
     first, _ = drive.arrive(session=5)
     second, _ = drive.arrive(session=6)
     assert sorted(drive.checks) == [1, 2]
@@ -147,7 +149,9 @@
 
 
 @pytest.mark.parametrize(("silent", "answering"), [(1, 2), (2, 1)])
-def test_no_request_waits_long_for_an_answer_and_the_replica_that_gave_one_is_preferred(drive, silent, answering):
+def test_no_request_waits_long_for_an_answer_and_the_replica_that_gave_one_is_preferred(
+    drive: LoadAwareDriver, silent: int, answering: int
+) -> None:
     request, _ = drive.arrive()
     drive.answer(answering, queued_ktokens=3.0)
     assert request not in drive.sent
@@ -158,7 +162,7 @@
         assert drive.prefill_replica({1: 9.0, 2: 9.0}, session=20 + n) == answering
 
 
-def test_a_silent_replica_is_tried_by_health_checks_and_not_by_requests(drive):
+def test_a_silent_replica_is_tried_by_health_checks_and_not_by_requests(drive: LoadAwareDriver) -> None:
     checks = 0
     eject_first_replica(drive)
     for n in range(200):  # ten seconds of sessions, each with its own home replica
@@ -174,7 +178,7 @@
     assert 4 <= checks <= 2 + doublings + 10 * S / (0.75 * MAX_EJECTION_US)
 
 
-def test_a_silent_replica_that_answers_again_is_used_within_an_ejection(drive):
+def test_a_silent_replica_that_answers_again_is_used_within_an_ejection(drive: LoadAwareDriver) -> None:
     eject_first_replica(drive)
     for n in range(200):
         drive.wait(50 * MS)
@@ -201,7 +205,7 @@
     drive.end_check(1, Outcome.UNREACHABLE)
 
 
-def test_a_health_check_that_was_never_sent_says_nothing_of_its_replica(drive):
+def test_a_health_check_that_was_never_sent_says_nothing_of_its_replica(drive: LoadAwareDriver) -> None:
     request, _ = drive.arrive()
     drive.end_check(1, Outcome.NOT_SENT)
     drive.end_check(2, Outcome.NOT_SENT)
@@ -209,7 +213,7 @@
     assert {drive.prefill_replica({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
 
 
-def test_a_health_check_whose_end_never_arrives_is_sent_again(drive):
+def test_a_health_check_whose_end_never_arrives_is_sent_again(drive: LoadAwareDriver) -> None:
     drive.arrive(session=50)
     assert sorted(drive.checks) == [1, 2]
     drive.wait(3 * S)
@@ -217,7 +221,7 @@
     assert sorted(drive.checks) == [1, 1, 2, 2]
 
 
-def test_a_replica_that_leaves_while_it_is_checked_is_not_chosen(drive):
+def test_a_replica_that_leaves_while_it_is_checked_is_not_chosen(drive: LoadAwareDriver) -> None:
     request, _ = drive.arrive()
     drive.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
     drive.answer(1)
@@ -225,7 +229,7 @@
     assert drive.sent[request].replica == 2
 
 
-def test_a_client_that_goes_while_its_query_is_out_leaves_nothing_behind(drive):
+def test_a_client_that_goes_while_its_query_is_out_leaves_nothing_behind(drive: LoadAwareDriver) -> None:
     """Nor do the health checks of a replica that has left and come back."""
     drive.arrive()
     drive.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
--- a/tests/load_reports/test_pending_queries.py
+++ b/tests/load_reports/test_pending_queries.py
@@ -12,7 +12,7 @@
     return PendingQueries()
 
 
-def test_a_query_is_complete_when_its_last_missing_replica_has_answered(queries):
+def test_a_query_is_complete_when_its_last_missing_replica_has_answered(queries: PendingQueries) -> None:
     queries.add(7, (1, 2, 3), {1, 2})
     queries.add(8, (2, 3), {2})
     assert queries.waiting_for(2) == [7, 8]
@@ -24,7 +24,7 @@
     assert len(queries) == 1
 
 
-def test_a_timer_names_its_request_once_and_only_while_that_waits(queries):
+def test_a_timer_names_its_request_once_and_only_while_that_waits(queries: PendingQueries) -> None:
     first = queries.add(7, (1,), {1})
     second = queries.add(8, (1,), {1})
     assert FIRST_QUERY_TIMER < first < second
@@ -34,7 +34,7 @@
     assert queries.timed_out(second) is None
 
 
-def test_a_request_whose_client_has_gone_waits_for_nothing(queries):
+def test_a_request_whose_client_has_gone_waits_for_nothing(queries: PendingQueries) -> None:
     timer = queries.add(7, (1,), {1})
     queries.drop(7)
     queries.drop(7)
--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -71,7 +71,11 @@
         self.servers = [Standin() for _ in range(4)]
         self.reports: list[Answer] = [report(0.1, 0)] * 4
         for n, server in enumerate(self.servers):
-            server.respond = lambda h, body, n=n: self.respond(n, h)
+
+            def respond(h: Any, body: bytes, n: int = n) -> None:
+                self.respond(n, h)
+
+            server.respond = respond
         addresses = [s.address for s in self.servers]
         if first_is_dead:
             addresses[0] = dead_address()
@@ -111,7 +115,7 @@
     def runs(self) -> list[int]:
         return [s.runs for s in self.servers]
 
-    def test_a_choice_follows_the_reports_and_costs_two_health_checks(self):
+    def test_a_choice_follows_the_reports_and_costs_two_health_checks(self) -> None:
         self.start()
         self.reports = [report(0.1, 60), report(0.1, 0.4), report(0.3, 0), report(0.8, 0)]
         assert [self.ask(f"a{n}") for n in range(6)] == [200] * 6
@@ -127,7 +131,7 @@
             pytest.param([never], id="never"),
         ],
     )
-    def test_whatever_a_health_check_brings_every_request_is_answered_once(self, answers):
+    def test_whatever_a_health_check_brings_every_request_is_answered_once(self, answers: list[Answer]) -> None:
         retries: tuple[dict[str, str], ...] = ({}, {"Client-Retry": "again"}, {"Client-Retry": "perhaps"})
         self.start()
         for n, answer in enumerate(answers):
@@ -140,14 +144,14 @@
         counters = self.program.counters()
         assert (counters["faults"], counters["failed"], counters["refused"]) == (0, 0, 0)
 
-    def test_a_dead_replica_is_found_by_a_health_check_and_costs_no_attempt(self):
+    def test_a_dead_replica_is_found_by_a_health_check_and_costs_no_attempt(self) -> None:
         self.start(first_is_dead=True)
         assert [self.ask(f"d{n}") for n in range(8)] == [200] * 8
         counters = self.program.counters()
         assert self.runs() == [0, 8] + self.runs()[2:]
         assert (counters["sent"], counters["probes"]["unreachable"] >= 1) == (16, True)
 
-    def test_a_tenant_that_is_unknown_and_one_without_a_quota_are_served(self):
+    def test_a_tenant_that_is_unknown_and_one_without_a_quota_are_served(self) -> None:
         self.start()
         assert [self.ask(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))] == [200] * 3
 
@@ -159,7 +163,7 @@
             pytest.param({"allowed": {**UNLIKE_FIRST["allowed"], "probing": False}}, id="not allowed"),
         ],
     )
-    def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self, changes):
+    def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self, changes: dict[str, Any]) -> None:
         self.start({**UNLIKE_FIRST, **changes})
         assert [self.ask(f"f{n}") for n in range(3)] == [200] * 3
         assert not [path for s in self.servers for _, path in s.calls if path == "/status/load"]
--- a/tests/load_reports/test_query_policy.py
+++ b/tests/load_reports/test_query_policy.py
@@ -25,7 +25,9 @@
         (8, 0.0, True, (Role.PREFILL, Role.DECODE)),
     ],
 )
-def test_replicas_are_queried_only_where_it_pays(instances, price, health_checks, roles):
+def test_replicas_are_queried_only_where_it_pays(
+    instances: int, price: float, health_checks: bool, roles: tuple[Role, ...]
+) -> None:
     assert roles_worth_querying(
         replace(SETTINGS, instances=instances, health_check_price=price, health_checks=health_checks)
     ) == set(roles)
--- a/tests/load_reports/test_reports.py
+++ b/tests/load_reports/test_reports.py
@@ -9,7 +9,7 @@
 from pearhill.load_reports.reports import HALF_LIFE_US, MAX_HALF_LIVES, Reports
 
 
-def test_a_report_fades_and_counts_nothing_after_a_few_half_lives():
+def test_a_report_fades_and_counts_nothing_after_a_few_half_lives() -> None:
     reports = Reports()
     assert reports.receive(0, 1, (0.5, 8.0))
     fresh = reports.report(0, 1)
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("load", [None, (math.nan, 1.0), (0.1, math.inf), (-0.1, 1.0), (0.1, 1e9)])
-def test_a_report_that_cannot_be_true_changes_nothing(load):
+def test_a_report_that_cannot_be_true_changes_nothing(load: tuple[float, float] | None) -> None:
     reports = Reports()
     reports.receive(0, 1, (0.5, 8.0))
     assert not reports.receive(HALF_LIFE_US // 4, 1, load)
@@ -29,7 +29,7 @@
     assert reports.report(HALF_LIFE_US, 1).confidence == 0.5
 
 
-def test_reports_of_replicas_that_have_left_are_forgotten():
+def test_reports_of_replicas_that_have_left_are_forgotten() -> None:
     reports = Reports()
     reports.receive(0, 1, (0.5, 8.0))
     reports.keep([2])
--- a/tests/load_reports/test_unanswered_checks.py
+++ b/tests/load_reports/test_unanswered_checks.py
@@ -16,7 +16,7 @@
     return UnansweredChecks(random.Random(1))
 
 
-def test_ejections_double_with_each_unanswered_check_up_to_a_bound(checks):
+def test_ejections_double_with_each_unanswered_check_up_to_a_bound(checks: UnansweredChecks) -> None:
     expected = FIRST_EJECTION_US
     for _ in range(12):
         checks.record_failure(NOW, 1)
@@ -26,14 +26,14 @@
     assert expected == MAX_EJECTION_US
 
 
-def test_an_ejection_ends_with_its_time(checks):
+def test_an_ejection_ends_with_its_time(checks: UnansweredChecks) -> None:
     checks.record_failure(NOW, 1)
     until = checks.ejected_until(NOW, 1)
     assert checks.ejected_until(until - 1, 1) == until
     assert checks.ejected_until(until, 1) == 0
 
 
-def test_an_answer_ends_an_ejection_and_its_backoff(checks):
+def test_an_answer_ends_an_ejection_and_its_backoff(checks: UnansweredChecks) -> None:
     for _ in range(4):
         checks.record_failure(NOW, 1)
     checks.record_answer(1)
@@ -42,7 +42,7 @@
     assert checks.ejected_until(NOW, 1) - NOW <= JITTER[1] * FIRST_EJECTION_US
 
 
-def test_a_delayed_answer_ejects_for_as_long_again_and_shortens_no_ejection(checks):
+def test_a_delayed_answer_ejects_for_as_long_again_and_shortens_no_ejection(checks: UnansweredChecks) -> None:
     checks.record_delay(NOW, 1, 20_000)
     assert checks.ejected_until(NOW, 1) == NOW + 20_000
     checks.record_failure(NOW, 1)
@@ -51,7 +51,7 @@
     assert checks.ejected_until(NOW, 1) == until
 
 
-def test_replicas_that_have_left_are_forgotten(checks):
+def test_replicas_that_have_left_are_forgotten(checks: UnansweredChecks) -> None:
     checks.record_failure(NOW, 1)
     checks.record_failure(NOW, 2)
     checks.keep({2})
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -5,10 +5,12 @@
 import struct
 import subprocess
 import sys
+from typing import Any
 
 import pytest
 
 from pearhill.routing.actions import (
+    Action,
     CancelAttempt,
     FailRequest,
     LogMessage,
@@ -23,12 +25,14 @@
     AttemptEnded,
     ClientDisconnected,
     EndpointsUpdated,
+    Event,
     HealthCheckEnded,
     RequestArrived,
     ResponseStarted,
     TimerFired,
 )
 from pearhill.routing.outcomes import Outcome
+from pearhill.routing.router import Router
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.simulator import wire
 from pearhill.simulator.adapter import Adapter, settings_of
@@ -38,7 +42,7 @@
     "0a 2c000000 c4913a5d e02e0000 00009644 107cf3d901648e2b 0000e144 00 640ad2557c3bf091 80a90300 0000 00008043 01"
     "01 04000000 4d000000 05 04000000 05000000 02 04000000 192b6f0e"
 )
-SETTINGS = {
+SETTINGS: dict[str, Any] = {
     "allowed": {"max-attempts": 5, "may-cancel": True, "second-copies": False},
     "classes": [{"aim": 1000000, "deadline": 4000000, "effect": "read_like", "group": "all", "worth": 2.0}],
     "extra": {
@@ -75,7 +79,7 @@
     return got
 
 
-def test_worked_events():
+def test_worked_events() -> None:
     got = read(EXAMPLE)
     assert (got.seq, got.clock) == (12, 0x805C5A)
     (a, arrived), (b, due), (c, left) = got.events
@@ -86,27 +90,28 @@
     assert (due, left) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
 
 
-def test_a_health_check_and_its_answer():
+def test_a_health_check_and_its_answer() -> None:
     ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
     assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
     assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, (0.25, 3.5))  # rejected: the replica lives
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
-    assert read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1].outcome == Outcome.TIMEOUT
+    timed_out = read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1]
+    assert isinstance(timed_out, HealthCheckEnded)
+    assert timed_out.outcome == Outcome.TIMEOUT
     assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
 
 
-def test_worked_outcome_and_list():
+def test_worked_outcome_and_list() -> None:
     ended = bytes.fromhex("1e000000 c4913a5d 00000000 c800 01 44480000 074a1203 0000 02 cdcccc3e0000a03f")
     listed = bytes.fromhex(
         "39000000 2900000000000000 03 02000000 074a1203 00 0000 0000 01 0000803f 0000000000000000"
         "f211902c 01 0000 0000 01 0000c03f 20145d0000000000"
     )
     got = read(frame(record(5, b"\x03\0\0\0") + b"\x08" + ended + b"\x03" + listed, 3))
-    assert got.events[0][1] == AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, Outcome.ANSWERED, True, 0, 18500, (pytest.approx(0.4), 1.25)
-    )
+    load: Any = (pytest.approx(0.4), 1.25)
+    assert got.events[0][1] == AttemptEnded(0x5D3A91C4, 0, 0x03124A07, Outcome.ANSWERED, True, 0, 18500, load)
     assert got.events[1][1] == EndpointsUpdated(
         True,
         (
@@ -116,7 +121,7 @@
     )
 
 
-def test_worked_actions():
+def test_worked_actions() -> None:
     got = wire.encode_reply(
         12,
         [
@@ -142,7 +147,7 @@
         (MigrateStream(7), 76, "<I"),
     ],
 )
-def test_every_other_action_reads_back(action, code, fields):
+def test_every_other_action_reads_back(action: Action, code: int, fields: str) -> None:
     raw = wire.encode_action(action)
     assert struct.unpack("<BI", raw[:5]) == (code, struct.calcsize(fields))
     assert list(struct.unpack(fields, raw[5:])) == [
@@ -152,7 +157,7 @@
     ]
 
 
-def test_fault_carries_its_text():
+def test_fault_carries_its_text() -> None:
     assert wire.encode_action(wire.Fault("KeyError: 3")) == record(73, b"\x0b\0KeyError: 3")
 
 
@@ -170,30 +175,31 @@
         (500, 0, Outcome.ERROR),
     ],
 )
-def test_outcomes(verdict, detail, outcome):
+def test_outcomes(verdict: int, detail: int, outcome: Outcome) -> None:
     body = struct.pack("<IIHBIIHB", 1, detail, verdict, 0, 9, 4, 0, 0)
     event = read(frame(record(5, b"\0\0\0\0") + record(8, body), 2)).events[0][1]
+    assert isinstance(event, AttemptEnded)
     assert event.outcome == outcome
     assert event.load is None
     assert event.cached_tokens == (40 if verdict == 102 else 0)
 
 
-def test_first_token_reads_back():
+def test_first_token_reads_back() -> None:
     event = read(frame(record(5, b"\0\0\0\0") + record(7, struct.pack("<IHII", 1, 2, 3, 4)), 2)).events[0][1]
     assert event == ResponseStarted(1, 2, 3, 4)
 
 
-def test_end_of_input_between_frames_is_the_end():
+def test_end_of_input_between_frames_is_the_end() -> None:
     assert wire.read_frame(io.BytesIO(b""), lambda _: (0, 1)) is None
 
 
-def run(raw: bytes) -> subprocess.CompletedProcess:
+def run(raw: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-m", "pearhill.simulator.adapter"], input=raw, capture_output=True, timeout=60
     )
 
 
-def test_adapter_answers_every_frame_and_exits_in_order():
+def test_adapter_answers_every_frame_and_exits_in_order() -> None:
     done = run(frame(b"", 0) + frame(start(), 2) + frame(b"", 0))
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout == struct.pack("<III", 1, 0, 0) * 3
@@ -216,7 +222,7 @@
         (struct.pack("<IQII", 1, 5, 2, 0), "too small"),
     ],
 )
-def test_malformed_input_is_one_plain_line_and_a_failure(raw, says):
+def test_malformed_input_is_one_plain_line_and_a_failure(raw: bytes, says: str) -> None:
     done = run(raw)
     text = done.stderr.decode()
     assert done.returncode not in (0, 1)
@@ -228,13 +234,13 @@
 @pytest.mark.parametrize(
     ("change", "field"), [({"role-by-kind": ["read", "juggle"]}, "role"), ({"release-within": 0}, "release_within")]
 )
-def test_settings_without_sense_name_the_field(change, field):
+def test_settings_without_sense_name_the_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(wire.WireError, match=field):
         settings_of(json.dumps({**SETTINGS, "extra": {**SETTINGS["extra"], **change}}).encode())
 
 
-def test_an_exception_in_the_router_is_a_fault_with_its_text(monkeypatch):
-    def broken(self, now, event):
+def test_an_exception_in_the_router_is_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+    def broken(self: Router, now: int, event: Event) -> None:
         raise KeyError("gone wrong")
 
     monkeypatch.setattr("pearhill.routing.router.Router.handle", broken)
--- a/tests/structures/test_heavy_hitters.py
+++ b/tests/structures/test_heavy_hitters.py
@@ -10,7 +10,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(1, 50)), max_size=200), st.integers(1, 12))
-def test_weights_are_never_too_low_and_too_high_by_no_more_than_their_error(stream, size):
+def test_weights_are_never_too_low_and_too_high_by_no_more_than_their_error(
+    stream: list[tuple[int, int]], size: int
+) -> None:
     sketch = HeavyHitters[int](size)
     true = Counter[int]()
     for key, weight in stream:
@@ -28,7 +30,7 @@
     assert [hitter.weight for hitter in top] == sorted((hitter.weight for hitter in kept.values()), reverse=True)
 
 
-def test_old_weight_gives_way_to_new():
+def test_old_weight_gives_way_to_new() -> None:
     sketch = HeavyHitters[str](2)
     sketch.add("old", 1_000)
     for _ in range(12):
@@ -37,6 +39,6 @@
     assert sketch.top(1)[0].key == "new"
 
 
-def test_a_size_of_zero_is_rejected():
+def test_a_size_of_zero_is_rejected() -> None:
     with pytest.raises(ValueError, match="size must be at least 1"):
         HeavyHitters(0)
