--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=name)
-def test_links_lead_somewhere(page):
+def test_links_lead_somewhere(page: pathlib.Path) -> None:
     broken = []
     for link in LINK.findall(page.read_text()):
         if "://" in link:
@@ -71,5 +71,5 @@
 
 
 @pytest.mark.parametrize("page", PRESENT, ids=name)
-def test_code_that_a_page_mentions_exists(page):
+def test_code_that_a_page_mentions_exists(page: pathlib.Path) -> None:
     assert sorted({mention for mention in MENTION.findall(page.read_text()) if is_missing(mention)}) == []
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,8 +3,10 @@
 import pathlib
 import re
 
+import pytest
 
-def test_quick_start_runs_and_prints_what_it_says(capsys):
+
+def test_quick_start_runs_and_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
     text = (pathlib.Path(__file__).parent.parent / "README.md").read_text()
     blocks = re.findall(r"```python\n(.*?)```", text, re.S)
     assert len(blocks) == 1
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_the_program_takes_the_settings_of_a_site_of_our_own_and_serves_its_classes(path):
+def test_the_program_takes_the_settings_of_a_site_of_our_own_and_serves_its_classes(path: pathlib.Path) -> None:
     site = tomllib.loads(path.read_text())
     settings = settings_of(site)
     deployment = parse(settings)
@@ -122,7 +122,7 @@
             end()
 
 
-def test_our_own_sites_differ_in_what_a_program_might_take_for_given():
+def test_our_own_sites_differ_in_what_a_program_might_take_for_given() -> None:
     """Else two of them show no more than one."""
     parsed = [parse(settings_of(tomllib.loads(path.read_text()))) for path in SITES]
     assert len(parsed) == 2
