--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -2,16 +2,13 @@
 
 from __future__ import annotations
 
-import contextlib
-import json
+import functools
 import pathlib
 import re
 import signal
 import socket
 import tempfile
 import threading
-import time
-from collections.abc import Callable, Iterator
 from typing import Any
 
 import pytest
@@ -19,23 +16,17 @@
 from pearhill.chat import setup
 from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
-from tests.admin.test_endpoint import call
 from tests.chat.test_front import PATH, body, operator_file
+from tests.membership.fleet_processes import FleetProcesses
 from tests.standins import LAST, TOKENS, Program, Standin
 
 SEED = 20261201
 LOAD = 400  # tokens that one of the test's requests is taken for, roughly: half of the most it may answer
-WAIT_S = 30  # for what must come about; it takes some seconds
 
 
-class TestProcesses:
+class TestProcesses(FleetProcesses):
     NAMES = ("d1", "d2", "d3", "d4", "d5")
 
-    @pytest.fixture(autouse=True)
-    def clean_up(self) -> Iterator[None]:
-        with contextlib.ExitStack() as self.cleanup:
-            yield
-
     def start(self, replicas: int = 2) -> None:
         print(f"seed {SEED}")
         self.relay = Relay(list(self.NAMES), SEED)
@@ -50,8 +41,8 @@
         self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         (self.folder / "key").write_text("a-key-that-all-five-of-them-hold\n")
-        self.programs: dict[str, Program] = {}
-        self.admin_addresses: dict[str, str] = {}
+        self.programs = {}
+        self.admin_addresses = {}
         for name in self.NAMES:
             self.run_one(name)
 
@@ -77,17 +68,6 @@
         self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
         return program
 
-    def told(self, name: str) -> dict[str, Any]:
-        status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
-        assert status == 200
-        return json.loads(answer)
-
-    def until(self, what: Callable[[], Any], names: str = "") -> None:
-        end = time.monotonic() + WAIT_S
-        while not what():
-            assert time.monotonic() < end, [self.told(n) for n in names.split()]
-            time.sleep(0.05)
-
     def agree(self, count: int, heard: int, *names: str) -> None:
         """Each of these counts so many dispatchers, and hears so many, itself among them."""
 
@@ -95,7 +75,7 @@
             t = self.told(name)
             return (t["count"], 1 + sum(m["state"] == "alive" for m in t["members"].values())) == (count, heard)
 
-        self.until(lambda: all(so(n) for n in names), " ".join(names))
+        self.until(lambda: all(so(n) for n in names), *names)
 
     def ask(self, name: str) -> None:
         """A stream through this dispatcher, which stays open."""
@@ -109,9 +89,13 @@
         assert b" 200 OK" in client.recv(200)
 
     def known_load(self, name: str) -> float:
-        return sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
+        total: float = sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
+        return total
+
+    def all_know(self, least: float) -> bool:
+        return min(map(self.known_load, self.NAMES)) > least
 
-    def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self):
+    def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         # A bad path condemns nobody.
@@ -141,18 +125,19 @@
         self.relay.cut()
         self.agree(5, 5, *self.NAMES)
 
-    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self):
+    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self) -> None:
         """One conversation's requests, each at another dispatcher that has nothing open itself: they alternate between
         its two replicas. Without the others' loads all would go to the first of its order."""
         self.start(replicas=6)
         self.agree(5, 5, *self.NAMES)
         for asked, name in enumerate(self.NAMES, 1):
             self.ask(name)
-            self.until(lambda asked=asked: min(map(self.known_load, self.NAMES)) > (asked - 0.5) * LOAD)
+            wanted = (asked - 0.5) * LOAD
+            self.until(functools.partial(self.all_know, wanted))
             runs = sorted(replica.runs for replica in self.replicas)
             assert runs == [0, 0, 0, 0, asked // 2, asked - asked // 2]
 
-    def test_forged_datagrams_change_nothing_and_are_counted(self):
+    def test_forged_datagrams_change_nothing_and_are_counted(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         host, port = self.relay.to["d1"]
@@ -175,8 +160,10 @@
     return operator_file(["a:1"], fleet)
 
 
-def test_a_file_with_a_fleet_names_its_peers(tmp_path):
-    assert set(setup.loads(fleet_file(tmp_path)).fleet.peers) == {"d2"}
+def test_a_file_with_a_fleet_names_its_peers(tmp_path: pathlib.Path) -> None:
+    fleet = setup.loads(fleet_file(tmp_path)).fleet
+    assert fleet
+    assert set(fleet.peers) == {"d2"}
 
 
 @pytest.mark.parametrize(
@@ -191,7 +178,9 @@
         ({"peers": PEER + "porto = 1\n"}, "fleet.peer.*porto"),
     ],
 )
-def test_bad_settings_of_the_fleet_are_told_by_their_path(tmp_path, changes, why):
+def test_bad_settings_of_the_fleet_are_told_by_their_path(
+    tmp_path: pathlib.Path, changes: dict[str, str], why: str
+) -> None:
     text = fleet_file(tmp_path, **changes)
     with pytest.raises(ConfigError, match=why):
         setup.loads(text)
