--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -25,7 +25,8 @@
 )
 from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
 from pearhill.lab.scale.measure import MAX_LATE_P99_US, encode_histogram, percentiles_ms
-from pearhill.lab.scale.plan import FleetSize, LoadExchange, ScaleTable, Workload
+from pearhill.lab.scale.plan import LoadExchange, ScaleTable, Workload
+from pearhill.lab.scale.planned_fleets import FleetSize
 
 STARTS_AT_ONCE = 4  # of real dispatchers
 SETTLE_TIMEOUT_S = 60.0  # beyond the warm-up, for every dispatcher to count the whole fleet
--- a/pearhill/lab/scale/plan.py
+++ b/pearhill/lab/scale/plan.py
@@ -1,10 +1,7 @@
-"""A scale run's plan, and the bounds within which it may run."""
+"""A scale run's plan: the tables of its file, the values they may have, and its reading."""
 
 from __future__ import annotations
 
-import math
-from collections.abc import Iterator
-from dataclasses import dataclass
 from enum import StrEnum
 from typing import Annotated, Literal
 
@@ -12,21 +9,6 @@
 
 from pearhill.config import ConfigError, typed
 
-MAX_PROCESSES = 300
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
-MAX_PLAN_SECONDS = 3 * 3600  # a plan that takes longer is refused; one that hangs is stopped well before
-# Estimates of memory, rounded up from trials: they refuse a plan before it starts, and nothing is reported from them.
-PROCESS_BYTES = 80 << 20
-DISPATCHER_BYTES = 4 << 20
-BYTES_PER_REPLICA = 5_000  # within a dispatcher, for each replica in its endpoint list
-BYTES_PER_PEER = 3_000  # within a dispatcher, for each other dispatcher
-# Estimates of time, in seconds.
-DISPATCHER_START_S = 0.25  # to bring one dispatcher up on a busy core
-FLEET_START_S = 10.0  # to bring up the rest of a fleet
-PARALLEL_STARTS = 4  # dispatchers that come up at the same time
-CHOICE_S_PER_REPLICA = 2e-5  # of one arrival, by the Router alone
-PROCESS_FILL = 0.75  # mean count of dispatchers in a process, of the most that it may hold
-
 PositiveInt = Annotated[int, Meta(ge=1)]
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
@@ -206,185 +188,6 @@
     not_run: list[NotRunTable] = []
 
 
-@dataclass(frozen=True, slots=True)
-class ResourceEstimate:
-    """What a fleet takes of the machine, roughly and rather too much; the command's own process is included."""
-
-    processes: int
-    memory_bytes: float
-
-
-@dataclass(frozen=True, slots=True)
-class FleetSize:
-    """One fleet to bring up: hollow and real dispatchers, replicas, aggregators.
-
-    `hollow` dispatchers share processes; the `alone` ones are hollow too and have a process each.
-    """
-
-    exchange: LoadExchange
-    hollow: int
-    replicas: int
-    real: int = 0
-    aggregators: int = 0
-    alone: int = 0
-    workload: Workload = Workload.DRAWN
-    rate_per_s: float = 45.0
-
-    @property
-    def dispatchers(self) -> int:
-        """All of them: hollow, real and alone."""
-        return self.hollow + self.real + self.alone
-
-    def hosts(self, max_per_process: int) -> list[int]:
-        """Hollow dispatchers of each process: unlike counts, so that memory shows as a slope over the count."""
-        process_count = max(min(2, self.hollow), math.ceil(self.hollow / (PROCESS_FILL * max_per_process)))
-        weights = [1 + k % 2 for k in range(process_count)]
-        counts: list[int] = []
-        left = self.hollow
-        for k, weight in enumerate(weights):
-            count = max(1, round(left * weight / sum(weights[k:])))
-            counts.append(count)
-            left -= count
-        return counts
-
-    def estimate(self, max_per_process: int) -> ResourceEstimate:
-        """Processes and bytes that the fleet takes."""
-        processes = len(self.hosts(max_per_process)) + self.real + self.alone + self.aggregators + 2
-        per_dispatcher = DISPATCHER_BYTES + BYTES_PER_REPLICA * self.replicas + BYTES_PER_PEER * self.dispatchers
-        memory_bytes = processes * PROCESS_BYTES + self.dispatchers * float(per_dispatcher)
-        return ResourceEstimate(processes, memory_bytes)
-
-
-@dataclass(frozen=True, slots=True)
-class PlannedFleet:
-    """One fleet of a plan: its path in the file, and the seconds for which it is watched."""
-
-    path: str
-    size: FleetSize
-    watched_s: float
-
-
-def grid_fleets(plan: Plan) -> list[FleetSize]:
-    """The points of all grids, in the order in which they are run."""
-    return [size for table in plan.grid for size in _grid_fleets(table, plan.scale)]
-
-
-def _grid_fleets(grid: GridTable, scale: ScaleTable) -> list[FleetSize]:
-    exchange = LoadExchange(grid.exchange)
-    return [
-        FleetSize(
-            exchange,
-            dispatchers,
-            replicas,
-            aggregators=_aggregators_of(exchange, grid.aggregators),
-            workload=Workload(grid.workload),
-            rate_per_s=scale.rate_per_s,
-        )
-        for replicas in grid.replicas
-        for dispatchers in grid.dispatchers
-    ]
-
-
-def _aggregators_of(exchange: LoadExchange, count: int) -> int:
-    return count if exchange is LoadExchange.AGGREGATORS else 0
-
-
-def check_fleets(plan: Plan) -> list[tuple[FleetSize, float]]:
-    """The fleet of each check, and the requests a second of each real dispatcher in its last window (0: no such)."""
-    return [(_check_fleet(table), table.load_per_s) for table in plan.check]
-
-
-def _check_fleet(check: CheckTable) -> FleetSize:
-    exchange = LoadExchange(check.exchange)
-    return FleetSize(
-        exchange,
-        check.dispatchers,
-        check.replicas,
-        real=check.dispatchers,
-        aggregators=_aggregators_of(exchange, check.aggregators),
-        alone=check.alone,
-        workload=Workload.NONE,
-    )
-
-
-def evenness_fleets(plan: Plan) -> list[FleetSize]:
-    """The fleets whose evenness is measured, one for each load exchange of each table."""
-    return [size for table in plan.evenness for size in _evenness_fleets(table)]
-
-
-def _evenness_fleets(evenness: EvennessTable) -> list[FleetSize]:
-    return [
-        FleetSize(
-            exchange,
-            evenness.dispatchers,
-            evenness.replicas,
-            aggregators=_aggregators_of(exchange, evenness.aggregators),
-            workload=Workload.ROUTER,
-            rate_per_s=evenness.rate_per_s,
-        )
-        for exchange in map(LoadExchange, evenness.exchanges)
-    ]
-
-
-def fault_fleet(table: FaultsTable) -> FleetSize:
-    """The fleet that goes through the table's faults."""
-    exchange = LoadExchange(table.exchange)
-    aggregators = _aggregators_of(exchange, table.aggregators)
-    return FleetSize(exchange, table.dispatchers, table.replicas, aggregators=aggregators)
-
-
-def _planned_fleets(plan: Plan) -> Iterator[PlannedFleet]:
-    """Every fleet of the plan."""
-    window_s = plan.scale.warm_s + plan.scale.seconds
-    for k, grid in enumerate(plan.grid):
-        for size in _grid_fleets(grid, plan.scale):
-            yield PlannedFleet(f"grid[{k}]", size, window_s)
-    for k, (size, load_per_s) in enumerate(check_fleets(plan)):
-        windows = 2 if load_per_s else 1
-        yield PlannedFleet(f"check[{k}]", size, window_s * windows)
-    for k, evenness in enumerate(plan.evenness):
-        for size in _evenness_fleets(evenness):
-            yield PlannedFleet(f"evenness[{k}]", size, window_s)
-    for k, faults in enumerate(plan.faults):
-        watched_s = plan.scale.warm_s + faults.event[-1].settled_s
-        yield PlannedFleet(f"troubles[{k}]", fault_fleet(faults), watched_s)
-
-
-def expected_seconds(plan: Plan) -> float:
-    """How long the whole plan should take, roughly."""
-    choice_s = 0.0
-    if plan.choice:
-        choice_s = sum(plan.choice.replicas) * plan.choice.arrivals * CHOICE_S_PER_REPLICA
-    return choice_s + sum(_fleet_seconds(fleet, plan.scale) for fleet in _planned_fleets(plan))
-
-
-def _fleet_seconds(fleet: PlannedFleet, scale: ScaleTable) -> float:
-    size = fleet.size
-    starting_s = max(scale.fetch_s, DISPATCHER_START_S * size.dispatchers / PARALLEL_STARTS)
-    return fleet.watched_s + FLEET_START_S + starting_s + size.real * DISPATCHER_START_S
-
-
-def check_bounds(plan: Plan, memory_bytes: int) -> None:
-    """ConfigError: a fleet of the plan takes more than a machine with so much memory may give, or the plan too long."""
-    allowed_bytes = MAX_MEMORY_SHARE * memory_bytes
-    for fleet in _planned_fleets(plan):
-        size = fleet.size
-        estimate = size.estimate(plan.scale.per_process)
-        what = f"{fleet.path}: found {size.dispatchers} dispatchers before {size.replicas} replicas"
-        if estimate.processes > MAX_PROCESSES:
-            raise ConfigError(f"{what}, {estimate.processes} processes; allowed: {MAX_PROCESSES}")
-        if estimate.memory_bytes > allowed_bytes:
-            raise ConfigError(
-                f"{what}, some {estimate.memory_bytes / 1e9:.1f} GB; allowed: {MAX_MEMORY_SHARE:.0%} of the "
-                f"machine's memory, {allowed_bytes / 1e9:.1f} GB"
-            )
-    seconds = expected_seconds(plan)
-    if seconds > MAX_PLAN_SECONDS:
-        raise ConfigError(
-            f"grid: found a plan of some {seconds / 3600:.1f} h; allowed: {MAX_PLAN_SECONDS / 3600:.0f} h"
-        )
-
-
 def validated(plan: Plan) -> Plan:
     """The plan itself. ConfigError: values that cannot go together, by the key's path."""
     scale = plan.scale
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -17,25 +17,15 @@
 import pearhill
 from pearhill.lab.scale import faults
 from pearhill.lab.scale.analysis import Check, Point, compare, slopes
+from pearhill.lab.scale.bounds import MAX_MEMORY_SHARE, MAX_PROCESSES, check_bounds, expected_seconds
 from pearhill.lab.scale.child import Child, ProcessFailedError
 from pearhill.lab.scale.figures import FleetMeasurement
 from pearhill.lab.scale.files import file_of
 from pearhill.lab.scale.fleet import PrintLine, RunningFleet
 from pearhill.lab.scale.loaded import measure_under_load
 from pearhill.lab.scale.measure import describe_machine, resident_bytes, usage_of
-from pearhill.lab.scale.plan import (
-    MAX_MEMORY_SHARE,
-    MAX_PROCESSES,
-    FaultsTable,
-    FleetSize,
-    Plan,
-    check_bounds,
-    check_fleets,
-    evenness_fleets,
-    expected_seconds,
-    fault_fleet,
-    grid_fleets,
-)
+from pearhill.lab.scale.plan import FaultsTable, Plan
+from pearhill.lab.scale.planned_fleets import FleetSize, check_fleets, evenness_fleets, fault_fleet, grid_fleets
 
 RESOURCE_POLL_S = 1.0
 # The run stops itself after so many times what the plan should take, and so many seconds.
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -21,7 +21,19 @@
 
 from pearhill.config import ConfigError
 from pearhill.eureka.registry import Registry as Client
-from pearhill.lab.scale import analysis, fault_watch, figures, fit, measure, observe, plan, report, run
+from pearhill.lab.scale import (
+    analysis,
+    bounds,
+    fault_watch,
+    figures,
+    fit,
+    measure,
+    observe,
+    plan,
+    planned_fleets,
+    report,
+    run,
+)
 from pearhill.lab.scale.discovery import InstanceStatus, Registry
 from pearhill.membership import gauges
 from tests.standins import ROOT
@@ -93,18 +105,18 @@
     ) -> None:
         loaded = load_plan(tmp_path, text)
         with pytest.raises(ConfigError, match=why):
-            plan.check_bounds(loaded, memory_bytes)
+            bounds.check_bounds(loaded, memory_bytes)
 
     def test_plans_come_with_it(self) -> None:
         assert len(PLANS) >= 3
 
     @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.name)
     def test_the_plans_that_come_with_it_fit_a_machine_of_24_gb(self, path: pathlib.Path) -> None:
-        plan.check_bounds(plan.load(str(path)), MEMORY_24_GB)
+        bounds.check_bounds(plan.load(str(path)), MEMORY_24_GB)
 
     @pytest.mark.parametrize(("hollow", "max_per_process"), [(1, 40), (2, 40), (4, 8), (20, 12), (330, 40), (333, 7)])
     def test_processes_hold_unlike_counts_that_add_up(self, hollow: int, max_per_process: int) -> None:
-        hosts = plan.FleetSize(plan.LoadExchange.GOSSIP, hollow, 10).hosts(max_per_process)
+        hosts = planned_fleets.FleetSize(plan.LoadExchange.GOSSIP, hollow, 10).hosts(max_per_process)
         assert sum(hosts) == hollow
         assert max(hosts) <= max_per_process + 1
         assert hollow < 3 or len(set(hosts)) > 1
