--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -16,219 +16,23 @@
 from array import array
 from collections import Counter
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from typing import Any
 
 import psutil
 
-from pearhill.chat.service import ChatService
-from pearhill.chat.setup import ChatSetup, loads
 from pearhill.core.replica_ids import replica_id
-from pearhill.eureka.client import Eureka
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.child import Handle, run
-from pearhill.lab.scale.files import DispatcherSpec, file_of
+from pearhill.lab.scale.files import DispatcherSpec
+from pearhill.lab.scale.hollow_dispatcher import US_PER_S, HollowDispatcher, HostSettings, MeasurementWindow, Order
 from pearhill.lab.scale.measure import encode_histogram
 from pearhill.lab.scale.plan import Workload
-from pearhill.lab.scale.work import DrawnGauges, PoissonArrivals
-from pearhill.load_reports.peer_loads import ReplicaLoad
-from pearhill.net.address import Address
-from pearhill.routing.replica_state import ReplicaState
-from pearhill.routing.topology import Endpoint
+from pearhill.lab.scale.work import DrawnGauges
 
 TURN_INTERVAL_S = 0.25  # as often as gossip sends
 TICKS_PER_INTERVAL = 5  # of a process, so that no timer of a dispatcher waits for the turns of all the others
-TURNS_PER_SIGHTING = 2  # of a dispatcher, from one look at the mark to the next
 DISPATCHERS_PER_ESTIMATE = 8  # one in so many estimates the tokens in flight
-US_PER_S = 1e6
-
-# Called with the age in seconds of a change of the endpoint list when it is in force.
-OnChange = Callable[[float], None]
-Order = dict[str, Any]
-
-
-class HollowService(ChatService):
-    """A ChatService that reports changes of its endpoint list, and that may leave marks in its own load.
-
-    `read_at`: when its load was read, in microseconds, while it leaves marks; None: it leaves none.
-    """
-
-    def __init__(self, setup: ChatSetup, on_change: OnChange) -> None:
-        self._on_change = on_change
-        self._newest_change_us = 0
-        self.read_at: list[int] | None = None
-        super().__init__(setup)
-
-    def _own_load(self) -> list[ReplicaLoad]:
-        if self.read_at is not None:
-            observe.leave_mark(self, len(self.read_at))
-            self.read_at.append(_monotonic_us())
-        return super()._own_load()
-
-    def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
-        if not setup.eureka:
-            return None
-        return Eureka(self.node.pool, setup.eureka, setup.deployment, self._update_endpoints)
-
-    def _update_endpoints(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
-        self.node.update_endpoints(full, entries, addresses)
-        assert self._eureka
-        now = time.monotonic()
-        known_us = self._newest_change_us
-        newest_us = known_us
-        for instance in self._eureka.registry.instances.values():
-            changed_us = int(instance.metadata.get("changed_us", 0))
-            if changed_us <= known_us:
-                continue
-            newest_us = max(newest_us, changed_us)
-            if known_us:  # the first list has no changes
-                self._on_change(now - changed_us / US_PER_S)
-        self._newest_change_us = newest_us
-
-
-def _monotonic_us() -> int:
-    return time.monotonic_ns() // 1000
-
-
-class MeasurementWindow:
-    """What is measured from the order "begin" to the order "end". Array values are microseconds."""
-
-    def __init__(self) -> None:
-        self.began = time.monotonic()
-        self.cpu_s = time.process_time()
-        self.tick_cpu_ns = 0
-        self.tick_delays = array("q")
-        self.list_ages = array("q")
-        # By second of the machine's monotonic clock: tokens in flight by replica.
-        self.work: dict[int, Counter[int]] = {}
-        # When a mark was looked at, in microseconds, and the number that it stood for.
-        self.sightings: list[tuple[int, int]] = []
-
-
-class HollowDispatcher:
-    """One dispatcher of the process."""
-
-    def __init__(self, host: HollowHost, spec: DispatcherSpec) -> None:
-        self.spec = spec
-        self._host = host
-        self._rng = random.Random(spec.seed)
-        # At the window's beginning. The process has one window, but each dispatcher counts for itself.
-        self._totals_before: Counter[str] = Counter()
-        self.service = HollowService(loads(file_of(spec, host.settings.template)), self._add_list_age)
-        self._gauges: DrawnGauges | None = None
-        self._arrivals: PoissonArrivals | None = None
-        self._turns = self._rng.randrange(TURNS_PER_SIGHTING)
-
-    def _add_list_age(self, age_s: float) -> None:
-        self._host.window.list_ages.append(int(age_s * US_PER_S))
-
-    async def open(self) -> None:
-        """Start the service, then its workload."""
-        await self.service.open()
-        settings = self._host.settings
-        node = self.service.node
-        if settings.workload is Workload.DRAWN:
-            self._gauges = self._host.gauges_for(self.spec.weight)
-        elif settings.workload is Workload.ROUTER:
-            rate_per_s = settings.rate_per_s * self.spec.weight
-            self._arrivals = PoissonArrivals(node.dispatcher, node.deadlines, rate_per_s, self._rng)
-
-    @property
-    def now(self) -> int:
-        """Microseconds of the dispatcher's own clock."""
-        return self.service.node.deadlines.clock()
-
-    @property
-    def replicas(self) -> dict[int, ReplicaState]:
-        """The Router's record of its replicas, by number."""
-        return self.service.node.dispatcher.router.router.replicas
-
-    @property
-    def results(self) -> dict[str, int]:
-        """What became of its requests since it started."""
-        return self._arrivals.results if self._arrivals else {}
-
-    def begin_window(self) -> None:
-        """Remember the socket's totals as they are now."""
-        self._totals_before = observe.datagram_totals(self.service)
-
-    def window_totals(self) -> Counter[str]:
-        """Messages and bytes at its fleet socket since the window's beginning."""
-        return observe.datagram_totals(self.service) - self._totals_before
-
-    def take_turn(self, marker: str) -> None:
-        """Draw the gauges or add up the work in flight; now and then look at the mark that `marker` has left."""
-        if self._gauges:
-            self._draw(self._gauges, marker)
-        elif self._arrivals:
-            self._add_work()
-        self._turns += 1
-        if marker and marker != self.spec.name and self._turns % TURNS_PER_SIGHTING == 0:
-            number = observe.read_mark(self.service, self.now, marker)
-            self._host.window.sightings.append((_monotonic_us(), number))
-
-    def _draw(self, gauges: DrawnGauges, marker: str) -> None:
-        gauges.apply(self.service.node.dispatcher.router.router, self._rng)
-        if not marker:
-            return
-        marked = observe.marked_replica(self.service)
-        if marked:
-            marked.tokens_queued = 0
-            marked.tokens_in_flight = 0
-
-    def _add_work(self) -> None:
-        work = self._host.window.work.setdefault(int(time.monotonic()), Counter())
-        for replica in self.replicas.values():
-            if replica.tokens_in_flight:
-                work[replica.id] += replica.tokens_in_flight
-
-    def reload(self, template: str) -> float:
-        """Take another file, as at SIGHUP. The seconds of processor time that it took."""
-        began = time.thread_time()
-        self.service.reload(loads(file_of(self.spec, template)))
-        return time.thread_time() - began
-
-    async def stop(self, gracefully: bool) -> None:
-        """End it. Not gracefully: it falls silent, as a process that is killed."""
-        if self._arrivals:
-            self._arrivals.stop()
-        if gracefully:
-            return await self.service.close()
-        service = self.service
-        service._cancel_registry_tasks()
-        if service.fleet:
-            service.fleet.datagrams.close()  # first, so that nobody is sent a message that it leaves
-            service.fleet.close()
-        service.node.close()
-
-
-@dataclass(frozen=True, slots=True)
-class HostSettings:
-    """What the dispatchers of a process have in common, from the order "open".
-
-    `template`: their file. `rate_per_s`, `streams`: of a dispatcher of mean traffic.
-    """
-
-    template: str
-    workload: Workload
-    seed: int
-    rate_per_s: float
-    streams: float
-    prefill_replicas: int
-    decode_replicas: int
-
-    @classmethod
-    def from_order(cls, order: Order) -> HostSettings:
-        """The settings in an order "open"."""
-        return cls(
-            template=order["text"],
-            workload=Workload(order["work"]),
-            seed=order["seed"],
-            rate_per_s=order["rate_per_s"],
-            streams=order["streams"],
-            prefill_replicas=order["readers"],
-            decode_replicas=order["writers"],
-        )
 
 
 class HollowHost:
