--- a/pearhill/lab/soak/report.py
+++ b/pearhill/lab/soak/report.py
@@ -28,7 +28,7 @@
             f"  could have been broken: {dict(sorted(self.exposure.items()))}; latest {self.latest_ms:.0f} ms",
         ]
         if self.violations:
-            lines += [f"  trouble {line}" for line in self.faults]
+            lines += [f"  fault {line}" for line in self.faults]
             for v in self.violations:
                 lines.append(f"  VIOLATION at {v.at / SECOND:.3f} {v.rule} {v.request}: {v.detail}")
                 lines.append(f"    {'; '.join(self.traces.get(v.request, ()))}")
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -312,6 +312,13 @@
         assert "<svg" in report.page("tiny", results)
         assert descendants_of(psutil.Process()) == before
 
+    def test_the_page_has_the_faults_under_their_name(self) -> None:
+        results = json.loads((ROOT / "docs" / "capacity" / "troubles.json").read_text())
+        page = report.page("troubles", results)
+        assert "<h2>Faults</h2>" in page
+        assert "<th>Fault</th>" in page
+        assert all(f"<tr><td>{fault['kind']}</td>" in page for fault in results["troubles"])
+
     def test_the_command_ends_its_processes_when_it_is_interrupted(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "plan.toml"
         path.write_text(TINY.replace("seconds = 2.0", "seconds = 60.0"))
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -3,6 +3,7 @@
 import asyncio
 import os
 import pathlib
+from collections import Counter
 
 import pytest
 
@@ -11,7 +12,8 @@
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.plan import draw
 from pearhill.lab.soak.processes import Dispatcher
-from pearhill.lab.soak.records import IDEMPOTENT, KEYED, NON_IDEMPOTENT
+from pearhill.lab.soak.records import IDEMPOTENT, KEYED, NON_IDEMPOTENT, SECOND, Violation
+from pearhill.lab.soak.report import Report
 from pearhill.lab.soak.slow_start import PlatformLimits
 
 S, MS = 1_000_000, 1000
@@ -330,6 +332,14 @@
     assert report.outcomes["200"] > 50, report.text()
 
 
+def test_a_report_has_the_faults_above_the_violations():
+    violation = Violation(2 * SECOND, "late", "r-1", "1 s")
+    report = Report(7, [violation], Counter({"200": 3}), Counter(), 1.5, faults=["1.000 kill s-01"])
+    lines = report.text().splitlines()
+    assert lines[2] == "  fault 1.000 kill s-01"
+    assert lines[3] == "  VIOLATION at 2.000 late r-1: 1 s"
+
+
 class EndsAtTheKill:
     """A process that has not ended when its time is over, and has when it is killed."""
 
