--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -208,7 +208,7 @@
         self._journal.append(charge)
 
     def rate_limit_headers(self, tenant: str) -> Headers:
-        """The headers that tell a tenant's client how its budget stands."""
+        """The `x-ratelimit-*` headers of an answer to this tenant, by its budget as it is now."""
         return rate_limit_headers(self._balance(tenant))
 
     def usage_report(self, tenant: str) -> UsageReport:
--- a/pearhill/chat/incoming_request.py
+++ b/pearhill/chat/incoming_request.py
@@ -68,7 +68,7 @@
         return (("x-request-id", self.id), *self._limits)
 
     def update_rate_limits(self) -> None:
-        """From here on, the answer's headers tell how the tenant's budget stands now."""
+        """Give the answer's headers the tenant's budget as it is now."""
         if self._accounting:
             self._limits = self._accounting.rate_limit_headers(self.tenant.name)
 
--- a/pearhill/chat/keys.py
+++ b/pearhill/chat/keys.py
@@ -108,7 +108,7 @@
     def owner(self, key: str) -> Tenant | None:
         """The tenant whose key this is; None: the key is not valid.
 
-        A number without records is compared with a random one: otherwise the time of the answer would tell an attacker
+        A number without records is compared with a random one: otherwise the time of the answer would show an attacker
         which numbers exist.
         """
         owner: Tenant | None = None
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -35,7 +35,7 @@
 class Record:
     """The core's client for one run, and the source for all who want its answer.
 
-    `id`: the request's, for the log; `digest`: of the request, to tell it from another under the same key.
+    `id`: the request's, for the log; `digest`: of the request, to distinguish it from another under the same key.
     """
 
     def __init__(self, id: str, digest: bytes, spawn: Spawn) -> None:
--- a/pearhill/chat/schema/messages.py
+++ b/pearhill/chat/schema/messages.py
@@ -1,6 +1,6 @@
 """Messages of a chat request: one record for each role, and for each kind of content part.
 
-Source: OpenAI's API reference, "Chat Completions", `messages`. `role` and `type` tell the records apart.
+Source: OpenAI's API reference, "Chat Completions", `messages`. The records are distinguished by `role` and `type`.
 """
 
 from __future__ import annotations
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -73,7 +73,7 @@
             self._fetching = self.node.pool.spawn(self._eureka.follow())
 
     def register(self, address: Address) -> None:
-        """Tell the registry where this dispatcher listens."""
+        """Register the address at which this dispatcher listens, and keep it registered."""
         self._address = address
         if self._eureka and self._eureka.setup.register_as:
             self._registering = self.node.pool.spawn(self._eureka.keep_registered(address))
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -89,7 +89,7 @@
             attempt.cancel()
 
     def reject(self, request: Request, retry_after: int, reason: str) -> None:
-        """Tell the client that a retry is harmless, or, where it may have been executed, that the request failed."""
+        """Reject the request, after which a retry is harmless; where it may have been executed, fail it instead."""
         may_have_executed = request.execution is not None or request.current_attempt is not None
         if not may_reject(self.deployment.router.classes[request.request_class], may_have_executed):
             self.record_violation(request, REJECTED_AFTER_EXECUTION)
@@ -102,7 +102,7 @@
         request.client.reject(retry_after)
 
     def fail(self, request: Request, reason: str) -> None:
-        """Tell the client that the request failed."""
+        """End the request with a failure as its final answer."""
         self._finish(request, FAILURE)
         self._counters.failed += 1
         self._counters.failures[reason] += 1
--- a/pearhill/eureka/registration.py
+++ b/pearhill/eureka/registration.py
@@ -1,4 +1,4 @@
-"""What a dispatcher tells a Eureka registry of itself."""
+"""The registration that a dispatcher sends to a Eureka registry."""
 
 from __future__ import annotations
 
--- a/pearhill/http1/client.py
+++ b/pearhill/http1/client.py
@@ -90,7 +90,7 @@
         """The server has ended its sending, or the connection broke: `why`.
 
         An answer without a length, which ends with its connection (RFC 9112, 6.3), is not accepted: its end could not
-        be told from a break.
+        be distinguished from a broken connection.
         """
         if self.awaiting:
             self._lose(why)
--- a/pearhill/http1/messages.py
+++ b/pearhill/http1/messages.py
@@ -33,7 +33,7 @@
 def add_header(headers: dict[str, str], name: str, value: str) -> None:
     """Add a field to headers by lower-case name; a repeated one becomes a list (RFC 9110, 5.3).
 
-    Of a field that comes twice, two readers might otherwise each believe another value. Where one value is needed, a
+    Of a field that comes twice, two recipients might otherwise each take another value. Where one value is needed, a
     list is not accepted.
     """
     headers[name] = f"{headers[name]}, {value}" if name in headers else value
--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -93,7 +93,7 @@
     ) -> None:
         """Add or change an instance. `started`: it has started just now; if not, its time of start stays.
 
-        `now` stands in the row's metadata, so that whoever gets the row can tell how old the change is.
+        `now` stands in the row's metadata, so that whoever gets the row knows how old the change is.
         """
         before = self.rows.get(instance)
         up_ms = _wall_clock_ms() if started else _up_since_ms(before)
@@ -210,7 +210,7 @@
         return await self._orders[name](order)
 
     async def _open(self, order: Order) -> dict[str, Any]:
-        """Start the registry's server and the replicas, of which a share of `readers` are for prefill."""
+        """Start the registry's server and the replicas, of which the order's share `readers` are for prefill."""
         self._rng = random.Random(order["seed"])
         self._zones = order["zones"]
         server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=REGISTRY_BACKLOG)
--- a/pearhill/lab/scale/fit.py
+++ b/pearhill/lab/scale/fit.py
@@ -23,7 +23,7 @@
 class Form:
     """A linear model. `terms`: what each coefficient is multiplied by, from D and R; the first is the constant's 1.
 
-    `is_curved`: it is curved in D, and two counts of dispatchers do not tell that from a line.
+    `is_curved`: it is curved in D, and two counts of dispatchers do not distinguish that from a line.
     """
 
     coefficients: str
--- a/pearhill/lifecycle/drain.py
+++ b/pearhill/lifecycle/drain.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.requested_at: int | None = None  # by operators
-        self.ending_since: int | None = None  # the process was told to end
+        self.ending_since: int | None = None  # when the shutdown of the process was requested
         self.yielding_since: int | None = None  # another process takes the clients
         self.times = ShutdownTimes.for_deadline(MAX_KILL_DEADLINE_US)  # of the shutdown, once it has begun
 
@@ -33,8 +33,8 @@
             self.requested_at = now
 
     def end_process(self, now: int, longest_deadline: int) -> None:
-        """The process was asked to end. Asked again, or with other settings later, it ends as early as any of them
-        requires; an end of the operators' drain does not keep it."""
+        """Record that the process shuts down. Requested again, or with other settings later, it ends as early as
+        any of them requires; an end of the operators' drain does not keep it."""
         times = ShutdownTimes.for_deadline(longest_deadline)
         if self.ending_since is None:
             self.ending_since = now
@@ -58,8 +58,8 @@
         return self.ending_since is not None and self.yielding_since is None
 
     def rejects(self, arrived: int) -> bool:
-        """Whether a request that was read then comes too late: the process has been told to end, and the platform kills
-        it before a long answer would be complete."""
+        """Whether a request that was read then comes too late: the process is shutting down, and the platform kills it
+        before a long answer would be complete."""
         return self.ending_since is not None and arrived >= self.ending_since + self.times.reject_after
 
     @property
--- a/pearhill/lifecycle/endpoint_overrides.py
+++ b/pearhill/lifecycle/endpoint_overrides.py
@@ -10,15 +10,18 @@
 
 
 class EndpointOverrides:
-    """Keeps the endpoints as discovery reported them, apart from what the router is told of them: a restored replica
-    is what discovery then says."""
+    """Keeps the endpoints as discovery reported them, apart from the effective ones that the router gets: a restored
+    replica is as discovery reports it then."""
 
     def __init__(self, overrides: OperatorOverrides) -> None:
         self.overrides = overrides
         self.endpoints: dict[int, Endpoint] = {}
 
     def update(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
-        """Endpoints as discovery reports them; returns what the router is told. `full`: they replace all others."""
+        """Take over endpoints as discovery reports them; the effective ones, for the router.
+
+        `full`: they replace all others.
+        """
         if full:
             self.endpoints = {}
         for entry in entries:
@@ -29,7 +32,7 @@
         return tuple(self._effective(entry) for entry in entries)
 
     def reapply(self, replicas: Iterable[int]) -> tuple[Endpoint, ...]:
-        """What to tell the router of these replicas now that an override has changed."""
+        """The effective endpoints of these replicas, for the router, after an override has changed."""
         return tuple(self._effective(self.endpoints[replica]) for replica in replicas if replica in self.endpoints)
 
     def knows(self, replica: int) -> bool:
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# For a replica that is in use again: until then an older message may still tell that it was taken down.
+# For a replica that is in use again: until then an older message may still have it administratively down.
 RETENTION_US = 600_000_000
 MAX_OVERRIDES = 10_000  # that are kept; far more than there are replicas
 
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -11,8 +11,8 @@
 from pearhill.lifecycle.takeover_message import TakeoverMessage
 
 ALIVE_WITHIN_US = 1_500_000  # a message that was not written anew for so long: its process has gone
-MESSAGE_RETENTION_US = 600_000_000  # left behind for longer than this it tells nothing
-REWRITE_INTERVAL_US = 300_000  # between two writings of a message that says nothing new
+MESSAGE_RETENTION_US = 600_000_000  # left behind for longer than this it is ignored
+REWRITE_INTERVAL_US = 300_000  # between two writings of a message that contains nothing new
 # A successor has 6 s from its start until it reports ready, and soon after that the predecessor is ended with all that
 # it still answers. Until this age the successor accepts the clients, but leaves the predecessor the time.
 READY_WITHIN_US = 5_200_000
@@ -36,11 +36,12 @@
         self._written: TakeoverMessage | None = None
 
     def alive(self, message: TakeoverMessage, now: int) -> bool:
-        """Whether the writer still lives."""
+        """Whether the process that wrote it still runs."""
         return not message.ended and abs(now - message.written_at) < ALIVE_WITHIN_US
 
     def expired(self, message: TakeoverMessage, now: int) -> bool:
-        """Whether nobody will need it any more: all that it tells is taken over here, or too old."""
+        """Whether nobody needs it any more: it is too old, or of an earlier process that has ended and whose overrides
+        are taken over here."""
         if self._too_old(message, now):
             return True
         return message.started_at < self.started_at and not self.alive(message, now)
@@ -64,7 +65,7 @@
         return not self.predecessor_serving or age >= READY_WITHIN_US
 
     def write_failed(self) -> None:
-        """The last message did not reach the folder: the next one has to be written whatever it says."""
+        """The last message did not reach the folder: the next one has to be written, even if it is the same."""
         self._written = None
 
     def message(self, now: int, serving: bool, quiet: bool, ended: bool = False) -> TakeoverMessage | None:
--- a/pearhill/lifecycle/takeover_message.py
+++ b/pearhill/lifecycle/takeover_message.py
@@ -1,4 +1,4 @@
-"""What two processes of one dispatcher tell each other, and how it is stored: a line with a mark, the version and a
+"""The state that two processes of one dispatcher exchange, and how it is stored: a line with a mark, the version and a
 CRC-32 of the rest, then JSON. Other versions read it: its keys stay."""
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """One process's state for the other. Times are microseconds of Unix time, by the writer's clock."""
 
     name: str  # the dispatcher's
-    started_at: int  # of the process, which tells the two apart
+    started_at: int  # of the process, which distinguishes the two
     written_at: int
     serving: bool  # it accepts clients' connections
     quiet: bool  # it answers no client any more
@@ -31,7 +31,7 @@
     down: dict[int, Override]
     drain: Override | None
     origin: int = 0  # how far its writer's clock is ahead of the monotonic clock that all processes of a boot share
-    boot: str = ""  # which boot; empty: the writer could not tell
+    boot: str = ""  # which boot; empty: the writer did not know
 
     def aligned(self, origin: int, boot: str) -> TakeoverMessage:
         """Its times by the reader's clock. The wall clock may have been stepped between the starts of the two."""
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -150,7 +150,7 @@
 
 
 class Superseded(AggregationMessage, frozen=True, tag=6):
-    """Tells a dispatcher that a newer incarnation of its name reports, or reported, here."""
+    """Sent to a dispatcher of whose name a newer incarnation reports, or reported, here."""
 
     known_incarnation: Count
 
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -199,7 +199,7 @@
         snapshot = self._current_snapshot(now)
         known_version = report.known_version if report.known_incarnation == self.incarnation else 0
         entries = self.table.entries_after(known_version)
-        # With so much of the table to come, the dispatcher cannot tell yet whose most of the sums are.
+        # With so much of the table to come, the dispatcher does not know yet to whom most of the sums belong.
         ranges = snapshot.ranges if len(entries) < MAX_TABLE_ENTRIES else []
         if entries or not ranges:
             ranges = [EMPTY_RANGE, *ranges]
--- a/pearhill/membership/reported_work.py
+++ b/pearhill/membership/reported_work.py
@@ -1,6 +1,6 @@
 """The work of the dispatchers that report to this aggregator, each counted under a lease.
 
-Nobody is counted twice because work is held by a lease (Gray and Cheriton, 1989) whose end both sides can tell: a
+Nobody is counted twice because work is held by a lease (Gray and Cheriton, 1989) whose end both sides know: a
 report names the newest answer that its sender has, so it is no older than that answer. Its work counts until
 `aggregation_messages.LEASE_US` after that answer was sent, however long the report was under way. Times are
 microseconds.
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -137,7 +137,7 @@
             case End(_, clean):
                 self._response_ended(clean)
             case Lost():
-                # While the request is being written only the writer can tell whether its last byte went out.
+                # While the request is being written only the writer knows whether its last byte went out.
                 if self.connection and not self.connection.writing:
                     self._finish(Outcome.TRUNCATED, may_hold=True)
 
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -1,5 +1,5 @@
-"""One UDP socket for all protocols that use it, told apart by a datagram's first byte: its counts, and a log line for
-datagrams that are rejected. Decides nothing."""
+"""One UDP socket for all protocols that use it, distinguished by a datagram's first byte: its counts, and a log line
+for datagrams that are rejected. Decides nothing."""
 
 from __future__ import annotations
 
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -133,7 +133,7 @@
         return sock
 
     def _connect_error(self, address: Address, error: OSError) -> ConnectError:
-        """Tell a shortage of this system from a server that cannot be reached."""
+        """The error of a failed connect: a shortage of this system is distinguished from an unreachable server."""
         if error.errno in SHORTAGE_ERRNOS:
             self.counters.shortages += 1
             return SystemResourceError(str(error))
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -1,13 +1,13 @@
 """Reading from a socket with as few system calls as possible.
 
-`loop.sock_recv_into` tries at once, is told to wait, adds the socket to the poll, and takes it out again: on a stream
-whose events come one by one that is three calls beside the read itself. Here the socket stays in the poll between
+`loop.sock_recv_into` tries at once, gets EAGAIN, adds the socket to the poll, and takes it out again: on a stream whose
+events come one by one that is three calls beside the read itself. Here the socket stays in the poll between
 reads, and is taken out only while nothing waits for it, so that bytes that must wait for a slow client do not spin the
 loop.
 
-A poll that stays is no promise of a further wake-up. libuv stops polling a socket on which the system reports an error
-and says so once, in the same wake-up as the bytes before it (`uv__poll_io`: POLLERR); asyncio's own loop goes on. So
-after a wake-up the socket is read until it says itself that nothing is there, and only then is the poll waited on.
+A poll that stays is no promise of a further wake-up. libuv stops polling a socket on which the system reports an error,
+and reports it once, in the same wake-up as the bytes before it (`uv__poll_io`: POLLERR); asyncio's own loop goes on. So
+after a wake-up the socket is read until the read itself finds nothing, and only then is the poll waited on.
 """
 
 from __future__ import annotations
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -76,7 +76,7 @@
         return self._deadlines.clock() >= wait_until and self._has_elapsed_since_sigterm(self._drain.times.kill_after)
 
     def _has_elapsed_since_sigterm(self, span: int) -> bool:
-        """Whether so many microseconds have gone by since the process was told to end."""
+        """Whether so many microseconds have gone by since SIGTERM."""
         assert self._drain.ending_since is not None
         return self._deadlines.clock() >= self._drain.ending_since + span
 
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -50,7 +50,7 @@
         return can_serve or not self.takeover.predecessor_alive
 
     def reports_ready(self) -> bool:
-        """Whether the platform may be told that this process is ready, which ends the predecessor."""
+        """Whether this process may report itself ready to the platform, which ends the predecessor."""
         age = process_age()
         return (self.serving_announced or age >= READY_WITHIN_US) and self.takeover.reports_ready(age)
 
--- a/pearhill/platform/request_parser.py
+++ b/pearhill/platform/request_parser.py
@@ -14,7 +14,7 @@
 MAX_TIMEOUT_US = 600_000_000
 MAX_HEX_KEY_DIGITS = 16  # of an affinity key that is a 64-bit number already
 KEY_BYTES = 8
-BYTES_PER_TOKEN = 4  # estimates a prompt's length where the client does not tell it
+BYTES_PER_TOKEN = 4  # estimates a prompt's length where the client does not send it
 REQUIRED_HEADERS = ("Request-Id", "Request-Class", "Request-Timeout-Ms")
 _REQUEST_ID = re.compile(r"[\x21-\x7e]{1,128}")
 
--- a/pearhill/routing/actions.py
+++ b/pearhill/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a router asks of its node. Times are integer microseconds."""
+"""Actions: what a router has its node do. Times are integer microseconds."""
 
 from __future__ import annotations
 
--- a/pearhill/routing/admission.py
+++ b/pearhill/routing/admission.py
@@ -8,7 +8,7 @@
 
 LATENCY_SHARE_FOR_PREFILL = 0.35  # of the latency objective, for the lowest priority; twice that for the highest
 USAGE_DECAY = 0.8  # what a step leaves of the requests counted by tenant
-USAGE_PRIOR = 5  # requests; fewer than that from one tenant tell little
+USAGE_PRIOR = 5  # requests; fewer than that from one tenant are too few to judge its share by
 
 
 def is_over_budget(request: RequestArrived) -> bool:
@@ -44,7 +44,7 @@
 
     def _share_over_quota(self, request: RequestArrived) -> float:
         settings = self._settings
-        # What is admitted out of others' unused capacity must not crowd out what is guaranteed.
+        # What is admitted out of others' unused capacity must not displace what is guaranteed.
         if request.admission == AdmissionStatus.BURST:
             return 1.0
         if request.tenant >= len(settings.quotas):
--- a/pearhill/routing/outlier_detection.py
+++ b/pearhill/routing/outlier_detection.py
@@ -30,7 +30,8 @@
         """The candidates that are not ejected; all in connected zones where most would be (panic threshold)."""
         zone_rates = self.zone_failure_rates(now)
         threshold = self._threshold(zone_rates)
-        # In a zone that was cut off each replica has been tried too seldom to tell; all of them together have not.
+        # In a zone that was cut off each replica has had too few attempts to be judged by; all of them together
+        # have enough.
         reachable = [r for r in candidates if zone_rates.get(r.endpoint.zone, 0.0) < threshold] or candidates
         healthy = [
             replica
--- a/pearhill/routing/pending_request.py
+++ b/pearhill/routing/pending_request.py
@@ -50,5 +50,5 @@
 
     @property
     def query_key(self) -> tuple[int, bool]:
-        """What tells one choice from the next: load is queried once for each."""
+        """Distinguishes one choice of a replica from the next: load is queried once for each."""
         return self.attempt, self.state_holder is not None
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -47,7 +47,7 @@
 
 
 def may_reject(spec: RequestClass, may_have_executed: bool) -> bool:
-    """Whether the client may be told that a retry is harmless."""
+    """Whether the client may get a rejection, which means that a retry is harmless."""
     return (
         not may_have_executed
         or spec.idempotency == Idempotency.IDEMPOTENT
--- a/pearhill/routing/prefix_affinity.py
+++ b/pearhill/routing/prefix_affinity.py
@@ -20,7 +20,7 @@
 HOMES_PER_FAIR_SHARE = 2  # home replicas for a prefix that draws one replica's fair share of the prefilling
 MIN_HOMES = 2
 PREFIX_LOAD_DECAY = 0.9  # what a step leaves of the tokens counted by prefix
-MIN_REQUESTS_FOR_SHARE = 10  # a prefix's share from fewer requests tells little
+MIN_REQUESTS_FOR_SHARE = 10  # a prefix's share of fewer requests is too uncertain
 CACHE_FILL_DECAY = 0.8  # what a step leaves of the rate at which caches fill
 MAX_CACHED_PREFIXES = 1_000  # entries of a replica's table
 MAX_CACHED_AGE_US = 600_000_000  # a pause in a conversation, at most
@@ -122,10 +122,10 @@
         self.total_load += tokens
 
     def home_count(self, request: RequestArrived, replicas: int) -> int:
-        """How many of so many prefill replicas share the prompts of this prefix, as far as this dispatcher can tell."""
+        """How many of so many prefill replicas share the prompts of this prefix, by this dispatcher's own counts."""
         if not request.prefix:
             return MIN_HOMES
-        # The length of a prefix is the client's word, and may be any.
+        # The length of a prefix is given by the client, and may be any number.
         new_tokens = max(0, request.prompt_tokens - request.prefix_tokens)
         least = MIN_REQUESTS_FOR_SHARE * (BATCH_OVERHEAD_TOKENS + new_tokens)
         share = self.prefix_load.get(request.prefix, 0.0) / (self.total_load + least)
--- a/pearhill/routing/retry_policy.py
+++ b/pearhill/routing/retry_policy.py
@@ -1,6 +1,6 @@
 """Retries: the retry budget, the time an attempt gets, until when it may be sent, and the final answer.
 
-Whether a request that may have been executed may be sent again at all is told by `permissions.may_retry`.
+`permissions.may_retry` decides whether a request that may have been executed may be sent again at all.
 """
 
 from __future__ import annotations
@@ -78,8 +78,8 @@
 def final_answer(pending: PendingRequest, settings: RouterSettings, reason: str) -> RejectRequest | FailRequest:
     """The answer to a request that no replica answers: a rejection only where a retry is harmless.
 
-    Even a prefilling attempt counts as one that may be executed until it has ended. A rejected client is told to stay
-    away for as long as it heeds: those that come back at once add to the load that they were rejected for.
+    Even a prefilling attempt counts as one that may be executed until it has ended. A rejection's Retry-After is
+    as long as clients heed: those that come back at once add to the load that they were rejected for.
     """
     spec = settings.classes[pending.request.request_class]
     if not may_reject(spec, pending.execution is not None or pending.in_flight):
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -70,7 +70,7 @@
     def _rate(self, endpoint: Endpoint, role: str, share: float) -> float:
         """Requests a microsecond that this process may send to a replica with this share of its capacity.
 
-        Where no answer tells a rate, all processes together send one request in an overload window.
+        Where no answer has shown a rate yet, all processes together send one request in an overload window.
         """
         settings = self.settings
         weight = endpoint.weight or 1
