--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -118,6 +118,7 @@
         complete."""
 
         async def observe_and_send(message: Message) -> None:
+            """Start or stop the dispatcher before the server learns that the application has started or stopped."""
             if message["type"] == "lifespan.startup.complete":
                 await self._start()
             elif message["type"].startswith("lifespan.shutdown."):
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -113,6 +113,7 @@
     models: dict[str, Model] = {}
 
     def declare(path: str, name: str, model: Model) -> None:
+        """Add a model under a name or alias. ConfigError at `path`: the name is taken."""
         if name in models:
             raise typed.invalid_value(path, name, "a name that no other model or alias has")
         models[name] = model
--- a/pearhill/conformance/client.py
+++ b/pearhill/conformance/client.py
@@ -33,15 +33,19 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header; of a name that comes twice the last value counts."""
         self.response.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """Keep the status; an interim response (1xx) is overwritten by the final one."""
         self.response.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
+        """Append a piece of the body, free of its chunked coding."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """The end of a response: an interim one does not complete the exchange."""
         self.response.complete = self.response.status >= 200
 
 
--- a/pearhill/conformance/runner.py
+++ b/pearhill/conformance/runner.py
@@ -50,6 +50,7 @@
     case: Case, replica: ScriptedReplica, connection: ClientConnection, headers: dict[str, str]
 ) -> str:
     def on_first() -> bool:
+        """Let the replica send the rest of its script; whether the client disconnects here."""
         replica.client_received()
         return case.client_disconnects
 
--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -159,6 +159,7 @@
     """The handler of the one order, "choice"."""
 
     async def handle(order: dict[str, Any]) -> dict[str, Any]:
+        """Measure the choice among the order's count of replicas, over its count of arrivals."""
         return measure_choice(order["replicas"], order["arrivals"], order["instances"], order["seed"])
 
     return handle
--- a/pearhill/lab/scale/fault_watch.py
+++ b/pearhill/lab/scale/fault_watch.py
@@ -130,9 +130,11 @@
     usual_sums = statistics.median(sample.sums for sample in before) if before else 1.0
 
     def relative_sums(sample: FleetSample) -> float:
+        """The sample's estimates, relative to those of the undisturbed fleet."""
         return sample.sums / usual_sums if usual_sums else 1.0
 
     def sums_wrong(sample: FleetSample) -> bool:
+        """Whether the estimates are further from the undisturbed ones than is allowed."""
         return abs(relative_sums(sample) - 1) > SUMS_TOLERANCE
 
     return {
--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -127,6 +127,7 @@
         """Stop these dispatchers."""
 
         async def stop_in(k: int) -> None:
+            """Stop those of them that are in the process with this number."""
             in_host = [name for name in names if self._host_of[name] == k]
             if in_host:
                 await self._fleet.hosts[k].call("stop", names=in_host, gracefully=gracefully)
@@ -138,6 +139,7 @@
         """Start dispatchers that were stopped, in the processes where they were."""
 
         async def start_in(k: int) -> None:
+            """Start those of them that belong to the process with this number."""
             specs = [spec for spec in self._fleet.dispatchers if spec.name in names and self._host_of[spec.name] == k]
             if specs:
                 await self._fleet.hosts[k].call("start", places=[asdict(spec) for spec in specs])
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -181,6 +181,7 @@
         gate = asyncio.Semaphore(STARTS_AT_ONCE)
 
         async def start(spec: DispatcherSpec) -> None:
+            """Start one, as soon as fewer than `STARTS_AT_ONCE` are starting."""
             async with gate:
                 self.real.append(await self.start_dispatcher(spec.name, file_of(spec, self.template)))
 
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -149,6 +149,7 @@
 
     def _decode(self, attempt: Attempt) -> None:
         def start() -> None:
+            """Start the response, unless the attempt is over, and end it in its time."""
             if attempt.start_response():
                 wait = self._exponential_us(ANSWER_TOKENS * TOKEN_INTERVAL_S)
                 self._deadlines.after(wait, lambda: attempt.end(Outcome.ANSWERED, PROMPT_TOKENS // 2))
--- a/pearhill/lab/soak/shim.py
+++ b/pearhill/lab/soak/shim.py
@@ -118,10 +118,12 @@
     write_bytes, write_log = pathlib.Path.write_bytes, sys.stderr.write
 
     def checked_write_bytes(path: pathlib.Path, data: Any) -> int:
+        """`Path.write_bytes`, unless files cannot be written now."""
         faults.check("write-file")
         return write_bytes(path, data)
 
     def checked_write_log(text: str) -> int:
+        """`sys.stderr.write`, unless the log cannot be written now."""
         faults.check("write-log")
         return write_log(text)
 
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -57,6 +57,7 @@
         waiter: asyncio.Future[None] = self._loop.create_future()
 
         def wake_up() -> None:
+            """End the wait. The poll may call more than once before it is removed."""
             if not waiter.done():
                 waiter.set_result(None)
 
