--- a/pearhill/chat/dialect.py
+++ b/pearhill/chat/dialect.py
@@ -32,7 +32,7 @@
 class ChatPayload:
     """What a replica is sent of a chat request, and how its answer is read.
 
-    `body`: JSON that asks for a stream with its usage event, from which the router learns how much of the prompt was
+    `body`: JSON that requests a stream with its usage event, from which the router learns how much of the prompt was
     cached; `wants_usage`: whether that event is forwarded; `max_answer_bytes`: of the answer's stream.
     """
 
@@ -65,7 +65,7 @@
         return messages.request("POST", PATH, HOST, headers, payload.body)
 
     def health_check(self) -> bytes:
-        """The call to a replica's health endpoint. The API has none for the load: settings for it never ask for it."""
+        """The call to a replica's health endpoint. The API has none for the load: settings for it never need one."""
         return messages.request("GET", "/health", HOST)
 
     def load(self, status: int, body: bytes) -> None:
@@ -101,7 +101,7 @@
 
 
 def retry_after_us(headers: Mapping[str, str]) -> int:
-    """For how many microseconds a 429 asks for no further request.
+    """For how many microseconds no further request may follow a 429.
 
     `Retry-After-Ms` comes before `Retry-After` (RFC 9110). A date in the latter is not used: clocks differ.
     """
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -25,7 +25,7 @@
 class CompletionFormat:
     """Answers as text completions.
 
-    `echo`: text that each choice begins with, the prompt's where the client asks for it; `with_usage`: whether events
+    `echo`: text that each choice begins with, the prompt's where the client requests it; `with_usage`: whether events
     have the field `usage`.
     """
 
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -1,7 +1,7 @@
 """The front of the chat API: reads requests by the operator's rules, and answers as OpenAI-style clients expect.
 
 Nothing here needs the platform's headers. A request's steps: `identification` (tenant and model), `spec_reader` (what
-the core asks of it), `request_placement` (budget, idempotency key, core).
+the core needs to know of it), `request_placement` (budget, idempotency key, core).
 """
 
 from __future__ import annotations
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -73,7 +73,7 @@
         if self.store:
             self.store.grow(len(data))
         elif not self.followers:
-            return  # nobody can ask for it any more: only the outcome counts
+            return  # nobody can request it any more: only the outcome counts
         self.size += len(data)
         self._parts.append(data)
         self._wake_followers()
@@ -87,7 +87,7 @@
         self._end(RecordState.TRUNCATED)
 
     def has_disconnected(self) -> bool:
-        """Never: the run is seen through for whoever asks for its answer again."""
+        """Never: the run is completed for whoever requests its answer again."""
         return False
 
     def follow(self, answer: Answer) -> Follower:
@@ -100,7 +100,7 @@
         while True:
             while position < len(self._parts):
                 data = self._parts[position]
-                if self.store is None and not self.key:  # nobody else can ask for what this client has read
+                if self.store is None and not self.key:  # nobody else can request what this client has read
                     self._parts[position] = b""
                 position += 1
                 await answer.forward(data)
--- a/pearhill/chat/schema/items.py
+++ b/pearhill/chat/schema/items.py
@@ -11,7 +11,7 @@
 
 from pearhill.chat.schema.reading import require
 
-# The fields that an item of each type needs. Reasoning items are accepted and not sent on.
+# The fields that an item of each type needs. Reasoning items are accepted and not forwarded.
 REQUIRED_FIELDS: dict[str, tuple[str, ...]] = {
     "message": ("role", "content"),
     "function_call": ("call_id", "name", "arguments"),
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """One declared model. `request_class` -1: as the rules say; sizes in tokens, 0: no limit of its own."""
+    """One declared model. `request_class` -1: by the rules; sizes in tokens, 0: no limit of its own."""
 
     name: str
     served_as: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Where the front finds what the core asks. Header names are in lower case."""
+    """Where the front finds what the core needs to know. Header names are in lower case."""
 
     rules: tuple[Rule, ...]
     default_class: int
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -1,9 +1,9 @@
-"""What the core asks of a chat request, found by the operator's rules, in this order.
+"""What the core needs to know of a chat request, found by the operator's rules, in this order.
 
 class          a header, a field of the body's `metadata`, the first rule that fits, the model's own, the default
 conversation   a header, a field of `metadata`, else the messages up to the first user's
 opening        the leading system and developer messages
-lengths        characters over `chars_per_token`; what the request asks for at most, else the model's or `max_out`
+lengths        characters over `chars_per_token`; the request's own limit, else the model's or `max_out`
 deadline       a header in milliseconds, else the rule's, at most the class's
 """
 
@@ -24,7 +24,7 @@
 def read_spec(
     request: IncomingRequest, prompt: Prompt, model: Model, classes: Mapping[str, int], deployment: Deployment
 ) -> RequestSpec:
-    """The core's form of a request; `classes`: their numbers by name. ApiError: it asks for more than there is."""
+    """The core's form of a request; `classes`: their numbers by name. ApiError: it requests more than there is."""
     reading = request.reading
     headers = request.message.headers
     rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -19,7 +19,7 @@
 from pearhill.routing.topology import Role
 from pearhill.settings import Deployment
 
-# A router that asks for these has lost count. The other reasons arise where events cross, and are no fault.
+# A router that requests these has lost count. The other reasons arise where events cross, and are no fault.
 VIOLATIONS = (Denied.ATTEMPT_IN_FLIGHT, Denied.MAY_HAVE_EXECUTED, Denied.OUT_OF_SCOPE)
 
 
--- a/pearhill/core/backend.py
+++ b/pearhill/core/backend.py
@@ -12,7 +12,7 @@
     """The way to the replicas. It calls `Attempt.end` once for each attempt, except after `cancel`."""
 
     def send(self, attempt: Attempt) -> None:
-        """Write the attempt's request, if `Attempt.may_start` says so right before its first byte."""
+        """Write the attempt's request, if `Attempt.may_start` allows it right before its first byte."""
 
     def cancel(self, attempt: Attempt) -> bool:
         """Close the attempt's connection before returning.
@@ -24,7 +24,7 @@
         """Whether any byte of the attempt may have been written."""
 
     def check_health(self, replica: int) -> None:
-        """Ask a replica for its load; `Dispatcher.health_check_ended` is called once with the result."""
+        """Query a replica's load; `Dispatcher.health_check_ended` is called once with the result."""
 
     def release(self, request: Request, replicas: Collection[int]) -> None:
         """Release what the replicas may hold for the request, with retries."""
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -133,7 +133,7 @@
         self._deadlines.cancel(request.deadline_timer)
 
     def record_violation(self, request: Request, rule: str) -> None:
-        """The router asked for what no rule allows. It is not done, and both are counted and logged."""
+        """The router requested what no rule allows. It is not done, and both are counted and logged."""
         self._counters.violations[rule] += 1
         log_violation(request, rule)
 
--- a/pearhill/core/request_log.py
+++ b/pearhill/core/request_log.py
@@ -58,7 +58,7 @@
 
 
 def log_violation(request: Request, rule: str) -> None:
-    """The router has asked for what no rule allows; it was not done."""
+    """The router requested what no rule allows; it was not done."""
     logger.error("violation rule={rule} request={number} id={id}", rule=rule, number=request.number, id=request.id)
 
 
--- a/pearhill/eureka/setup.py
+++ b/pearhill/eureka/setup.py
@@ -1,4 +1,4 @@
-"""What an operators' file says about the registry."""
+"""The registry's settings in an operators' file."""
 
 from __future__ import annotations
 
--- a/pearhill/lifecycle/drain.py
+++ b/pearhill/lifecycle/drain.py
@@ -26,7 +26,7 @@
         self.times = ShutdownTimes.for_deadline(MAX_KILL_DEADLINE_US)  # of the shutdown, once it has begun
 
     def request(self, now: int, on: bool) -> None:
-        """Operators' call. Asked for twice, it is one drain; ended without a beginning, it is none."""
+        """Operators' call. Requested twice, it is one drain; ended without a beginning, it is none."""
         if not on:
             self.requested_at = None
         elif self.requested_at is None:
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -1,4 +1,4 @@
-"""What operators have asked for, each override with its time: of two on one matter the later holds."""
+"""The operators' overrides, each with its time: of two on one matter the later holds."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 class OperatorOverrides:
     """`down`: by replica, whether it is administratively down. `drain`: whether this dispatcher is to drain; None: no
-    operator has asked for or ended a drain."""
+    operator has requested or ended a drain."""
 
     def __init__(self) -> None:
         self.down: dict[int, Override] = {}
@@ -56,8 +56,8 @@
         return override if override and not override.on else None
 
     def merge(self, down: dict[int, Override], drain: Override | None) -> tuple[set[int], bool]:
-        """Take over what another process was asked for later. Returns the replicas concerned, and whether the drain
-        is."""
+        """Take over the overrides that another process received later. Returns the replicas concerned, and
+        whether the drain is."""
         changed = {replica for replica, override in down.items() if self._is_later(override, self.down.get(replica))}
         self.down.update((replica, down[replica]) for replica in changed)
         drain_changed = drain is not None and self._is_later(drain, self.drain)
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -91,8 +91,8 @@
         self, now: int, messages: list[TakeoverMessage], living: list[TakeoverMessage]
     ) -> tuple[set[int], bool]:
         """Take over the overrides. What is down stays down over any restart, but a drain holds only while its process
-        lives: one that outlived it would keep the next process from ever being ready, long after whoever asked for it
-        has gone."""
+        lives: one that outlived it would keep the next process from ever being ready, long after whoever
+        requested it has gone."""
         replicas = set[int]()
         drain = False
         for message in messages:
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -138,7 +138,7 @@
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
-    """Asks whether an aggregator is up. Answered by a HelloAck of the same number."""
+    """A check whether an aggregator is up. Answered by a HelloAck of the same number."""
 
     number: Count
 
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks the addressee to ping `target` and to pass its Ack on."""
+    """An indirect ping (SWIM's ping-req): the addressee pings `target` and forwards its Ack."""
 
     to: str
     number: int
@@ -85,11 +85,11 @@
 
 @dataclass(slots=True)
 class OpenPing:
-    """A ping without an answer so far. `requester`: the dispatcher that asked for it by its `request_number`."""
+    """A ping without an answer so far. `requester`: the dispatcher that requested it by its `request_number`."""
 
     to: str
     sent_at: int
-    is_indirect: bool = False  # others were asked to ping, or this one was asked by another
+    is_indirect: bool = False  # others ping for this one, or this one for another
     requester: str = ""
     request_number: int = 0
 
--- a/pearhill/membership/reported_work.py
+++ b/pearhill/membership/reported_work.py
@@ -59,7 +59,7 @@
         member.incarnation = incarnation
 
     def count(self, now: int, name: str, incarnation: Incarnation, reports: list[Report], lease_end: int) -> None:
-        """Count what all parts of a report say, unless another aggregator may still count this dispatcher's work."""
+        """Count the work in all parts of a report, unless another aggregator may still count this dispatcher's work."""
         member = self.members.get(name)
         if member is None or member.incarnation != incarnation or now < member.counts_from:
             return
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -29,7 +29,7 @@
         self.answering = False  # a request has its turn
         self.since = owner.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
         self._keep_alive = True  # its client lets it live on, and nothing on it has gone wrong
-        self._close_after_next = False  # the next answer ends it, whatever its request says
+        self._close_after_next = False  # the next answer ends it, whatever its request's headers
         self._announced_close = False  # the client was notified that this answer is the last one
         super().__init__(owner, sock, peer, delayed_accept)
         self._set_timer()
@@ -109,7 +109,7 @@
 
     def _stays_open(self) -> bool:
         """Whether the connection outlives this answer. The client is notified of it, hence it is settled once.
-        Requests that were read behind it still get their answers, whatever asks the connection to end."""
+        Requests that were read behind it still get their answers, whatever requires the connection to end."""
         asked_to_end = (self.owner.draining or self._close_after_next) and not self.intake.waiting
         self._announced_close = not self._keep_alive or asked_to_end
         return not self._announced_close
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -3,7 +3,7 @@
 
 No dispatcher's address is kept: all that an aggregator sends to one is an answer, and goes where the datagram that it
 answers came from. So nobody can have a dispatcher's answers sent elsewhere by forged or replayed datagrams. The other
-aggregators are where the file says, wherever datagrams in their names come from.
+aggregators are where the file has them, wherever datagrams in their names come from.
 """
 
 from __future__ import annotations
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -21,7 +21,7 @@
 class Datagrams(asyncio.DatagramProtocol):
     """`receivers`, by the version of their messages, raise MessageRejectedError for what they do not accept.
 
-    `receive_buffer`: bytes that the system is asked to hold while this process is busy; 0: its default. `counts`:
+    `receive_buffer`: bytes that the system should buffer while this process is busy; 0: its default. `counts`:
     datagrams and bytes, each way, without the headers of IP and UDP.
     """
 
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -42,8 +42,8 @@
 
     def make_room(self, max_connections: int) -> bool:
         """End some connections in the order of `ConnectionUse`: first those that have had their last answer, then
-        those that never asked, of which hundreds would shut everyone out, then the one that has idled longest, and a
-        partial request last of all."""
+        those that never sent a request, of which hundreds would shut everyone out, then the one that has idled longest,
+        and a partial request last of all."""
         # A flood of clients that stay costs a walk over all connections at each accept; most of a core went into it.
         # What one walk has found serves for some accepts that follow, as long as it still holds.
         closed = 0
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -166,7 +166,7 @@
 
     def told(self, node: FleetNode) -> dict[str, Any]:
         """What is known here of the fleet, for operators. `shares`: dispatchers among whom shares of cold replicas and
-        the like are divided; 0: as many as the settings say."""
+        the like are divided; 0: as many as the settings have."""
         now = self.deadlines.clock()
         replicas, evenness = replica_figures(now, node, self.sources)
         return {
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -128,7 +128,7 @@
         if self._sock is None:
             return
         self._poll(self._sock)
-        # One a tick, clients that ask would wait behind hundreds that only connect.
+        # With one a tick, clients that send requests would wait behind hundreds that only connect.
         for taken in range(MAX_ACCEPTS_PER_TICK):
             full = len(self.connections) >= self.max_connections
             if full and taken:  # Another would be ended, maybe the last one accepted, while the queue is empty.
--- a/pearhill/net/request_intake.py
+++ b/pearhill/net/request_intake.py
@@ -42,7 +42,7 @@
         return self._parser.in_message
 
     def new_buffer(self) -> bytearray:
-        """A buffer for the next read. Hundreds of clients that ask once and stay would each hold a large one."""
+        """A buffer for the next read. Hundreds of idle clients would each hold a large one."""
         return bytearray(READ_BYTES if self._parser.in_message else FIRST_READ_BYTES)
 
     def feed(self, data: memoryview, answering: bool, send_continue: Callable[[], None]) -> None:
--- a/pearhill/net/unread_input.py
+++ b/pearhill/net/unread_input.py
@@ -1,4 +1,4 @@
-"""Whether a socket holds bytes that have not been read yet, asked of the system without taking them."""
+"""Whether a socket holds bytes that have not been read yet, by a system call that does not take them."""
 
 from __future__ import annotations
 
--- a/pearhill/node/drain_control.py
+++ b/pearhill/node/drain_control.py
@@ -8,7 +8,7 @@
 
 
 class DrainControl:
-    """Does to the listener what the drain's stage asks for, now and when the next stage begins."""
+    """Does to the listener what the drain's stage requires, now and when the next stage begins."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.drain = Drain()
--- a/pearhill/node/operations.py
+++ b/pearhill/node/operations.py
@@ -27,7 +27,7 @@
         return self._node.figures()
 
     def set_replica_down(self, uid: str, down: bool) -> bool:
-        """Take a replica down, or use it again, until the opposite is asked for. False: no replica has this id."""
+        """Take a replica down, or use it again, until the opposite is requested. False: no replica has this id."""
         known = self._node.override_control.set_replica_down(replica_id(uid), down)
         if known:
             logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if down else "in use again")
--- a/pearhill/node/override_control.py
+++ b/pearhill/node/override_control.py
@@ -1,4 +1,4 @@
-"""What operators set, carried out: replicas administratively down, and the drain they ask for."""
+"""What operators set, carried out: replicas administratively down, and the drain that they request."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self._dispatcher.update_endpoints(full, self._endpoints.update(full, entries))
 
     def set_replica_down(self, replica: int, down: bool) -> bool:
-        """Take a replica down, or use it again, until the opposite is asked for. False: no replica has this id."""
+        """Take a replica down, or use it again, until the opposite is requested. False: no replica has this id."""
         if not self._endpoints.knows(replica):
             return False
         self.overrides.set_down(replica, self._deadlines.clock(), down)
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -78,7 +78,7 @@
                 task.cancel()
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere now. Its revisions may be counted otherwise, so the whole list is asked for."""
+        """Discovery is elsewhere now. Its revisions may be counted otherwise, so the whole list is requested."""
         self.stop()
         self.pool.drop_idle(self.address)
         self.address = address
@@ -95,7 +95,7 @@
         whole = bool(answer["all"])
         endpoints, addresses = parse_endpoints(answer["targets"], self.deployment, self.endpoints)
         if revision < self.revision and not whole:
-            # A discovery that counts anew would be asked for changes after a revision that it reaches in days.
+            # A discovery that counts anew would get requests for changes after a revision that it reaches in days.
             self._has_list = False
             raise ValueError(f"version {revision} after {self.revision}")
         self.revision = revision
--- a/pearhill/platform/endpoint_list.py
+++ b/pearhill/platform/endpoint_list.py
@@ -62,7 +62,7 @@
 
 
 def _ending_endpoint(target: Any, known: Mapping[int, Endpoint]) -> Endpoint | None:
-    """What an invalid target still says for certain: that a known replica drains or has gone.
+    """What is certain even of an invalid target: that a known replica drains or has gone.
 
     Without it a replica whose change of state is left out would go on getting requests.
     """
--- a/pearhill/routing/actions.py
+++ b/pearhill/routing/actions.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after `delay`."""
+    """Set a timer: `TimerFired` follows after `delay`."""
 
     timer: int
     delay: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Ask a replica for its load; a `HealthCheckEnded` follows."""
+    """Send a replica a health check, which queries its load; a `HealthCheckEnded` follows."""
 
     replica: int
 
--- a/pearhill/routing/outcomes.py
+++ b/pearhill/routing/outcomes.py
@@ -14,7 +14,7 @@
     TIMEOUT = "timeout"
     TRUNCATED = "broken"  # the answer began and ended before its end
     CANCELLED = "cancelled"
-    DECLINED = "declined"  # the replica found fault with the request itself; says nothing of the replica's health
+    DECLINED = "declined"  # the replica found fault with the request itself; no sign of its own health
     FULL = "full"
     STATE_LOST = "no-state"  # there was no state left to fetch
     UNREACHABLE = "unreachable"
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -1,7 +1,7 @@
 """What may be sent, retried, rejected or closed now: one answer for each question.
 
-The router asks before it chooses, the core asks again right before the first byte leaves, and counts what it then has
-to forbid as a violation. Nothing here has state: the facts are passed in, and an answer names its reason.
+The router checks before it chooses, the core checks again right before the first byte leaves, and counts what it then
+has to forbid as a violation. Nothing here has state: the facts are passed in, and an answer names its reason.
 """
 
 from __future__ import annotations
--- a/pearhill/routing/placement.py
+++ b/pearhill/routing/placement.py
@@ -283,7 +283,7 @@
     def less_loaded_of_two(self, now: int, pool: list[ReplicaState]) -> ReplicaState:
         """The less loaded of two replicas drawn at random from a pool."""
         two = self._rng.sample(pool, min(2, len(pool)))
-        reported = Role.DECODE in self.query_roles  # then its report says more than this dispatcher's part of its load
+        reported = Role.DECODE in self.query_roles  # if so, a load report counts all dispatchers' work
 
         def load(replica: ReplicaState) -> tuple[bool, float, float, float]:
             """Sort key: ejected ones last, then by memory if replicas report it, tokens in flight by weight, memory."""
--- a/pearhill/routing/replica_state.py
+++ b/pearhill/routing/replica_state.py
@@ -59,7 +59,7 @@
         self.last_answer_at = 0
         self.load_limit = 0.0  # tokens in flight that it bore when a fetch was last late
         self.load_limit_set_at = 0  # 0: never
-        self.unavailable_until = 0  # until then it has asked for no requests
+        self.unavailable_until = 0  # until then by its Retry-After
         self.ejected_until = 0  # it answers no health check
 
     def time_per_token(self, prefill: bool) -> DecayingMean:
--- a/pearhill/routing/settings.py
+++ b/pearhill/routing/settings.py
@@ -69,7 +69,7 @@
     overload_window: int
     overload_multiple: float
     tick: int
-    health_checks: bool = False  # replicas report their load to whoever asks
+    health_checks: bool = False  # replicas answer health checks with a load report
     health_check_price: float = 0.0  # of one health check for each request, in units of priority weight
 
     def __post_init__(self) -> None:
