--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """One declared model. `request_class` -1: as the rules say; sizes in tokens, 0: no limit of its own."""
+    """One declared model. `request_class` -1: by the rules; sizes in tokens, 0: no limit of its own."""
 
     name: str
     served_as: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Where the front finds what the core asks. Header names are in lower case."""
+    """Where the front finds what the core needs to know. Header names are in lower case."""
 
     rules: tuple[Rule, ...]
     default_class: int
@@ -113,6 +113,7 @@
     models: dict[str, Model] = {}
 
     def declare(path: str, name: str, model: Model) -> None:
+        """Add a model under a name or alias. ConfigError at `path`: the name is taken."""
         if name in models:
             raise typed.invalid_value(path, name, "a name that no other model or alias has")
         models[name] = model
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -156,7 +156,7 @@
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
-    """Asks whether an aggregator is up. Answered by a HelloAck of the same number."""
+    """A check whether an aggregator is up. Answered by a HelloAck of the same number."""
 
     number: Count
 
@@ -168,7 +168,7 @@
 
 
 class Superseded(AggregationMessage, frozen=True, tag=6):
-    """Tells a dispatcher that a newer incarnation of its name reports, or reported, here."""
+    """Sent to a dispatcher of whose name a newer incarnation reports, or reported, here."""
 
     known_incarnation: Count
 
--- a/pearhill/membership/reported_work.py
+++ b/pearhill/membership/reported_work.py
@@ -1,6 +1,6 @@
 """The work of the dispatchers that report to this aggregator, each counted under a lease.
 
-Nobody is counted twice because work is held by a lease (Gray and Cheriton, 1989) whose end both sides can tell: a
+Nobody is counted twice because work is held by a lease (Gray and Cheriton, 1989) whose end both sides know: a
 report names the newest answer that its sender has, so it is no older than that answer. Its work counts until
 `aggregation_messages.LEASE_US` after that answer was sent, however long the report was under way. Times are
 microseconds.
@@ -59,7 +59,7 @@
         member.incarnation = incarnation
 
     def count(self, now: int, name: str, incarnation: Incarnation, reports: list[Report], lease_end: int) -> None:
-        """Count what all parts of a report say, unless another aggregator may still count this dispatcher's work."""
+        """Count the work in all parts of a report, unless another aggregator may still count this dispatcher's work."""
         member = self.members.get(name)
         if member is None or member.incarnation != incarnation or now < member.counts_from:
             return
