--- /dev/null
+++ b/pearhill/lab/capacity/__init__.py
@@ -0,0 +1,58 @@
+"""docs/CAPACITY.md: what the size that is coming asks of each role.
+
+Three sources, never mixed in one figure: the operators' numbers (`Size`), what follows from them and from the code's
+own constants (`Worked`), and what runs have measured (docs/capacity/*.json). The words stand in capacity.md.j2.
+`write(root)` makes the page anew, and the two tables of figures in docs/design/capacity.md with it.
+"""
+
+from pearhill.lab.capacity.estimates import (
+    AGGREGATORS,
+    COUNTED,
+    NOT_MEASURED,
+    NOTE,
+    PAGE,
+    RESULTS,
+    TALK,
+    Found,
+    Runs,
+    S,
+    Size,
+    Worked,
+    mechanisms,
+    needs,
+    note,
+    page,
+    read,
+    talk_bytes,
+    times,
+    told,
+    weighed,
+    write,
+)
+from pearhill.membership.byte_budget import HEADER_BYTES
+
+__all__ = [
+    "AGGREGATORS",
+    "COUNTED",
+    "HEADER_BYTES",
+    "NOTE",
+    "NOT_MEASURED",
+    "PAGE",
+    "RESULTS",
+    "TALK",
+    "Found",
+    "Runs",
+    "S",
+    "Size",
+    "Worked",
+    "mechanisms",
+    "needs",
+    "note",
+    "page",
+    "read",
+    "talk_bytes",
+    "times",
+    "told",
+    "weighed",
+    "write",
+]
