--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -15,7 +15,6 @@
     TALK,
     Found,
     Runs,
-    S,
     Size,
     Worked,
     mechanisms,
@@ -29,6 +28,7 @@
     weighed,
     write,
 )
+from pearhill.lab.capacity.units import S
 from pearhill.membership.byte_budget import HEADER_BYTES
 
 __all__ = [
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -26,6 +26,7 @@
 from pearhill.config import ConfigError, typed
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
+from pearhill.lab.capacity.units import MEGABYTE, S
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
@@ -87,10 +88,8 @@
 
 RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
 NOT_MEASURED = "not measured"
-S = 1_000_000  # microseconds
 WARM, COUNTED, TURN = 15 * S, 6 * S, S // 100  # of the protocol as it is played here
 STREAM_TOKENS, FLEET_STREAMS = 2_400, 128.0  # of a request at its engine; requests of all at one engine, as drawn there
-MEGABYTE = 1e6
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
 EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
