--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -15,7 +15,6 @@
     TALK,
     Found,
     Runs,
-    Size,
     Worked,
     mechanisms,
     needs,
@@ -28,6 +27,7 @@
     weighed,
     write,
 )
+from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.membership.byte_budget import HEADER_BYTES
 
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -26,7 +26,8 @@
 from pearhill.config import ConfigError, typed
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
-from pearhill.lab.capacity.units import MEGABYTE, S
+from pearhill.lab.capacity.size import Size
+from pearhill.lab.capacity.units import S
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
@@ -146,36 +147,6 @@
 """ % ("0" * 64)
 
 
-@dataclass(frozen=True, slots=True)
-class Size:
-    """What the operators head for, in their words' order. `requests_s` and `tokens_s`: at the peak; tokens put out."""
-
-    dispatchers: int = 330
-    replicas: int = 940
-    accelerators: int = 7_500
-    requests_s: float = 15_000
-    tokens_s: float = 3.4e6
-    first_token_s: float = 1.6
-    between_tokens_s: float = 0.025
-    readers_share: float = 0.29
-    prompt_memory_gb_s: float = 7_500
-    tenants: int = 760
-    models: int = 4
-    regions: int = 3
-    zones: int = 6
-    changes_day: float = 650
-    in_force_s: float = 9
-    control_cores: float = 0.011
-    control_bytes: float = 32 * MEGABYTE
-    control_bytes_s: float = 7_000
-    machines: int = 3
-    machine_cores: float = 1
-    machine_bytes: float = 1_000 * MEGABYTE
-    replaced_day: float = 470
-    dead_day: float = 12
-    heavy: float = 10  # the busiest dispatcher's requests over the mean's
-
-
 # What runs have written. Danger: a result that is read by another schema would fill the page with wrong figures, so
 # that whatever does not fit is an error; what is told beyond it is passed over.
 
