--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -6,13 +6,11 @@
 """
 
 from pearhill.lab.capacity.estimates import (
-    AGGREGATORS,
     COUNTED,
     NOT_MEASURED,
     NOTE,
     PAGE,
     RESULTS,
-    TALK,
     Found,
     Runs,
     Worked,
@@ -20,13 +18,13 @@
     needs,
     note,
     page,
-    read,
     talk_bytes,
     times,
     told,
     weighed,
     write,
 )
+from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.membership.byte_budget import HEADER_BYTES
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -20,12 +20,23 @@
 from typing import Any
 
 import jinja2
-import msgspec
 
 from pearhill.chat.file import EurekaTable
-from pearhill.config import ConfigError, typed
+from pearhill.config import ConfigError
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
+from pearhill.lab.capacity.results import (
+    AGGREGATORS,
+    TALK,
+    Choice,
+    Cost,
+    Point,
+    Result,
+    Slope,
+    Spread,
+    Trouble,
+    read,
+)
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
@@ -94,7 +105,6 @@
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
 EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
-TALK, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
 # A list's entry as the platform's discovery writes it, with figures as wide as they come.
 ENTRY = {
     "uid": "s-5be2a07c",
@@ -151,136 +161,6 @@
 # that whatever does not fit is an error; what is told beyond it is passed over.
 
 
-class Spread(msgspec.Struct):
-    p50: float
-    p99: float
-    max: float
-
-
-class Cost(msgspec.Struct):
-    """One dispatcher's, or one control machine's. `memory_bytes`: what one more takes in its process."""
-
-    cpu_cores: float | None = None
-    bytes_in_s: float | None = None
-    bytes_out_s: float | None = None
-    messages_in_s: float | None = None
-    messages_out_s: float | None = None
-    memory_bytes: float | None = None
-    beat_late_ms: Spread | None = None
-    news_age_ms: Spread | None = None
-
-    def of(self, quantity: str) -> float | None:
-        if quantity in ("bytes_s", "messages_s"):
-            kind = quantity.removesuffix("_s")
-            ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
-            return None if None in ways else sum(ways)
-        return getattr(self, quantity, None)
-
-
-class Calls(msgspec.Struct):
-    calls_s: float | None = None
-    bytes_s: float | None = None
-
-
-class Point(msgspec.Struct):
-    way: str
-    kind: str
-    dispatchers: int
-    replicas: int
-    dispatcher: Cost
-    work: str = "none"
-    aggregators: int = 0
-    seconds: float = 0.0
-    rate_per_dispatcher: float = 0.0
-    processes: int = 0
-    busy: bool = False
-    aggregator: Cost | None = None
-    discovery: Calls | None = None
-    list_age_ms: Spread | None = None
-
-
-class Check(msgspec.Struct):
-    what: str
-    quantity: str
-    real: float | None
-    hollow: float | None
-    difference: float | None
-    within: bool
-    carried_as_error: float | None = None
-
-
-class Slope(msgspec.Struct):
-    way: str
-    role: str
-    quantity: str
-    form: str
-    coefficients: dict[str, float]
-    low: float | None = None
-    high: float | None = None
-    fitted_over: dict[str, list[float]] = {}
-    stretched: float | None = None
-    at_size: float | None = None
-    bound: float | None = None
-    need_over_bound: float | None = None
-
-
-class Choice(msgspec.Struct):
-    replicas: int
-    ms: float
-    remembered_bytes: float | None = None
-
-
-class Trouble(msgspec.Struct):
-    kind: str
-    lost: str = ""
-    for_s: float | None = None
-    carried_by: str = ""
-    factor: float = 1.0
-    figures: dict[str, Any] = {}
-
-
-class Peaks(msgspec.Struct):
-    """Peak over mean of work by replica in windows of a second."""
-
-    mean: float
-    worst: float
-
-
-class Even(msgspec.Struct):
-    way: str
-    dispatchers: int
-    replicas: int
-    rate_per_dispatcher: float
-    writers: Peaks
-    readers: Peaks
-    served: int = 0
-    refused: int = 0
-    failed: int = 0
-    busy: bool = False
-
-
-class NotRun(msgspec.Struct):
-    what: str
-    why: str
-
-
-class Result(msgspec.Struct):
-    version: str
-    commit: str
-    seed: int
-    plan: str
-    started: str
-    machine: dict[str, Any]
-    load_1m: list[float]
-    points: list[Point] = []
-    checks: list[Check] = []
-    slopes: list[Slope] = []
-    choice: list[Choice] = []
-    troubles: list[Trouble] = []
-    evenness: list[Even] = []
-    not_run: list[NotRun] = []
-
-
 @dataclass(frozen=True, slots=True)
 class Found:
     """A measured figure, and where it comes from."""
@@ -289,19 +169,6 @@
     source: str
 
 
-def read(folder: Path) -> dict[str, Result]:
-    """All results of a folder by file name, the oldest run first. ConfigError names file, key, found and allowed."""
-    found = {}
-    for path in sorted(folder.glob("*.json")):
-        try:
-            found[path.stem] = typed.convert(json.loads(path.read_text(encoding="utf-8")), Result)
-        except (OSError, ValueError) as e:
-            raise ConfigError(f"{path}: {e}") from None
-        except ConfigError as e:
-            raise ConfigError(f"{path}: {e}") from None
-    return dict(sorted(found.items(), key=lambda item: (item[1].started, item[0])))
-
-
 class Runs:
     """What all runs together tell. Of two that measured the same, the later one counts; points that the machine was
     too busy for count nowhere."""
--- /dev/null
+++ b/pearhill/lab/capacity/results.py
@@ -0,0 +1,156 @@
+"""The results of runs in docs/capacity/*.json as typed records, and their reading."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from pearhill.config import ConfigError, typed
+
+TALK, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
+
+
+class Spread(msgspec.Struct):
+    p50: float
+    p99: float
+    max: float
+
+
+class Cost(msgspec.Struct):
+    """One dispatcher's, or one control machine's. `memory_bytes`: what one more takes in its process."""
+
+    cpu_cores: float | None = None
+    bytes_in_s: float | None = None
+    bytes_out_s: float | None = None
+    messages_in_s: float | None = None
+    messages_out_s: float | None = None
+    memory_bytes: float | None = None
+    beat_late_ms: Spread | None = None
+    news_age_ms: Spread | None = None
+
+    def of(self, quantity: str) -> float | None:
+        if quantity in ("bytes_s", "messages_s"):
+            kind = quantity.removesuffix("_s")
+            ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
+            return None if None in ways else sum(ways)
+        return getattr(self, quantity, None)
+
+
+class Calls(msgspec.Struct):
+    calls_s: float | None = None
+    bytes_s: float | None = None
+
+
+class Point(msgspec.Struct):
+    way: str
+    kind: str
+    dispatchers: int
+    replicas: int
+    dispatcher: Cost
+    work: str = "none"
+    aggregators: int = 0
+    seconds: float = 0.0
+    rate_per_dispatcher: float = 0.0
+    processes: int = 0
+    busy: bool = False
+    aggregator: Cost | None = None
+    discovery: Calls | None = None
+    list_age_ms: Spread | None = None
+
+
+class Check(msgspec.Struct):
+    what: str
+    quantity: str
+    real: float | None
+    hollow: float | None
+    difference: float | None
+    within: bool
+    carried_as_error: float | None = None
+
+
+class Slope(msgspec.Struct):
+    way: str
+    role: str
+    quantity: str
+    form: str
+    coefficients: dict[str, float]
+    low: float | None = None
+    high: float | None = None
+    fitted_over: dict[str, list[float]] = {}
+    stretched: float | None = None
+    at_size: float | None = None
+    bound: float | None = None
+    need_over_bound: float | None = None
+
+
+class Choice(msgspec.Struct):
+    replicas: int
+    ms: float
+    remembered_bytes: float | None = None
+
+
+class Trouble(msgspec.Struct):
+    kind: str
+    lost: str = ""
+    for_s: float | None = None
+    carried_by: str = ""
+    factor: float = 1.0
+    figures: dict[str, Any] = {}
+
+
+class Peaks(msgspec.Struct):
+    """Peak over mean of work by replica in windows of a second."""
+
+    mean: float
+    worst: float
+
+
+class Even(msgspec.Struct):
+    way: str
+    dispatchers: int
+    replicas: int
+    rate_per_dispatcher: float
+    writers: Peaks
+    readers: Peaks
+    served: int = 0
+    refused: int = 0
+    failed: int = 0
+    busy: bool = False
+
+
+class NotRun(msgspec.Struct):
+    what: str
+    why: str
+
+
+class Result(msgspec.Struct):
+    version: str
+    commit: str
+    seed: int
+    plan: str
+    started: str
+    machine: dict[str, Any]
+    load_1m: list[float]
+    points: list[Point] = []
+    checks: list[Check] = []
+    slopes: list[Slope] = []
+    choice: list[Choice] = []
+    troubles: list[Trouble] = []
+    evenness: list[Even] = []
+    not_run: list[NotRun] = []
+
+
+def read(folder: Path) -> dict[str, Result]:
+    """All results of a folder by file name, the oldest run first. ConfigError names file, key, found and allowed."""
+    found = {}
+    for path in sorted(folder.glob("*.json")):
+        try:
+            found[path.stem] = typed.convert(json.loads(path.read_text(encoding="utf-8")), Result)
+        except (OSError, ValueError) as e:
+            raise ConfigError(f"{path}: {e}") from None
+        except ConfigError as e:
+            raise ConfigError(f"{path}: {e}") from None
+    return dict(sorted(found.items(), key=lambda item: (item[1].started, item[0])))
