--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -7,7 +7,6 @@
 
 from pearhill.lab.capacity.estimates import (
     COUNTED,
-    NOT_MEASURED,
     NOTE,
     PAGE,
     RESULTS,
@@ -24,6 +23,7 @@
     weighed,
     write,
 )
+from pearhill.lab.capacity.formatting import NOT_MEASURED
 from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -25,6 +25,17 @@
 from pearhill.config import ConfigError
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
+from pearhill.lab.capacity.formatting import (
+    NOT_MEASURED,
+    amount,
+    cell,
+    core,
+    number,
+    rate,
+    seconds,
+    show,
+    spread,
+)
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
     TALK,
@@ -33,7 +44,6 @@
     Point,
     Result,
     Slope,
-    Spread,
     Trouble,
     read,
 )
@@ -99,7 +109,6 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
 RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
-NOT_MEASURED = "not measured"
 WARM, COUNTED, TURN = 15 * S, 6 * S, S // 100  # of the protocol as it is played here
 STREAM_TOKENS, FLEET_STREAMS = 2_400, 128.0  # of a request at its engine; requests of all at one engine, as drawn there
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
@@ -821,73 +830,10 @@
 # The page.
 
 
-def number(value: float) -> str:
-    """Three figures, or whole where it is large."""
-    if abs(value) >= 100 or value == round(value, 0):
-        return f"{value:,.0f}"
-    return f"{value:.1f}" if abs(value) >= 10 else f"{value:.2f}" if abs(value) >= 1 else f"{value:.3g}"
-
-
-def amount(value: float) -> str:
-    for unit, size in (("TB", 1e12), ("GB", 1e9), ("MB", 1e6), ("KB", 1e3)):
-        if abs(value) >= size:
-            return f"{number(value / size)} {unit}"
-    return f"{value:.0f} B"
-
-
-def rate(value: float) -> str:
-    return f"{amount(value)}/s"
-
-
-def core(value: float) -> str:
-    return (
-        f"{number(value)} cores"
-        if value >= 2
-        else f"{value * 100:.2g}% of a core"
-        if value < 0.995
-        else (f"{value:.2g} core")
-    )
-
-
-def seconds(value: float) -> str:
-    return (
-        f"{value * 1000:.0f} ms"
-        if value < 0.995
-        else f"{number(value)} s"
-        if value < 120
-        else (f"{number(value / 60)} min")
-    )
-
-
-UNITS: dict[str, Callable[[float], str]] = {
-    "cpu_cores": core,
-    "bytes_s": rate,
-    "memory_bytes": amount,
-    "messages_s": lambda value: f"{number(value)}/s",
-    "calls_s": lambda value: f"{number(value)}/s",
-}
-
-
-def show(quantity: str, value: float | None) -> str:
-    if value is None:
-        return NOT_MEASURED
-    key = re.sub(r"_(in|out)_s$", "_s", quantity)
-    return UNITS.get(key, number)(value)
-
-
 def measured(found: Found | None, quantity: str) -> str:
     return f"{show(quantity, found.value)} ({found.source})" if found else NOT_MEASURED
 
 
-def spread(value: Spread | None) -> str:
-    return f"{number(value.p50)}, {number(value.p99)}, {number(value.max)}" if value else NOT_MEASURED
-
-
-def cell(text: object) -> str:
-    """Danger: a bar or a line's end in what a run has written would break the table."""
-    return " ".join(str(text).replace("|", "/").split())
-
-
 def named(name: str, value: Any) -> str:
     """One of a trouble's figures; its name tells the unit."""
     if isinstance(value, bool):
