--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -10,8 +10,6 @@
     NOTE,
     PAGE,
     RESULTS,
-    Found,
-    Runs,
     Worked,
     mechanisms,
     needs,
@@ -25,6 +23,7 @@
 )
 from pearhill.lab.capacity.formatting import NOT_MEASURED
 from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
+from pearhill.lab.capacity.runs import Found, Runs
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.membership.byte_budget import HEADER_BYTES
