--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -21,7 +21,6 @@
 
 import jinja2
 
-from pearhill.chat.file import EurekaTable
 from pearhill.config import ConfigError
 from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
@@ -46,6 +45,7 @@
 from pearhill.lab.capacity.runs import Found, Runs
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
+from pearhill.lab.capacity.wire_samples import DELTA_KEEPS, ENTRY, EUREKA, INSTANCE, TENANT, TOLD
 from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
@@ -110,57 +110,6 @@
 STREAM_TOKENS, FLEET_STREAMS = 2_400, 128.0  # of a request at its engine; requests of all at one engine, as drawn there
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
-EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
-# A list's entry as the platform's discovery writes it, with figures as wide as they come.
-ENTRY = {
-    "uid": "s-5be2a07c",
-    "endpoint": "10.112.10.18:8080",
-    "az": "a",
-    "model": "m2",
-    "pod_group": 313,
-    "state": "active",
-    "capacity_hint": 1.0,
-    "boot_ms": 1_796_187_600_000,
-}
-# An instance as Eureka's registry writes it (its public REST description), and how long it tells of a change.
-INSTANCE = {
-    "instanceId": "10.112.10.18:replicas:8080",
-    "hostName": "10.112.10.18",
-    "app": "REPLICAS",
-    "status": "UP",
-    "ipAddr": "10.112.10.18",
-    "overriddenStatus": "UNKNOWN",
-    "port": {"$": 8080, "@enabled": "true"},
-    "securePort": {"$": 443, "@enabled": "false"},
-    "countryId": 1,
-    "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-    "leaseInfo": {
-        "renewalIntervalInSecs": 30,
-        "durationInSecs": 90,
-        "registrationTimestamp": 1_796_187_600_000,
-        "lastRenewalTimestamp": 1_796_187_600_000,
-        "evictionTimestamp": 0,
-        "serviceUpTimestamp": 1_796_187_600_000,
-    },
-    "metadata": {"kind": "writer", "zone": "r1-z1", "cell": "313"},
-    "vipAddress": "replicas",
-    "isCoordinatingDiscoveryServer": "false",
-    "lastUpdatedTimestamp": "1796187600000",
-    "lastDirtyTimestamp": "1796187600000",
-    "actionType": "MODIFIED",
-}
-DELTA_KEEPS = 180.0  # seconds; the registry's default
-# One engine in an operator's look at a dispatcher (`Talk.told`), and one tenant in the operator's file.
-TOLD = {
-    "address": "10.112.10.18:8080",
-    "avoided": False,
-    "mine": {"waiting": 3815, "load": 41210},
-    "others": {"waiting": 125895, "load": 1318712, "sure": 0.667},
-}
-TENANT = """[[chat.tenant]]\nname = "lycee-tiznit-0123"\nkeys = ["1f0c9a2e5b7d4c3a$%s"]\nmodels = ["help-desk"]
-
-[[budgets.tenant]]\nname = "lycee-tiznit-0123"\ntokens_per_min = 60000\nburst_tokens = 30000\nweight = 2.0\n
-""" % ("0" * 64)
 
 
 # What runs have written. Danger: a result that is read by another schema would fill the page with wrong figures, so
