--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -6,7 +6,6 @@
 """
 
 from pearhill.lab.capacity.estimates import (
-    COUNTED,
     NOTE,
     PAGE,
     RESULTS,
@@ -17,11 +16,11 @@
     page,
     talk_bytes,
     times,
-    told,
     weighed,
     write,
 )
 from pearhill.lab.capacity.formatting import NOT_MEASURED
+from pearhill.lab.capacity.report_traffic import COUNTED, told
 from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
 from pearhill.lab.capacity.runs import Found, Runs
 from pearhill.lab.capacity.size import Size
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -7,12 +7,9 @@
 
 from __future__ import annotations
 
-import functools
 import json
 import math
-import random
 import re
-from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from functools import cached_property
@@ -35,6 +32,11 @@
     show,
     spread,
 )
+from pearhill.lab.capacity.report_traffic import (
+    Told,
+    sums_every,
+    told,
+)
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
     TALK,
@@ -52,14 +54,10 @@
     COMBINED_LEASE_US,
     LEASE_US,
     PARTIAL_SUM_LEASE_US,
-    AggregationCodec,
-    AggregationMessage,
-    PartialSum,
 )
 from pearhill.membership.aggregator import (
     AGGREGATOR_TICK_US,
     MEMBER_LIST_INTERVAL_US,
-    Aggregator,
 )
 from pearhill.membership.aggregator_choice import (
     ANSWER_TIMEOUT_US,
@@ -69,7 +67,6 @@
     MAX_UNANSWERED_REPORTS,
     MIN_BACKOFF_US,
     MIN_HELLO_INTERVAL_US,
-    AggregatorSite,
 )
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from pearhill.membership.gossip import GossipMessage
@@ -86,10 +83,9 @@
 )
 from pearhill.membership.message_authenticator import TAG_BYTES
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
-from pearhill.membership.reporter import REPORT_INTERVAL_US, Reporter
+from pearhill.membership.reporter import REPORT_INTERVAL_US
 from pearhill.membership.sent_reports import MAX_REMEMBERED_REPORTS
 from pearhill.membership.slot_table import SLOT_IDLE_US
-from pearhill.membership.snapshots import SNAPSHOT_INTERVAL_PER_SLOT_US, SNAPSHOT_INTERVAL_US
 from pearhill.net.calls import MAX_COLLECTED_BYTES
 from pearhill.net.health_checks import MAX_IN_FLIGHT
 from pearhill.net.releases import MAX_UNANSWERED as RELEASES
@@ -106,8 +102,6 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
 RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
-WARM, COUNTED, TURN = 15 * S, 6 * S, S // 100  # of the protocol as it is played here
-STREAM_TOKENS, FLEET_STREAMS = 2_400, 128.0  # of a request at its engine; requests of all at one engine, as drawn there
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
 
@@ -119,94 +113,6 @@
 # What follows from the size and the code's constants.
 
 
-@dataclass(frozen=True, slots=True)
-class Told:
-    """Of one dispatcher: reports a second, datagrams a second both ways, and bytes of a report and of the sums that
-    answer it; of one control machine: datagrams and bytes of its sums to another. IP and UDP headers are in."""
-
-    reports: float
-    datagrams: float
-    up: float
-    down: float
-    part_datagrams: float
-    part: float
-
-    @property
-    def bytes_s(self) -> float:
-        return self.reports * (self.up + self.down)
-
-
-@functools.cache
-def told(engines: int, readers: int, work: int, reads: int) -> Told:
-    """The reporters' and aggregators' own code, free of I/O, nothing lost: one dispatcher with work at so many engines,
-    prompts to be read at some of them, and another one whose work is as the fleet's, if requests fall anywhere alike.
-    Counted once the table is told."""
-    sites = [AggregatorSite("control-1", "r1"), AggregatorSite("control-2", "r2")]
-    start, codec, rng = 1_796_187_600 * S, AggregationCodec([b"k" * 32]), random.Random(1)
-    hubs = {site.name: Aggregator(site.name, [s.name for s in sites], start, random.Random(2)) for site in sites}
-
-    def rows(count: int, reading: int, each: float) -> list[ReplicaLoad]:
-        """`each`: requests at one engine. Danger: alike to the token, gauges would be packed into nothing."""
-        drawn = [
-            sum(rng.uniform(0.6, 1.4) for _ in range(max(1, round(rng.gauss(each, each**0.5))))) * STREAM_TOKENS
-            for _ in range(count)
-        ]
-        return [
-            ReplicaLoad(replica_id(f"s-{k}"), int(load) if k < reading else 0, int(load))
-            for k, load in enumerate(drawn)
-        ]
-
-    mine, all_ = rows(work, reads, 1.0), rows(engines, readers, FLEET_STREAMS)
-    me, control = "dispatcher-123", "control-1"
-    reporters = {
-        me: Reporter(me, "r1", sites, start, random.Random(3), lambda: mine),
-        "dispatcher-321": Reporter("dispatcher-321", "r1", sites, start, random.Random(4), lambda: all_),
-    }
-    sent: Counter[str] = Counter()
-    sizes: Counter[str] = Counter()
-
-    def pass_on(now: int, frames: list[AggregationMessage]) -> None:
-        for frame in frames:
-            size = len(codec.pack(frame))
-            if frame.sender in reporters:
-                reporters[frame.sender].sent(size)
-            if now >= start + WARM and (
-                me in (frame.sender, frame.to) or (frame.sender == control and isinstance(frame, PartialSum))
-            ):
-                kind = type(frame).__name__
-                sent[kind] += 1
-                sent[f"{kind}s"] += not getattr(frame, "part", 0)
-                sizes[kind] += size + HEADER_BYTES
-            pass_on(
-                now,
-                hubs[frame.to].receive(now, frame)
-                if frame.to in hubs
-                else reporters[frame.to].receive(now, frame, size),
-            )
-
-    for now in range(start, start + WARM + COUNTED, TURN):
-        for reporter in reporters.values():
-            if reporter.next_tick(now) <= now:
-                pass_on(now, reporter.tick(now))
-        for hub in hubs.values() if not (now - start) % AGGREGATOR_TICK_US else ():
-            pass_on(now, hub.tick(now))
-    assert hubs[control].figures(start + WARM)["engines"] == engines, "the table is not told yet"
-    reports, seconds_ = sent["Reports"], COUNTED / S
-    return Told(
-        reports / seconds_,
-        (sent["Report"] + sent["Sums"]) / seconds_,
-        sizes["Report"] / reports,
-        sizes["Sums"] / reports,
-        sent["PartialSum"] / sent["PartialSums"],
-        sizes["PartialSum"] / sent["PartialSums"],
-    )
-
-
-def sums_every(replicas: int) -> float:
-    """Seconds for which a control machine hands out the same sums."""
-    return max(SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * replicas) / S
-
-
 def talk_bytes(rows: int) -> int:
     """Bytes on the wire of one datagram of today's talk with a digest of so many rows."""
     digest = tuple(ReplicaLoad(replica_id(f"s-{k}"), 3_815, 41_210) for k in range(rows))
