--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -14,12 +14,12 @@
     needs,
     note,
     page,
-    talk_bytes,
     times,
     weighed,
     write,
 )
 from pearhill.lab.capacity.formatting import NOT_MEASURED
+from pearhill.lab.capacity.gossip_traffic import talk_bytes
 from pearhill.lab.capacity.report_traffic import COUNTED, told
 from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
 from pearhill.lab.capacity.runs import Found, Runs
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -19,7 +19,6 @@
 import jinja2
 
 from pearhill.config import ConfigError
-from pearhill.core.replica_ids import replica_id
 from pearhill.http1 import messages
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
@@ -32,6 +31,7 @@
     show,
     spread,
 )
+from pearhill.lab.capacity.gossip_traffic import talk_bytes
 from pearhill.lab.capacity.report_traffic import (
     Told,
     sums_every,
@@ -48,7 +48,7 @@
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.lab.capacity.wire_samples import DELTA_KEEPS, ENTRY, EUREKA, INSTANCE, TENANT, TOLD
-from pearhill.load_reports.peer_loads import MAX_ROWS, ReplicaLoad
+from pearhill.load_reports.peer_loads import MAX_ROWS
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
     COMBINED_LEASE_US,
@@ -69,17 +69,12 @@
     MIN_HELLO_INTERVAL_US,
 )
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
-from pearhill.membership.gossip import GossipMessage
-from pearhill.membership.gossip_messages import GossipCodec
 from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
 from pearhill.membership.members import (
     GOSSIP_TICK_US,
     MAX_PINGS_PER_TICK,
     MIN_PINGS_PER_TICK,
     TICKS_PER_ROUND,
-    MemberState,
-    MemberUpdate,
-    Ping,
 )
 from pearhill.membership.message_authenticator import TAG_BYTES
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
@@ -113,21 +108,6 @@
 # What follows from the size and the code's constants.
 
 
-def talk_bytes(rows: int) -> int:
-    """Bytes on the wire of one datagram of today's talk with a digest of so many rows."""
-    digest = tuple(ReplicaLoad(replica_id(f"s-{k}"), 3_815, 41_210) for k in range(rows))
-    started = 1_796_187_600_000_000
-    message = GossipMessage(
-        "dispatcher-123",
-        started,
-        1 << 20,
-        Ping("dispatcher-321", 1 << 47),
-        (MemberUpdate("dispatcher-123", started, MemberState.ALIVE),),
-        digest,
-    )
-    return len(GossipCodec([b"k" * 32]).pack(message)) + HEADER_BYTES
-
-
 @dataclass(frozen=True)
 class Worked:
     """Means, for one of each role, unless the name says otherwise."""
