--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -8,7 +8,6 @@
 from pearhill.lab.capacity.estimates import (
     NOTE,
     PAGE,
-    RESULTS,
     Worked,
     mechanisms,
     needs,
@@ -21,7 +20,7 @@
 from pearhill.lab.capacity.formatting import NOT_MEASURED
 from pearhill.lab.capacity.gossip_traffic import talk_bytes
 from pearhill.lab.capacity.report_traffic import COUNTED, told
-from pearhill.lab.capacity.results import AGGREGATORS, TALK, read
+from pearhill.lab.capacity.results import AGGREGATORS, RESULTS, TALK, read
 from pearhill.lab.capacity.runs import Found, Runs
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -1,9 +1,4 @@
-"""docs/CAPACITY.md: what the size that is coming asks of each role.
-
-Three sources, never mixed in one figure: the operators' numbers (`Size`), what follows from them and from the code's
-own constants (`Worked`), and what runs have measured (docs/capacity/*.json). The words stand in capacity.md.j2.
-`write(root)` makes the page anew, and the two tables of figures in docs/design/capacity.md with it.
-"""
+"""What the size, the program's own constants and its protocol's bytes say of each role."""
 
 from __future__ import annotations
 
@@ -39,6 +34,7 @@
 )
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
+    RESULTS,
     TALK,
     Result,
     Trouble,
@@ -96,18 +92,12 @@
 from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
-RESULTS, PAGE, NOTE = "docs/capacity", "docs/CAPACITY.md", "docs/design/capacity.md"
+PAGE = "docs/CAPACITY.md"
+NOTE = "docs/design/capacity.md"
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
 
 
-# What runs have written. Danger: a result that is read by another schema would fill the page with wrong figures, so
-# that whatever does not fit is an error; what is told beyond it is passed over.
-
-
-# What follows from the size and the code's constants.
-
-
 @dataclass(frozen=True)
 class Worked:
     """Means, for one of each role, unless the name says otherwise."""
@@ -565,9 +555,6 @@
     return sorted(made, key=lambda n: (bool(n.carried_by), n.over is None, -(n.over or 0.0)))
 
 
-# The page.
-
-
 def measured(found: Found | None, quantity: str) -> str:
     return f"{show(quantity, found.value)} ({found.source})" if found else NOT_MEASURED
 
--- a/pearhill/lab/capacity/results.py
+++ b/pearhill/lab/capacity/results.py
@@ -1,4 +1,8 @@
-"""The results of runs in docs/capacity/*.json as typed records, and their reading."""
+"""The results of runs in docs/capacity/*.json as typed records, and their reading.
+
+Whatever does not fit a record is an error: a result that was written by another schema would fill the page with wrong
+figures. Keys that no record has are passed over.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 
 from pearhill.config import ConfigError, typed
 
+RESULTS = "docs/capacity"
 TALK, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
 
 
