--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from functools import cached_property
-from pathlib import Path
 from typing import Any
 
 import jinja2
@@ -34,11 +33,9 @@
 )
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
-    RESULTS,
     TALK,
     Result,
     Trouble,
-    read,
 )
 from pearhill.lab.capacity.runs import Found, Runs
 from pearhill.lab.capacity.size import Size
@@ -92,7 +89,6 @@
 from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
-PAGE = "docs/CAPACITY.md"
 NOTE = "docs/design/capacity.md"
 HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
 DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
@@ -795,17 +791,6 @@
     return text
 
 
-def write(root: Path) -> str:
-    """Make the page anew, and the note's tables, from the results under this root of the repository; what was done, in
-    words. ConfigError: a result cannot be read. OSError: the page cannot be written."""
-    results = read(root / RESULTS)
-    (root / PAGE).write_text(page(results), encoding="utf-8")
-    path = root / NOTE
-    if path.exists():
-        path.write_text(note(path.read_text(encoding="utf-8")), encoding="utf-8")
-    return f"{PAGE} is made from {len(results)} results: {', '.join(results) or 'none'}"
-
-
 def mechanisms(text: str) -> Iterable[tuple[str, list[str]]]:
     """Of each row of the tables that say what carries it: its first cell, and the files and packages that its last cell
     names; none named: it must say that it is missing."""
