--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -5,7 +5,8 @@
 `write(root)` makes the page anew, and the two tables of figures in docs/design/capacity.md with it.
 """
 
-from pearhill.lab.capacity.estimates import NOTE, Worked, mechanisms, needs, note, page, times, weighed
+from pearhill.lab.capacity.carriers import mechanisms
+from pearhill.lab.capacity.estimates import NOTE, Worked, needs, note, page, times, weighed
 from pearhill.lab.capacity.formatting import NOT_MEASURED
 from pearhill.lab.capacity.gossip_traffic import talk_bytes
 from pearhill.lab.capacity.publish import PAGE, write
