--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -4,25 +4,18 @@
 
 import json
 import math
-import re
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import cached_property
-from typing import Any
-
-import jinja2
 
 from pearhill.http1 import messages
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
     amount,
-    cell,
     core,
     number,
     rate,
     seconds,
-    show,
-    spread,
 )
 from pearhill.lab.capacity.gossip_traffic import talk_bytes
 from pearhill.lab.capacity.report_traffic import (
@@ -33,32 +26,18 @@
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
     TALK,
-    Result,
-    Trouble,
 )
-from pearhill.lab.capacity.runs import Found, Runs
+from pearhill.lab.capacity.runs import Runs
 from pearhill.lab.capacity.size import Size
 from pearhill.lab.capacity.units import S
 from pearhill.lab.capacity.wire_samples import DELTA_KEEPS, ENTRY, EUREKA, INSTANCE, TENANT, TOLD
 from pearhill.load_reports.peer_loads import MAX_ROWS
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
-from pearhill.membership.aggregation_messages import (
-    COMBINED_LEASE_US,
-    LEASE_US,
-    PARTIAL_SUM_LEASE_US,
-)
 from pearhill.membership.aggregator import (
     AGGREGATOR_TICK_US,
     MEMBER_LIST_INTERVAL_US,
 )
-from pearhill.membership.aggregator_choice import (
-    ANSWER_TIMEOUT_US,
-    MAX_BACKOFF_US,
-    MAX_UNANSWERED_REPORTS,
-    MIN_BACKOFF_US,
-)
 from pearhill.membership.byte_budget import HEADER_BYTES
-from pearhill.membership.member_directory import PARTITION_TIMEOUT_US, SILENCE_TIMEOUT_US
 from pearhill.membership.members import (
     GOSSIP_TICK_US,
     MAX_PINGS_PER_TICK,
@@ -66,22 +45,14 @@
     TICKS_PER_ROUND,
 )
 from pearhill.membership.message_authenticator import TAG_BYTES
-from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
-from pearhill.membership.reporter import REPORT_INTERVAL_US
-from pearhill.membership.sent_reports import MAX_REMEMBERED_REPORTS
-from pearhill.membership.slot_table import SLOT_IDLE_US
 from pearhill.net.calls import MAX_COLLECTED_BYTES
-from pearhill.net.health_checks import MAX_IN_FLIGHT
-from pearhill.net.releases import MAX_UNANSWERED as RELEASES
 from pearhill.node.limits import RESERVED_DESCRIPTORS
 from pearhill.platform.schedule import (
     MAX_CALL_INTERVAL_US,
     SERVICE_TIME_PER_DISPATCHER_US,
     SHARED_WATCH_WAIT_US,
-    WATCH_WAIT_US,
 )
 from pearhill.routing.admission import LATENCY_SHARE_FOR_PREFILL
-from pearhill.routing.local_prefill import MAX_RATIO
 from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
@@ -544,144 +515,3 @@
         )
     )
     return sorted(made, key=lambda n: (bool(n.carried_by), n.over is None, -(n.over or 0.0)))
-
-
-def measured(found: Found | None, quantity: str) -> str:
-    return f"{show(quantity, found.value)} ({found.source})" if found else NOT_MEASURED
-
-
-def named(name: str, value: Any) -> str:
-    """One of a trouble's figures; its name tells the unit."""
-    if isinstance(value, bool):
-        return "yes" if value else "**no**"
-    if not isinstance(value, int | float):
-        return NOT_MEASURED if value is None else str(value)
-    if name.startswith("bytes_") or name.startswith("cpu_cores"):
-        return rate(value) if name.startswith("bytes_") else core(value)
-    return f"{number(value)}{' ms' if '_ms' in name else ' s' if name.endswith('_s') else ''}"
-
-
-def columns(trouble: Trouble) -> list[str]:
-    """A trouble's row: what it was, what is told of all, and the rest by name."""
-    f = trouble.figures
-    own = ("way", "dispatchers", "replicas", "lasted_s")
-    first = (
-        "count_wrong_s",
-        "sums_wrong_s",
-        "list_wrong_s",
-        "sums_least",
-        "sums_most",
-        "right_at_the_end",
-        "worst_beat_ms",
-    )
-    rest = "; ".join(
-        f"{re.sub('_(ms|s)(?=_|$)', '', name).replace('_', ' ')} {named(name, value)}"
-        for name, value in f.items()
-        if name not in own + first
-    )
-    row = [
-        trouble.kind,
-        f"{f.get('way', '')} {f.get('dispatchers', '?')} x {f.get('replicas', '?')}",
-        "no" if trouble.factor == 1 else f"{number(trouble.factor)} times",
-        named("lasted_s", f.get("lasted_s")),
-        *(named(name, f.get(name)) for name in first),
-        rest,
-    ]
-    return [cell(text) for text in row]
-
-
-def shown(trouble: Trouble) -> str:
-    """In a few words: the fleet, and for how long its counts or sums were wrong."""
-    _, fleet, fast, lasted, *_ = columns(trouble)
-    wrong = (
-        "no time told"
-        if trouble.for_s is None
-        else "counts and sums right at every look"
-        if (trouble.for_s == 0)
-        else f"counts or sums wrong for {seconds(trouble.for_s)}"
-    )
-    return f"{fleet}, {lasted}{'' if trouble.factor == 1 else f', sped up {fast}'}: {wrong}"
-
-
-def _environment() -> jinja2.Environment:
-    made = jinja2.Environment(
-        loader=jinja2.PackageLoader("pearhill.lab", "."),
-        undefined=jinja2.StrictUndefined,
-        trim_blocks=True,
-        lstrip_blocks=True,
-        keep_trailing_newline=True,
-        autoescape=False,
-    )
-    made.filters.update(
-        n=number, b=amount, r=rate, core=core, s=seconds, spread=spread, cell=cell, columns=columns, shown=shown
-    )
-    return made
-
-
-def page(results: dict[str, Result], size: Size | None = None) -> str:
-    """docs/CAPACITY.md."""
-    size = size or Size()
-    worked, runs = Worked(size), Runs(results, size)
-
-    def found(way: str, role: str, quantity: str) -> str:
-        return measured(runs.found(way, role, quantity), quantity)
-
-    def seen(kind: str, figure: str, unit: str) -> str:
-        got = runs.told(kind, figure)
-        return f"{number(got.value)}{unit} ({got.source})" if got else NOT_MEASURED
-
-    def over(way: str, role: str, *bounds: tuple[str, float]) -> str:
-        got = [(runs.found(way, role, quantity), bound) for quantity, bound in bounds]
-        return ", ".join(f"{f.value / bound:.2f}" if f else NOT_MEASURED for f, bound in got)
-
-    constants = {
-        "ROUND": TICKS_PER_ROUND,
-        "MOST_PINGS": MAX_PINGS_PER_TICK,
-        "KEYS": MAX_CACHED_PREFIXES,
-        "KEEP": MAX_CACHED_AGE_US / S,
-        "WAIT": WATCH_WAIT_US / S,
-        "SHARED_WAIT": SHARED_WATCH_WAIT_US / S,
-        "SHARE": SERVICE_TIME_PER_DISPATCHER_US / S,
-        "STEP": STEP_INTERVAL_US / S,
-        "RATIO_MAX": MAX_RATIO,
-        "FRESH": REFRESH_INTERVAL_US / S,
-        "MOST_OUT": MAX_IN_FLIGHT,
-        "ROWS": MAX_ROWS,
-        "RELEASES": RELEASES,
-        "FETCH": EUREKA.fetch_s,
-        "PACE": REPORT_INTERVAL_US / S,
-        "PART": AGGREGATOR_TICK_US / S,
-        "LEASE": LEASE_US / S,
-        "PART_LEASE": PARTIAL_SUM_LEASE_US / S,
-        "MOVED": COMBINED_LEASE_US / S,
-        "SILENT": SILENCE_TIMEOUT_US / S,
-        "CUT": PARTITION_TIMEOUT_US / S,
-        "IDLE": SLOT_IDLE_US / S,
-        "ROSTER": MEMBER_LIST_INTERVAL_US / S,
-        "UNANSWERED": MAX_UNANSWERED_REPORTS,
-        "ANSWER_WAIT": ANSWER_TIMEOUT_US / S,
-        "GONE": MAX_SUMS_AGE_US / S,
-        "LEAST": MIN_BACKOFF_US / S,
-        "MOST": MAX_BACKOFF_US / S,
-        "REMEMBERED": MAX_REMEMBERED_REPORTS,
-    }
-    text = (
-        _environment()
-        .get_template("capacity.md.j2")
-        .render(
-            size=size,
-            w=worked,
-            c=constants,
-            runs=runs,
-            found=found,
-            over=over,
-            seen=seen,
-            needs=needs(worked, runs),
-            show=show,
-            NOT_MEASURED=NOT_MEASURED,
-            TALK=TALK,
-            AGGREGATORS=AGGREGATORS,
-            talk_datagram=talk_bytes(MAX_ROWS),
-        )
-    )
-    return re.sub(r"\n{3,}", "\n\n", text)
--- a/pearhill/lab/capacity/publish.py
+++ b/pearhill/lab/capacity/publish.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from pearhill.lab.capacity.design_note import NOTE, note
-from pearhill.lab.capacity.estimates import page
+from pearhill.lab.capacity.page import page
 from pearhill.lab.capacity.results import (
     RESULTS,
     read,
