--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -7,9 +7,10 @@
 
 from pearhill.lab.capacity.carriers import mechanisms
 from pearhill.lab.capacity.design_note import NOTE, note, times, weighed
-from pearhill.lab.capacity.estimates import Worked, needs
+from pearhill.lab.capacity.estimates import Worked
 from pearhill.lab.capacity.formatting import NOT_MEASURED
 from pearhill.lab.capacity.gossip_traffic import talk_bytes
+from pearhill.lab.capacity.needs import needs
 from pearhill.lab.capacity.page import page
 from pearhill.lab.capacity.publish import PAGE, write
 from pearhill.lab.capacity.report_traffic import COUNTED, told
--- a/pearhill/lab/capacity/page.py
+++ b/pearhill/lab/capacity/page.py
@@ -7,7 +7,7 @@
 
 import jinja2
 
-from pearhill.lab.capacity.estimates import Worked, needs
+from pearhill.lab.capacity.estimates import Worked
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
     amount,
@@ -20,6 +20,7 @@
     spread,
 )
 from pearhill.lab.capacity.gossip_traffic import talk_bytes
+from pearhill.lab.capacity.needs import needs
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
     TALK,
