--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -99,7 +99,7 @@
         from pearhill.lab import capacity
 
         try:
-            return print(capacity.write(Path(".")))
+            return print(capacity.write_pages(Path(".")))
         except (ConfigError, OSError) as e:
             _fail(e)
     if file is None:
--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -1,47 +1,45 @@
-"""docs/CAPACITY.md: what the size that is coming asks of each role.
+"""docs/CAPACITY.md: what a fleet of the planned size asks of each role.
 
-Three sources, never mixed in one figure: the operators' numbers (`Size`), what follows from them and from the code's
-own constants (`Worked`), and what runs have measured (docs/capacity/*.json). The words stand in capacity.md.j2.
-`write(root)` makes the page anew, and the two tables of figures in docs/design/capacity.md with it.
+Three sources, never mixed in one figure: the operators' numbers (`FleetSize`), what follows from them and from the
+program's own constants (`Estimates`), and what runs have measured (`Runs`, of docs/capacity/*.json). The text is the
+template capacity.md.j2. `write_pages(root)` writes the page and the two tables of docs/design/capacity.md.
 """
 
-from pearhill.lab.capacity.carriers import mechanisms
-from pearhill.lab.capacity.design_note import NOTE, note, times, weighed
-from pearhill.lab.capacity.estimates import Worked
+from pearhill.lab.capacity.carriers import duty_carriers
+from pearhill.lab.capacity.design_note import NOTE_PATH, mechanisms_table, protocol_times_table, update_note
+from pearhill.lab.capacity.estimates import Estimates
 from pearhill.lab.capacity.formatting import NOT_MEASURED
-from pearhill.lab.capacity.gossip_traffic import talk_bytes
-from pearhill.lab.capacity.needs import needs
-from pearhill.lab.capacity.page import page
-from pearhill.lab.capacity.publish import PAGE, write
-from pearhill.lab.capacity.report_traffic import COUNTED, told
-from pearhill.lab.capacity.results import AGGREGATORS, RESULTS, TALK, read
-from pearhill.lab.capacity.runs import Found, Runs
-from pearhill.lab.capacity.size import Size
-from pearhill.lab.capacity.units import S
-from pearhill.membership.byte_budget import HEADER_BYTES
+from pearhill.lab.capacity.gossip_traffic import gossip_datagram_bytes
+from pearhill.lab.capacity.page import render_page
+from pearhill.lab.capacity.publish import PAGE_PATH, write_pages
+from pearhill.lab.capacity.report_traffic import COUNTED_US, count_report_traffic
+from pearhill.lab.capacity.requirements import requirements
+from pearhill.lab.capacity.results import AGGREGATORS, GOSSIP, RESULTS_FOLDER, read_results
+from pearhill.lab.capacity.runs import Runs, SourcedFigure
+from pearhill.lab.capacity.size import FleetSize
+from pearhill.lab.capacity.units import MICROSECONDS_PER_S
 
 __all__ = [
     "AGGREGATORS",
-    "COUNTED",
-    "HEADER_BYTES",
-    "NOTE",
+    "COUNTED_US",
+    "Estimates",
+    "FleetSize",
+    "GOSSIP",
+    "MICROSECONDS_PER_S",
+    "NOTE_PATH",
     "NOT_MEASURED",
-    "PAGE",
-    "RESULTS",
-    "TALK",
-    "Found",
+    "PAGE_PATH",
+    "RESULTS_FOLDER",
     "Runs",
-    "S",
-    "Size",
-    "Worked",
-    "mechanisms",
-    "needs",
-    "note",
-    "page",
-    "read",
-    "talk_bytes",
-    "times",
-    "told",
-    "weighed",
-    "write",
+    "SourcedFigure",
+    "count_report_traffic",
+    "duty_carriers",
+    "gossip_datagram_bytes",
+    "mechanisms_table",
+    "protocol_times_table",
+    "read_results",
+    "render_page",
+    "requirements",
+    "update_note",
+    "write_pages",
 ]
--- a/pearhill/lab/capacity/carriers.py
+++ b/pearhill/lab/capacity/carriers.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 
-def mechanisms(text: str) -> Iterable[tuple[str, list[str]]]:
+def duty_carriers(text: str) -> Iterable[tuple[str, list[str]]]:
     """Of each row of the tables that say what carries it: its first cell, and the files and packages that its last cell
     names; none named: it must say that it is missing."""
     inside = False
--- a/pearhill/lab/capacity/design_note.py
+++ b/pearhill/lab/capacity/design_note.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from pearhill.config import ConfigError
-from pearhill.lab.capacity.estimates import Worked
+from pearhill.lab.capacity.estimates import Estimates
 from pearhill.lab.capacity.formatting import (
-    amount,
-    number,
-    rate,
-    seconds,
+    format_byte_rate,
+    format_bytes,
+    format_duration,
+    format_number,
 )
-from pearhill.lab.capacity.size import Size
-from pearhill.lab.capacity.units import S
+from pearhill.lab.capacity.size import FleetSize
+from pearhill.lab.capacity.units import MICROSECONDS_PER_S, in_seconds
 from pearhill.membership.aggregation_messages import (
     COMBINED_LEASE_US,
     LEASE_US,
@@ -35,87 +35,104 @@
 from pearhill.membership.reporter import REPORT_INTERVAL_US
 from pearhill.membership.slot_table import SLOT_IDLE_US
 
-NOTE = "docs/design/capacity.md"
+NOTE_PATH = "docs/design/capacity.md"
 
 
-def weighed(size: Size | None = None) -> str:
+def mechanisms_table(size: FleetSize | None = None) -> str:
     """The table of mechanisms for docs/design/capacity.md."""
-    size = size or Size()
+    size = size or FleetSize()
     head = (
         f"at {size.dispatchers} x {size.replicas}",
         "bytes a second, both ways",
         "age, mean",
         "age, worst",
         "what it tells of",
-        f"left when all {size.machines} control machines are gone",
+        f"left when all {size.aggregators} control machines are gone",
     )
-    rows = [(o.name, amount(o.bytes_s), seconds(o.age), seconds(o.worst), o.sees, o.left) for o in Worked(size).options]
+    rows = [
+        (
+            o.name,
+            format_bytes(o.bytes_s),
+            format_duration(o.mean_age_s),
+            format_duration(o.worst_age_s),
+            o.coverage,
+            o.without_aggregators,
+        )
+        for o in Estimates(size).mechanisms
+    ]
     return "".join(f"| {' | '.join(row)} |\n" for row in (head, ("---",) * 6, *rows))
 
 
-def times(size: Size | None = None) -> str:
+def protocol_times_table(size: FleetSize | None = None) -> str:
     """The table of the protocol's times for docs/design/capacity.md, out of the code's constants."""
-    w = Worked(size or Size())
-    one = w.told()
+    w = Estimates(size or FleetSize())
+    one = w.report_traffic()
+    least_hello_s, most_hello_s = in_seconds(MIN_HELLO_INTERVAL_US), in_seconds(MAX_HELLO_INTERVAL_US)
+    dispatchers_us = w.size.dispatchers * MICROSECONDS_PER_S
     rows = (
         ("time", "of", "why so long"),
         ("---",) * 3,
         (
-            f"{seconds(REPORT_INTERVAL_US / S)} at the least",
+            f"{format_duration(in_seconds(REPORT_INTERVAL_US))} at the least",
             "between two reports of a dispatcher, drawn by a tenth either way",
-            f"the bytes: past {rate(MAX_BYTES_PER_S)} both ways it is longer. At {w.size.replicas} replicas it is "
-            f"{seconds(1 / one.reports)} ({amount(one.up)} up, {amount(one.down)} down). The draw keeps them apart",
+            f"the bytes: past {format_byte_rate(MAX_BYTES_PER_S)} both ways it is longer. "
+            f"At {w.size.replicas} replicas it is {format_duration(1 / one.reports_s)} "
+            f"({format_bytes(one.report_bytes)} up, {format_bytes(one.sums_bytes)} down). The draw keeps them apart",
         ),
         (
-            seconds(AGGREGATOR_TICK_US / S),
+            format_duration(in_seconds(AGGREGATOR_TICK_US)),
             "between two parts",
             "half of that is what another region's word is older; "
-            f"{rate(one.part * S / AGGREGATOR_TICK_US)} to each machine",
+            f"{format_byte_rate(one.partial_sum_bytes * MICROSECONDS_PER_S / AGGREGATOR_TICK_US)} to each machine",
         ),
         (
-            seconds(LEASE_US / S),
+            format_duration(in_seconds(LEASE_US)),
             "work of a dispatcher without a sign of life stays in the sums",
-            f"{number(LEASE_US / S * one.reports)} reports at that size: hardly ever are all lost",
+            f"{format_number(in_seconds(LEASE_US) * one.reports_s)} reports at that size: hardly ever are all lost",
         ),
         (
-            seconds(PARTIAL_SUM_LEASE_US / S),
+            format_duration(in_seconds(PARTIAL_SUM_LEASE_US)),
             "another machine's part stays in the sums",
             f"{PARTIAL_SUM_LEASE_US // AGGREGATOR_TICK_US} parts",
         ),
         (
-            seconds(COMBINED_LEASE_US / S),
+            format_duration(in_seconds(COMBINED_LEASE_US)),
             "after its last word to another machine, a dispatcher's work is taken by the new one",
             "both leases are over by then, so that no sum has it twice; until then it stands as not heard",
         ),
         (
-            f"{seconds(ANSWER_TIMEOUT_US / S)}, {MAX_UNANSWERED_REPORTS} reports",
+            f"{format_duration(in_seconds(ANSWER_TIMEOUT_US))}, {MAX_UNANSWERED_REPORTS} reports",
             "without an answer, it goes to the next machine",
             "as the lease: what is not answered is not counted either",
         ),
         (
-            seconds(MAX_SUMS_AGE_US / S),
+            format_duration(in_seconds(MAX_SUMS_AGE_US)),
             "sums older than that are not used",
             "own work alone from then on, at once and without a word to anybody",
         ),
         (
-            f"{number(MIN_HELLO_INTERVAL_US / S)} to {seconds(MAX_HELLO_INTERVAL_US / S)}",
+            f"{format_number(least_hello_s)} to {format_duration(most_hello_s)}",
             "between two hellos to the own region's machine; " f"{HELLOS_TO_RETURN} answers, and it moves back",
             "drawn, so that dispatchers come back one after the other",
         ),
         (
-            f"{number(MIN_BACKOFF_US / S)} to {seconds(MAX_BACKOFF_US / S)}",
+            f"{format_number(in_seconds(MIN_BACKOFF_US))} to {format_duration(in_seconds(MAX_BACKOFF_US))}",
             "between two tries while none answers, drawn",
-            f"{number(w.size.dispatchers * S / MAX_BACKOFF_US)} to {number(w.size.dispatchers * S / MIN_BACKOFF_US)} "
-            "small datagrams a second of all dispatchers",
+            f"{format_number(dispatchers_us / MAX_BACKOFF_US)} to "
+            f"{format_number(dispatchers_us / MIN_BACKOFF_US)} small datagrams a second of all dispatchers",
         ),
         (
-            seconds(SILENCE_TIMEOUT_US / S),
+            format_duration(in_seconds(SILENCE_TIMEOUT_US)),
             "a silent dispatcher goes on being counted",
             "a restart takes less, and a cold replica's share hardly changes by one",
         ),
-        (seconds(PARTITION_TIMEOUT_US / S), "the same, where it is a cut", "regions lose each other for minutes"),
         (
-            seconds(SLOT_IDLE_US / S),
+            format_duration(in_seconds(PARTITION_TIMEOUT_US)),
+            "the same, where it is a cut",
+            "regions lose each other for minutes",
+        ),
+        (
+            format_duration(in_seconds(SLOT_IDLE_US)),
             "a place in the table without work, before another engine gets it",
             "longer than any table is behind",
         ),
@@ -123,15 +140,15 @@
     return "".join(f"| {' | '.join(row)} |\n" for row in rows)
 
 
-def note(text: str) -> str:
+def update_note(text: str) -> str:
     """The design note with its tables made anew. ConfigError: it has no place for one."""
-    for name, made in (("weighed", weighed()), ("times", times())):
+    for name, made in (("weighed", mechanisms_table()), ("times", protocol_times_table())):
         begin, end = f"<!-- {name}: pearhill lab scale --page -->\n", f"<!-- /{name} -->\n"
         before, found, rest = text.partition(begin)
         _, last, after = rest.partition(end)
         if not (found and last):
             raise ConfigError(
-                f"{NOTE}: found no table of {name}; allowed: one between {begin.strip()} and " f"{end.strip()}"
+                f"{NOTE_PATH}: found no table of {name}; allowed: one between {begin.strip()} and " f"{end.strip()}"
             )
         text = before + begin + made + end + after
     return text
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -9,17 +9,24 @@
 
 from pearhill.http1 import messages
 from pearhill.lab.capacity.formatting import (
-    seconds,
+    format_duration,
 )
-from pearhill.lab.capacity.gossip_traffic import talk_bytes
+from pearhill.lab.capacity.gossip_traffic import gossip_datagram_bytes
 from pearhill.lab.capacity.report_traffic import (
-    Told,
-    sums_every,
-    told,
+    ReportTraffic,
+    count_report_traffic,
+    snapshot_interval_s,
+)
+from pearhill.lab.capacity.size import FleetSize
+from pearhill.lab.capacity.units import MICROSECONDS_PER_S, in_seconds
+from pearhill.lab.capacity.wire_samples import (
+    DEFAULT_EUREKA,
+    ENDPOINT_ENTRY,
+    EUREKA_DELTA_RETENTION_S,
+    EUREKA_INSTANCE,
+    REPLICA_STATUS,
+    TENANT_TABLES,
 )
-from pearhill.lab.capacity.size import Size
-from pearhill.lab.capacity.units import S
-from pearhill.lab.capacity.wire_samples import DELTA_KEEPS, ENTRY, EUREKA, INSTANCE, TENANT, TOLD
 from pearhill.load_reports.peer_loads import MAX_ROWS
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregator import (
@@ -45,51 +52,51 @@
 from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
-HOP = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
-DELTA = 5  # bytes: a slot and a signed gauge in MessagePack
+HOP_DELAY_S = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
+DELTA_BYTES = 5  # bytes: a slot and a signed gauge in MessagePack
 
 
 @dataclass(frozen=True)
-class Worked:
+class Estimates:
     """Means, for one of each role, unless the name says otherwise."""
 
-    size: Size
+    size: FleetSize
 
     # One of each.
 
     @property
-    def requests(self) -> float:
+    def requests_s(self) -> float:
         return self.size.requests_s / self.size.dispatchers
 
     @property
-    def tokens(self) -> float:
+    def tokens_s(self) -> float:
         return self.size.tokens_s / self.size.dispatchers
 
     @property
     def streams(self) -> float:
         """Little's law: an answer that puts out a token each 25 ms is open so long for each of its tokens."""
-        return self.tokens * self.size.between_tokens_s
+        return self.tokens_s * self.size.between_tokens_s
 
     @property
-    def waiting(self) -> float:
+    def awaiting_first_token(self) -> float:
         """Requests of one dispatcher that wait for their first token, if all take as long as 95 in 100 may."""
-        return self.requests * self.size.first_token_s
+        return self.requests_s * self.size.first_token_s
 
     @property
-    def readers(self) -> int:
-        return round(self.size.replicas * self.size.readers_share)
+    def prefill_replicas(self) -> int:
+        return round(self.size.replicas * self.size.prefill_share)
 
     @property
-    def writers(self) -> int:
-        return self.size.replicas - self.readers
+    def decode_replicas(self) -> int:
+        return self.size.replicas - self.prefill_replicas
 
     @property
-    def writer_streams(self) -> float:
-        return self.size.tokens_s * self.size.between_tokens_s / self.writers
+    def streams_per_decode_replica(self) -> float:
+        return self.size.tokens_s * self.size.between_tokens_s / self.decode_replicas
 
     @property
-    def prompt_gb(self) -> float:
-        return self.size.prompt_memory_gb_s / self.size.requests_s
+    def transferred_gb_per_request(self) -> float:
+        return self.size.transferred_gb_s / self.size.requests_s
 
     @property
     def answer_tokens(self) -> float:
@@ -99,30 +106,30 @@
     def answer_s(self) -> float:
         return self.answer_tokens * self.size.between_tokens_s
 
-    def uneven(self, every: int = 20) -> tuple[float, float]:
+    def uneven_requests_s(self, every: int = 20) -> tuple[float, float]:
         """Requests a second of most dispatchers and of every so-many-th, if that one has ten times the others'."""
-        least = self.size.requests_s / (self.size.dispatchers * (every - 1 + self.size.heavy) / every)
-        return least, least * self.size.heavy
+        least = self.size.requests_s / (self.size.dispatchers * (every - 1 + self.size.busiest_over_mean) / every)
+        return least, least * self.size.busiest_over_mean
 
     # The list and discovery.
 
     @property
     def entry_bytes(self) -> int:
-        return len(json.dumps(ENTRY, separators=(",", ":"))) + 1
+        return len(json.dumps(ENDPOINT_ENTRY, separators=(",", ":"))) + 1
 
     @property
     def list_bytes(self) -> int:
         return self.entry_bytes * self.size.replicas
 
     @property
-    def longest_list(self) -> int:
+    def max_listed_replicas(self) -> int:
         """Replicas whose list fits into the largest answer that is gathered."""
         return MAX_COLLECTED_BYTES // self.entry_bytes
 
     @property
-    def list_changes_day(self) -> float:
+    def list_changes_per_day(self) -> float:
         """Leaving, left and a new one for each that is replaced; left and a new one for each that dies."""
-        return 3 * self.size.replaced_day + 2 * self.size.dead_day
+        return 3 * self.size.replaced_per_day + 2 * self.size.failed_per_day
 
     @property
     def watch_bytes(self) -> int:
@@ -135,90 +142,96 @@
     @property
     def eureka_bytes(self) -> tuple[int, float]:
         """A whole list from Eureka, and a second of deltas: the changes of three minutes in each, and its own head."""
-        row = len(json.dumps(INSTANCE, separators=(",", ":"))) + 1
-        delta = 600 + self.list_changes_day / 86_400 * DELTA_KEEPS * row
-        return row * self.size.replicas, delta / EUREKA.fetch_s
+        row = len(json.dumps(EUREKA_INSTANCE, separators=(",", ":"))) + 1
+        delta = 600 + self.list_changes_per_day / 86_400 * EUREKA_DELTA_RETENTION_S * row
+        return row * self.size.replicas, delta / DEFAULT_EUREKA.fetch_s
 
     @property
-    def shared_calls(self) -> float:
+    def shared_discovery_calls_s(self) -> float:
         """At one discovery that all ask, while nothing changes."""
-        return self.size.dispatchers * S / SHARED_WATCH_WAIT_US
+        return self.size.dispatchers * MICROSECONDS_PER_S / SHARED_WATCH_WAIT_US
 
     @property
-    def shared_busy(self) -> float:
+    def shared_discoveries(self) -> float:
         """How many such services that takes, at the time that schedule.py sets aside for a call."""
-        return self.shared_calls * SERVICE_TIME_PER_DISPATCHER_US / S
+        return self.shared_discovery_calls_s * SERVICE_TIME_PER_DISPATCHER_US / MICROSECONDS_PER_S
 
     @property
-    def start_span(self) -> tuple[float, float]:
+    def start_spread_s(self) -> tuple[float, float]:
         """Seconds over which the first calls of a fleet that starts at once are spread, and would have to be."""
-        wanted = SERVICE_TIME_PER_DISPATCHER_US * self.size.dispatchers / S
-        return min(wanted, MAX_CALL_INTERVAL_US / S), wanted
+        wanted = SERVICE_TIME_PER_DISPATCHER_US * self.size.dispatchers / MICROSECONDS_PER_S
+        return min(wanted, in_seconds(MAX_CALL_INTERVAL_US)), wanted
 
     # A request's own work.
 
     @property
-    def steps(self) -> float:
-        return S / STEP_INTERVAL_US
+    def router_steps_s(self) -> float:
+        return MICROSECONDS_PER_S / STEP_INTERVAL_US
 
     @property
-    def remembered(self) -> tuple[float, float]:
+    def remembered_requests(self) -> tuple[float, float]:
         """Requests whose prompts the tables remember: at the mean, and at ten times that, where the tables' own length
         bounds them (two keys a request, at readers)."""
-        mean = self.requests * MAX_CACHED_AGE_US / S
-        return min(mean, MAX_CACHED_PREFIXES * self.readers / 2), min(
-            mean * self.size.heavy, MAX_CACHED_PREFIXES * self.readers / 2
+        mean = self.requests_s * MAX_CACHED_AGE_US / MICROSECONDS_PER_S
+        return min(mean, MAX_CACHED_PREFIXES * self.prefill_replicas / 2), min(
+            mean * self.size.busiest_over_mean, MAX_CACHED_PREFIXES * self.prefill_replicas / 2
         )
 
     @property
     def descriptors(self) -> tuple[float, float]:
         """Of the mean dispatcher and the heavy one: one to the client and one to the server for each open request."""
-        open_ = self.streams + self.waiting
-        return 2 * open_ + RESERVED_DESCRIPTORS, 2 * open_ * self.size.heavy + RESERVED_DESCRIPTORS
+        open_ = self.streams + self.awaiting_first_token
+        return 2 * open_ + RESERVED_DESCRIPTORS, 2 * open_ * self.size.busiest_over_mean + RESERVED_DESCRIPTORS
 
     # What dispatchers tell one another.
 
-    def busy_engines(self, times: float = 1.0) -> tuple[float, float]:
+    def busy_replicas(self, times: float = 1.0) -> tuple[float, float]:
         """Engines at which a dispatcher has work, and of those the ones with prompts to be read, if each request falls
         on any engine alike and a read takes as long as the rules let it."""
-        reads = self.requests * times * LATENCY_SHARE_FOR_PREFILL * self.size.first_token_s
-        reading = self.readers * (1 - math.exp(-reads / self.readers))
-        return self.writers * (1 - math.exp(-self.streams * times / self.writers)) + reading, reading
+        reads = self.requests_s * times * LATENCY_SHARE_FOR_PREFILL * self.size.first_token_s
+        reading = self.prefill_replicas * (1 - math.exp(-reads / self.prefill_replicas))
+        return self.decode_replicas * (1 - math.exp(-self.streams * times / self.decode_replicas)) + reading, reading
 
     @property
-    def pings(self) -> float:
+    def pings_s(self) -> float:
         """Pings a second of today's talk."""
         peers = self.size.dispatchers - 1
         return (
-            min(peers, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, -(-peers // TICKS_PER_ROUND))) * S / GOSSIP_TICK_US
+            min(peers, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, -(-peers // TICKS_PER_ROUND)))
+            * MICROSECONDS_PER_S
+            / GOSSIP_TICK_US
         )
 
     @property
-    def talk_bytes_s(self) -> float:
+    def gossip_bytes_s(self) -> float:
         """Both ways: each ping and its answer, mine and the others'."""
-        return 4 * self.pings * talk_bytes(MAX_ROWS)
+        return 4 * self.pings_s * gossip_datagram_bytes(MAX_ROWS)
 
-    def told(self, times: float = 1.0) -> Told:
+    def report_traffic(self, times: float = 1.0) -> ReportTraffic:
         """What a dispatcher with so many times the mean's traffic tells its control machine, and hears."""
-        work, reads = self.busy_engines(times)
-        return told(self.size.replicas, self.readers, round(work), round(reads))
+        work, reads = self.busy_replicas(times)
+        return count_report_traffic(self.size.replicas, self.prefill_replicas, round(work), round(reads))
 
-    def machine_talk(self, alive: int) -> tuple[float, float]:
+    def aggregator_traffic(self, alive: int) -> tuple[float, float]:
         """Datagrams and bytes a second, both ways, of one control machine of so many that live."""
-        one, members = self.told(), self.size.dispatchers / alive
-        parts = (alive - 1) * 2 * S / AGGREGATOR_TICK_US
+        one, members = self.report_traffic(), self.size.dispatchers / alive
+        parts = (alive - 1) * 2 * MICROSECONDS_PER_S / AGGREGATOR_TICK_US
         roster = (
-            members * 36 * (alive - 1) * 2 * S / MEMBER_LIST_INTERVAL_US
+            members * 36 * (alive - 1) * 2 * MICROSECONDS_PER_S / MEMBER_LIST_INTERVAL_US
         )  # a name and three numbers for each member
         return (
-            members * one.datagrams + parts * one.part_datagrams + roster / 1_200,
-            members * one.bytes_s + parts * one.part + roster,
+            members * one.datagrams_s + parts * one.partial_sum_datagrams + roster / 1_200,
+            members * one.bytes_s + parts * one.partial_sum_bytes + roster,
         )
 
-    def sums_age(self, times: float = 1.0) -> tuple[float, float, float, float]:
+    def sums_age_s(self, times: float = 1.0) -> tuple[float, float, float, float]:
         """Of word by way of control machines, without the way itself: own region's mean and worst, others' mean and
         worst. It waits for a report, (for a part,) for the sums to be made, and for the next answer."""
-        one, part, made = 1 / self.told(times).reports, AGGREGATOR_TICK_US / S, sums_every(self.size.replicas)
+        one, part, made = (
+            1 / self.report_traffic(times).reports_s,
+            in_seconds(AGGREGATOR_TICK_US),
+            snapshot_interval_s(self.size.replicas),
+        )
         return one + made / 2, 2 * one + made, one + part / 2 + made / 2, 2 * one + part + made
 
     # Replicas.
@@ -226,50 +239,50 @@
     def connections(self, replicas: int, keep_s: float = 10.0) -> tuple[float, float]:
         """Of one replica of a role: kept idle ones from all dispatchers, and new ones a second. A pair of the mean
         dispatcher and this replica keeps one idle until its next request, or until it is closed as idle."""
-        rate = self.requests / replicas
+        rate = self.requests_s / replicas
         none = math.exp(-rate * keep_s)
         return self.size.dispatchers * (1 - none), self.size.dispatchers * rate * none
 
     @property
-    def reader_gb_s(self) -> float:
-        return self.size.prompt_memory_gb_s / self.readers
+    def prefill_replica_gb_s(self) -> float:
+        return self.size.transferred_gb_s / self.prefill_replicas
 
     @property
-    def writer_gb_s(self) -> float:
-        return self.size.prompt_memory_gb_s / self.writers
+    def decode_replica_gb_s(self) -> float:
+        return self.size.transferred_gb_s / self.decode_replicas
 
     @property
-    def probes(self) -> tuple[float, float, float]:
+    def load_queries(self) -> tuple[float, float, float]:
         """Where settings let engines be asked: probes a second of one dispatcher, at one replica, and one dispatcher's
         bytes a second; two engines for each of two choices a request."""
-        mine = min(4 * self.requests, self.size.replicas * S / REFRESH_INTERVAL_US)
+        mine = min(4 * self.requests_s, self.size.replicas * MICROSECONDS_PER_S / REFRESH_INTERVAL_US)
         call = len(messages.request("GET", "/status/load", "app.svc")) + 120 + 40 + 4 * 40
         return mine, mine * self.size.dispatchers / self.size.replicas, mine * call
 
     # Operators.
 
     @property
-    def look_bytes(self) -> int:
+    def fleet_status_bytes(self) -> int:
         """One dispatcher's answer to GET /ops/fleet."""
-        return len(json.dumps(TOLD)) * self.size.replicas
+        return len(json.dumps(REPLICA_STATUS)) * self.size.replicas
 
     @property
     def settings_bytes(self) -> int:
-        return len(TENANT) * self.size.tenants
+        return len(TENANT_TABLES) * self.size.tenants
 
     @property
     def change_every_s(self) -> float:
-        return 86_400 / self.size.changes_day
+        return 86_400 / self.size.changes_per_day
 
     @property
-    def tenant_share(self) -> float:
+    def tenant_requests_s(self) -> float:
         """A tenant's mean requests a second at one dispatcher."""
         return self.size.requests_s / self.size.tenants / self.size.dispatchers
 
     # Troubles.
 
     @property
-    def zone(self) -> dict[str, float]:
+    def zone_failure(self) -> dict[str, float]:
         """With one zone go its replicas, its dispatchers, and the answers of either: `passing` are those that its
         dispatchers passed on from other zones."""
         zones, streams = self.size.zones, self.streams * self.size.dispatchers
@@ -281,40 +294,40 @@
         }
 
     @property
-    def cut_streams(self) -> float:
+    def partitioned_streams(self) -> float:
         """Answers between a region that is cut off and the others, if both ends lie anywhere alike."""
         part = 1 / self.size.regions
         return self.streams * self.size.dispatchers * 2 * part * (1 - part)
 
     @property
-    def replica_work(self) -> float:
+    def broken_streams(self) -> float:
         """Answers that break with one replica: all of a writer's; a reader's reads can be done anew elsewhere."""
-        return self.writer_streams * self.writers / self.size.replicas
+        return self.streams_per_decode_replica * self.decode_replicas / self.size.replicas
 
     @property
-    def role_moves(self) -> float:
-        return self.size.replicas * self.size.readers_share / 2
+    def role_changes_per_day(self) -> float:
+        return self.size.replicas * self.size.prefill_share / 2
 
     # The mechanisms weighed in docs/design/capacity.md.
 
     @cached_property
-    def options(self) -> list[Option]:
+    def mechanisms(self) -> list[Mechanism]:
         """Ages are those of the word in use at a choice, the next region's way not counted: half the time between two
         words, and what a word waits for on its way. Assumed for chains: `HOP` for each dispatcher that passes it on."""
         size, all_left, own = self.size, "all of it", "one's own work alone"
-        budget, vector = size.control_bytes_s, self.told().down
+        budget, vector = size.control_bytes_s, self.report_traffic().sums_bytes
         made = []
-        seen = f"of {self.busy_engines()[0]:.0f} engines where a dispatcher has work"
+        seen = f"of {self.busy_replicas()[0]:.0f} engines where a dispatcher has work"
         for name, rows, pings in (
-            ("full talk, as today", MAX_ROWS, self.pings),
-            ("talk thinned to the bound", MAX_ROWS, budget / 4 / talk_bytes(MAX_ROWS)),
-            ("the same with shorter digests", 12, budget / 4 / talk_bytes(12)),
+            ("full talk, as today", MAX_ROWS, self.pings_s),
+            ("talk thinned to the bound", MAX_ROWS, budget / 4 / gossip_datagram_bytes(MAX_ROWS)),
+            ("the same with shorter digests", 12, budget / 4 / gossip_datagram_bytes(12)),
         ):
             turn = (size.dispatchers - 1) / pings  # a round, in which each is heard twice, at any time of it
             made.append(
-                Option(
-                    f"{name}, a round of {seconds(turn)}",
-                    4 * pings * talk_bytes(rows),
+                Mechanism(
+                    f"{name}, a round of {format_duration(turn)}",
+                    4 * pings * gossip_datagram_bytes(rows),
                     turn / 3,
                     2 * turn,
                     f"{rows} {seen}",
@@ -323,10 +336,10 @@
             )
         for fan in (2, 4):
             depth = math.ceil(math.log(size.dispatchers * (fan - 1) + 1, fan)) - 1
-            beat, wave = 2 * (fan + 1) * vector / budget, 2 * depth * HOP
+            beat, wave = 2 * (fan + 1) * vector / budget, 2 * depth * HOP_DELAY_S
             made.append(
-                Option(
-                    f"a tree, {fan} below each, a wave each {seconds(beat)}",
+                Mechanism(
+                    f"a tree, {fan} below each, a wave each {format_duration(beat)}",
                     budget,
                     wave + beat / 2,
                     wave + beat,
@@ -334,10 +347,10 @@
                     "all of it, but each that falls takes those below along",
                 )
             )
-        lap = size.dispatchers * HOP
+        lap = size.dispatchers * HOP_DELAY_S
         made.append(
-            Option(
-                f"a ring, a lap of {seconds(lap)}",
+            Mechanism(
+                f"a ring, a lap of {format_duration(lap)}",
                 2 * vector / lap,
                 lap,
                 2 * lap,
@@ -345,37 +358,39 @@
                 "all of it, but each that stalls or falls stops it",
             )
         )
-        for times in (1.0, size.heavy):
-            each = self.told(times).reports
-            changes = 4 * self.requests * times / each  # a begin and an end at two stages
-            up = min(changes * DELTA, 2 * size.replicas) + HEADER_BYTES + 1 + TAG_BYTES + 60
+        for times in (1.0, size.busiest_over_mean):
+            each = self.report_traffic(times).reports_s
+            changes = 4 * self.requests_s * times / each  # a begin and an end at two stages
+            up = min(changes * DELTA_BYTES, 2 * size.replicas) + HEADER_BYTES + 1 + TAG_BYTES + 60
             made.append(
-                Option(
+                Mechanism(
                     f"by region, deltas up, {times:g} times the mean's traffic",
                     (up + vector) * each,
-                    *self.sums_age(times)[2:],
+                    *self.sums_age_s(times)[2:],
                     "all engines, wrong from a lost delta until both agree",
                     own,
                 )
             )
-        for times in (1.0, size.heavy):
+        for times in (1.0, size.busiest_over_mean):
             made.append(
-                Option(
+                Mechanism(
                     f"**by region, gauges up**, {times:g} times the mean's traffic",
-                    self.told(times).bytes_s,
-                    *self.sums_age(times)[2:],
+                    self.report_traffic(times).bytes_s,
+                    *self.sums_age_s(times)[2:],
                     "all engines",
                     own,
                 )
             )
-        near, (work, reads) = size.replicas // size.regions, self.busy_engines()
-        lean = told(near, self.readers // size.regions, round(work / size.regions), round(reads / size.regions))
+        near, (work, reads) = size.replicas // size.regions, self.busy_replicas()
+        lean = count_report_traffic(
+            near, self.prefill_replicas // size.regions, round(work / size.regions), round(reads / size.regions)
+        )
         made.append(
-            Option(
+            Mechanism(
                 "by region, its own replicas alone",
                 lean.bytes_s,
-                1 / lean.reports + sums_every(near) / 2,
-                2 / lean.reports + sums_every(near),
+                1 / lean.reports_s + snapshot_interval_s(near) / 2,
+                2 / lean.reports_s + snapshot_interval_s(near),
                 f"{near} of {size.replicas} engines",
                 own,
             )
@@ -384,13 +399,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Option:
+class Mechanism:
     """One mechanism at the size. `bytes_s`: both ways, at the dispatcher that has most of it; seconds of `age` and
     `worst` without loss and the way itself; `left`: with all control machines gone."""
 
     name: str
     bytes_s: float
-    age: float
-    worst: float
-    sees: str
-    left: str
+    mean_age_s: float
+    worst_age_s: float
+    coverage: str
+    without_aggregators: str
--- a/pearhill/lab/capacity/trouble_rows.py
+++ b/pearhill/lab/capacity/fault_rows.py
@@ -7,29 +7,29 @@
 
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
-    cell,
-    core,
-    number,
-    rate,
-    seconds,
+    format_byte_rate,
+    format_cores,
+    format_duration,
+    format_number,
+    table_cell,
 )
 from pearhill.lab.capacity.results import (
-    Trouble,
+    PlayedFault,
 )
 
 
-def named(name: str, value: Any) -> str:
+def format_figure(name: str, value: Any) -> str:
     """One of a trouble's figures; its name tells the unit."""
     if isinstance(value, bool):
         return "yes" if value else "**no**"
     if not isinstance(value, int | float):
         return NOT_MEASURED if value is None else str(value)
     if name.startswith("bytes_") or name.startswith("cpu_cores"):
-        return rate(value) if name.startswith("bytes_") else core(value)
-    return f"{number(value)}{' ms' if '_ms' in name else ' s' if name.endswith('_s') else ''}"
+        return format_byte_rate(value) if name.startswith("bytes_") else format_cores(value)
+    return f"{format_number(value)}{' ms' if '_ms' in name else ' s' if name.endswith('_s') else ''}"
 
 
-def columns(trouble: Trouble) -> list[str]:
+def fault_columns(trouble: PlayedFault) -> list[str]:
     """A trouble's row: what it was, what is told of all, and the rest by name."""
     f = trouble.figures
     own = ("way", "dispatchers", "replicas", "lasted_s")
@@ -43,29 +43,29 @@
         "worst_beat_ms",
     )
     rest = "; ".join(
-        f"{re.sub('_(ms|s)(?=_|$)', '', name).replace('_', ' ')} {named(name, value)}"
+        f"{re.sub('_(ms|s)(?=_|$)', '', name).replace('_', ' ')} {format_figure(name, value)}"
         for name, value in f.items()
         if name not in own + first
     )
     row = [
         trouble.kind,
         f"{f.get('way', '')} {f.get('dispatchers', '?')} x {f.get('replicas', '?')}",
-        "no" if trouble.factor == 1 else f"{number(trouble.factor)} times",
-        named("lasted_s", f.get("lasted_s")),
-        *(named(name, f.get(name)) for name in first),
+        "no" if trouble.factor == 1 else f"{format_number(trouble.factor)} times",
+        format_figure("lasted_s", f.get("lasted_s")),
+        *(format_figure(name, f.get(name)) for name in first),
         rest,
     ]
-    return [cell(text) for text in row]
+    return [table_cell(text) for text in row]
 
 
-def shown(trouble: Trouble) -> str:
+def fault_summary(trouble: PlayedFault) -> str:
     """In a few words: the fleet, and for how long its counts or sums were wrong."""
-    _, fleet, fast, lasted, *_ = columns(trouble)
+    _, fleet, fast, lasted, *_ = fault_columns(trouble)
     wrong = (
         "no time told"
         if trouble.for_s is None
         else "counts and sums right at every look"
         if (trouble.for_s == 0)
-        else f"counts or sums wrong for {seconds(trouble.for_s)}"
+        else f"counts or sums wrong for {format_duration(trouble.for_s)}"
     )
     return f"{fleet}, {lasted}{'' if trouble.factor == 1 else f', sped up {fast}'}: {wrong}"
--- a/pearhill/lab/capacity/page.py
+++ b/pearhill/lab/capacity/page.py
@@ -6,30 +6,30 @@
 
 import jinja2
 
-from pearhill.lab.capacity.estimates import Worked
+from pearhill.lab.capacity.estimates import Estimates
+from pearhill.lab.capacity.fault_rows import fault_columns, fault_summary
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
-    amount,
-    cell,
-    core,
-    number,
-    rate,
-    seconds,
-    show,
-    spread,
+    format_byte_rate,
+    format_bytes,
+    format_cores,
+    format_duration,
+    format_number,
+    format_percentiles,
+    format_quantity,
+    table_cell,
 )
-from pearhill.lab.capacity.gossip_traffic import talk_bytes
-from pearhill.lab.capacity.needs import needs
+from pearhill.lab.capacity.gossip_traffic import gossip_datagram_bytes
+from pearhill.lab.capacity.requirements import requirements
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
-    TALK,
-    Result,
+    GOSSIP,
+    RunResult,
 )
-from pearhill.lab.capacity.runs import Found, Runs
-from pearhill.lab.capacity.size import Size
-from pearhill.lab.capacity.trouble_rows import columns, shown
-from pearhill.lab.capacity.units import S
-from pearhill.lab.capacity.wire_samples import EUREKA
+from pearhill.lab.capacity.runs import Runs, SourcedFigure
+from pearhill.lab.capacity.size import FleetSize
+from pearhill.lab.capacity.units import in_seconds
+from pearhill.lab.capacity.wire_samples import DEFAULT_EUREKA
 from pearhill.load_reports.peer_loads import MAX_ROWS
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.membership.aggregation_messages import (
@@ -68,8 +68,8 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
 
-def measured(found: Found | None, quantity: str) -> str:
-    return f"{show(quantity, found.value)} ({found.source})" if found else NOT_MEASURED
+def measured_figure(found: SourcedFigure | None, quantity: str) -> str:
+    return f"{format_quantity(quantity, found.value)} ({found.source})" if found else NOT_MEASURED
 
 
 def _environment() -> jinja2.Environment:
@@ -82,56 +82,64 @@
         autoescape=False,
     )
     made.filters.update(
-        n=number, b=amount, r=rate, core=core, s=seconds, spread=spread, cell=cell, columns=columns, shown=shown
+        n=format_number,
+        b=format_bytes,
+        r=format_byte_rate,
+        s=format_duration,
+        core=format_cores,
+        spread=format_percentiles,
+        cell=table_cell,
+        fault_columns=fault_columns,
+        fault_summary=fault_summary,
     )
     return made
 
 
-def page(results: dict[str, Result], size: Size | None = None) -> str:
+def render_page(results: dict[str, RunResult], size: FleetSize | None = None) -> str:
     """docs/CAPACITY.md."""
-    size = size or Size()
-    worked, runs = Worked(size), Runs(results, size)
+    size = size or FleetSize()
+    estimates, runs = Estimates(size), Runs(results, size)
 
-    def found(way: str, role: str, quantity: str) -> str:
-        return measured(runs.found(way, role, quantity), quantity)
+    def measured(way: str, role: str, quantity: str) -> str:
+        return measured_figure(runs.figure(way, role, quantity), quantity)
 
-    def seen(kind: str, figure: str, unit: str) -> str:
-        got = runs.told(kind, figure)
-        return f"{number(got.value)}{unit} ({got.source})" if got else NOT_MEASURED
+    def fault_figure(kind: str, figure: str, unit: str) -> str:
+        got = runs.fault_figure(kind, figure)
+        return f"{format_number(got.value)}{unit} ({got.source})" if got else NOT_MEASURED
 
-    def over(way: str, role: str, *bounds: tuple[str, float]) -> str:
-        got = [(runs.found(way, role, quantity), bound) for quantity, bound in bounds]
+    def over_bounds(way: str, role: str, *bounds: tuple[str, float]) -> str:
+        got = [(runs.figure(way, role, quantity), bound) for quantity, bound in bounds]
         return ", ".join(f"{f.value / bound:.2f}" if f else NOT_MEASURED for f, bound in got)
 
     constants = {
         "ROUND": TICKS_PER_ROUND,
         "MOST_PINGS": MAX_PINGS_PER_TICK,
         "KEYS": MAX_CACHED_PREFIXES,
-        "KEEP": MAX_CACHED_AGE_US / S,
-        "WAIT": WATCH_WAIT_US / S,
-        "SHARED_WAIT": SHARED_WATCH_WAIT_US / S,
-        "SHARE": SERVICE_TIME_PER_DISPATCHER_US / S,
-        "STEP": STEP_INTERVAL_US / S,
+        "KEEP": in_seconds(MAX_CACHED_AGE_US),
+        "WAIT": in_seconds(WATCH_WAIT_US),
+        "SHARED_WAIT": in_seconds(SHARED_WATCH_WAIT_US),
+        "SHARE": in_seconds(SERVICE_TIME_PER_DISPATCHER_US),
+        "STEP": in_seconds(STEP_INTERVAL_US),
         "RATIO_MAX": MAX_RATIO,
-        "FRESH": REFRESH_INTERVAL_US / S,
+        "FRESH": in_seconds(REFRESH_INTERVAL_US),
         "MOST_OUT": MAX_IN_FLIGHT,
         "ROWS": MAX_ROWS,
         "RELEASES": RELEASES,
-        "FETCH": EUREKA.fetch_s,
-        "PACE": REPORT_INTERVAL_US / S,
-        "PART": AGGREGATOR_TICK_US / S,
-        "LEASE": LEASE_US / S,
-        "PART_LEASE": PARTIAL_SUM_LEASE_US / S,
-        "MOVED": COMBINED_LEASE_US / S,
-        "SILENT": SILENCE_TIMEOUT_US / S,
-        "CUT": PARTITION_TIMEOUT_US / S,
-        "IDLE": SLOT_IDLE_US / S,
-        "ROSTER": MEMBER_LIST_INTERVAL_US / S,
+        "FETCH": DEFAULT_EUREKA.fetch_s,
+        "PACE": in_seconds(REPORT_INTERVAL_US),
+        "PART": in_seconds(AGGREGATOR_TICK_US),
+        "LEASE": in_seconds(LEASE_US),
+        "PART_LEASE": in_seconds(PARTIAL_SUM_LEASE_US),
+        "MOVED": in_seconds(COMBINED_LEASE_US),
+        "SILENT": in_seconds(SILENCE_TIMEOUT_US),
+        "CUT": in_seconds(PARTITION_TIMEOUT_US),
+        "IDLE": in_seconds(SLOT_IDLE_US),
+        "ROSTER": in_seconds(MEMBER_LIST_INTERVAL_US),
         "UNANSWERED": MAX_UNANSWERED_REPORTS,
-        "ANSWER_WAIT": ANSWER_TIMEOUT_US / S,
-        "GONE": MAX_SUMS_AGE_US / S,
-        "LEAST": MIN_BACKOFF_US / S,
-        "MOST": MAX_BACKOFF_US / S,
+        "ANSWER_WAIT": in_seconds(ANSWER_TIMEOUT_US),
+        "GONE": in_seconds(MAX_SUMS_AGE_US),
+        "LEAST": in_seconds(MIN_BACKOFF_US),
+        "MOST": in_seconds(MAX_BACKOFF_US),
         "REMEMBERED": MAX_REMEMBERED_REPORTS,
     }
     text = (
@@ -139,18 +147,18 @@
         .get_template("capacity.md.j2")
         .render(
             size=size,
-            w=worked,
+            w=estimates,
             c=constants,
             runs=runs,
-            found=found,
-            over=over,
-            seen=seen,
-            needs=needs(worked, runs),
-            show=show,
+            measured=measured,
+            over_bounds=over_bounds,
+            fault_figure=fault_figure,
+            requirements=requirements(estimates, runs),
+            show=format_quantity,
             NOT_MEASURED=NOT_MEASURED,
-            TALK=TALK,
+            GOSSIP=GOSSIP,
             AGGREGATORS=AGGREGATORS,
-            talk_datagram=talk_bytes(MAX_ROWS),
+            gossip_datagram=gossip_datagram_bytes(MAX_ROWS),
         )
     )
     return re.sub(r"\n{3,}", "\n\n", text)
--- a/pearhill/lab/capacity/needs.py
+++ b/pearhill/lab/capacity/requirements.py
@@ -5,56 +5,56 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pearhill.lab.capacity.estimates import Worked
+from pearhill.lab.capacity.estimates import Estimates
 from pearhill.lab.capacity.formatting import (
     NOT_MEASURED,
-    amount,
-    core,
-    number,
-    rate,
-    seconds,
+    format_byte_rate,
+    format_bytes,
+    format_cores,
+    format_duration,
+    format_number,
 )
 from pearhill.lab.capacity.results import (
     AGGREGATORS,
-    TALK,
+    GOSSIP,
 )
 from pearhill.lab.capacity.runs import Runs
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class Requirement:
     """One need, its bound, and what carries it; empty: nothing does."""
 
-    what: str
-    need: str
+    subject: str
+    required: str
     bound: str
-    over: float | None
+    ratio: float | None
     source: str
     carried_by: str
 
 
-def needs(worked: Worked, runs: Runs) -> list[Need]:
+def requirements(estimates: Estimates, runs: Runs) -> list[Requirement]:
     """All needs that have a bound, the worst first; those that nothing carries before all."""
-    size, made = worked.size, list[Need]()
+    size, made = estimates.size, list[Requirement]()
     limits: list[tuple[str, str, str, float, Callable[[float], str]]] = [
-        ("dispatcher", "processor time", "cpu_cores", size.control_cores, core),
-        ("dispatcher", "bytes, both ways", "bytes_s", size.control_bytes_s, rate),
-        ("dispatcher", "memory", "memory_bytes", size.control_bytes, amount),
-        ("aggregator", "processor time", "cpu_cores", size.machine_cores, core),
-        ("aggregator", "memory", "memory_bytes", size.machine_bytes, amount),
+        ("dispatcher", "processor time", "cpu_cores", size.control_cores, format_cores),
+        ("dispatcher", "bytes, both ways", "bytes_s", size.control_bytes_s, format_byte_rate),
+        ("dispatcher", "memory", "memory_bytes", size.control_bytes, format_bytes),
+        ("aggregator", "processor time", "cpu_cores", size.aggregator_cores, format_cores),
+        ("aggregator", "memory", "memory_bytes", size.aggregator_bytes, format_bytes),
     ]
     ways = (
-        (TALK, "full talk", "`pearhill/membership/gossip.py`"),
+        (GOSSIP, "full talk", "`pearhill/membership/gossip.py`"),
         (AGGREGATORS, "reports to control machines", "`pearhill/membership/aggregator.py`"),
     )
     for way, name, file in ways:
         for role, quantity, key, bound, shown in limits:
-            if role == "aggregator" and way == TALK:
+            if role == "aggregator" and way == GOSSIP:
                 continue
-            got = runs.found(way, role, key)
+            got = runs.figure(way, role, key)
             who = "a dispatcher's control" if role == "dispatcher" else "a control machine"
             made.append(
-                Need(
+                Requirement(
                     f"{who} with {name}: {quantity}",
                     shown(got.value) if got else NOT_MEASURED,
                     shown(bound),
@@ -63,11 +63,11 @@
                     file,
                 )
             )
-    calls, span = worked.shared_busy, worked.start_span
+    calls, span = estimates.shared_discoveries, estimates.start_spread_s
     made.append(
-        Need(
+        Requirement(
             "one discovery that all ask, slow as the bench's: its time for watches",
-            f"{number(calls)} services",
+            f"{format_number(calls)} services",
             "1 service",
             calls,
             "worked out",
@@ -75,7 +75,7 @@
         )
     )
     made.append(
-        Need(
+        Requirement(
             "the same, as all dispatchers start: to spread their first calls",
             f"{span[1]:.1f} s",
             f"{span[0]:.1f} s",
@@ -84,22 +84,22 @@
             "`pearhill/platform/schedule.py`",
         )
     )
-    if one := runs.choice_at(size.replicas):
-        assert runs.choice
-        source, cores = runs.choice[0], one.ms / 1000 * worked.requests * size.heavy
+    if one := runs.choice_cost_at(size.replicas):
+        assert runs.choice_costs
+        source, cores = runs.choice_costs[0], one.ms / 1000 * estimates.requests_s * size.busiest_over_mean
         made.append(
-            Need(
-                f"a request's own work: choices at {size.heavy:g} times the mean",
-                core(cores),
+            Requirement(
+                f"a request's own work: choices at {size.busiest_over_mean:g} times the mean",
+                format_cores(cores),
                 "1 core",
                 cores,
                 source,
                 "`pearhill/routing/router.py`",
             )
         )
-        if few := runs.choice_at(60):
+        if few := runs.choice_cost_at(60):
             made.append(
-                Need(
+                Requirement(
                     f"a request's own work: its choices at {size.replicas} over those at 60",
                     f"{one.ms / few.ms:.1f}",
                     "2",
@@ -109,9 +109,9 @@
                 )
             )
     made.append(
-        Need(
+        Requirement(
             "a tenant's guarantee, its clients in one zone",
-            f"1/{size.zones} of it is held by its " f"{worked.zone['dispatchers']:.0f} dispatchers",
+            f"1/{size.zones} of it is held by its " f"{estimates.zone_failure['dispatchers']:.0f} dispatchers",
             "all of it",
             float(size.zones),
             "worked out",
@@ -119,13 +119,13 @@
         )
     )
     made.append(
-        Need(
+        Requirement(
             "a change of settings, in force everywhere",
             "as long as it takes somebody to bring it to all",
-            seconds(size.in_force_s),
+            format_duration(size.propagation_limit_s),
             None,
             "",
             "",
         )
     )
-    return sorted(made, key=lambda n: (bool(n.carried_by), n.over is None, -(n.over or 0.0)))
+    return sorted(made, key=lambda n: (bool(n.carried_by), n.ratio is None, -(n.ratio or 0.0)))
--- a/pearhill/lab/capacity/results.py
+++ b/pearhill/lab/capacity/results.py
@@ -14,11 +14,11 @@
 
 from pearhill.config import ConfigError, typed
 
-RESULTS = "docs/capacity"
-TALK, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
+RESULTS_FOLDER = "docs/capacity"
+GOSSIP, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
 
 
-class Spread(msgspec.Struct):
+class Percentiles(msgspec.Struct):
     p50: float
     p99: float
     max: float
@@ -33,10 +33,10 @@
     messages_in_s: float | None = None
     messages_out_s: float | None = None
     memory_bytes: float | None = None
-    beat_late_ms: Spread | None = None
-    news_age_ms: Spread | None = None
+    beat_late_ms: Percentiles | None = None
+    news_age_ms: Percentiles | None = None
 
-    def of(self, quantity: str) -> float | None:
+    def quantity_value(self, quantity: str) -> float | None:
         if quantity in ("bytes_s", "messages_s"):
             kind = quantity.removesuffix("_s")
             ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
@@ -44,12 +44,12 @@
         return getattr(self, quantity, None)
 
 
-class Calls(msgspec.Struct):
+class DiscoveryCalls(msgspec.Struct):
     calls_s: float | None = None
     bytes_s: float | None = None
 
 
-class Point(msgspec.Struct):
+class MeasuredPoint(msgspec.Struct):
     way: str
     kind: str
     dispatchers: int
@@ -62,11 +62,11 @@
     processes: int = 0
     busy: bool = False
     aggregator: Cost | None = None
-    discovery: Calls | None = None
-    list_age_ms: Spread | None = None
+    discovery: DiscoveryCalls | None = None
+    list_age_ms: Percentiles | None = None
 
 
-class Check(msgspec.Struct):
+class HollowCheck(msgspec.Struct):
     what: str
     quantity: str
     real: float | None
@@ -76,7 +76,7 @@
     carried_as_error: float | None = None
 
 
-class Slope(msgspec.Struct):
+class FittedSlope(msgspec.Struct):
     way: str
     role: str
     quantity: str
@@ -91,13 +91,13 @@
     need_over_bound: float | None = None
 
 
-class Choice(msgspec.Struct):
+class ChoiceCost(msgspec.Struct):
     replicas: int
     ms: float
     remembered_bytes: float | None = None
 
 
-class Trouble(msgspec.Struct):
+class PlayedFault(msgspec.Struct):
     kind: str
     lost: str = ""
     for_s: float | None = None
@@ -106,20 +106,20 @@
     figures: dict[str, Any] = {}
 
 
-class Peaks(msgspec.Struct):
+class PeakOverMean(msgspec.Struct):
     """Peak over mean of work by replica in windows of a second."""
 
     mean: float
     worst: float
 
 
-class Even(msgspec.Struct):
+class FleetEvenness(msgspec.Struct):
     way: str
     dispatchers: int
     replicas: int
     rate_per_dispatcher: float
-    writers: Peaks
-    readers: Peaks
+    writers: PeakOverMean
+    readers: PeakOverMean
     served: int = 0
     refused: int = 0
     failed: int = 0
@@ -131,7 +131,7 @@
     why: str
 
 
-class Result(msgspec.Struct):
+class RunResult(msgspec.Struct):
     version: str
     commit: str
     seed: int
@@ -139,21 +139,21 @@
     started: str
     machine: dict[str, Any]
     load_1m: list[float]
-    points: list[Point] = []
-    checks: list[Check] = []
-    slopes: list[Slope] = []
-    choice: list[Choice] = []
-    troubles: list[Trouble] = []
-    evenness: list[Even] = []
+    points: list[MeasuredPoint] = []
+    checks: list[HollowCheck] = []
+    slopes: list[FittedSlope] = []
+    choice: list[ChoiceCost] = []
+    troubles: list[PlayedFault] = []
+    evenness: list[FleetEvenness] = []
     not_run: list[NotRun] = []
 
 
-def read(folder: Path) -> dict[str, Result]:
+def read_results(folder: Path) -> dict[str, RunResult]:
     """All results of a folder by file name, the oldest run first. ConfigError names file, key, found and allowed."""
     found = {}
     for path in sorted(folder.glob("*.json")):
         try:
-            found[path.stem] = typed.convert(json.loads(path.read_text(encoding="utf-8")), Result)
+            found[path.stem] = typed.convert(json.loads(path.read_text(encoding="utf-8")), RunResult)
         except (OSError, ValueError) as e:
             raise ConfigError(f"{path}: {e}") from None
         except ConfigError as e:
--- a/pearhill/lab/capacity/size.py
+++ b/pearhill/lab/capacity/size.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class FleetSize:
     """What the operators head for, in their words' order. `requests_s` and `tokens_s`: at the peak; tokens put out."""
 
     dispatchers: int = 330
@@ -18,20 +18,20 @@
     tokens_s: float = 3.4e6
     first_token_s: float = 1.6
     between_tokens_s: float = 0.025
-    readers_share: float = 0.29
-    prompt_memory_gb_s: float = 7_500
+    prefill_share: float = 0.29
+    transferred_gb_s: float = 7_500
     tenants: int = 760
     models: int = 4
     regions: int = 3
     zones: int = 6
-    changes_day: float = 650
-    in_force_s: float = 9
+    changes_per_day: float = 650
+    propagation_limit_s: float = 9
     control_cores: float = 0.011
     control_bytes: float = 32 * MEGABYTE
     control_bytes_s: float = 7_000
-    machines: int = 3
-    machine_cores: float = 1
-    machine_bytes: float = 1_000 * MEGABYTE
-    replaced_day: float = 470
-    dead_day: float = 12
-    heavy: float = 10  # the busiest dispatcher's requests over the mean's
+    aggregators: int = 3
+    aggregator_cores: float = 1
+    aggregator_bytes: float = 1_000 * MEGABYTE
+    replaced_per_day: float = 470
+    failed_per_day: float = 12
+    busiest_over_mean: float = 10  # the busiest dispatcher's requests over the mean's
--- a/pearhill/lab/capacity/units.py
+++ b/pearhill/lab/capacity/units.py
@@ -1,6 +1,9 @@
 """Units in which the capacity page's figures are converted."""
 
-from __future__ import annotations
+MICROSECONDS_PER_S = 1_000_000
+MEGABYTE = 1e6  # bytes
 
-S = 1_000_000  # microseconds
-MEGABYTE = 1e6
+
+def in_seconds(microseconds: int) -> float:
+    """The same time in seconds."""
+    return microseconds / MICROSECONDS_PER_S
--- a/pearhill/lab/capacity/wire_samples.py
+++ b/pearhill/lab/capacity/wire_samples.py
@@ -4,9 +4,9 @@
 
 from pearhill.chat.file import EurekaTable
 
-EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
+DEFAULT_EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
 # A list's entry as the platform's discovery writes it, with figures as wide as they come.
-ENTRY = {
+ENDPOINT_ENTRY = {
     "uid": "s-5be2a07c",
     "endpoint": "10.112.10.18:8080",
     "az": "a",
@@ -17,7 +17,7 @@
     "boot_ms": 1_796_187_600_000,
 }
 # An instance as Eureka's registry writes it (its public REST description), and how long it tells of a change.
-INSTANCE = {
+EUREKA_INSTANCE = {
     "instanceId": "10.112.10.18:replicas:8080",
     "hostName": "10.112.10.18",
     "app": "REPLICAS",
@@ -43,15 +43,15 @@
     "lastDirtyTimestamp": "1796187600000",
     "actionType": "MODIFIED",
 }
-DELTA_KEEPS = 180.0  # seconds; the registry's default
+EUREKA_DELTA_RETENTION_S = 180.0  # seconds; the registry's default
 # One engine in an operator's look at a dispatcher (`Talk.told`), and one tenant in the operator's file.
-TOLD = {
+REPLICA_STATUS = {
     "address": "10.112.10.18:8080",
     "avoided": False,
     "mine": {"waiting": 3815, "load": 41210},
     "others": {"waiting": 125895, "load": 1318712, "sure": 0.667},
 }
-TENANT = """[[chat.tenant]]\nname = "lycee-tiznit-0123"\nkeys = ["1f0c9a2e5b7d4c3a$%s"]\nmodels = ["help-desk"]
+TENANT_TABLES = """[[chat.tenant]]\nname = "lycee-tiznit-0123"\nkeys = ["1f0c9a2e5b7d4c3a$%s"]\nmodels = ["help-desk"]
 
 [[budgets.tenant]]\nname = "lycee-tiznit-0123"\ntokens_per_min = 60000\nburst_tokens = 30000\nweight = 2.0\n
 """ % ("0" * 64)
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,10 +10,10 @@
 
 from pearhill.config import ConfigError
 from pearhill.lab import capacity as c
-from pearhill.membership.byte_budget import MAX_BYTES_PER_S
+from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from tests.standins import ROOT
 
-SIZE = c.Size()
+SIZE = c.FleetSize()
 COST = {
     "cpu_cores": 0.008,
     "bytes_in_s": 3000.0,
@@ -88,15 +88,15 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.root = pathlib.Path(folder.name)
-        (self.root / c.RESULTS).mkdir(parents=True)
+        (self.root / c.RESULTS_FOLDER).mkdir(parents=True)
 
     def put(self, name: str, told: Any) -> None:
         text = told if isinstance(told, str) else json.dumps(told)
-        (self.root / c.RESULTS / f"{name}.json").write_text(text)
+        (self.root / c.RESULTS_FOLDER / f"{name}.json").write_text(text)
 
     def page(self) -> str:
-        c.write(self.root)
-        return (self.root / c.PAGE).read_text()
+        c.write_pages(self.root)
+        return (self.root / c.PAGE_PATH).read_text()
 
 
 class Committed(unittest.TestCase):
@@ -104,12 +104,16 @@
 
     def test_the_page_is_what_its_results_make_of_it(self):
         again = "differs from its results: run `pearhill lab scale --page`"
-        self.assertEqual((ROOT / c.PAGE).read_text(), c.page(c.read(ROOT / c.RESULTS)), f"{c.PAGE} {again}")
-        told = (ROOT / c.NOTE).read_text()
-        self.assertEqual(told, c.note(told), f"{c.NOTE} {again}")
+        self.assertEqual(
+            (ROOT / c.PAGE_PATH).read_text(),
+            c.render_page(c.read_results(ROOT / c.RESULTS_FOLDER)),
+            f"{c.PAGE_PATH} {again}",
+        )
+        told = (ROOT / c.NOTE_PATH).read_text()
+        self.assertEqual(told, c.update_note(told), f"{c.NOTE_PATH} {again}")
 
     def test_each_mechanism_is_a_file_or_package_or_said_to_be_missing(self):
-        rows = list(c.mechanisms((ROOT / c.PAGE).read_text()))
+        rows = list(c.duty_carriers((ROOT / c.PAGE_PATH).read_text()))
         self.assertGreater(len(rows), 50)
         lost = {
             f"{duty}: {name}"
@@ -126,45 +130,48 @@
             "| a | b | carried by |\n| --- | --- | --- |\n| 1 | x | `pearhill/a.py`, `pearhill/b` |\n"
             "| 2 | x | missing: all |\n| 3 | x |  |\n\n| a | b |\n| --- | --- |\n| 4 | `x` |\n"
         )
-        self.assertEqual(list(c.mechanisms(text)), [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])])
+        self.assertEqual(list(c.duty_carriers(text)), [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])])
 
 
 class Arithmetic(unittest.TestCase):
     def test_the_operators_figures(self):
-        w = c.Worked(SIZE)
+        w = c.Estimates(SIZE)
         for what, found, theirs, off in (
-            ("requests", w.requests, 45, 0.02),
-            ("heavy", w.requests * 10, 450, 0.02),
-            ("tokens", w.tokens, 10_300, 0.01),
+            ("requests", w.requests_s, 45, 0.02),
+            ("heavy", w.requests_s * 10, 450, 0.02),
+            ("tokens", w.tokens_s, 10_300, 0.01),
             ("streams", w.streams, 260, 0.01),
-            ("readers", w.readers, 273, 0),
-            ("writers", w.writers, 667, 0),
-            ("streams a writer", w.writer_streams, 128, 0.01),
-            ("GB a request", w.prompt_gb, 0.5, 0),
+            ("readers", w.prefill_replicas, 273, 0),
+            ("writers", w.decode_replicas, 667, 0),
+            ("streams a writer", w.streams_per_decode_replica, 128, 0.01),
+            ("GB a request", w.transferred_gb_per_request, 0.5, 0),
         ):
             with self.subTest(what):
                 self.assertAlmostEqual(found, theirs, delta=theirs * off)
 
     def test_a_fleet_of_uneven_traffic_has_the_same_requests(self):
-        least, most = c.Worked(SIZE).uneven()
+        least, most = c.Estimates(SIZE).uneven_requests_s()
         self.assertAlmostEqual(330 / 20 * (19 * least + most), 15_000)
         self.assertAlmostEqual(most / least, 10)
 
     def test_reports_stay_within_their_budget_and_full_talk_does_not(self):
-        w = c.Worked(SIZE)
+        w = c.Estimates(SIZE)
         for times in (0.1, 1.0, 10.0):
             with self.subTest(times):
-                told = w.told(times)  # one exchange more or less falls into what is counted
-                self.assertLess(told.bytes_s, MAX_BYTES_PER_S + (told.up + told.down) * c.S / c.COUNTED)
-        self.assertGreater(w.talk_bytes_s, 10 * SIZE.control_bytes_s)
-        self.assertLessEqual(c.talk_bytes(48), 1400 + c.HEADER_BYTES)
+                told = w.report_traffic(times)  # one exchange more or less falls into what is counted
+                self.assertLess(
+                    told.bytes_s,
+                    MAX_BYTES_PER_S + (told.report_bytes + told.sums_bytes) * c.MICROSECONDS_PER_S / c.COUNTED_US,
+                )
+        self.assertGreater(w.gossip_bytes_s, 10 * SIZE.control_bytes_s)
+        self.assertLessEqual(c.gossip_datagram_bytes(48), 1400 + HEADER_BYTES)
 
     def test_a_gauge_is_a_byte_at_the_most_and_next_to_nothing_where_no_work_is(self):
-        few, many = c.told(300, 0, 10, 0), c.told(300, 0, 300, 0)
-        self.assertLess(few.up, 38 + 10 + 200)
-        self.assertLess(many.up, 300 + 200)
-        self.assertGreater(many.up, few.up + 100)
-        self.assertLess(max(few.down, many.down), 300 + 200)
+        few, many = c.count_report_traffic(300, 0, 10, 0), c.count_report_traffic(300, 0, 300, 0)
+        self.assertLess(few.report_bytes, 38 + 10 + 200)
+        self.assertLess(many.report_bytes, 300 + 200)
+        self.assertGreater(many.report_bytes, few.report_bytes + 100)
+        self.assertLess(max(few.sums_bytes, many.sums_bytes), 300 + 200)
 
 
 class Pages(Made):
@@ -195,9 +202,9 @@
             result(
                 points=[point(), point(dispatchers=20, replicas=60, aggregator=None)],
                 slopes=[
-                    slope(c.TALK, "cpu_cores", 0.09),
-                    slope(c.TALK, "bytes_in_s", 50e3),
-                    slope(c.TALK, "bytes_out_s", 40e3),
+                    slope(c.GOSSIP, "cpu_cores", 0.09),
+                    slope(c.GOSSIP, "bytes_in_s", 50e3),
+                    slope(c.GOSSIP, "bytes_out_s", 40e3),
                 ],
                 choice=[{"replicas": 60, "ms": 0.24, "remembered_bytes": 650.0}, {"replicas": 940, "ms": 3.3}],
                 checks=[
@@ -261,10 +268,10 @@
             "talk",
             result(
                 points=[
-                    point(way=c.TALK, dispatchers=80, replicas=60, aggregator=None),
-                    point(way=c.TALK, dispatchers=20, replicas=940, aggregator=None, busy=True),
+                    point(way=c.GOSSIP, dispatchers=80, replicas=60, aggregator=None),
+                    point(way=c.GOSSIP, dispatchers=20, replicas=940, aggregator=None, busy=True),
                 ],
-                slopes=[slope(c.TALK, "cpu_cores", 0.41)],
+                slopes=[slope(c.GOSSIP, "cpu_cores", 0.41)],
             ),
         )
         page = self.page()
@@ -272,14 +279,14 @@
         self.assertNotIn("41% of a core (slope", page)
 
     def test_the_larger_need_comes_first_and_what_nothing_carries_before_it(self):
-        self.put("a", result(slopes=[slope(c.TALK, "cpu_cores", 1.1), slope(c.TALK, "memory_bytes", 16e6)]))
-        made = c.needs(c.Worked(SIZE), c.Runs(c.read(self.root / c.RESULTS), SIZE))
+        self.put("a", result(slopes=[slope(c.GOSSIP, "cpu_cores", 1.1), slope(c.GOSSIP, "memory_bytes", 16e6)]))
+        made = c.requirements(c.Estimates(SIZE), c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE))
         carried = [n for n in made if n.carried_by]
         self.assertEqual(carried, made[len(made) - len(carried) :])
-        self.assertAlmostEqual(carried[0].over or 0, 100)
-        known = [n.over for n in carried if n.over is not None]
+        self.assertAlmostEqual(carried[0].ratio or 0, 100)
+        known = [n.ratio for n in carried if n.ratio is not None]
         self.assertEqual(known, sorted(known, reverse=True))
-        self.assertTrue(all(n.over is None for n in carried[len(known) :]))
+        self.assertTrue(all(n.ratio is None for n in carried[len(known) :]))
 
     def test_the_later_run_counts_a_busy_one_does_not_and_a_point_goes_before_a_slope(self):
         def cores(value: float, **told: Any) -> dict[str, Any]:
@@ -295,12 +302,12 @@
             ),
         )
         self.put("c-busy", result("2026-12-03T00:00:00Z", points=[cores(0.003, busy=True)]))
-        runs = c.Runs(c.read(self.root / c.RESULTS), SIZE)
-        self.assertEqual(runs.found(c.AGGREGATORS, "dispatcher", "cpu_cores"), c.Found(0.002, "a-late"))
+        runs = c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE)
+        self.assertEqual(runs.figure(c.AGGREGATORS, "dispatcher", "cpu_cores"), c.SourcedFigure(0.002, "a-late"))
         self.assertIn("| busy |", self.page())
 
     def test_the_notes_table_is_made_anew_and_nothing_else_of_it(self):
-        path = self.root / c.NOTE
+        path = self.root / c.NOTE_PATH
         path.parent.mkdir(parents=True)
         form = (
             "before\n<!-- weighed: pearhill lab scale --page -->\n{}<!-- /weighed -->\n"
@@ -308,10 +315,10 @@
         )
         path.write_text(form.format("old\n", ""))
         self.page()
-        self.assertEqual(path.read_text(), form.format(c.weighed(), c.times()))
+        self.assertEqual(path.read_text(), form.format(c.mechanisms_table(), c.protocol_times_table()))
         path.write_text("no table")
         with self.assertRaisesRegex(ConfigError, "capacity.md: found no table of weighed; allowed: one between"):
-            c.write(self.root)
+            c.write_pages(self.root)
 
 
 class BadResults(Made):
@@ -344,4 +351,4 @@
             with self.subTest(what):
                 self.put("bad", told)
                 with self.assertRaisesRegex(ConfigError, complaint):
-                    c.write(self.root)
+                    c.write_pages(self.root)
