--- a/pearhill/lab/capacity/design_note.py
+++ b/pearhill/lab/capacity/design_note.py
@@ -10,6 +10,7 @@
     format_duration,
     format_number,
 )
+from pearhill.lab.capacity.mechanisms import compare_mechanisms
 from pearhill.lab.capacity.size import FleetSize
 from pearhill.lab.capacity.units import MICROSECONDS_PER_S, in_seconds
 from pearhill.membership.aggregation_messages import (
@@ -58,7 +59,7 @@
             o.coverage,
             o.without_aggregators,
         )
-        for o in Estimates(size).mechanisms
+        for o in compare_mechanisms(Estimates(size))
     ]
     return "".join(f"| {' | '.join(row)} |\n" for row in (head, ("---",) * 6, *rows))
 
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -5,12 +5,8 @@
 import json
 import math
 from dataclasses import dataclass
-from functools import cached_property
 
 from pearhill.http1 import messages
-from pearhill.lab.capacity.formatting import (
-    format_duration,
-)
 from pearhill.lab.capacity.gossip_traffic import gossip_datagram_bytes
 from pearhill.lab.capacity.report_traffic import (
     ReportTraffic,
@@ -33,14 +29,12 @@
     AGGREGATOR_TICK_US,
     MEMBER_LIST_INTERVAL_US,
 )
-from pearhill.membership.byte_budget import HEADER_BYTES
 from pearhill.membership.members import (
     GOSSIP_TICK_US,
     MAX_PINGS_PER_TICK,
     MIN_PINGS_PER_TICK,
     TICKS_PER_ROUND,
 )
-from pearhill.membership.message_authenticator import TAG_BYTES
 from pearhill.net.calls import MAX_COLLECTED_BYTES
 from pearhill.node.limits import RESERVED_DESCRIPTORS
 from pearhill.platform.schedule import (
@@ -52,8 +46,15 @@
 from pearhill.routing.prefix_affinity import MAX_CACHED_AGE_US, MAX_CACHED_PREFIXES
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
-HOP_DELAY_S = 0.005  # seconds, assumed: for one dispatcher to pass a word on, its way and a turn of a busy loop
-DELTA_BYTES = 5  # bytes: a slot and a signed gauge in MessagePack
+
+@dataclass(frozen=True, slots=True)
+class SumsAge:
+    """How old the sums are that a dispatcher uses, by where the summed work lies, without the network's delay."""
+
+    own_region_mean_s: float
+    own_region_worst_s: float
+    other_regions_mean_s: float
+    other_regions_worst_s: float
 
 
 @dataclass(frozen=True)
@@ -224,15 +225,18 @@
             members * one.bytes_s + parts * one.partial_sum_bytes + roster,
         )
 
-    def sums_age_s(self, times: float = 1.0) -> tuple[float, float, float, float]:
-        """Of word by way of control machines, without the way itself: own region's mean and worst, others' mean and
-        worst. It waits for a report, (for a part,) for the sums to be made, and for the next answer."""
-        one, part, made = (
-            1 / self.report_traffic(times).reports_s,
-            in_seconds(AGGREGATOR_TICK_US),
-            snapshot_interval_s(self.size.replicas),
+    def sums_age_s(self, times: float = 1.0) -> SumsAge:
+        """Of a dispatcher with so many times the mean's traffic. A figure waits for the next report, from another
+        region also for the next partial sum, then for the sums to be made, and for the next answer."""
+        report_s = 1 / self.report_traffic(times).reports_s
+        partial_sum_s = in_seconds(AGGREGATOR_TICK_US)
+        snapshot_s = snapshot_interval_s(self.size.replicas)
+        return SumsAge(
+            own_region_mean_s=report_s + snapshot_s / 2,
+            own_region_worst_s=2 * report_s + snapshot_s,
+            other_regions_mean_s=report_s + partial_sum_s / 2 + snapshot_s / 2,
+            other_regions_worst_s=2 * report_s + partial_sum_s + snapshot_s,
         )
-        return one + made / 2, 2 * one + made, one + part / 2 + made / 2, 2 * one + part + made
 
     # Replicas.
 
@@ -307,105 +311,3 @@
     @property
     def role_changes_per_day(self) -> float:
         return self.size.replicas * self.size.prefill_share / 2
-
-    # The mechanisms weighed in docs/design/capacity.md.
-
-    @cached_property
-    def mechanisms(self) -> list[Mechanism]:
-        """Ages are those of the word in use at a choice, the next region's way not counted: half the time between two
-        words, and what a word waits for on its way. Assumed for chains: `HOP` for each dispatcher that passes it on."""
-        size, all_left, own = self.size, "all of it", "one's own work alone"
-        budget, vector = size.control_bytes_s, self.report_traffic().sums_bytes
-        made = []
-        seen = f"of {self.busy_replicas()[0]:.0f} engines where a dispatcher has work"
-        for name, rows, pings in (
-            ("full talk, as today", MAX_ROWS, self.pings_s),
-            ("talk thinned to the bound", MAX_ROWS, budget / 4 / gossip_datagram_bytes(MAX_ROWS)),
-            ("the same with shorter digests", 12, budget / 4 / gossip_datagram_bytes(12)),
-        ):
-            turn = (size.dispatchers - 1) / pings  # a round, in which each is heard twice, at any time of it
-            made.append(
-                Mechanism(
-                    f"{name}, a round of {format_duration(turn)}",
-                    4 * pings * gossip_datagram_bytes(rows),
-                    turn / 3,
-                    2 * turn,
-                    f"{rows} {seen}",
-                    all_left,
-                )
-            )
-        for fan in (2, 4):
-            depth = math.ceil(math.log(size.dispatchers * (fan - 1) + 1, fan)) - 1
-            beat, wave = 2 * (fan + 1) * vector / budget, 2 * depth * HOP_DELAY_S
-            made.append(
-                Mechanism(
-                    f"a tree, {fan} below each, a wave each {format_duration(beat)}",
-                    budget,
-                    wave + beat / 2,
-                    wave + beat,
-                    "all engines",
-                    "all of it, but each that falls takes those below along",
-                )
-            )
-        lap = size.dispatchers * HOP_DELAY_S
-        made.append(
-            Mechanism(
-                f"a ring, a lap of {format_duration(lap)}",
-                2 * vector / lap,
-                lap,
-                2 * lap,
-                "all engines",
-                "all of it, but each that stalls or falls stops it",
-            )
-        )
-        for times in (1.0, size.busiest_over_mean):
-            each = self.report_traffic(times).reports_s
-            changes = 4 * self.requests_s * times / each  # a begin and an end at two stages
-            up = min(changes * DELTA_BYTES, 2 * size.replicas) + HEADER_BYTES + 1 + TAG_BYTES + 60
-            made.append(
-                Mechanism(
-                    f"by region, deltas up, {times:g} times the mean's traffic",
-                    (up + vector) * each,
-                    *self.sums_age_s(times)[2:],
-                    "all engines, wrong from a lost delta until both agree",
-                    own,
-                )
-            )
-        for times in (1.0, size.busiest_over_mean):
-            made.append(
-                Mechanism(
-                    f"**by region, gauges up**, {times:g} times the mean's traffic",
-                    self.report_traffic(times).bytes_s,
-                    *self.sums_age_s(times)[2:],
-                    "all engines",
-                    own,
-                )
-            )
-        near, (work, reads) = size.replicas // size.regions, self.busy_replicas()
-        lean = count_report_traffic(
-            near, self.prefill_replicas // size.regions, round(work / size.regions), round(reads / size.regions)
-        )
-        made.append(
-            Mechanism(
-                "by region, its own replicas alone",
-                lean.bytes_s,
-                1 / lean.reports_s + snapshot_interval_s(near) / 2,
-                2 / lean.reports_s + snapshot_interval_s(near),
-                f"{near} of {size.replicas} engines",
-                own,
-            )
-        )
-        return made
-
-
-@dataclass(frozen=True, slots=True)
-class Mechanism:
-    """One mechanism at the size. `bytes_s`: both ways, at the dispatcher that has most of it; seconds of `age` and
-    `worst` without loss and the way itself; `left`: with all control machines gone."""
-
-    name: str
-    bytes_s: float
-    mean_age_s: float
-    worst_age_s: float
-    coverage: str
-    without_aggregators: str
