--- a/pearhill/lab/capacity/requirements.py
+++ b/pearhill/lab/capacity/requirements.py
@@ -111,7 +111,7 @@
     made.append(
         Requirement(
             "a tenant's guarantee, its clients in one zone",
-            f"1/{size.zones} of it is held by its " f"{estimates.zone_failure['dispatchers']:.0f} dispatchers",
+            f"1/{size.zones} of it is held by its " f"{estimates.zone_failure.dispatchers:.0f} dispatchers",
             "all of it",
             float(size.zones),
             "worked out",
--- a/pearhill/lab/capacity/units.py
+++ b/pearhill/lab/capacity/units.py
@@ -1,6 +1,7 @@
 """Units in which the capacity page's figures are converted."""
 
 MICROSECONDS_PER_S = 1_000_000
+SECONDS_PER_DAY = 86_400
 MEGABYTE = 1e6  # bytes
 
 
