--- a/pearhill/lab/capacity/requirements.py
+++ b/pearhill/lab/capacity/requirements.py
@@ -1,8 +1,8 @@
-"""Needs that have a bound, and how far each goes over it."""
+"""Requirements that have a bound, and how far each goes over it."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
 from pearhill.lab.capacity.estimates import Estimates
@@ -14,16 +14,22 @@
     format_duration,
     format_number,
 )
-from pearhill.lab.capacity.results import (
-    AGGREGATORS,
-    GOSSIP,
-)
+from pearhill.lab.capacity.results import AGGREGATORS, GOSSIP
 from pearhill.lab.capacity.runs import Runs
 
+FEW_REPLICAS = 60  # the count of replicas that a choice among all of them is compared with
+WORKED_OUT = "worked out"  # the source of a figure that no run has measured
+SCHEDULE_FILE = "`pearhill/platform/schedule.py`"
+ROUTER_FILE = "`pearhill/routing/router.py`"
+
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One need, its bound, and what carries it; empty: nothing does."""
+    """One row of the table of requirements and bounds, as text.
+
+    `ratio`: required over bound, None where it was not measured. `source`: the run that measured it, empty for none.
+    `carried_by`: the file that does it, empty where nothing does.
+    """
 
     subject: str
     required: str
@@ -33,99 +39,123 @@
     carried_by: str
 
 
+@dataclass(frozen=True, slots=True)
+class Limit:
+    """What the operators allow one role of a quantity that runs measure."""
+
+    role: str
+    name: str
+    quantity: str
+    bound: float
+    format: Callable[[float], str]
+
+
 def requirements(estimates: Estimates, runs: Runs) -> list[Requirement]:
-    """All needs that have a bound, the worst first; those that nothing carries before all."""
-    size, made = estimates.size, list[Requirement]()
-    limits: list[tuple[str, str, str, float, Callable[[float], str]]] = [
-        ("dispatcher", "processor time", "cpu_cores", size.control_cores, format_cores),
-        ("dispatcher", "bytes, both ways", "bytes_s", size.control_bytes_s, format_byte_rate),
-        ("dispatcher", "memory", "memory_bytes", size.control_bytes, format_bytes),
-        ("aggregator", "processor time", "cpu_cores", size.aggregator_cores, format_cores),
-        ("aggregator", "memory", "memory_bytes", size.aggregator_bytes, format_bytes),
+    """All requirements that have a bound: those that nothing carries, then the others, each the largest ratio first."""
+    found = [
+        *_control(estimates, runs),
+        *_shared_discovery(estimates),
+        *_choices(estimates, runs),
+        *_not_carried(estimates),
     ]
-    ways = (
-        (GOSSIP, "full talk", "`pearhill/membership/gossip.py`"),
-        (AGGREGATORS, "reports to control machines", "`pearhill/membership/aggregator.py`"),
+    return sorted(found, key=lambda r: (bool(r.carried_by), r.ratio is None, -(r.ratio or 0.0)))
+
+
+def _control(estimates: Estimates, runs: Runs) -> Iterator[Requirement]:
+    """What gossip and reports cost each role, as measured."""
+    size = estimates.size
+    dispatcher_limits = (
+        Limit("dispatcher", "processor time", "cpu_cores", size.control_cores, format_cores),
+        Limit("dispatcher", "bytes, both ways", "bytes_s", size.control_bytes_s, format_byte_rate),
+        Limit("dispatcher", "memory", "memory_bytes", size.control_bytes, format_bytes),
     )
-    for way, name, file in ways:
-        for role, quantity, key, bound, shown in limits:
-            if role == "aggregator" and way == GOSSIP:
-                continue
-            got = runs.figure(way, role, key)
-            who = "a dispatcher's control" if role == "dispatcher" else "a control machine"
-            made.append(
-                Requirement(
-                    f"{who} with {name}: {quantity}",
-                    shown(got.value) if got else NOT_MEASURED,
-                    shown(bound),
-                    got.value / bound if got else None,
-                    got.source if got else "",
-                    file,
-                )
-            )
-    calls, span = estimates.shared_discoveries, estimates.start_spread_s
-    made.append(
-        Requirement(
-            "one discovery that all ask, slow as the bench's: its time for watches",
-            f"{format_number(calls)} services",
-            "1 service",
-            calls,
-            "worked out",
-            "`pearhill/platform/schedule.py`",
-        )
+    aggregator_limits = (
+        Limit("aggregator", "processor time", "cpu_cores", size.aggregator_cores, format_cores),
+        Limit("aggregator", "memory", "memory_bytes", size.aggregator_bytes, format_bytes),
     )
-    made.append(
-        Requirement(
-            "the same, as all dispatchers start: to spread their first calls",
-            f"{span[1]:.1f} s",
-            f"{span[0]:.1f} s",
-            span[1] / span[0],
-            "worked out",
-            "`pearhill/platform/schedule.py`",
-        )
+    for limit in dispatcher_limits:
+        yield _measured(runs, GOSSIP, "full talk", "`pearhill/membership/gossip.py`", limit)
+    for limit in dispatcher_limits + aggregator_limits:
+        yield _measured(runs, AGGREGATORS, "reports to control machines", "`pearhill/membership/aggregator.py`", limit)
+
+
+def _measured(runs: Runs, way: str, way_name: str, file: str, limit: Limit) -> Requirement:
+    figure = runs.figure(way, limit.role, limit.quantity)
+    owner = "a dispatcher's control" if limit.role == "dispatcher" else "a control machine"
+    return Requirement(
+        subject=f"{owner} with {way_name}: {limit.name}",
+        required=limit.format(figure.value) if figure else NOT_MEASURED,
+        bound=limit.format(limit.bound),
+        ratio=figure.value / limit.bound if figure else None,
+        source=figure.source if figure else "",
+        carried_by=file,
     )
-    if one := runs.choice_cost_at(size.replicas):
-        assert runs.choice_costs
-        source, cores = runs.choice_costs[0], one.ms / 1000 * estimates.requests_s * size.busiest_over_mean
-        made.append(
-            Requirement(
-                f"a request's own work: choices at {size.busiest_over_mean:g} times the mean",
-                format_cores(cores),
-                "1 core",
-                cores,
-                source,
-                "`pearhill/routing/router.py`",
-            )
-        )
-        if few := runs.choice_cost_at(60):
-            made.append(
-                Requirement(
-                    f"a request's own work: its choices at {size.replicas} over those at 60",
-                    f"{one.ms / few.ms:.1f}",
-                    "2",
-                    one.ms / few.ms / 2,
-                    source,
-                    "`pearhill/routing/router.py`",
-                )
-            )
-    made.append(
-        Requirement(
-            "a tenant's guarantee, its clients in one zone",
-            f"1/{size.zones} of it is held by its " f"{estimates.zone_failure.dispatchers:.0f} dispatchers",
-            "all of it",
-            float(size.zones),
-            "worked out",
-            "",
-        )
+
+
+def _shared_discovery(estimates: Estimates) -> Iterator[Requirement]:
+    services = estimates.shared_discoveries
+    yield Requirement(
+        subject="one discovery that all ask, slow as the bench's: its time for watches",
+        required=f"{format_number(services)} services",
+        bound="1 service",
+        ratio=services,
+        source=WORKED_OUT,
+        carried_by=SCHEDULE_FILE,
+    )
+    spread_s, required_s = estimates.start_spread_s
+    yield Requirement(
+        subject="the same, as all dispatchers start: to spread their first calls",
+        required=f"{required_s:.1f} s",
+        bound=f"{spread_s:.1f} s",
+        ratio=required_s / spread_s,
+        source=WORKED_OUT,
+        carried_by=SCHEDULE_FILE,
     )
-    made.append(
-        Requirement(
-            "a change of settings, in force everywhere",
-            "as long as it takes somebody to bring it to all",
-            format_duration(size.propagation_limit_s),
-            None,
-            "",
-            "",
+
+
+def _choices(estimates: Estimates, runs: Runs) -> Iterator[Requirement]:
+    """Nothing unless a run has measured a choice among all replicas of the size."""
+    size = estimates.size
+    among_all = runs.choice_cost_at(size.replicas)
+    if among_all is None or runs.choice_costs is None:
+        return
+    source, _ = runs.choice_costs
+    cores = among_all.ms / 1000 * estimates.requests_s * size.busiest_over_mean
+    yield Requirement(
+        subject=f"a request's own work: choices at {size.busiest_over_mean:g} times the mean",
+        required=format_cores(cores),
+        bound="1 core",
+        ratio=cores,
+        source=source,
+        carried_by=ROUTER_FILE,
+    )
+    if among_few := runs.choice_cost_at(FEW_REPLICAS):
+        growth = among_all.ms / among_few.ms
+        yield Requirement(
+            subject=f"a request's own work: its choices at {size.replicas} over those at {FEW_REPLICAS}",
+            required=f"{growth:.1f}",
+            bound="2",
+            ratio=growth / 2,
+            source=source,
+            carried_by=ROUTER_FILE,
         )
+
+
+def _not_carried(estimates: Estimates) -> Iterator[Requirement]:
+    size = estimates.size
+    yield Requirement(
+        subject="a tenant's guarantee, its clients in one zone",
+        required=f"1/{size.zones} of it is held by its {estimates.zone_failure.dispatchers:.0f} dispatchers",
+        bound="all of it",
+        ratio=float(size.zones),
+        source=WORKED_OUT,
+        carried_by="",
+    )
+    yield Requirement(
+        subject="a change of settings, in force everywhere",
+        required="as long as it takes somebody to bring it to all",
+        bound=format_duration(size.propagation_limit_s),
+        ratio=None,
+        source="",
+        carried_by="",
     )
-    return sorted(made, key=lambda n: (bool(n.carried_by), n.ratio is None, -(n.ratio or 0.0)))
