--- a/pearhill/lab/capacity/report_traffic.py
+++ b/pearhill/lab/capacity/report_traffic.py
@@ -1,43 +1,40 @@
-"""The traffic of reports to control machines, counted from the program's own protocol code."""
+"""The traffic of reports to aggregators, counted by running the program's own protocol code without I/O or loss."""
 
 from __future__ import annotations
 
 import functools
 import random
 from collections import Counter
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from pearhill.core.replica_ids import replica_id
 from pearhill.lab.capacity.units import MICROSECONDS_PER_S, in_seconds
 from pearhill.load_reports.peer_loads import ReplicaLoad
-from pearhill.membership.aggregation_messages import (
-    AggregationCodec,
-    AggregationMessage,
-    PartialSum,
-)
-from pearhill.membership.aggregator import (
-    AGGREGATOR_TICK_US,
-    Aggregator,
-)
-from pearhill.membership.aggregator_choice import (
-    AggregatorSite,
-)
+from pearhill.membership.aggregation_messages import AggregationCodec, AggregationMessage, PartialSum
+from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
+from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.byte_budget import HEADER_BYTES
 from pearhill.membership.reporter import Reporter
 from pearhill.membership.snapshots import SNAPSHOT_INTERVAL_PER_SLOT_US, SNAPSHOT_INTERVAL_US
 
-# The play of the protocol, in microseconds of its own clock.
+# Times of the simulation, in microseconds of its own clock.
+START_US = 1_796_187_600 * MICROSECONDS_PER_S
 WARM_UP_US = 15 * MICROSECONDS_PER_S
 COUNTED_US = 6 * MICROSECONDS_PER_S
 STEP_US = MICROSECONDS_PER_S // 100
 TOKENS_PER_REQUEST = 2_400
 FLEET_REQUESTS_PER_REPLICA = 128.0  # of all dispatchers
+KEY = b"k" * 32
+REGION = "r1"
+COUNTED_DISPATCHER, OTHER_DISPATCHER = "dispatcher-123", "dispatcher-321"
+COUNTED_AGGREGATOR, OTHER_AGGREGATOR = "control-1", "control-2"
 
 
 @dataclass(frozen=True, slots=True)
 class ReportTraffic:
     """Of one dispatcher: reports a second, datagrams a second both ways, and bytes of a report and of the sums that
-    answer it; of one control machine: datagrams and bytes of its sums to another. IP and UDP headers are in."""
+    answer it. Of one aggregator: datagrams and bytes of its partial sum to another. IP and UDP headers are counted."""
 
     reports_s: float
     datagrams_s: float
@@ -48,75 +45,113 @@
 
     @property
     def bytes_s(self) -> float:
+        """Bytes a second of one dispatcher, both ways."""
         return self.reports_s * (self.report_bytes + self.sums_bytes)
 
 
-@functools.cache
-def count_report_traffic(engines: int, readers: int, work: int, reads: int) -> ReportTraffic:
-    """The reporters' and aggregators' own code, free of I/O, nothing lost: one dispatcher with work at so many engines,
-    prompts to be read at some of them, and another one whose work is as the fleet's, if requests fall anywhere alike.
-    Counted once the table is told."""
-    sites = [AggregatorSite("control-1", "r1"), AggregatorSite("control-2", "r2")]
-    start, codec, rng = 1_796_187_600 * MICROSECONDS_PER_S, AggregationCodec([b"k" * 32]), random.Random(1)
-    hubs = {site.name: Aggregator(site.name, [s.name for s in sites], start, random.Random(2)) for site in sites}
-
-    def rows(count: int, reading: int, each: float) -> list[ReplicaLoad]:
-        """`each`: requests at one engine. Danger: alike to the token, gauges would be packed into nothing."""
-        drawn = [
-            sum(rng.uniform(0.6, 1.4) for _ in range(max(1, round(rng.gauss(each, each**0.5))))) * TOKENS_PER_REQUEST
-            for _ in range(count)
-        ]
-        return [
-            ReplicaLoad(replica_id(f"s-{k}"), int(load) if k < reading else 0, int(load))
-            for k, load in enumerate(drawn)
-        ]
-
-    mine, all_ = rows(work, reads, 1.0), rows(engines, readers, FLEET_REQUESTS_PER_REPLICA)
-    me, control = "dispatcher-123", "control-1"
-    reporters = {
-        me: Reporter(me, "r1", sites, start, random.Random(3), lambda: mine),
-        "dispatcher-321": Reporter("dispatcher-321", "r1", sites, start, random.Random(4), lambda: all_),
-    }
-    sent: Counter[str] = Counter()
-    sizes: Counter[str] = Counter()
-
-    def pass_on(now: int, frames: list[AggregationMessage]) -> None:
-        for frame in frames:
-            size = len(codec.pack(frame))
-            if frame.sender in reporters:
-                reporters[frame.sender].sent(size)
-            if now >= start + WARM_UP_US and (
-                me in (frame.sender, frame.to) or (frame.sender == control and isinstance(frame, PartialSum))
-            ):
-                kind = type(frame).__name__
-                sent[kind] += 1
-                sent[f"{kind}s"] += not getattr(frame, "part", 0)
-                sizes[kind] += size + HEADER_BYTES
-            pass_on(
-                now,
-                hubs[frame.to].receive(now, frame)
-                if frame.to in hubs
-                else reporters[frame.to].receive(now, frame, size),
+class ReportSimulation:
+    """Two dispatchers report to two aggregators by an event clock; the traffic of one of each is counted.
+
+    `own_loads`: the work of the counted dispatcher; `other_loads`: of the other one, as large as the whole fleet's.
+    """
+
+    def __init__(self, own_loads: list[ReplicaLoad], other_loads: list[ReplicaLoad]) -> None:
+        sites = [AggregatorSite(COUNTED_AGGREGATOR, REGION), AggregatorSite(OTHER_AGGREGATOR, REGION)]
+        names = [site.name for site in sites]
+        self.codec = AggregationCodec([KEY])
+        self.aggregators = {name: Aggregator(name, names, START_US, random.Random(2)) for name in names}
+        self.reporters = {
+            name: Reporter(name, REGION, sites, START_US, random.Random(seed), loads)
+            for name, seed, loads in (
+                (COUNTED_DISPATCHER, 3, lambda: own_loads),
+                (OTHER_DISPATCHER, 4, lambda: other_loads),
             )
+        }
+        self.datagrams: Counter[str] = Counter()  # by kind of message
+        self.messages: Counter[str] = Counter()  # the same, with all datagrams of one message counted once
+        self.bytes: Counter[str] = Counter()
+
+    def run(self) -> None:
+        """Simulate the warm-up and the time that is counted."""
+        for now in range(START_US, START_US + WARM_UP_US + COUNTED_US, STEP_US):
+            for reporter in self.reporters.values():
+                if reporter.next_tick(now) <= now:
+                    self._deliver(now, reporter.tick(now))
+            if (now - START_US) % AGGREGATOR_TICK_US == 0:
+                for aggregator in self.aggregators.values():
+                    self._deliver(now, aggregator.tick(now))
+
+    def known_replicas(self) -> int:
+        """Replicas in the counted aggregator's table of slots."""
+        replicas: int = self.aggregators[COUNTED_AGGREGATOR].figures(START_US + WARM_UP_US)["engines"]
+        return replicas
+
+    def traffic(self) -> ReportTraffic:
+        """Means over the time that was counted."""
+        reports, partial_sums = self.messages["Report"], self.messages["PartialSum"]
+        counted_s = in_seconds(COUNTED_US)
+        return ReportTraffic(
+            reports_s=reports / counted_s,
+            datagrams_s=(self.datagrams["Report"] + self.datagrams["Sums"]) / counted_s,
+            report_bytes=self.bytes["Report"] / reports,
+            sums_bytes=self.bytes["Sums"] / reports,
+            partial_sum_datagrams=self.datagrams["PartialSum"] / partial_sums,
+            partial_sum_bytes=self.bytes["PartialSum"] / partial_sums,
+        )
+
+    def _deliver(self, now: int, messages: Iterable[AggregationMessage]) -> None:
+        for message in messages:
+            size = len(self.codec.pack(message))
+            if message.sender in self.reporters:
+                self.reporters[message.sender].sent(size)
+            if now >= START_US + WARM_UP_US and self._is_counted(message):
+                self._count(message, size)
+            if message.to in self.aggregators:
+                answers = self.aggregators[message.to].receive(now, message)
+            else:
+                answers = self.reporters[message.to].receive(now, message, size)
+            self._deliver(now, answers)
+
+    def _is_counted(self, message: AggregationMessage) -> bool:
+        if COUNTED_DISPATCHER in (message.sender, message.to):
+            return True
+        return message.sender == COUNTED_AGGREGATOR and isinstance(message, PartialSum)
+
+    def _count(self, message: AggregationMessage, size: int) -> None:
+        kind = type(message).__name__
+        self.datagrams[kind] += 1
+        self.messages[kind] += not getattr(message, "part", 0)
+        self.bytes[kind] += size + HEADER_BYTES
+
+
+def _drawn_loads(rng: random.Random, replicas: int, prefilling: int, requests: float) -> list[ReplicaLoad]:
+    """Work at so many replicas, with about `requests` at each, prompts to be read at the first `prefilling` of them.
+
+    The loads are drawn because equal ones would be compressed to almost nothing.
+    """
+    loads = [
+        sum(rng.uniform(0.6, 1.4) for _ in range(max(1, round(rng.gauss(requests, requests**0.5)))))
+        * TOKENS_PER_REQUEST
+        for _ in range(replicas)
+    ]
+    return [
+        ReplicaLoad(replica_id(f"s-{k}"), int(load) if k < prefilling else 0, int(load)) for k, load in enumerate(loads)
+    ]
 
-    for now in range(start, start + WARM_UP_US + COUNTED_US, STEP_US):
-        for reporter in reporters.values():
-            if reporter.next_tick(now) <= now:
-                pass_on(now, reporter.tick(now))
-        for hub in hubs.values() if not (now - start) % AGGREGATOR_TICK_US else ():
-            pass_on(now, hub.tick(now))
-    assert hubs[control].figures(start + WARM_UP_US)["engines"] == engines, "the table is not told yet"
-    reports, seconds_ = sent["Reports"], in_seconds(COUNTED_US)
-    return ReportTraffic(
-        reports / seconds_,
-        (sent["Report"] + sent["Sums"]) / seconds_,
-        sizes["Report"] / reports,
-        sizes["Sums"] / reports,
-        sent["PartialSum"] / sent["PartialSums"],
-        sizes["PartialSum"] / sent["PartialSums"],
-    )
+
+@functools.cache
+def count_report_traffic(replicas: int, prefill_replicas: int, busy: int, prefilling: int) -> ReportTraffic:
+    """The traffic of a dispatcher with work at `busy` replicas, at `prefilling` of which prompts are to be read, in a
+    fleet with work at all replicas. Counted once the table of slots is known."""
+    rng = random.Random(1)
+    own_loads = _drawn_loads(rng, busy, prefilling, 1.0)
+    fleet_loads = _drawn_loads(rng, replicas, prefill_replicas, FLEET_REQUESTS_PER_REPLICA)
+    simulation = ReportSimulation(own_loads, fleet_loads)
+    simulation.run()
+    assert simulation.known_replicas() == replicas, "the table of slots is not complete yet"
+    return simulation.traffic()
 
 
 def snapshot_interval_s(replicas: int) -> float:
-    """Seconds for which a control machine hands out the same sums."""
+    """Seconds for which an aggregator hands out the same sums."""
     return max(SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * replicas) / MICROSECONDS_PER_S
