--- a/pearhill/lab/capacity/fault_rows.py
+++ b/pearhill/lab/capacity/fault_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the page's tables about troubles that runs have played."""
+"""Rows and cells of the page's tables about faults that runs have injected."""
 
 from __future__ import annotations
 
@@ -13,59 +13,70 @@
     format_number,
     table_cell,
 )
-from pearhill.lab.capacity.results import (
-    PlayedFault,
+from pearhill.lab.capacity.results import InjectedFault
+
+FLEET_FIGURES = ("way", "dispatchers", "replicas", "lasted_s")
+COLUMN_FIGURES = (
+    "count_wrong_s",
+    "sums_wrong_s",
+    "list_wrong_s",
+    "sums_least",
+    "sums_most",
+    "right_at_the_end",
+    "worst_beat_ms",
 )
 
 
 def format_figure(name: str, value: Any) -> str:
-    """One of a trouble's figures; its name tells the unit."""
+    """One of a fault's figures, in the unit that its name tells."""
     if isinstance(value, bool):
         return "yes" if value else "**no**"
+    if value is None:
+        return NOT_MEASURED
     if not isinstance(value, int | float):
-        return NOT_MEASURED if value is None else str(value)
-    if name.startswith("bytes_") or name.startswith("cpu_cores"):
-        return format_byte_rate(value) if name.startswith("bytes_") else format_cores(value)
-    return f"{format_number(value)}{' ms' if '_ms' in name else ' s' if name.endswith('_s') else ''}"
+        return str(value)
+    if name.startswith("bytes_"):
+        return format_byte_rate(value)
+    if name.startswith("cpu_cores"):
+        return format_cores(value)
+    return f"{format_number(value)}{_time_unit(name)}"
 
 
-def fault_columns(trouble: PlayedFault) -> list[str]:
-    """A trouble's row: what it was, what is told of all, and the rest by name."""
-    f = trouble.figures
-    own = ("way", "dispatchers", "replicas", "lasted_s")
-    first = (
-        "count_wrong_s",
-        "sums_wrong_s",
-        "list_wrong_s",
-        "sums_least",
-        "sums_most",
-        "right_at_the_end",
-        "worst_beat_ms",
-    )
-    rest = "; ".join(
+def _time_unit(name: str) -> str:
+    if "_ms" in name:
+        return " ms"
+    return " s" if name.endswith("_s") else ""
+
+
+def fault_columns(fault: InjectedFault) -> list[str]:
+    """A fault's row: kind, fleet, speed-up, duration, the figures that have a column, and the others by name."""
+    figures = fault.figures
+    others = "; ".join(
         f"{re.sub('_(ms|s)(?=_|$)', '', name).replace('_', ' ')} {format_figure(name, value)}"
-        for name, value in f.items()
-        if name not in own + first
+        for name, value in figures.items()
+        if name not in FLEET_FIGURES + COLUMN_FIGURES
     )
     row = [
-        trouble.kind,
-        f"{f.get('way', '')} {f.get('dispatchers', '?')} x {f.get('replicas', '?')}",
-        "no" if trouble.factor == 1 else f"{format_number(trouble.factor)} times",
-        format_figure("lasted_s", f.get("lasted_s")),
-        *(format_figure(name, f.get(name)) for name in first),
-        rest,
+        fault.kind,
+        f"{figures.get('way', '')} {figures.get('dispatchers', '?')} x {figures.get('replicas', '?')}",
+        "no" if fault.factor == 1 else f"{format_number(fault.factor)} times",
+        format_figure("lasted_s", figures.get("lasted_s")),
+        *(format_figure(name, figures.get(name)) for name in COLUMN_FIGURES),
+        others,
     ]
     return [table_cell(text) for text in row]
 
 
-def fault_summary(trouble: PlayedFault) -> str:
-    """In a few words: the fleet, and for how long its counts or sums were wrong."""
-    _, fleet, fast, lasted, *_ = fault_columns(trouble)
-    wrong = (
-        "no time told"
-        if trouble.for_s is None
-        else "counts and sums right at every look"
-        if (trouble.for_s == 0)
-        else f"counts or sums wrong for {format_duration(trouble.for_s)}"
-    )
-    return f"{fleet}, {lasted}{'' if trouble.factor == 1 else f', sped up {fast}'}: {wrong}"
+def fault_summary(fault: InjectedFault) -> str:
+    """In a few words: the fleet, the duration, and for how long counts or sums were wrong."""
+    _, fleet, speed_up, lasted, *_ = fault_columns(fault)
+    sped_up = "" if fault.factor == 1 else f", sped up {speed_up}"
+    return f"{fleet}, {lasted}{sped_up}: {_wrong_for(fault.for_s)}"
+
+
+def _wrong_for(wrong_s: float | None) -> str:
+    if wrong_s is None:
+        return "no time told"
+    if wrong_s == 0:
+        return "counts and sums right at every look"
+    return f"counts or sums wrong for {format_duration(wrong_s)}"
--- a/pearhill/lab/capacity/formatting.py
+++ b/pearhill/lab/capacity/formatting.py
@@ -1,25 +1,30 @@
-"""Figures with their units, as the capacity page writes them."""
+"""Figures with their units, as the capacity page writes them: about three digits each."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
 
-from pearhill.lab.capacity.results import (
-    Percentiles,
-)
+from pearhill.lab.capacity.results import Percentiles
 
 NOT_MEASURED = "not measured"
+LARGEST_SHARE_OF_ONE = 0.995  # from here on a share is written as a whole
+SECONDS_BEFORE_MINUTES = 120
 
 
 def format_number(value: float) -> str:
-    """Three figures, or whole where it is large."""
+    """Three digits, or all digits before the point where there are more."""
     if abs(value) >= 100 or value == round(value, 0):
         return f"{value:,.0f}"
-    return f"{value:.1f}" if abs(value) >= 10 else f"{value:.2f}" if abs(value) >= 1 else f"{value:.3g}"
+    if abs(value) >= 10:
+        return f"{value:.1f}"
+    if abs(value) >= 1:
+        return f"{value:.2f}"
+    return f"{value:.3g}"
 
 
 def format_bytes(value: float) -> str:
+    """Bytes in the largest decimal unit that leaves one or more: 1 KB is 1,000 bytes."""
     for unit, size in (("TB", 1e12), ("GB", 1e9), ("MB", 1e6), ("KB", 1e3)):
         if abs(value) >= size:
             return f"{format_number(value / size)} {unit}"
@@ -27,51 +32,56 @@
 
 
 def format_byte_rate(value: float) -> str:
+    """Bytes a second, in the units of `format_bytes`."""
     return f"{format_bytes(value)}/s"
 
 
 def format_cores(value: float) -> str:
-    return (
-        f"{format_number(value)} cores"
-        if value >= 2
-        else f"{value * 100:.2g}% of a core"
-        if value < 0.995
-        else (f"{value:.2g} core")
-    )
+    """Processor time a second: in percent below one core."""
+    if value >= 2:
+        return f"{format_number(value)} cores"
+    if value < LARGEST_SHARE_OF_ONE:
+        return f"{value * 100:.2g}% of a core"
+    return f"{value:.2g} core"
 
 
 def format_duration(value: float) -> str:
-    return (
-        f"{value * 1000:.0f} ms"
-        if value < 0.995
-        else f"{format_number(value)} s"
-        if value < 120
-        else (f"{format_number(value / 60)} min")
-    )
+    """Seconds as milliseconds, seconds or minutes."""
+    if value < LARGEST_SHARE_OF_ONE:
+        return f"{value * 1000:.0f} ms"
+    if value < SECONDS_BEFORE_MINUTES:
+        return f"{format_number(value)} s"
+    return f"{format_number(value / 60)} min"
+
+
+def _format_count_rate(value: float) -> str:
+    return f"{format_number(value)}/s"
 
 
 FORMATS: dict[str, Callable[[float], str]] = {
     "cpu_cores": format_cores,
     "bytes_s": format_byte_rate,
     "memory_bytes": format_bytes,
-    "messages_s": lambda value: f"{format_number(value)}/s",
-    "calls_s": lambda value: f"{format_number(value)}/s",
+    "messages_s": _format_count_rate,
+    "calls_s": _format_count_rate,
 }
 
 
 def format_quantity(quantity: str, value: float | None) -> str:
+    """A quantity of the result files, in the unit that its key tells; None was not measured."""
     if value is None:
         return NOT_MEASURED
-    key = re.sub(r"_(in|out)_s$", "_s", quantity)
-    return FORMATS.get(key, format_number)(value)
+    either_way = re.sub(r"_(in|out)_s$", "_s", quantity)
+    return FORMATS.get(either_way, format_number)(value)
 
 
 def format_percentiles(value: Percentiles | None) -> str:
-    return (
-        f"{format_number(value.p50)}, {format_number(value.p99)}, {format_number(value.max)}" if value else NOT_MEASURED
-    )
+    """Median, 99th percentile and maximum, without a unit."""
+    if value is None:
+        return NOT_MEASURED
+    return f"{format_number(value.p50)}, {format_number(value.p99)}, {format_number(value.max)}"
 
 
 def table_cell(text: object) -> str:
-    """Danger: a bar or a line's end in what a run has written would break the table."""
+    """The text without vertical bars and line ends, which would break a Markdown table."""
     return " ".join(str(text).replace("|", "/").split())
--- a/pearhill/lab/capacity/results.py
+++ b/pearhill/lab/capacity/results.py
@@ -97,7 +97,7 @@
     remembered_bytes: float | None = None
 
 
-class PlayedFault(msgspec.Struct):
+class InjectedFault(msgspec.Struct):
     kind: str
     lost: str = ""
     for_s: float | None = None
@@ -143,7 +143,7 @@
     checks: list[HollowCheck] = []
     slopes: list[FittedSlope] = []
     choice: list[ChoiceCost] = []
-    troubles: list[PlayedFault] = []
+    troubles: list[InjectedFault] = []
     evenness: list[FleetEvenness] = []
     not_run: list[NotRun] = []
 
--- a/pearhill/lab/capacity/runs.py
+++ b/pearhill/lab/capacity/runs.py
@@ -10,8 +10,8 @@
     ChoiceCost,
     Cost,
     FittedSlope,
+    InjectedFault,
     MeasuredPoint,
-    PlayedFault,
     RunResult,
 )
 from pearhill.lab.capacity.size import FleetSize
@@ -103,7 +103,7 @@
             next((row for row in self.choice_costs[1] if row.replicas == replicas), None) if self.choice_costs else None
         )
 
-    def faults(self, kind: str) -> list[tuple[str, PlayedFault]]:
+    def faults(self, kind: str) -> list[tuple[str, InjectedFault]]:
         return [(name, t) for name, t in self.rows("troubles") if t.kind == kind]
 
     def fault_figure(self, kind: str, figure: str) -> SourcedFigure | None:
