--- a/pearhill/lab/capacity/carriers.py
+++ b/pearhill/lab/capacity/carriers.py
@@ -3,15 +3,30 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable
+from collections.abc import Iterator
 
+LAST_HEADING = "carried by"
 
-def duty_carriers(text: str) -> Iterable[tuple[str, list[str]]]:
-    """Of each row of the tables that say what carries it: its first cell, and the files and packages that its last cell
-    names; none named: it must say that it is missing."""
-    inside = False
+
+def duty_carriers(text: str) -> Iterator[tuple[str, list[str]]]:
+    """Of each row of the tables whose last column is headed `carried by`: its first cell, and the files and packages
+    that its last cell names in backticks. A cell that names none gives its text, or nothing if it says `missing`."""
+    inside_table = False
     for line in text.splitlines():
-        cells = [c.strip() for c in line[1:].removesuffix("|").split("|")] if line.startswith("|") else []
-        if inside and cells and not set("".join(cells)) <= {"-"}:
-            yield cells[0], re.findall(r"`([^`]+)`", cells[-1]) or ([] if "missing" in cells[-1] else [cells[-1]])
-        inside = bool(cells) and (inside or cells[-1] == "carried by")
+        cells = _cells(line)
+        if inside_table and cells and not set("".join(cells)) <= {"-"}:
+            yield cells[0], _named_files(cells[-1])
+        inside_table = bool(cells) and (inside_table or cells[-1] == LAST_HEADING)
+
+
+def _cells(line: str) -> list[str]:
+    if not line.startswith("|"):
+        return []
+    return [cell.strip() for cell in line[1:].removesuffix("|").split("|")]
+
+
+def _named_files(cell: str) -> list[str]:
+    files = re.findall(r"`([^`]+)`", cell)
+    if files:
+        return files
+    return [] if "missing" in cell else [cell]
--- a/pearhill/lab/capacity/gossip_traffic.py
+++ b/pearhill/lab/capacity/gossip_traffic.py
@@ -15,7 +15,7 @@
 
 
 def gossip_datagram_bytes(rows: int) -> int:
-    """Bytes on the wire of one datagram of today's talk with a digest of so many rows."""
+    """Bytes of one ping with a digest of so many rows, IP and UDP headers included."""
     digest = tuple(ReplicaLoad(replica_id(f"s-{k}"), 3_815, 41_210) for k in range(rows))
     started = 1_796_187_600_000_000
     message = GossipMessage(
--- a/pearhill/lab/capacity/publish.py
+++ b/pearhill/lab/capacity/publish.py
@@ -1,4 +1,4 @@
-"""The command behind `pearhill lab scale --page`: page and design note are written anew."""
+"""The command behind `pearhill lab scale --page`: it writes the page and the tables of the design note."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 
 
 def write_pages(root: Path) -> str:
-    """Make the page anew, and the note's tables, from the results under this root of the repository; what was done, in
-    words. ConfigError: a result cannot be read. OSError: the page cannot be written."""
+    """Write the page, and the tables of the design note if there is one, below the repository's root.
+
+    Returns a line that names the results. ConfigError: a result cannot be read, or the note has no place for a table;
+    OSError: a page cannot be written.
+    """
     results = read_results(root / RESULTS_FOLDER)
     (root / PAGE_PATH).write_text(render_page(results), encoding="utf-8")
-    path = root / NOTE_PATH
-    if path.exists():
-        path.write_text(update_note(path.read_text(encoding="utf-8")), encoding="utf-8")
+    note = root / NOTE_PATH
+    if note.exists():
+        note.write_text(update_note(note.read_text(encoding="utf-8")), encoding="utf-8")
     return f"{PAGE_PATH} is made from {len(results)} results: {', '.join(results) or 'none'}"
--- a/pearhill/lab/capacity/results.py
+++ b/pearhill/lab/capacity/results.py
@@ -15,17 +15,21 @@
 from pearhill.config import ConfigError, typed
 
 RESULTS_FOLDER = "docs/capacity"
-GOSSIP, AGGREGATORS = "talk", "aggregators"  # the two ways of a run
+# Values in the files: how dispatchers learn each other's work, and which dispatchers were measured.
+GOSSIP, AGGREGATORS = "talk", "aggregators"
+HOLLOW = "hollow"
 
 
 class Percentiles(msgspec.Struct):
+    """Median, 99th percentile and maximum of a measured distribution."""
+
     p50: float
     p99: float
     max: float
 
 
 class Cost(msgspec.Struct):
-    """One dispatcher's, or one control machine's. `memory_bytes`: what one more takes in its process."""
+    """What one dispatcher or one aggregator costs. `memory_bytes`: what one more takes in its process."""
 
     cpu_cores: float | None = None
     bytes_in_s: float | None = None
@@ -37,19 +41,25 @@
     news_age_ms: Percentiles | None = None
 
     def quantity_value(self, quantity: str) -> float | None:
-        if quantity in ("bytes_s", "messages_s"):
-            kind = quantity.removesuffix("_s")
-            ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
-            return None if None in ways else sum(ways)
-        return getattr(self, quantity, None)
+        """A quantity by its key; `bytes_s` and `messages_s` are the sums of both ways."""
+        if quantity not in ("bytes_s", "messages_s"):
+            return getattr(self, quantity, None)
+        kind = quantity.removesuffix("_s")
+        ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
+        return None if None in ways else sum(ways)
 
 
 class DiscoveryCalls(msgspec.Struct):
+    """Calls at the discovery service by all dispatchers together."""
+
     calls_s: float | None = None
     bytes_s: float | None = None
 
 
 class MeasuredPoint(msgspec.Struct):
+    """One fleet that was measured. `kind`: hollow or real dispatchers; `work`: where their load came from; `busy`: the
+    machine was too busy for the point to count."""
+
     way: str
     kind: str
     dispatchers: int
@@ -67,6 +77,8 @@
 
 
 class HollowCheck(msgspec.Struct):
+    """One quantity of hollow dispatchers beside that of real ones. `difference`: relative to the real ones."""
+
     what: str
     quantity: str
     real: float | None
@@ -77,6 +89,9 @@
 
 
 class FittedSlope(msgspec.Struct):
+    """One quantity as a function of dispatchers and replicas. `low`, `high`: the 95% interval of `at_size`;
+    `stretched`: how far the size lies beyond the largest that was measured."""
+
     way: str
     role: str
     quantity: str
@@ -92,12 +107,17 @@
 
 
 class ChoiceCost(msgspec.Struct):
+    """Processor time of one request's two choices among so many replicas, and what the router remembers of it."""
+
     replicas: int
     ms: float
     remembered_bytes: float | None = None
 
 
 class InjectedFault(msgspec.Struct):
+    """A fault in a standing fleet. `for_s`: the longest time without right counts and sums; `factor`: how many times
+    faster than real the events came."""
+
     kind: str
     lost: str = ""
     for_s: float | None = None
@@ -114,6 +134,8 @@
 
 
 class FleetEvenness(msgspec.Struct):
+    """How evenly one fleet's work lay on its decode replicas (`writers`) and prefill replicas (`readers`)."""
+
     way: str
     dispatchers: int
     replicas: int
@@ -127,11 +149,15 @@
 
 
 class NotRun(msgspec.Struct):
+    """A part of a plan that was left out, and the reason."""
+
     what: str
     why: str
 
 
 class RunResult(msgspec.Struct):
+    """One result file of `pearhill lab scale`."""
+
     version: str
     commit: str
     seed: int
@@ -154,8 +180,6 @@
     for path in sorted(folder.glob("*.json")):
         try:
             found[path.stem] = typed.convert(json.loads(path.read_text(encoding="utf-8")), RunResult)
-        except (OSError, ValueError) as e:
-            raise ConfigError(f"{path}: {e}") from None
-        except ConfigError as e:
+        except (OSError, ValueError, ConfigError) as e:
             raise ConfigError(f"{path}: {e}") from None
     return dict(sorted(found.items(), key=lambda item: (item[1].started, item[0])))
--- a/pearhill/lab/capacity/runs.py
+++ b/pearhill/lab/capacity/runs.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
 from pearhill.lab.capacity.results import (
     GOSSIP,
+    HOLLOW,
     ChoiceCost,
     Cost,
     FittedSlope,
@@ -16,104 +18,127 @@
 )
 from pearhill.lab.capacity.size import FleetSize
 
+WORK_PREFERENCE = ("drawn", "router", "none")  # of several points at the size, the first of these kinds of work counts
+
 
 @dataclass(frozen=True, slots=True)
 class SourcedFigure:
-    """A measured figure, and where it comes from."""
+    """A measured figure, and the run that it comes from, in words."""
 
     value: float
     source: str
 
 
 class Runs:
-    """What all runs together tell. Of two that measured the same, the later one counts; points that the machine was
-    too busy for count nowhere."""
+    """All runs' results by name, the oldest first.
 
-    WORK_PREFERENCE = ("drawn", "router", "none")  # of several points at the size, the first kind of work that there is
+    Of two that measured the same, the later one counts. Points for which the machine was too busy count nowhere.
+    """
 
     def __init__(self, results: dict[str, RunResult], size: FleetSize) -> None:
-        self.results, self.size = results, size
+        self.results = results
+        self.size = size
+
+    def rows(self, part: str) -> list[tuple[str, Any]]:
+        """All rows of one list of the results, such as `points`, each with its run's name."""
+        return [(name, row) for name, result in self.results.items() for row in getattr(result, part)]
 
     def point_at_size(self, way: str) -> tuple[str, MeasuredPoint] | None:
-        fit = [
-            (
-                self.WORK_PREFERENCE.index(p.work) if p.work in self.WORK_PREFERENCE else len(self.WORK_PREFERENCE),
-                -k,
-                name,
-                p,
-            )
-            for k, (name, result) in enumerate(self.results.items())
-            for p in result.points
-            if (p.way, p.kind, p.busy) == (way, "hollow", False)
-            and (p.dispatchers, p.replicas) == (self.size.dispatchers, self.size.replicas)
-        ]
-        return min(fit, key=lambda row: row[:2])[2:] if fit else None
-
-    def _latest_slope(self, way: str, role: str, quantity: str) -> tuple[str, FittedSlope] | None:
-        fit = [
-            (name, slope)
-            for name, result in self.results.items()
-            for slope in result.slopes
-            if (slope.way, slope.role, slope.quantity) == (way, role, quantity) and slope.at_size is not None
-        ]
-        return fit[-1] if fit else None
+        """The run's name and the point that was measured at the size itself."""
+        size = (self.size.dispatchers, self.size.replicas)
+        run_order = {name: k for k, name in enumerate(self.results)}
+        fit = [(name, p) for name, p in self._hollow_points(way) if (p.dispatchers, p.replicas) == size]
+        if not fit:
+            return None
+        return min(fit, key=lambda row: (_work_rank(row[1].work), -run_order[row[0]]))
 
     def figure(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
         """A figure at the size: measured there, else along the slope that was fitted below it."""
-        if at := self.point_at_size(way):
-            name, point = at
-            cost = getattr(point, role)
-            value = cost.quantity_value(quantity) if isinstance(cost, Cost) else getattr(cost, quantity, None)
-            if value is not None:
-                return SourcedFigure(value, name)
-        if way == GOSSIP and role == "dispatcher" and (least := self._largest_measured(way, quantity)):
-            return least
-        if fit := self._latest_slope(way, role, quantity):
-            name, slope = fit
-            assert slope.at_size is not None
-            far = f", {slope.stretched:.1f} times as far" if slope.stretched else ""
-            return SourcedFigure(slope.at_size, f"slope of {name}{far}")
-        if quantity in ("bytes_s", "messages_s"):
-            ways = [self.figure(way, role, f"{quantity.removesuffix('_s')}_{side}_s") for side in ("in", "out")]
-            if ways[0] and ways[1]:
-                return SourcedFigure(ways[0].value + ways[1].value, ways[0].source)
-        return None
-
-    def _largest_measured(self, way: str, quantity: str) -> SourcedFigure | None:
-        """The largest of the points below the size. Danger: a beat of the talk has so many pings at most, from some
-        peers on; a slope that was fitted below them knows nothing of that, and says many times too much."""
-        points = [
-            (value, name, p)
-            for name, p in self.rows("points")
-            if (p.way, p.kind, p.busy) == (way, "hollow", False)
-            and (value := p.dispatcher.quantity_value(quantity)) is not None
-        ]
-        if not points:
+        return (
+            self._figure_at_size(way, role, quantity)
+            or self._largest_measured(way, role, quantity)
+            or self._figure_on_slope(way, role, quantity)
+            or self._sum_of_both_ways(way, role, quantity)
+        )
+
+    def _figure_at_size(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+        found = self.point_at_size(way)
+        if found is None:
+            return None
+        name, point = found
+        cost = getattr(point, role)
+        value = cost.quantity_value(quantity) if isinstance(cost, Cost) else getattr(cost, quantity, None)
+        return None if value is None else SourcedFigure(value, name)
+
+    def _largest_measured(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+        """Of gossip, a dispatcher's largest figure below the size.
+
+        A tick of gossip sends a bounded number of pings. A slope that was fitted below that bound does not know it, and
+        would be many times too high at the size.
+        """
+        if way != GOSSIP or role != "dispatcher":
             return None
-        value, name, p = max(points, key=lambda row: row[0])
-        return SourcedFigure(value, f"at least: {name}, {p.dispatchers} x {p.replicas}")
+        figures = [(p.dispatcher.quantity_value(quantity), name, p) for name, p in self._hollow_points(way)]
+        measured = [(value, name, p) for value, name, p in figures if value is not None]
+        if not measured:
+            return None
+        value, name, point = max(measured, key=lambda row: row[0])
+        return SourcedFigure(value, f"at least: {name}, {point.dispatchers} x {point.replicas}")
+
+    def _figure_on_slope(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+        found: SourcedFigure | None = None
+        for name, slope in self.rows("slopes"):
+            if _is_slope_of(slope, way, role, quantity):
+                stretched = f", {slope.stretched:.1f} times as far" if slope.stretched else ""
+                found = SourcedFigure(slope.at_size, f"slope of {name}{stretched}")
+        return found
+
+    def _sum_of_both_ways(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+        if quantity not in ("bytes_s", "messages_s"):
+            return None
+        kind = quantity.removesuffix("_s")
+        received = self.figure(way, role, f"{kind}_in_s")
+        sent = self.figure(way, role, f"{kind}_out_s")
+        if received is None or sent is None:
+            return None
+        return SourcedFigure(received.value + sent.value, received.source)
+
+    def _hollow_points(self, way: str) -> Iterator[tuple[str, MeasuredPoint]]:
+        for name, point in self.rows("points"):
+            if (point.way, point.kind, point.busy) == (way, HOLLOW, False):
+                yield name, point
 
     @property
     def choice_costs(self) -> tuple[str, list[ChoiceCost]] | None:
-        fit = [(name, result.choice) for name, result in self.results.items() if result.choice]
-        return (fit[-1][0], sorted(fit[-1][1], key=lambda row: row.replicas)) if fit else None
+        """The latest run's name and its costs of a choice, by count of replicas."""
+        found = [(name, result.choice) for name, result in self.results.items() if result.choice]
+        if not found:
+            return None
+        name, costs = found[-1]
+        return name, sorted(costs, key=lambda row: row.replicas)
 
     def choice_cost_at(self, replicas: int) -> ChoiceCost | None:
-        return (
-            next((row for row in self.choice_costs[1] if row.replicas == replicas), None) if self.choice_costs else None
-        )
+        """The latest run's cost of a choice among so many replicas."""
+        _, costs = self.choice_costs or ("", [])
+        return next((row for row in costs if row.replicas == replicas), None)
 
     def faults(self, kind: str) -> list[tuple[str, InjectedFault]]:
-        return [(name, t) for name, t in self.rows("troubles") if t.kind == kind]
+        """All injected faults of one kind, each with its run's name."""
+        return [(name, fault) for name, fault in self.rows("troubles") if fault.kind == kind]
 
     def fault_figure(self, kind: str, figure: str) -> SourcedFigure | None:
-        """A figure that a trouble has told, the last of several."""
+        """A number that was measured during a fault of this kind, in the latest run that has it."""
         found = [
-            SourcedFigure(t.figures[figure], name)
-            for name, t in self.faults(kind)
-            if type(t.figures.get(figure)) in (int, float)
+            SourcedFigure(fault.figures[figure], name)
+            for name, fault in self.faults(kind)
+            if type(fault.figures.get(figure)) in (int, float)
         ]
         return found[-1] if found else None
 
-    def rows(self, part: str) -> list[tuple[str, Any]]:
-        return [(name, row) for name, result in self.results.items() for row in getattr(result, part)]
+
+def _work_rank(work: str) -> int:
+    return WORK_PREFERENCE.index(work) if work in WORK_PREFERENCE else len(WORK_PREFERENCE)
+
+
+def _is_slope_of(slope: FittedSlope, way: str, role: str, quantity: str) -> bool:
+    return (slope.way, slope.role, slope.quantity) == (way, role, quantity) and slope.at_size is not None
--- a/pearhill/lab/capacity/size.py
+++ b/pearhill/lab/capacity/size.py
@@ -9,7 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """What the operators head for, in their words' order. `requests_s` and `tokens_s`: at the peak; tokens put out."""
+    """The operators' figures, in the order in which they gave them.
+
+    `requests_s`, `tokens_s` (of answers) and `transferred_gb_s` (from prefill to decode): at the peak. `first_token_s`
+    and `between_tokens_s`: for 95 in 100 requests. `control_*`: what control may cost one dispatcher, `aggregator_*`
+    one aggregator. `propagation_limit_s`: within which a change of settings is in force everywhere.
+    """
 
     dispatchers: int = 330
     replicas: int = 940
--- a/pearhill/lab/capacity/wire_samples.py
+++ b/pearhill/lab/capacity/wire_samples.py
@@ -1,11 +1,12 @@
-"""Samples of what goes over the wire and stands in files, to count their bytes."""
+"""Samples of messages and of the operator's file, to count their bytes."""
 
 from __future__ import annotations
 
 from pearhill.chat.file import EurekaTable
 
-DEFAULT_EUREKA = EurekaTable(address="", servers="")  # as a file has it that says no more
-# A list's entry as the platform's discovery writes it, with figures as wide as they come.
+DEFAULT_EUREKA = EurekaTable(address="", servers="")  # with the defaults of the operator's file
+
+# An entry of the endpoint list as the platform's discovery writes it, with numbers of the largest width.
 ENDPOINT_ENTRY = {
     "uid": "s-5be2a07c",
     "endpoint": "10.112.10.18:8080",
@@ -16,7 +17,8 @@
     "capacity_hint": 1.0,
     "boot_ms": 1_796_187_600_000,
 }
-# An instance as Eureka's registry writes it (its public REST description), and how long it tells of a change.
+
+# An instance as Eureka's registry writes it (REST operations of Netflix's Eureka).
 EUREKA_INSTANCE = {
     "instanceId": "10.112.10.18:replicas:8080",
     "hostName": "10.112.10.18",
@@ -43,14 +45,17 @@
     "lastDirtyTimestamp": "1796187600000",
     "actionType": "MODIFIED",
 }
-EUREKA_DELTA_RETENTION_S = 180.0  # seconds; the registry's default
-# One engine in an operator's look at a dispatcher (`Talk.told`), and one tenant in the operator's file.
+EUREKA_DELTA_RETENTION_S = 180.0  # for which a delta repeats a change; the registry's default
+
+# One replica in the answer to GET /ops/fleet.
 REPLICA_STATUS = {
     "address": "10.112.10.18:8080",
     "avoided": False,
     "mine": {"waiting": 3815, "load": 41210},
     "others": {"waiting": 125895, "load": 1318712, "sure": 0.667},
 }
+
+# One tenant in the operator's file.
 TENANT_TABLES = """[[chat.tenant]]\nname = "lycee-tiznit-0123"\nkeys = ["1f0c9a2e5b7d4c3a$%s"]\nmodels = ["help-desk"]
 
 [[budgets.tenant]]\nname = "lycee-tiznit-0123"\ntokens_per_min = 60000\nburst_tokens = 30000\nweight = 2.0\n
