--- a/pearhill/lab/capacity/design_note.py
+++ b/pearhill/lab/capacity/design_note.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from pearhill.config import ConfigError
 from pearhill.lab.capacity.estimates import Estimates
 from pearhill.lab.capacity.formatting import (
@@ -39,8 +41,13 @@
 NOTE_PATH = "docs/design/capacity.md"
 
 
+MECHANISMS_MARK, TIMES_MARK = "weighed", "times"  # names of the tables in the note's comments
+
+Row = tuple[str, ...]
+
+
 def mechanisms_table(size: FleetSize | None = None) -> str:
-    """The table of mechanisms for docs/design/capacity.md."""
+    """The comparison of mechanisms, for the operators' size unless another is given."""
     size = size or FleetSize()
     head = (
         f"at {size.dispatchers} x {size.replicas}",
@@ -52,104 +59,142 @@
     )
     rows = [
         (
-            o.name,
-            format_bytes(o.bytes_s),
-            format_duration(o.mean_age_s),
-            format_duration(o.worst_age_s),
-            o.coverage,
-            o.without_aggregators,
+            mechanism.name,
+            format_bytes(mechanism.bytes_s),
+            format_duration(mechanism.mean_age_s),
+            format_duration(mechanism.worst_age_s),
+            mechanism.coverage,
+            mechanism.without_aggregators,
         )
-        for o in compare_mechanisms(Estimates(size))
+        for mechanism in compare_mechanisms(Estimates(size))
     ]
-    return "".join(f"| {' | '.join(row)} |\n" for row in (head, ("---",) * 6, *rows))
+    return _markdown(head, rows)
 
 
 def protocol_times_table(size: FleetSize | None = None) -> str:
-    """The table of the protocol's times for docs/design/capacity.md, out of the code's constants."""
-    w = Estimates(size or FleetSize())
-    one = w.report_traffic()
-    least_hello_s, most_hello_s = in_seconds(MIN_HELLO_INTERVAL_US), in_seconds(MAX_HELLO_INTERVAL_US)
-    dispatchers_us = w.size.dispatchers * MICROSECONDS_PER_S
-    rows = (
-        ("time", "of", "why so long"),
-        ("---",) * 3,
+    """The times of the reporting protocol, out of the program's constants, and the reason for each."""
+    estimates = Estimates(size or FleetSize())
+    rows = [
+        *_report_times(estimates),
+        *_lease_times(estimates),
+        *_failover_times(estimates),
+        *_membership_times(),
+    ]
+    return _markdown(("time", "of", "why so long"), rows)
+
+
+def _markdown(head: Row, rows: Iterable[Row]) -> str:
+    return "".join(f"| {' | '.join(row)} |\n" for row in (head, ("---",) * len(head), *rows))
+
+
+def _report_times(estimates: Estimates) -> list[Row]:
+    traffic = estimates.report_traffic()
+    partial_sum_rate = traffic.partial_sum_bytes * MICROSECONDS_PER_S / AGGREGATOR_TICK_US
+    return [
         (
-            f"{format_duration(in_seconds(REPORT_INTERVAL_US))} at the least",
+            f"{_duration(REPORT_INTERVAL_US)} at the least",
             "between two reports of a dispatcher, drawn by a tenth either way",
-            f"the bytes: past {format_byte_rate(MAX_BYTES_PER_S)} both ways it is longer. "
-            f"At {w.size.replicas} replicas it is {format_duration(1 / one.reports_s)} "
-            f"({format_bytes(one.report_bytes)} up, {format_bytes(one.sums_bytes)} down). The draw keeps them apart",
+            f"the bytes: past {format_byte_rate(MAX_BYTES_PER_S)} both ways it is longer. At {estimates.size.replicas} "
+            f"replicas it is {format_duration(1 / traffic.reports_s)} ({format_bytes(traffic.report_bytes)} up, "
+            f"{format_bytes(traffic.sums_bytes)} down). The draw keeps them apart",
         ),
         (
-            format_duration(in_seconds(AGGREGATOR_TICK_US)),
+            _duration(AGGREGATOR_TICK_US),
             "between two parts",
             "half of that is what another region's word is older; "
-            f"{format_byte_rate(one.partial_sum_bytes * MICROSECONDS_PER_S / AGGREGATOR_TICK_US)} to each machine",
+            f"{format_byte_rate(partial_sum_rate)} to each machine",
         ),
+    ]
+
+
+def _lease_times(estimates: Estimates) -> list[Row]:
+    reports = in_seconds(LEASE_US) * estimates.report_traffic().reports_s
+    return [
         (
-            format_duration(in_seconds(LEASE_US)),
+            _duration(LEASE_US),
             "work of a dispatcher without a sign of life stays in the sums",
-            f"{format_number(in_seconds(LEASE_US) * one.reports_s)} reports at that size: hardly ever are all lost",
+            f"{format_number(reports)} reports at that size: hardly ever are all lost",
         ),
         (
-            format_duration(in_seconds(PARTIAL_SUM_LEASE_US)),
+            _duration(PARTIAL_SUM_LEASE_US),
             "another machine's part stays in the sums",
             f"{PARTIAL_SUM_LEASE_US // AGGREGATOR_TICK_US} parts",
         ),
         (
-            format_duration(in_seconds(COMBINED_LEASE_US)),
+            _duration(COMBINED_LEASE_US),
             "after its last word to another machine, a dispatcher's work is taken by the new one",
             "both leases are over by then, so that no sum has it twice; until then it stands as not heard",
         ),
+    ]
+
+
+def _failover_times(estimates: Estimates) -> list[Row]:
+    dispatchers_us = estimates.size.dispatchers * MICROSECONDS_PER_S
+    return [
         (
-            f"{format_duration(in_seconds(ANSWER_TIMEOUT_US))}, {MAX_UNANSWERED_REPORTS} reports",
+            f"{_duration(ANSWER_TIMEOUT_US)}, {MAX_UNANSWERED_REPORTS} reports",
             "without an answer, it goes to the next machine",
             "as the lease: what is not answered is not counted either",
         ),
         (
-            format_duration(in_seconds(MAX_SUMS_AGE_US)),
+            _duration(MAX_SUMS_AGE_US),
             "sums older than that are not used",
             "own work alone from then on, at once and without a word to anybody",
         ),
         (
-            f"{format_number(least_hello_s)} to {format_duration(most_hello_s)}",
-            "between two hellos to the own region's machine; " f"{HELLOS_TO_RETURN} answers, and it moves back",
+            f"{_seconds(MIN_HELLO_INTERVAL_US)} to {_duration(MAX_HELLO_INTERVAL_US)}",
+            f"between two hellos to the own region's machine; {HELLOS_TO_RETURN} answers, and it moves back",
             "drawn, so that dispatchers come back one after the other",
         ),
         (
-            f"{format_number(in_seconds(MIN_BACKOFF_US))} to {format_duration(in_seconds(MAX_BACKOFF_US))}",
+            f"{_seconds(MIN_BACKOFF_US)} to {_duration(MAX_BACKOFF_US)}",
             "between two tries while none answers, drawn",
-            f"{format_number(dispatchers_us / MAX_BACKOFF_US)} to "
-            f"{format_number(dispatchers_us / MIN_BACKOFF_US)} small datagrams a second of all dispatchers",
+            f"{format_number(dispatchers_us / MAX_BACKOFF_US)} to {format_number(dispatchers_us / MIN_BACKOFF_US)} "
+            "small datagrams a second of all dispatchers",
         ),
+    ]
+
+
+def _membership_times() -> list[Row]:
+    return [
         (
-            format_duration(in_seconds(SILENCE_TIMEOUT_US)),
+            _duration(SILENCE_TIMEOUT_US),
             "a silent dispatcher goes on being counted",
             "a restart takes less, and a cold replica's share hardly changes by one",
         ),
         (
-            format_duration(in_seconds(PARTITION_TIMEOUT_US)),
+            _duration(PARTITION_TIMEOUT_US),
             "the same, where it is a cut",
             "regions lose each other for minutes",
         ),
         (
-            format_duration(in_seconds(SLOT_IDLE_US)),
+            _duration(SLOT_IDLE_US),
             "a place in the table without work, before another engine gets it",
             "longer than any table is behind",
         ),
-    )
-    return "".join(f"| {' | '.join(row)} |\n" for row in rows)
+    ]
+
+
+def _duration(microseconds: int) -> str:
+    return format_duration(in_seconds(microseconds))
+
+
+def _seconds(microseconds: int) -> str:
+    return format_number(in_seconds(microseconds))
 
 
 def update_note(text: str) -> str:
-    """The design note with its tables made anew. ConfigError: it has no place for one."""
-    for name, made in (("weighed", mechanisms_table()), ("times", protocol_times_table())):
-        begin, end = f"<!-- {name}: pearhill lab scale --page -->\n", f"<!-- /{name} -->\n"
-        before, found, rest = text.partition(begin)
-        _, last, after = rest.partition(end)
-        if not (found and last):
-            raise ConfigError(
-                f"{NOTE_PATH}: found no table of {name}; allowed: one between {begin.strip()} and " f"{end.strip()}"
-            )
-        text = before + begin + made + end + after
-    return text
+    """The design note with both tables replaced. ConfigError: it has no place for one of them."""
+    text = _replace_table(text, MECHANISMS_MARK, mechanisms_table())
+    return _replace_table(text, TIMES_MARK, protocol_times_table())
+
+
+def _replace_table(text: str, mark: str, table: str) -> str:
+    begin, end = f"<!-- {mark}: pearhill lab scale --page -->\n", f"<!-- /{mark} -->\n"
+    before, found_begin, rest = text.partition(begin)
+    _, found_end, after = rest.partition(end)
+    if not (found_begin and found_end):
+        raise ConfigError(
+            f"{NOTE_PATH}: found no table of {mark}; allowed: one between {begin.strip()} and {end.strip()}"
+        )
+    return before + begin + table + end + after
