--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -11,15 +11,15 @@
 
 from pearhill.load_reports.evenness import evenness
 
-MOST_BYTES = 4 << 20
-AT_ONCE = 32
+MAX_ANSWER_BYTES = 4 << 20
+MAX_CONCURRENT_QUERIES = 32
 
 
-def ask(door: str, wait_s: float) -> dict[str, Any] | str:
+def query_status(address: str, timeout_s: float) -> dict[str, Any] | str:
     """One door's answer, or why there is none."""
     try:
-        with urllib.request.urlopen(f"http://{door}/ops/fleet", timeout=wait_s) as answer:
-            told = json.loads(answer.read(MOST_BYTES))
+        with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as answer:
+            told = json.loads(answer.read(MAX_ANSWER_BYTES))
     except urllib.error.HTTPError as e:
         return f"answers {e.code}: it does not talk" if e.code == 404 else f"answers {e.code}"
     except (OSError, ValueError) as e:
@@ -31,11 +31,11 @@
     return told if good or aggregator else "answers something else"
 
 
-def ages(age_s: float | None) -> str:
+def age_text(age_s: float | None) -> str:
     return "never heard" if age_s is None else f"{age_s:.1f} s old"
 
 
-def summed(answers: Iterable[tuple[str, dict[str, Any] | str]]) -> dict[str, Any]:
+def sum_up(answers: Iterable[tuple[str, dict[str, Any] | str]]) -> dict[str, Any]:
     """Every dispatcher's own work, added up by engine; nobody's word of others counts, so nothing counts twice."""
     dispatchers, aggregators, silent, engines = {}, {}, {}, dict[str, dict[str, Any]]()
     for door, told in sorted(answers, key=lambda pair: pair[0]):
@@ -75,6 +75,6 @@
     }
 
 
-def look(doors: list[str], wait_s: float) -> dict[str, Any]:
-    with ThreadPoolExecutor(min(AT_ONCE, max(1, len(doors)))) as pool:
-        return summed(zip(doors, pool.map(lambda door: ask(door, wait_s), doors), strict=True))
+def fleet_status(addresses: list[str], timeout_s: float) -> dict[str, Any]:
+    with ThreadPoolExecutor(min(MAX_CONCURRENT_QUERIES, max(1, len(addresses)))) as pool:
+        return sum_up(zip(addresses, pool.map(lambda door: query_status(door, timeout_s), addresses), strict=True))
--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -45,10 +45,10 @@
         _fail(e)
     out.mkdir(parents=True, exist_ok=True)
     target = out / f"{file.stem}.parquet"
-    run.write(rows, made, target)
-    again, told = run.read(target)
+    run.write_rows(rows, made, target)
+    again, told = run.read_rows(target)
     target.with_suffix(".html").write_text(report.page(file.stem, {file.stem: (again, told)}), encoding="utf-8")
-    print(report.text(report.figures(again, told)))
+    print(report.figures_text(report.tenant_figures(again, told)))
     print(f"{target}\n{target.with_suffix('.html')}")
 
 
@@ -66,14 +66,14 @@
     try:
         made = scenario.load(str(file))
         result = asyncio.run(fleet.run(made, lambda line: print(line, file=sys.stderr)))
-    except (ConfigError, fleet.NotUp, OSError, ValueError) as e:
+    except (ConfigError, fleet.NotStartedError, OSError, ValueError) as e:
         _fail(e)
     out.mkdir(parents=True, exist_ok=True)
     target = out / f"{file.stem}.parquet"
-    run.write(result.rows, made, target)
-    again, told = run.read(target)
+    run.write_rows(result.rows, made, target)
+    again, told = run.read_rows(target)
     target.with_suffix(".html").write_text(report.page(file.stem, {file.stem: (again, told)}, result), encoding="utf-8")
-    print(result.text(made.lab.warm_s))
+    print(result.summary(made.lab.warm_s))
     print(f"{target}\n{target.with_suffix('.html')}")
 
 
@@ -142,8 +142,10 @@
     from pearhill.lab import up
 
     try:
-        code = asyncio.run(up.up(str(file), setup.load(str(file)), lambda line: print(line, file=sys.stderr)))
-    except (ConfigError, up.NotUp) as e:
+        code = asyncio.run(
+            up.serve_with_stand_ins(str(file), setup.load(str(file)), lambda line: print(line, file=sys.stderr))
+        )
+    except (ConfigError, up.NotStartedError) as e:
         _fail(e)
     raise typer.Exit(code)
 
@@ -157,12 +159,12 @@
     """Put two runs side by side."""
     report, run, _ = _parts()
     try:
-        runs = {f"{side}: {path.stem}": run.read(path) for side, path in (("A", before), ("B", after))}
+        runs = {f"{side}: {path.stem}": run.read_rows(path) for side, path in (("A", before), ("B", after))}
     except (OSError, ValueError) as e:
         _fail(e)
     out.write_text(report.page(f"{before.stem} and {after.stem}", runs), encoding="utf-8")
     for name, (rows, told) in runs.items():
-        print(f"{name}\n{report.text(report.figures(rows, told))}\n")
+        print(f"{name}\n{report.figures_text(report.tenant_figures(rows, told))}\n")
     print(out)
 
 
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -196,9 +196,9 @@
     wait_s: Annotated[float, typer.Option(help="for each answer, in seconds", min=0.1, max=60)] = 2.0,
 ) -> None:
     """Ask many dispatchers what work they have, and add it up. Exit code 1: some did not answer."""
-    from pearhill.cli.fleet import ages, look
+    from pearhill.cli.fleet import age_text, fleet_status
 
-    told = look(doors, wait_s)
+    told = fleet_status(doors, wait_s)
     if as_json:
         print(json.dumps(told, indent=2))
     else:
@@ -216,13 +216,13 @@
                 f"{name:24} counts {d['count']} dispatchers, goes by {d['source'] or 'nobody'}; the talk hears "
                 f"{d['there']} others"
                 + (
-                    f"; sums of {reports['aggregator']}, {ages(reports['age_s'])}, hold " f"{reports['heard']}"
+                    f"; sums of {reports['aggregator']}, {age_text(reports['age_s'])}, hold " f"{reports['heard']}"
                     if reports
                     else ""
                 )
             )
         for name, a in told["aggregators"].items():
-            others = ", ".join(f"{peer} {ages(age_s)}" for peer, age_s in a["peers"].items())
+            others = ", ".join(f"{peer} {age_text(age_s)}" for peer, age_s in a["peers"].items())
             print(
                 f"{name:24} aggregator: counts {a['count']} dispatchers, hears {a['heard']}, {a['members']} report "
                 f"to it; {others or 'no other is named'}"
--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -18,20 +18,20 @@
 from pearhill.chat.keys import new_key
 from pearhill.lab import load
 from pearhill.lab.relay import Relay
-from pearhill.lab.run import operator_file, servers
+from pearhill.lab.run import operator_file, running_replicas
 from pearhill.lab.scenario import FleetFault, FleetTable, Scenario
 from pearhill.load_reports.evenness import evenness
 
-UP_WITHIN_S, LOOK_S = 120.0, 0.05
+START_TIMEOUT_S, POLL_INTERVAL_S = 120.0, 0.05
 WINDOW_S = 1.0
 
 
-class NotUp(Exception):
+class NotStartedError(Exception):
     """A dispatcher did not come up; the text says which, and its last line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class FleetResult:
     """`peaks`: peak over mean of work by engine, and `served`: share of requests served, by second of the plan;
     `idle_s`: the longest that each engine had nothing."""
 
@@ -39,10 +39,10 @@
     peaks: list[float]
     served: list[float]
     idle_s: list[float]
-    engines: int
+    replicas: int
     cpu_limit_note: str
 
-    def text(self, warm_s: float) -> str:
+    def summary(self, warm_s: float) -> str:
         peaks, rows = self.peaks[int(warm_s) :], [r for r in self.rows if r.planned_s >= warm_s]
         share = {
             kind: sum(r.outcome == kind for r in rows) / max(1, len(rows))
@@ -53,12 +53,12 @@
             f"{len(rows)} requests: served {share[load.SERVED]:.1%}, refused {share[load.REFUSED]:.1%}, "
             f"failed {share[load.FAILED]:.1%}\n"
             f"peak over mean of work by engine in 1 s: mean {statistics.mean(peaks):.3f}, worst {max(peaks):.3f}\n"
-            f"longest idle of {self.engines} engines: {max(self.idle_s):.1f} s; "
+            f"longest idle of {self.replicas} engines: {max(self.idle_s):.1f} s; "
             f"load tool late p99: {late * 1000:.0f} ms{self.cpu_limit_note}"
         )
 
 
-class Dispatchers:
+class DispatcherProcesses:
     """The processes. Their logs are files in `folder`: two hundred pipes would have to be read."""
 
     def __init__(self, fleet: FleetTable, folder: pathlib.Path, text: str, seed: int) -> None:
@@ -84,11 +84,11 @@
             self.processes[name] = process = subprocess.Popen(
                 [sys.executable, "-m", "pearhill", "--chat", str(self._file(name))], stderr=file
             )
-        end = time.monotonic() + UP_WITHIN_S
+        end = time.monotonic() + START_TIMEOUT_S
         while not (found := re.search(r"chat front listens on ([\d.]+):(\d+)", told := log.read_text())):
             if process.poll() is not None or time.monotonic() > end:
-                raise NotUp(f"dispatcher {name}: {(told.splitlines() or ['said nothing'])[-1]}")
-            await asyncio.sleep(LOOK_S)
+                raise NotStartedError(f"dispatcher {name}: {(told.splitlines() or ['said nothing'])[-1]}")
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.fronts[name] = found[1], int(found[2])
         if self.relay and (talks := re.search(r"talks on ([\d.]+):(\d+)", told)):
             self.relay.place(name, talks[1], int(talks[2]))
@@ -102,7 +102,7 @@
 
         await asyncio.gather(*map(one, self.names))
 
-    def begin(self, fault: FleetFault) -> None:
+    def begin_fault(self, fault: FleetFault) -> None:
         who = [self.names[n] for n in fault.who]
         for name in who if fault.kind in ("stall", "crash") else ():
             self.processes[name].send_signal(signal.SIGSTOP if fault.kind == "stall" else signal.SIGKILL)
@@ -113,7 +113,7 @@
             if fault.kind == "cut":
                 relay.cut(who, [name for name in self.names if name not in who])
 
-    async def end(self, fault: FleetFault) -> None:
+    async def end_fault(self, fault: FleetFault) -> None:
         who = [self.names[n] for n in fault.who]
         if fault.kind == "stall":
             for name in who:
@@ -139,7 +139,7 @@
             self.relay.close()
 
 
-async def _timeline(dispatchers: Dispatchers, began: float, told: Callable[[str], None]) -> None:
+async def _run_faults(dispatchers: DispatcherProcesses, began: float, report_line: Callable[[str], None]) -> None:
     moments = sorted(
         [(f.from_s, 0, k) for k, f in enumerate(dispatchers.fleet.fault)]
         + [(f.to_s, 1, k) for k, f in enumerate(dispatchers.fleet.fault)]
@@ -147,14 +147,14 @@
     for at, ends, k in moments:
         await asyncio.sleep(max(0.0, began + at - time.monotonic()))
         fault = dispatchers.fleet.fault[k]
-        told(f"{at:6.1f} s: {fault.kind} {'ends' if ends else 'begins'} {fault.who or ''}")
+        report_line(f"{at:6.1f} s: {fault.kind} {'ends' if ends else 'begins'} {fault.who or ''}")
         if ends:
-            await dispatchers.end(fault)
+            await dispatchers.end_fault(fault)
         else:
-            dispatchers.begin(fault)
+            dispatchers.begin_fault(fault)
 
 
-async def run(scenario: Scenario, told: Callable[[str], None] = lambda line: None) -> Result:
+async def run(scenario: Scenario, report_line: Callable[[str], None] = lambda line: None) -> FleetResult:
     """NotUp, ValueError: there is no such fleet, or it does not come up."""
     fleet, lab = scenario.fleet, scenario.lab
     if fleet is None:
@@ -162,19 +162,19 @@
     keys, work, began = {tenant.name: new_key() for tenant in scenario.tenant}, list[list[tuple[float, float]]](), 0.0
     rng = random.Random(lab.seed)
     with tempfile.TemporaryDirectory() as folder:
-        async with servers(scenario, work) as addresses:
+        async with running_replicas(scenario, work) as addresses:
             text = operator_file(scenario, addresses, keys)
-            dispatchers = Dispatchers(fleet, pathlib.Path(folder), text, lab.seed)
+            dispatchers = DispatcherProcesses(fleet, pathlib.Path(folder), text, lab.seed)
             timeline: asyncio.Task[None] | None = None
 
             def start(at: float) -> None:
                 nonlocal began, timeline
-                began, timeline = at, asyncio.create_task(_timeline(dispatchers, at, told))
+                began, timeline = at, asyncio.create_task(_run_faults(dispatchers, at, report_line))
 
             weights = [fleet.heavy if k % fleet.heavy_every == 0 else 1.0 for k in range(fleet.dispatchers)]
             try:
                 await dispatchers.start_all()
-                told(f"{fleet.dispatchers} dispatchers, {len(addresses)} engines, seed {lab.seed}")
+                report_line(f"{fleet.dispatchers} dispatchers, {len(addresses)} engines, seed {lab.seed}")
                 rows = await load.run(
                     scenario,
                     lambda: dispatchers.fronts[rng.choices(dispatchers.names, weights)[0]],
@@ -186,10 +186,10 @@
                     await timeline
             finally:
                 dispatchers.close()
-    return judged(rows, work, began, lab.seconds)
+    return evaluate(rows, work, began, lab.seconds)
 
 
-def judged(rows: list[load.Row], work: list[list[tuple[float, float]]], began: float, seconds: float) -> Result:
+def evaluate(rows: list[load.Row], work: list[list[tuple[float, float]]], began: float, seconds: float) -> FleetResult:
     """Work by engine and second is the time that requests spent there."""
     count = int(seconds // WINDOW_S)
     area = [[0.0] * len(work) for _ in range(count)]
@@ -209,4 +209,4 @@
         served.append(sum(mine) / len(mine) if mine else 1.0)
     late = max((r.late_s for r in rows), default=0.0)
     note = "; the machine was too small for this: read nothing from it" if late > WINDOW_S / 2 else ""
-    return Result(rows, peaks, served, idle, len(work), note)
+    return FleetResult(rows, peaks, served, idle, len(work), note)
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -17,7 +17,7 @@
 from pearhill.lab.scenario import Scenario, TenantTable
 
 SERVED, REFUSED, FAILED = "served", "refused", "failed"
-WITHIN = 60.0  # seconds for a request
+REQUEST_TIMEOUT_S = 60.0  # seconds for a request
 Progress = Callable[[int, int], None]
 Front = tuple[str, int]
 
@@ -36,7 +36,7 @@
     tokens: int
 
 
-def plan(tenant: TenantTable, seconds: float, seed: numpy.random.SeedSequence) -> list[float]:
+def draw_arrivals(tenant: TenantTable, seconds: float, seed: numpy.random.SeedSequence) -> list[float]:
     """Planned times of a tenant's requests: a Poisson process, denser within its burst."""
     rng = numpy.random.default_rng(seed)
     peak = tenant.rate_per_s * max(1.0, tenant.times)
@@ -46,7 +46,7 @@
     return [float(t) for t in times[rng.uniform(0, peak, len(times)) < rate]]
 
 
-async def _one(tenant: TenantTable, planned: float, began: float, front: Front, key: str, opening: int) -> Row:
+async def _send_request(tenant: TenantTable, planned: float, began: float, front: Front, key: str, opening: int) -> Row:
     late = time.monotonic() - began - planned
     body = {
         "model": tenant.model,
@@ -70,7 +70,12 @@
     try:
         await wire.open()
         got = await wire.ask(
-            "POST", "/v1/chat/completions", {"Authorization": f"Bearer {key}"}, msgspec.json.encode(body), WITHIN, seen
+            "POST",
+            "/v1/chat/completions",
+            {"Authorization": f"Bearer {key}"},
+            msgspec.json.encode(body),
+            REQUEST_TIMEOUT_S,
+            seen,
         )
         status, tokens = got.status, got.body.count(b'"content"')
         if status == 200 and got.whole and got.body.endswith(b"data: [DONE]\n\n"):
@@ -96,7 +101,9 @@
     seeds = numpy.random.SeedSequence(scenario.lab.seed).spawn(len(scenario.tenant))
     openings = random.Random(scenario.lab.seed)
     planned = sorted(
-        (at, k) for k, tenant in enumerate(scenario.tenant) for at in plan(tenant, scenario.lab.seconds, seeds[k])
+        (at, k)
+        for k, tenant in enumerate(scenario.tenant)
+        for at in draw_arrivals(tenant, scenario.lab.seconds, seeds[k])
     )
     began, tasks = time.monotonic() + 0.1, list[asyncio.Task[Row]]()
     on_start(began)
@@ -105,6 +112,6 @@
             await asyncio.sleep(wait)
         tenant = scenario.tenant[k]
         opening = openings.randrange(tenant.prefixes)
-        tasks.append(asyncio.create_task(_one(tenant, at, began, fronts(), keys[tenant.name], opening)))
+        tasks.append(asyncio.create_task(_send_request(tenant, at, began, fronts(), keys[tenant.name], opening)))
         progress(done + 1, len(planned))
     return list(await asyncio.gather(*tasks))
--- a/pearhill/lab/relay.py
+++ b/pearhill/lab/relay.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 
 Address = tuple[str, int]
-LONGEST_WAIT_S = 0.05
+MAX_SELECT_S = 0.05
 
 
 class Relay:
@@ -53,8 +53,8 @@
     def _run(self) -> None:
         count = 0
         while not self._ends:
-            due = self._heap[0][0] - time.monotonic() if self._heap else LONGEST_WAIT_S
-            for key, _ in self._selector.select(min(LONGEST_WAIT_S, max(0.0, due))):
+            due = self._heap[0][0] - time.monotonic() if self._heap else MAX_SELECT_S
+            for key, _ in self._selector.select(min(MAX_SELECT_S, max(0.0, due))):
                 data, sender = key.fileobj.recvfrom(65536)  # type: ignore[union-attr]
                 known = self.names_at.get(sender)
                 if known is None or (known, key.data) in self.cuts or self.rng.random() < self.drop:
--- a/pearhill/lab/report.py
+++ b/pearhill/lab/report.py
@@ -12,14 +12,14 @@
 from pearhill.lab.load import FAILED, REFUSED, SERVED, Row
 
 if TYPE_CHECKING:
-    from pearhill.lab.fleet import Result
+    from pearhill.lab.fleet import FleetResult
 
 COLOURS = ("#0b6e99", "#d9730d", "#448361", "#9065b0", "#c14c8a", "#9f6b53", "#787774")
 WIDTH, HEIGHT = 720, 220
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class TenantFigures:
     """One tenant's run. Shares of what it asked for; times to the first event in milliseconds."""
 
     tenant: str
@@ -34,8 +34,8 @@
     late_p99: float  # of the load tool itself
 
 
-def figures(rows: Sequence[Row], told: dict[str, float]) -> list[Figures]:
-    warm, seconds = told.get("warm_s", 0.0), told["seconds"]
+def tenant_figures(rows: Sequence[Row], parameters: dict[str, float]) -> list[TenantFigures]:
+    warm, seconds = parameters.get("warm_s", 0.0), parameters["seconds"]
     made = []
     for tenant in sorted({row.tenant for row in rows}):
         mine = [row for row in rows if row.tenant == tenant and row.planned_s >= warm]
@@ -49,7 +49,7 @@
         tokens = sum(row.tokens for row in mine if row.outcome == SERVED)
         p50, p95, p99 = (firsts.get_value_at_percentile(p) / 1000 for p in (50, 95, 99))
         made.append(
-            Figures(
+            TenantFigures(
                 tenant,
                 len(mine),
                 share[SERVED],
@@ -65,21 +65,21 @@
     return made
 
 
-def _curve(rows: Sequence[Row], tenant: str, seconds: float, of: str) -> list[float]:
+def _curve(rows: Sequence[Row], tenant: str, seconds: float, outcome: str) -> list[float]:
     bins = [0.0] * max(1, round(seconds))
     for row in rows:
-        if row.tenant == tenant and row.outcome == of:
+        if row.tenant == tenant and row.outcome == outcome:
             bins[min(len(bins) - 1, int(row.planned_s))] += 1
     return bins
 
 
-def plot(rows: Sequence[Row], seconds: float, of: str) -> str:
+def plot(rows: Sequence[Row], seconds: float, outcome: str) -> str:
     """Requests a second of one outcome, by tenant, as SVG."""
     tenants = sorted({row.tenant for row in rows})
-    curves = {tenant: _curve(rows, tenant, seconds, of) for tenant in tenants}
+    curves = {tenant: _curve(rows, tenant, seconds, outcome) for tenant in tenants}
     top = max((max(curve) for curve in curves.values()), default=0) or 1
     parts = [
-        f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{of} requests a second">',
+        f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{outcome} requests a second">',
         f'<line x1="40" y1="{HEIGHT - 20}" x2="{WIDTH}" y2="{HEIGHT - 20}" stroke="#999"/>',
         f'<text x="0" y="14" font-size="11">{top:.0f}/s</text>',
         f'<text x="0" y="{HEIGHT - 22}" font-size="11">0</text>',
@@ -95,7 +95,7 @@
     return "".join(parts) + "</svg>"
 
 
-def page(title: str, runs: dict[str, tuple[list[Row], dict[str, float]]], fleet: Result | None = None) -> str:
+def page(title: str, runs: dict[str, tuple[list[Row], dict[str, float]]], fleet: FleetResult | None = None) -> str:
     """One run, or several side by side. `fleet`: how even the work of many dispatchers was in it."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab", "."),
@@ -107,18 +107,18 @@
     shown = [
         {
             "name": name,
-            "figures": figures(rows, told),
+            "figures": tenant_figures(rows, told),
             "tenants": sorted({row.tenant for row in rows}),
             "plots": [(of, plot(rows, told["seconds"], of)) for of in (SERVED, REFUSED)],
         }
         for name, (rows, told) in runs.items()
     ]
     return environment.get_template("report.html.j2").render(
-        title=title, runs=shown, colours=COLOURS, fleet=fleet and lines(fleet)
+        title=title, runs=shown, colours=COLOURS, fleet=fleet and fleet_plots(fleet)
     )
 
 
-def lines(fleet: Result) -> list[tuple[str, str]]:
+def fleet_plots(fleet: FleetResult) -> list[tuple[str, str]]:
     """Captions and plots by second, as SVG."""
     made = []
     for name, curve, top in (
@@ -139,14 +139,14 @@
     return made
 
 
-def text(made: Sequence[Figures]) -> str:
-    lines = [
+def figures_text(figures: Sequence[TenantFigures]) -> str:
+    fleet_plots = [
         f"{'tenant':<16}{'asked':>7}"
         + "".join(f"{name:>10}" for name in ("served", "refused", "failed", "tokens/s", "p50 ms", "p95 ms", "p99 ms"))
     ]
-    for f in made:
-        lines.append(
+    for f in figures:
+        fleet_plots.append(
             f"{f.tenant:<16}{f.asked:>7}{f.served:>10.1%}{f.refused:>10.1%}{f.failed:>10.1%}"
             f"{f.tokens_per_s:>10.0f}{f.first_p50:>10.1f}{f.first_p95:>10.1f}{f.first_p99:>10.1f}"
         )
-    return "\n".join(lines)
+    return "\n".join(fleet_plots)
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -22,7 +22,9 @@
 
 
 @contextlib.asynccontextmanager
-async def servers(scenario: Scenario, work: list[list[tuple[float, float]]] | None = None) -> AsyncIterator[list[str]]:
+async def running_replicas(
+    scenario: Scenario, work: list[list[tuple[float, float]]] | None = None
+) -> AsyncIterator[list[str]]:
     """Their addresses. `work` gets, at the end, when each began and ended each request, of the monotonic clock."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "pearhill.lab.servers", stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -55,18 +57,18 @@
 async def run(scenario: Scenario, progress: load.Progress = lambda done, total: None) -> list[load.Row]:
     """OSError, Unreachable: the dispatcher or a server did not come up."""
     keys = {tenant.name: new_key() for tenant in scenario.tenant}
-    async with servers(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
+    async with running_replicas(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
         host, _, port = url.removeprefix("http://").rpartition(":")
         return await load.run(scenario, lambda: (host, int(port)), keys, progress)
 
 
-def write(rows: list[load.Row], scenario: Scenario, path: pathlib.Path) -> None:
+def write_rows(rows: list[load.Row], scenario: Scenario, path: pathlib.Path) -> None:
     table = pyarrow.Table.from_pylist([asdict(row) for row in rows])
     told = {"seconds": str(scenario.lab.seconds), "warm_s": str(scenario.lab.warm_s), "seed": str(scenario.lab.seed)}
     pyarrow.parquet.write_table(table.replace_schema_metadata(told), path, compression="zstd")
 
 
-def read(path: pathlib.Path) -> tuple[list[load.Row], dict[str, float]]:
+def read_rows(path: pathlib.Path) -> tuple[list[load.Row], dict[str, float]]:
     """The rows of a run, and what it was. ValueError, OSError: the file is none of ours."""
     table = pyarrow.parquet.read_table(path)
     if set(table.column_names) != set(load.Row.__dataclass_fields__):
--- a/pearhill/lab/servers.py
+++ b/pearhill/lab/servers.py
@@ -35,7 +35,7 @@
 
     def __init__(self, table: ServerTable, seed: int, began: float) -> None:
         self.table, self.rng, self.began = table, random.Random(seed), began
-        self.slots = asyncio.Semaphore(table.slots)
+        self.free_slots = asyncio.Semaphore(table.slots)
         self.waiting = self.held = 0
         self.work: list[tuple[float, float]] = []  # when each request came and went
 
@@ -73,7 +73,7 @@
         self.held += prompt
         came = time.monotonic()
         try:
-            async with self.slots:
+            async with self.free_slots:
                 await asyncio.sleep(prompt / self.table.read_tokens_per_s)
                 if fault and fault.kind == "reset":
                     return False
--- a/pearhill/lab/up.py
+++ b/pearhill/lab/up.py
@@ -18,14 +18,14 @@
 from pearhill.config import ConfigError
 from pearhill.lab.scenario import ServerTable
 
-END_WITHIN_S = 30  # for the dispatcher, once it is told to end: what it has taken is answered first
+SHUTDOWN_TIMEOUT_S = 30  # for the dispatcher, once it is told to end: what it has taken is answered first
 
 
-class NotUp(Exception):
+class NotStartedError(Exception):
     """Something did not come up; the text says what."""
 
 
-def engines(setup: ChatSetup) -> list[ServerTable]:
+def stand_in_tables(setup: ChatSetup) -> list[ServerTable]:
     """A stand-in for each server of the file. ConfigError: one is elsewhere, and might be real."""
     tables = []
     for entry in setup.endpoints:
@@ -45,10 +45,10 @@
     return tables
 
 
-async def up(file: str, setup: ChatSetup, told: Callable[[str], None]) -> int:
+async def serve_with_stand_ins(file: str, setup: ChatSetup, report_line: Callable[[str], None]) -> int:
     """Both, until SIGINT or SIGTERM or until one of them ends; the dispatcher's exit code. `told` gets what is worth
     showing. NotUp: a port is taken."""
-    tables = engines(setup)
+    tables = stand_in_tables(setup)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -69,8 +69,8 @@
         for table in tables:
             line = (await models.stdout.readline()).decode().strip()
             if line != table.listen.replace("localhost", "127.0.0.1"):
-                raise NotUp(f"stand-in engine: {line or 'ended at once'}")
-            told(f"stand-in engine, {table.kind}, on {line}")
+                raise NotStartedError(f"stand-in engine: {line or 'ended at once'}")
+            report_line(f"stand-in engine, {table.kind}, on {line}")
         front = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pearhill", "--chat", file, start_new_session=True
         )
@@ -78,10 +78,10 @@
         await asyncio.wait((ended, stopped), return_when=asyncio.FIRST_COMPLETED)
         stopped.cancel()
         if not ended.done():
-            told("ending: what was taken is answered first")
+            report_line("ending: what was taken is answered first")
             with contextlib.suppress(ProcessLookupError):
                 front.terminate()
-        return await asyncio.wait_for(ended, END_WITHIN_S)
+        return await asyncio.wait_for(ended, SHUTDOWN_TIMEOUT_S)
     finally:
         if front and front.returncode is None:
             with contextlib.suppress(ProcessLookupError):
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -44,7 +44,7 @@
 def test_work_by_engine_and_second_idle_time_and_served_shares():
     # Of three engines over three seconds: one works all the time, one in the second second, one never.
     work = [[(9.5, 13.5)], [(11.0, 12.0)], []]
-    result = fleet.judged([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
+    result = fleet.evaluate([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
     assert result.peaks == [3.0, 1.5, 3.0]
     assert result.idle_s == [0.0, 1.0, 3.0]
     assert result.served == [0.5, 1.0, 1.0]
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -63,13 +63,13 @@
         for name in ("small", "other"):
             done = self.cli("run", str(self.scenario(name=name)), "--out", str(self.folder))
             self.assertEqual(done.returncode, 0, done.stderr)
-        rows, told = run.read(self.folder / "small.parquet")
+        rows, told = run.read_rows(self.folder / "small.parquet")
         self.assertEqual(told["seconds"], 2.0)
         self.assertEqual({row.outcome for row in rows}, {SERVED})
         self.assertEqual({row.tokens for row in rows}, {5})
         self.assertTrue(all(0 < row.first_s <= row.end_s for row in rows))
         planned = [(row.tenant, row.planned_s) for row in rows]
-        self.assertEqual(planned, [(r.tenant, r.planned_s) for r in run.read(self.folder / "other.parquet")[0]])
+        self.assertEqual(planned, [(r.tenant, r.planned_s) for r in run.read_rows(self.folder / "other.parquet")[0]])
         page = (self.folder / "small.html").read_text()
         self.assertEqual((page.count("<polyline"), page.count("<td>one</td>")), (4, 1))
         done = self.cli(
@@ -112,8 +112,8 @@
 class Plans(unittest.TestCase):
     def test_arrivals_are_seeded_and_denser_in_a_burst(self):
         tenant = scenario.TenantTable("a", 50.0, "m", times=4.0, from_s=10.0, to_s=20.0)
-        times = load.plan(tenant, 40.0, numpy.random.SeedSequence(3))
-        self.assertEqual(times, load.plan(tenant, 40.0, numpy.random.SeedSequence(3)))
+        times = load.draw_arrivals(tenant, 40.0, numpy.random.SeedSequence(3))
+        self.assertEqual(times, load.draw_arrivals(tenant, 40.0, numpy.random.SeedSequence(3)))
         inside = sum(10 <= t < 20 for t in times)
         self.assertTrue(1_800 < inside < 2_200 and 1_350 < len(times) - inside < 1_650, (inside, len(times)))
 
@@ -122,7 +122,7 @@
             Row("a", t, 0.001, 200 if t % 2 else 429, SERVED if t % 2 else REFUSED, 0.1 * t, 0.2 * t, 10)
             for t in range(10)
         ]
-        (made,) = report.figures(rows, {"seconds": 10.0, "warm_s": 5.0})
+        (made,) = report.tenant_figures(rows, {"seconds": 10.0, "warm_s": 5.0})
         self.assertEqual((made.asked, made.served, made.refused, made.tokens_per_s), (5, 0.6, 0.4, 6.0))
         self.assertAlmostEqual(made.first_p50, 700, delta=2)
         svg = report.plot(rows, 10.0, SERVED)
