--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -1,4 +1,4 @@
-"""Many real dispatchers before stand-in engines, on one time line of faults: how even the work was, who was served."""
+"""Many real dispatchers before stand-in replicas, through a plan of faults: who was served, how even the work was."""
 
 from __future__ import annotations
 
@@ -18,22 +18,27 @@
 from pearhill.chat.keys import new_key
 from pearhill.lab import load
 from pearhill.lab.relay import Relay
-from pearhill.lab.run import operator_file, running_replicas
+from pearhill.lab.run import BusySpans, operator_file, running_replicas
 from pearhill.lab.scenario import FleetFault, FleetTable, Scenario
 from pearhill.load_reports.evenness import evenness
 
-START_TIMEOUT_S, POLL_INTERVAL_S = 120.0, 0.05
-WINDOW_S = 1.0
+START_TIMEOUT_S = 120.0  # for one dispatcher
+POLL_INTERVAL_S = 0.05
+WINDOW_S = 1.0  # in which work and served requests are summed
+MAX_LATE_S = WINDOW_S / 2  # of the load tool itself, for a result that means something
 
 
 class NotStartedError(Exception):
-    """A dispatcher did not come up; the text says which, and its last line."""
+    """A dispatcher did not start; the text names it and gives its last log line."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetResult:
-    """`peaks`: peak over mean of work by engine, and `served`: share of requests served, by second of the plan;
-    `idle_s`: the longest that each engine had nothing."""
+    """What came of a run.
+
+    `peaks`: peak over mean of work by replica, and `served`: share of requests served, by second of the plan; `idle_s`:
+    the longest time that each replica had no work; `cpu_limit_note`: a warning if the machine was too small.
+    """
 
     rows: list[load.Row]
     peaks: list[float]
@@ -43,23 +48,29 @@
     cpu_limit_note: str
 
     def summary(self, warm_s: float) -> str:
-        peaks, rows = self.peaks[int(warm_s) :], [r for r in self.rows if r.planned_s >= warm_s]
+        """Three lines about all that was planned after the first `warm_s` seconds."""
+        peaks = self.peaks[int(warm_s) :]
+        rows = [row for row in self.rows if row.planned_s >= warm_s]
         share = {
-            kind: sum(r.outcome == kind for r in rows) / max(1, len(rows))
-            for kind in (load.SERVED, load.REFUSED, load.FAILED)
+            outcome: sum(row.outcome == outcome for row in rows) / max(1, len(rows))
+            for outcome in (load.SERVED, load.REFUSED, load.FAILED)
         }
-        late = statistics.quantiles([r.late_s for r in rows], n=100)[-1] if len(rows) > 1 else 0.0
+        late_p99_s = statistics.quantiles([row.late_s for row in rows], n=100)[-1] if len(rows) > 1 else 0.0
         return (
             f"{len(rows)} requests: served {share[load.SERVED]:.1%}, refused {share[load.REFUSED]:.1%}, "
             f"failed {share[load.FAILED]:.1%}\n"
             f"peak over mean of work by engine in 1 s: mean {statistics.mean(peaks):.3f}, worst {max(peaks):.3f}\n"
             f"longest idle of {self.replicas} engines: {max(self.idle_s):.1f} s; "
-            f"load tool late p99: {late * 1000:.0f} ms{self.cpu_limit_note}"
+            f"load tool late p99: {late_p99_s * 1000:.0f} ms{self.cpu_limit_note}"
         )
 
 
 class DispatcherProcesses:
-    """The processes. Their logs are files in `folder`: two hundred pipes would have to be read."""
+    """The dispatchers' processes, and the relay between them where they gossip.
+
+    Their logs are files in `folder`: a pipe for each of hundreds of processes would have to be read. `text` is the
+    operator's file that all of them get. `close` ends the processes.
+    """
 
     def __init__(self, fleet: FleetTable, folder: pathlib.Path, text: str, seed: int) -> None:
         self.fleet, self.folder, self.text = fleet, folder, text
@@ -69,67 +80,76 @@
         self.fronts: dict[str, load.Front] = {}
         (folder / "key").write_text(new_key())
 
-    def _file(self, name: str) -> pathlib.Path:
-        text = self.text
-        if self.relay:
-            text += f'\n[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = ["{self.folder / "key"}"]\n'
-            text += "".join(f'[[fleet.peer]]\nname = "{p}"\naddress = "{self.relay.address(p)}"\n' for p in self.names)
-        path = self.folder / f"{name}.toml"
-        path.write_text(text)
-        return path
+    async def start_all(self) -> None:
+        """Start every dispatcher, `starts_at_once` at a time. NotStartedError: one of them did not start."""
+        gate = asyncio.Semaphore(self.fleet.starts_at_once)
+
+        async def start_in_turn(name: str) -> None:
+            async with gate:
+                await self.start(name)
+
+        await asyncio.gather(*map(start_in_turn, self.names))
 
     async def start(self, name: str) -> None:
+        """Start one dispatcher and wait until it listens. NotStartedError: it ended, or took too long."""
         log = self.folder / f"{name}.log"
         with log.open("wb") as file:
             self.processes[name] = process = subprocess.Popen(
-                [sys.executable, "-m", "pearhill", "--chat", str(self._file(name))], stderr=file
+                [sys.executable, "-m", "pearhill", "--chat", str(self._operator_file(name))], stderr=file
             )
         end = time.monotonic() + START_TIMEOUT_S
-        while not (found := re.search(r"chat front listens on ([\d.]+):(\d+)", told := log.read_text())):
+        while not (front := re.search(r"chat front listens on ([\d.]+):(\d+)", lines := log.read_text())):
             if process.poll() is not None or time.monotonic() > end:
-                raise NotStartedError(f"dispatcher {name}: {(told.splitlines() or ['said nothing'])[-1]}")
+                raise NotStartedError(f"dispatcher {name}: {(lines.splitlines() or ['said nothing'])[-1]}")
             await asyncio.sleep(POLL_INTERVAL_S)
-        self.fronts[name] = found[1], int(found[2])
-        if self.relay and (talks := re.search(r"talks on ([\d.]+):(\d+)", told)):
-            self.relay.place(name, talks[1], int(talks[2]))
+        self.fronts[name] = front[1], int(front[2])
+        if self.relay and (gossip := re.search(r"talks on ([\d.]+):(\d+)", lines)):
+            self.relay.place(name, gossip[1], int(gossip[2]))
 
-    async def start_all(self) -> None:
-        gate = asyncio.Semaphore(self.fleet.starts_at_once)
-
-        async def one(name: str) -> None:
-            async with gate:
-                await self.start(name)
-
-        await asyncio.gather(*map(one, self.names))
+    def _operator_file(self, name: str) -> pathlib.Path:
+        text = self.text
+        if self.relay:
+            text += f'\n[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = ["{self.folder / "key"}"]\n'
+            text += "".join(f'[[fleet.peer]]\nname = "{p}"\naddress = "{self.relay.address(p)}"\n' for p in self.names)
+        path = self.folder / f"{name}.toml"
+        path.write_text(text)
+        return path
 
     def begin_fault(self, fault: FleetFault) -> None:
-        who = [self.names[n] for n in fault.who]
-        for name in who if fault.kind in ("stall", "crash") else ():
-            self.processes[name].send_signal(signal.SIGSTOP if fault.kind == "stall" else signal.SIGKILL)
-        if relay := self.relay:
-            relay.drop = fault.share if fault.kind == "loss" else relay.drop
-            relay.double = fault.share if fault.kind == "double" else relay.double
-            relay.delay_s = fault.delay_s if fault.kind == "delay" else relay.delay_s
-            if fault.kind == "cut":
-                relay.cut(who, [name for name in self.names if name not in who])
+        """Put a fault into effect."""
+        names = self._affected(fault)
+        if fault.kind == "stall":
+            self._signal(names, signal.SIGSTOP)
+        elif fault.kind == "crash":
+            self._signal(names, signal.SIGKILL)
+        elif self.relay and fault.kind == "cut":
+            self.relay.cut(names, [name for name in self.names if name not in names])
+        elif self.relay:
+            _impair(self.relay, fault.kind, fault.share, fault.delay_s)
 
     async def end_fault(self, fault: FleetFault) -> None:
-        who = [self.names[n] for n in fault.who]
+        """End a fault; crashed dispatchers are started again. NotStartedError: one of them did not start."""
+        names = self._affected(fault)
         if fault.kind == "stall":
-            for name in who:
-                self.processes[name].send_signal(signal.SIGCONT)
+            self._signal(names, signal.SIGCONT)
         elif fault.kind == "crash":
-            for name in who:
+            for name in names:
                 self.processes[name].wait()
-            await asyncio.gather(*map(self.start, who))
+            await asyncio.gather(*map(self.start, names))
+        elif self.relay and fault.kind == "cut":
+            self.relay.cut()
         elif self.relay:
-            if fault.kind == "cut":
-                self.relay.cut()
-            self.relay.drop = 0.0 if fault.kind == "loss" else self.relay.drop
-            self.relay.double = 0.0 if fault.kind == "double" else self.relay.double
-            self.relay.delay_s = 0.0 if fault.kind == "delay" else self.relay.delay_s
+            _impair(self.relay, fault.kind, share=0.0, delay_s=0.0)
+
+    def _affected(self, fault: FleetFault) -> list[str]:
+        return [self.names[number] for number in fault.who]
+
+    def _signal(self, names: list[str], number: signal.Signals) -> None:
+        for name in names:
+            self.processes[name].send_signal(number)
 
     def close(self) -> None:
+        """Kill all processes, also stopped ones, and wait for their ends."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -139,74 +159,125 @@
             self.relay.close()
 
 
+def _impair(relay: Relay, kind: str, share: float, delay_s: float) -> None:
+    """Set what the relay does to all datagrams, for a fault of kind `loss`, `double` or `delay`."""
+    if kind == "loss":
+        relay.drop = share
+    elif kind == "double":
+        relay.double = share
+    elif kind == "delay":
+        relay.delay_s = delay_s
+
+
 async def _run_faults(dispatchers: DispatcherProcesses, began: float, report_line: Callable[[str], None]) -> None:
-    moments = sorted(
-        [(f.from_s, 0, k) for k, f in enumerate(dispatchers.fleet.fault)]
-        + [(f.to_s, 1, k) for k, f in enumerate(dispatchers.fleet.fault)]
-    )
-    for at, ends, k in moments:
+    """Begin and end the plan's faults; `began`: the load's beginning, of the monotonic clock."""
+    faults = dispatchers.fleet.fault
+    begins = [(fault.from_s, 0, k) for k, fault in enumerate(faults)]
+    ends = [(fault.to_s, 1, k) for k, fault in enumerate(faults)]
+    for at, is_end, k in sorted(begins + ends):
         await asyncio.sleep(max(0.0, began + at - time.monotonic()))
-        fault = dispatchers.fleet.fault[k]
-        report_line(f"{at:6.1f} s: {fault.kind} {'ends' if ends else 'begins'} {fault.who or ''}")
-        if ends:
+        fault = faults[k]
+        report_line(f"{at:6.1f} s: {fault.kind} {'ends' if is_end else 'begins'} {fault.who or ''}")
+        if is_end:
             await dispatchers.end_fault(fault)
         else:
             dispatchers.begin_fault(fault)
 
 
 async def run(scenario: Scenario, report_line: Callable[[str], None] = lambda line: None) -> FleetResult:
-    """NotUp, ValueError: there is no such fleet, or it does not come up."""
+    """Start replicas and dispatchers, send the load through the plan of faults, and evaluate it.
+
+    `report_line` gets what is worth showing meanwhile. NotStartedError: a dispatcher did not start; ValueError: the
+    scenario has no fleet.
+    """
     fleet, lab = scenario.fleet, scenario.lab
     if fleet is None:
         raise ValueError("fleet: found nothing; allowed: a table with the count of dispatchers")
-    keys, work, began = {tenant.name: new_key() for tenant in scenario.tenant}, list[list[tuple[float, float]]](), 0.0
-    rng = random.Random(lab.seed)
+    keys = {tenant.name: new_key() for tenant in scenario.tenant}
+    work: list[BusySpans] = []
     with tempfile.TemporaryDirectory() as folder:
         async with running_replicas(scenario, work) as addresses:
             text = operator_file(scenario, addresses, keys)
             dispatchers = DispatcherProcesses(fleet, pathlib.Path(folder), text, lab.seed)
-            timeline: asyncio.Task[None] | None = None
-
-            def start(at: float) -> None:
-                nonlocal began, timeline
-                began, timeline = at, asyncio.create_task(_run_faults(dispatchers, at, report_line))
-
-            weights = [fleet.heavy if k % fleet.heavy_every == 0 else 1.0 for k in range(fleet.dispatchers)]
             try:
                 await dispatchers.start_all()
                 report_line(f"{fleet.dispatchers} dispatchers, {len(addresses)} engines, seed {lab.seed}")
-                rows = await load.run(
-                    scenario,
-                    lambda: dispatchers.fronts[rng.choices(dispatchers.names, weights)[0]],
-                    keys,
-                    lambda done, total: None,
-                    start,
-                )
-                if timeline:
-                    await timeline
+                rows, began = await _run_load(scenario, fleet, dispatchers, keys, report_line)
             finally:
                 dispatchers.close()
     return evaluate(rows, work, began, lab.seconds)
 
 
-def evaluate(rows: list[load.Row], work: list[list[tuple[float, float]]], began: float, seconds: float) -> FleetResult:
-    """Work by engine and second is the time that requests spent there."""
-    count = int(seconds // WINDOW_S)
-    area = [[0.0] * len(work) for _ in range(count)]
-    idle = []
+async def _run_load(
+    scenario: Scenario,
+    fleet: FleetTable,
+    dispatchers: DispatcherProcesses,
+    keys: dict[str, str],
+    report_line: Callable[[str], None],
+) -> tuple[list[load.Row], float]:
+    """The load's rows, and its beginning, of the monotonic clock. Faults are counted from there."""
+    rng = random.Random(scenario.lab.seed)
+    weights = [fleet.heavy if k % fleet.heavy_every == 0 else 1.0 for k in range(fleet.dispatchers)]
+    began = 0.0
+    faults: asyncio.Task[None] | None = None
+
+    def start_faults(at: float) -> None:
+        nonlocal began, faults
+        began = at
+        faults = asyncio.create_task(_run_faults(dispatchers, at, report_line))
+
+    rows = await load.run(
+        scenario,
+        lambda: dispatchers.fronts[rng.choices(dispatchers.names, weights)[0]],
+        keys,
+        lambda done, total: None,
+        start_faults,
+    )
+    if faults:
+        await faults
+    return rows, began
+
+
+def evaluate(rows: list[load.Row], work: list[BusySpans], began: float, seconds: float) -> FleetResult:
+    """The figures of a run. `work`: by replica; work in a second is the time that requests spent there; `began`: the
+    load's beginning, of the clock of `work`."""
+    windows = int(seconds // WINDOW_S)
+    peaks = [
+        evenness({str(k): busy_s for k, busy_s in enumerate(window)}).peak
+        for window in _work_by_window(work, began, windows)
+    ]
+    late_s = max((row.late_s for row in rows), default=0.0)
+    return FleetResult(
+        rows=rows,
+        peaks=peaks,
+        served=[_served_share(rows, window) for window in range(windows)],
+        idle_s=[_longest_idle_s(spans, began, seconds) for spans in work],
+        replicas=len(work),
+        cpu_limit_note=("; the machine was too small for this: read nothing from it" if late_s > MAX_LATE_S else ""),
+    )
+
+
+def _work_by_window(work: list[BusySpans], began: float, windows: int) -> list[list[float]]:
+    """Seconds that requests spent at each replica, by window."""
+    spent = [[0.0] * len(work) for _ in range(windows)]
     for k, spans in enumerate(work):
-        longest, busy_to = 0.0, began
-        for a, b in sorted(spans):
-            if a < began + seconds:
-                longest, busy_to = max(longest, a - busy_to), max(busy_to, b)
-            for w in range(max(0, int(a - began)), min(count - 1, int(b - began)) + 1):
-                area[w][k] += max(0.0, min(b - began, w + 1) - max(a - began, w))
-        idle.append(max(longest, began + seconds - busy_to))
-    peaks = [evenness({str(k): v for k, v in enumerate(window)}).peak for window in area]
-    served = []
-    for w in range(count):
-        mine = [r.outcome == load.SERVED for r in rows if w <= r.planned_s < w + 1]
-        served.append(sum(mine) / len(mine) if mine else 1.0)
-    late = max((r.late_s for r in rows), default=0.0)
-    note = "; the machine was too small for this: read nothing from it" if late > WINDOW_S / 2 else ""
-    return FleetResult(rows, peaks, served, idle, len(work), note)
+        for begin, end in sorted(spans):
+            for w in range(max(0, int(begin - began)), min(windows - 1, int(end - began)) + 1):
+                spent[w][k] += max(0.0, min(end - began, w + 1) - max(begin - began, w))
+    return spent
+
+
+def _longest_idle_s(spans: BusySpans, began: float, seconds: float) -> float:
+    """The longest time within the load that a replica had no request."""
+    longest_s, busy_until = 0.0, began
+    for begin, end in sorted(spans):
+        if begin < began + seconds:
+            longest_s = max(longest_s, begin - busy_until)
+            busy_until = max(busy_until, end)
+    return max(longest_s, began + seconds - busy_until)
+
+
+def _served_share(rows: list[load.Row], window: int) -> float:
+    """Of the requests that were planned in a window; 1 where none was."""
+    served = [row.outcome == load.SERVED for row in rows if window <= row.planned_s < window + 1]
+    return sum(served) / len(served) if served else 1.0
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: servers, the dispatcher with its operator's file, the load, and the rows that come of it."""
+"""One run: stand-in replicas, the dispatcher with its operator's file, the load, and the rows that come of it."""
 
 from __future__ import annotations
 
@@ -20,31 +20,36 @@
 from pearhill.lab import load
 from pearhill.lab.scenario import Scenario
 
+BusySpans = list[tuple[float, float]]  # when each request began and ended at one replica, of the monotonic clock
+METADATA_KEYS = (b"seconds", b"warm_s")  # of a result's Parquet file, as far as reports use them
+
 
 @contextlib.asynccontextmanager
-async def running_replicas(
-    scenario: Scenario, work: list[list[tuple[float, float]]] | None = None
-) -> AsyncIterator[list[str]]:
-    """Their addresses. `work` gets, at the end, when each began and ended each request, of the monotonic clock."""
+async def running_replicas(scenario: Scenario, work: list[BusySpans] | None = None) -> AsyncIterator[list[str]]:
+    """The addresses of the scenario's replicas, which run in one process of their own until the context is left.
+
+    `work` is extended at the end by each replica's spans, in the order of the addresses.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "pearhill.lab.servers", stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
     assert process.stdin
     assert process.stdout
     try:
-        told = {"servers": msgspec.to_builtins(scenario.server), "seed": scenario.lab.seed}
-        process.stdin.write(json.dumps(told).encode() + b"\n")
-        yield [(await process.stdout.readline()).decode().strip() for _ in range(sum(s.count for s in scenario.server))]
+        order = {"servers": msgspec.to_builtins(scenario.server), "seed": scenario.lab.seed}
+        process.stdin.write(json.dumps(order).encode() + b"\n")
+        count = sum(table.count for table in scenario.server)
+        yield [(await process.stdout.readline()).decode().strip() for _ in range(count)]
     finally:
         process.stdin.close()
-        told_last = await process.stdout.read()
-        if work is not None and told_last:
-            work += json.loads(told_last)
+        last_output = await process.stdout.read()
+        if work is not None and last_output:
+            work += json.loads(last_output)
         await process.wait()
 
 
 def operator_file(scenario: Scenario, addresses: list[str], keys: dict[str, str]) -> str:
-    """The scenario's operator's file, with its servers and its tenants' keys."""
+    """The scenario's operator's file, with its replicas and its tenants' keys."""
     text = (scenario.base / scenario.lab.operator_file).read_text(encoding="utf-8")
     kinds = [table.kind for table in scenario.server for _ in range(table.count)]
     for k, (kind, address) in enumerate(zip(kinds, addresses, strict=True)):
@@ -55,7 +60,7 @@
 
 
 async def run(scenario: Scenario, progress: load.Progress = lambda done, total: None) -> list[load.Row]:
-    """OSError, Unreachable: the dispatcher or a server did not come up."""
+    """The rows of a scenario with one dispatcher. OSError, Unreachable: the dispatcher or a replica did not start."""
     keys = {tenant.name: new_key() for tenant in scenario.tenant}
     async with running_replicas(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
         host, _, port = url.removeprefix("http://").rpartition(":")
@@ -63,15 +68,18 @@
 
 
 def write_rows(rows: list[load.Row], scenario: Scenario, path: pathlib.Path) -> None:
+    """Write a run's rows as Parquet, with the scenario's seconds, warm-up and seed as metadata."""
     table = pyarrow.Table.from_pylist([asdict(row) for row in rows])
-    told = {"seconds": str(scenario.lab.seconds), "warm_s": str(scenario.lab.warm_s), "seed": str(scenario.lab.seed)}
-    pyarrow.parquet.write_table(table.replace_schema_metadata(told), path, compression="zstd")
+    lab = scenario.lab
+    metadata = {"seconds": str(lab.seconds), "warm_s": str(lab.warm_s), "seed": str(lab.seed)}
+    pyarrow.parquet.write_table(table.replace_schema_metadata(metadata), path, compression="zstd")
 
 
 def read_rows(path: pathlib.Path) -> tuple[list[load.Row], dict[str, float]]:
-    """The rows of a run, and what it was. ValueError, OSError: the file is none of ours."""
+    """A run's rows and its parameters `seconds` and `warm_s`. ValueError, OSError: the file is no result of a run."""
     table = pyarrow.parquet.read_table(path)
     if set(table.column_names) != set(load.Row.__dataclass_fields__):
         raise ValueError(f"{path}: is no result of `pearhill lab run`")
-    told = {k.decode(): float(v) for k, v in (table.schema.metadata or {}).items() if k in (b"seconds", b"warm_s")}
-    return [load.Row(**row) for row in table.to_pylist()], told
+    metadata = table.schema.metadata or {}
+    parameters = {key.decode(): float(value) for key, value in metadata.items() if key in METADATA_KEYS}
+    return [load.Row(**row) for row in table.to_pylist()], parameters
