--- a/pearhill/lab/relay.py
+++ b/pearhill/lab/relay.py
@@ -1,4 +1,4 @@
-"""A path between named dispatchers that loses, doubles, delays and cuts what they tell one another."""
+"""A UDP relay between named dispatchers that loses, doubles, delays and cuts their datagrams."""
 
 from __future__ import annotations
 
@@ -12,67 +12,86 @@
 from collections.abc import Sequence
 
 Address = tuple[str, int]
-MAX_SELECT_S = 0.05
+MAX_SELECT_S = 0.05  # so that `close` is noticed
+MAX_DATAGRAM_BYTES = 65536
+CLOSE_TIMEOUT_S = 5
 
 
 class Relay:
-    """A socket for each name: what comes in there goes on to where that one listens, from the socket of its sender, so
-    that answers come by here too. Who sent it shows by where it came from: each has to be made known (`place`) before
-    it is passed on."""
+    """A socket for each name, served by a thread: what arrives there is forwarded to where the name listens.
+
+    It is sent from the socket of its sender, so that answers pass the relay too. A sender is known by its address: each
+    dispatcher has to be registered with `place` before its datagrams are forwarded. `drop` and `double` are shares of
+    all datagrams, `delay_s` is the longest delay, `passed` counts what was forwarded.
+    """
 
     def __init__(self, names: Sequence[str], seed: int) -> None:
-        self.rng, self.to, self.names_at = random.Random(seed), dict[str, Address](), dict[Address, str]()
+        self.rng = random.Random(seed)
+        self.to: dict[str, Address] = {}
+        self.names_at: dict[Address, str] = {}
         self.cuts: set[tuple[str, str]] = set()  # sender, addressee
         self.drop = self.double = self.delay_s = 0.0
         self.passed = 0
-        self._heap: list[tuple[float, int, bytes, str, str]] = []  # when, .., sender, addressee
-        self._selector, self._ends = selectors.DefaultSelector(), False
+        self._heap: list[tuple[float, int, bytes, str, str]] = []  # when, tie-breaker, data, sender, addressee
+        self._count = 0
+        self._closing = False
+        self._selector = selectors.DefaultSelector()
         self._sockets: dict[str, socket.socket] = {}
         for name in names:
-            end = self._sockets[name] = socket.socket(type=socket.SOCK_DGRAM)
-            end.bind(("127.0.0.1", 0))
-            end.setblocking(False)
-            self._selector.register(end, selectors.EVENT_READ, name)
+            self._sockets[name] = self._open_socket(name)
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
+    def _open_socket(self, name: str) -> socket.socket:
+        made = socket.socket(type=socket.SOCK_DGRAM)
+        made.bind(("127.0.0.1", 0))
+        made.setblocking(False)
+        self._selector.register(made, selectors.EVENT_READ, name)
+        return made
+
     def address(self, name: str) -> str:
-        """Where the others are to find this one."""
+        """HOST:PORT at which the others reach this name by way of the relay."""
         return "{}:{}".format(*self._sockets[name].getsockname())
 
     def place(self, name: str, host: str, port: int) -> None:
-        """This one talks at that address."""
+        """Register the address at which this name sends and receives."""
         self.names_at[host, port] = name
         self.to[name] = host, port
 
     def cut(self, *sides: Sequence[str]) -> None:
-        """Nothing passes between these any more, in either direction; none given: everything passes."""
+        """Forward nothing between these groups of names, in either direction; without groups, forward everything."""
         side = {name: k for k, names in enumerate(sides) for name in names}
         self.cuts = {(a, b) for a in side for b in side if side[a] != side[b]}
 
     def _run(self) -> None:
-        count = 0
-        while not self._ends:
-            due = self._heap[0][0] - time.monotonic() if self._heap else MAX_SELECT_S
-            for key, _ in self._selector.select(min(MAX_SELECT_S, max(0.0, due))):
-                data, sender = key.fileobj.recvfrom(65536)  # type: ignore[union-attr]
-                known = self.names_at.get(sender)
-                if known is None or (known, key.data) in self.cuts or self.rng.random() < self.drop:
-                    continue
-                for _ in range(1 + (self.rng.random() < self.double)):
-                    count += 1
-                    at = time.monotonic() + self.rng.random() * self.delay_s
-                    heapq.heappush(self._heap, (at, count, data, known, key.data))
+        while not self._closing:
+            wait_s = self._heap[0][0] - time.monotonic() if self._heap else MAX_SELECT_S
+            for key, _ in self._selector.select(min(MAX_SELECT_S, max(0.0, wait_s))):
+                data, sender = key.fileobj.recvfrom(MAX_DATAGRAM_BYTES)  # type: ignore[union-attr]
+                self._accept(data, self.names_at.get(sender), key.data)
             while self._heap and self._heap[0][0] <= time.monotonic():
-                _, _, data, sender_name, to = heapq.heappop(self._heap)
-                if to in self.to:
-                    with contextlib.suppress(BlockingIOError):  # full: lost, as on any path
-                        self._sockets[sender_name].sendto(data, self.to[to])
-                    self.passed += 1
+                self._forward(*heapq.heappop(self._heap)[2:])
+
+    def _accept(self, data: bytes, sender: str | None, addressee: str) -> None:
+        """Schedule what has arrived, unless it is lost."""
+        if sender is None or (sender, addressee) in self.cuts or self.rng.random() < self.drop:
+            return
+        for _ in range(1 + (self.rng.random() < self.double)):
+            self._count += 1
+            at = time.monotonic() + self.rng.random() * self.delay_s
+            heapq.heappush(self._heap, (at, self._count, data, sender, addressee))
+
+    def _forward(self, data: bytes, sender: str, addressee: str) -> None:
+        if addressee not in self.to:
+            return
+        with contextlib.suppress(BlockingIOError):  # a full socket buffer loses datagrams, as on any network
+            self._sockets[sender].sendto(data, self.to[addressee])
+        self.passed += 1
 
     def close(self) -> None:
-        self._ends = True
-        self._thread.join(5)
+        """End the thread and close the sockets."""
+        self._closing = True
+        self._thread.join(CLOSE_TIMEOUT_S)
         for end in self._sockets.values():
             end.close()
         self._selector.close()
