--- a/pearhill/lab/report.py
+++ b/pearhill/lab/report.py
@@ -1,8 +1,8 @@
-"""What came of a run, as figures and as a page with plots."""
+"""The figures of a run, and the page with plots of one or several runs."""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
@@ -15,12 +15,21 @@
     from pearhill.lab.fleet import FleetResult
 
 COLOURS = ("#0b6e99", "#d9730d", "#448361", "#9065b0", "#c14c8a", "#9f6b53", "#787774")
-WIDTH, HEIGHT = 720, 220
+WIDTH, HEIGHT = 720, 220  # of a plot, in units of its own
+LEFT_MARGIN, BOTTOM_MARGIN = 40, 20
+MAX_TIME_US = 600_000_000  # that the histograms hold
+TEMPLATE = "report.html.j2"
+
+Parameters = dict[str, float]  # of a run: `seconds` and `warm_s`
 
 
 @dataclass(frozen=True, slots=True)
 class TenantFigures:
-    """One tenant's run. Shares of what it asked for; times to the first event in milliseconds."""
+    """One tenant's requests after the warm-up.
+
+    `served`, `refused`, `failed`: shares of the count `asked`; `first_*`: milliseconds to the first event; `late_p99`:
+    milliseconds by which the load tool itself was late.
+    """
 
     tenant: str
     asked: int
@@ -31,41 +40,58 @@
     first_p50: float
     first_p95: float
     first_p99: float
-    late_p99: float  # of the load tool itself
-
-
-def tenant_figures(rows: Sequence[Row], parameters: dict[str, float]) -> list[TenantFigures]:
-    warm, seconds = parameters.get("warm_s", 0.0), parameters["seconds"]
-    made = []
-    for tenant in sorted({row.tenant for row in rows}):
-        mine = [row for row in rows if row.tenant == tenant and row.planned_s >= warm]
-        firsts, lates = HdrHistogram(1, 600_000_000, 3), HdrHistogram(1, 600_000_000, 3)
-        for row in mine:
-            lates.record_value(max(1, int(row.late_s * 1e6)))
-            if row.outcome == SERVED:
-                firsts.record_value(max(1, int(row.first_s * 1e6)))
-        n = max(1, len(mine))
-        share = {kind: sum(row.outcome == kind for row in mine) / n for kind in (SERVED, REFUSED, FAILED)}
-        tokens = sum(row.tokens for row in mine if row.outcome == SERVED)
-        p50, p95, p99 = (firsts.get_value_at_percentile(p) / 1000 for p in (50, 95, 99))
-        made.append(
-            TenantFigures(
-                tenant,
-                len(mine),
-                share[SERVED],
-                share[REFUSED],
-                share[FAILED],
-                tokens / max(1e-9, seconds - warm),
-                p50,
-                p95,
-                p99,
-                lates.get_value_at_percentile(99) / 1000,
-            )
-        )
-    return made
+    late_p99: float
+
+
+def tenant_figures(rows: Sequence[Row], parameters: Parameters) -> list[TenantFigures]:
+    """The figures of each tenant, by name."""
+    warm_s, seconds = parameters.get("warm_s", 0.0), parameters["seconds"]
+    counted = [row for row in rows if row.planned_s >= warm_s]
+    return [
+        _figures_of(tenant, [row for row in counted if row.tenant == tenant], seconds - warm_s)
+        for tenant in _tenants(rows)
+    ]
+
+
+def _tenants(rows: Sequence[Row]) -> list[str]:
+    return sorted({row.tenant for row in rows})
+
+
+def _figures_of(tenant: str, rows: Sequence[Row], seconds: float) -> TenantFigures:
+    served = [row for row in rows if row.outcome == SERVED]
+    first_event = _histogram(row.first_s for row in served)
+    lateness = _histogram(row.late_s for row in rows)
+    return TenantFigures(
+        tenant=tenant,
+        asked=len(rows),
+        served=_share(rows, SERVED),
+        refused=_share(rows, REFUSED),
+        failed=_share(rows, FAILED),
+        tokens_per_s=sum(row.tokens for row in served) / max(1e-9, seconds),
+        first_p50=_percentile_ms(first_event, 50),
+        first_p95=_percentile_ms(first_event, 95),
+        first_p99=_percentile_ms(first_event, 99),
+        late_p99=_percentile_ms(lateness, 99),
+    )
 
 
-def _curve(rows: Sequence[Row], tenant: str, seconds: float, outcome: str) -> list[float]:
+def _share(rows: Sequence[Row], outcome: str) -> float:
+    return sum(row.outcome == outcome for row in rows) / max(1, len(rows))
+
+
+def _histogram(times_s: Iterable[float]) -> HdrHistogram:
+    histogram = HdrHistogram(1, MAX_TIME_US, 3)
+    for time_s in times_s:
+        histogram.record_value(max(1, int(time_s * 1e6)))
+    return histogram
+
+
+def _percentile_ms(histogram: HdrHistogram, percentile: float) -> float:
+    milliseconds: float = histogram.get_value_at_percentile(percentile) / 1000
+    return milliseconds
+
+
+def _requests_by_second(rows: Sequence[Row], tenant: str, seconds: float, outcome: str) -> list[float]:
     bins = [0.0] * max(1, round(seconds))
     for row in rows:
         if row.tenant == tenant and row.outcome == outcome:
@@ -73,30 +99,52 @@
     return bins
 
 
+def _polyline(curve: Sequence[float], top: float, colour: str) -> str:
+    """A curve of one value a second, `top` at the upper edge."""
+    points = " ".join(
+        f"{LEFT_MARGIN + (WIDTH - LEFT_MARGIN) * (x + 0.5) / len(curve):.1f},"
+        f"{(HEIGHT - BOTTOM_MARGIN) * (1 - y / top):.1f}"
+        for x, y in enumerate(curve)
+    )
+    return f'<polyline fill="none" stroke="{colour}" stroke-width="1.8" points="{points}"/>'
+
+
+def _svg(label: str) -> str:
+    return f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{label}">'
+
+
 def plot(rows: Sequence[Row], seconds: float, outcome: str) -> str:
     """Requests a second of one outcome, by tenant, as SVG."""
-    tenants = sorted({row.tenant for row in rows})
-    curves = {tenant: _curve(rows, tenant, seconds, outcome) for tenant in tenants}
-    top = max((max(curve) for curve in curves.values()), default=0) or 1
+    tenants = _tenants(rows)
+    curves = [_requests_by_second(rows, tenant, seconds, outcome) for tenant in tenants]
+    top = max((max(curve) for curve in curves), default=0) or 1
+    axis_y = HEIGHT - BOTTOM_MARGIN
     parts = [
-        f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{outcome} requests a second">',
-        f'<line x1="40" y1="{HEIGHT - 20}" x2="{WIDTH}" y2="{HEIGHT - 20}" stroke="#999"/>',
+        _svg(f"{outcome} requests a second"),
+        f'<line x1="{LEFT_MARGIN}" y1="{axis_y}" x2="{WIDTH}" y2="{axis_y}" stroke="#999"/>',
         f'<text x="0" y="14" font-size="11">{top:.0f}/s</text>',
-        f'<text x="0" y="{HEIGHT - 22}" font-size="11">0</text>',
+        f'<text x="0" y="{axis_y - 2}" font-size="11">0</text>',
         f'<text x="{WIDTH - 40}" y="{HEIGHT - 6}" font-size="11">{seconds:.0f} s</text>',
     ]
-    for k, tenant in enumerate(tenants):
-        curve, colour = curves[tenant], COLOURS[k % len(COLOURS)]
-        points = " ".join(
-            f"{40 + (WIDTH - 40) * (x + 0.5) / len(curve):.1f},{(HEIGHT - 20) * (1 - y / top):.1f}"
-            for x, y in enumerate(curve)
-        )
-        parts.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.8" points="{points}"/>')
+    for k, curve in enumerate(curves):
+        parts.append(_polyline(curve, top, COLOURS[k % len(COLOURS)]))
     return "".join(parts) + "</svg>"
 
 
-def page(title: str, runs: dict[str, tuple[list[Row], dict[str, float]]], fleet: FleetResult | None = None) -> str:
-    """One run, or several side by side. `fleet`: how even the work of many dispatchers was in it."""
+def fleet_plots(fleet: FleetResult) -> list[tuple[str, str]]:
+    """Captions and plots by second, as SVG, of how even the work was and who was served."""
+    curves = (
+        ("peak over mean of work by engine", fleet.peaks, max(2.0, *fleet.peaks)),
+        ("share served", fleet.served, 1.0),
+    )
+    return [
+        (f"{name} (0 to {top:.2f})", f"{_svg(name)}{_polyline(curve, top, COLOURS[0])}</svg>")
+        for name, curve, top in curves
+    ]
+
+
+def page(title: str, runs: dict[str, tuple[list[Row], Parameters]], fleet: FleetResult | None = None) -> str:
+    """The HTML page of one run, or of several side by side. `fleet`: of a run with many dispatchers."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab", "."),
         autoescape=True,
@@ -107,46 +155,24 @@
     shown = [
         {
             "name": name,
-            "figures": tenant_figures(rows, told),
-            "tenants": sorted({row.tenant for row in rows}),
-            "plots": [(of, plot(rows, told["seconds"], of)) for of in (SERVED, REFUSED)],
+            "figures": tenant_figures(rows, parameters),
+            "tenants": _tenants(rows),
+            "plots": [(outcome, plot(rows, parameters["seconds"], outcome)) for outcome in (SERVED, REFUSED)],
         }
-        for name, (rows, told) in runs.items()
+        for name, (rows, parameters) in runs.items()
     ]
-    return environment.get_template("report.html.j2").render(
+    return environment.get_template(TEMPLATE).render(
         title=title, runs=shown, colours=COLOURS, fleet=fleet and fleet_plots(fleet)
     )
 
 
-def fleet_plots(fleet: FleetResult) -> list[tuple[str, str]]:
-    """Captions and plots by second, as SVG."""
-    made = []
-    for name, curve, top in (
-        ("peak over mean of work by engine", fleet.peaks, max(2.0, *fleet.peaks)),
-        ("share served", fleet.served, 1.0),
-    ):
-        points = " ".join(
-            f"{40 + (WIDTH - 40) * (x + 0.5) / len(curve):.1f},{(HEIGHT - 20) * (1 - y / top):.1f}"
-            for x, y in enumerate(curve)
-        )
-        made.append(
-            (
-                f"{name} (0 to {top:.2f})",
-                f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{name}">'
-                f'<polyline fill="none" stroke="{COLOURS[0]}" stroke-width="1.8" points="{points}"/></svg>',
-            )
-        )
-    return made
-
-
 def figures_text(figures: Sequence[TenantFigures]) -> str:
-    fleet_plots = [
-        f"{'tenant':<16}{'asked':>7}"
-        + "".join(f"{name:>10}" for name in ("served", "refused", "failed", "tokens/s", "p50 ms", "p95 ms", "p99 ms"))
-    ]
+    """A table for the terminal, a line a tenant."""
+    columns = ("served", "refused", "failed", "tokens/s", "p50 ms", "p95 ms", "p99 ms")
+    lines = [f"{'tenant':<16}{'asked':>7}" + "".join(f"{name:>10}" for name in columns)]
     for f in figures:
-        fleet_plots.append(
+        lines.append(
             f"{f.tenant:<16}{f.asked:>7}{f.served:>10.1%}{f.refused:>10.1%}{f.failed:>10.1%}"
             f"{f.tokens_per_s:>10.0f}{f.first_p50:>10.1f}{f.first_p95:>10.1f}{f.first_p99:>10.1f}"
         )
-    return "\n".join(fleet_plots)
+    return "\n".join(lines)
