--- a/pearhill/lab/scenario.py
+++ b/pearhill/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario's file, and what is made of it."""
+"""A scenario's file: stand-in replicas, tenants that send requests, and a fleet of dispatchers if there is one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 
 class FaultTable(Struct, forbid_unknown_fields=True):
-    """What a server does to a share of its requests for a while. `garble` and `stall` come after the first events."""
+    """What a replica does to a share of its requests between two moments, in seconds since its start. `garble` and
+    `stall` come after the first events."""
 
     kind: Literal["refuse", "reset", "stall", "garble"]
     from_s: Annotated[float, Meta(ge=0)] = 0.0
@@ -23,7 +24,10 @@
 
 
 class ServerTable(Struct, forbid_unknown_fields=True):
-    """`count` servers alike. `kind` is one of the operator's file. Rates are of one request, and of reading."""
+    """`count` equal replicas. `kind` is one of the operator's file; `queue`: requests that wait beyond the slots.
+
+    `read_tokens_per_s`: of one prefill; `write_tokens_per_s`: of one stream.
+    """
 
     kind: str
     count: Count = 1
@@ -33,11 +37,11 @@
     read_tokens_per_s: Positive = 50_000.0
     write_tokens_per_s: Positive = 100.0
     fault: list[FaultTable] = []
-    listen: str = ""  # HOST:PORT of a single one; none: a port that the system picks
+    listen: str = ""  # HOST:PORT of a single one; empty: a port that the system picks
 
 
 class TenantTable(Struct, forbid_unknown_fields=True):
-    """One tenant's requests: a Poisson stream, or a burst of `times` as many between two moments."""
+    """One tenant's requests: a Poisson process, `times` as dense between `from_s` and `to_s`."""
 
     name: Annotated[str, Meta(min_length=1)]
     rate_per_s: Positive
@@ -48,13 +52,15 @@
     from_s: Annotated[float, Meta(ge=0)] = 0.0
     to_s: Positive = 1e9
     max_tokens: Annotated[int, Meta(ge=0)] = 0
-    prefixes: Count = 1  # different openings, each drawn as often
+    prefixes: Count = 1  # different openings of its prompts, equally likely
 
 
 class FleetFault(Struct, forbid_unknown_fields=True):
-    """What happens to dispatchers, by their numbers from 0. `cut`: these hear nothing of the others, nor they of
-    these; `loss`, `double`: a `share` of all that is told; `delay`: up to `delay_s`; `stall`: SIGSTOP and, at the end,
-    SIGCONT; `crash`: SIGKILL and, at the end, a new start."""
+    """A fault of dispatchers, named by their numbers from 0.
+
+    `cut`: no gossip passes between these and the others; `loss`, `double`: a `share` of all datagrams; `delay`: each by
+    up to `delay_s`; `stall`: SIGSTOP and, at the end, SIGCONT; `crash`: SIGKILL and, at the end, a new start.
+    """
 
     kind: Literal["cut", "loss", "double", "delay", "stall", "crash"]
     from_s: Annotated[float, Meta(ge=0)]
@@ -65,7 +71,10 @@
 
 
 class FleetTable(Struct, forbid_unknown_fields=True):
-    """Many dispatchers before the same servers. Every `heavy_every`th gets `heavy` times the others' requests."""
+    """Many dispatchers before the same replicas. Every `heavy_every`th gets `heavy` times the others' requests.
+
+    `talk`: they gossip; `starts_at_once`: so many are started at a time.
+    """
 
     dispatchers: Annotated[int, Meta(ge=1, le=500)]
     talk: bool = True
@@ -76,6 +85,8 @@
 
 
 class LabTable(Struct, forbid_unknown_fields=True):
+    """The run itself. `operator_file`: relative to the scenario's file; `seconds`: of load."""
+
     operator_file: str
     seconds: Annotated[float, Meta(gt=0, le=600)] = 20.0
     warm_s: Annotated[float, Meta(ge=0)] = 2.0  # left out of the figures
@@ -83,6 +94,8 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
+    """A whole file. `base`: its folder, set by `load`."""
+
     lab: LabTable
     server: Annotated[list[ServerTable], Meta(min_length=1)]
     tenant: Annotated[list[TenantTable], Meta(min_length=1)]
@@ -91,18 +104,23 @@
 
 
 def load(path: str) -> Scenario:
-    """ConfigError: the file cannot be used."""
-    made, _ = typed.load(path, Scenario)
-    made.base = pathlib.Path(path).resolve().parent
-    names = [tenant.name for tenant in made.tenant]
+    """Read and check a scenario's file. ConfigError: it cannot be used."""
+    scenario, _ = typed.load(path, Scenario)
+    scenario.base = pathlib.Path(path).resolve().parent
+    names = [tenant.name for tenant in scenario.tenant]
     if len(set(names)) < len(names):
         raise ConfigError(f"{path}: tenant: found a name twice; allowed: each once")
-    for k, fault in enumerate(made.fleet.fault if made.fleet else ()):
-        at = f"{path}: fleet.fault[{k}]"
-        if fault.to_s <= fault.from_s:
-            raise ConfigError(f"{at}.to_s: found {fault.to_s}; allowed: more than from_s, {fault.from_s}")
-        if fault.kind in ("cut", "stall", "crash") and not fault.who:
-            raise ConfigError(f"{at}.who: found nobody; allowed: numbers of dispatchers, from 0")
-        if made.fleet and (far := [n for n in fault.who if n >= made.fleet.dispatchers]):
-            raise ConfigError(f"{at}.who: found {far[0]}; allowed: 0 to {made.fleet.dispatchers - 1}")
-    return made
+    if scenario.fleet:
+        for k, fault in enumerate(scenario.fleet.fault):
+            _check_fault(fault, scenario.fleet.dispatchers, f"{path}: fleet.fault[{k}]")
+    return scenario
+
+
+def _check_fault(fault: FleetFault, dispatchers: int, place: str) -> None:
+    if fault.to_s <= fault.from_s:
+        raise ConfigError(f"{place}.to_s: found {fault.to_s}; allowed: more than from_s, {fault.from_s}")
+    if fault.kind in ("cut", "stall", "crash") and not fault.who:
+        raise ConfigError(f"{place}.who: found nobody; allowed: numbers of dispatchers, from 0")
+    unknown = [number for number in fault.who if number >= dispatchers]
+    if unknown:
+        raise ConfigError(f"{place}.who: found {unknown[0]}; allowed: 0 to {dispatchers - 1}")
