--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -1,11 +1,11 @@
-"""`pearhill fleet`: what many doors tell, of dispatchers and of aggregators, summed up."""
+"""`pearhill fleet`: the status of many dispatchers and aggregators from their operators' addresses, summed up."""
 
 from __future__ import annotations
 
 import json
 import urllib.error
 import urllib.request
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
@@ -14,67 +14,120 @@
 MAX_ANSWER_BYTES = 4 << 20
 MAX_CONCURRENT_QUERIES = 32
 
+Status = dict[str, Any]  # an answer to GET /ops/fleet
 
-def query_status(address: str, timeout_s: float) -> dict[str, Any] | str:
-    """One door's answer, or why there is none."""
+
+def fleet_status(addresses: list[str], timeout_s: float) -> dict[str, Any]:
+    """Query all addresses at once, `timeout_s` seconds for each answer; the sum of their answers."""
+    with ThreadPoolExecutor(min(MAX_CONCURRENT_QUERIES, max(1, len(addresses)))) as pool:
+        answers = pool.map(lambda address: query_status(address, timeout_s), addresses)
+        return sum_up(zip(addresses, answers, strict=True))
+
+
+def query_status(address: str, timeout_s: float) -> Status | str:
+    """One address's answer, or the reason why there is none."""
     try:
         with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as answer:
-            told = json.loads(answer.read(MAX_ANSWER_BYTES))
+            status = json.loads(answer.read(MAX_ANSWER_BYTES))
     except urllib.error.HTTPError as e:
         return f"answers {e.code}: it does not talk" if e.code == 404 else f"answers {e.code}"
     except (OSError, ValueError) as e:
         return str(getattr(e, "reason", e)) or type(e).__name__
-    if not isinstance(told, dict):
-        return "answers something else"
-    aggregator = isinstance(told.get("aggregator"), str) and isinstance(told.get("peers"), dict)
-    good = isinstance(told.get("engines"), list) and isinstance(told.get("members"), dict)
-    return told if good or aggregator else "answers something else"
+    return status if _is_status(status) else "answers something else"
 
 
-def age_text(age_s: float | None) -> str:
-    return "never heard" if age_s is None else f"{age_s:.1f} s old"
+def _is_status(status: object) -> bool:
+    """Whether it has the parts of a dispatcher's or of an aggregator's status that are summed up."""
+    if not isinstance(status, dict):
+        return False
+    of_aggregator = isinstance(status.get("aggregator"), str) and isinstance(status.get("peers"), dict)
+    of_dispatcher = isinstance(status.get("engines"), list) and isinstance(status.get("members"), dict)
+    return of_dispatcher or of_aggregator
 
 
-def sum_up(answers: Iterable[tuple[str, dict[str, Any] | str]]) -> dict[str, Any]:
-    """Every dispatcher's own work, added up by engine; nobody's word of others counts, so nothing counts twice."""
-    dispatchers, aggregators, silent, engines = {}, {}, {}, dict[str, dict[str, Any]]()
-    for door, told in sorted(answers, key=lambda pair: pair[0]):
-        if isinstance(told, str):
-            silent[door] = told
-            continue
-        if "aggregator" in told:
-            aggregators[told["aggregator"]] = {
-                "door": door,
-                "members": told["members"],
-                "heard": told["heard"],
-                "count": told["counted"],
-                "peers": {name: peer["age_s"] for name, peer in told["peers"].items()},
-            }
-            continue
-        there, reports = sum(m["state"] != "dead" for m in told["members"].values()), told.get("reports")
-        dispatchers[told["name"]] = {
-            "door": door,
-            "count": told["count"],
-            "there": there,
-            "source": told.get("source", "talk"),
-            "reports": reports and {key: reports[key] for key in ("aggregator", "age_s", "heard")},
-        }
-        for e in told["engines"]:
-            row = engines.setdefault(e["address"], {"waiting": 0, "load": 0, "dispatchers": 0, "avoided_by": 0})
-            row["waiting"] += e["mine"]["waiting"]
-            row["load"] += e["mine"]["load"]
-            row["dispatchers"] += e["mine"]["load"] > 0
-            row["avoided_by"] += e["avoided"]
-    even = evenness({name: row["load"] for name, row in engines.items()})
+def sum_up(answers: Iterable[tuple[str, Status | str]]) -> dict[str, Any]:
+    """The dispatchers' own work added up by replica; what they report of each other is left out, so that nothing counts
+    twice. The keys are read by programs (`pearhill fleet --json`)."""
+    dispatchers: dict[str, Any] = {}
+    aggregators: dict[str, Any] = {}
+    silent: dict[str, str] = {}
+    replicas: dict[str, dict[str, int]] = {}
+    for address, status in sorted(answers, key=lambda pair: pair[0]):
+        if isinstance(status, str):
+            silent[address] = status
+        elif "aggregator" in status:
+            aggregators[status["aggregator"]] = _aggregator_row(address, status)
+        else:
+            dispatchers[status["name"]] = _dispatcher_row(address, status)
+            _add_own_work(replicas, status["engines"])
+    even = evenness({name: row["load"] for name, row in replicas.items()})
     return {
         "dispatchers": dispatchers,
         "aggregators": aggregators,
         "silent": silent,
-        "engines": dict(sorted(engines.items())),
+        "engines": dict(sorted(replicas.items())),
         "evenness": {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)},
     }
 
 
-def fleet_status(addresses: list[str], timeout_s: float) -> dict[str, Any]:
-    with ThreadPoolExecutor(min(MAX_CONCURRENT_QUERIES, max(1, len(addresses)))) as pool:
-        return sum_up(zip(addresses, pool.map(lambda door: query_status(door, timeout_s), addresses), strict=True))
+def _aggregator_row(address: str, status: Status) -> dict[str, Any]:
+    return {
+        "door": address,
+        "members": status["members"],
+        "heard": status["heard"],
+        "count": status["counted"],
+        "peers": {name: peer["age_s"] for name, peer in status["peers"].items()},
+    }
+
+
+def _dispatcher_row(address: str, status: Status) -> dict[str, Any]:
+    reports = status.get("reports")
+    return {
+        "door": address,
+        "count": status["count"],
+        "there": sum(member["state"] != "dead" for member in status["members"].values()),
+        "source": status.get("source", "talk"),
+        "reports": reports and {key: reports[key] for key in ("aggregator", "age_s", "heard")},
+    }
+
+
+def _add_own_work(replicas: dict[str, dict[str, int]], engines: list[dict[str, Any]]) -> None:
+    for engine in engines:
+        row = replicas.setdefault(engine["address"], {"waiting": 0, "load": 0, "dispatchers": 0, "avoided_by": 0})
+        own = engine["mine"]
+        row["waiting"] += own["waiting"]
+        row["load"] += own["load"]
+        row["dispatchers"] += own["load"] > 0
+        row["avoided_by"] += engine["avoided"]
+
+
+def status_lines(status: dict[str, Any]) -> Iterator[str]:
+    """The sum as lines for the terminal: replicas, evenness, dispatchers, aggregators."""
+    yield f"{'engine':24} {'waiting':>10} {'under way':>10} {'dispatchers':>11} {'avoided by':>10}"
+    for name, row in status["engines"].items():
+        yield f"{name:24} {row['waiting']:>10} {row['load']:>10} {row['dispatchers']:>11} {row['avoided_by']:>10}"
+    even = status["evenness"]
+    yield f"peak over mean {even['peak_over_mean']}, gini {even['gini']}, idle: {', '.join(even['idle']) or 'none'}"
+    for name, row in status["dispatchers"].items():
+        yield _dispatcher_line(name, row)
+    for name, row in status["aggregators"].items():
+        peers = ", ".join(f"{peer} {age_text(age_s)}" for peer, age_s in row["peers"].items())
+        yield (
+            f"{name:24} aggregator: counts {row['count']} dispatchers, hears {row['heard']}, {row['members']} report "
+            f"to it; {peers or 'no other is named'}"
+        )
+
+
+def _dispatcher_line(name: str, row: dict[str, Any]) -> str:
+    line = (
+        f"{name:24} counts {row['count']} dispatchers, goes by {row['source'] or 'nobody'}; the talk hears "
+        f"{row['there']} others"
+    )
+    if reports := row["reports"]:
+        line += f"; sums of {reports['aggregator']}, {age_text(reports['age_s'])}, hold {reports['heard']}"
+    return line
+
+
+def age_text(age_s: float | None) -> str:
+    """How long ago something was received last, in seconds; None: never."""
+    return "never heard" if age_s is None else f"{age_s:.1f} s old"
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -5,9 +5,10 @@
 import asyncio
 import json
 import sys
+from collections.abc import Coroutine
 from enum import Enum
 from pathlib import Path
-from typing import Annotated, NoReturn
+from typing import Annotated, Any, NoReturn
 
 import msgspec
 import typer
@@ -33,6 +34,8 @@
 
 
 class LogFormat(str, Enum):
+    """The forms of the log: the values of `--log-format`."""
+
     text = "text"
     json = "json"
 
@@ -51,7 +54,7 @@
     """Serve the chat API as the operator's file says, until SIGTERM."""
     path = str(file)
 
-    def work():  # type: ignore[no-untyped-def]
+    def work() -> Coroutine[Any, Any, None]:
         return service.serve(setup.load(path), lambda: setup.load(path))
 
     raise typer.Exit(run(work, log_level, log_format.value))
@@ -67,7 +70,7 @@
     """Sum up what dispatchers report, as the control machine's file says, until SIGTERM. Exit code 2: bad file."""
     path = str(file)
 
-    def work():  # type: ignore[no-untyped-def]
+    def work() -> Coroutine[Any, Any, None]:
         return aggregator_daemon.serve(aggregator_setup.load(path), lambda: aggregator_setup.load(path))
 
     if not check_only:
@@ -90,23 +93,30 @@
     except ConfigError as e:
         _fail(str(e))
     models = {model.name for model in found.reading.models.values()}
-    print(
-        f"{file}: good. {len(found.endpoints)} servers{', eureka' if found.eureka else ''}, {len(models)} models, "
-        f"{len(found.keyring.tenants)} tenants, {len(found.reading.rules)} rules, "
-        f"classes {', '.join(found.deployment.class_names)}"
-        + (
-            f", talks to {len(found.fleet.peers)} dispatchers and {len(found.fleet.sites)} aggregators as "
-            f"{found.fleet.name}"
-            if found.fleet
-            else ""
-        )
-    )
+    print(f"{file}: good. {_contents(found, len(models))}")
     if not found.keyring:
         print("  note: no tenants are declared, so everyone who reaches the port may ask")
     if not models:
         print("  note: no models are declared, so any name goes on to the servers")
 
 
+def _contents(found: setup.ChatSetup, models: int) -> str:
+    """What an operator's file holds, in one line."""
+    parts = [
+        f"{len(found.endpoints)} servers{', eureka' if found.eureka else ''}",
+        f"{models} models",
+        f"{len(found.keyring.tenants)} tenants",
+        f"{len(found.reading.rules)} rules",
+        f"classes {', '.join(found.deployment.class_names)}",
+    ]
+    if fleet_setup := found.fleet:
+        parts.append(
+            f"talks to {len(fleet_setup.peers)} dispatchers and {len(fleet_setup.sites)} aggregators as "
+            f"{fleet_setup.name}"
+        )
+    return ", ".join(parts)
+
+
 @app.command()
 def schema() -> None:
     """Print the JSON Schema of the operator's file."""
@@ -196,40 +206,17 @@
     wait_s: Annotated[float, typer.Option(help="for each answer, in seconds", min=0.1, max=60)] = 2.0,
 ) -> None:
     """Ask many dispatchers what work they have, and add it up. Exit code 1: some did not answer."""
-    from pearhill.cli.fleet import age_text, fleet_status
+    from pearhill.cli.fleet import fleet_status, status_lines
 
-    told = fleet_status(doors, wait_s)
+    status = fleet_status(doors, wait_s)
     if as_json:
-        print(json.dumps(told, indent=2))
+        print(json.dumps(status, indent=2))
     else:
-        print(f"{'engine':24} {'waiting':>10} {'under way':>10} {'dispatchers':>11} {'avoided by':>10}")
-        for name, row in told["engines"].items():
-            print(f"{name:24} {row['waiting']:>10} {row['load']:>10} {row['dispatchers']:>11} {row['avoided_by']:>10}")
-        even = told["evenness"]
-        print(
-            f"peak over mean {even['peak_over_mean']}, gini {even['gini']}, "
-            f"idle: {', '.join(even['idle']) or 'none'}"
-        )
-        for name, d in told["dispatchers"].items():
-            reports = d["reports"]
-            print(
-                f"{name:24} counts {d['count']} dispatchers, goes by {d['source'] or 'nobody'}; the talk hears "
-                f"{d['there']} others"
-                + (
-                    f"; sums of {reports['aggregator']}, {age_text(reports['age_s'])}, hold " f"{reports['heard']}"
-                    if reports
-                    else ""
-                )
-            )
-        for name, a in told["aggregators"].items():
-            others = ", ".join(f"{peer} {age_text(age_s)}" for peer, age_s in a["peers"].items())
-            print(
-                f"{name:24} aggregator: counts {a['count']} dispatchers, hears {a['heard']}, {a['members']} report "
-                f"to it; {others or 'no other is named'}"
-            )
-        for door, why in told["silent"].items():
+        for line in status_lines(status):
+            print(line)
+        for door, why in status["silent"].items():
             print(f"NO ANSWER from {door}: {why}", file=sys.stderr)
-    raise typer.Exit(1 if told["silent"] else 0)
+    raise typer.Exit(1 if status["silent"] else 0)
 
 
 @app.command()
@@ -239,4 +226,5 @@
 
 
 def main() -> None:
+    """The entry point of the command `pearhill`."""
     app()
