--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -18,13 +18,16 @@
     raise typer.Exit(2)
 
 
-def _parts() -> Any:
-    """The modules that need the extra."""
+def _print_progress(line: str) -> None:
+    print(line, file=sys.stderr, flush=True)
+
+
+def _require_extra() -> None:
+    """End with one line if the packages of the extra `[lab]` are missing. Commands import the laboratory after it."""
     try:
-        from pearhill.lab import report, run, scenario
+        from pearhill.lab import report, run, scenario  # noqa: F401
     except ImportError as e:
         _fail(f"{e.name} is needed for the laboratory: pip install 'pearhill[lab]'")
-    return report, run, scenario
 
 
 @app.command("run")
@@ -36,20 +39,28 @@
     from pearhill.config import ConfigError
     from pearhill.conformance.runner import Unreachable
 
-    report, run, scenario = _parts()
+    _require_extra()
+    from pearhill.lab import report, run, scenario
+
     try:
         made = scenario.load(str(file))
         with typer.progressbar(length=1000, label=file.stem, file=sys.stderr) as bar:
             rows = asyncio.run(run.run(made, lambda done, total: bar.update(1000 * done // total - bar.pos)))
     except (ConfigError, Unreachable, OSError) as e:
         _fail(e)
-    out.mkdir(parents=True, exist_ok=True)
-    target = out / f"{file.stem}.parquet"
+    target = _result_file(out, file)
     run.write_rows(rows, made, target)
-    again, told = run.read_rows(target)
-    target.with_suffix(".html").write_text(report.page(file.stem, {file.stem: (again, told)}), encoding="utf-8")
-    print(report.figures_text(report.tenant_figures(again, told)))
-    print(f"{target}\n{target.with_suffix('.html')}")
+    rows, parameters = run.read_rows(target)
+    page = target.with_suffix(".html")
+    page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}), encoding="utf-8")
+    print(report.figures_text(report.tenant_figures(rows, parameters)))
+    print(f"{target}\n{page}")
+
+
+def _result_file(folder: Path, scenario_file: Path) -> Path:
+    """Where a scenario's rows are written; the folder is made if it is missing."""
+    folder.mkdir(parents=True, exist_ok=True)
+    return folder / f"{scenario_file.stem}.parquet"
 
 
 @app.command("fleet")
@@ -60,21 +71,21 @@
     """Run many dispatchers before the same engines, with faults, and say how even the work was."""
     from pearhill.config import ConfigError
 
-    report, run, scenario = _parts()
-    from pearhill.lab import fleet
+    _require_extra()
+    from pearhill.lab import fleet, report, run, scenario
 
     try:
         made = scenario.load(str(file))
-        result = asyncio.run(fleet.run(made, lambda line: print(line, file=sys.stderr)))
+        result = asyncio.run(fleet.run(made, _print_progress))
     except (ConfigError, fleet.NotStartedError, OSError, ValueError) as e:
         _fail(e)
-    out.mkdir(parents=True, exist_ok=True)
-    target = out / f"{file.stem}.parquet"
+    target = _result_file(out, file)
     run.write_rows(result.rows, made, target)
-    again, told = run.read_rows(target)
-    target.with_suffix(".html").write_text(report.page(file.stem, {file.stem: (again, told)}, result), encoding="utf-8")
+    rows, parameters = run.read_rows(target)
+    page = target.with_suffix(".html")
+    page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}, result), encoding="utf-8")
     print(result.summary(made.lab.warm_s))
-    print(f"{target}\n{target.with_suffix('.html')}")
+    print(f"{target}\n{page}")
 
 
 @app.command("scale")
@@ -90,26 +101,35 @@
     ] = False,
 ) -> None:
     """Measure what the fleet's control costs over a grid of sizes, with hollow dispatchers beside real ones."""
-    from pearhill.config import ConfigError
-
-    _parts()
+    _require_extra()
     if page:
         if file or json_file or report_file:
             _fail("--page: found a plan or a file to write beside it; allowed: --page alone")
-        from pearhill.lab import capacity
-
-        try:
-            return print(capacity.write_pages(Path(".")))
-        except (ConfigError, OSError) as e:
-            _fail(e)
+        return _write_capacity_pages()
     if file is None:
         _fail("FILE: found none; allowed: a plan, or --page")
+    _run_plan(file, json_file, report_file)
+
+
+def _write_capacity_pages() -> None:
+    from pearhill.config import ConfigError
+    from pearhill.lab import capacity
+
+    try:
+        print(capacity.write_pages(Path(".")))
+    except (ConfigError, OSError) as e:
+        _fail(e)
+
+
+def _run_plan(file: Path, json_file: Path | None, report_file: Path | None) -> None:
+    """Run a scale plan, write its results also if it was stopped, and print its slopes."""
+    from pearhill.config import ConfigError
     from pearhill.lab.scale import plan, report, run
 
     stopped: Exception | None = None
     try:
         made = plan.load(str(file))
-        results = asyncio.run(run.run(made, file.name, lambda line: print(line, file=sys.stderr, flush=True)))
+        results = asyncio.run(run.run(made, file.name, _print_progress))
     except ConfigError as e:
         _fail(e)
     except run.Stopped as e:
@@ -121,15 +141,19 @@
             path.write_text(text, encoding="utf-8")
             print(path)
     for slope in results["slopes"]:
-        over = f", {slope['need_over_bound']:.2f} of its bound" if slope["bound"] else ""
-        print(
-            f"{slope['way']}, {slope['role']}, {slope['quantity']}: {slope['at_size']:.4g} at the size{over} "
-            f"({slope['form']}, stretched {slope['stretched']} times)"
-        )
+        print(_slope_line(slope))
     if stopped:
         _fail(stopped)
 
 
+def _slope_line(slope: dict[str, Any]) -> str:
+    over = f", {slope['need_over_bound']:.2f} of its bound" if slope["bound"] else ""
+    return (
+        f"{slope['way']}, {slope['role']}, {slope['quantity']}: {slope['at_size']:.4g} at the size{over} "
+        f"({slope['form']}, stretched {slope['stretched']} times)"
+    )
+
+
 @app.command("up")
 def bring_up(
     file: Annotated[Path, typer.Argument(help="the operator's file (TOML)", show_default=False)],
@@ -138,13 +162,11 @@
     from pearhill.chat import setup
     from pearhill.config import ConfigError
 
-    _parts()
+    _require_extra()
     from pearhill.lab import up
 
     try:
-        code = asyncio.run(
-            up.serve_with_stand_ins(str(file), setup.load(str(file)), lambda line: print(line, file=sys.stderr))
-        )
+        code = asyncio.run(up.serve_with_stand_ins(str(file), setup.load(str(file)), _print_progress))
     except (ConfigError, up.NotStartedError) as e:
         _fail(e)
     raise typer.Exit(code)
@@ -157,14 +179,16 @@
     out: Annotated[Path, typer.Option(help="the page")] = Path("compare.html"),
 ) -> None:
     """Put two runs side by side."""
-    report, run, _ = _parts()
+    _require_extra()
+    from pearhill.lab import report, run
+
     try:
         runs = {f"{side}: {path.stem}": run.read_rows(path) for side, path in (("A", before), ("B", after))}
     except (OSError, ValueError) as e:
         _fail(e)
     out.write_text(report.page(f"{before.stem} and {after.stem}", runs), encoding="utf-8")
-    for name, (rows, told) in runs.items():
-        print(f"{name}\n{report.figures_text(report.tenant_figures(rows, told))}\n")
+    for name, (rows, parameters) in runs.items():
+        print(f"{name}\n{report.figures_text(report.tenant_figures(rows, parameters))}\n")
     print(out)
 
 
