--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -8,6 +8,8 @@
 import unittest
 from typing import Any
 
+import pytest
+
 from pearhill.config import ConfigError
 from pearhill.lab import capacity as c
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
@@ -104,24 +106,21 @@
 
     def test_the_page_is_what_its_results_make_of_it(self):
         again = "differs from its results: run `pearhill lab scale --page`"
-        self.assertEqual(
-            (ROOT / c.PAGE_PATH).read_text(),
-            c.render_page(c.read_results(ROOT / c.RESULTS_FOLDER)),
-            f"{c.PAGE_PATH} {again}",
-        )
-        told = (ROOT / c.NOTE_PATH).read_text()
-        self.assertEqual(told, c.update_note(told), f"{c.NOTE_PATH} {again}")
+        page = c.render_page(c.read_results(ROOT / c.RESULTS_FOLDER))
+        assert (ROOT / c.PAGE_PATH).read_text() == page, f"{c.PAGE_PATH} {again}"
+        note = (ROOT / c.NOTE_PATH).read_text()
+        assert note == c.update_note(note), f"{c.NOTE_PATH} {again}"
 
     def test_each_mechanism_is_a_file_or_package_or_said_to_be_missing(self):
         rows = list(c.duty_carriers((ROOT / c.PAGE_PATH).read_text()))
-        self.assertGreater(len(rows), 50)
+        assert len(rows) > 50
         lost = {
             f"{duty}: {name}"
             for duty, named in rows
             for name in named
             if not (name.startswith("pearhill/") and (ROOT / name).exists())
         }
-        self.assertEqual(lost, set())
+        assert lost == set()
 
 
 class Mechanisms(unittest.TestCase):
@@ -130,7 +129,7 @@
             "| a | b | carried by |\n| --- | --- | --- |\n| 1 | x | `pearhill/a.py`, `pearhill/b` |\n"
             "| 2 | x | missing: all |\n| 3 | x |  |\n\n| a | b |\n| --- | --- |\n| 4 | `x` |\n"
         )
-        self.assertEqual(list(c.duty_carriers(text)), [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])])
+        assert list(c.duty_carriers(text)) == [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])]
 
 
 class Arithmetic(unittest.TestCase):
@@ -147,31 +146,30 @@
             ("GB a request", w.transferred_gb_per_request, 0.5, 0),
         ):
             with self.subTest(what):
-                self.assertAlmostEqual(found, theirs, delta=theirs * off)
+                assert abs(found - theirs) <= theirs * off
 
     def test_a_fleet_of_uneven_traffic_has_the_same_requests(self):
         least, most = c.Estimates(SIZE).uneven_requests_s()
-        self.assertAlmostEqual(330 / 20 * (19 * least + most), 15_000)
-        self.assertAlmostEqual(most / least, 10)
+        assert abs(330 / 20 * (19 * least + most) - 15_000) < 5e-8
+        assert abs(most / least - 10) < 5e-8
 
     def test_reports_stay_within_their_budget_and_full_talk_does_not(self):
         w = c.Estimates(SIZE)
         for times in (0.1, 1.0, 10.0):
             with self.subTest(times):
-                told = w.report_traffic(times)  # one exchange more or less falls into what is counted
-                self.assertLess(
-                    told.bytes_s,
-                    MAX_BYTES_PER_S + (told.report_bytes + told.sums_bytes) * c.MICROSECONDS_PER_S / c.COUNTED_US,
-                )
-        self.assertGreater(w.gossip_bytes_s, 10 * SIZE.control_bytes_s)
-        self.assertLessEqual(c.gossip_datagram_bytes(48), 1400 + HEADER_BYTES)
+                traffic = w.report_traffic(times)
+                # One exchange more or less falls into what is counted.
+                exchange_bytes_s = (traffic.report_bytes + traffic.sums_bytes) * c.MICROSECONDS_PER_S / c.COUNTED_US
+                assert traffic.bytes_s < MAX_BYTES_PER_S + exchange_bytes_s
+        assert w.gossip_bytes_s > 10 * SIZE.control_bytes_s
+        assert c.gossip_datagram_bytes(48) <= 1400 + HEADER_BYTES
 
     def test_a_gauge_is_a_byte_at_the_most_and_next_to_nothing_where_no_work_is(self):
         few, many = c.count_report_traffic(300, 0, 10, 0), c.count_report_traffic(300, 0, 300, 0)
-        self.assertLess(few.report_bytes, 38 + 10 + 200)
-        self.assertLess(many.report_bytes, 300 + 200)
-        self.assertGreater(many.report_bytes, few.report_bytes + 100)
-        self.assertLess(max(few.sums_bytes, many.sums_bytes), 300 + 200)
+        assert few.report_bytes < 38 + 10 + 200
+        assert many.report_bytes < 300 + 200
+        assert many.report_bytes > few.report_bytes + 100
+        assert max(few.sums_bytes, many.sums_bytes) < 300 + 200
 
 
 class Pages(Made):
@@ -191,10 +189,10 @@
             "## Hollow dispatchers",
             "## Not run",
         ):
-            self.assertIn(part, page)
-        self.assertIn("No run stands in", page)
-        self.assertGreater(page.count(c.NOT_MEASURED), 30)
-        self.assertNotIn("\n\n\n", page)
+            assert part in page
+        assert "No run stands in" in page
+        assert page.count(c.NOT_MEASURED) > 30
+        assert "\n\n\n" not in page
 
     def test_figures_come_from_the_runs_and_name_them(self):
         self.put(
@@ -261,7 +259,7 @@
             "its choices at 940 over those at 60 | 13.8 | 2 | 6.88 | control |",
         ):
             with self.subTest(told):
-                self.assertIn(told, page)
+                assert told in page
 
     def test_the_talks_slope_is_not_stretched_past_the_bound_on_its_pings(self):
         self.put(
@@ -275,18 +273,18 @@
             ),
         )
         page = self.page()
-        self.assertIn("0.8% of a core (at least: talk, 80 x 60)", page)
-        self.assertNotIn("41% of a core (slope", page)
+        assert "0.8% of a core (at least: talk, 80 x 60)" in page
+        assert "41% of a core (slope" not in page
 
     def test_the_larger_need_comes_first_and_what_nothing_carries_before_it(self):
         self.put("a", result(slopes=[slope(c.GOSSIP, "cpu_cores", 1.1), slope(c.GOSSIP, "memory_bytes", 16e6)]))
         made = c.requirements(c.Estimates(SIZE), c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE))
         carried = [n for n in made if n.carried_by]
-        self.assertEqual(carried, made[len(made) - len(carried) :])
-        self.assertAlmostEqual(carried[0].ratio or 0, 100)
+        assert carried == made[len(made) - len(carried) :]
+        assert abs((carried[0].ratio or 0) - 100) < 5e-8
         known = [n.ratio for n in carried if n.ratio is not None]
-        self.assertEqual(known, sorted(known, reverse=True))
-        self.assertTrue(all(n.ratio is None for n in carried[len(known) :]))
+        assert known == sorted(known, reverse=True)
+        assert all(n.ratio is None for n in carried[len(known) :])
 
     def test_the_later_run_counts_a_busy_one_does_not_and_a_point_goes_before_a_slope(self):
         def cores(value: float, **told: Any) -> dict[str, Any]:
@@ -303,8 +301,8 @@
         )
         self.put("c-busy", result("2026-12-03T00:00:00Z", points=[cores(0.003, busy=True)]))
         runs = c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE)
-        self.assertEqual(runs.figure(c.AGGREGATORS, "dispatcher", "cpu_cores"), c.SourcedFigure(0.002, "a-late"))
-        self.assertIn("| busy |", self.page())
+        assert runs.figure(c.AGGREGATORS, "dispatcher", "cpu_cores") == c.SourcedFigure(0.002, "a-late")
+        assert "| busy |" in self.page()
 
     def test_the_notes_table_is_made_anew_and_nothing_else_of_it(self):
         path = self.root / c.NOTE_PATH
@@ -315,9 +313,9 @@
         )
         path.write_text(form.format("old\n", ""))
         self.page()
-        self.assertEqual(path.read_text(), form.format(c.mechanisms_table(), c.protocol_times_table()))
+        assert path.read_text() == form.format(c.mechanisms_table(), c.protocol_times_table())
         path.write_text("no table")
-        with self.assertRaisesRegex(ConfigError, "capacity.md: found no table of weighed; allowed: one between"):
+        with pytest.raises(ConfigError, match="capacity.md: found no table of weighed; allowed: one between"):
             c.write_pages(self.root)
 
 
@@ -350,5 +348,5 @@
         ):
             with self.subTest(what):
                 self.put("bad", told)
-                with self.assertRaisesRegex(ConfigError, complaint):
+                with pytest.raises(ConfigError, match=complaint):
                     c.write_pages(self.root)
