--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -9,6 +9,7 @@
 import unittest
 
 import numpy
+import pytest
 
 from pearhill.config import ConfigError
 from pearhill.lab import load, report, run, scenario
@@ -62,30 +63,30 @@
     def test_a_run_its_files_and_a_comparison(self):
         for name in ("small", "other"):
             done = self.cli("run", str(self.scenario(name=name)), "--out", str(self.folder))
-            self.assertEqual(done.returncode, 0, done.stderr)
+            assert done.returncode == 0, done.stderr
         rows, told = run.read_rows(self.folder / "small.parquet")
-        self.assertEqual(told["seconds"], 2.0)
-        self.assertEqual({row.outcome for row in rows}, {SERVED})
-        self.assertEqual({row.tokens for row in rows}, {5})
-        self.assertTrue(all(0 < row.first_s <= row.end_s for row in rows))
+        assert told["seconds"] == 2.0
+        assert {row.outcome for row in rows} == {SERVED}
+        assert {row.tokens for row in rows} == {5}
+        assert all(0 < row.first_s <= row.end_s for row in rows)
         planned = [(row.tenant, row.planned_s) for row in rows]
-        self.assertEqual(planned, [(r.tenant, r.planned_s) for r in run.read_rows(self.folder / "other.parquet")[0]])
+        assert planned == [(r.tenant, r.planned_s) for r in run.read_rows(self.folder / "other.parquet")[0]]
         page = (self.folder / "small.html").read_text()
-        self.assertEqual((page.count("<polyline"), page.count("<td>one</td>")), (4, 1))
+        assert (page.count("<polyline"), page.count("<td>one</td>")) == (4, 1)
         done = self.cli(
             "compare",
             *(str(self.folder / f"{n}.parquet") for n in ("small", "other")),
             "--out",
             str(self.folder / "c.html"),
         )
-        self.assertEqual((done.returncode, (self.folder / "c.html").read_text().count("<polyline")), (0, 8))
+        assert (done.returncode, (self.folder / "c.html").read_text().count("<polyline")) == (0, 8)
 
     def test_faults_are_seen_by_the_load(self):
         made = scenario.load(str(self.scenario('[[server.fault]]\nkind = "refuse"')))
-        self.assertEqual({row.outcome for row in asyncio.run(run.run(made))}, {REFUSED})
+        assert {row.outcome for row in asyncio.run(run.run(made))} == {REFUSED}
         made = scenario.load(str(self.scenario('[[server.fault]]\nkind = "garble"\nshare = 0.5')))
         found = {row.outcome for row in asyncio.run(run.run(made))}
-        self.assertEqual(found, {SERVED, load.FAILED})
+        assert found == {SERVED, load.FAILED}
 
     def test_what_cannot_be_run_or_compared_is_one_line(self):
         bad = self.folder / "bad.toml"
@@ -96,8 +97,8 @@
             (("compare", str(bad), str(bad)), "bad.toml|magic"),
         ):
             done = self.cli(*arguments)
-            self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
-            self.assertRegex(done.stderr, why)
+            assert (done.returncode, done.stderr.count("\n")) == (2, 1), done.stderr
+            assert re.search(why, done.stderr), done.stderr
 
     def test_the_scenarios_in_deploy_are_good(self):
         for path in sorted(LAB.glob("*.toml")):
@@ -105,7 +106,7 @@
                 scenario.load(str(path))
         twice = self.scenario().read_text().replace('name = "two"', 'name = "one"')
         (self.folder / "twice.toml").write_text(twice)
-        with self.assertRaises(ConfigError):
+        with pytest.raises(ConfigError):
             scenario.load(str(self.folder / "twice.toml"))
 
 
@@ -113,9 +114,10 @@
     def test_arrivals_are_seeded_and_denser_in_a_burst(self):
         tenant = scenario.TenantTable("a", 50.0, "m", times=4.0, from_s=10.0, to_s=20.0)
         times = load.draw_arrivals(tenant, 40.0, numpy.random.SeedSequence(3))
-        self.assertEqual(times, load.draw_arrivals(tenant, 40.0, numpy.random.SeedSequence(3)))
+        assert times == load.draw_arrivals(tenant, 40.0, numpy.random.SeedSequence(3))
         inside = sum(10 <= t < 20 for t in times)
-        self.assertTrue(1_800 < inside < 2_200 and 1_350 < len(times) - inside < 1_650, (inside, len(times)))
+        assert 1_800 < inside < 2_200, (inside, len(times))
+        assert 1_350 < len(times) - inside < 1_650, (inside, len(times))
 
     def test_figures_count_from_the_planned_time_and_leave_the_warming_out(self):
         rows = [
@@ -123,7 +125,7 @@
             for t in range(10)
         ]
         (made,) = report.tenant_figures(rows, {"seconds": 10.0, "warm_s": 5.0})
-        self.assertEqual((made.asked, made.served, made.refused, made.tokens_per_s), (5, 0.6, 0.4, 6.0))
-        self.assertAlmostEqual(made.first_p50, 700, delta=2)
+        assert (made.asked, made.served, made.refused, made.tokens_per_s) == (5, 0.6, 0.4, 6.0)
+        assert abs(made.first_p50 - 700) <= 2
         svg = report.plot(rows, 10.0, SERVED)
-        self.assertEqual(len(re.findall(r"points=\"([^\"]+)\"", svg)[0].split()), 10)
+        assert len(re.findall(r"points=\"([^\"]+)\"", svg)[0].split()) == 10
