--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -7,6 +7,8 @@
 import tempfile
 import unittest
 
+import pytest
+
 from pearhill.config import ConfigError
 from pearhill.lab import fleet, scenario
 from pearhill.lab.load import REFUSED, SERVED, Row
@@ -65,18 +67,18 @@
             (fault("loss", 1, 2) + fault("crash", 1, 2, "[4]"), r"\[1\].who: found 4; allowed: 0 to 3"),
             (fault("flood", 1, 2), "fleet.fault.*kind: found 'flood'; allowed: crash, cut, "),
         ):
-            with self.subTest(faults), self.assertRaisesRegex(ConfigError, why):
+            with self.subTest(faults), pytest.raises(ConfigError, match=why):
                 self.load(faults)
 
     def test_four_dispatchers_through_a_crash_a_stall_and_a_cut(self):
         faults = fault("crash", 1, 3, "[1]") + fault("stall", 3.5, 4.5, "[2]") + fault("cut", 5, 7, "[0, 1]")
         told: list[str] = []
         result = asyncio.run(fleet.run(self.load(faults), told.append))
-        self.assertEqual(len(told), 7, told)
-        self.assertGreater(len(result.rows), 50)
+        assert len(told) == 7, told
+        assert len(result.rows) > 50
         # Whoever was not sent to the one that was dead, or to the one that stood still, was served.
-        self.assertGreater(sum(r.outcome == SERVED for r in result.rows) / len(result.rows), 0.7)
+        assert sum(r.outcome == SERVED for r in result.rows) / len(result.rows) > 0.7
         calm = [r for r in result.rows if r.planned_s > 5]
-        self.assertEqual([r.outcome for r in calm if r.outcome != SERVED], [])
-        self.assertTrue(all(0 <= idle <= 8.5 for idle in result.idle_s))
-        self.assertGreater(sum(result.peaks), 0)
+        assert [r.outcome for r in calm if r.outcome != SERVED] == []
+        assert all(0 <= idle <= 8.5 for idle in result.idle_s)
+        assert sum(result.peaks) > 0
