--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -10,6 +10,8 @@
 import sys
 import unittest
 
+import pytest
+
 from tests.chat.test_front import operator_file, write_file
 from tests.standins import ROOT, Program
 
@@ -22,7 +24,8 @@
 
 class Up(unittest.TestCase):
     def test_make_run_and_the_readmes_curl_give_a_streamed_answer_and_ctrl_c_ends_all(self):
-        self.assertTrue(RECIPE and CURL)
+        assert RECIPE
+        assert CURL
 
         class Run(Program):
             LAUNCH = (*CLI, *shlex.split(RECIPE[1]))
@@ -30,14 +33,14 @@
         program = Run("deploy/chat.toml")
         self.addCleanup(program.kill)
         answer = subprocess.run(shlex.split(CURL[1]), capture_output=True, text=True, timeout=20)
-        self.assertEqual(answer.returncode, 0, answer)
+        assert answer.returncode == 0, answer
         events = [line for line in answer.stdout.splitlines() if line]
-        self.assertEqual(events[-1], "data: [DONE]")
-        self.assertGreater(sum("chat.completion.chunk" in line for line in events), 10)
+        assert events[-1] == "data: [DONE]"
+        assert sum("chat.completion.chunk" in line for line in events) > 10
         program.process.send_signal(signal.SIGINT)
-        self.assertEqual(program.stop(), 0)
+        assert program.stop() == 0
         for port in (8090, 8101, 8102):
-            with socket.socket() as left, self.assertRaises(ConnectionRefusedError):
+            with socket.socket() as left, pytest.raises(ConnectionRefusedError):
                 left.connect(("127.0.0.1", port))
 
     def test_what_cannot_be_brought_up_is_said_in_one_line(self):
@@ -55,5 +58,5 @@
                     done = subprocess.run(
                         [sys.executable, *CLI, "lab", "up", path], capture_output=True, text=True, cwd=ROOT, timeout=60
                     )
-                    self.assertEqual((done.returncode, done.stderr.count("Traceback")), (2, 0), done.stderr)
-                    self.assertIn(f"pearhill: {why}", done.stderr)
+                    assert (done.returncode, done.stderr.count("Traceback")) == (2, 0), done.stderr
+                    assert f"pearhill: {why}" in done.stderr
