--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -11,11 +11,11 @@
 import pytest
 
 from pearhill.config import ConfigError
-from pearhill.lab import capacity as c
+from pearhill.lab import capacity
 from pearhill.membership.byte_budget import HEADER_BYTES, MAX_BYTES_PER_S
 from tests.standins import ROOT
 
-SIZE = c.FleetSize()
+SIZE = capacity.FleetSize()
 COST = {
     "cpu_cores": 0.008,
     "bytes_in_s": 3000.0,
@@ -28,7 +28,9 @@
 }
 
 
-def point(way: str = c.AGGREGATORS, dispatchers: int = 330, replicas: int = 940, **told: Any) -> dict[str, Any]:
+def point(
+    way: str = capacity.AGGREGATORS, dispatchers: int = 330, replicas: int = 940, **fields: Any
+) -> dict[str, Any]:
     return {
         "way": way,
         "kind": "hollow",
@@ -44,11 +46,11 @@
         "aggregator": COST | {"cpu_cores": 0.25},
         "discovery": {"calls_s": 11, "bytes_s": 9e3},
         "list_age_ms": None,
-        **told,
+        **fields,
     }
 
 
-def slope(way: str, quantity: str, at_size: float, **told: Any) -> dict[str, Any]:
+def slope(way: str, quantity: str, at_size: float, **fields: Any) -> dict[str, Any]:
     return {
         "way": way,
         "role": "dispatcher",
@@ -62,11 +64,11 @@
         "at_size": at_size,
         "bound": 1.0,
         "need_over_bound": at_size,
-        **told,
+        **fields,
     }
 
 
-def result(started: str = "2026-12-02T05:50:00Z", **told: Any) -> dict[str, Any]:
+def result(started: str = "2026-12-02T05:50:00Z", **fields: Any) -> dict[str, Any]:
     return {
         "version": "0.3.0",
         "commit": "abc",
@@ -81,24 +83,24 @@
         "choice": [],
         "troubles": [],
         "not_run": [],
-        **told,
+        **fields,
     }
 
 
-class Made(unittest.TestCase):
+class WithTemporaryRepository(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.root = pathlib.Path(folder.name)
-        (self.root / c.RESULTS_FOLDER).mkdir(parents=True)
+        (self.root / capacity.RESULTS_FOLDER).mkdir(parents=True)
 
-    def put(self, name: str, told: Any) -> None:
-        text = told if isinstance(told, str) else json.dumps(told)
-        (self.root / c.RESULTS_FOLDER / f"{name}.json").write_text(text)
+    def write_result(self, name: str, content: Any) -> None:
+        text = content if isinstance(content, str) else json.dumps(content)
+        (self.root / capacity.RESULTS_FOLDER / f"{name}.json").write_text(text)
 
     def page(self) -> str:
-        c.write_pages(self.root)
-        return (self.root / c.PAGE_PATH).read_text()
+        capacity.write_pages(self.root)
+        return (self.root / capacity.PAGE_PATH).read_text()
 
 
 class Committed(unittest.TestCase):
@@ -106,13 +108,13 @@
 
     def test_the_page_is_what_its_results_make_of_it(self):
         again = "differs from its results: run `pearhill lab scale --page`"
-        page = c.render_page(c.read_results(ROOT / c.RESULTS_FOLDER))
-        assert (ROOT / c.PAGE_PATH).read_text() == page, f"{c.PAGE_PATH} {again}"
-        note = (ROOT / c.NOTE_PATH).read_text()
-        assert note == c.update_note(note), f"{c.NOTE_PATH} {again}"
+        page = capacity.render_page(capacity.read_results(ROOT / capacity.RESULTS_FOLDER))
+        assert (ROOT / capacity.PAGE_PATH).read_text() == page, f"{capacity.PAGE_PATH} {again}"
+        note = (ROOT / capacity.NOTE_PATH).read_text()
+        assert note == capacity.update_note(note), f"{capacity.NOTE_PATH} {again}"
 
     def test_each_mechanism_is_a_file_or_package_or_said_to_be_missing(self):
-        rows = list(c.duty_carriers((ROOT / c.PAGE_PATH).read_text()))
+        rows = list(capacity.duty_carriers((ROOT / capacity.PAGE_PATH).read_text()))
         assert len(rows) > 50
         lost = {
             f"{duty}: {name}"
@@ -129,50 +131,52 @@
             "| a | b | carried by |\n| --- | --- | --- |\n| 1 | x | `pearhill/a.py`, `pearhill/b` |\n"
             "| 2 | x | missing: all |\n| 3 | x |  |\n\n| a | b |\n| --- | --- |\n| 4 | `x` |\n"
         )
-        assert list(c.duty_carriers(text)) == [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])]
+        assert list(capacity.duty_carriers(text)) == [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])]
 
 
 class Arithmetic(unittest.TestCase):
     def test_the_operators_figures(self):
-        w = c.Estimates(SIZE)
-        for what, found, theirs, off in (
-            ("requests", w.requests_s, 45, 0.02),
-            ("heavy", w.requests_s * 10, 450, 0.02),
-            ("tokens", w.tokens_s, 10_300, 0.01),
-            ("streams", w.streams, 260, 0.01),
-            ("readers", w.prefill_replicas, 273, 0),
-            ("writers", w.decode_replicas, 667, 0),
-            ("streams a writer", w.streams_per_decode_replica, 128, 0.01),
-            ("GB a request", w.transferred_gb_per_request, 0.5, 0),
+        estimates = capacity.Estimates(SIZE)
+        for what, found, expected, tolerance in (
+            ("requests", estimates.requests_s, 45, 0.02),
+            ("heavy", estimates.requests_s * 10, 450, 0.02),
+            ("tokens", estimates.tokens_s, 10_300, 0.01),
+            ("streams", estimates.streams, 260, 0.01),
+            ("readers", estimates.prefill_replicas, 273, 0),
+            ("writers", estimates.decode_replicas, 667, 0),
+            ("streams a writer", estimates.streams_per_decode_replica, 128, 0.01),
+            ("GB a request", estimates.transferred_gb_per_request, 0.5, 0),
         ):
             with self.subTest(what):
-                assert abs(found - theirs) <= theirs * off
+                assert abs(found - expected) <= expected * tolerance
 
     def test_a_fleet_of_uneven_traffic_has_the_same_requests(self):
-        least, most = c.Estimates(SIZE).uneven_requests_s()
+        least, most = capacity.Estimates(SIZE).uneven_requests_s()
         assert abs(330 / 20 * (19 * least + most) - 15_000) < 5e-8
         assert abs(most / least - 10) < 5e-8
 
     def test_reports_stay_within_their_budget_and_full_talk_does_not(self):
-        w = c.Estimates(SIZE)
+        estimates = capacity.Estimates(SIZE)
         for times in (0.1, 1.0, 10.0):
             with self.subTest(times):
-                traffic = w.report_traffic(times)
+                traffic = estimates.report_traffic(times)
                 # One exchange more or less falls into what is counted.
-                exchange_bytes_s = (traffic.report_bytes + traffic.sums_bytes) * c.MICROSECONDS_PER_S / c.COUNTED_US
+                exchange_bytes_s = (
+                    (traffic.report_bytes + traffic.sums_bytes) * capacity.MICROSECONDS_PER_S / capacity.COUNTED_US
+                )
                 assert traffic.bytes_s < MAX_BYTES_PER_S + exchange_bytes_s
-        assert w.gossip_bytes_s > 10 * SIZE.control_bytes_s
-        assert c.gossip_datagram_bytes(48) <= 1400 + HEADER_BYTES
+        assert estimates.gossip_bytes_s > 10 * SIZE.control_bytes_s
+        assert capacity.gossip_datagram_bytes(48) <= 1400 + HEADER_BYTES
 
     def test_a_gauge_is_a_byte_at_the_most_and_next_to_nothing_where_no_work_is(self):
-        few, many = c.count_report_traffic(300, 0, 10, 0), c.count_report_traffic(300, 0, 300, 0)
+        few, many = capacity.count_report_traffic(300, 0, 10, 0), capacity.count_report_traffic(300, 0, 300, 0)
         assert few.report_bytes < 38 + 10 + 200
         assert many.report_bytes < 300 + 200
         assert many.report_bytes > few.report_bytes + 100
         assert max(few.sums_bytes, many.sums_bytes) < 300 + 200
 
 
-class Pages(Made):
+class Pages(WithTemporaryRepository):
     def test_with_no_run_the_page_is_whole_and_says_so(self):
         page = self.page()
         for part in (
@@ -191,18 +195,18 @@
         ):
             assert part in page
         assert "No run stands in" in page
-        assert page.count(c.NOT_MEASURED) > 30
+        assert page.count(capacity.NOT_MEASURED) > 30
         assert "\n\n\n" not in page
 
     def test_figures_come_from_the_runs_and_name_them(self):
-        self.put(
+        self.write_result(
             "control",
             result(
                 points=[point(), point(dispatchers=20, replicas=60, aggregator=None)],
                 slopes=[
-                    slope(c.GOSSIP, "cpu_cores", 0.09),
-                    slope(c.GOSSIP, "bytes_in_s", 50e3),
-                    slope(c.GOSSIP, "bytes_out_s", 40e3),
+                    slope(capacity.GOSSIP, "cpu_cores", 0.09),
+                    slope(capacity.GOSSIP, "bytes_in_s", 50e3),
+                    slope(capacity.GOSSIP, "bytes_out_s", 40e3),
                 ],
                 choice=[{"replicas": 60, "ms": 0.24, "remembered_bytes": 650.0}, {"replicas": 940, "ms": 3.3}],
                 checks=[
@@ -242,7 +246,7 @@
             ),
         )
         page = self.page()
-        for told in (
+        for expected in (
             "0.8% of a core (control)",
             "4.20 KB/s (control)",
             "90 KB/s (slope of control, 4.1 times as far)",
@@ -258,18 +262,18 @@
             "full talk: bytes, both ways | 90 KB/s | 7 KB/s | 12.9 |",
             "its choices at 940 over those at 60 | 13.8 | 2 | 6.88 | control |",
         ):
-            with self.subTest(told):
-                assert told in page
+            with self.subTest(expected):
+                assert expected in page
 
     def test_the_talks_slope_is_not_stretched_past_the_bound_on_its_pings(self):
-        self.put(
+        self.write_result(
             "talk",
             result(
                 points=[
-                    point(way=c.GOSSIP, dispatchers=80, replicas=60, aggregator=None),
-                    point(way=c.GOSSIP, dispatchers=20, replicas=940, aggregator=None, busy=True),
+                    point(way=capacity.GOSSIP, dispatchers=80, replicas=60, aggregator=None),
+                    point(way=capacity.GOSSIP, dispatchers=20, replicas=940, aggregator=None, busy=True),
                 ],
-                slopes=[slope(c.GOSSIP, "cpu_cores", 0.41)],
+                slopes=[slope(capacity.GOSSIP, "cpu_cores", 0.41)],
             ),
         )
         page = self.page()
@@ -277,35 +281,39 @@
         assert "41% of a core (slope" not in page
 
     def test_the_larger_need_comes_first_and_what_nothing_carries_before_it(self):
-        self.put("a", result(slopes=[slope(c.GOSSIP, "cpu_cores", 1.1), slope(c.GOSSIP, "memory_bytes", 16e6)]))
-        made = c.requirements(c.Estimates(SIZE), c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE))
-        carried = [n for n in made if n.carried_by]
-        assert carried == made[len(made) - len(carried) :]
+        self.write_result(
+            "a", result(slopes=[slope(capacity.GOSSIP, "cpu_cores", 1.1), slope(capacity.GOSSIP, "memory_bytes", 16e6)])
+        )
+        rows = capacity.requirements(
+            capacity.Estimates(SIZE), capacity.Runs(capacity.read_results(self.root / capacity.RESULTS_FOLDER), SIZE)
+        )
+        carried = [row for row in rows if row.carried_by]
+        assert carried == rows[len(rows) - len(carried) :]
         assert abs((carried[0].ratio or 0) - 100) < 5e-8
-        known = [n.ratio for n in carried if n.ratio is not None]
+        known = [row.ratio for row in carried if row.ratio is not None]
         assert known == sorted(known, reverse=True)
-        assert all(n.ratio is None for n in carried[len(known) :])
+        assert all(row.ratio is None for row in carried[len(known) :])
 
     def test_the_later_run_counts_a_busy_one_does_not_and_a_point_goes_before_a_slope(self):
-        def cores(value: float, **told: Any) -> dict[str, Any]:
-            return point(dispatcher=COST | {"cpu_cores": value}, **told)
+        def cores(value: float, **fields: Any) -> dict[str, Any]:
+            return point(dispatcher=COST | {"cpu_cores": value}, **fields)
 
-        self.put("b-early", result("2026-12-01T00:00:00Z", points=[cores(0.001)]))
-        self.put(
+        self.write_result("b-early", result("2026-12-01T00:00:00Z", points=[cores(0.001)]))
+        self.write_result(
             "a-late",
             result(
                 "2026-12-02T00:00:00Z",
                 points=[cores(0.002), cores(0.004, work="router")],
-                slopes=[slope(c.AGGREGATORS, "cpu_cores", 0.009)],
+                slopes=[slope(capacity.AGGREGATORS, "cpu_cores", 0.009)],
             ),
         )
-        self.put("c-busy", result("2026-12-03T00:00:00Z", points=[cores(0.003, busy=True)]))
-        runs = c.Runs(c.read_results(self.root / c.RESULTS_FOLDER), SIZE)
-        assert runs.figure(c.AGGREGATORS, "dispatcher", "cpu_cores") == c.SourcedFigure(0.002, "a-late")
+        self.write_result("c-busy", result("2026-12-03T00:00:00Z", points=[cores(0.003, busy=True)]))
+        runs = capacity.Runs(capacity.read_results(self.root / capacity.RESULTS_FOLDER), SIZE)
+        assert runs.figure(capacity.AGGREGATORS, "dispatcher", "cpu_cores") == capacity.SourcedFigure(0.002, "a-late")
         assert "| busy |" in self.page()
 
     def test_the_notes_table_is_made_anew_and_nothing_else_of_it(self):
-        path = self.root / c.NOTE_PATH
+        path = self.root / capacity.NOTE_PATH
         path.parent.mkdir(parents=True)
         form = (
             "before\n<!-- weighed: pearhill lab scale --page -->\n{}<!-- /weighed -->\n"
@@ -313,16 +321,16 @@
         )
         path.write_text(form.format("old\n", ""))
         self.page()
-        assert path.read_text() == form.format(c.mechanisms_table(), c.protocol_times_table())
+        assert path.read_text() == form.format(capacity.mechanisms_table(), capacity.protocol_times_table())
         path.write_text("no table")
         with pytest.raises(ConfigError, match="capacity.md: found no table of weighed; allowed: one between"):
-            c.write_pages(self.root)
+            capacity.write_pages(self.root)
 
 
-class BadResults(Made):
+class BadResults(WithTemporaryRepository):
     def test_file_key_found_and_allowed_are_told(self):
         late = point(dispatcher=COST | {"beat_late_ms": {"p50": 1, "p99": 2}})
-        for what, told, complaint in (
+        for what, content, complaint in (
             ("no JSON", "{", r"bad\.json: Expecting"),
             ("a list", [], r"bad\.json: .*found \[\]; allowed: a table"),
             (
@@ -347,6 +355,6 @@
             ),
         ):
             with self.subTest(what):
-                self.put("bad", told)
+                self.write_result("bad", content)
                 with pytest.raises(ConfigError, match=complaint):
-                    c.write_pages(self.root)
+                    capacity.write_pages(self.root)
