--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -7,6 +7,8 @@
 import tempfile
 import unittest
 
+import pytest
+
 from pearhill.config import ConfigError
 from pearhill.lab import fleet, scenario
 from pearhill.lab.load import REFUSED, SERVED, Row
@@ -44,7 +46,7 @@
 def test_work_by_engine_and_second_idle_time_and_served_shares():
     # Of three engines over three seconds: one works all the time, one in the second second, one never.
     work = [[(9.5, 13.5)], [(11.0, 12.0)], []]
-    result = fleet.judged([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
+    result = fleet.evaluate([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
     assert result.peaks == [3.0, 1.5, 3.0]
     assert result.idle_s == [0.0, 1.0, 3.0]
     assert result.served == [0.5, 1.0, 1.0]
@@ -65,18 +67,18 @@
             (fault("loss", 1, 2) + fault("crash", 1, 2, "[4]"), r"\[1\].who: found 4; allowed: 0 to 3"),
             (fault("flood", 1, 2), "fleet.fault.*kind: found 'flood'; allowed: crash, cut, "),
         ):
-            with self.subTest(faults), self.assertRaisesRegex(ConfigError, why):
+            with self.subTest(faults), pytest.raises(ConfigError, match=why):
                 self.load(faults)
 
     def test_four_dispatchers_through_a_crash_a_stall_and_a_cut(self):
         faults = fault("crash", 1, 3, "[1]") + fault("stall", 3.5, 4.5, "[2]") + fault("cut", 5, 7, "[0, 1]")
         told: list[str] = []
         result = asyncio.run(fleet.run(self.load(faults), told.append))
-        self.assertEqual(len(told), 7, told)
-        self.assertGreater(len(result.rows), 50)
+        assert len(told) == 7, told
+        assert len(result.rows) > 50
         # Whoever was not sent to the one that was dead, or to the one that stood still, was served.
-        self.assertGreater(sum(r.outcome == SERVED for r in result.rows) / len(result.rows), 0.7)
+        assert sum(r.outcome == SERVED for r in result.rows) / len(result.rows) > 0.7
         calm = [r for r in result.rows if r.planned_s > 5]
-        self.assertEqual([r.outcome for r in calm if r.outcome != SERVED], [])
-        self.assertTrue(all(0 <= idle <= 8.5 for idle in result.idle_s))
-        self.assertGreater(sum(result.peaks), 0)
+        assert [r.outcome for r in calm if r.outcome != SERVED] == []
+        assert all(0 <= idle <= 8.5 for idle in result.idle_s)
+        assert sum(result.peaks) > 0
