--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -11,7 +11,7 @@
 import json
 import random
 from collections import Counter
-from collections.abc import Callable, Coroutine
+from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass
 from typing import Any
 
@@ -21,14 +21,25 @@
 from pearhill.lab.soak.records import KEYED, SECOND
 
 PATH = "/v1/chat/completions"
-BEHAVIOURS = ("plain", "kept", "leaves", "pipelined", "half", "silent", "late-first", "resting", "slow-writer", "rests")
-SHARES = (42, 12, 16, 4, 3, 3, 5, 4, 3, 8)
-REGULARS = 3  # to each dispatcher
-THINK_S = 0.3  # of a regular, at most; none once its dispatcher is to end
-RETRY_S = 0.02  # of a regular whose connection has ended
-RESTS_S = 8.0  # for so long a resting client waits for its dispatcher's end
-NEVER_S = 30.0  # an answer that has not come by then never comes
-PIPELINED = 3
+# Of a hundred clients, how many behave so.
+BEHAVIOUR_SHARES = {
+    "plain": 42,
+    "kept": 12,
+    "leaves": 16,
+    "pipelined": 4,
+    "half": 3,
+    "silent": 3,
+    "late-first": 5,
+    "resting": 4,
+    "slow-writer": 3,
+    "rests": 8,
+}
+REGULAR_CLIENTS = 3  # of each dispatcher
+MAX_THINK_S = 0.3  # of a regular client; none once its dispatcher is to end
+RECONNECT_S = 0.02  # after which a regular client whose connection has ended comes again
+MAX_REST_S = 8.0  # for so long a resting client waits for its dispatcher's end
+ANSWER_TIMEOUT_S = 30.0  # an answer that has not come by then never comes
+PIPELINED_REQUESTS = 3
 STREAM_STALL_S = 6.0
 
 
@@ -54,6 +65,18 @@
         self._count = 0
         self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
+        self._behaviours: dict[str, Callable[[Exchange, ListenAddress], Awaitable[None]]] = {
+            "plain": self._plain,
+            "kept": self._kept,
+            "leaves": self._leaves,
+            "pipelined": self._pipelined,
+            "half": self._half,
+            "silent": self._silent,
+            "late-first": self._late_first,
+            "resting": self._resting,
+            "slow-writer": self._slow_writer,
+            "rests": self._rests,
+        }
 
     async def run(self, rate: float, seconds: float) -> None:
         """Requests for so long, and then the wait for all that are still open."""
@@ -61,8 +84,8 @@
         while self.clock() < end:
             await asyncio.sleep(self.rng.expovariate(rate))
             if self.addresses:
-                how = self.rng.choices(BEHAVIOURS, SHARES)[0]
-                self._spawn(self._run_one(how, self.rng.choice(list(self.addresses.values()))))
+                behaviour = self.rng.choices(list(BEHAVIOUR_SHARES), list(BEHAVIOUR_SHARES.values()))[0]
+                self._spawn(self._run_one(behaviour, self.rng.choice(list(self.addresses.values()))))
 
     async def finish(self) -> None:
         """Wait for all that are still open; the regulars stop with their next answer."""
@@ -86,7 +109,7 @@
         """The front gives out connections to this dispatcher from now on."""
         self.addresses[address.name] = address
         if address.name not in self.shutdown_begun:
-            for _ in range(REGULARS):
+            for _ in range(REGULAR_CLIENTS):
                 self._spawn(self._run_regular(address.name))
         self.shutdown_begun[address.name] = asyncio.Event()
 
@@ -109,8 +132,8 @@
                 continue
             try:
                 while not self._stopping and not exchange.ended and await self._request(exchange, address):
-                    await self._pause_until_shutdown(ending, self.rng.uniform(0, THINK_S))
-                await asyncio.sleep(RETRY_S)
+                    await self._pause_until_shutdown(ending, self.rng.uniform(0, MAX_THINK_S))
+                await asyncio.sleep(RECONNECT_S)
             except (OSError, TimeoutError):
                 self.outcomes["regular: cut off"] += 1
             finally:
@@ -122,16 +145,16 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(ending.wait(), seconds)
 
-    async def _run_one(self, how: str, address: ListenAddress) -> None:
+    async def _run_one(self, behaviour: str, address: ListenAddress) -> None:
         try:
             exchange = await Exchange.open(address)
         except (OSError, TimeoutError):
             self.outcomes["unreachable"] += 1
             return
         try:
-            await getattr(self, "_" + how.replace("-", "_"))(exchange, address)
+            await self._behaviours[behaviour](exchange, address)
         except (OSError, TimeoutError, ConnectionEndedError) as error:
-            self.outcomes[f"{how}: {type(error).__name__}"] += 1
+            self.outcomes[f"{behaviour}: {type(error).__name__}"] += 1
         finally:
             exchange.close()
 
@@ -157,7 +180,7 @@
         """Asks once, and again somewhere between its dispatcher's signal to end and the kill."""
         if not await self._request(exchange, address):
             return
-        await self._pause_until_shutdown(self.shutdown_begun[address.name], RESTS_S)
+        await self._pause_until_shutdown(self.shutdown_begun[address.name], MAX_REST_S)
         await asyncio.sleep(self.rng.uniform(0, self.kill_after_s))
         if exchange.ended:
             self.outcomes["ended at rest"] += 1
@@ -186,7 +209,7 @@
 
     async def _pipelined(self, exchange: Exchange, address: ListenAddress) -> None:
         sent = []
-        for _ in range(PIPELINED):
+        for _ in range(PIPELINED_REQUESTS):
             request_class = self.rng.choice(self.classes)
             request, data = self._message(request_class)
             self._record_sent(request, request_class, address)
@@ -210,7 +233,7 @@
     async def _wait_until_ended(self, exchange: Exchange, address: ListenAddress) -> None:
         since = self.clock()
         try:
-            await asyncio.wait_for(exchange.reader.read(1), NEVER_S)
+            await asyncio.wait_for(exchange.reader.read(1), ANSWER_TIMEOUT_S)
             self.outcomes["sent away"] += 1
         except TimeoutError:
             self.outcomes["never sent away"] += 1
@@ -261,7 +284,7 @@
         status, began = 0, False
         try:
             while True:
-                event = await exchange.next_event(STREAM_STALL_S if began else NEVER_S)
+                event = await exchange.next_event(STREAM_STALL_S if began else ANSWER_TIMEOUT_S)
                 match event:
                     case Head(code):
                         status = code
--- a/pearhill/lab/soak/fault_injection.py
+++ b/pearhill/lab/soak/fault_injection.py
@@ -218,14 +218,17 @@
         """Idle clients fill the descriptors of some, also while discovery is down."""
         addresses = list(self._fleet.clients.addresses.values())
         self._rng.shuffle(addresses)
-        floods = [ConnectionFlood(address, int(fault.amount)) for address in addresses[: max(1, len(addresses) // 3)]]
+        chosen = addresses[: max(1, len(addresses) // 3)]
+        floods = [ConnectionFlood(each.name, each.host, each.port, int(fault.amount)) for each in chosen]
+        try:
+            for flood in floods:
+                self._fleet.oracle.dispatcher_flooded(monotonic_us(), flood.name, True)
+            await asyncio.gather(*(flood.start() for flood in floods))
+            if fault.variant:
+                await self._silence_agents(fault)
+            else:
+                await asyncio.sleep(fault.duration_s)
+        finally:
+            await asyncio.gather(*(flood.stop() for flood in floods))
         for flood in floods:
-            self._fleet.oracle.dispatcher_flooded(monotonic_us(), flood.address.name, True)
-            flood.start()
-        if fault.variant:
-            await self._silence_agents(fault)
-        else:
-            await asyncio.sleep(fault.duration_s)
-        for flood in floods:
-            flood.stop()
-            self._fleet.oracle.dispatcher_flooded(monotonic_us() + SECOND, flood.address.name, False)
+            self._fleet.oracle.dispatcher_flooded(monotonic_us() + SECOND, flood.name, False)
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -8,6 +8,7 @@
 import pytest
 
 from pearhill.lab.soak import run
+from pearhill.lab.soak.connection_flood import ConnectionFlood
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.plan import draw
@@ -366,3 +367,29 @@
         return await dispatcher.terminate(0.01)
 
     assert asyncio.run(terminate()) is False
+
+
+def test_a_flood_holds_its_connections_comes_again_and_ends_with_its_process() -> None:
+    async def flood() -> None:
+        connected: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
+        ended: asyncio.Queue[bytes] = asyncio.Queue()
+
+        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await connected.put(writer)
+            await ended.put(await reader.read())
+
+        server = await asyncio.start_server(accept, "127.0.0.1", 0)
+        host, port = server.sockets[0].getsockname()
+        flood = ConnectionFlood("d", host, port, 3)
+        await flood.start()
+        async with asyncio.timeout(20):
+            held = [await connected.get() for _ in range(3)]
+            held[0].close()  # its client comes again
+            held.append(await connected.get())
+            assert connected.empty()
+            await flood.stop()
+            for _ in held:
+                await ended.get()
+        server.close()
+
+    asyncio.run(flood())
