--- a/pearhill/routing/__init__.py
+++ b/pearhill/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the routing decision that stand by themselves, free of I/O: times are passed in."""
+"""The router and the modules that make its decisions. The package does no I/O; times are passed in."""
--- a/pearhill/routing/actions.py
+++ b/pearhill/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a router has its node do. Times are integer microseconds."""
+"""Actions that a router asks its node to carry out. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request to a replica; the attempt ends as TIMEOUT after `attempt_timeout`.
+    """Send the request to a replica. The attempt ends as TIMEOUT after `attempt_timeout`.
 
-    Where its last byte has not been written by the time `send_before`, it is WITHDRAWN; 0: whenever. `release_at`: it
-    fetches a state, which has to be released at this time if the attempt has not arrived; 0: it fetches none.
+    The attempt ends as WITHDRAWN if its last byte has not been written by the time `send_before` (0: no limit).
+    `release_at` is set if the attempt fetches a held state: it is the time at which the state has to be released if the
+    attempt has not reached the replica by then (0: the attempt fetches no state).
     """
 
     request: int
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its `AttemptEnded` still comes."""
+    """Stop waiting for an attempt. The node still reports its `AttemptEnded`."""
 
     request: int
     attempt: int
@@ -30,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not executed, and a retry is harmless (after `retry_after`, where above 0)."""
+    """Give the client its final answer: the request was not executed, and a retry is harmless.
+
+    `retry_after` is the delay before a retry (0: none is stated).
+    """
 
     request: int
     retry_after: int
@@ -39,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised."""
+    """Give the client its final answer: the request failed, and may or may not have been executed."""
 
     request: int
     reason: str = ""  # for the log
@@ -47,21 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseState:
-    """Release whatever replicas hold for the request."""
+    """Release the state that replicas hold for the request."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class MigrateStream:
-    """Close a running stream in order; its client reconnects and the stream continues at another replica."""
+    """Close a running stream gracefully. Its client reconnects, and the stream continues at another replica."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set a timer: `TimerFired` follows after `delay`."""
+    """Set a timer. The node reports `TimerFired` after `delay`."""
 
     timer: int
     delay: int
@@ -69,14 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class QueryLoad:
-    """The choice for this request lies between these replicas. A `LoadKnown` follows, at once or soon."""
+    """Query the load of the replicas that are candidates for this request.
+
+    The node reports `LoadKnown`, immediately or once the queries are answered.
+    """
 
     request: int
     replicas: tuple[int, ...]
@@ -84,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Send a replica a health check, which queries its load; a `HealthCheckEnded` follows."""
+    """Send a replica a health check, which also queries its load. The node reports `HealthCheckEnded`."""
 
     replica: int
 
--- a/pearhill/routing/attempt_accounting.py
+++ b/pearhill/routing/attempt_accounting.py
@@ -1,4 +1,4 @@
-"""Attempts' beginning and end: what an attempt adds to its replica's load, and what it leaves of its request."""
+"""Accounting at the start and end of attempts: the load of their replicas and the records of their requests."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Role
 
-# After these nothing has reached a replica, so that the time for which a state is held goes on running.
+# After these outcomes nothing has reached a replica, so the hold time of a state is not restarted.
 NOT_ARRIVED = frozenset((Outcome.UNREACHABLE, Outcome.WITHDRAWN, Outcome.NOT_SENT))
 
 
 class AttemptAccounting:
-    """Keeps the records of requests and replicas true to the attempts between them. Loads are tokens.
+    """Updates the records of requests and replicas as attempts start and end. Loads are in tokens.
 
-    `ready`: the replicas that take requests, by role.
+    `ready` has the replicas that accept requests, by role.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._loads = loads
 
     def begin(self, now: int, pending: PendingRequest, replica: ReplicaState) -> None:
-        """An attempt at the replica begins: the request's next one."""
+        """Record the start of the request's next attempt, at this replica."""
         pending.replica = replica
         pending.is_prefilling = replica.role == Role.PREFILL
         pending.fetches_state = pending.state_holder is not None
@@ -77,13 +77,13 @@
         replica.slow_start_bucket.tokens -= 1
 
     def start_response(self, pending: PendingRequest, replica: ReplicaState) -> None:
-        """The answer has begun: its prompt is prefilled, and whatever state was held has been fetched."""
+        """Record that the answer has begun: the prompt is prefilled, and a held state has been fetched."""
         _remove_from_queue(pending, replica)
         pending.response_started = True
         pending.state_holder = None
 
     def end(self, now: int, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
-        """The attempt is over: the replica bears it no longer, and may hold a state or have executed the request."""
+        """Record the end of an attempt: take its load off the replica, note a held state or a possible execution."""
         pending.in_flight = False
         pending.response_started = False
         _remove_load(pending, replica)
--- a/pearhill/routing/attempt_feedback.py
+++ b/pearhill/routing/attempt_feedback.py
@@ -1,6 +1,6 @@
-"""What the course of attempts tells of their replicas: health, speed, memory, cached prompts, and what warm ones bear.
+"""Updates the estimates from the course of attempts: health, speed, memory, cached prompts and warm capacity.
 
-Free of decisions: the estimates that it feeds are read by `placement` and others.
+The module makes no decisions: `placement` and other modules read the estimates.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.topology import Role
 
-LATE_FETCH_SHARE = 0.2  # of the latency objective: a state that takes longer to fetch found no slot or no memory
+LATE_FETCH_SHARE = 0.2  # of the latency objective; a fetch that takes longer found no free slot or memory
 
 FAILURES = frozenset((Outcome.TIMEOUT, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.TRUNCATED))
 
 
 class AttemptFeedback:
-    """Feeds the estimates with what attempts show. Times are microseconds; actions are lines for the log at most.
+    """Updates the estimates from observed attempts. Times are in microseconds; the only actions are log lines.
 
-    `ready`: the replicas that take requests, by role.
+    `ready` has the replicas that accept requests, by role.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._local_prefill = local_prefill
 
     def response_started(self, now: int, pending: PendingRequest, replica: ReplicaState, elapsed: int) -> list[Action]:
-        """The replica has begun its answer after so long."""
+        """Record that the replica began its answer after `elapsed` microseconds."""
         actions = self._record_first_token(now, pending, replica, elapsed)
         if pending.fetches_state and elapsed > LATE_FETCH_SHARE * pending.latency_objective:
             self._loads.record_late_fetch(now, replica, pending)
@@ -56,7 +56,7 @@
     def attempt_ended(
         self, now: int, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState
     ) -> list[Action]:
-        """The attempt is over, and its load was taken off the replica (`AttemptAccounting.end`)."""
+        """Record the outcome of an attempt whose load `AttemptAccounting.end` has already taken off the replica."""
         if event.retry_after:
             replica.unavailable_until = max(replica.unavailable_until, now + event.retry_after)
         if event.load is not None:
@@ -72,18 +72,21 @@
         return []
 
     def record_waiting(self, now: int) -> None:
-        """Prompts still being prefilled count with their age: a replica that hangs would look fast."""
+        """Record the age of the oldest unfinished prefill of each prefill replica.
+
+        If only finished prefills counted, a replica that hangs would look fast.
+        """
         for replica in self._ready[Role.PREFILL]:
             oldest = next(iter(replica.unanswered.values()), None)
             if oldest is not None:
                 self._local_prefill.record_latency(now, now - oldest.sent_at, oldest.latency_objective)
 
-    # Attempts that have prefilled their prompt, or answered.
+    # Attempts that prefilled a prompt or answered.
 
     def _record_success(self, now: int, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState) -> None:
         self._count_for_slow_start(now, pending, replica)
         if event.cached_tokens * 2 < pending.expected_cached_tokens - BATCH_OVERHEAD_TOKENS:
-            replica.cached_prefixes.clear()  # it has lost its cache, and long prompts would be prefilled there
+            replica.cached_prefixes.clear()  # it lost its cache; the entries would attract long prompts to prefill
         prompt_tokens = pending.request.prompt_tokens
         if pending.is_prefilling and pending.home != NO_HOME:
             self._affinity.record_cached_share(now, pending.home, event.cached_tokens, prompt_tokens)
@@ -91,7 +94,10 @@
             self._local_prefill.spend(prompt_tokens - event.cached_tokens - pending.prefill_tokens)
 
     def _count_for_slow_start(self, now: int, pending: PendingRequest, replica: ReplicaState) -> None:
-        """Only finished work tells what a replica bears: an empty one begins answers faster than it finishes them."""
+        """Count finished work towards the capacity that slow start derives from warm replicas.
+
+        Answers that have only begun do not count: an idle replica begins answers faster than it finishes them.
+        """
         if not self._slow_start.is_warm(replica.endpoint, now):
             return
         peers = self._ready[replica.role]
@@ -99,12 +105,12 @@
         self._slow_start.answered(replica.role, warm_weight, self._mean_requests(pending))
 
     def _mean_requests(self, pending: PendingRequest) -> float:
-        """How many requests of its class's mean work this one is, one at most.
+        """Return the work of this request in units of its class's mean work, at most 1.
 
-        On a warming-up replica each counts as that mean, while warm ones of a role may get light ones above all: what
-        they answer is not what a warming-up one bears.
+        Each request at a warming-up replica counts as one mean request. Warm replicas of the role may get mostly light
+        requests, whose number would overstate the capacity of a warming-up replica.
         """
-        if pending.fetches_state:  # decoding takes what it takes, whatever was prefilled before it
+        if pending.fetches_state:  # the work of decoding does not depend on the prefill before it
             return 1.0
         request = pending.request
         mean = self._affinity.mean_prompt_tokens(request)
@@ -121,25 +127,25 @@
     def _record_first_token(
         self, now: int, pending: PendingRequest, replica: ReplicaState, elapsed: int
     ) -> list[Action]:
-        """A replica has prefilled a prompt, or begun an answer."""
-        if not pending.fetches_state:  # a state that was fetched is not cached there
+        """Record that a replica has prefilled a prompt or begun an answer."""
+        if not pending.fetches_state:  # a fetched state is not cached at the replica
             self._affinity.record_cached(now, replica, pending.request)
         replica.last_answer_at = now
         actions: list[Action] = []
-        # An answer to an attempt from before the last failure is no sign of recovery.
+        # An answer to an attempt sent before the last failure does not show that the replica has recovered.
         if not replica.failure_rate.value or pending.sent_at > replica.failure_rate.updated_at:
             actions = self.record_health(now, replica, failed=False)
         self._loads.record_time(now, replica, pending, elapsed)
         return actions
 
-    # Attempts that have failed.
+    # Failed attempts.
 
     def _record_failure(
         self, now: int, event: AttemptEnded, pending: PendingRequest, replica: ReplicaState
     ) -> list[Action]:
         if event.outcome != Outcome.TIMEOUT:
             return self.record_health(now, replica, failed=True, outcome=event.outcome)
-        # By the answers alone, a jam would look quick.
+        # If only answers were measured, an overloaded replica would look fast.
         self._loads.record_time(now, replica, pending, event.elapsed)
         if pending.fetches_state:
             replica.memory_used.add(now, 1.0, replica.memory_used.max_weight)
@@ -149,7 +155,11 @@
         return self.record_health(now, replica, failed=True, outcome=event.outcome)
 
     def record_health(self, now: int, replica: ReplicaState, failed: bool, outcome: str = "") -> list[Action]:
-        """One attempt has failed, or has not. A dead replica and a cut zone would go on catching requests."""
+        """Record a failed or successful attempt in the failure rates of the replica and its zone.
+
+        Without these rates, a failed replica or a disconnected zone would keep receiving requests. Returns a log line
+        if the replica became an outlier or ceased to be one.
+        """
         if not self._outliers.record(now, replica, failed):
             return []
         change = f"ejected: {outcome}" if failed else "no longer ejected"
--- a/pearhill/routing/events.py
+++ b/pearhill/routing/events.py
@@ -1,4 +1,4 @@
-"""Events: what a node reports to its router. Times are integer microseconds, sizes are tokens."""
+"""Events that a node reports to its router. Times are integer microseconds, sizes are in tokens."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class AdmissionStatus(enum.StrEnum):
-    """How a request stands with its token budget."""
+    """A token budget's decision on a request."""
 
     NO_BUDGET = ""
-    WITHIN_LIMIT = "within"  # guaranteed
-    BURST = "spare"  # admitted out of capacity that others leave unused
+    WITHIN_LIMIT = "within"  # within the tenant's guaranteed budget
+    BURST = "spare"  # admitted out of capacity that other tenants leave unused
     OVER_LIMIT = "over"  # not to be admitted now
-    OVERDRAWN = "debt"  # not to be admitted until an overdraft is paid off
+    OVERDRAWN = "debt"  # not to be admitted until the overdraft is paid off
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The endpoint list: all of it (`full`), or the endpoints that changed."""
+    """The endpoint list was updated: `endpoints` is the whole list if `full`, else the changed endpoints."""
 
     full: bool
     endpoints: tuple[Endpoint, ...]
@@ -30,10 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request. `session` and `prefix` are 0 where there is none.
+    """A client has sent a request. `session` and `prefix` are 0 if it has none.
 
-    `is_retry`: the client sends it again. `resumed`: it continues a stream that was migrated. `allowed_kinds`: the
-    machine kinds that may serve it; empty: all. `retry_after`: microseconds until its budget would admit it.
+    `is_retry` marks a request that the client sends again, `resumed` one that continues a migrated stream.
+    `allowed_kinds` lists the machine kinds that may serve it (empty: all). `retry_after` is the time until its token
+    budget would admit it.
     """
 
     request: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of this attempt has begun; from now on the attempt belongs to the client."""
+    """The answer of this attempt has begun, and is forwarded to the client from now on."""
 
     request: int
     attempt: int
@@ -63,10 +64,10 @@
 
 
 class ReportedLoad(NamedTuple):
-    """What a replica reports of its own load.
+    """A replica's report of its own load.
 
-    `memory_used`: the share of its memory in use. `queued_ktokens`: thousands of tokens yet to be prefilled or fetched
-    there. Both as they came: whoever reads them has to expect any number.
+    `memory_used` is the share of its memory in use. `queued_ktokens` counts the tokens still to be prefilled or fetched
+    there, in thousands. Neither value is validated: code that reads them has to expect any number.
     """
 
     memory_used: float
@@ -75,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt is over.
+    """An attempt has ended.
 
-    `answered`: the request has had its final answer. `load`: the replica's report, None without one. `retry_after`: for
-    how long the replica has asked to be sent nothing more.
+    `answered` tells whether the request has had its final answer. `load` is the replica's report, or None without one.
+    `retry_after` is the time for which the replica asked to be sent no more requests (0: none).
     """
 
     request: int
@@ -94,23 +95,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed any more."""
+    """The client has disconnected, so its request needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for has run out."""
+    """A timer that a `SetTimer` requested has expired."""
 
     timer: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """How a health check ended: ANSWERED, whatever the answer was; NOT_SENT; anything else: no answer came.
+    """A health check has ended.
 
-    `load`: the replica's report, None where it gave none.
+    `outcome` is ANSWERED for an answer of any kind, NOT_SENT if the check was not sent, and any other value if no
+    answer came. `load` is the replica's report, or None without one.
     """
 
     replica: int
@@ -121,11 +123,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What is known of one replica's load.
+    """The known load of one replica.
 
-    `memory_used` is a share; `queued_tokens` are yet to be prefilled or fetched there, and decay with `confidence` (1:
-    as fresh as it can be, 0: nothing is known). `ejected_until`: it answers no health check, and gets no requests until
-    then, in microseconds of the clock; 0 where it answers.
+    `memory_used` is the share of its memory in use. `queued_tokens` counts the tokens still to be prefilled or fetched
+    there; it decays with `confidence`, which is 1 for a fresh report and 0 if nothing is known. A replica that answers
+    no health check gets no requests until the time `ejected_until`, in microseconds (0: it answers).
     """
 
     replica: int
@@ -137,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadKnown:
-    """The answer to a `QueryLoad`: one report for each replica it named, in its order."""
+    """A `QueryLoad` has been answered, with one report for each of its replicas, in the same order."""
 
     request: int
     reports: tuple[LoadReport, ...]
--- a/pearhill/routing/outcomes.py
+++ b/pearhill/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt ends, and why a request is not answered by a replica."""
+"""Outcomes of attempts, and the reasons why no replica answers a request."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Outcome(enum.StrEnum):
-    """How an attempt ends. The values stand in log lines and under the keys of `GET /counters`."""
+    """The outcome of an attempt. The values appear in log lines and in the keys of `GET /counters`."""
 
     ANSWERED = "answered"
-    PREFILLED = "read"  # the state of the prompt waits at the replica; nothing was answered
+    PREFILLED = "read"  # the replica holds the state of the prompt; nothing was answered
     ERROR = "error"
     TIMEOUT = "timeout"
-    TRUNCATED = "broken"  # the answer began and ended before its end
+    TRUNCATED = "broken"  # the answer began and broke off before its end
     CANCELLED = "cancelled"
-    DECLINED = "declined"  # the replica found fault with the request itself; no sign of its own health
+    DECLINED = "declined"  # the replica found the request invalid, which says nothing about its own health
     FULL = "full"
-    STATE_LOST = "no-state"  # there was no state left to fetch
+    STATE_LOST = "no-state"  # the state to fetch was no longer held
     UNREACHABLE = "unreachable"
     NOT_SENT = "moot"
-    WITHDRAWN = "withdrawn"  # the replica left the list before the first byte was written; no attempt is spent
+    WITHDRAWN = "withdrawn"  # the replica was unlisted before the first byte was written; no attempt is spent
 
 
 # Outcomes that prove that the request was not executed.
@@ -36,10 +36,10 @@
 
 
 class Reason(enum.StrEnum):
-    """Why the router rejects or fails a request. The values stand in log lines and under keys of `GET /counters`."""
+    """The reason for rejecting or failing a request. The values appear in log lines and keys of `GET /counters`."""
 
     OVER_BUDGET = "over-budget"
-    NO_CAPACITY = "no-room"  # no decode or mixed replica has room
+    NO_CAPACITY = "no-room"  # no decode or mixed replica has capacity
     PREFILL_TOO_SLOW = "slow-reads"
     NO_REPLICA = "no-replica"
     NO_DECODE_REPLICA = "no-writer"
--- a/pearhill/routing/outlier_detection.py
+++ b/pearhill/routing/outlier_detection.py
@@ -5,22 +5,22 @@
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.statistics import STEP_INTERVAL_US, DecayingMean
 
-MAX_EXCESS_FAILURE_RATE = 1 / 3  # an outlier's attempts fail by so much more often than its peers'
-ZONE_MAX_SAMPLES = 4  # what the evidence of a zone is worth at most
+MAX_EXCESS_FAILURE_RATE = 1 / 3  # an outlier's failure rate exceeds that of its peers by this much
+ZONE_MAX_SAMPLES = 4  # maximum weight of the evidence on a zone
 
 
 class OutlierDetector:
-    """Failure rates of zones, and what follows from them and from the replicas' own."""
+    """Detects outliers by the failure rates of replicas and of whole zones."""
 
     def __init__(self) -> None:
         self.zones: dict[int, DecayingMean] = {}  # share of failed attempts, by zone
 
     def zone_failure_rates(self, now: int) -> dict[int, float]:
-        """The share of failed attempts by zone."""
+        """Return the share of failed attempts by zone."""
         return {zone: rate.value_with_prior(now, 0.0) for zone, rate in self.zones.items()}
 
     def ejection_threshold(self, now: int) -> float:
-        """The failure rate from which a replica or zone is an outlier, by the zone that fails least."""
+        """Return the failure rate from which a replica or zone is an outlier, relative to the zone that fails least."""
         return self._threshold(self.zone_failure_rates(now))
 
     @staticmethod
@@ -28,11 +28,11 @@
         return min(zone_rates.values(), default=0.0) + MAX_EXCESS_FAILURE_RATE
 
     def healthy(self, now: int, candidates: list[ReplicaState]) -> list[ReplicaState]:
-        """The candidates that are not ejected; all in connected zones where most would be (panic threshold)."""
+        """Return the candidates that are not ejected, or all in healthy zones if most would be (panic threshold)."""
         zone_rates = self.zone_failure_rates(now)
         threshold = self._threshold(zone_rates)
-        # In a zone that was cut off each replica has had too few attempts to be judged by; all of them together
-        # have enough.
+        # In a disconnected zone, each replica has had too few attempts to be detected alone; all of them together have
+        # had enough.
         reachable = [r for r in candidates if zone_rates.get(r.endpoint.zone, 0.0) < threshold] or candidates
         healthy = [
             replica
@@ -40,11 +40,11 @@
             if replica.ejected_until <= now
             and replica.failure_rate.value_with_prior(now, zone_rates.get(replica.endpoint.zone, 0.0)) < threshold
         ]
-        # Where most look bad the judgement is at fault; with those ejected, the rest would be overloaded.
+        # If most replicas look unhealthy, the detection is likely wrong, and ejecting them would overload the rest.
         return healthy if 2 * len(healthy) >= len(reachable) else reachable
 
     def record(self, now: int, replica: ReplicaState, failed: bool) -> bool:
-        """An attempt at the replica has failed or succeeded. Whether it has become an outlier, or ceased to be one."""
+        """Record a failed or successful attempt. Returns whether the replica became or ceased to be an outlier."""
         was_outlier = is_outlier(replica)
         sample = 1.0 if failed else 0.0
         replica.failure_rate.add(now, sample)
@@ -53,5 +53,5 @@
 
 
 def is_outlier(replica: ReplicaState) -> bool:
-    """Whether the replica's own attempts fail too often, whatever its peers' do."""
+    """Return whether the replica's own attempts fail too often, regardless of its peers."""
     return replica.failure_rate.value > MAX_EXCESS_FAILURE_RATE
--- a/pearhill/routing/pending_request.py
+++ b/pearhill/routing/pending_request.py
@@ -6,23 +6,26 @@
 from pearhill.routing.permissions import Execution
 from pearhill.routing.replica_state import ReplicaState
 
-# Which of the two home replicas of its prefix a prompt is prefilled at.
+# At which of the two home replicas of its prefix a prompt is prefilled.
 NO_HOME = -1
 SECOND_HOME = 0
-FIRST_HOME = 1  # the session's own
+FIRST_HOME = 1  # the one that the session prefers
 
 NEVER_QUERIED = (-2, False)
 
 
 class PendingRequest:
-    """A plain record. Times are microseconds, loads are tokens; `attempt` is the last attempt's index, -1 before it."""
+    """A record without logic. Times are in microseconds, loads in tokens.
+
+    `attempt` is the index of the last attempt, or -1 before the first one.
+    """
 
     def __init__(self, request: RequestArrived, deadline: int, objective_at: int) -> None:
         self.request = request
         self.deadline = deadline
-        self.objective_at = objective_at  # when its first token should come
+        self.objective_at = objective_at  # time by which its first token is due
         self.latency_objective = objective_at - deadline + request.timeout
-        self.answered = False  # it has had its final answer, or its client has gone
+        self.answered = False  # it has had its final answer, or its client has disconnected
         self.execution: Execution | None = None  # the first attempt that may have executed it
         self.tried_replicas: list[int] = []
 
@@ -31,24 +34,24 @@
         self.in_flight = False
         self.replica: ReplicaState | None = None
         self.sent_at = 0
-        self.is_prefilling = False  # at a prefill replica, which answers nothing itself
+        self.is_prefilling = False  # at a prefill replica, which sends no answer itself
         self.fetches_state = False
         self.response_started = False
         self.home = NO_HOME
         self.expected_cached_tokens = 0
-        self.prefill_tokens = 0  # to be prefilled there
-        self.load_tokens = 0  # what it adds to the replica's tokens in flight
-        self.service_tokens = 0  # what is ahead of it there, and its own
+        self.prefill_tokens = 0  # to be prefilled at the replica
+        self.load_tokens = 0  # added to the replica's tokens in flight
+        self.service_tokens = 0  # queued ahead of it at the replica, and its own
 
-        # Where the prefilled state waits.
+        # The replica that holds the prefilled state.
         self.state_holder: ReplicaState | None = None
         self.state_held_since = 0
 
-        # The replicas whose load was queried before the last choice: for which attempt, with a state or without.
+        # The key of the last load query (see `query_key`), and the replicas that it queried.
         self.last_query = NEVER_QUERIED
         self.queried_replicas: list[ReplicaState] = []
 
     @property
     def query_key(self) -> tuple[int, bool]:
-        """Distinguishes one choice of a replica from the next: load is queried once for each."""
+        """Identifies one choice of a replica. The load is queried once for each choice."""
         return self.attempt, self.state_holder is not None
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -1,7 +1,8 @@
-"""What may be sent, retried, rejected or closed now: one answer for each question.
+"""Rules for what may be sent, retried, rejected or closed.
 
-The router checks before it chooses, the core checks again right before the first byte leaves, and counts what it then
-has to forbid as a violation. Nothing here has state: the facts are passed in, and an answer names its reason.
+The router applies them before it chooses. The core applies them again immediately before the first byte is written, and
+counts what it has to deny then as a violation. The functions have no state: the facts are passed in, and a denial
+states its reason.
 """
 
 from __future__ import annotations
@@ -13,21 +14,24 @@
 
 
 class Denied(enum.StrEnum):
-    """Why something is not allowed. The values stand under keys of `GET /counters`."""
+    """The reason for a denial. The values appear in the keys of `GET /counters`."""
 
-    ANSWERED = "answered"  # the request has had its final answer, or its client has gone
+    ANSWERED = "answered"  # the request has had its final answer, or its client has disconnected
     ATTEMPT_IN_FLIGHT = "attempt-out"  # another attempt of the request is in flight
-    NOT_LISTED = "not-listed"  # the list does not have the replica as one that takes requests
+    NOT_LISTED = "not-listed"  # the endpoint list does not state the replica as ready
     ATTEMPTS_USED = "attempts-used"
-    TOO_LATE = "too-late"  # the time by which it has to be written is over
+    TOO_LATE = "too-late"  # the time by which it has to be written has passed
     MAY_HAVE_EXECUTED = "may-have-run"  # the request must not be executed twice
-    OUT_OF_SCOPE = "other-group"  # replicas there do not discard a repeat of what was executed elsewhere
-    WINDOW_OVER = "window-over"  # repeats are no longer discarded
+    OUT_OF_SCOPE = "other-group"  # replicas there do not discard duplicates of requests executed elsewhere
+    WINDOW_OVER = "window-over"  # replicas no longer discard duplicates
 
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """The first attempt that may have been executed: where, by the endpoint list of then, and when it was sent."""
+    """The first attempt that may have been executed.
+
+    `zone` and `cell` are those of its replica in the endpoint list at that time, `sent_at` is when it was sent.
+    """
 
     zone: int
     cell: int
@@ -35,7 +39,7 @@
 
 
 def retry_denial(spec: RequestClass, execution: Execution | None, zone: int, cell: int, now: int) -> Denied | None:
-    """Whether the request may be sent to a replica in this zone and cell for execution. None: it may."""
+    """Return why the request may not be sent for execution to a replica in this zone and cell, or None if it may."""
     if execution is None or spec.idempotency == Idempotency.IDEMPOTENT:
         return None
     if spec.idempotency == Idempotency.UNSAFE:
@@ -47,7 +51,7 @@
 
 
 def may_reject(spec: RequestClass, may_have_executed: bool) -> bool:
-    """Whether the client may get a rejection, which means that a retry is harmless."""
+    """Return whether the client may get a rejection, which states that a retry is harmless."""
     return (
         not may_have_executed
         or spec.idempotency == Idempotency.IDEMPOTENT
@@ -56,7 +60,7 @@
 
 
 def attempt_denial(answered: bool, attempt_out: bool, ready: bool, attempts_left: int) -> Denied | None:
-    """Whether an attempt may be made at all. None: it may."""
+    """Return why no attempt may be made, or None if one may."""
     if answered:
         return Denied.ANSWERED
     if attempt_out:
@@ -67,31 +71,31 @@
 
 
 def start_denial(now: int, send_before: int) -> Denied | None:
-    """Whether the first byte of an attempt may leave now.
+    """Return why the first byte of an attempt may not be written now, or None if it may.
 
-    `send_before`: when its last byte has to be written; 0: whenever.
+    `send_before` is the time by which the last byte has to be written (0: no limit).
     """
     return Denied.TOO_LATE if send_before and now >= send_before else None
 
 
 class ConnectionUse(enum.IntEnum):
-    """What a client's connection is good for now, the least first: in this order connections make room for others."""
+    """The state of a client's connection, in the order in which connections are closed to free capacity for others."""
 
-    FINISHED = 0  # it has had its last answer
-    UNUSED = 1  # no request has come on it yet
+    FINISHED = 0  # its last answer has been sent
+    UNUSED = 1  # no request has been received on it yet
     IDLE = 2  # between two requests
     PARTIAL_REQUEST = 3  # a request has begun and is not complete
     ANSWERING = 4  # a request is being answered
 
 
-PARTIAL_REQUEST_GRACE_US = 1_000_000  # for which the rest of a partial request is taken to be on its way
+PARTIAL_REQUEST_GRACE_US = 1_000_000  # time for which the rest of a partial request is assumed to be in transit
 
 
 def may_close(use: ConnectionUse, unread: bool, age: int) -> bool:
-    """Whether a connection may be ended to make room for another.
+    """Return whether a connection may be closed to free its place for another.
 
-    `unread`: bytes wait on it that have not been read. `age`: microseconds since it came to that use. A request that
-    was read, if only in part, is lost when its connection is closed.
+    `unread` tells whether received bytes have not been read yet. `age` is the time since its current state began, in
+    microseconds. Closing a connection loses a request that was read, even in part.
     """
     if use == ConnectionUse.FINISHED:
         return True
--- a/pearhill/routing/placement.py
+++ b/pearhill/routing/placement.py
@@ -1,8 +1,8 @@
-"""Placement: which replica a request goes to next.
+"""Placement: chooses the replica for the next stage of a request.
 
-A capped share of the prompt tokens, only short or cached prompts, is prefilled directly at decode replicas. All other
-prompts go to one of two prefill replicas that are hashed from their prefix, and a nearby decode replica is picked after
-that, by power of two choices (Mitzenmacher, 2001). Mixed replicas take their share of requests whole.
+Decode replicas prefill a limited share of the prompt tokens themselves, of short or cached prompts only. All other
+prompts go to one of the two prefill replicas that their prefix hashes to; a nearby decode replica is chosen after that,
+by power of two choices (Mitzenmacher, 2001). Mixed replicas both prefill and decode the requests that they get.
 """
 
 from __future__ import annotations
@@ -24,16 +24,17 @@
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.topology import Role
 
-MAX_ANSWER_TIME_RATIO = 1.4  # replicas whose answers take so many times the mean of their class prefill nothing
+MAX_ANSWER_TIME_RATIO = 1.4  # replicas whose answers take this many times the mean of their class prefill nothing
 QUICK_PREFILL_SHARE = 1 / 4  # of the latency objective
-CROWDED_RATIO = 1.5  # a replica with so many times its peers' mean load, and one request's, gets no more for now
+CROWDED_RATIO = 1.5  # of the peers' mean load plus one request's; a replica above it gets no more for now
 
 
 @dataclass(frozen=True, slots=True)
 class Assign:
     """Send the request to this replica.
 
-    `home`: which home of its prefix it is. `local_tokens`: to be prefilled at a decode replica, out of the allowance.
+    `home` tells which home replica of the prefix it is. `local_tokens` are to be prefilled at a decode replica, and are
+    taken off the allowance for local prefills.
     """
 
     replica: ReplicaState
@@ -43,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryFirst:
-    """The choice lies between these replicas; what load they report has to be known first."""
+    """Query the load of these candidates before choosing one of them."""
 
     replicas: list[ReplicaState]
 
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """No replica is to get the request."""
+    """Send the request to no replica."""
 
     reason: Reason
 
@@ -59,10 +60,10 @@
 
 
 class Placement:
-    """Reads what the router knows, and decides. Changes nothing but its random generator and slow-start buckets' fill.
+    """Chooses replicas from the router's estimates. It changes only its random generator and slow-start buckets' fill.
 
-    `ready`: the replicas that take requests, by role; the router keeps it up to date. `query_roles`: roles at which
-    load is queried before a choice.
+    `ready` has the replicas that accept requests, by role; the router keeps it up to date. `query_roles` are the roles
+    whose load is queried before a choice.
     """
 
     def __init__(
@@ -88,13 +89,13 @@
         self._admission = admission
         self._local_prefill = local_prefill
 
-    # A prompt that has not been prefilled.
+    # Requests whose prompt has not been prefilled.
 
     def place_prompt(self, now: int, pending: PendingRequest) -> Decision:
-        """Where to send a request whose prompt has not been prefilled anywhere."""
+        """Choose a replica for a request whose prompt has not been prefilled anywhere."""
         decode = self._with_room(now, pending, self.eligible(now, self._ready[Role.DECODE], pending))
         mixed = self._with_room(now, pending, self._ranked(now, Role.MIXED, pending))
-        # Load shedding: a prompt that is prefilled with no decode replica in sight is prefilled for nothing.
+        # Load shedding: a prefill is wasted work if no replica has capacity to decode the request.
         if pending.attempt < 0 and not decode and not mixed:
             return Decline(Reason.NO_CAPACITY)
         return (
@@ -105,15 +106,15 @@
         )
 
     def _with_room(self, now: int, pending: PendingRequest, pool: list[ReplicaState]) -> list[ReplicaState]:
-        """The replicas of a pool with room for a prompt of the usual length at most.
+        """Return the replicas of a pool with capacity for the prompt, counted up to its class's mean length.
 
-        By its own length, a long prompt would be rejected by idle replicas too.
+        Counted by its whole length, a long prompt would be rejected even by idle replicas.
         """
         tokens = int(min(pending.request.prompt_tokens, self._affinity.mean_prompt_tokens(pending.request)))
         return [replica for replica in pool if self._loads.memory_utilization(now, replica, tokens) < FULL_MEMORY]
 
     def _at_mixed_replica(self, now: int, pending: PendingRequest, mixed: list[ReplicaState]) -> Decision | None:
-        """A mixed replica takes the whole request if it prefills it quickly: long prompts would delay its streams."""
+        """Choose a mixed replica if it prefills the prompt quickly: long prompts would delay its streams."""
         if not mixed:
             return None
         nearest = mixed[:2]
@@ -125,7 +126,7 @@
         return Assign(emptiest)
 
     def _at_decode_replica(self, now: int, pending: PendingRequest, decode: list[ReplicaState]) -> Decision | None:
-        """A decode replica prefills the prompt itself, if it is short there and within the allowance."""
+        """Choose a decode replica that prefills the prompt itself, if that is quick and within the allowance."""
         if not (decode and self.settings.local_prefill and self._local_prefill.ratio):
             return None
         request = pending.request
@@ -138,9 +139,9 @@
         return Assign(replica, local_tokens=uncached)
 
     def _at_prefill_replica(self, now: int, pending: PendingRequest, mixed: list[ReplicaState]) -> Decision | None:
-        """One of the prefix's two home replicas, or the next in order where prefilling takes too long at both."""
+        """Choose one of the prefix's two home replicas, or the next in rank if prefilling takes too long there."""
         ranked = self._ranked(now, Role.PREFILL, pending)
-        # A prompt that the last allowed attempt prefills is prefilled for nothing.
+        # A prefill by the last allowed attempt is wasted work, since no attempt would be left for decoding.
         if not ranked or pending.attempt + 2 >= self.settings.max_attempts:
             return None
         pair = self._affinity.home_pair(ranked, pending.request)
@@ -154,13 +155,13 @@
         other = self._quick_enough(now, pending, ranked, mixed, limit)
         if other is not None:
             return Assign(other)
-        # Load shedding, lowest priority first: work that is late anyway delays what could be in time.
+        # Load shedding, lowest priority first: requests that will be late anyway delay those that could be in time.
         if pending.attempt < 0:
             return Decline(Reason.PREFILL_TOO_SLOW)
         return Assign(chosen, home)
 
     def _prefill_time_limit(self, now: int, pending: PendingRequest, replica: ReplicaState, home: int) -> float:
-        """Microseconds that prefilling may take; a prompt beyond the usual length gets the time for the excess."""
+        """Return how many microseconds the prefill may take. A prompt beyond the mean length gets extra time."""
         request = pending.request
         time_left = min(pending.objective_at, pending.deadline) - now
         uncached = request.prompt_tokens - self._affinity.cached_tokens(now, replica, request, home)
@@ -176,10 +177,11 @@
         mixed: list[ReplicaState],
         limit: float,
     ) -> ReplicaState | None:
-        """The first replica in order that prefills in time.
+        """Return the first replica in rank order that prefills the prompt in time, or None.
 
-        A long prompt or a hot prefix fills the queues of its pair while others idle; the next in order finds it
-        cached. Last come mixed replicas, whose streams it delays for half as long.
+        A long prompt or a hot prefix fills the queues of its home pair while other replicas idle. With a fixed order,
+        later prompts find the prefix cached at the next replica too. Mixed replicas come last and get half the time,
+        since a prefill delays their streams.
         """
         for replica in ranked + mixed[:2]:
             allowed = limit / (1 + (replica in mixed))
@@ -194,14 +196,14 @@
         mixed: list[ReplicaState],
         decode: list[ReplicaState],
     ) -> Decision:
-        """Without a prefill replica, a decode or mixed replica prefills the prompt, whatever its length."""
+        """Choose a decode or mixed replica for a prompt of any length, since no prefill replica is available."""
         pool = mixed + (decode if self.settings.local_prefill else [])
         return self._pick(now, pending, pool) if pool else Decline(Reason.NO_REPLICA)
 
-    # A prompt whose state waits at a prefill replica.
+    # Requests whose state is held by a prefill replica.
 
     def place_prefilled(self, now: int, pending: PendingRequest) -> Decision:
-        """A decode or mixed replica near the one that holds the state, with room and not crowded if there is any."""
+        """Choose a decode or mixed replica near the state's holder, preferably with free memory and little load."""
         assert pending.state_holder is not None
         holder = pending.state_holder.endpoint
         pool = self.eligible(now, self._ready[Role.DECODE] + self._ready[Role.MIXED], pending)
@@ -214,10 +216,10 @@
         nearest = in_cell or in_zone or calm or roomy
         return self._pick(now, pending, nearest) if nearest else Decline(Reason.NO_DECODE_REPLICA)
 
-    # Parts of both.
+    # Common to both.
 
     def eligible(self, now: int, pool: list[ReplicaState], pending: PendingRequest) -> list[ReplicaState]:
-        """The replicas of a pool that may get this request, without outliers, and untried ones if there are any."""
+        """Return the replicas of a pool that may get this request, without outliers, and only untried ones if any."""
         candidates = [
             replica
             for replica in pool
@@ -230,7 +232,7 @@
         return [replica for replica in healthy if replica.id not in tried] or healthy
 
     def _is_permitted(self, now: int, replica: ReplicaState, pending: PendingRequest) -> bool:
-        """Whether this request may be sent to this replica at all."""
+        """Return whether this request may be sent to this replica at all."""
         request = pending.request
         endpoint = replica.endpoint
         if request.allowed_kinds and endpoint.kind not in request.allowed_kinds:
@@ -244,7 +246,7 @@
         return rank(self.eligible(now, self._ready[role], pending), pending.request)
 
     def _is_quick(self, now: int, replica: ReplicaState, pending: PendingRequest) -> bool:
-        """Whether prefilling there is short and soon done, and delays no streams."""
+        """Return whether the replica would prefill the prompt in a short time, without delaying its streams."""
         request = pending.request
         if request.prompt_tokens - self._affinity.cached_tokens(now, replica, request) >= SHORT_PROMPT_TOKENS:
             return False
@@ -255,10 +257,10 @@
         return replica.tokens_in_flight <= self._crowded_load(pending)
 
     def _crowded_load(self, pending: PendingRequest) -> float:
-        """This dispatcher's tokens in flight at a replica from which on it gets no more.
+        """Return this dispatcher's tokens in flight at a replica above which the replica gets no more requests.
 
-        A replica that is preferred, or the only one that a release left in a cell, would get all requests while others
-        idle. How slow its answers are shows late, this dispatcher's own load at once.
+        Without the limit, a preferred replica, or the only one that a release left in a cell, would get all requests
+        while others idle. Slow answers show this late; this dispatcher's own load shows it immediately.
         """
         pool = self._ready[Role.DECODE] + self._ready[Role.MIXED]
         request = pending.request
@@ -266,7 +268,7 @@
         return CROWDED_RATIO * (mean + request.prompt_tokens + request.max_output_tokens // 2)
 
     def _pick(self, now: int, pending: PendingRequest, pool: list[ReplicaState]) -> Decision:
-        """The less loaded of two; where load is queried, of the two that were."""
+        """Choose the less loaded of two replicas, and of the queried two if load is queried."""
         if self.query_roles:
             queried = [replica for replica in pending.queried_replicas if replica in pool]
             pool = queried or self._rng.sample(pool, min(2, len(pool)))
@@ -275,18 +277,18 @@
         return Assign(self.less_loaded_of_two(now, pool))
 
     def _needs_query(self, pending: PendingRequest, pool: list[ReplicaState]) -> bool:
-        """Whether the load of these has to be queried: once before each choice for which it pays."""
+        """Return whether the load of these replicas has to be queried: once before each choice of a queried role."""
         if len(pool) < 2 or pool[0].role not in self.query_roles:
             return False
         return pending.last_query != pending.query_key
 
     def less_loaded_of_two(self, now: int, pool: list[ReplicaState]) -> ReplicaState:
-        """The less loaded of two replicas drawn at random from a pool."""
+        """Return the less loaded of two replicas drawn at random from a pool."""
         two = self._rng.sample(pool, min(2, len(pool)))
-        reported = Role.DECODE in self.query_roles  # if so, a load report counts all dispatchers' work
+        reported = Role.DECODE in self.query_roles  # if queried, a load report counts the work of all dispatchers
 
         def load(replica: ReplicaState) -> tuple[bool, float, float, float]:
-            """Sort key: ejected ones last, then by memory if replicas report it, tokens in flight by weight, memory."""
+            """Sort key: ejected replicas last, then memory if reported, tokens in flight by weight, and memory."""
             memory = self._loads.memory_utilization(now, replica, 0)
             weighted = replica.tokens_in_flight / (replica.endpoint.weight or 1)
             return replica.ejected_until > now, memory if reported else 0.0, weighted, memory
--- a/pearhill/routing/prefix_affinity.py
+++ b/pearhill/routing/prefix_affinity.py
@@ -1,8 +1,8 @@
-"""Prefix affinity: at which replicas a prompt's prefix is likely cached, and which ones to send it to.
+"""Prefix affinity: estimates which replicas have a prompt's prefix cached, and ranks replicas for a prefix.
 
-Replicas are ranked for a prefix by rendezvous hashing (Thaler and Ravishankar, 1996), the same at every dispatcher.
-Each prefix has two home replicas, at which its prompts are prefilled and stay cached, and more where it draws more than
-its part of all prefilling.
+Replicas are ranked by rendezvous hashing (Thaler and Ravishankar, 1996), in the same order at every dispatcher. Each
+prefix has two home replicas, at which its prompts are prefilled and stay cached, and more if it causes more than its
+fair share of the prefill load.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US, DecayingMean
 from pearhill.routing.topology import Role
 
-BATCH_OVERHEAD_TOKENS = 500  # what one step of a replica costs even for the shortest prompt, roughly, in tokens
-LONG_PROMPT_RATIO = 2  # prompts longer than so many times their class's mean are not as cached as others
-HOMES_PER_FAIR_SHARE = 2  # home replicas for a prefix that draws one replica's fair share of the prefilling
+BATCH_OVERHEAD_TOKENS = 500  # approximate cost of one batch step even for the shortest prompt, in tokens
+LONG_PROMPT_RATIO = 2  # at most this many times the class's mean length of a prompt is assumed cached
+HOMES_PER_FAIR_SHARE = 2  # home replicas of a prefix that causes one replica's fair share of the prefill load
 MIN_HOMES = 2
-PREFIX_LOAD_DECAY = 0.9  # what a step leaves of the tokens counted by prefix
-MIN_REQUESTS_FOR_SHARE = 10  # a prefix's share of fewer requests is too uncertain
-CACHE_FILL_DECAY = 0.8  # what a step leaves of the rate at which caches fill
+PREFIX_LOAD_DECAY = 0.9  # factor applied to the token counts of prefixes at each step
+MIN_REQUESTS_FOR_SHARE = 10  # from fewer requests, a prefix's share is too uncertain
+CACHE_FILL_DECAY = 0.8  # factor applied to the fill rates of caches at each step
 MAX_CACHED_PREFIXES = 1_000  # entries of a replica's table
-MAX_SAMPLES = 30  # what the evidence of a mean is worth at most
-MAX_CACHED_AGE_US = 600_000_000  # a pause in a conversation, at most
+MAX_SAMPLES = 30  # maximum weight of the evidence for a mean
+MAX_CACHED_AGE_US = 600_000_000  # longest pause in a conversation
 
 
 def rendezvous_weight(key: int, replica: int) -> int:
-    """The replica's weight for a key, 64 bits: the same at every dispatcher, whatever its seed."""
+    """Return the replica's 64-bit weight for a key, which is the same at every dispatcher, whatever its seed."""
     mixed = (key ^ (replica * 0x9E3779B97F4A7C15)) & 0xFFFFFFFFFFFFFFFF
     for shift, factor in ((30, 0xBF58476D1CE4E5B9), (27, 0x94D049BB133111EB)):
         mixed = ((mixed ^ (mixed >> shift)) * factor) & 0xFFFFFFFFFFFFFFFF
@@ -36,7 +36,7 @@
 
 
 def cache_keys(request: RequestArrived) -> list[tuple[CacheKey, int]]:
-    """Under which keys a replica's table holds the prompt's session and prefix, and how many tokens each has."""
+    """Return the table keys of the prompt's session and prefix, each with its number of tokens."""
     found: list[tuple[CacheKey, int]] = []
     if request.session:
         found.append(((False, request.session), request.prompt_tokens))
@@ -46,18 +46,18 @@
 
 
 class PrefixAffinity:
-    """Estimates of cached prompts, by what was sent to each replica and what prefilling found there."""
+    """Estimates which prompts are cached, by what was sent to each replica and what prefills found cached there."""
 
     def __init__(self) -> None:
-        # By home: the share of a prompt that prefilling found cached.
+        # By home: the share of a prompt that prefills found cached.
         self.cached_share = {
             SECOND_HOME: DecayingMean(2 * STEP_INTERVAL_US, MAX_SAMPLES),
             FIRST_HOME: DecayingMean(2 * STEP_INTERVAL_US, MAX_SAMPLES),
         }
         self.prompt_lengths: dict[int, DecayingMean] = {}  # by request class, in tokens
-        # By role: tokens a microsecond that all dispatchers write into a replica's cache, pushing others out.
+        # By role: tokens per microsecond that all dispatchers add to a replica's cache, evicting others.
         self.cache_fill_rate: dict[Role, float] = dict.fromkeys((Role.PREFILL, Role.DECODE, Role.MIXED), 0.0)
-        # Tokens prefilled, by prefix and in all, over some ten steps.
+        # Tokens prefilled, by prefix and in total, over about ten steps.
         self.prefix_load: dict[int, float] = {}
         self.total_load = 0.0
 
@@ -67,14 +67,14 @@
         lengths.add(now, request.prompt_tokens)
 
     def mean_prompt_tokens(self, request: RequestArrived) -> float:
-        """The mean length of prompts of this request's class, which has to have arrived."""
+        """Return the mean prompt length of the request's class, of which a request must have been recorded."""
         return self.prompt_lengths[request.request_class].value
 
     def cached_tokens(self, now: int, replica: ReplicaState, request: RequestArrived, home: int = NO_HOME) -> int:
-        """How many of the prompt's tokens the replica should still have cached.
+        """Return how many of the prompt's tokens the replica should still have cached.
 
-        Counted are the entries of its table that a memory's worth of new tokens has not pushed out, and for a home
-        replica what prefilling found cached there lately.
+        An entry of the replica's table counts until as many new tokens as fit into its memory have been added. At a
+        home replica, the share of a prompt that recent prefills found cached counts as well.
         """
         best = 0
         if home != NO_HOME:
@@ -86,12 +86,16 @@
         return best
 
     def _usual_length(self, request: RequestArrived) -> float:
-        """A prompt of many times the usual length is new text; taken for cached, it would jam all prefill replicas."""
+        """Return how many tokens of a prompt may be assumed cached.
+
+        A prompt of many times the usual length is new text. If it were assumed cached, it would overload all prefill
+        replicas.
+        """
         lengths = self.prompt_lengths.get(request.request_class)
         return LONG_PROMPT_RATIO * lengths.value if lengths else request.prompt_tokens
 
     def record_cached(self, now: int, replica: ReplicaState, request: RequestArrived) -> None:
-        """The replica has prefilled this prompt, and has it cached now."""
+        """Record that the replica has prefilled this prompt and has it cached now."""
         table = replica.cached_prefixes
         for key, tokens in cache_keys(request):
             table[key] = (tokens, now)
@@ -108,43 +112,43 @@
         return oldest_at < now - MAX_CACHED_AGE_US
 
     def record_sent(self, replica: ReplicaState, prefill_tokens: int, instances: int, replicas: int) -> None:
-        """An attempt was sent that fills the replica's cache; all dispatchers together fill it alike."""
+        """Count an attempt that fills the replica's cache, assuming that all dispatchers fill it at the same rate."""
         per_replica = prefill_tokens * instances / max(1, replicas)
         self.cache_fill_rate[replica.role] += per_replica * 0.2 / STEP_INTERVAL_US
 
     def record_cached_share(self, now: int, home: int, cached_tokens: int, prompt_tokens: int) -> None:
-        """Prefilling at a home replica found so many of the prompt's tokens cached."""
+        """Record how many of a prompt's tokens a prefill at a home replica found cached."""
         self.cached_share[home].add(now, min(1.0, cached_tokens / max(1, prompt_tokens)))
 
     def record_prefilled(self, request: RequestArrived, cached_tokens: int) -> None:
-        """A prefill replica has read a prompt: count what it had to read for the prompt's prefix."""
+        """Count the tokens that a prefill replica had to prefill towards the load of the prompt's prefix."""
         tokens = max(0, request.prompt_tokens - cached_tokens) + BATCH_OVERHEAD_TOKENS
         self.prefix_load[request.prefix] = self.prefix_load.get(request.prefix, 0.0) + tokens
         self.total_load += tokens
 
     def home_count(self, request: RequestArrived, replicas: int) -> int:
-        """How many of so many prefill replicas share the prompts of this prefix, by this dispatcher's own counts."""
+        """Return how many of the prefill replicas share the prompts of this prefix, by this dispatcher's own counts."""
         if not request.prefix:
             return MIN_HOMES
-        # The length of a prefix is given by the client, and may be any number.
+        # The client states the length of a prefix, so it may be any number.
         new_tokens = max(0, request.prompt_tokens - request.prefix_tokens)
         least = MIN_REQUESTS_FOR_SHARE * (BATCH_OVERHEAD_TOKENS + new_tokens)
         share = self.prefix_load.get(request.prefix, 0.0) / (self.total_load + least)
         return max(MIN_HOMES, math.ceil(HOMES_PER_FAIR_SHARE * share * replicas))
 
     def home_pair(self, ranked: list[ReplicaState], request: RequestArrived) -> list[ReplicaState]:
-        """The two replicas of a ranking to choose from, the session's own first.
+        """Return the two replicas of a ranking to choose from, the one that the session prefers first.
 
-        All dispatchers send a hot prefix to one pair, and each sees it idle. The more the prefix draws, the more
-        homes it has; the pair among them is the session's own, so that most sessions stay where they are as the count
-        changes.
+        If a hot prefix had one pair, all dispatchers would send it there, and each would see the pair idle. So a prefix
+        has more homes the more load it causes. The session determines the pair among them, so that most sessions keep
+        their pair when the number of homes changes.
         """
         homes = ranked[: self.home_count(request, len(ranked))]
         session = request.session or request.request
         return sorted(homes, key=lambda replica: rendezvous_weight(session, replica.id))[:2]
 
     def step(self) -> None:
-        """Every `STEP_INTERVAL_US`: what was counted decays."""
+        """Let the counts and rates decay. Called every `STEP_INTERVAL_US`."""
         self.prefix_load = {
             prefix: tokens * PREFIX_LOAD_DECAY
             for prefix, tokens in self.prefix_load.items()
@@ -156,6 +160,6 @@
 
 
 def rank(replicas: list[ReplicaState], request: RequestArrived) -> list[ReplicaState]:
-    """Replicas in the rendezvous order of the request's prefix, else of its session."""
+    """Return the replicas in the rendezvous order of the request's prefix, or of its session if it has no prefix."""
     key = request.prefix or request.session or request.request
     return sorted(replicas, key=lambda replica: rendezvous_weight(key, replica.id))
--- a/pearhill/routing/replica_registry.py
+++ b/pearhill/routing/replica_registry.py
@@ -1,4 +1,4 @@
-"""The replicas that the endpoint list names, and which of them take requests."""
+"""The replicas of the endpoint list, and which of them accept requests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ReplicaRegistry:
-    """One record for each listed replica, kept up to date with the list.
+    """Keeps one record for each listed replica, up to date with the list.
 
-    `replicas`: by the replica's number. `ready`: those that take requests, by role, in the order of their numbers.
-    `rng`: slow-start buckets begin with a random part of a token.
+    `replicas` has the records by replica number, `ready` those of the replicas that accept requests, by role, in the
+    order of their numbers. `rng` draws the part of a token with which each slow-start bucket begins.
     """
 
     def __init__(self, settings: RouterSettings, rng: random.Random) -> None:
@@ -25,7 +25,7 @@
         self._rng = rng
 
     def update(self, event: EndpointsUpdated) -> list[UnansweredAttempt]:
-        """Take in the list, or a part of it. Returns the attempts that replicas now gone have not answered."""
+        """Apply an update of the endpoint list. Returns the unanswered attempts at replicas no longer listed."""
         named = {endpoint.replica for endpoint in event.endpoints}
         unnamed = [replica.endpoint for replica in self.replicas.values() if replica.id not in named]
         lost: list[UnansweredAttempt] = []
@@ -40,14 +40,14 @@
 
     def _update_endpoint(self, endpoint: Endpoint) -> list[UnansweredAttempt]:
         replica = self.replicas.get(endpoint.replica)
-        # A replica that comes back empty would be believed to have prompts cached, and to be as it was.
+        # With its old record, a restarted replica would be assumed to have prompts cached and to perform as before.
         if replica is None or endpoint.started_at > replica.endpoint.started_at:
             replica = ReplicaState(endpoint, self.settings.kinds[endpoint.kind], self._rng.random())
             self.replicas[endpoint.replica] = replica
         replica.endpoint = endpoint
         if endpoint.phase != Phase.GONE:
             return []
-        del self.replicas[replica.id]  # attempts in flight there hold it until they end
+        del self.replicas[replica.id]  # attempts in flight reference the record until they end
         return list(replica.unanswered.values())
 
     def _update_ready(self, role: Role) -> None:
@@ -59,7 +59,8 @@
         ready.sort(key=lambda replica: replica.id)
         count_before = len(self.ready[role])
         self.ready[role] = ready
-        # What fewer replicas share comes in one step, and finds slow-start tokens that nobody had asked for.
+        # If a role loses replicas, the load of the others rises at once, and their slow-start buckets have filled with
+        # tokens that were not needed before. These would be spent in one burst.
         if self._rng.random() * count_before > len(ready):
             for replica in ready:
                 bucket = replica.slow_start_bucket
--- a/pearhill/routing/request_flow.py
+++ b/pearhill/routing/request_flow.py
@@ -1,7 +1,7 @@
-"""A request's way from its arrival to its final answer: placed, sent, continued after each attempt, given up.
+"""The lifecycle of requests: placed, sent, continued after each attempt, and finally answered.
 
-Each step returns the actions that carry it out. Where a request goes is decided in `placement`, whether it is tried
-again in `retry_policy`; what attempts add to replicas is counted by `attempt_accounting`.
+Each step returns the actions that carry it out. `placement` chooses the replica of a request, `retry_policy` decides
+whether it is retried, and `attempt_accounting` counts the load that attempts add to replicas.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 
 
 class RequestFlow:
-    """The requests that are not over yet. Times are microseconds.
+    """Takes requests from their arrival to their final answer. Times are in microseconds.
 
-    `pending`: by the request's number, until its final answer and the end of its last attempt.
+    `pending` has the requests by number, each until its final answer and the end of its last attempt.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._retry_budget = retry_budget
 
     def accept(self, now: int, request: RequestArrived) -> PendingRequest:
-        """Keep a record of the request from now on; from here a final answer is owed."""
+        """Create the record of a request, which needs a final answer from now on."""
         spec = self.settings.classes[request.request_class]
         per_token = spec.latency_objective_per_1000_tokens * request.prompt_tokens / 1000
         objective_at = int(now + (spec.latency_objective + per_token))
@@ -60,7 +60,7 @@
         return pending
 
     def in_flight_at(self, request: int, replica: int) -> tuple[PendingRequest, ReplicaState] | None:
-        """The request and the replica, if its attempt there is in flight."""
+        """Return the request and the replica if the request's attempt there is in flight, else None."""
         pending = self.pending.get(request)
         if pending is None or not pending.in_flight or pending.replica is None or pending.replica.id != replica:
             return None
@@ -69,7 +69,7 @@
     # Placement.
 
     def place(self, now: int, pending: PendingRequest) -> list[Action]:
-        """Send the request to the replica for its next stage: decode where its state waits, prefill without one."""
+        """Place the request's next stage: decoding if a replica holds its state, else prefilling."""
         if pending.state_holder is not None:
             decision = self._placement.place_prefilled(now, pending)
         else:
@@ -77,7 +77,7 @@
         return self._carry_out(now, pending, decision)
 
     def place_after_query(self, now: int, request: int) -> list[Action]:
-        """The load that a choice waited for is known: choose, if the request still needs it."""
+        """Place a request whose load query was answered, if it still needs a replica."""
         pending = self.pending.get(request)
         if pending is None or pending.answered or pending.in_flight:
             return []
@@ -108,50 +108,56 @@
     # After an attempt.
 
     def continue_after(self, now: int, event: AttemptEnded, pending: PendingRequest) -> list[Action]:
-        """The end of the request, its decode stage, or a retry. The attempt's load was taken off its replica."""
+        """Continue after the end of an attempt: end the request, start its decode stage, or retry.
+
+        The attempt's load must have been taken off its replica before.
+        """
         if event.answered or pending.answered:
             del self.pending[event.request]
             return [ReleaseState(event.request)]
         if event.outcome == Outcome.PREFILLED:
             return self.place(now, pending)
-        if event.outcome == Outcome.WITHDRAWN:  # never begun: it counts neither as an attempt nor as a retry
+        if event.outcome == Outcome.WITHDRAWN:  # never begun, so it counts neither as an attempt nor as a retry
             pending.attempt -= 1
             self._retry_budget.refund()
         return self._retry(now, pending)
 
     def _retry(self, now: int, pending: PendingRequest) -> list[Action]:
-        """An attempt has failed: try elsewhere while that is allowed and of use."""
+        """Retry after a failed attempt if that is allowed, else give the final answer."""
         if not has_attempts_left(pending, self.settings):
             return self._give_up(pending, Reason.ATTEMPTS_USED)
         if not self._retry_budget.take():
             return self._give_up(pending, Reason.RETRY_BUDGET_EMPTY)
         if holds_state(pending, self.settings, now):
             return self.place(now, pending)
-        # A state may wait at a replica that was cut off, or while no decode replica's connection comes up.
+        # A state may still be held: its replica became unreachable, or no decode replica could be connected to.
         pending.state_holder = None
         return [ReleaseState(pending.request.request), *self.place(now, pending)]
 
     # The end.
 
     def deadline_reached(self, request: int) -> list[Action]:
-        """The client's time is nearly over: the final answer, unless a replica's answer is on its way."""
+        """Give the final answer shortly before the client's deadline, unless a replica's answer has begun."""
         pending = self.pending.get(request)
         if pending is None or pending.answered or pending.response_started:
             return []
         return self._give_up(pending, Reason.DEADLINE_EXCEEDED)
 
     def disconnect(self, request: int) -> list[Action]:
-        """The client has gone: no answer is owed any more."""
+        """End a request whose client has disconnected. It needs no answer any more."""
         pending = self.pending.get(request)
         return [] if pending is None else self._close(pending)
 
     def _give_up(self, pending: PendingRequest, reason: Reason) -> list[Action]:
-        """The final answer; whatever is held for the request is released."""
+        """Give the final answer, and release the state held for the request."""
         answer = final_answer(pending, self.settings, reason)
         return [answer, *self._close(pending)]
 
     def _close(self, pending: PendingRequest) -> list[Action]:
-        """No answer is owed any more. A state would stay held: neither an answer nor a disconnect releases it."""
+        """Mark the request as answered, and cancel its attempt or release its state.
+
+        Neither an answer nor a disconnect releases a state, so it would otherwise stay held.
+        """
         pending.answered = True
         number = pending.request.request
         if not pending.in_flight:
--- a/pearhill/routing/retry_policy.py
+++ b/pearhill/routing/retry_policy.py
@@ -1,6 +1,6 @@
-"""Retries: the retry budget, the time an attempt gets, until when it may be sent, and the final answer.
+"""Retries: the retry budget, the time-out and send deadline of an attempt, and the final answer.
 
-`permissions.retry_denial` decides whether a request that may have been executed may be sent again at all.
+`permissions.retry_denial` decides whether a request that may have been executed may be sent again.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 class RetryBudget:
-    """How many retries this dispatcher may make: attempts that fail under load would otherwise add to the load."""
+    """Limits this dispatcher's retries, because retries of attempts that fail under load add to the load."""
 
     def __init__(self) -> None:
         self.tokens = float(MAX_SAVED_RETRIES)
 
     def record_arrival(self) -> None:
-        """A request has arrived, and pays for a part of a retry."""
+        """Add the part of a retry that each arriving request allows."""
         self.tokens = min(MAX_SAVED_RETRIES, self.tokens + RETRIES_PER_REQUEST)
 
     def refund(self) -> None:
-        """An attempt was never begun: the next one is no retry."""
+        """Return the retry of an attempt that was never begun."""
         self.tokens += 1
 
     def take(self) -> bool:
-        """Spend one retry. False: there is none left."""
+        """Spend one retry. Returns False if none is left."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -38,15 +38,15 @@
 
 
 def has_attempts_left(pending: PendingRequest, settings: RouterSettings) -> bool:
-    """Whether the number of attempts allows another one."""
+    """Return whether the limit on attempts allows another one."""
     return pending.attempt + 1 < settings.max_attempts
 
 
 def attempt_timeout(pending: PendingRequest, settings: RouterSettings, now: int, expected_time: float) -> int:
-    """Microseconds after which the attempt ends as TIMEOUT.
+    """Return the microseconds after which the attempt ends as TIMEOUT.
 
-    A silent replica would use up the client's whole time, so that time is left for another attempt; but not where the
-    client's time is too short, since many short attempts would all be in vain.
+    An unresponsive replica would use up the client's whole time, so time is kept for another attempt. If the client's
+    time is shorter than one attempt needs, the attempt gets all of it: several shorter ones would all fail.
     """
     time_left = pending.deadline - now
     objective_share = pending.latency_objective / (2 - pending.fetches_state)
@@ -57,12 +57,15 @@
 
 
 def release_time(pending: PendingRequest, settings: RouterSettings) -> int:
-    """When the state that an attempt fetches has to be released; 0 where it fetches none."""
+    """Return when the state that an attempt fetches has to be released, or 0 if it fetches none."""
     return pending.state_held_since + settings.state_hold_time if pending.state_holder else 0
 
 
 def send_deadline(pending: PendingRequest, settings: RouterSettings, release_at: int) -> int:
-    """When the attempt's last byte has to be written, since its connection may come up late; 0: whenever."""
+    """Return the time by which the attempt's last byte has to be written, or 0 if there is no limit.
+
+    The attempt's connection may be established late.
+    """
     spec = settings.classes[pending.request.request_class]
     limits = [release_at] if release_at else []
     if pending.execution and spec.idempotency == Idempotency.KEYED and not pending.is_prefilling:
@@ -71,15 +74,15 @@
 
 
 def holds_state(pending: PendingRequest, settings: RouterSettings, now: int) -> bool:
-    """Whether a prefill replica still holds the state of the prompt."""
+    """Return whether a prefill replica still holds the state of the prompt."""
     return pending.state_holder is not None and now < pending.state_held_since + settings.state_hold_time
 
 
 def final_answer(pending: PendingRequest, settings: RouterSettings, reason: str) -> RejectRequest | FailRequest:
-    """The answer to a request that no replica answers: a rejection only where a retry is harmless.
+    """Return the answer to a request that no replica answers: a rejection only if a retry is harmless.
 
-    Even a prefilling attempt counts as one that may be executed until it has ended. A rejection's Retry-After is
-    as long as clients heed: those that come back at once add to the load that they were rejected for.
+    Until it has ended, even a prefill counts as an attempt that may be executed. The Retry-After of a rejection is as
+    long as clients respect, since clients that retry immediately add to the load for which they were rejected.
     """
     spec = settings.classes[pending.request.request_class]
     if not may_reject(spec, pending.execution is not None or pending.in_flight):
--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -1,8 +1,9 @@
-"""The router: the dispatch of events and timers to the parts that decide, and how these parts are put together.
+"""The router: passes events and timers to the modules that decide, and connects these modules.
 
-Events come in, actions go out. `replica_registry` keeps the replicas, `request_flow` the requests. Attempts are counted
-in `attempt_accounting`; what they show of replicas reaches the estimates by `attempt_feedback`. Decisions read these
-and a clock: `placement`, `retry_policy`, `permissions`, `outlier_detection`, `slow_start`, `admission`.
+The router takes events and returns actions. `replica_registry` keeps the replicas, `request_flow` the requests.
+`attempt_accounting` counts the load of attempts, and `attempt_feedback` updates the estimates from their course. The
+decisions depend on these and on the time alone: `placement`, `retry_policy`, `permissions`, `outlier_detection`,
+`slow_start`, `admission`.
 """
 
 from __future__ import annotations
@@ -38,19 +39,22 @@
 from pearhill.routing.slow_start import SlowStart
 from pearhill.routing.statistics import STEP_INTERVAL_US
 
-DEADLINE_MARGIN_TICKS = 4  # the final answer comes so many ticks before the client's time is over
+DEADLINE_MARGIN_TICKS = 4  # the final answer is given this many ticks before the client's deadline
 
-STEP_TIMER = -1  # what the timer of the periodic step is for; any other is for a request
+STEP_TIMER = -1  # purpose of the periodic step's timer; other timers have a request's number
 UNKNOWN_TIMER = -2
 
 
 class Router:
-    """One dispatcher's router: feed it each event with its time in microseconds, carry out its actions in order."""
+    """One dispatcher's router.
+
+    The caller passes each event with its time in microseconds, and carries out the returned actions in order.
+    """
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.settings = settings
         self.now = 0
-        self.timers: dict[int, int] = {}  # what each timer is for: a request, or the periodic step
+        self.timers: dict[int, int] = {}  # purpose of each timer: a request's number, or the periodic step
         self._last_timer = 0
 
         rng = random.Random(seed)
@@ -94,7 +98,7 @@
         }
 
     def reconfigure(self, settings: RouterSettings) -> None:
-        """Other settings for the same classes, kinds and zones."""
+        """Use other settings from now on, for the same classes, kinds and zones."""
         self.settings = settings
         self._registry.settings = settings
         self.slow_start.settings = settings
@@ -104,7 +108,7 @@
         self.admission.reconfigure(settings)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """One event in, the actions it asks for out."""
+        """Process one event, and return the actions that it causes."""
         self.now = now
         if self._last_timer:
             return self._handlers[type(event)](event)
@@ -117,7 +121,7 @@
         lost = self._registry.update(event)
         if not self.settings.may_cancel:
             return []
-        # At a lost replica each attempt would wait for its whole time-out.
+        # Attempts at an unlisted replica would otherwise wait for their whole time-out.
         return [CancelAttempt(attempt.request, attempt.attempt) for attempt in lost]
 
     def _request_arrived(self, request: RequestArrived) -> list[Action]:
@@ -174,7 +178,7 @@
         return self._flow.deadline_reached(purpose)
 
     def _step(self) -> SetTimer:
-        """Every `STEP_INTERVAL_US`: estimates are updated and decay. Returns the timer of the next step."""
+        """Update the estimates every `STEP_INTERVAL_US`, and let them decay. Returns the timer of the next step."""
         self.feedback.record_waiting(self.now)
         self.local_prefill.step()
         self.affinity.step()
--- a/pearhill/routing/settings.py
+++ b/pearhill/routing/settings.py
@@ -1,6 +1,7 @@
-"""The router's settings: classes of requests, kinds of machines, and limits.
+"""The router's settings: request classes, machine kinds and limits.
 
-Times are integer microseconds. `pearhill.settings` reads them from a deployment's JSON; errors name its keys.
+Times are integer microseconds. `pearhill.settings` reads the settings from a deployment's JSON, whose keys the errors
+name.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
     """Whether a request that may have been executed may be sent again."""
 
     IDEMPOTENT = "safe"
-    KEYED = "keyed"  # with an idempotency key: within the scope and the window of its class
+    KEYED = "keyed"  # with an idempotency key, within the scope and the window of its class
     UNSAFE = "unsafe"
 
 
@@ -23,8 +24,8 @@
 class RequestClass:
     """One class of requests.
 
-    The latency objective is for the first token, and grows with the prompt's length. `idempotency_scope` ("all",
-    "zone" or "cell") and `idempotency_window` bound where and until when replicas discard a repeat of a keyed request.
+    The latency objective is for the first token, and grows with the prompt's length. `idempotency_scope` ("all", "zone"
+    or "cell") and `idempotency_window` limit where and for how long replicas discard duplicates of a keyed request.
     """
 
     latency_objective: int
@@ -40,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """What one dispatcher's router is configured with.
+    """The configuration of one dispatcher's router.
 
-    `instances`: dispatchers that share the work. `quotas`: requests a second by tenant, over all dispatchers.
-    `state_hold_time`: for how long a prefill replica holds the state of a prompt. `slow_start_window`: how long a
-    restarted replica warms up, from `slow_start_initial_share` of its capacity. A warming-up replica is overloaded by
-    more than `overload_multiple` times what it bears, within `overload_window`.
+    `instances` is the number of dispatchers that share the work. `quotas` are requests per second by tenant, over all
+    dispatchers. `state_hold_time` is how long a prefill replica holds the state of a prompt. `slow_start_window` is how
+    long a restarted replica warms up, from `slow_start_initial_share` of its capacity. A warming-up replica is
+    overloaded by more than `overload_multiple` times its current capacity within `overload_window`.
 
-    Raises `ValueError`, naming the setting's key, for values that no deployment can mean.
+    Raises `ValueError`, which names the setting's key, if a value is invalid.
     """
 
     instances: int
@@ -70,7 +71,7 @@
     overload_multiple: float
     tick: int
     health_checks: bool = False  # replicas answer health checks with a load report
-    health_check_price: float = 0.0  # of one health check for each request, in units of priority weight
+    health_check_price: float = 0.0  # of one health check per request, in units of priority weight
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -1,11 +1,12 @@
-"""Slow start: how many requests a warming-up replica may get from this process. Free of I/O; times are microseconds.
+"""Slow start: limits the requests that this dispatcher sends to a warming-up replica.
 
-All processes together overload a warming-up replica, and none of them knows what the others send. So each takes its own
-part of what the replica bears, by what warm replicas of the role have finished for it, as the rate of a token bucket.
-Each bucket begins with a random part of a token: of many processes with too little for one request, as many send as
-all may.
+The module does no I/O; times are in microseconds. All dispatchers together can overload a warming-up replica, and none
+of them knows what the others send. So each uses its own part of the replica's capacity as the rate of a token bucket,
+and estimates that part from the work that warm replicas of the role have finished for it. Each bucket begins with a
+random part of a token: if each of many dispatchers may send less than one request, the number of them that do send one
+is then about the sum of their parts.
 
-What a replica bears is counted in requests of the mean work of their class, whatever each of them weighs.
+Capacity is counted in requests of their class's mean work, whatever the work of each of them.
 """
 
 from __future__ import annotations
@@ -16,32 +17,32 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US
 from pearhill.routing.topology import Endpoint
 
-SAFE_SHARE = 0.9  # of this process's part of what a warming-up replica bears
-COUNT_DECAY = 0.8  # what a step leaves of the answers counted before it
-FALLING_RATE_DECAY = 0.95  # what a step leaves at least of a rate that falls
-MIN_NEW_WEIGHT = 0.3  # the least weight of the latest answers in the rate
+SAFE_SHARE = 0.9  # of this dispatcher's part of a warming-up replica's capacity
+COUNT_DECAY = 0.8  # factor applied to the answer counts at each step
+FALLING_RATE_DECAY = 0.95  # minimum share of a rate that is kept at each step
+MIN_NEW_WEIGHT = 0.3  # minimum weight of the latest answers in the rate
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What may be sent to one replica while it warms up, in requests of mean work."""
+    """The requests that may be sent to one replica while it warms up, as tokens of one mean request each."""
 
     tokens: float
     filled_at: int = 0
 
 
 class SlowStart:
-    """One process's part in the slow start of replicas."""
+    """One dispatcher's part in the slow start of replicas."""
 
     def __init__(self, settings: RouterSettings, roles: tuple[str, ...]) -> None:
         self.settings = settings
-        # By role: requests of mean work a microsecond that a unit of a warm replica's weight has finished.
+        # By role: requests of mean work per microsecond that warm replicas finished per unit of weight.
         self.answer_rate = dict.fromkeys(roles, 0.0)
         self._answered = dict.fromkeys(roles, 0.0)
         self._steps = 0
 
     def share(self, endpoint: Endpoint, now: int) -> float:
-        """The share of its capacity that a replica has surely reached; 1 once it is warm."""
+        """Return the share of its capacity that a replica is certain to have reached; 1 once it is warm."""
         initial = self.settings.slow_start_initial_share
         warmth = 1.0
         if endpoint.started_at:
@@ -49,13 +50,13 @@
         return min(1.0, initial + (1 - initial) * warmth)
 
     def is_warm(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether the replica has reached its whole capacity."""
+        """Return whether the replica has reached its full capacity."""
         return self.share(endpoint, now) >= 1
 
     def admits(self, endpoint: Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
-        """Whether the replica may get one request more, after filling its bucket up to now.
+        """Return whether the replica may get one more request, after filling its bucket up to now.
 
-        It takes nothing: who sends the request takes a token out of the bucket.
+        No token is taken here: `AttemptAccounting.begin` takes it when the request is sent.
         """
         share = self.share(endpoint, now)
         if share >= 1:
@@ -68,9 +69,10 @@
         return bucket.tokens >= 1
 
     def _rate(self, endpoint: Endpoint, role: str, share: float) -> float:
-        """Requests a microsecond that this process may send to a replica with this share of its capacity.
+        """Return the requests per microsecond that this dispatcher may send to a replica at this share of its capacity.
 
-        Where no answer has shown a rate yet, all processes together send one request in an overload window.
+        The minimum rate, which also applies before an answer has shown a rate, lets all dispatchers together send one
+        request in an overload window.
         """
         settings = self.settings
         weight = endpoint.weight or 1
@@ -78,15 +80,18 @@
         return max(borne, SAFE_SHARE / settings.overload_window / settings.instances)
 
     def answered(self, role: str, warm_weight: float, requests: float) -> None:
-        """A warm replica has finished so many requests of mean work.
+        """Record that a warm replica has finished `requests` requests of mean work.
 
-        `warm_weight`: of all warm replicas of its role now. Shared out later, over the few that a release leaves warm,
-        past answers would overrate each.
+        `warm_weight` is the weight of all warm replicas of its role now. If it were applied later, when a release has
+        left few replicas warm, earlier answers would overstate the rate of each.
         """
         self._answered[role] += requests * (1 - COUNT_DECAY) / STEP_INTERVAL_US / max(1, warm_weight)
 
     def step(self) -> None:
-        """Every `STEP_INTERVAL_US`. A rate that falls is forgotten slowly: a quiet moment makes no replica weaker."""
+        """Update the rates. Called every `STEP_INTERVAL_US`.
+
+        A rate falls slowly, because a moment of little traffic does not lower the capacity of replicas.
+        """
         self._steps += 1
         new_weight = max(MIN_NEW_WEIGHT, 1 / self._steps)
         for role, answered in self._answered.items():
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -1,9 +1,9 @@
-"""When replicas were started, on the process's own clock.
+"""Translates the start times of replicas from the wall clock to the process's monotonic clock.
 
-An endpoint list has starts in wall-clock time, and the wall clock may be stepped, by an operator or a time server,
-while the process's own clock runs on. Slow start is a span of real time, so each start is placed on the own clock,
-once, when it is first received, and keeps that place. A start that would be possible before a step and after it counts
-as the later one: taken for older than it is, a warming-up replica would be overloaded.
+An endpoint list states start times in wall-clock time. The wall clock may be stepped, by an operator or a time server,
+while the monotonic clock keeps running. Slow start is a span of real time, so each start time is translated once, when
+it is first received, and keeps that value. A start time that would be possible both before and after a step counts as
+the later one: a warming-up replica that is taken for older than it is would be overloaded.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from pearhill.routing.topology import Endpoint, Phase
 
-MIN_STEP_US = 50_000  # between two observations; the wall clock is stepped by more, and merely adjusted by less
-MAX_EPOCHS = 8  # steps that are remembered; a start before them is long past
+MIN_STEP_US = 50_000  # a larger change between two observations is a step, a smaller one an adjustment
+MAX_EPOCHS = 8  # number of epochs kept; a start before them is long past
 
 
 @dataclass(slots=True)
 class Epoch:
-    """A span without steps: the wall clock is `offset` microseconds ahead of the own one since `first`."""
+    """A span without steps. The wall clock is `offset` microseconds ahead of the monotonic one since `first`."""
 
     offset: int
     first: int
@@ -27,21 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _PlacedStart:
-    """A start as the list has it in wall-clock time, and its place on the own clock."""
+    """A start time as listed, in wall-clock time, and its translation to the monotonic clock."""
 
     listed: int
     placed: int
 
 
 class StartTimes:
-    """Feed it both clocks now and then, and every endpoint list; it places the starts that the list has."""
+    """Translates the start times of endpoint lists, given regular readings of both clocks."""
 
     def __init__(self, now: int, wall: int) -> None:
         self._epochs = [Epoch(wall - now, now)]
         self._placed: dict[int, _PlacedStart] = {}  # by replica
 
     def observe(self, now: int, wall: int) -> int:
-        """Both clocks, read together. By how much the wall clock was stepped since the last time; 0: not at all."""
+        """Compare both clocks, which have to be read together.
+
+        Returns by how many microseconds the wall clock was stepped since the last call, or 0 if it was not stepped.
+        """
         offset = wall - now
         last = self._epochs[-1]
         step = offset - last.offset
@@ -53,7 +56,10 @@
         return step
 
     def place(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
-        """The endpoints with their starts on the own clock. `full`: all replicas are among them."""
+        """Return the endpoints with their start times on the monotonic clock.
+
+        `full` tells whether they are all replicas, so that earlier start times of others can be dropped.
+        """
         before = self._placed
         if full:
             self._placed = {}
@@ -71,9 +77,9 @@
         return replace(endpoint, started_at=placed)
 
     def _start(self, now: int, listed: int) -> int:
-        """The latest moment at which the wall clock can have shown this time.
+        """Return the latest time at which the wall clock can have shown this start time.
 
-        One that is still to come by every reckoning is now: a start is reported after it has happened.
+        If it is in the future by every epoch, the result is now, since a start is reported after it has happened.
         """
         ends = [epoch.first for epoch in self._epochs[1:]] + [now]
         possible = [
--- a/pearhill/routing/topology.py
+++ b/pearhill/routing/topology.py
@@ -10,7 +10,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does: prefill reads prompts, decode streams answers, mixed does both."""
+    """A replica's role: prefill replicas process prompts, decode replicas stream answers, mixed ones do both."""
 
     PREFILL = "reader"
     DECODE = "writer"
@@ -18,7 +18,7 @@
 
 
 class Phase(enum.StrEnum):
-    """How the endpoint list has a replica."""
+    """The phase of a replica in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
-    """One kind of machine: its role, and how many tokens its memory holds."""
+    """One kind of machine: its role, and the number of tokens that its memory holds."""
 
     role: Role
     memory_tokens: int
@@ -37,8 +37,8 @@
 class Endpoint:
     """One replica in the endpoint list.
 
-    `kind` is an index into `RouterSettings.kinds`. `weight` is its capacity relative to its peers (0: as theirs).
-    `started_at` is 0 where its last start is long past.
+    `kind` is an index into `RouterSettings.kinds`. `weight` is its capacity relative to its peers (0: the same as
+    theirs). `started_at` is 0 if its last start is long past.
     """
 
     replica: int
--- a/pearhill/structures/__init__.py
+++ b/pearhill/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures that know nothing of requests, replicas or time."""
+"""Generic data structures, independent of requests, replicas and time."""
--- a/pearhill/structures/heavy_hitters.py
+++ b/pearhill/structures/heavy_hitters.py
@@ -1,8 +1,8 @@
-"""The keys that come most often, in bounded memory.
+"""Finds the heaviest keys of a stream in bounded memory.
 
-Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams" (2005),
-Space-Saving with weights. Every key whose true weight is above total / size is kept, and no count is too high by
-more than its own stated error.
+The algorithm is Space-Saving with weights, of Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and
+top-k elements in data streams" (2005). Every key whose true weight is above total / size is retained, and no count is
+too high by more than its own stated error.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class HeavyHitter(NamedTuple, Generic[K]):
-    """A key that is kept. Its true weight is at most `weight`, and at least `weight - error`."""
+    """A retained key. Its true weight is at most `weight`, and at least `weight - error`."""
 
     key: K
     weight: int
@@ -23,9 +23,9 @@
 
 
 class HeavyHitters(Generic[K]):
-    """The heaviest of at most `size` keys. `total` is the weight of all that was added.
+    """Retains the heaviest keys, at most `size` of them. `total` is the weight of all that was added.
 
-    `add` costs a look-up for a key that is kept, a step of a heap for one that is not.
+    `add` costs a dictionary look-up for a retained key, and a heap operation for any other.
     """
 
     def __init__(self, size: int) -> None:
@@ -33,15 +33,15 @@
             raise ValueError("size must be at least 1")
         self.size = size
         self.total = 0
-        self._counts: dict[K, list[int]] = {}  # count, error: changed in place at each `add`
-        self._heap: list[tuple[int, int, K]] = []  # by a count that may be out of date, never too high
+        self._counts: dict[K, list[int]] = {}  # count and error, changed in place by each `add`
+        self._heap: list[tuple[int, int, K]] = []  # by a count that may be out of date, but never too high
         self._insertions = 0  # orders keys of equal counts, which need not be comparable
 
     def __len__(self) -> int:
         return len(self._counts)
 
     def add(self, key: K, weight: int = 1) -> None:
-        """Count a key; one that is not kept takes the place, and the count, of the lightest."""
+        """Add weight to a key. If `size` keys are retained, a new one replaces the lightest and inherits its count."""
         self.total += weight
         entry = self._counts.get(key)
         if entry is not None:
@@ -59,7 +59,7 @@
         heapq.heappush(self._heap, (count, self._insertions, key))
 
     def _pop_least(self) -> int:
-        """Drop the key with the least count, and return that. Counts in the heap lag behind: they are updated here."""
+        """Remove the key with the least count, and return the count. Outdated counts in the heap are updated here."""
         while True:
             old_count, insertion, key = self._heap[0]
             count = self._counts[key][0]
@@ -70,7 +70,7 @@
             heapq.heapreplace(self._heap, (count, insertion, key))
 
     def halve(self) -> None:
-        """Halve every weight, so that old weight gives way to new."""
+        """Halve every weight, so that recent weight outweighs old weight."""
         self.total //= 2
         kept = {key: (count // 2, error // 2) for key, (count, error) in self._counts.items() if count > 1}
         self._counts = {}
@@ -79,6 +79,6 @@
             self._put(key, count, error)
 
     def top(self, most: int) -> list[HeavyHitter[K]]:
-        """The `most` heaviest keys, the heaviest first."""
+        """Return the `most` heaviest keys, the heaviest first."""
         ranked = heapq.nlargest(most, self._counts.items(), key=lambda item: item[1][0])
         return [HeavyHitter(key, count, error) for key, (count, error) in ranked]
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -1,5 +1,7 @@
-"""The same router whether a node sees most of the traffic or one request in two hundred: many seeded nodes fed
-by one stream of requests, and a long life with engines that come and go."""
+"""The router decides well whether a dispatcher sees most of the traffic or one request in two hundred.
+
+Many seeded routers share one stream of requests, or one router runs for long while replicas come and go.
+"""
 
 import gc
 import random
@@ -61,7 +63,7 @@
     rng, fleet, sent = random.Random(6), nodes(count), 0
     start = fleet[0].now
     served = 0
-    for n in range(9000):  # 100 requests a second for 90 s; the reader starts cold at 60 s
+    for n in range(9000):  # 100 requests a second for 90 s; one prefill replica restarts at 60 s
         at = start + n * 10_000
         d = fleet[rng.randrange(count)]
         d.wait(max(0, at - d.now))
@@ -74,7 +76,8 @@
             served += d.sent[r].replica < 11
             sent += n >= 6000 and d.sent[r].replica == 3 and at < start + 61 * S + 3 * S
             d.serve(r)
-    # Four seconds. A warm reader carries a sixth of what readers get; the cold one may have 2.5 times a quarter of it.
+    # In four seconds. A warm prefill replica gets a sixth of all prefills; the warming-up one may get 2.5 times a
+    # quarter of that.
     share = served / 90 / 6
     assert 1 <= sent <= 4 * 2.5 * 0.25 * share * 1.4
 
@@ -85,7 +88,7 @@
         for n in range(3):
             d.serve(d.arrive(prompt_tokens=3000, session=n + 1)[0])
         _, out = d.arrive(prompt_tokens=3000, session=99)
-        # First-token aim of 1.12 s; a read takes 50 ms.
+        # The latency objective is 1.12 s; a prefill takes 50 ms.
         assert of_type(SendAttempt, out)[0].attempt_timeout <= 0.6 * S
 
 
@@ -93,7 +96,10 @@
 
 
 def crowd(share: float, count: int = 20, seed: int = 3) -> tuple[list[RouterDriver], random.Random]:
-    """Nodes that have each seen some 60 requests, of which so large a share begins alike; the rest are many."""
+    """Return routers that have each seen some 60 requests, of which this share has prefix 5.
+
+    The other requests have one of 200 other prefixes. Returns the random generator as well.
+    """
     rng, seen = (
         random.Random(seed),
         [RouterDriver(settings(instances=count, local_prefill=False), READERS, seed=n) for n in range(count)],
@@ -108,7 +114,7 @@
 
 
 def homes(seen: list[RouterDriver], session: int, prefix: int = 5) -> list[int]:
-    """Where each node has a prompt of this session and beginning read."""
+    """Return the replica at which each router has a prompt of this session and prefix prefilled."""
     out = []
     for d in seen:
         r, _ = d.arrive(prompt_tokens=5000, session=session, prefix=prefix, prefix_tokens=3000)
@@ -129,7 +135,7 @@
 def test_a_session_of_a_favourite_prefix_is_read_at_one_reader_by_nearly_all_nodes():
     seen, rng = crowd(0.3)
     same = [max(map(at.count, at)) / len(at) for at in (homes(seen, rng.randrange(1, 1 << 60)) for _ in range(20))]
-    assert sum(same) / len(same) > 0.8  # they count a little differently: most of a session's homes stay
+    assert sum(same) / len(same) > 0.8  # their counts differ a little: most of a session's homes are the same
 
 
 def test_a_prefix_said_to_be_longer_than_its_prompt_ends_nothing():
@@ -177,7 +183,7 @@
 
 
 def in_flight(d: RouterDriver, count: int, prompt: int = 5000) -> list[int]:
-    """So many requests whose states wait to be fetched at a writer."""
+    """Start this many requests, whose states are then to be fetched by a decode replica."""
     out = [d.arrive(prompt_tokens=prompt, session=d.next)[0] for _ in range(count)]
     for r in out:
         d.end(r, Outcome.PREFILLED)
@@ -196,7 +202,7 @@
     else:
         d.response_started(out[0], elapsed=900_000)
     assert of_type(RejectRequest, d.arrive(prompt_tokens=5000, session=98)[1])
-    for r in out[1:]:  # what was under way there ends, nothing else is heard: the jam is over, at once
+    for r in out[1:]:  # the other attempts there end and nothing is reported: the limit is lifted at once
         d.response_started(r)
         d.end(r, Outcome.ANSWERED, answered=True)
     assert of_type(SendAttempt, d.arrive(prompt_tokens=5000, session=99)[1])
@@ -210,7 +216,7 @@
     full = d.router.loads.memory_utilization(d.router.now, e, 0)
     d.router.now += 8 * S
     assert abs(d.router.loads.memory_utilization(d.router.now, e, 0) - full / 2) < 0.01
-    d.router.now += 30 * 86_400 * S  # a month: no power of two overflows
+    d.router.now += 30 * 86_400 * S  # a month: the power of two must not overflow
     assert d.router.loads.memory_utilization(d.router.now, e, 0) < 0.01
 
 
@@ -274,7 +280,7 @@
     assert set(router.replicas) == set(live)
     assert len(router.timers) < 10
     gc.collect()
-    assert table() is None  # what an engine kept is forgotten with it
+    assert table() is None  # the cache table of an unlisted replica is freed
 
 
 def test_a_process_that_comes_back_under_its_id_is_not_believed_to_keep_anything():
@@ -307,7 +313,7 @@
         return bool(of_type(RejectRequest, out))
 
     calm, jam = RouterDriver(s), RouterDriver(s)
-    # Tenant 1 asks five times its share.
+    # Tenant 1 sends five times as many requests as tenant 0.
     assert not any(ask(calm, n, n % 2, n % 6 > 0, 50_000) for n in range(200))
     refused = {(cls, tenant): 0 for cls in (0, 1) for tenant in (0, 1)}
     for n in range(1200):
@@ -319,7 +325,7 @@
 
 
 def test_a_choice_among_four_times_the_servers_costs_about_four_times_as_much_and_not_sixteen():
-    """Counted in calls, which are the same every time."""
+    """The cost is counted in function calls, whose number is the same every time."""
 
     def calls(servers: int) -> int:
         d = RouterDriver(settings(instances=200), tuple(endpoint(k, k % 2, cell=k // 8) for k in range(1, servers + 1)))
@@ -346,9 +352,9 @@
 
 @pytest.mark.parametrize("count", [2, 200])
 def test_a_long_prompt_is_taken_where_a_usual_one_is(count):
-    """By the time of its own reading it was refused by idle readers."""
+    """Judged by its own prefill time, a long prompt was rejected even by idle prefill replicas."""
     d = RouterDriver(settings(instances=count))
-    for n in range(40):  # a usual prompt is read in 0.4 s, of an aim of 1.12 s
+    for n in range(40):  # a usual prompt is prefilled in 0.4 s; the latency objective is 1.12 s
         r, out = d.arrive(prompt_tokens=3000, session=n + 1)
         if r in d.sent:
             d.serve(r, elapsed=400_000)
@@ -364,7 +370,7 @@
 def test_a_long_prompt_has_room_at_a_bounded_writer_where_a_usual_one_has(count):
     d = RouterDriver(settings(instances=count), ONE_WRITER)
     out = in_flight(d, 6, prompt=3000)
-    d.response_started(out[0], elapsed=900_000)  # late: what is under way there is what it bears, and four fifths of it
+    d.response_started(out[0], elapsed=900_000)  # a late fetch limits the replica to four fifths of its load
     for r in out[1:4]:
         d.response_started(r)
         d.end(r, Outcome.ANSWERED, answered=True)
--- a/tests/routing/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -1,4 +1,4 @@
-"""Long sequences of legal but odd events, and the invariants of the router's actions."""
+"""Long sequences of valid but unusual events, and the invariants of the router's actions."""
 
 import os
 import random
@@ -39,7 +39,7 @@
 UNKNOWN_REPLICA = 777
 UNKNOWN_TIMER = 888_888
 TIMEOUT = 4_000_000  # of each request
-SLACK = 5_000_000  # after which nothing is open any more
+SLACK = 5_000_000  # after which every request has ended
 
 
 class OddEvents:
@@ -48,9 +48,9 @@
     def __init__(self, seed: int, effect: str) -> None:
         self.rng = random.Random(seed)
         self.driver = RouterDriver(settings(effect, "cell"), FLEET + (endpoint(21, 2),), seed=seed)
-        self.attempts: dict[int, int] = {}  # under way: request to replica
-        self.ended: set[int] = set()  # requests with their final answer, or without a client
-        self.deadlines: dict[int, int] = {}  # of the requests that have neither
+        self.attempts: dict[int, int] = {}  # in flight: replica by request
+        self.ended: set[int] = set()  # requests with their final answer, or whose client has disconnected
+        self.deadlines: dict[int, int] = {}  # of all other requests
         self.held: set[int] = set()  # requests whose state is held and was not fetched yet
         self.phases = {e.replica: e.phase for e in FLEET}
         self.text: list[str] = []  # all actions
@@ -77,7 +77,7 @@
         self.held.discard(attempt.request)
 
     def step(self) -> None:
-        """One random event."""
+        """Feed one random event."""
         roll = self.rng.random()
         if roll < 0.35:
             self.arrive()
@@ -106,7 +106,7 @@
     def end_attempt(self) -> None:
         request = self.rng.choice(sorted(self.attempts))
         outcome = self.rng.choice(OUTCOMES)
-        if outcome == Outcome.PREFILLED and self.attempts[request] > 10:  # no prefill replica
+        if outcome == Outcome.PREFILLED and self.attempts[request] > 10:  # it is not a prefill replica
             outcome = Outcome.FULL
         replica = self.attempts.pop(request)
         if outcome == Outcome.PREFILLED:
@@ -131,7 +131,7 @@
         self.check(self.driver.feed(EndpointsUpdated(False, (updated,))))
 
     def send_unknown(self) -> None:
-        """Events of a request, a replica and a timer that the router does not know."""
+        """Feed events of a request, a replica and a timer that the router does not have."""
         self.check(
             self.driver.feed(ResponseStarted(UNKNOWN_REQUEST, 0, 1, 5))
             + self.driver.feed(ClientDisconnected(UNKNOWN_REQUEST))
@@ -141,7 +141,7 @@
         self.check(self.driver.feed(ended))
 
     def finish(self) -> None:
-        """Let all deadlines pass; every request must have its end."""
+        """Let all deadlines pass, and assert that every request has ended."""
         self.check(self.driver.wait(SLACK))
         assert not self.deadlines
 
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Guards: outliers, time-outs, storms."""
+"""Outlier ejection, attempt time-outs, the retry budget and load shedding."""
 
 from pearhill.routing.actions import CancelAttempt, LogMessage, RejectRequest, SendAttempt
 from pearhill.routing.events import RequestArrived
@@ -10,7 +10,7 @@
 
 
 def fail(d, engine, times=2):
-    """So many attempts at an engine have failed."""
+    """Record this many failed attempts at a replica. Returns the actions of the last one."""
     actions = []
     for _ in range(times):
         actions = d.router.feedback.record_health(d.router.now, d.router.replicas[engine], failed=True, outcome="test")
@@ -34,7 +34,7 @@
 
 
 def test_one_failure_at_an_engine_that_is_hardly_known_is_enough_and_with_a_good_record_it_is_not():
-    # Two hundred nodes see each engine once a minute: they would never get a second failure in a row.
+    # Each of 200 dispatchers uses a replica once a minute, so none would ever see two failures in a row.
     new, known = RouterDriver(settings(instances=200)), RouterDriver()
     for n in range(40):
         known.serve(known.arrive(prompt_tokens=3000, session=n + 1)[0])
--- a/tests/routing/test_promises.py
+++ b/tests/routing/test_promises.py
@@ -1,4 +1,7 @@
-"""The five rules, against the router alone: what the drawn days of `test_deployments` do not look at."""
+"""The router alone keeps the platform's five rules.
+
+The tests cover cases that the random scenarios of `test_deployments` do not.
+"""
 
 import pytest
 
@@ -76,7 +79,7 @@
         to_cold += d.sent[r].replica == 3
         d.serve(r)
         d.wait(10_000)
-    # 100 prompts in a second over six readers; a warm one would take about 17.
+    # 100 prompts in a second over six prefill replicas; a warm one would get about 17.
     assert to_cold <= 8
 
 
@@ -94,8 +97,8 @@
         if r in d.sent:
             d.serve(r)
         d.wait(10_000)
-    # Before, 20 requests a second went to six readers. In a second, each of five cold ones bears 2.5 times a
-    # quarter of a sixth of that, some two requests; this node is one of two.
+    # Before, 20 requests a second went to six prefill replicas. In a second, each of the five warming-up ones may get
+    # 2.5 times a quarter of a sixth of that, some two requests; this dispatcher is one of two.
     assert to_cold <= 5 * 2
 
 
@@ -111,7 +114,8 @@
         sent += len(to_reader)
         d.serve(r)
         d.wait(40_000)
-    # Four seconds, two readers, half of one request a window each; the writer reads none of 3,000 tokens.
+    # In four seconds, each of two prefill replicas gets half a request per window. The decode replica prefills no
+    # prompt of 3,000 tokens.
     assert 2 <= sent <= 6
 
 
@@ -178,7 +182,10 @@
 
 
 def test_a_state_is_let_go_in_time_while_one_writer_after_another_cannot_be_reached():
-    """Each try takes a connection's whole time. A writer that was reached, though it had no room, starts it anew."""
+    """Each attempt takes the whole connection time-out.
+
+    An attempt that reaches a decode replica, even a full one, restarts the hold time.
+    """
     for outcome, least in ((Outcome.UNREACHABLE, 0), (Outcome.FULL, 3)):
         d = RouterDriver(settings(local_prefill=False))
         r, _ = d.arrive(prompt_tokens=5000)
@@ -201,7 +208,7 @@
     for _ in range(d.router.settings.max_attempts + 1):
         at, retries = d.sent[r].replica, d.router.retry_budget.tokens
         actions = d.end(r, Outcome.WITHDRAWN)
-        d.attempt[r] -= 1  # the next one has its number
+        d.attempt[r] -= 1  # the next attempt has the same index
         assert [a.replica for a in of_type(SendAttempt, actions)] == [d.sent[r].replica]
         assert d.sent[r].replica != at
         assert d.router.retry_budget.tokens == retries
@@ -212,8 +219,11 @@
 
 @pytest.mark.parametrize(("waiting", "idle"), [(0, True), (60_000, False)])
 def test_what_waits_at_a_server_by_its_own_word_is_not_taken_for_slow_reading(waiting, idle):
-    """Others' queues made reads late. Who then tells that nothing waits is idle, and who tells more is not, however
-    quick reads were: between a jam of the few and idle servers that came since, only their word tells."""
+    """Queues of other dispatchers made prefills late.
+
+    A replica that then reports an empty queue is idle, and one that reports a long queue is not, however fast prefills
+    were before: the report alone tells a few overloaded replicas from idle ones that joined since.
+    """
     d = RouterDriver(settings(local_prefill=False, instances=200, health_checks=True), seed=3)
     d.router.placement.query_roles = frozenset((Role.PREFILL,))
 
--- a/tests/routing/test_rolling_restart.py
+++ b/tests/routing/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Forty routers: what each does alone, counted over all of them."""
+"""Forty routers, each deciding alone; the requests are counted over all of them."""
 
 import random
 
@@ -6,11 +6,14 @@
 from pearhill.routing.topology import Phase
 from tests.driver import RouterDriver, S, endpoint, settings
 
-NODES, RATE = 40, 60  # routers, requests a second for all of them
+NODES, RATE = 40, 60  # routers, and requests per second over all of them
 
 
 def test_a_mass_replacement_finds_its_share_of_work_and_stays_within_what_it_bears():
-    """Ten of sixteen readers are replaced at once. Sent nothing, they leave the six that stay to jam."""
+    """Ten of sixteen prefill replicas are replaced at once.
+
+    If the new ones got no requests, the remaining six would be overloaded.
+    """
     old = tuple(endpoint(n, 0, cell=n % 4) for n in range(1, 17)) + tuple(
         endpoint(n, 1, cell=n % 4) for n in range(31, 49)
     )
@@ -39,10 +42,10 @@
         d.serve(r)
     cold = sum(at < start + 36 * S for at, _ in sent[True])
     share = cold / (cold + sum(at < start + 36 * S for at, _ in sent[False]))
-    # They can do 35 to 60% of a warm one's work meanwhile, which makes some 45% of all that readers can do then.
+    # Meanwhile they have 35 to 60% of a warm replica's capacity, some 45% of the whole prefill capacity at that time.
     assert 0.28 < share < 0.6, share
-    # A warm reader had a sixteenth of the work. The bound is 2.5 times a cold one's part of what it can do, and it
-    # can do more than it had: half as much again, where a third is idle.
+    # A warm prefill replica had a sixteenth of the work. The limit is 2.5 times the warming-up replica's share of its
+    # capacity, which is half as much again as that work, since a third of it was idle.
     each_warm = RATE / 16
     for at, engine in sent[True]:
         inside = sum(e == engine and at <= other < at + 1_500_000 for other, e in sent[True])
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Each part of the design's ordinary path."""
+"""The router's usual path: local prefills, prefix affinity, decode replicas and mixed replicas."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 
 
 def read_for(d, share, prompt=3000):
-    """Reads at readers, slow or fast by their share of the first-token aim, over one step of the ratio."""
+    """Prefill prompts for one step of the ratio, each within this share of the latency objective."""
     aim = 1 * S + 40 * prompt
     for n in range(6):
         r, _ = d.arrive(prompt_tokens=prompt, session=900 + n)
@@ -39,7 +39,7 @@
     assert d.router.local_prefill.ratio == INITIAL_RATIO
     d.router.local_prefill.latency_share.add(
         d.now, 0.9, 100.0
-    )  # the shedding line is half the aim, so few reads are slower
+    )  # load is shed from half the objective on, so few prefills are slower
     for _ in range(4):
         d.router.local_prefill.latency_share.add(d.now, 0.9, 100.0)
         d.wait(2 * S)
@@ -100,7 +100,7 @@
     assert all(off.sent[off.arrive(prompt_tokens=500, session=n)[0]].replica < 11 for n in range(1, 20))
     full = RouterDriver()
     full_writers = [e for e in full.router.replicas.values() if e.role == Role.DECODE]
-    full.router.loads._kinds[1].memory_used.add(full.now, 0.97)  # a deployment with reports
+    full.router.loads._kinds[1].memory_used.add(full.now, 0.97)  # a deployment with load reports
     for e in full_writers:
         e.memory_used.add(full.now, 0.97, 4)
     _, out = full.arrive(prompt_tokens=500, session=99)
@@ -181,7 +181,7 @@
 
 def test_a_giant_prompt_is_not_believed_as_kept_as_usual_ones():
     d = RouterDriver()
-    for n in range(20):  # reads find nearly all of each prompt kept
+    for n in range(20):  # prefills find nearly all of each prompt cached
         r, _ = d.arrive(prompt_tokens=5000, session=n + 1, prefix=7, prefix_tokens=4000)
         d.end(r, Outcome.PREFILLED, cached_tokens=4500)
         d.response_started(r)
@@ -193,7 +193,10 @@
 
 
 def test_the_one_writer_left_in_a_cell_is_not_buried():
-    """A release took its neighbours. Told by the end of its answers alone, it would get all that its cell reads."""
+    """A release removed the other decode replicas of the cell.
+
+    Judged only by the time of its finished answers, the remaining one would get all requests that the cell prefills.
+    """
     fleet = (
         tuple(endpoint(n, 0, cell=0) for n in range(1, 4))
         + (endpoint(11, 1, cell=0),)
@@ -205,10 +208,10 @@
         r, _ = d.arrive(prompt_tokens=3000, session=n + 1)
         if d.sent[r].replica < 10:
             d.end(r, Outcome.PREFILLED)
-        d.response_started(r)  # and goes on streaming
+        d.response_started(r)  # and the stream goes on
         at.append(d.sent[r].replica)
-    assert at[0] == 11  # near, while it is no worse than the others
-    assert 8 <= at.count(11) <= 16, at  # of forty, among five
+    assert at[0] == 11  # the nearest is preferred while its load is not above the others'
+    assert 8 <= at.count(11) <= 16, at  # of 40 requests, among five decode replicas
 
 
 def test_a_mixed_server_takes_its_share_whole_and_not_everything():
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,5 +1,8 @@
-"""Cold servers under the sum of all processes: many seeded Routers, each with its own uneven part of one stream of
-requests, some of them started anew during the ramp. What is counted is what the servers get, in every window."""
+"""Warming-up replicas under the load of all dispatchers together.
+
+Many seeded routers each get an uneven part of one stream of requests, and some of them are restarted during the slow
+start. The requests that each replica gets are counted in every overload window.
+"""
 
 import math
 import random
@@ -14,17 +17,17 @@
 from pearhill.routing.topology import Endpoint, Phase
 from tests.driver import RouterDriver, S, endpoint, of_type, settings
 
-READERS, WRITERS, RATE = 8, 6, 80  # requests a second at the fleet
+READERS, WRITERS, RATE = 8, 6, 80  # requests per second over all dispatchers
 WARM, RAMP = 30 * S, 14 * S
 
 
 MIXED = 4
-SHORT, LONG, SHORT_SHARE = 300, 8_000, 0.75  # prompts of the days with mixed servers
-PAD = 500  # tokens that a step costs even for the shortest prompt
+SHORT, LONG, SHORT_SHARE = 300, 8_000, 0.75  # prompts of the scenario with mixed replicas
+PAD = 500  # cost of one batch step even for the shortest prompt, in tokens
 
 
 class Fleet:
-    """`count` processes; one of four gets several times what the others do."""
+    """`count` dispatchers, of which one in four gets several times the requests of the others."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.count, self.now, self.next = random.Random(seed), count, 100 * S, 0
@@ -34,7 +37,7 @@
         self.shares = [4.0 if n % 4 == 0 else 1.0 for n in range(count)]
         self.nodes = [self.fresh() for _ in range(count)]
         self.sent: dict[int, list[int]] = {}
-        self.cut: set[int] = set()  # no connection to these comes up
+        self.cut: set[int] = set()  # replicas that cannot be connected to
 
     def fresh(self) -> RouterDriver:
         self.next += 1
@@ -66,20 +69,23 @@
 
 
 def chance(bears: float) -> float:
-    """What may come on top of that by chance."""
+    """Return how many requests above this number may be due to chance."""
     return 2 * math.sqrt(bears) + 2
 
 
 def chance_by_the_page(bears: float) -> float:
-    """The same, as the platform's page has it: more room where there are few."""
+    """Return the same by the platform's rule, which allows more for small numbers."""
     return 3 * math.sqrt(bears) + 3 if bears < 30 else chance(bears)
 
 
 def breaches(
     fleet: Fleet, engine: int, started: int, capacity: float, chance: Callable[[float], float] = chance
 ) -> tuple[int, float]:
-    """Windows in which a server that can do so many requests a microsecond once it is warm got more than chance
-    explains, and the fullest one, of what it bears then."""
+    """Return the number of windows in which a replica got more than its capacity and chance explain.
+
+    `capacity` is in requests per microsecond of the warm replica. Also returns the requests in the fullest window as a
+    multiple of the limit at that time.
+    """
     s = fleet.nodes[0].router.settings
     sent, over, fullest = [at for at in fleet.sent.get(engine, []) if started <= at < started + RAMP], 0, 0.0
     for k, at in enumerate(sent):
@@ -99,8 +105,11 @@
     ("day", "least"), [("one", 0.1), ("release", 0.1), ("restarts", 0.02), ("late", 0.3), ("cut", 0.3)]
 )
 def test_a_cold_server_stays_under_what_it_bears_in_every_window_and_gets_work(count: int, day: str, least: float):
-    """One of eight starts anew; or five of them within 5 s; or one, and every other process is started anew; or all
-    warm ones leave when it has hardly been used, or are cut off, which no list tells."""
+    """Each scenario restarts prefill replicas.
+
+    One of eight restarts; or five of them within 5 s; or one, while every other dispatcher is restarted; or one, and
+    soon after all warm ones start draining, or become unreachable without an update of the endpoint list.
+    """
     seed = count * 1000 + len(day)
     print(f"seed {seed}")
     fleet = Fleet(count, seed)
@@ -127,17 +136,17 @@
     fleet.run(start + RAMP)
     found = {n: breaches(fleet, n, at, capacity) for n, at in cold.items()}
     assert not any(over for over, _ in found.values()), found
-    # A warm one would have had `capacity` all the while. A process started anew knows of no peers' work, and lends one
-    # request a window with all others together.
+    # A warm replica would have got `capacity` all the time. A restarted dispatcher has no rate of warm replicas, and
+    # sends one request in a window together with all others.
     assert len([at for at in fleet.sent[1] if start <= at < start + RAMP]) > least * capacity * RAMP
 
 
 class MixedFleet(Fleet):
-    """Mixed servers get the short prompts above all, which are lighter than the mean of their class."""
+    """A fleet whose mixed replicas mostly get the short prompts, which are less work than the mean of their class."""
 
     def __init__(self, count: int, seed: int) -> None:
         super().__init__(count, seed)
-        self.work: dict[int, float] = {}  # of each server, in tokens
+        self.work: dict[int, float] = {}  # by replica, in tokens
         self.all_work, self.requests = 0.0, 0
         self.change(*(endpoint(n, 2, cell=n % 2) for n in range(21, 21 + MIXED)))
 
@@ -156,14 +165,17 @@
                 node.serve(r)
 
     def capacity(self, span: int) -> float:
-        """Requests of mean work a microsecond that a warm mixed server has borne through the whole span so far."""
+        """Return the requests of mean work per microsecond that a warm mixed replica has served over the span."""
         mean = self.all_work / self.requests
         return sum(self.work.get(n, 0.0) for n in range(21, 21 + MIXED)) / MIXED / mean / span
 
 
 @pytest.mark.parametrize("count", [3, 32])
 def test_a_cold_server_bears_so_many_requests_of_mean_work_though_its_peers_get_lighter_ones(count: int):
-    """On a cold server each request weighs as the mean of its class (bench souss-helpdesk, throng, 506155874871)."""
+    """At a warming-up replica, each request counts as the mean of its class.
+
+    The fault was seen in the benchmark souss-helpdesk, throng, 506155874871.
+    """
     seed = count * 1000 + 7
     print(f"seed {seed}")
     fleet = MixedFleet(count, seed)
@@ -179,8 +191,10 @@
 
 @pytest.mark.parametrize(("kind", "first"), [(1, 11), (2, 21)], ids=["writers", "mixed"])
 def test_answers_that_have_only_begun_tell_nothing_of_what_a_cold_server_bears(kind: int, first: int):
-    """Servers that were empty begin answers far faster than they finish them (bench souss-helpdesk, throng,
-    506155874871, whose burst falls into the first seconds)."""
+    """Idle replicas begin answers far faster than they finish them.
+
+    The fault was seen in the benchmark souss-helpdesk, throng, 506155874871, whose burst falls into the first seconds.
+    """
     fleet = (*(endpoint(n, 0) for n in range(1, 4)), *(endpoint(n, kind) for n in range(first, first + 3)))
     node = RouterDriver(
         settings(instances=1, local_prefill=True, overload_window=1_500_000, slow_start_window=RAMP), fleet, seed=5
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts that are told in wall-clock time, placed on the own clock through steps of the wall clock."""
+"""Start times stated in wall-clock time, translated to the monotonic clock across steps of the wall clock."""
 
 import pytest
 from hypothesis import given
@@ -28,7 +28,7 @@
     late=st.integers(0, 5 * S),
 )
 def test_no_start_is_taken_for_older_than_it_is(step: int, before: int, after: int, late: int):
-    """One replica starts before the step and one after it; both are told of later."""
+    """One replica starts before the step and one after it; both are reported after the step."""
     times = StartTimes(NOW, NOW)
     first = NOW + 1
     stepped = first + before
--- a/tests/structures/test_heavy_hitters.py
+++ b/tests/structures/test_heavy_hitters.py
@@ -1,4 +1,4 @@
-"""Heavy hitters against a plain count."""
+"""Heavy hitters, compared with exact counts."""
 
 from collections import Counter
 
