--- a/pearhill/routing/attempt_feedback.py
+++ b/pearhill/routing/attempt_feedback.py
@@ -71,7 +71,7 @@
         self._loads.record_answer(now, replica, pending.request.request_class, event.elapsed)
         return []
 
-    def record_waiting(self, now: int) -> None:
+    def record_unfinished_prefills(self, now: int) -> None:
         """Record the age of the oldest unfinished prefill of each prefill replica.
 
         If only finished prefills counted, a replica that hangs would look fast.
@@ -102,9 +102,9 @@
             return
         peers = self._ready[replica.role]
         warm_weight = sum(peer.endpoint.weight or 1 for peer in peers if self._slow_start.is_warm(peer.endpoint, now))
-        self._slow_start.answered(replica.role, warm_weight, self._mean_requests(pending))
+        self._slow_start.record_finished(replica.role, warm_weight, self._relative_work(pending))
 
-    def _mean_requests(self, pending: PendingRequest) -> float:
+    def _relative_work(self, pending: PendingRequest) -> float:
         """Return the work of this request in units of its class's mean work, at most 1.
 
         Each request at a warming-up replica counts as one mean request. Warm replicas of the role may get mostly light
--- a/pearhill/routing/load_estimates.py
+++ b/pearhill/routing/load_estimates.py
@@ -16,8 +16,8 @@
 
 SHORT_PROMPT_TOKENS = 2_000  # a prompt with fewer uncached tokens may be prefilled at a decode replica
 MAX_SERVICE_TIME_RATIO = 4  # an attempt may take this many times its expected time
-FULL_MEMORY = 0.92  # share of memory in use from which a replica gets no more requests
-LOAD_LIMIT_CUT = 0.8  # a late fetch limits a replica's load to this share of its current load
+MAX_MEMORY_UTILIZATION = 0.92  # share of memory in use from which a replica gets no more requests
+LOAD_LIMIT_FACTOR = 0.8  # a late fetch limits a replica's load to this share of its current load
 LOAD_LIMIT_DOUBLING_US = 8_000_000  # time in which the load limit doubles again
 MAX_LOAD_LIMIT_DOUBLINGS = 9.0
 MIN_REPORT_CONFIDENCE = 0.5
@@ -35,9 +35,9 @@
     """Estimates for all replicas of one machine kind."""
 
     def __init__(self, kind: MachineKind, shortest_objective: int) -> None:
-        slowest = shortest_objective / SHORT_PROMPT_TOKENS
+        slowest_time_per_token = shortest_objective / SHORT_PROMPT_TOKENS
         speed = PREFILL_REPLICA_SPEED if kind.role == Role.PREFILL else OTHER_REPLICA_SPEED
-        self.initial_prefill_time = slowest / speed
+        self.initial_prefill_time = slowest_time_per_token / speed
         self.fetch_time = DecayingMean(STEP_INTERVAL_US, KIND_MAX_SAMPLES)
         self.prefill_time = DecayingMean(STEP_INTERVAL_US, KIND_MAX_SAMPLES)
         self.memory_used = DecayingMean(STEP_INTERVAL_US, KIND_MAX_SAMPLES)
@@ -62,8 +62,8 @@
         kind = self._kinds[replica.endpoint.kind]
         initial = kind.initial_prefill_time if prefill else 0.0
         # A dispatcher that rejects all requests measures nothing any more, so its estimate of an overload has to decay.
-        usual = kind.time_per_token(prefill).value_with_prior(now, initial, KIND_PRIOR_WEIGHT)
-        return tokens * replica.time_per_token(prefill).value_with_prior(now, usual)
+        prior = kind.time_per_token(prefill).value_with_prior(now, initial, KIND_PRIOR_WEIGHT)
+        return tokens * replica.time_per_token(prefill).value_with_prior(now, prior)
 
     def prefill_time(self, now: int, replica: ReplicaState, pending: PendingRequest, home: int = NO_HOME) -> float:
         """Return the expected microseconds until the replica has prefilled this prompt, including its queue."""
@@ -94,9 +94,13 @@
         doublings = min(MAX_LOAD_LIMIT_DOUBLINGS, (now - replica.load_limit_set_at) / LOAD_LIMIT_DOUBLING_US)
         limit = replica.load_limit * 2**doublings
         if limit and not kind.memory_used.weight:
-            return FULL_MEMORY * (replica.tokens_in_flight + tokens) / limit if replica.tokens_in_flight else 0.0
-        usual = kind.memory_used.value_with_prior(now, 0.0, KIND_PRIOR_WEIGHT)
-        reported = replica.memory_used.value_with_prior(now, usual, KIND_PRIOR_WEIGHT)
+            return (
+                MAX_MEMORY_UTILIZATION * (replica.tokens_in_flight + tokens) / limit
+                if replica.tokens_in_flight
+                else 0.0
+            )
+        prior = kind.memory_used.value_with_prior(now, 0.0, KIND_PRIOR_WEIGHT)
+        reported = replica.memory_used.value_with_prior(now, prior, KIND_PRIOR_WEIGHT)
         return reported + (replica.tokens_since_report + tokens) / replica.memory_tokens
 
     def record_memory(self, now: int, replica: ReplicaState, memory_used: float) -> None:
@@ -120,8 +124,8 @@
         prefill = not pending.fetches_state
         kind_time = self._kinds[replica.endpoint.kind].time_per_token(prefill)
         # The sample is capped, so that one very slow attempt does not dominate the estimate.
-        longest = MAX_SERVICE_TIME_RATIO * kind_time.value if kind_time.weight else elapsed
-        time_per_token = min(elapsed / pending.service_tokens, longest)
+        max_time_per_token = MAX_SERVICE_TIME_RATIO * kind_time.value if kind_time.weight else elapsed
+        time_per_token = min(elapsed / pending.service_tokens, max_time_per_token)
         replica.time_per_token(prefill).add(now, time_per_token)
         kind_time.add(now, time_per_token)
 
@@ -142,6 +146,6 @@
         if pending.sent_at < replica.load_limit_set_at:
             return
         ended_load = 0 if pending.in_flight else pending.load_tokens
-        borne = LOAD_LIMIT_CUT * (replica.tokens_in_flight + ended_load)
-        replica.load_limit = max(borne, pending.load_tokens)
+        reduced_load = LOAD_LIMIT_FACTOR * (replica.tokens_in_flight + ended_load)
+        replica.load_limit = max(reduced_load, pending.load_tokens)
         replica.load_limit_set_at = now
--- a/pearhill/routing/local_prefill.py
+++ b/pearhill/routing/local_prefill.py
@@ -10,7 +10,7 @@
 MAX_RATIO = 0.3
 HIGH_LATENCY_SHARE = 0.5  # of the latency objective; the ratio rises while prefills take longer
 LOW_LATENCY_SHARE = 0.25  # of the latency objective; the ratio falls while prefills are faster
-MAX_SAVED_TOKENS = 4 * SHORT_PROMPT_TOKENS
+MAX_ALLOWANCE_TOKENS = 4 * SHORT_PROMPT_TOKENS
 INITIAL_LATENCY_SHARE = 0.5
 LATENCY_MAX_SAMPLES = 30  # maximum weight of the evidence
 
@@ -26,7 +26,7 @@
 
     def record_arrival(self, prompt_tokens: int) -> None:
         """Add a share of an arrived prompt's tokens to the allowance."""
-        self.allowance = min(MAX_SAVED_TOKENS, self.allowance + self.ratio * prompt_tokens)
+        self.allowance = min(MAX_ALLOWANCE_TOKENS, self.allowance + self.ratio * prompt_tokens)
 
     def spend(self, tokens: int) -> None:
         """Take locally prefilled tokens off the allowance. A negative number corrects an earlier estimate."""
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -59,11 +59,11 @@
     )
 
 
-def attempt_denial(answered: bool, attempt_out: bool, ready: bool, attempts_left: int) -> Denied | None:
+def attempt_denial(answered: bool, has_attempt_in_flight: bool, ready: bool, attempts_left: int) -> Denied | None:
     """Return why no attempt may be made, or None if one may."""
     if answered:
         return Denied.ANSWERED
-    if attempt_out:
+    if has_attempt_in_flight:
         return Denied.ATTEMPT_IN_FLIGHT
     if not ready:
         return Denied.NOT_LISTED
--- a/pearhill/routing/placement.py
+++ b/pearhill/routing/placement.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from pearhill.routing.admission import Admission
-from pearhill.routing.load_estimates import FULL_MEMORY, SHORT_PROMPT_TOKENS, LoadEstimates
+from pearhill.routing.load_estimates import MAX_MEMORY_UTILIZATION, SHORT_PROMPT_TOKENS, LoadEstimates
 from pearhill.routing.local_prefill import LocalPrefill
 from pearhill.routing.outcomes import Reason
 from pearhill.routing.outlier_detection import OutlierDetector
@@ -26,7 +26,7 @@
 
 MAX_ANSWER_TIME_RATIO = 1.4  # replicas whose answers take this many times the mean of their class prefill nothing
 QUICK_PREFILL_SHARE = 1 / 4  # of the latency objective
-CROWDED_RATIO = 1.5  # of the peers' mean load plus one request's; a replica above it gets no more for now
+MAX_LOAD_RATIO = 1.5  # of the peers' mean load plus one request's; a replica above it gets no more for now
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,8 +93,8 @@
 
     def place_prompt(self, now: int, pending: PendingRequest) -> Decision:
         """Choose a replica for a request whose prompt has not been prefilled anywhere."""
-        decode = self._with_room(now, pending, self.eligible(now, self._ready[Role.DECODE], pending))
-        mixed = self._with_room(now, pending, self._ranked(now, Role.MIXED, pending))
+        decode = self._with_capacity(now, pending, self.eligible(now, self._ready[Role.DECODE], pending))
+        mixed = self._with_capacity(now, pending, self._ranked(now, Role.MIXED, pending))
         # Load shedding: a prefill is wasted work if no replica has capacity to decode the request.
         if pending.attempt < 0 and not decode and not mixed:
             return Decline(Reason.NO_CAPACITY)
@@ -102,28 +102,30 @@
             self._at_mixed_replica(now, pending, mixed)
             or self._at_decode_replica(now, pending, decode)
             or self._at_prefill_replica(now, pending, mixed)
-            or self._wherever_possible(now, pending, mixed, decode)
+            or self._at_any_replica(now, pending, mixed, decode)
         )
 
-    def _with_room(self, now: int, pending: PendingRequest, pool: list[ReplicaState]) -> list[ReplicaState]:
+    def _with_capacity(self, now: int, pending: PendingRequest, pool: list[ReplicaState]) -> list[ReplicaState]:
         """Return the replicas of a pool with capacity for the prompt, counted up to its class's mean length.
 
         Counted by its whole length, a long prompt would be rejected even by idle replicas.
         """
         tokens = int(min(pending.request.prompt_tokens, self._affinity.mean_prompt_tokens(pending.request)))
-        return [replica for replica in pool if self._loads.memory_utilization(now, replica, tokens) < FULL_MEMORY]
+        return [
+            replica for replica in pool if self._loads.memory_utilization(now, replica, tokens) < MAX_MEMORY_UTILIZATION
+        ]
 
     def _at_mixed_replica(self, now: int, pending: PendingRequest, mixed: list[ReplicaState]) -> Decision | None:
         """Choose a mixed replica if it prefills the prompt quickly: long prompts would delay its streams."""
         if not mixed:
             return None
         nearest = mixed[:2]
-        emptiest = min(nearest, key=lambda replica: self._loads.memory_utilization(now, replica, 0))
-        if not self._is_quick(now, emptiest, pending):
+        least_full = min(nearest, key=lambda replica: self._loads.memory_utilization(now, replica, 0))
+        if not self._prefills_quickly(now, least_full, pending):
             return None
         if self._needs_query(pending, nearest):
             return QueryFirst(nearest)
-        return Assign(emptiest)
+        return Assign(least_full)
 
     def _at_decode_replica(self, now: int, pending: PendingRequest, decode: list[ReplicaState]) -> Decision | None:
         """Choose a decode replica that prefills the prompt itself, if that is quick and within the allowance."""
@@ -134,7 +136,7 @@
         if not self._affinity.cached_tokens(now, replica, request):
             replica = self.less_loaded_of_two(now, decode)
         uncached = request.prompt_tokens - self._affinity.cached_tokens(now, replica, request)
-        if uncached > self._local_prefill.allowance or not self._is_quick(now, replica, pending):
+        if uncached > self._local_prefill.allowance or not self._prefills_quickly(now, replica, pending):
             return None
         return Assign(replica, local_tokens=uncached)
 
@@ -152,7 +154,7 @@
         limit = self._prefill_time_limit(now, pending, chosen, home)
         if self._loads.prefill_time(now, chosen, pending, home) <= limit:
             return Assign(chosen, home)
-        other = self._quick_enough(now, pending, ranked, mixed, limit)
+        other = self._first_within_limit(now, pending, ranked, mixed, limit)
         if other is not None:
             return Assign(other)
         # Load shedding, lowest priority first: requests that will be late anyway delay those that could be in time.
@@ -169,7 +171,7 @@
         limit = self._admission.prefill_time_limit(request, time_left)
         return limit + self._loads.expected_time(now, replica, excess)
 
-    def _quick_enough(
+    def _first_within_limit(
         self,
         now: int,
         pending: PendingRequest,
@@ -189,7 +191,7 @@
                 return replica
         return None
 
-    def _wherever_possible(
+    def _at_any_replica(
         self,
         now: int,
         pending: PendingRequest,
@@ -208,12 +210,14 @@
         holder = pending.state_holder.endpoint
         pool = self.eligible(now, self._ready[Role.DECODE] + self._ready[Role.MIXED], pending)
         tokens = pending.request.prompt_tokens
-        roomy = [r for r in pool if self._loads.memory_utilization(now, r, tokens) < FULL_MEMORY] or pool
-        limit = self._crowded_load(pending)
-        calm = [replica for replica in roomy if replica.tokens_in_flight <= limit]
-        in_cell = [replica for replica in calm if replica.endpoint.cell == holder.cell]
-        in_zone = [replica for replica in calm if replica.endpoint.zone == holder.zone]
-        nearest = in_cell or in_zone or calm or roomy
+        with_memory = [
+            r for r in pool if self._loads.memory_utilization(now, r, tokens) < MAX_MEMORY_UTILIZATION
+        ] or pool
+        limit = self._max_load(pending)
+        below_limit = [replica for replica in with_memory if replica.tokens_in_flight <= limit]
+        in_cell = [replica for replica in below_limit if replica.endpoint.cell == holder.cell]
+        in_zone = [replica for replica in below_limit if replica.endpoint.zone == holder.zone]
+        nearest = in_cell or in_zone or below_limit or with_memory
         return self._pick(now, pending, nearest) if nearest else Decline(Reason.NO_DECODE_REPLICA)
 
     # Common to both.
@@ -245,7 +249,7 @@
     def _ranked(self, now: int, role: Role, pending: PendingRequest) -> list[ReplicaState]:
         return rank(self.eligible(now, self._ready[role], pending), pending.request)
 
-    def _is_quick(self, now: int, replica: ReplicaState, pending: PendingRequest) -> bool:
+    def _prefills_quickly(self, now: int, replica: ReplicaState, pending: PendingRequest) -> bool:
         """Return whether the replica would prefill the prompt in a short time, without delaying its streams."""
         request = pending.request
         if request.prompt_tokens - self._affinity.cached_tokens(now, replica, request) >= SHORT_PROMPT_TOKENS:
@@ -254,9 +258,9 @@
             return False
         if self._loads.prefill_time(now, replica, pending) >= pending.latency_objective * QUICK_PREFILL_SHARE:
             return False
-        return replica.tokens_in_flight <= self._crowded_load(pending)
+        return replica.tokens_in_flight <= self._max_load(pending)
 
-    def _crowded_load(self, pending: PendingRequest) -> float:
+    def _max_load(self, pending: PendingRequest) -> float:
         """Return this dispatcher's tokens in flight at a replica above which the replica gets no more requests.
 
         Without the limit, a preferred replica, or the only one that a release left in a cell, would get all requests
@@ -265,7 +269,7 @@
         pool = self._ready[Role.DECODE] + self._ready[Role.MIXED]
         request = pending.request
         mean = sum(replica.tokens_in_flight for replica in pool) / max(1, len(pool))
-        return CROWDED_RATIO * (mean + request.prompt_tokens + request.max_output_tokens // 2)
+        return MAX_LOAD_RATIO * (mean + request.prompt_tokens + request.max_output_tokens // 2)
 
     def _pick(self, now: int, pending: PendingRequest, pool: list[ReplicaState]) -> Decision:
         """Choose the less loaded of two replicas, and of the queried two if load is queried."""
--- a/pearhill/routing/prefix_affinity.py
+++ b/pearhill/routing/prefix_affinity.py
@@ -78,14 +78,14 @@
         """
         best = 0
         if home != NO_HOME:
-            best = int(self.cached_share[home].value * min(request.prompt_tokens, self._usual_length(request)))
+            best = int(self.cached_share[home].value * min(request.prompt_tokens, self._max_cached_tokens(request)))
         for key, tokens_in_prompt in cache_keys(request):
             tokens, cached_at = replica.cached_prefixes.get(key, (0, 0))
             if (now - cached_at) * self.cache_fill_rate[replica.role] < replica.memory_tokens:
                 best = max(best, min(tokens, tokens_in_prompt))
         return best
 
-    def _usual_length(self, request: RequestArrived) -> float:
+    def _max_cached_tokens(self, request: RequestArrived) -> float:
         """Return how many tokens of a prompt may be assumed cached.
 
         A prompt of many times the usual length is new text. If it were assumed cached, it would overload all prefill
@@ -100,11 +100,11 @@
         for key, tokens in cache_keys(request):
             table[key] = (tokens, now)
             table.move_to_end(key)
-        while table and self._has_excess(now, replica):
+        while table and self._must_evict(now, replica):
             table.popitem(last=False)
 
     @staticmethod
-    def _has_excess(now: int, replica: ReplicaState) -> bool:
+    def _must_evict(now: int, replica: ReplicaState) -> bool:
         table = replica.cached_prefixes
         if len(table) > MAX_CACHED_PREFIXES:
             return True
@@ -132,8 +132,8 @@
             return MIN_HOMES
         # The client states the length of a prefix, so it may be any number.
         new_tokens = max(0, request.prompt_tokens - request.prefix_tokens)
-        least = MIN_REQUESTS_FOR_SHARE * (BATCH_OVERHEAD_TOKENS + new_tokens)
-        share = self.prefix_load.get(request.prefix, 0.0) / (self.total_load + least)
+        min_load = MIN_REQUESTS_FOR_SHARE * (BATCH_OVERHEAD_TOKENS + new_tokens)
+        share = self.prefix_load.get(request.prefix, 0.0) / (self.total_load + min_load)
         return max(MIN_HOMES, math.ceil(HOMES_PER_FAIR_SHARE * share * replicas))
 
     def home_pair(self, ranked: list[ReplicaState], request: RequestArrived) -> list[ReplicaState]:
--- a/pearhill/routing/replica_registry.py
+++ b/pearhill/routing/replica_registry.py
@@ -26,17 +26,17 @@
 
     def update(self, event: EndpointsUpdated) -> list[UnansweredAttempt]:
         """Apply an update of the endpoint list. Returns the unanswered attempts at replicas no longer listed."""
-        named = {endpoint.replica for endpoint in event.endpoints}
-        unnamed = [replica.endpoint for replica in self.replicas.values() if replica.id not in named]
-        lost: list[UnansweredAttempt] = []
+        updated = {endpoint.replica for endpoint in event.endpoints}
+        others = [replica.endpoint for replica in self.replicas.values() if replica.id not in updated]
+        unanswered: list[UnansweredAttempt] = []
         for endpoint in event.endpoints:
-            lost += self._update_endpoint(endpoint)
+            unanswered += self._update_endpoint(endpoint)
         if event.full:
-            for endpoint in unnamed:
-                lost += self._update_endpoint(replace(endpoint, phase=Phase.GONE))
+            for endpoint in others:
+                unanswered += self._update_endpoint(replace(endpoint, phase=Phase.GONE))
         for role in self.ready:
             self._update_ready(role)
-        return lost
+        return unanswered
 
     def _update_endpoint(self, endpoint: Endpoint) -> list[UnansweredAttempt]:
         replica = self.replicas.get(endpoint.replica)
--- a/pearhill/routing/request_flow.py
+++ b/pearhill/routing/request_flow.py
@@ -95,7 +95,7 @@
                 replicas = tuple(replica.id for replica in decision.replicas)
                 return [QueryLoad(pending.request.request, replicas)]
             case Decline():
-                return self._give_up(pending, decision.reason)
+                return self._end_unanswered(pending, decision.reason)
 
     def _send(self, now: int, pending: PendingRequest, replica: ReplicaState) -> SendAttempt:
         self._accounting.begin(now, pending, replica)
@@ -125,9 +125,9 @@
     def _retry(self, now: int, pending: PendingRequest) -> list[Action]:
         """Retry after a failed attempt if that is allowed, else give the final answer."""
         if not has_attempts_left(pending, self.settings):
-            return self._give_up(pending, Reason.ATTEMPTS_USED)
+            return self._end_unanswered(pending, Reason.ATTEMPTS_USED)
         if not self._retry_budget.take():
-            return self._give_up(pending, Reason.RETRY_BUDGET_EMPTY)
+            return self._end_unanswered(pending, Reason.RETRY_BUDGET_EMPTY)
         if holds_state(pending, self.settings, now):
             return self.place(now, pending)
         # A state may still be held: its replica became unreachable, or no decode replica could be connected to.
@@ -141,19 +141,19 @@
         pending = self.pending.get(request)
         if pending is None or pending.answered or pending.response_started:
             return []
-        return self._give_up(pending, Reason.DEADLINE_EXCEEDED)
+        return self._end_unanswered(pending, Reason.DEADLINE_EXCEEDED)
 
     def disconnect(self, request: int) -> list[Action]:
         """End a request whose client has disconnected. It needs no answer any more."""
         pending = self.pending.get(request)
-        return [] if pending is None else self._close(pending)
+        return [] if pending is None else self._finish(pending)
 
-    def _give_up(self, pending: PendingRequest, reason: Reason) -> list[Action]:
+    def _end_unanswered(self, pending: PendingRequest, reason: Reason) -> list[Action]:
         """Give the final answer, and release the state held for the request."""
         answer = final_answer(pending, self.settings, reason)
-        return [answer, *self._close(pending)]
+        return [answer, *self._finish(pending)]
 
-    def _close(self, pending: PendingRequest) -> list[Action]:
+    def _finish(self, pending: PendingRequest) -> list[Action]:
         """Mark the request as answered, and cancel its attempt or release its state.
 
         Neither an answer nor a disconnect releases a state, so it would otherwise stay held.
--- a/pearhill/routing/retry_policy.py
+++ b/pearhill/routing/retry_policy.py
@@ -12,18 +12,18 @@
 from pearhill.routing.settings import Idempotency, RouterSettings
 
 RETRIES_PER_REQUEST = 0.2  # retries that each arrival adds to the budget
-MAX_SAVED_RETRIES = 2
+MAX_RETRY_TOKENS = 2
 
 
 class RetryBudget:
     """Limits this dispatcher's retries, because retries of attempts that fail under load add to the load."""
 
     def __init__(self) -> None:
-        self.tokens = float(MAX_SAVED_RETRIES)
+        self.tokens = float(MAX_RETRY_TOKENS)
 
     def record_arrival(self) -> None:
         """Add the part of a retry that each arriving request allows."""
-        self.tokens = min(MAX_SAVED_RETRIES, self.tokens + RETRIES_PER_REQUEST)
+        self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRIES_PER_REQUEST)
 
     def refund(self) -> None:
         """Return the retry of an attempt that was never begun."""
@@ -50,10 +50,10 @@
     """
     time_left = pending.deadline - now
     objective_share = pending.latency_objective / (2 - pending.fetches_state)
-    patience = max(MAX_SERVICE_TIME_RATIO * expected_time, objective_share)
-    if not has_attempts_left(pending, settings) or patience > time_left:
+    desired_timeout = max(MAX_SERVICE_TIME_RATIO * expected_time, objective_share)
+    if not has_attempts_left(pending, settings) or desired_timeout > time_left:
         return max(1, int(time_left))
-    return max(1, int(min(patience, time_left / 2)))
+    return max(1, int(min(desired_timeout, time_left / 2)))
 
 
 def release_time(pending: PendingRequest, settings: RouterSettings) -> int:
--- a/pearhill/routing/router.py
+++ b/pearhill/routing/router.py
@@ -118,11 +118,11 @@
     # Events.
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> list[Action]:
-        lost = self._registry.update(event)
+        unanswered = self._registry.update(event)
         if not self.settings.may_cancel:
             return []
         # Attempts at an unlisted replica would otherwise wait for their whole time-out.
-        return [CancelAttempt(attempt.request, attempt.attempt) for attempt in lost]
+        return [CancelAttempt(attempt.request, attempt.attempt) for attempt in unanswered]
 
     def _request_arrived(self, request: RequestArrived) -> list[Action]:
         if is_over_budget(request):
@@ -179,7 +179,7 @@
 
     def _step(self) -> SetTimer:
         """Update the estimates every `STEP_INTERVAL_US`, and let them decay. Returns the timer of the next step."""
-        self.feedback.record_waiting(self.now)
+        self.feedback.record_unfinished_prefills(self.now)
         self.local_prefill.step()
         self.affinity.step()
         self.admission.step()
--- a/pearhill/routing/slow_start.py
+++ b/pearhill/routing/slow_start.py
@@ -17,7 +17,7 @@
 from pearhill.routing.statistics import STEP_INTERVAL_US
 from pearhill.routing.topology import Endpoint
 
-SAFE_SHARE = 0.9  # of this dispatcher's part of a warming-up replica's capacity
+SAFETY_FACTOR = 0.9  # of this dispatcher's part of a warming-up replica's capacity
 COUNT_DECAY = 0.8  # factor applied to the answer counts at each step
 FALLING_RATE_DECAY = 0.95  # minimum share of a rate that is kept at each step
 MIN_NEW_WEIGHT = 0.3  # minimum weight of the latest answers in the rate
@@ -38,27 +38,27 @@
         self.settings = settings
         # By role: requests of mean work per microsecond that warm replicas finished per unit of weight.
         self.answer_rate = dict.fromkeys(roles, 0.0)
-        self._answered = dict.fromkeys(roles, 0.0)
+        self._finished = dict.fromkeys(roles, 0.0)
         self._steps = 0
 
-    def share(self, endpoint: Endpoint, now: int) -> float:
+    def capacity_share(self, endpoint: Endpoint, now: int) -> float:
         """Return the share of its capacity that a replica is certain to have reached; 1 once it is warm."""
         initial = self.settings.slow_start_initial_share
-        warmth = 1.0
+        progress = 1.0
         if endpoint.started_at:
-            warmth = max(0, now - endpoint.started_at) / self.settings.slow_start_window
-        return min(1.0, initial + (1 - initial) * warmth)
+            progress = max(0, now - endpoint.started_at) / self.settings.slow_start_window
+        return min(1.0, initial + (1 - initial) * progress)
 
     def is_warm(self, endpoint: Endpoint, now: int) -> bool:
         """Return whether the replica has reached its full capacity."""
-        return self.share(endpoint, now) >= 1
+        return self.capacity_share(endpoint, now) >= 1
 
     def admits(self, endpoint: Endpoint, role: str, bucket: TokenBucket, now: int) -> bool:
         """Return whether the replica may get one more request, after filling its bucket up to now.
 
         No token is taken here: `AttemptAccounting.begin` takes it when the request is sent.
         """
-        share = self.share(endpoint, now)
+        share = self.capacity_share(endpoint, now)
         if share >= 1:
             return True
         rate = self._rate(endpoint, role, share)
@@ -76,16 +76,16 @@
         """
         settings = self.settings
         weight = endpoint.weight or 1
-        borne = settings.overload_multiple * share * self.answer_rate[role] * weight * SAFE_SHARE
-        return max(borne, SAFE_SHARE / settings.overload_window / settings.instances)
+        estimated_rate = settings.overload_multiple * share * self.answer_rate[role] * weight * SAFETY_FACTOR
+        return max(estimated_rate, SAFETY_FACTOR / settings.overload_window / settings.instances)
 
-    def answered(self, role: str, warm_weight: float, requests: float) -> None:
+    def record_finished(self, role: str, warm_weight: float, requests: float) -> None:
         """Record that a warm replica has finished `requests` requests of mean work.
 
         `warm_weight` is the weight of all warm replicas of its role now. If it were applied later, when a release has
         left few replicas warm, earlier answers would overstate the rate of each.
         """
-        self._answered[role] += requests * (1 - COUNT_DECAY) / STEP_INTERVAL_US / max(1, warm_weight)
+        self._finished[role] += requests * (1 - COUNT_DECAY) / STEP_INTERVAL_US / max(1, warm_weight)
 
     def step(self) -> None:
         """Update the rates. Called every `STEP_INTERVAL_US`.
@@ -94,9 +94,9 @@
         """
         self._steps += 1
         new_weight = max(MIN_NEW_WEIGHT, 1 / self._steps)
-        for role, answered in self._answered.items():
-            seen = answered / (1 - COUNT_DECAY**self._steps)
-            before = self.answer_rate[role]
-            updated = (1 - new_weight) * before + new_weight * seen
-            self.answer_rate[role] = max(FALLING_RATE_DECAY * before, updated)
-            self._answered[role] *= COUNT_DECAY
+        for role, finished in self._finished.items():
+            observed_rate = finished / (1 - COUNT_DECAY**self._steps)
+            previous_rate = self.answer_rate[role]
+            updated_rate = (1 - new_weight) * previous_rate + new_weight * observed_rate
+            self.answer_rate[role] = max(FALLING_RATE_DECAY * previous_rate, updated_rate)
+            self._finished[role] *= COUNT_DECAY
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PlacedStart:
+class _TranslatedStart:
     """A start time as listed, in wall-clock time, and its translation to the monotonic clock."""
 
-    listed: int
-    placed: int
+    wall_start: int
+    monotonic_start: int
 
 
 class StartTimes:
@@ -38,7 +38,7 @@
 
     def __init__(self, now: int, wall: int) -> None:
         self._epochs = [Epoch(wall - now, now)]
-        self._placed: dict[int, _PlacedStart] = {}  # by replica
+        self._translated: dict[int, _TranslatedStart] = {}  # by replica
 
     def observe(self, now: int, wall: int) -> int:
         """Compare both clocks, which have to be read together.
@@ -60,29 +60,35 @@
 
         `full` tells whether they are all replicas, so that earlier start times of others can be dropped.
         """
-        before = self._placed
+        before = self._translated
         if full:
-            self._placed = {}
-        return tuple(self._place(now, endpoint, before.get(endpoint.replica)) for endpoint in endpoints)
+            self._translated = {}
+        return tuple(self._translate(now, endpoint, before.get(endpoint.replica)) for endpoint in endpoints)
 
-    def _place(self, now: int, endpoint: Endpoint, before: _PlacedStart | None) -> Endpoint:
-        listed = endpoint.started_at
+    def _translate(self, now: int, endpoint: Endpoint, before: _TranslatedStart | None) -> Endpoint:
+        wall_start = endpoint.started_at
         if endpoint.phase == Phase.GONE:
-            self._placed.pop(endpoint.replica, None)
-        if not listed:
+            self._translated.pop(endpoint.replica, None)
+        if not wall_start:
             return endpoint
-        placed = before.placed if before and before.listed == listed else self._start(now, listed)
+        monotonic_start = (
+            before.monotonic_start
+            if before and before.wall_start == wall_start
+            else self._to_monotonic(now, wall_start)
+        )
         if endpoint.phase != Phase.GONE:
-            self._placed[endpoint.replica] = _PlacedStart(listed, placed)
-        return replace(endpoint, started_at=placed)
+            self._translated[endpoint.replica] = _TranslatedStart(wall_start, monotonic_start)
+        return replace(endpoint, started_at=monotonic_start)
 
-    def _start(self, now: int, listed: int) -> int:
+    def _to_monotonic(self, now: int, wall_start: int) -> int:
         """Return the latest time at which the wall clock can have shown this start time.
 
         If it is in the future by every epoch, the result is now, since a start is reported after it has happened.
         """
         ends = [epoch.first for epoch in self._epochs[1:]] + [now]
-        possible = [
-            listed - epoch.offset for epoch, end in zip(self._epochs, ends, strict=True) if listed - epoch.offset <= end
+        candidates = [
+            wall_start - epoch.offset
+            for epoch, end in zip(self._epochs, ends, strict=True)
+            if wall_start - epoch.offset <= end
         ]
-        return max(1, *possible) if possible else now
+        return max(1, *candidates) if candidates else now
--- a/pearhill/structures/heavy_hitters.py
+++ b/pearhill/structures/heavy_hitters.py
@@ -50,15 +50,15 @@
         if len(self._counts) < self.size:
             self._put(key, weight, 0)
             return
-        least = self._pop_least()
-        self._put(key, least + weight, least)
+        least_count = self._pop_lightest()
+        self._put(key, least_count + weight, least_count)
 
     def _put(self, key: K, count: int, error: int) -> None:
         self._counts[key] = [count, error]
         self._insertions += 1
         heapq.heappush(self._heap, (count, self._insertions, key))
 
-    def _pop_least(self) -> int:
+    def _pop_lightest(self) -> int:
         """Remove the key with the least count, and return the count. Outdated counts in the heap are updated here."""
         while True:
             old_count, insertion, key = self._heap[0]
@@ -72,13 +72,13 @@
     def halve(self) -> None:
         """Halve every weight, so that recent weight outweighs old weight."""
         self.total //= 2
-        kept = {key: (count // 2, error // 2) for key, (count, error) in self._counts.items() if count > 1}
+        halved = {key: (count // 2, error // 2) for key, (count, error) in self._counts.items() if count > 1}
         self._counts = {}
         self._heap = []
-        for key, (count, error) in kept.items():
+        for key, (count, error) in halved.items():
             self._put(key, count, error)
 
-    def top(self, most: int) -> list[HeavyHitter[K]]:
-        """Return the `most` heaviest keys, the heaviest first."""
-        ranked = heapq.nlargest(most, self._counts.items(), key=lambda item: item[1][0])
+    def top(self, limit: int) -> list[HeavyHitter[K]]:
+        """Return the `limit` heaviest keys, the heaviest first."""
+        ranked = heapq.nlargest(limit, self._counts.items(), key=lambda item: item[1][0])
         return [HeavyHitter(key, count, error) for key, (count, error) in ranked]
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -12,12 +12,12 @@
 HOUR = 3600 * S
 
 
-def entry(started: int, engine: int = 1, phase: str = Phase.READY) -> Endpoint:
-    return Endpoint(engine, 0, 0, 0, phase, 1.0, started)
+def list_entry(started: int, replica: int = 1, phase: str = Phase.READY) -> Endpoint:
+    return Endpoint(replica, 0, 0, 0, phase, 1.0, started)
 
 
-def started(times: StartTimes, now: int, told: int, full: bool = False) -> int:
-    (placed,) = times.place(now, full, (entry(told),))
+def started(times: StartTimes, now: int, wall_start: int, full: bool = False) -> int:
+    (placed,) = times.place(now, full, (list_entry(wall_start),))
     return placed.started_at
 
 
@@ -27,7 +27,7 @@
     after=st.integers(0, 30 * S),
     late=st.integers(0, 5 * S),
 )
-def test_no_start_is_taken_for_older_than_it_is(step: int, before: int, after: int, late: int):
+def test_no_start_time_is_translated_to_an_earlier_time_than_it_was(step: int, before: int, after: int, late: int):
     """One replica starts before the step and one after it; both are reported after the step."""
     times = StartTimes(NOW, NOW)
     first = NOW + 1
@@ -41,14 +41,14 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, -7 * S, 7 * S, HOUR])
-def test_a_start_right_after_a_step_is_placed_exactly_and_stays_there(step: int):
+def test_a_start_right_after_a_step_is_translated_exactly_and_keeps_its_value(step: int):
     times = StartTimes(NOW, NOW)
     times.observe(NOW + 9 * S, NOW + 9 * S)
     assert times.observe(NOW + 10 * S, NOW + 10 * S + step) == step
-    told = NOW + 10 * S + step + 5
-    assert started(times, NOW + 10 * S + 5, told) == NOW + 10 * S + 5
+    wall_start = NOW + 10 * S + step + 5
+    assert started(times, NOW + 10 * S + 5, wall_start) == NOW + 10 * S + 5
     times.observe(NOW + 40 * S, NOW + 40 * S - step)
-    assert started(times, NOW + 41 * S, told, full=True) == NOW + 10 * S + 5
+    assert started(times, NOW + 41 * S, wall_start, full=True) == NOW + 10 * S + 5
 
 
 def test_a_restart_after_the_clock_was_set_back_is_later_than_the_start_before_it():
@@ -58,7 +58,7 @@
     assert started(times, NOW + S, NOW + S - HOUR) > before
 
 
-def test_small_adjustments_are_no_steps_and_what_is_long_past_stays_so():
+def test_small_adjustments_are_no_steps_and_an_absent_start_time_stays_absent():
     times = StartTimes(NOW, NOW)
     for second in range(1, 100):
         assert times.observe(NOW + second * S, NOW + second * (S + MIN_STEP_US)) == 0
@@ -66,10 +66,10 @@
     assert started(times, NOW + 100 * S, NOW + 1000 * S) == NOW + 100 * S
 
 
-def test_replicas_that_are_gone_are_forgotten():
+def test_start_times_of_unlisted_replicas_are_dropped():
     times = StartTimes(NOW, NOW)
-    times.place(NOW, True, [entry(NOW - S, n) for n in range(5)])
-    times.place(NOW, False, [entry(NOW - S, 0, Phase.GONE)])
-    assert set(times._placed) == {1, 2, 3, 4}
-    times.place(NOW, True, [entry(NOW - S, 4)])
-    assert set(times._placed) == {4}
+    times.place(NOW, True, [list_entry(NOW - S, n) for n in range(5)])
+    times.place(NOW, False, [list_entry(NOW - S, 0, Phase.GONE)])
+    assert set(times._translated) == {1, 2, 3, 4}
+    times.place(NOW, True, [list_entry(NOW - S, 4)])
+    assert set(times._translated) == {4}
--- a/tests/structures/test_heavy_hitters.py
+++ b/tests/structures/test_heavy_hitters.py
@@ -21,16 +21,16 @@
     assert len(sketch) <= size
     assert sketch.total == true.total()
     top = sketch.top(size)
-    kept = {hitter.key: hitter for hitter in top}
-    for key, hitter in kept.items():
+    retained = {hitter.key: hitter for hitter in top}
+    for key, hitter in retained.items():
         assert hitter.weight - hitter.error <= true[key] <= hitter.weight
     for key, count in true.items():
         if count * size > true.total():
-            assert key in kept
-    assert [hitter.weight for hitter in top] == sorted((hitter.weight for hitter in kept.values()), reverse=True)
+            assert key in retained
+    assert [hitter.weight for hitter in top] == sorted((hitter.weight for hitter in retained.values()), reverse=True)
 
 
-def test_old_weight_gives_way_to_new() -> None:
+def test_recent_weight_outweighs_halved_old_weight() -> None:
     sketch = HeavyHitters[str](2)
     sketch.add("old", 1_000)
     for _ in range(12):
