--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -138,9 +138,9 @@
 def test_the_decode_replica_is_in_the_cell_of_the_prefill_replica_else_in_its_zone_else_anywhere():
     fleet = (endpoint(1, 0, cell=1), endpoint(11, 1, cell=1), endpoint(12, 1, cell=2), endpoint(13, 1, cell=3, zone=1))
     driver = RouterDriver(fleet=fleet)
-    for lost, expected in ((None, 11), (11, 12), (12, 13)):
-        if lost:
-            driver.feed(EndpointsUpdated(False, (replace(fleet[lost - 10], phase=Phase.GONE),)))
+    for unlisted, expected in ((None, 11), (11, 12), (12, 13)):
+        if unlisted:
+            driver.feed(EndpointsUpdated(False, (replace(fleet[unlisted - 10], phase=Phase.GONE),)))
         request, _ = driver.arrive(prompt_tokens=6000)
         driver.end(request, Outcome.PREFILLED)
         assert driver.sent[request].replica == expected
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -209,7 +209,7 @@
     )
 
 
-@pytest.mark.parametrize(("kind", "first"), [(1, 11), (2, 21)], ids=["writers", "mixed"])
+@pytest.mark.parametrize(("kind", "first"), [(1, 11), (2, 21)], ids=["decode", "mixed"])
 def test_answers_that_have_only_begun_do_not_count_towards_the_limit_of_a_warming_up_replica(kind: int, first: int):
     """Idle replicas begin answers far faster than they finish them.
 
