--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -6,7 +6,7 @@
 import signal
 import sys
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any
 
 import pytest
@@ -391,11 +391,32 @@
     assert asyncio.run(terminate()) is False
 
 
+@pytest.fixture
+def children_reaped_by_the_loop() -> Iterator[None]:
+    """The event loop alone reaps ended child processes, as it does by default from Python 3.12 on.
+
+    On Python 3.11 the default watcher waits for each child in a thread of its own, which may reap it at any moment.
+    """
+    if sys.version_info >= (3, 12):
+        yield
+        return
+    before = asyncio.get_child_watcher()
+    asyncio.set_child_watcher(asyncio.PidfdChildWatcher())
+    yield
+    asyncio.set_child_watcher(before)
+
+
+@pytest.mark.usefixtures("children_reaped_by_the_loop")
 def test_a_signal_to_a_process_that_has_just_ended_leaves_its_exit_code(tmp_path: pathlib.Path) -> None:
     async def exit_code() -> int:
         dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(RULES), lambda: 0, 1)
-        dispatcher.process = await asyncio.create_subprocess_exec(sys.executable, "-c", "")
-        os.waitid(os.P_PID, dispatcher.process.pid, os.WEXITED | os.WNOWAIT)  # the loop has not noticed its end yet
+        stdin, end_of_input = os.pipe()
+        dispatcher.process = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", "import sys; sys.stdin.read()", stdin=stdin
+        )
+        os.close(stdin)
+        os.close(end_of_input)  # The process ends now, while this callback keeps the loop from reaping it.
+        os.waitid(os.P_PID, dispatcher.process.pid, os.WEXITED | os.WNOWAIT)
         dispatcher.signal(signal.SIGHUP)
         return await dispatcher.process.wait()
 
