--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -185,7 +185,8 @@
         source = sources[dispatcher]
         return min(
             pair,
-            key=lambda replica: own[replica] + source.others(now, replica, own[replica], own[replica]).total_tokens,
+            key=lambda replica: own[replica]
+            + source.estimate_peer_load(now, replica, own[replica], own[replica]).total_tokens,
         )
 
     def _finish(self, now: int, dispatcher: int, replica: int) -> None:
--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -148,7 +148,7 @@
             await self._pump(reply, send)
         except BaseException:
             if pending:
-                pending.left()
+                pending.handle_disconnect()
             raise
         finally:
             watch.cancel()
@@ -172,7 +172,7 @@
             pass
         reply.disconnected = True
         if pending:
-            pending.left()
+            pending.handle_disconnect()
         reply.messages.put_nowait(None)  # there is no client to write to
 
     @staticmethod
--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -10,7 +10,7 @@
 
 from pearhill.chat.errors import JSON, ApiError, ErrorType, ReplicaErrorResponse, retry_headers
 from pearhill.chat.prompt import ResponseFormat
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.http1.handler import Reply
 from pearhill.http1.messages import Headers
 
@@ -41,7 +41,7 @@
         self._spawn = spawn
         self._interval = interval
         self._last_sent = 0
-        self._key: Key | None = None
+        self._key: TimerKey | None = None
         self._reply: Reply | None = None
         self.write_pending = False  # an event waits for a slow client: a comment would only wait behind it
 
@@ -51,7 +51,7 @@
             self._last_sent = self._deadlines.clock()
             self._reply = reply
             if self._key is None:
-                self._key = self._deadlines.at(self._last_sent + self._interval, self._due)
+                self._key = self._deadlines.schedule_at(self._last_sent + self._interval, self._due)
 
     def stop(self) -> None:
         """Send nothing any more."""
@@ -68,7 +68,7 @@
             self._last_sent = now
             if not self.write_pending:
                 self._spawn(self._reply.write(HEARTBEAT))
-        self._key = self._deadlines.at(self._last_sent + self._interval, self._due)
+        self._key = self._deadlines.schedule_at(self._last_sent + self._interval, self._due)
 
 
 class Answer:
@@ -166,7 +166,7 @@
         """Whether the client has gone."""
         return self.reply.has_disconnected()
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """The client has disconnected."""
         self._end(CLIENT_CLOSED_REQUEST, "client_left")
 
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -22,7 +22,7 @@
 from pearhill.chat.meter import UsageMeter
 from pearhill.chat.records import Record
 from pearhill.chat.schema.answers import UsageReport
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.http1.messages import Headers
 
 REJECTIONS_INTERVAL_US = 1_000_000  # the rejections of an interval are one charge a tenant and key
@@ -101,7 +101,7 @@
         """Whether nobody waits for the answer."""
         return self._inner.has_disconnected()
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """The client has disconnected, and the request is not seen through without it."""
         self._settle(c.DISCONNECTED)
 
@@ -135,7 +135,7 @@
         self._budgets = Budgets(settings.plan, deadlines.clock())
         self._journal = ChargeJournal(self._budgets, settings.uncounted_tokens)
         self._rejections: Counter[tuple[str, str]] = Counter()  # by tenant and key, since the last charge for them
-        self._timers: dict[str, Key] = {}
+        self._timers: dict[str, TimerKey] = {}
 
     def open(self) -> None:
         """Recover the balances and start the timers.
@@ -225,12 +225,12 @@
 
     def _tick(self) -> None:
         next_due = self._budgets.tick(self._deadlines.clock())
-        self._timers["tick"] = self._deadlines.at(next_due, self._tick)
+        self._timers["tick"] = self._deadlines.schedule_at(next_due, self._tick)
 
     def _charge_rejections_each_interval(self) -> None:
         self._charge_rejections()
         next_due = self._deadlines.clock() + REJECTIONS_INTERVAL_US
-        self._timers["rejections"] = self._deadlines.at(next_due, self._charge_rejections_each_interval)
+        self._timers["rejections"] = self._deadlines.schedule_at(next_due, self._charge_rejections_each_interval)
 
     def _charge_rejections(self) -> None:
         """Append one charge for all rejections of a tenant and key.
--- a/pearhill/chat/dialect.py
+++ b/pearhill/chat/dialect.py
@@ -53,11 +53,11 @@
     replica_keys: Mapping[int, str] = field(default_factory=dict)
     default_key: str = ""
 
-    def request(self, payload: ChatPayload, replica: int, wait_ms: int) -> bytes:
-        """An attempt's request; `wait_ms`: the client's time that is left."""
+    def request(self, payload: ChatPayload, replica: int, remaining_ms: int) -> bytes:
+        """An attempt's request; `remaining_ms`: the client's time that is left."""
         headers = [
             ("Request-Id", payload.id),
-            ("Request-Timeout-Ms", str(wait_ms)),
+            ("Request-Timeout-Ms", str(remaining_ms)),
             ("Content-Type", "application/json"),
             ("Accept", "text/event-stream"),
             *self._authorization(replica),
@@ -80,7 +80,7 @@
         """What reads the response to this request."""
         return ChatStream(payload.wants_usage, payload.max_answer_bytes, payload.meter)
 
-    def accepts(self, headers: Mapping[str, str]) -> bool:
+    def is_stream(self, headers: Mapping[str, str]) -> bool:
         """Whether a 200 with these headers has an event stream as its body, as it has without a content type."""
         content_type = headers.get("content-type", "text/event-stream").partition(";")[0]
         return content_type.strip().lower() == "text/event-stream"
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -16,7 +16,7 @@
 
 from pearhill.chat.answers import Answer, Spawn
 from pearhill.chat.errors import ReplicaErrorResponse
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 
 RECORD_OVERHEAD_BYTES = 512  # what a record costs beside its answer
 
@@ -47,7 +47,7 @@
         self.followers = 0
         self.store: Store | None = None
         self.key = b""
-        self.expiry: Key | None = None
+        self.expiry: TimerKey | None = None
         self._parts: list[bytes] = []
         self._retry_after = 0  # microseconds, of a rejection
         self._replica_error: ReplicaErrorResponse | None = None
@@ -157,9 +157,9 @@
         self._task = spawn(record.replay(answer))
         self._task.add_done_callback(self._done)
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """The client has disconnected."""
-        self._answer.left()
+        self._answer.handle_disconnect()
         self._task.cancel()
 
     def _done(self, task: asyncio.Task[None]) -> None:
@@ -213,7 +213,7 @@
         if record.state == RecordState.REJECTED:
             self._forget(record)
             return
-        record.expiry = self._deadlines.after(self._keep, lambda: self._forget(record))
+        record.expiry = self._deadlines.schedule_after(self._keep, lambda: self._forget(record))
         self._complete[record.key] = record
         self._free(0)
 
--- a/pearhill/chat/replica_stream.py
+++ b/pearhill/chat/replica_stream.py
@@ -31,7 +31,7 @@
             meter.restart()
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether `[DONE]` has come."""
         return self._is_complete
 
@@ -53,7 +53,7 @@
             raise MalformedResponseError("the answer is too large")
         return forwarded
 
-    def ends_well(self) -> bool:
+    def may_end(self) -> bool:
         """Whether the response may end here."""
         return self._is_complete
 
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -45,13 +45,13 @@
         self.request: Request | None = None
         self.settling: SettlingClient | None = None
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """The client has disconnected."""
-        self._answer.left()
+        self._answer.handle_disconnect()
         if self.settling:
-            self.settling.left()
+            self.settling.handle_disconnect()
         if self.request:
-            self._dispatcher.disconnect(self.request)
+            self._dispatcher.handle_disconnect(self.request)
 
 
 class RequestPlacement:
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -48,7 +48,7 @@
             node.on_report = self.accounting.log_top_tenants
         self.fleet = Fleet(setup.fleet, setup.seed, node.deadlines, self._own_load) if setup.fleet else None
         if self.fleet:
-            self.fleet.on_count = node.share_work
+            self.fleet.on_count_change = node.share_work
         self._eureka = self._new_eureka(setup)
         self._address: Address | None = None
         self._fetching: asyncio.Task[None] | None = None
@@ -56,7 +56,7 @@
 
     def is_ready(self) -> bool:
         """Whether load balancers should send requests here."""
-        return not self.node.drain.out_of_rotation and self.node.dispatcher.can_answer
+        return not self.node.drain.out_of_rotation and self.node.dispatcher.has_ready_decoder
 
     async def open(self) -> None:
         """Recover the budgets, join the fleet and take the first endpoint list.
@@ -121,7 +121,7 @@
         self.node.close()
 
     def _own_load(self) -> list[ReplicaLoad]:
-        return [ReplicaLoad(*row) for row in self.node.dispatcher.router.own_load()]
+        return [ReplicaLoad(*row) for row in self.node.dispatcher.router.own_loads()]
 
     def _open_accounting(self, accounting: BudgetAccounting) -> None:
         try:
@@ -137,7 +137,7 @@
             host, port = await fleet.open()
         except OSError as e:
             raise OSError(f"fleet.listen: {address[0]}:{address[1]}: {e.strerror or e}") from None
-        self.node.dispatcher.router.use_peers(fleet.sources)
+        self.node.dispatcher.router.set_peer_load_source(fleet.sources)
         logger.info("fleet: {name} talks on {host}:{port}", name=name, host=host, port=port)
 
     def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
@@ -192,8 +192,8 @@
     node = service.node
     operations = Operations(
         node,
-        lambda: node.accepting and node.dispatcher.can_answer,
-        lambda: service.fleet.told(node) if service.fleet else None,
+        lambda: node.accepting and node.dispatcher.has_ready_decoder,
+        lambda: service.fleet.figures(node) if service.fleet else None,
     )
     await node.serve(
         setup.listen,
--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -15,7 +15,7 @@
 from pearhill.routing.actions import SendAttempt
 from pearhill.routing.events import AttemptEnded, Event, ResponseStarted
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
-from pearhill.routing.permissions import Denied, Execution, attempt_denial, retry_denial, start_denial
+from pearhill.routing.permissions import Denied, Execution, attempt_denial, retry_denial, send_denial
 from pearhill.routing.topology import Role
 from pearhill.settings import Deployment
 
@@ -51,7 +51,7 @@
         """Make an attempt, unless it is denied: then it ends as NOT_SENT."""
         now = self._clock()
         if not request.answered and request.client.has_disconnected():  # No connection is opened for it then.
-            self._requests.disconnect(request)
+            self._requests.handle_disconnect(request)
         attempt = self._next_attempt(request, action, now)
         denied = self._denied(attempt)
         if denied:
@@ -127,8 +127,8 @@
         written; and in a busy event loop neither may have been noticed yet.
         """
         if not attempt.ended and attempt.request.client.has_disconnected():
-            self._requests.disconnect(attempt.request)
-        if start_denial(self._clock(), attempt.send_before):
+            self._requests.handle_disconnect(attempt.request)
+        if send_denial(self._clock(), attempt.send_before):
             self.withdraw(attempt)
         return not attempt.ended
 
@@ -141,7 +141,7 @@
         if attempt.ended:
             return
         sent = self._backend().cancel(attempt)
-        self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold=sent)
+        self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold_state=sent)
 
     def start_response(self, attempt: Attempt) -> bool:
         """The first event of the answer is here: its attempt and its request have no deadline any more."""
@@ -163,7 +163,7 @@
         attempt: Attempt,
         outcome: Outcome,
         cached_tokens: int = 0,
-        may_hold: bool = False,
+        may_hold_state: bool = False,
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
@@ -171,7 +171,7 @@
         if attempt.ended:
             return
         elapsed = self._close(attempt, outcome)
-        self._note_effects(attempt, outcome, may_hold)
+        self._note_effects(attempt, outcome, may_hold_state)
         self._answer(attempt, outcome, replica_error)
         request = attempt.request
         self._feed(
@@ -200,10 +200,10 @@
         log_attempt_ended(attempt, outcome, elapsed)
         return elapsed
 
-    def _note_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
+    def _note_effects(self, attempt: Attempt, outcome: Outcome, may_hold_state: bool) -> None:
         """Record on the request what the attempt may have left behind: a state, or the request's effect."""
         request = attempt.request
-        if may_hold and not attempt.response_started:
+        if may_hold_state and not attempt.response_started:
             request.state_holders.add(attempt.replica)
             request.interrupted = request.interrupted or outcome not in (Outcome.PREFILLED, Outcome.ERROR)
         if outcome == Outcome.PREFILLED:
@@ -246,7 +246,7 @@
         time by which the state has to be released runs on. Where the attempt did arrive, holders ignore the release.
         """
         request = attempt.request
-        if attempt.ended or not request.state_holders or not self._backend().has_started(attempt):
+        if attempt.ended or not request.state_holders or not self._backend().may_have_been_sent(attempt):
             return
         self._counters.unconfirmed += 1
         log_unconfirmed_fetch(attempt)
@@ -260,7 +260,7 @@
         if not sent:
             outcome = self._unsent_outcome(attempt)
         # A prefill may have ended well at the very moment of its closing, and its state stays pinned.
-        self.end(attempt, outcome, may_hold=sent)
+        self.end(attempt, outcome, may_hold_state=sent)
 
     def _unsent_outcome(self, attempt: Attempt) -> Outcome:
         """How an attempt ends that was never sent: a fault of its replica only if it is listed and had a client."""
--- a/pearhill/core/backend.py
+++ b/pearhill/core/backend.py
@@ -20,7 +20,7 @@
         False: the replica surely never had the complete request.
         """
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         """Whether any byte of the attempt may have been written."""
 
     def check_health(self, replica: int) -> None:
--- a/pearhill/core/deadlines.py
+++ b/pearhill/core/deadlines.py
@@ -7,19 +7,19 @@
 from sortedcontainers import SortedDict
 
 Clock = Callable[[], int]  # microseconds
-Key = tuple[int, int]  # when a deadline is due, and its place among those of that time
+TimerKey = tuple[int, int]  # when a deadline is due, and its place among those of that time
 
 
 class Deadlines:
     """Callbacks by due time, in microseconds of the clock passed in.
 
-    `on_sooner` is called with the earliest due time whenever that moves forward.
+    `on_earlier_due` is called with the earliest due time whenever that moves forward.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.on_sooner: Callable[[int], None] = lambda at: None
-        self._due: SortedDict[Key, Callable[[], None]] = SortedDict()
+        self.on_earlier_due: Callable[[int], None] = lambda at: None
+        self._due: SortedDict[TimerKey, Callable[[], None]] = SortedDict()
         self._count = 0
 
     def __len__(self) -> int:
@@ -30,25 +30,25 @@
         """When the next callback is due; None: there is none."""
         return self._due.peekitem(0)[0][0] if self._due else None
 
-    def at(self, when: int, callback: Callable[[], None]) -> Key:
+    def schedule_at(self, when: int, callback: Callable[[], None]) -> TimerKey:
         """Call back at a time, or in the next sweep if that has passed; the key cancels it."""
         self._count += 1
         key = (when, self._count)
         self._due[key] = callback
         if self._due.peekitem(0)[0] == key:
-            self.on_sooner(when)
+            self.on_earlier_due(when)
         return key
 
-    def after(self, wait: int, callback: Callable[[], None]) -> Key:
+    def schedule_after(self, wait: int, callback: Callable[[], None]) -> TimerKey:
         """Call back in `wait` microseconds; the key cancels it."""
-        return self.at(self.clock() + wait, callback)
+        return self.schedule_at(self.clock() + wait, callback)
 
-    def cancel(self, key: Key | None) -> None:
+    def cancel(self, key: TimerKey | None) -> None:
         """Remove a deadline; nothing happens if it has passed already, or for None."""
         if key is not None:
             self._due.pop(key, None)
 
-    def sweep(self) -> None:
+    def run_due(self) -> None:
         """Run what is due. What a callback adds, for now or for the past, waits for the next sweep."""
         now = self.clock()
         last = self._count
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -84,9 +84,9 @@
         return self._endpoints.by_replica
 
     @property
-    def can_answer(self) -> bool:
+    def has_ready_decoder(self) -> bool:
         """Whether a replica that decodes is listed as ready."""
-        return self._endpoints.can_answer(self.deployment.router.kinds)
+        return self._endpoints.has_ready_decoder(self.deployment.router.kinds)
 
     # From a front end.
 
@@ -98,9 +98,9 @@
         """Count a request that a front end has rejected and not passed on."""
         self._requests.record_rejection(request_class, reason)
 
-    def disconnect(self, request: Request) -> None:
+    def handle_disconnect(self, request: Request) -> None:
         """The client has gone. Its attempt is cancelled, even one that is being answered."""
-        self._requests.disconnect(request)
+        self._requests.handle_disconnect(request)
 
     # From the endpoint list and the configuration.
 
@@ -116,7 +116,7 @@
             for request in self.requests.values()
             if (attempt := request.current_attempt)
             and not self._endpoints.accepts_requests(attempt.replica)
-            and not self._required_backend().has_started(attempt)
+            and not self._required_backend().may_have_been_sent(attempt)
         ]
         self._events.feed(EndpointsUpdated(full, endpoints))
         for attempt in unlisted:
@@ -150,7 +150,9 @@
         match action:
             case SetTimer(timer, delay):
                 # From now on it would run out later than the router reckons, after a stall behind the core's deadline.
-                self.deadlines.at(self._events.event_time + delay, lambda: self._events.feed(TimerFired(timer)))
+                self.deadlines.schedule_at(
+                    self._events.event_time + delay, lambda: self._events.feed(TimerFired(timer))
+                )
             case LogMessage(text):
                 logger.info("router: {text}", text=text)
             case SendHealthCheck(replica):
--- a/pearhill/core/request.py
+++ b/pearhill/core/request.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from pearhill.core.client import Client
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.routing.events import AdmissionStatus
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.permissions import Execution
@@ -62,7 +62,7 @@
     execution: Execution | None = None
     prefill_replica: int = 0
     last_outcome: str = ""
-    deadline_timer: Key | None = None
+    deadline_timer: TimerKey | None = None
 
 
 class AttemptOwner(Protocol):
@@ -87,7 +87,7 @@
         attempt: Attempt,
         outcome: Outcome,
         cached_tokens: int,
-        may_hold: bool,
+        may_hold_state: bool,
         retry_after: int,
         replica_error: Any,
     ) -> None:
@@ -147,10 +147,10 @@
         self.ended = False
         self.last_forwarded_at = 0
         self._owner = owner
-        self._timeout_timer: Key | None = owner.deadlines.at(deadline, lambda: owner.expire(self))
-        self._release_timer: Key | None = None
+        self._timeout_timer: TimerKey | None = owner.deadlines.schedule_at(deadline, lambda: owner.expire(self))
+        self._release_timer: TimerKey | None = None
         if release_at:
-            self._release_timer = owner.deadlines.at(release_at, lambda: owner.release_unless_fetched(self))
+            self._release_timer = owner.deadlines.schedule_at(release_at, lambda: owner.release_unless_fetched(self))
 
     @property
     def timeout(self) -> int:
@@ -177,17 +177,17 @@
         self,
         outcome: Outcome,
         cached_tokens: int = 0,
-        may_hold: bool = False,
+        may_hold_state: bool = False,
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
         """The attempt is over.
 
-        `may_hold`: the replica may hold a state for the request, however the attempt ended. `retry_after`: for how
-        long, in microseconds, the replica wants nothing more. `replica_error`: the replica's error that is the client's
-        final answer; its form is agreed between the backend's dialect and the front end.
+        `may_hold_state`: the replica may hold a state for the request, however the attempt ended. `retry_after`: for
+        how long, in microseconds, the replica wants nothing more. `replica_error`: the replica's error that is the
+        client's final answer; its form is agreed between the backend's dialect and the front end.
         """
-        self._owner.end(self, outcome, cached_tokens, may_hold, retry_after, replica_error)
+        self._owner.end(self, outcome, cached_tokens, may_hold_state, retry_after, replica_error)
 
     def cancel_timers(self) -> None:
         """Cancel the attempt's deadline and the release of what it fetches."""
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -63,7 +63,7 @@
             self.reject(request, 0, EXPIRED)
             del self.open_requests[request.number]
             return request
-        request.deadline_timer = self._deadlines.at(deadline, lambda: self._deadline_exceeded(request))
+        request.deadline_timer = self._deadlines.schedule_at(deadline, lambda: self._deadline_exceeded(request))
         self._feed(_arrival(request.number, spec, max(1, deadline - now)), now)
         return request
 
@@ -73,7 +73,7 @@
         self._counters.refused += 1
         self._count(request_class, BUSY)
 
-    def disconnect(self, request: Request) -> None:
+    def handle_disconnect(self, request: Request) -> None:
         """The client has gone: nothing more is owed, and the attempt is cancelled, even one that is being answered."""
         if request.answered:
             return
--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -10,7 +10,7 @@
 class Pending(Protocol):
     """A request that is being answered."""
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """Its client has gone."""
 
 
@@ -39,7 +39,10 @@
         """The answer is cut, after these last bytes."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, checked now. Then `Pending.left` has been called, or is once there is one."""
+        """Whether the client has gone, checked now.
+
+        Then `Pending.handle_disconnect` has been called, or is once there is one.
+        """
 
 
 class Handler(Protocol):
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -57,7 +57,9 @@
             continue
         others = 0.0
         if router.peers:
-            _, others, _ = router.peers.others(now, replica_id, replica.tokens_queued, replica.tokens_in_flight)
+            _, others, _ = router.peers.estimate_peer_load(
+                now, replica_id, replica.tokens_queued, replica.tokens_in_flight
+            )
         total += replica.tokens_in_flight + others
     return total
 
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -146,16 +146,18 @@
 
     def _prefill(self, attempt: Attempt) -> None:
         wait = self._exponential_us(CLOCK_PREFILL_S)
-        self._deadlines.after(wait, lambda: attempt.end(Outcome.PREFILLED, PROMPT_TOKENS // 2, may_hold=True))
+        self._deadlines.schedule_after(
+            wait, lambda: attempt.end(Outcome.PREFILLED, PROMPT_TOKENS // 2, may_hold_state=True)
+        )
 
     def _decode(self, attempt: Attempt) -> None:
         def start() -> None:
             """Start the response, unless the attempt is over, and end it in its time."""
             if attempt.start_response():
                 wait = self._exponential_us(ANSWER_TOKENS * TOKEN_INTERVAL_S)
-                self._deadlines.after(wait, lambda: attempt.end(Outcome.ANSWERED, PROMPT_TOKENS // 2))
+                self._deadlines.schedule_after(wait, lambda: attempt.end(Outcome.ANSWERED, PROMPT_TOKENS // 2))
 
-        self._deadlines.after(int(TOKEN_INTERVAL_S * US_PER_S), start)
+        self._deadlines.schedule_after(int(TOKEN_INTERVAL_S * US_PER_S), start)
 
     def _exponential_us(self, mean_s: float) -> int:
         return int(self._rng.expovariate(1 / mean_s) * US_PER_S)
@@ -164,13 +166,13 @@
         """There is no connection to close."""
         return True
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         """An attempt starts as it is sent."""
         return True
 
     def check_health(self, replica: int) -> None:
         """Every replica answers, with the same load."""
-        self._deadlines.after(
+        self._deadlines.schedule_after(
             HEALTH_CHECK_US, lambda: self._dispatcher.health_check_ended(replica, Outcome.ANSWERED, REPLICA_LOAD)
         )
 
@@ -197,7 +199,7 @@
 
     def _schedule(self) -> None:
         self._next_at += int(self._rng.expovariate(self._rate_per_s) * US_PER_S)
-        self._deadlines.at(self._next_at, self._arrive)
+        self._deadlines.schedule_at(self._next_at, self._arrive)
 
     def _arrive(self) -> None:
         if self._stopped:
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -78,7 +78,7 @@
         self._query_timeout = _query_timeout(settings)
         self._set_query_roles()
 
-    def use_peers(self, peers: PeerLoadSource | None) -> None:
+    def set_peer_load_source(self, peers: PeerLoadSource | None) -> None:
         """Take the other dispatchers' load from this source; None: from no one.
 
         What they share costs nothing more, so that every choice is queried.
@@ -91,7 +91,7 @@
 
     # For the other dispatchers, and for operators.
 
-    def own_load(self) -> list[OwnLoad]:
+    def own_loads(self) -> list[OwnLoad]:
         """This dispatcher's tokens at each replica where it has any."""
         return [
             OwnLoad(replica.id, replica.tokens_queued, replica.tokens_in_flight)
@@ -99,7 +99,7 @@
             if replica.tokens_queued or replica.tokens_in_flight
         ]
 
-    def loads(self, now: int) -> dict[int, ReplicaStatus]:
+    def replica_statuses(self, now: int) -> dict[int, ReplicaStatus]:
         """The status of each listed replica."""
         ejected = self._ejected_by_router(now)
         return {
@@ -113,7 +113,7 @@
 
     def avoided_count(self, now: int) -> int:
         """How many listed replicas get no new requests now."""
-        return sum(status.avoided for status in self.loads(now).values())
+        return sum(status.avoided for status in self.replica_statuses(now).values())
 
     def _ejected_by_router(self, now: int) -> set[int]:
         """Listed replicas that get nothing new for now, by the list's phase or by the router's outlier detection."""
@@ -218,7 +218,7 @@
         replica = self.router.replicas.get(number)
         if self.peers is None or replica is None or report.confidence > MIN_REPORT_CONFIDENCE:
             return report
-        others = self.peers.others(now, number, replica.tokens_queued, replica.tokens_in_flight)
+        others = self.peers.estimate_peer_load(now, number, replica.tokens_queued, replica.tokens_in_flight)
         # In a fleet of hundreds most of the sum is never fresh. What is not is assumed to be the mean of what is, so
         # that a small part says as much as a sample does.
         if others.confidence <= MIN_PEER_CONFIDENCE:
--- a/pearhill/load_reports/peer_load_source.py
+++ b/pearhill/load_reports/peer_load_source.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple, Protocol
 
 
-class OthersLoad(NamedTuple):
+class PeerLoadEstimate(NamedTuple):
     """The other dispatchers' tokens at one replica: yet to be prefilled there, and in flight there in all.
 
     `confidence`: how much of that is fresh (1) and how much is assumed (0).
@@ -19,5 +19,5 @@
 class PeerLoadSource(Protocol):
     """Other dispatchers that share what they have in flight (`pearhill.membership`)."""
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> PeerLoadEstimate:
         """What the others have at a replica where this dispatcher has so many tokens."""
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 
 HALF_LIFE_US = 750_000  # of a digest: some gossip intervals, and the length of a prefill
 MAX_HALF_LIVES = 8  # after which a digest counts nothing
@@ -50,7 +50,8 @@
         # By replica there are few rows; a walk through all peers would make each choice slower the more there are.
         self._by_replica: dict[int, dict[str, ReplicaLoad]] = {}
         self._counted: Collection[str] = ()
-        self._weights: dict[str, float] = {}  # of those counted: as of the last `weigh`, and 1 if received since
+        # Of those counted: as of the last `update_weights`, and 1 if received since.
+        self._weights: dict[str, float] = {}
         self._total_weight = 1.0  # their sum, and 1 for this dispatcher, whose own work is known
 
     def receive(self, now: int, name: str, version: Version, rows: Iterable[ReplicaLoad]) -> bool:
@@ -73,7 +74,7 @@
         last = self._last.get(name)
         return last.rows.get(replica) if last else None
 
-    def weigh(self, now: int, counted: Collection[str]) -> None:
+    def update_weights(self, now: int, counted: Collection[str]) -> None:
         """Compute anew which peers count, and how much.
 
         Called at every gossip interval, within which hardly anything fades, and not at a choice, which would become
@@ -84,12 +85,15 @@
             self._weights = {name: self.weight(now, name) for name in counted}
             self._total_weight = 1 + sum(self._weights.values())
 
-    def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> OthersLoad:
-        """The sum over the peers that are `counted`, whether they can be reached or not; `counted` as in `weigh`.
+    def estimate_peer_load(
+        self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad
+    ) -> PeerLoadEstimate:
+        """The sum over the peers that are `counted`, whether they can be reached or not.
 
+        `counted` as in `update_weights`.
         A peer of which nothing is known counts as the mean of this dispatcher and all of which something is known.
         """
-        self.weigh(now, counted)
+        self.update_weights(now, counted)
         queued = float(own.queued_tokens)
         total = float(own.total_tokens)
         weights = self._weights
@@ -102,7 +106,7 @@
         peers = len(weights)
         unknown = peers + 1 - known
         scale = 1 + unknown / known
-        return OthersLoad(
+        return PeerLoadEstimate(
             max(0.0, queued * scale - own.queued_tokens),
             max(0.0, total * scale - own.total_tokens),
             (known - 1) / peers if peers else 1.0,
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.load_reports.peer_loads import PeerLoads, ReplicaLoad, largest_loads
-from pearhill.membership.members import Members, MemberState, MemberUpdate, Payload
+from pearhill.membership.members import MemberState, MemberUpdate, Payload, SwimMembership
 from pearhill.membership.replay_window import ReplayWindow
 
 PARTITION_SHARE = 1 / 3  # of the fleet: more than that, dead together, is a network partition
@@ -42,7 +42,7 @@
         rng: random.Random,
         own_loads: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
-        self.members = Members(name, peers, started, started, rng)
+        self.members = SwimMembership(name, peers, started, started, rng)
         self.peer_loads = PeerLoads()
         self._own_loads = own_loads
         self._sequence = 0
@@ -53,7 +53,7 @@
         """The messages that are due."""
         payloads = self.members.tick(now)
         self._counted_peers = self.counted(now)
-        self.peer_loads.weigh(now, self._counted_peers)
+        self.peer_loads.update_weights(now, self._counted_peers)
         return self._messages(payloads)
 
     def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
@@ -106,10 +106,10 @@
         """Dispatchers that share the work, this one among them."""
         return len(self.counted(now)) + 1
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
         own = ReplicaLoad(replica, queued_tokens, total_tokens)
-        return self.peer_loads.others(now, replica, self._counted_peers, own)
+        return self.peer_loads.estimate_peer_load(now, replica, self._counted_peers, own)
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Name the peers anew. What is known of those that stay, stays."""
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -94,7 +94,7 @@
     request_number: int = 0
 
 
-class Members:
+class SwimMembership:
     """`incarnation` must grow with each start of the same name: the time of the start does."""
 
     def __init__(self, name: str, peers: Iterable[str], incarnation: int, now: int, rng: random.Random) -> None:
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.membership.aggregation_messages import Sums
 from pearhill.membership.gauges import TOKENS, unpack
 from pearhill.membership.known_table import KnownTable
@@ -100,24 +100,24 @@
         """
         return self.counted if self._settled else None
 
-    def others(
+    def estimate_peer_load(
         self, now: int, table: KnownTable | None, replica: int, queued_tokens: int, total_tokens: int
-    ) -> OthersLoad:
+    ) -> PeerLoadEstimate:
         """What the others have at a replica where this dispatcher has so many queued tokens, and in all.
 
         `table`: of the aggregator the sums come from.
         """
         others = (self.counted or 1) - 1
         if others <= 0:
-            return OthersLoad(0.0, 0.0, 1.0 if self.counted else 0.0)
+            return PeerLoadEstimate(0.0, 0.0, 1.0 if self.counted else 0.0)
         peer_load = self.peer_load(now, table, replica)
         if peer_load is None:
-            return OthersLoad(float(others * queued_tokens), float(others * total_tokens), 0.0)
+            return PeerLoadEstimate(float(others * queued_tokens), float(others * total_tokens), 0.0)
         # Each of whom nothing is known counts as the mean of all of whom something is, this dispatcher among them.
         weight = 0.5 ** (max(0, now - peer_load.reported_at) / SUMS_HALF_LIFE_US)
         known = weight * min(peer_load.reporting, others)
         scale = (1 + others) / (1 + known)
-        return OthersLoad(
+        return PeerLoadEstimate(
             max(0.0, (queued_tokens + weight * peer_load.queued_tokens) * scale - queued_tokens),
             max(0.0, (total_tokens + weight * peer_load.total_tokens) * scale - total_tokens),
             known / others,
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
     MAX_UNASSIGNED,
@@ -317,9 +317,9 @@
         """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has reported."""
         return self._sums.count()
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
-        return self._sums.others(now, self._sums_table(), replica, queued_tokens, total_tokens)
+        return self._sums.estimate_peer_load(now, self._sums_table(), replica, queued_tokens, total_tokens)
 
     def peer_load(self, now: int, replica: int) -> PeerLoad | None:
         """What the others reported at a replica; None: no sums of it are known, or they are too old."""
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -12,7 +12,7 @@
 from pearhill.http1.server import Rejected
 from pearhill.net.client_socket import ClientSocket, ConnectionOwner
 from pearhill.net.unread_input import UnreadInput, peek_unread_input
-from pearhill.routing.permissions import ConnectionUse, may_close
+from pearhill.routing.permissions import ConnectionState, may_close
 
 REQUEST_TIMEOUT_US = 2_000_000  # a request is complete by then, from its first byte
 # The first one's time begins so long after its accept at the latest. Bad clients have to be ended within 3 s.
@@ -47,24 +47,25 @@
         return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
 
     @property
-    def use(self) -> ConnectionUse:
+    def state(self) -> ConnectionState:
         """What it is good for now."""
         if self.closed or not self.idle_but_reading:
-            return ConnectionUse.ANSWERING
+            return ConnectionState.ANSWERING
         if self.ending:
-            return ConnectionUse.FINISHED
+            return ConnectionState.FINISHED
         if self.intake.in_message:
-            return ConnectionUse.PARTIAL_REQUEST
-        return ConnectionUse.IDLE if self.requests else ConnectionUse.UNUSED
+            return ConnectionState.PARTIAL_REQUEST
+        return ConnectionState.IDLE if self.requests else ConnectionState.UNUSED
 
     @property
     def may_close(self) -> bool:
         """Whether it may be ended so that another can be accepted."""
-        use = self.use
+        state = self.state
         unread = False
-        if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # a system call: only where it can matter
+        # A system call: only where it can matter.
+        if state not in (ConnectionState.FINISHED, ConnectionState.ANSWERING):
             unread = peek_unread_input(self.sock) != UnreadInput.NONE
-        return may_close(use, unread, self.owner.deadlines.clock() - self.since)
+        return may_close(state, unread, self.owner.deadlines.clock() - self.since)
 
     @property
     def owes_a_request(self) -> bool:
@@ -156,7 +157,7 @@
                 self.answer(500)
             return
         if self.closed and pending:  # the client's end was seen while the request was handled
-            pending.left()
+            pending.handle_disconnect()
         elif self._is_answering(number):
             self.pending = pending
 
@@ -185,9 +186,9 @@
         if self.closed or self.answering or self.ending:
             return
         if self.owes_a_request:
-            self._timer = deadlines.at(self.since + REQUEST_TIMEOUT_US, self._request_overdue)
+            self._timer = deadlines.schedule_at(self.since + REQUEST_TIMEOUT_US, self._request_overdue)
         else:
-            self._timer = deadlines.at(self.since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
+            self._timer = deadlines.schedule_at(self.since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
 
     def _request_overdue(self) -> None:
         """The time for a request is over: its client has sent a part of it, or nothing at all."""
@@ -225,11 +226,11 @@
             case UnreadInput.UNKNOWN:
                 deadlines = self.owner.deadlines
                 deadlines.cancel(self._timer)
-                self._timer = deadlines.after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
+                self._timer = deadlines.schedule_after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
 
     def _on_closed(self) -> None:
         """Notify the handler that the client of the request being answered has disconnected."""
         pending = self.pending
         self.pending = None
         if pending:
-            pending.left()
+            pending.handle_disconnect()
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.net.address import Address
@@ -35,7 +35,7 @@
         self.deadlines = deadlines
         self.datagrams = datagrams
         self.on_tick: Callable[[int], None] = lambda now: None  # called after each tick, with its time
-        self._tick_key: Key | None = None
+        self._tick_key: TimerKey | None = None
 
     def start(self) -> None:
         """Begin to tick and to receive, once the socket is open."""
@@ -50,7 +50,7 @@
 
     def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._tick_key = self.deadlines.at(now + AGGREGATOR_TICK_US, self._tick)
+        self._tick_key = self.deadlines.schedule_at(now + AGGREGATOR_TICK_US, self._tick)
         for message in self.aggregator.tick(now):
             address = self.peers.get(message.to)
             if address:
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import TimerKey
 from pearhill.core.request import Attempt
 from pearhill.http1.client import MAX_CHUNK, Data, End, Event, Head, Lost
 from pearhill.net.address import Address
@@ -62,10 +62,10 @@
         self.forwarding = False  # events wait for a slow client
         self.body = bytearray()
         self.stream = owner.dialect.stream(attempt.request.payload)
-        self._stall_timer: Key | None = None
-        self._send_timer: Key | None = None
+        self._stall_timer: TimerKey | None = None
+        self._send_timer: TimerKey | None = None
         if attempt.send_before:
-            self._send_timer = owner.pool.deadlines.at(attempt.send_before, self._send_overdue)
+            self._send_timer = owner.pool.deadlines.schedule_at(attempt.send_before, self._send_overdue)
         self.task: asyncio.Task[None] | None = owner.pool.spawn(self._run())
 
     # The request.
@@ -95,13 +95,13 @@
             return self._finish(Outcome.UNREACHABLE)
         self.owner.pool.counters.written += 1
         if connection.closed:
-            self._finish(Outcome.TRUNCATED, may_hold=True)
+            self._finish(Outcome.TRUNCATED, may_hold_state=True)
 
     def _build_request(self) -> bytes:
         """What is written, with the time that is left now."""
         attempt = self.attempt
-        wait_ms = max(1, (attempt.deadline - self.owner.pool.deadlines.clock()) // 1000)
-        return self.owner.dialect.request(attempt.request.payload, attempt.replica, wait_ms)
+        remaining_ms = max(1, (attempt.deadline - self.owner.pool.deadlines.clock()) // 1000)
+        return self.owner.dialect.request(attempt.request.payload, attempt.replica, remaining_ms)
 
     async def _connect(self, address: Address) -> PooledConnection:
         """A connection to the replica. A shortage of the system may be over in a moment: what is spent on it is time,
@@ -139,13 +139,13 @@
             case Lost():
                 # While the request is being written only the writer knows whether its last byte went out.
                 if self.connection and not self.connection.writing:
-                    self._finish(Outcome.TRUNCATED, may_hold=True)
+                    self._finish(Outcome.TRUNCATED, may_hold_state=True)
 
     def _started(self, status: int, headers: Mapping[str, str]) -> None:
         self.status = status
         self.not_started = headers.get("not-started") == "1"
         self.headers = headers
-        if status == 200 and not self.owner.dialect.accepts(headers):
+        if status == 200 and not self.owner.dialect.is_stream(headers):
             self._give_up("no-stream", Outcome.ERROR, f"an answer of type {headers.get('content-type')}")
 
     async def _forward(self, data: bytes) -> None:
@@ -166,10 +166,12 @@
             self.forwarding = False
             attempt.last_forwarded_at = deadlines.clock()
             if self._stall_timer is None and not attempt.ended:
-                self._stall_timer = deadlines.at(attempt.last_forwarded_at + STALL_TIMEOUT_US, self._check_stall)
-        if self.stream.whole and not attempt.ended:
+                self._stall_timer = deadlines.schedule_at(
+                    attempt.last_forwarded_at + STALL_TIMEOUT_US, self._check_stall
+                )
+        if self.stream.complete and not attempt.ended:
             self._finish(Outcome.ANSWERED, self.stream.cached_tokens)
-            deadlines.after(LAST_CHUNK_TIMEOUT_US, self._last_chunk_overdue)
+            deadlines.schedule_after(LAST_CHUNK_TIMEOUT_US, self._last_chunk_overdue)
 
     def _check_stall(self) -> None:
         """One deadline a stream, moved on when it is due: moved by each event it would cost more than the event."""
@@ -180,7 +182,7 @@
         stalled_at = self.attempt.last_forwarded_at + STALL_TIMEOUT_US
         if deadlines.clock() >= stalled_at:
             return self._give_up("stalled", Outcome.TRUNCATED)
-        self._stall_timer = deadlines.at(stalled_at, self._check_stall)
+        self._stall_timer = deadlines.schedule_at(stalled_at, self._check_stall)
 
     def _last_chunk_overdue(self) -> None:
         """A replica that never sends the last chunk would occupy this connection for good."""
@@ -195,23 +197,23 @@
             if verdict:
                 return self._finish(
                     verdict.outcome,
-                    may_hold=verdict.outcome not in NOT_EXECUTED,
+                    may_hold_state=verdict.outcome not in NOT_EXECUTED,
                     retry_after=verdict.retry_after,
                     replica_error=verdict.replica_error,
                 )
         if self.status == 200:
             self._stream_ended()
         elif self.status == 202:
-            self._finish(Outcome.PREFILLED, self._prefill_cached_tokens(), may_hold=True)
+            self._finish(Outcome.PREFILLED, self._prefill_cached_tokens(), may_hold_state=True)
         elif clean and self.status in (503, 504) and self.not_started:
             self._finish(Outcome.FULL)
         elif clean and self.status == 410 and self.not_started:
             self._finish(Outcome.STATE_LOST)
         else:
-            self._finish(Outcome.ERROR, may_hold=True)
+            self._finish(Outcome.ERROR, may_hold_state=True)
 
     def _stream_ended(self) -> None:
-        complete = self.attempt.response_started and self.stream.ends_well()
+        complete = self.attempt.response_started and self.stream.may_end()
         self._finish(Outcome.ANSWERED if complete else self._broken_outcome(), self.stream.cached_tokens)
 
     def _broken_outcome(self) -> Outcome:
@@ -241,14 +243,14 @@
         self,
         outcome: Outcome,
         cached_tokens: int = 0,
-        may_hold: bool = False,
+        may_hold_state: bool = False,
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
-        """End the attempt with this outcome. `may_hold`: the replica may hold state for the request."""
+        """End the attempt with this outcome. `may_hold_state`: the replica may hold state for the request."""
         self._cancel_timers()
         self.owner.forget(self.attempt)
-        self.attempt.end(outcome, cached_tokens, may_hold, retry_after, replica_error)
+        self.attempt.end(outcome, cached_tokens, may_hold_state, retry_after, replica_error)
 
     def _cancel_timers(self) -> None:
         deadlines = self.owner.pool.deadlines
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from functools import partial
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import TimerKey
 from pearhill.core.request import Attempt, Request
 from pearhill.net.address import Address
 from pearhill.net.attempt_exchange import AttemptExchange
@@ -31,7 +31,7 @@
         self.dialect = dialect
         self.addresses: dict[int, Address] = {}
         self.check_health = HealthChecks(pool, dialect, self.addresses, on_health_check).send
-        self.leaving: dict[int, Key] = {}  # replicas off the list, whose addresses go when their time is over
+        self.leaving: dict[int, TimerKey] = {}  # replicas off the list, whose addresses go when their time is over
         self.exchanges: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
@@ -57,7 +57,7 @@
     def _left(self, replica: int) -> None:
         self.pool.drop_idle(self.addresses[replica])
         forget = partial(self._forget_address, replica)
-        self.leaving[replica] = self.pool.deadlines.after(ADDRESS_RETENTION_US, forget)
+        self.leaving[replica] = self.pool.deadlines.schedule_after(ADDRESS_RETENTION_US, forget)
 
     def _forget_address(self, replica: int) -> None:
         """Where replicas come and go all day under new names, whatever is kept of each would fill the memory."""
@@ -70,7 +70,7 @@
         """Begin an attempt; it ends by `Attempt.end`."""
         self.exchanges[attempt] = AttemptExchange(self, attempt)
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         """Whether the replica may have the whole request of an attempt that has not ended."""
         exchange = self.exchanges.get(attempt)
         return exchange is not None and exchange.may_have_sent
--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.counters import Counters
 from pearhill.http1.handler import Handler
 from pearhill.net.output_buffer import OutputBuffer
@@ -57,7 +57,7 @@
         self.closed = False
         self.requests = 0
         self._bytes_after_last = 0  # read behind its last answer
-        self._timer: Key | None = None
+        self._timer: TimerKey | None = None
         self._reason = "answered"  # of its end after the last answer
         self._writer: asyncio.Task[None] | None = None  # while there is something to write
         self._reader: asyncio.Task[None] | None = owner.spawn(self._read())
@@ -138,7 +138,7 @@
 
     async def _write(self) -> None:
         while self.output.unsent and not self.closed:
-            write_timer = self.owner.deadlines.after(WRITE_TIMEOUT_US, lambda: self.close("client-stuck"))
+            write_timer = self.owner.deadlines.schedule_after(WRITE_TIMEOUT_US, lambda: self.close("client-stuck"))
             try:
                 await self.output.write_some()
             except OSError as error:
@@ -155,7 +155,7 @@
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             return self.close(self._reason)
-        self._timer = self.owner.deadlines.after(LINGER_US, lambda: self.close(self._reason))
+        self._timer = self.owner.deadlines.schedule_after(LINGER_US, lambda: self.close(self._reason))
 
     @property
     def _is_writing(self) -> bool:
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.address import Address
 
@@ -34,7 +34,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._rejected: Counter[str] = Counter()  # by reason, since the last line
         self._last_rejected_peer = ""
-        self._log_key: Key | None = None
+        self._log_key: TimerKey | None = None
 
     async def open(self, address: Address) -> Address:
         """Open the socket; the address it got. OSError: the address cannot be used."""
@@ -89,7 +89,7 @@
             reasons=",".join(f"{reason}:{count}" for reason, count in sorted(self._rejected.items())),
         )
         self._rejected.clear()
-        self._log_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
+        self._log_key = self.deadlines.schedule_after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
         """A peer's port is closed; its silence shows the same. Called by the event loop."""
--- a/pearhill/net/dialect.py
+++ b/pearhill/net/dialect.py
@@ -22,10 +22,10 @@
         """The part of the stream to forward now. MalformedResponseError: the rest cannot be trusted."""
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Nothing is missing, whatever the connection does next."""
 
-    def ends_well(self) -> bool:
+    def may_end(self) -> bool:
         """Whether the last chunk may come here."""
 
 
@@ -42,13 +42,13 @@
 class Dialect(HealthCheckDialect, ReleaseDialect, Protocol):
     """The messages of one protocol."""
 
-    def request(self, payload: Any, replica: int, wait_ms: int) -> bytes:
-        """An attempt's request; `wait_ms`: the client's time that is left."""
+    def request(self, payload: Any, replica: int, remaining_ms: int) -> bytes:
+        """An attempt's request; `remaining_ms`: the client's time that is left."""
 
     def stream(self, payload: Any) -> Stream:
         """What reads the response to this request."""
 
-    def accepts(self, headers: Mapping[str, str]) -> bool:
+    def is_stream(self, headers: Mapping[str, str]) -> bool:
         """Whether the body of a 200 with these headers is to be read as a stream."""
 
     def verdict(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict | None:
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from pearhill.net.accepted import AcceptedConnection
-from pearhill.routing.permissions import ConnectionUse
+from pearhill.routing.permissions import ConnectionState
 
 MAX_BATCH = 16  # connections of one kind that end in one go, where they are cheap to lose
 
@@ -16,7 +16,7 @@
     """A connection that can be ended, as it was when it was found; `batch`: how many of its kind end in one go."""
 
     connection: AcceptedConnection
-    use: ConnectionUse
+    state: ConnectionState
     since: int
     batch: int
 
@@ -24,7 +24,7 @@
     def unchanged(self) -> bool:
         """Whether what was found of it still holds, and it may still be ended."""
         connection = self.connection
-        return connection.use == self.use and connection.since == self.since and connection.may_close
+        return connection.state == self.state and connection.since == self.since and connection.may_close
 
 
 class ConnectionEvictor:
@@ -36,12 +36,12 @@
 
     def close_finished(self) -> None:
         """End the connections that have had their last answer."""
-        finished = [connection for connection in self._connections if connection.use == ConnectionUse.FINISHED]
+        finished = [connection for connection in self._connections if connection.state == ConnectionState.FINISHED]
         for connection in finished:
             connection.close("room-needed")
 
     def make_room(self, max_connections: int) -> bool:
-        """End some connections in the order of `ConnectionUse`: first those that have had their last answer, then
+        """End some connections in the order of `ConnectionState`: first those that have had their last answer, then
         those that never sent a request, of which hundreds would shut everyone out, then the one that has idled longest,
         and a partial request last of all."""
         # A flood of clients that stay costs a walk over all connections at each accept; most of a core went into it.
@@ -68,19 +68,19 @@
     def _least_useful(self, max_connections: int) -> list[ClosableConnection]:
         """Connections of one kind: the first kind of which there are any that can be ended."""
         # By index: a walk over thousands of connections hashes no enum member.
-        kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
+        kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionState]
         for connection in self._connections:
-            kinds[connection.use].append(connection)
+            kinds[connection.state].append(connection)
         several = max(2, min(MAX_BATCH, max_connections // 8))  # where they are cheap to lose
         batches = (
-            (ConnectionUse.FINISHED, several),
-            (ConnectionUse.UNUSED, several),
-            (ConnectionUse.IDLE, 1),
-            (ConnectionUse.PARTIAL_REQUEST, 1),
+            (ConnectionState.FINISHED, several),
+            (ConnectionState.UNUSED, several),
+            (ConnectionState.IDLE, 1),
+            (ConnectionState.PARTIAL_REQUEST, 1),
         )
-        for use, batch in batches:
-            oldest = nsmallest(4 * several, kinds[use], key=lambda connection: connection.since)
-            found = [ClosableConnection(each, use, each.since, batch) for each in oldest if each.may_close]
+        for state, batch in batches:
+            oldest = nsmallest(4 * several, kinds[state], key=lambda connection: connection.since)
+            found = [ClosableConnection(each, state, each.since, batch) for each in oldest if each.may_close]
             if found:
                 return found
         return []
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -51,7 +51,7 @@
 
 class Fleet:
     """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `sources` is for the router's
-    `use_peers`."""
+    `set_peer_load_source`."""
 
     def __init__(
         self, setup: FleetSetup, seed: int, deadlines: Deadlines, own_loads: Callable[[], Iterable[ReplicaLoad]]
@@ -63,7 +63,8 @@
         self.sources = CombinedLoadSource()
         self.gossip: Gossip | None = None
         self.reporting: Reporting | None = None
-        self.on_count: Callable[[int], None] = lambda count: None  # called with how many dispatchers share the work
+        # Called with how many dispatchers share the work.
+        self.on_count_change: Callable[[int], None] = lambda count: None
         self._own_loads = own_loads
         self._count: int | None = None
         self._logged_aggregator: str | None = ""  # None: none answers
@@ -101,7 +102,7 @@
             protocol = GossipProtocol(setup.name, setup.peers, started, rng, self._own_loads)
             self.sources.gossip = protocol
             self.gossip = Gossip(protocol, codec, setup.peers, self.deadlines, self.datagrams)
-            self.gossip.on_count = self._recount
+            self.gossip.on_count_change = self._recount
             self.gossip.start()
         elif self.gossip:
             self.gossip.close()
@@ -118,7 +119,7 @@
             reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._own_loads)
             self.sources.reporter = reporter
             self.reporting = Reporting(reporter, codec, addresses, self.deadlines, self.datagrams)
-            self.reporting.on_count = self._recount
+            self.reporting.on_count_change = self._recount
             self.reporting.on_exchange = self._log_aggregator
             self.reporting.start()
         elif self.reporting:
@@ -136,7 +137,7 @@
             count=count,
             there=self._count_received(),
         )
-        self.on_count(count)
+        self.on_count_change(count)
 
     def _count_received(self) -> int:
         """Dispatchers of which something was received lately, this one among them."""
@@ -149,7 +150,7 @@
     def _log_aggregator(self, now: int) -> None:
         """Log which aggregator answers, or that none has for longer than a move to another one takes."""
         assert self.reporting
-        if self.sources.fresh(now):
+        if self.sources.has_fresh_sums(now):
             self._no_sums_since = None
             aggregator = self.reporting.reporter.figures(now)["aggregator"]
             if aggregator != self._logged_aggregator:
@@ -164,7 +165,7 @@
                 what="the talk goes on" if self.gossip else "each goes by its own work and the last count",
             )
 
-    def told(self, node: FleetNode) -> dict[str, Any]:
+    def figures(self, node: FleetNode) -> dict[str, Any]:
         """What is known here of the fleet, for operators. `shares`: dispatchers among whom shares of cold replicas and
         the like are divided; 0: as many as the settings have."""
         now = self.deadlines.clock()
@@ -173,7 +174,7 @@
             "name": self.setup.name,
             "count": self.sources.count(now),
             "shares": node.dispatcher_count,
-            "source": self.sources.in_use(now),
+            "source": self.sources.active_source(now),
             "members": member_figures(now, self.gossip.protocol.members) if self.gossip else {},
             "reports": self.reporting.reporter.figures(now) if self.reporting else None,
             "engines": replicas,
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from pearhill.load_reports.evenness import evenness
-from pearhill.membership.members import Members
+from pearhill.membership.members import SwimMembership
 from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.net.address import Address
 
@@ -16,7 +16,7 @@
 class OwnLoads(Protocol):
     """Knows this dispatcher's load of each replica."""
 
-    def loads(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
+    def replica_statuses(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
         """By replica: own queued tokens, own tokens in all, whether this dispatcher avoids it."""
         ...
 
@@ -64,9 +64,9 @@
     """Own and others' tokens at each replica, and how evenly all tokens are spread."""
     rows: list[dict[str, Any]] = []
     totals: dict[str, float] = {}
-    for replica, (waiting, load, avoided) in node.dispatcher.router.loads(now).items():
+    for replica, (waiting, load, avoided) in node.dispatcher.router.replica_statuses(now).items():
         address = "{}:{}".format(*node.backend.addresses.get(replica, UNKNOWN_ADDRESS))
-        others = sources.others(now, replica, waiting, load)
+        others = sources.estimate_peer_load(now, replica, waiting, load)
         totals[address] = load + others.total_tokens
         rows.append(
             {
@@ -84,7 +84,7 @@
     return rows, {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)}
 
 
-def member_figures(now: int, members: Members) -> dict[str, Any]:
+def member_figures(now: int, members: SwimMembership) -> dict[str, Any]:
     """The other dispatchers as the gossip sees them."""
     return {
         name: {
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import VERSION, GossipCodec
 from pearhill.membership.members import GOSSIP_TICK_US
@@ -28,8 +28,9 @@
         self.peers = peers
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
-        self._tick_key: Key | None = None
+        # Called when another count of dispatchers shares the work.
+        self.on_count_change: Callable[[], None] = lambda: None
+        self._tick_key: TimerKey | None = None
         self._count = 0
 
     def start(self) -> None:
@@ -45,12 +46,12 @@
 
     def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._tick_key = self.deadlines.at(now + GOSSIP_TICK_US, self._tick)
+        self._tick_key = self.deadlines.schedule_at(now + GOSSIP_TICK_US, self._tick)
         self._send(self.protocol.tick(now))
         count = self.protocol.count(now)
         if count != self._count:
             self._count = count
-            self.on_count()
+            self.on_count_change()
 
     def _receive(self, data: bytes, address: Address) -> None:
         message = self.codec.unpack(data, self.protocol.members.name)
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.counters import Counters
 from pearhill.http1.handler import Handler
 from pearhill.http1.server import MAX_BODY
@@ -18,7 +18,7 @@
 from pearhill.net.address import Address
 from pearhill.net.eviction import ConnectionEvictor
 from pearhill.net.tasks import Tasks
-from pearhill.routing.permissions import ConnectionUse
+from pearhill.routing.permissions import ConnectionState
 
 BACKLOG = 1024  # connections that may wait in the accept queue
 MAX_ACCEPTS_PER_TICK = 16  # connections taken in one tick of the loop
@@ -72,7 +72,7 @@
         self.spawn = self._tasks.spawn
         self._sock: socket.socket | None = None
         self._polled = False  # connections are taken as they come
-        self._recheck: Key | None = None
+        self._recheck: TimerKey | None = None
         self._accept_failing = False  # the last accept lacked something: the next client may have waited
         self._evictor = ConnectionEvictor(self.connections)
 
@@ -103,7 +103,7 @@
         """The listening socket is open."""
         return self._sock is not None
 
-    def pause(self, on: bool) -> None:
+    def pause_accepting(self, on: bool) -> None:
         """Leave new clients to another process that takes them from the same socket, or take them again."""
         if not on:
             return self._accept()
@@ -164,7 +164,7 @@
     def _accept_later(self) -> None:
         """Polled while no connection can be taken, an accept queue that is not empty would spin the loop."""
         self._unpoll()
-        self._recheck = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
+        self._recheck = self.deadlines.schedule_after(RECHECK_INTERVAL_US, self._accept)
 
     def _poll(self, sock: socket.socket) -> None:
         if not self._polled:
@@ -193,12 +193,12 @@
     # The end.
 
     @property
-    def open(self) -> bool:
+    def has_open_connections(self) -> bool:
         """A client is connected. One that only idles may send in the last moment."""
         return any(not connection.closed for connection in self.connections)
 
     @property
-    def quiet(self) -> bool:
+    def all_answered(self) -> bool:
         """Nothing is being read, answered or written, and no last answer is still on its way."""
         return all(connection.closed or (connection.idle and not connection.ending) for connection in self.connections)
 
@@ -217,16 +217,17 @@
     def reject_partial_requests(self) -> None:
         """Answer each request that is not complete with a rejection, and end its connection."""
         for connection in list(self.connections):
-            if connection.use == ConnectionUse.PARTIAL_REQUEST:
+            if connection.state == ConnectionState.PARTIAL_REQUEST:
                 connection.reject_partial_request()
 
-    def stop_accepting(self, leave: bool = False) -> None:
-        """Close the listening socket. `leave` clients in the accept queue to another process that accepts from the
-        same socket: with no such process they are reset, and what they have sent is lost."""
+    def stop_accepting(self, leave_queue: bool = False) -> None:
+        """Close the listening socket. `leave_queue`: leave the clients in the accept queue to another
+        process that accepts from the same socket: with no such process they are reset, and what they have sent is
+        lost."""
         if not self._sock:
             return
-        self.pause(True)
-        if not leave:
+        self.pause_accepting(True)
+        if not leave_queue:
             self.accept_all()
         self._sock.close()
         self._sock = None
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -155,7 +155,7 @@
         self.idle.setdefault(connection.address, []).append(connection)
         connection.reusable_at = self.deadlines.clock() + REUSE_DELAY_US if delay_reuse else 0
         # A server closes an idle connection without a sign, and what is then sent may have been executed.
-        connection.idle_timer = self.deadlines.after(self.idle_timeout, lambda: connection.close("idle"))
+        connection.idle_timer = self.deadlines.schedule_after(self.idle_timeout, lambda: connection.close("idle"))
 
     def forget(self, connection: PooledConnection) -> None:
         """The connection is closed."""
--- a/pearhill/net/pooled_connection.py
+++ b/pearhill/net/pooled_connection.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import TimerKey
 from pearhill.counters import Counters
 from pearhill.http1.client import ClientConnection, Data, End, Event, Lost
 from pearhill.net.address import Address
@@ -49,7 +49,7 @@
         self.sent = False  # its last byte is written
         self.exchanges = 0
         self.closed = False
-        self.idle_timer: Key | None = None
+        self.idle_timer: TimerKey | None = None
         self.reusable_at = 0
         self._parser = ClientConnection()
         self._socket_writer = SocketWriter(pool.loop, sock)
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.reporter import Reporter
@@ -31,9 +31,10 @@
         self.addresses = addresses
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
+        # Called when another count of dispatchers shares the work.
+        self.on_count_change: Callable[[], None] = lambda: None
         self.on_exchange: Callable[[int], None] = lambda now: None  # called after each tick and answer, with its time
-        self._tick_key: Key | None = None
+        self._tick_key: TimerKey | None = None
         self._tick_due: int | None = None
         self._last_tick = 0
         self._count: int | None = None
@@ -79,14 +80,14 @@
         if due == self._tick_due:
             return
         self.deadlines.cancel(self._tick_key)
-        self._tick_key = self.deadlines.at(due, self._tick)
+        self._tick_key = self.deadlines.schedule_at(due, self._tick)
         self._tick_due = due
 
     def _notify(self, now: int) -> None:
         count = self.reporter.count(now)
         if count != self._count:
             self._count = count
-            self.on_count()
+            self.on_count_change()
         self.on_exchange(now)
 
     def _send(self, messages: list[AggregationMessage]) -> None:
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -16,7 +16,7 @@
         self._loop = loop
         self._deadlines = deadlines
         self._handle: asyncio.TimerHandle | None = None
-        deadlines.on_sooner = self._arm
+        deadlines.on_earlier_due = self._arm
         self._arm_earliest()
 
     def _arm_earliest(self) -> None:
@@ -36,7 +36,7 @@
     def _sweep(self) -> None:
         self._handle = None
         try:
-            self._deadlines.sweep()
+            self._deadlines.run_due()
         finally:
             self._arm_earliest()
 
@@ -44,7 +44,7 @@
         """Sweep no more."""
         if self._handle:
             self._handle.cancel()
-        self._deadlines.on_sooner = lambda at: None
+        self._deadlines.on_earlier_due = lambda at: None
 
 
 @asynccontextmanager
@@ -52,7 +52,7 @@
     """TimeoutError for the body once so many microseconds are over."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as scope:
-        key = deadlines.after(micros, lambda: scope.reschedule(loop.time()))
+        key = deadlines.schedule_after(micros, lambda: scope.reschedule(loop.time()))
         try:
             yield
         finally:
@@ -62,7 +62,7 @@
 async def pause(deadlines: Deadlines, micros: int) -> None:
     """Wait for so many microseconds."""
     over = asyncio.get_running_loop().create_future()
-    key = deadlines.after(micros, lambda: None if over.done() else over.set_result(None))
+    key = deadlines.schedule_after(micros, lambda: None if over.done() else over.set_result(None))
     try:
         await over
     finally:
--- a/pearhill/node/drain_control.py
+++ b/pearhill/node/drain_control.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.lifecycle.drain import Drain, DrainStage
 from pearhill.net.listener import Listener
 
@@ -14,7 +14,7 @@
         self.drain = Drain()
         self.listener: Listener | None = None  # set once clients can be served
         self._deadlines = deadlines
-        self._next_stage_timer: Key | None = None
+        self._next_stage_timer: TimerKey | None = None
 
     def request(self, on: bool) -> None:
         """Begin or end the operators' drain."""
@@ -27,7 +27,7 @@
             return
         self.drain.yield_to_successor(self._deadlines.clock(), on)
         if self.listener:
-            self.listener.pause(on)
+            self.listener.pause_accepting(on)
         self.apply()
 
     def apply(self) -> None:
@@ -44,4 +44,4 @@
             listener.close_idle()
         next_stage_at = self.drain.tick(now)
         if next_stage_at is not None:
-            self._next_stage_timer = self._deadlines.at(next_stage_at, self.apply)
+            self._next_stage_timer = self._deadlines.schedule_at(next_stage_at, self.apply)
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -107,9 +107,9 @@
         return self.listener is not None and self.listener.accepting
 
     @property
-    def quiet(self) -> bool:
+    def all_answered(self) -> bool:
         """Whether no client is being answered."""
-        return not self.dispatcher.requests and (self.listener is None or self.listener.quiet)
+        return not self.dispatcher.requests and (self.listener is None or self.listener.all_answered)
 
     def share_limits(self, process_count: int) -> None:
         """So many processes are this dispatcher now. Otherwise each would open the connections of all of them, and send
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -39,11 +39,11 @@
     async def run(self, listener: Listener, on_shutdown: Callable[[], Awaitable[None]] | None) -> None:
         """Accept what clients still send, answer all of it, and close the listener."""
         if self._has_successor():
-            listener.stop_accepting(leave=True)
+            listener.stop_accepting(leave_queue=True)
         if on_shutdown:
             await on_shutdown()
         await self._accept_last(listener)
-        listener.stop_accepting(leave=self._has_successor())
+        listener.stop_accepting(leave_queue=self._has_successor())
         await self.wait_until_finished(listener)
         await listener.close()
 
@@ -55,7 +55,7 @@
         while True:
             if listener:
                 self._close_idle_connections(listener)
-            if self._dispatcher.requests or (listener is not None and listener.open):
+            if self._dispatcher.requests or (listener is not None and listener.has_open_connections):
                 wait_until = self._deadlines.clock() + RELEASE_GRACE_US
             elif not self._backend.pending_releases or self._gives_up_releases(wait_until):
                 return
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -68,7 +68,7 @@
                 self.serving_announced = True
 
     def _message(self, ended: bool = False) -> TakeoverMessage | None:
-        return self.takeover.message(self.node.deadlines.clock(), self.node.accepting, self.node.quiet, ended)
+        return self.takeover.message(self.node.deadlines.clock(), self.node.accepting, self.node.all_answered, ended)
 
     def _exchange(self, message: TakeoverMessage | None) -> list[tuple[pathlib.Path, bytes]]:
         """Write this process's message, read the others'. Runs in the thread: it touches files and nothing else."""
--- a/pearhill/node/wall_clock.py
+++ b/pearhill/node/wall_clock.py
@@ -25,11 +25,11 @@
     def translate_start_times(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
         """The endpoints with their start times by the dispatcher's clock. `full`: they replace all earlier ones."""
         self._check()
-        return self._start_times.place(self._deadlines.clock(), full, entries)
+        return self._start_times.translate(self._deadlines.clock(), full, entries)
 
     def _check_periodically(self) -> None:
         self._check()
-        self._deadlines.after(WALL_CLOCK_CHECK_INTERVAL_US, self._check_periodically)
+        self._deadlines.schedule_after(WALL_CLOCK_CHECK_INTERVAL_US, self._check_periodically)
 
     def _check(self) -> None:
         step = self._start_times.observe(self._deadlines.clock(), wall_clock())
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -85,7 +85,7 @@
 
     def can_serve(self) -> bool:
         """Whether there is a list, and a replica in it that can answer."""
-        return self.has_current_list() and self.node.dispatcher.can_answer
+        return self.has_current_list() and self.node.dispatcher.has_ready_decoder
 
     def is_ready(self) -> bool:
         """What readiness checks of the platform are answered."""
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import TimerKey
 from pearhill.http1 import messages
 from pearhill.net.address import Address
 from pearhill.net.calls import call
@@ -68,7 +68,7 @@
         # cost a line or two.
         self._has_list = bool(known.get("targets")) and schedule.shared
         self._calls: list[OpenCall] = []  # the oldest first
-        self._next_call: Key | None = None  # the timer of the next one, whatever becomes of the open ones
+        self._next_call: TimerKey | None = None  # the timer of the next one, whatever becomes of the open ones
         self._last_call_at = pool.deadlines.clock()  # when the last one went out, or since when one is awaited
         self._failing_since = 0
         self._failure = ""  # the last failure since the last answer
@@ -121,7 +121,7 @@
     def _call_after(self, delay: int) -> None:
         self.pool.deadlines.cancel(self._next_call)
         if delay:
-            self._next_call = self.pool.deadlines.after(delay, self._call)
+            self._next_call = self.pool.deadlines.schedule_after(delay, self._call)
         else:
             self._call()
 
@@ -134,7 +134,9 @@
         self._calls.append(OpenCall(self.pool.spawn(self._poll(wait)), self.pool.deadlines.clock()))
         overlap_delay = self.schedule.overlap_delay(wait)
         if overlap_delay:
-            self._next_call = self.pool.deadlines.after(overlap_delay, partial(self._on_silence, overlap_delay))
+            self._next_call = self.pool.deadlines.schedule_after(
+                overlap_delay, partial(self._on_silence, overlap_delay)
+            )
 
     def _end_one_call(self) -> None:
         """End the open call that the next one replaces."""
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -90,12 +90,12 @@
         """Whether the client has gone, seen now."""
         return self.reply.has_disconnected()
 
-    def left(self) -> None:
+    def handle_disconnect(self) -> None:
         """The client has disconnected."""
         request = self.request
         self._end()
         if request:
-            self.dispatcher.disconnect(request)
+            self.dispatcher.handle_disconnect(request)
 
 
 class PlatformFront:
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -48,7 +48,7 @@
         return int(found[-1]) if found else 0
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether nothing is missing: the platform's streams are complete with their last chunk, and not before."""
         return False
 
@@ -64,7 +64,7 @@
         self._tail = (self._tail + ready)[-USAGE_TAIL_BYTES:]
         return ready
 
-    def ends_well(self) -> bool:
+    def may_end(self) -> bool:
         """Whether the last chunk may come here."""
         return self._parser.between_events
 
@@ -72,11 +72,11 @@
 class ReplicaDialect:
     """What is written to the platform's replicas, and what their answers mean."""
 
-    def request(self, payload: Payload, replica: int, wait_ms: int) -> bytes:
-        """The request of one attempt; `wait_ms` is the time that is left to it."""
+    def request(self, payload: Payload, replica: int, remaining_ms: int) -> bytes:
+        """The request of one attempt; `remaining_ms` is the time that is left to it."""
         headers = [
             ("Request-Id", payload.id),
-            ("Request-Timeout-Ms", str(wait_ms)),
+            ("Request-Timeout-Ms", str(remaining_ms)),
             ("Content-Type", payload.content_type),
         ]
         if payload.idempotency_key:  # without it a repeat of an idempotent request would run twice
@@ -101,7 +101,7 @@
         """A reader for the stream that answers this request."""
         return ReplicaStream()
 
-    def accepts(self, headers: Mapping[str, str]) -> bool:
+    def is_stream(self, headers: Mapping[str, str]) -> bool:
         """Whether the body of a 200 with these headers is a stream: the platform's always is."""
         return True
 
--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -66,7 +66,7 @@
     return Denied.ATTEMPTS_USED if attempts_left <= 0 else None
 
 
-def start_denial(now: int, send_before: int) -> Denied | None:
+def send_denial(now: int, send_before: int) -> Denied | None:
     """Whether the first byte of an attempt may leave now.
 
     `send_before`: when its last byte has to be written; 0: whenever.
@@ -74,7 +74,7 @@
     return Denied.TOO_LATE if send_before and now >= send_before else None
 
 
-class ConnectionUse(enum.IntEnum):
+class ConnectionState(enum.IntEnum):
     """What a client's connection is good for now, the least first: in this order connections make room for others."""
 
     FINISHED = 0  # it has had its last answer
@@ -87,14 +87,14 @@
 PARTIAL_REQUEST_GRACE_US = 1_000_000  # for which the rest of a partial request is taken to be on its way
 
 
-def may_close(use: ConnectionUse, unread: bool, age: int) -> bool:
+def may_close(state: ConnectionState, unread: bool, age: int) -> bool:
     """Whether a connection may be ended to make room for another.
 
     `unread`: bytes wait on it that have not been read. `age`: microseconds since it came to that use. A request that
     was read, if only in part, is lost when its connection is closed.
     """
-    if use == ConnectionUse.FINISHED:
+    if state == ConnectionState.FINISHED:
         return True
-    if use == ConnectionUse.ANSWERING or unread:
+    if state == ConnectionState.ANSWERING or unread:
         return False
-    return use != ConnectionUse.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE_US
+    return state != ConnectionState.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE_US
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -52,7 +52,7 @@
         del self._epochs[:-MAX_EPOCHS]
         return step
 
-    def place(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
+    def translate(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """The endpoints with their starts on the own clock. `full`: all replicas are among them."""
         before = self._placed
         if full:
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -84,7 +84,7 @@
         self.on_cancel(attempt)
         return self.reached
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         return self.reached
 
     def check_health(self, replica: int) -> None:
@@ -108,7 +108,7 @@
     def accept_and_prefill(self, request_class: int = ADVICE) -> RecordingClient:
         """A request arrives and its prefill ends well: a decode attempt is out as `sent[1]`."""
         client = self.accept(request_class)
-        self.sent[0].end(Outcome.PREFILLED, may_hold=True)
+        self.sent[0].end(Outcome.PREFILLED, may_hold_state=True)
         return client
 
     def wait(self, micros: int) -> None:
@@ -116,7 +116,7 @@
         end = self.now + micros
         while (earliest := self.deadlines.earliest) is not None and earliest <= end:
             self.now = max(self.now, earliest)
-            self.deadlines.sweep()
+            self.deadlines.run_due()
         self.now = end
 
     # What a test sees.
--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -10,15 +10,15 @@
 
     def run_and_add() -> None:
         ran.append("b")
-        deadlines.at(0, lambda: ran.append("late"))
+        deadlines.schedule_at(0, lambda: ran.append("late"))
 
-    deadlines.at(5, run_and_add)
-    deadlines.at(3, lambda: ran.append("a"))
-    deadlines.cancel(deadlines.at(4, lambda: ran.append("never")))
-    deadlines.at(9, lambda: ran.append("c"))
+    deadlines.schedule_at(5, run_and_add)
+    deadlines.schedule_at(3, lambda: ran.append("a"))
+    deadlines.cancel(deadlines.schedule_at(4, lambda: ran.append("never")))
+    deadlines.schedule_at(9, lambda: ran.append("c"))
     now = 5
-    deadlines.sweep()
+    deadlines.run_due()
     assert ran == ["a", "b"]
-    deadlines.sweep()
+    deadlines.run_due()
     assert ran == ["a", "b", "late"]
     assert deadlines.earliest == 9
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -28,7 +28,7 @@
 
 def test_prefill_then_decode_then_one_answer(h: DispatcherHarness) -> None:
     client = h.accept()
-    h.sent[0].end(Outcome.PREFILLED, may_hold=True)
+    h.sent[0].end(Outcome.PREFILLED, may_hold_state=True)
     assert h.sent[0].replica == 1
     assert h.sent[1].start_response()
     h.sent[1].end(Outcome.ANSWERED)
@@ -90,7 +90,7 @@
 def test_nothing_is_begun_for_a_client_that_is_seen_to_have_gone_at_the_choice(h: DispatcherHarness) -> None:
     client = h.accept()
     client.disconnected = True
-    h.sent[0].end(Outcome.PREFILLED, may_hold=True)
+    h.sent[0].end(Outcome.PREFILLED, may_hold_state=True)
     h.assert_over(client, [], [{1}])
     assert len(h.sent) == 1
     assert h.dispatcher.counters.left == 1
@@ -100,15 +100,15 @@
     h.reached = False
     for _ in range(5):
         client = h.accept()
-        h.dispatcher.disconnect(client.request)
+        h.dispatcher.handle_disconnect(client.request)
     assert h.dispatcher.counters.outcomes == {Outcome.NOT_SENT: 5}
     assert h.judged == []
 
 
 def test_an_outcome_that_closing_shows_wins_over_the_cancellation(h: DispatcherHarness) -> None:
     client = h.accept()
-    h.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold=True)
-    h.dispatcher.disconnect(client.request)
+    h.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold_state=True)
+    h.dispatcher.handle_disconnect(client.request)
     assert h.dispatcher.counters.outcomes == {"read": 1}
     assert h.released == [{1}]
 
@@ -119,7 +119,7 @@
 ) -> None:
     h.reached = reached
     client = h.accept()
-    h.dispatcher.disconnect(client.request)
+    h.dispatcher.handle_disconnect(client.request)
     h.assert_over(client, [], released)
 
 
@@ -222,7 +222,7 @@
     assert h.released_unless_fetched == [{1}]
     assert h.released == []
     assert len(h.sent) == 2
-    h.dispatcher.disconnect(client.request)
+    h.dispatcher.handle_disconnect(client.request)
     assert h.released == [{1, h.sent[1].replica}]
     assert client.request.interrupted is True
 
@@ -260,7 +260,7 @@
     number = client.request.number
     wanted: list[Action] = [SendAttempt(number, h.sent[1].replica, 10**6)]
     h.router.handle = lambda now, event: [wanted.pop()] if wanted else []
-    h.sent[1].end(Outcome.TRUNCATED, may_hold=True)
+    h.sent[1].end(Outcome.TRUNCATED, may_hold_state=True)
     assert len(h.sent) == 2
     wanted.append(RejectRequest(number, 0))
     h.dispatcher.update_endpoints(False, ())
--- a/tests/core/test_request_counts.py
+++ b/tests/core/test_request_counts.py
@@ -67,7 +67,7 @@
             case "disconnect" if self.accepted:
                 request = self.accepted[number % len(self.accepted)].request
                 self.disconnected += not request.answered
-                dispatcher.disconnect(request)
+                dispatcher.handle_disconnect(request)
             case _ if self.harness.sent:
                 self.step_attempt(what, which, number)
 
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -93,7 +93,8 @@
                     network.send(message.payload.to, codec.pack(message))
         if (now - START) % SECOND == 0:
             for council in councils.values():
-                others = council.others(now, 2 * 1_000_003, 10, 30)  # sums over sets: their last digits vary
+                # Sums over sets: their last digits vary.
+                others = council.estimate_peer_load(now, 2 * 1_000_003, 10, 30)
                 network.transcript.add(council.count(now), [round(value, 6) for value in others])
             network.transcript.turn()
     return network.transcript.text()
@@ -151,7 +152,7 @@
                 send(reporter.tick(now), reporter)
         if (now - START) % SECOND == 0:
             for reporter in reporters.values():
-                network.transcript.add(reporter.count(now), reporter.others(now, 2 * 1_000_003, 10, 30))
+                network.transcript.add(reporter.count(now), reporter.estimate_peer_load(now, 2 * 1_000_003, 10, 30))
                 network.transcript.add(reporter.figures(now))
             for aggregator in aggregators.values():
                 network.transcript.add(aggregator.figures(now))
@@ -205,13 +206,13 @@
     setup = FleetSetup("n1", ("127.0.0.1", 1), tuple(KEY), {"n2": ("127.0.0.1", 2)})
     fleet = Fleet(setup, 1, deadlines, list)
     fleet._settle()
-    scout = SimpleNamespace(loads=lambda now: {11: (5, 9, False)})
+    scout = SimpleNamespace(replica_statuses=lambda now: {11: (5, 9, False)})
     node = SimpleNamespace(
         dispatcher=SimpleNamespace(router=scout),
         backend=SimpleNamespace(addresses={11: ("127.0.0.1", 3)}),
         dispatcher_count=2,
     )
-    told = fleet.told(node)
+    told = fleet.figures(node)
     reporter = Reporter("n1", "r", [AggregatorSite("a1", "r")], START, random.Random(1), list)
     aggregator = Aggregator("a1", ["a1", "a2"], START, random.Random(1))
     fleet.close()
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -9,7 +9,7 @@
 import pytest
 
 from pearhill.load_reports.load_aware_router import LoadAwareRouter
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.load_reports.reports import REFRESH_INTERVAL_US
 from pearhill.load_reports.unanswered_checks import FIRST_EJECTION_US, MAX_EJECTION_US
 from pearhill.routing.actions import Action, SendHealthCheck
@@ -79,9 +79,9 @@
         self.tokens = tokens
         self.confidence = confidence
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         tokens = self.tokens.get(replica, 0.0)
-        return OthersLoad(tokens, tokens, self.confidence)
+        return PeerLoadEstimate(tokens, tokens, self.confidence)
 
 
 @pytest.fixture
@@ -114,7 +114,7 @@
     busy: int, confidence: float
 ) -> None:
     drive = LoadAwareDriver(WITHOUT_REPORTS)
-    drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
+    drive.router.set_peer_load_source(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
     request, _ = drive.arrive(session=5)
     assert drive.checks == []
     assert drive.sent[request].replica == 3 - busy
@@ -126,7 +126,7 @@
 def test_the_peers_load_changes_nothing_where_hardly_any_of_it_is_fresh(busy: int) -> None:
     without_peers = LoadAwareDriver(WITHOUT_REPORTS).prefill_replica({})
     drive = LoadAwareDriver(WITHOUT_REPORTS)
-    drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
+    drive.router.set_peer_load_source(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
     request, _ = drive.arrive(session=5)
     assert drive.checks == []
     assert drive.sent[request].replica == without_peers
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -120,7 +120,7 @@
         for p in world.up():
             assert p.reporter.current == "a" + p.region[1:]
             # All that are there are heard, whoever else is still counted as cut off.
-            sure = p.reporter.others(world.now, p.replica, 0, p.load)[2]
+            sure = p.reporter.estimate_peer_load(world.now, p.replica, 0, p.load)[2]
             assert sure * (count - 1) > 0.5 * (len(names) - 1) or len(names) == 1
 
 
@@ -139,15 +139,15 @@
     assert world.wrong_views() == []
     assert world.counts() == {6}
     p = world.processes[0]
-    waiting, load, sure = p.reporter.others(world.now, 2, 0, 0)
+    waiting, load, sure = p.reporter.estimate_peer_load(world.now, 2, 0, 0)
     assert 4_500 < waiting < 5_500
     assert 9_000 < load < 11_000
     assert 0.9 < sure <= 1
     # Half of them unheard: who is not heard counts as the mean of those that are.
     for chunk in p.reporter._sums.ranges:
         chunk.reporting, chunk.asked_at = 2, world.now
-    assert p.reporter.others(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
-    assert p.reporter.others(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
+    assert p.reporter.estimate_peer_load(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
+    assert p.reporter.estimate_peer_load(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
 
 
 def test_the_dead_are_forgotten_and_one_that_leaves_at_once() -> None:
@@ -202,7 +202,7 @@
     world.aggregators.clear()
     world.run(MAX_SUMS_AGE_US)
     for p in world.up():
-        assert p.reporter.others(world.now, 1, 0, 30) == (0.0, 23 * 30.0, 0.0)
+        assert p.reporter.estimate_peer_load(world.now, 1, 0, 30) == (0.0, 23 * 30.0, 0.0)
     world.run(10 * S)
     tries = [p.reporter._reports.newest_number for p in world.up()]
     world.run(20 * S)
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 
@@ -13,12 +13,12 @@
     """A reporter or a gossip protocol in a given state."""
 
     def __init__(self, count: int | None, load: float, sure: float, age_s: float | None = 0.1) -> None:
-        self.told, self._count, self.age_s = OthersLoad(0.0, load, sure), count, age_s
+        self.told, self._count, self.age_s = PeerLoadEstimate(0.0, load, sure), count, age_s
 
     def count(self, now: int) -> int | None:
         return self._count
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         return self.told
 
     def figures(self, now: int) -> dict[str, Any]:
@@ -50,5 +50,5 @@
 ) -> None:
     sources = CombinedLoadSource()
     sources.reporter, sources.gossip = sums, talk
-    assert (sources.count(0), sources.in_use(0)) == (count, in_use)
-    assert sources.others(0, 1, 0, 0).total_tokens == load
+    assert (sources.count(0), sources.active_source(0)) == (count, in_use)
+    assert sources.estimate_peer_load(0, 1, 0, 0).total_tokens == load
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -78,7 +78,7 @@
                 assert not task.done(), errno.errorcode[number]
                 self.now += 10**6  # the time for a connection is over
                 while not task.done():
-                    self.deadlines.sweep()
+                    self.deadlines.run_due()
                     await asyncio.sleep(0)
             attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
@@ -92,12 +92,12 @@
         while not backend.exchanges[attempt].may_have_sent:
             await asyncio.sleep(0)
         self.now = attempt.send_before - 1
-        self.deadlines.sweep()
+        self.deadlines.run_due()
         attempt.withdraw.assert_not_called()
         self.now = attempt.send_before
-        self.deadlines.sweep()
+        self.deadlines.run_due()
         attempt.withdraw.assert_called_once_with()
-        assert backend.has_started(attempt)
+        assert backend.may_have_been_sent(attempt)
         assert backend.cancel(attempt)
 
     async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self) -> None:
@@ -106,12 +106,12 @@
             backend.update_addresses({n: self.address}, [], full=True)  # each list names one replica, and a new one
             assert (n - 1 if n else n) in backend.addresses  # a release may still be owed to the last one
             self.now += 1_000_000
-            self.deadlines.sweep()
+            self.deadlines.run_due()
         assert len(backend.addresses) < 100
         backend.update_addresses({}, [999], full=False)
         backend.update_addresses({999: self.address}, [], full=False)  # it is back
         self.now += 100_000_000
-        self.deadlines.sweep()
+        self.deadlines.run_due()
         assert set(backend.addresses) == {999}
         connection = await self.pool.acquire(self.address)
         self.pool.put_back(connection)
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -43,7 +43,7 @@
         try:
             while (due := self.deadlines.earliest) is not None and due <= end:
                 self.now = max(self.now, due)
-                self.deadlines.sweep()
+                self.deadlines.run_due()
         finally:
             self.now = end
 
@@ -130,7 +130,7 @@
 
         reporter, counts, at = Eager(), list[int](), ("10.0.0.2", 2)
         driver = Reporting(reporter, CODEC, {"a1": at}, self.deadlines, self.datagrams)  # type: ignore[arg-type]
-        driver.on_count = lambda: counts.append(reporter.count(self.now))
+        driver.on_count_change = lambda: counts.append(reporter.count(self.now))
         driver.start()
         self.data = CODEC.pack(HelloAck("a1", "d1", 5, 1, 9))
         for _ in range(5):  # one that always has something due is asked now and then, also after a fault
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -142,7 +142,7 @@
         """ECONNABORTED is that one connection's; those behind it would be reset with the socket."""
         real = self.listener._sock
         assert real
-        self.listener.pause(True)
+        self.listener.pause_accepting(True)
         client = socket.create_connection(self.address)
         self.addCleanup(client.close)
         self.listener._sock = AbortedFirst(real)  # type: ignore[assignment]
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -121,7 +121,7 @@
                 await asyncio.sleep(0)
             assert pending
             now += wait
-            deadlines.sweep()
+            deadlines.run_due()
         while backend.pending_releases:
             await asyncio.sleep(0)
         assert (len(received), connections) == (2, 3)
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -17,7 +17,7 @@
 
 
 def started(times: StartTimes, now: int, told: int, full: bool = False) -> int:
-    (placed,) = times.place(now, full, (entry(told),))
+    (placed,) = times.translate(now, full, (entry(told),))
     return placed.started_at
 
 
@@ -68,8 +68,8 @@
 
 def test_replicas_that_are_gone_are_forgotten():
     times = StartTimes(NOW, NOW)
-    times.place(NOW, True, [entry(NOW - S, n) for n in range(5)])
-    times.place(NOW, False, [entry(NOW - S, 0, Phase.GONE)])
+    times.translate(NOW, True, [entry(NOW - S, n) for n in range(5)])
+    times.translate(NOW, False, [entry(NOW - S, 0, Phase.GONE)])
     assert set(times._placed) == {1, 2, 3, 4}
-    times.place(NOW, True, [entry(NOW - S, 4)])
+    times.translate(NOW, True, [entry(NOW - S, 4)])
     assert set(times._placed) == {4}
