--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -97,8 +97,8 @@
     `unread` tells whether received bytes have not been read yet. `age` is the time since its current state began, in
     microseconds. Closing a connection loses a request that was read, even in part.
     """
-    if use == ConnectionUse.FINISHED:
+    if state == ConnectionState.FINISHED:
         return True
-    if use == ConnectionUse.ANSWERING or unread:
+    if state == ConnectionState.ANSWERING or unread:
         return False
-    return use != ConnectionUse.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE_US
+    return state != ConnectionState.PARTIAL_REQUEST or age >= PARTIAL_REQUEST_GRACE_US
