--- a/pearhill/routing/permissions.py
+++ b/pearhill/routing/permissions.py
@@ -70,7 +70,7 @@
     return Denied.ATTEMPTS_USED if attempts_left <= 0 else None
 
 
-def start_denial(now: int, send_before: int) -> Denied | None:
+def send_denial(now: int, send_before: int) -> Denied | None:
     """Return why the first byte of an attempt may not be written now, or None if it may.
 
     `send_before` is the time by which the last byte has to be written (0: no limit).
@@ -78,7 +78,7 @@
     return Denied.TOO_LATE if send_before and now >= send_before else None
 
 
-class ConnectionUse(enum.IntEnum):
+class ConnectionState(enum.IntEnum):
     """The state of a client's connection, in the order in which connections are closed to free capacity for others."""
 
     FINISHED = 0  # its last answer has been sent
@@ -91,7 +91,7 @@
 PARTIAL_REQUEST_GRACE_US = 1_000_000  # time for which the rest of a partial request is assumed to be in transit
 
 
-def may_close(use: ConnectionUse, unread: bool, age: int) -> bool:
+def may_close(state: ConnectionState, unread: bool, age: int) -> bool:
     """Return whether a connection may be closed to free its place for another.
 
     `unread` tells whether received bytes have not been read yet. `age` is the time since its current state began, in
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -55,7 +55,7 @@
         del self._epochs[:-MAX_EPOCHS]
         return step
 
-    def place(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
+    def translate(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """Return the endpoints with their start times on the monotonic clock.
 
         `full` tells whether they are all replicas, so that earlier start times of others can be dropped.
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -17,8 +17,8 @@
 
 
 def started(times: StartTimes, now: int, wall_start: int, full: bool = False) -> int:
-    (placed,) = times.place(now, full, (list_entry(wall_start),))
-    return placed.started_at
+    (translated,) = times.translate(now, full, (list_entry(wall_start),))
+    return translated.started_at
 
 
 @given(
@@ -68,8 +68,8 @@
 
 def test_start_times_of_unlisted_replicas_are_dropped():
     times = StartTimes(NOW, NOW)
-    times.place(NOW, True, [list_entry(NOW - S, n) for n in range(5)])
-    times.place(NOW, False, [list_entry(NOW - S, 0, Phase.GONE)])
+    times.translate(NOW, True, [list_entry(NOW - S, n) for n in range(5)])
+    times.translate(NOW, False, [list_entry(NOW - S, 0, Phase.GONE)])
     assert set(times._translated) == {1, 2, 3, 4}
-    times.place(NOW, True, [list_entry(NOW - S, 4)])
+    times.translate(NOW, True, [list_entry(NOW - S, 4)])
     assert set(times._translated) == {4}
