--- a/pearhill/core/__init__.py
+++ b/pearhill/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts, outcomes and their one final answer, around one router.
+"""The request core: the lifecycles of requests and attempts around one router, with one final answer per request.
 
-Nothing here knows HTTP, sockets, JSON or disk.
+The package does not depend on HTTP, sockets, JSON or disk.
 """
--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -1,4 +1,7 @@
-"""Attempts from the router's choice to their end: at most one of a request is out, and none without permission."""
+"""The lifecycle of attempts, from the router's choice of a replica to the end of the attempt.
+
+A request has at most one attempt in flight, and no attempt is sent without permission.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +22,13 @@
 from pearhill.routing.topology import Role
 from pearhill.settings import Deployment
 
-# A router that requests these has lost count. The other reasons arise where events cross, and are no fault.
+# A router that requests one of these has a fault in its bookkeeping. The other reasons arise without any fault, when an
+# event occurs while the action for an earlier one is on its way.
 VIOLATIONS = (Denied.ATTEMPT_IN_FLIGHT, Denied.MAY_HAVE_EXECUTED, Denied.OUT_OF_SCOPE)
 
 
 class AttemptLifecycle:
-    """Sends attempts, and ends each of them once; the owner of every `Attempt`."""
+    """Sends attempts and ends each of them exactly once. It owns every `Attempt`."""
 
     def __init__(
         self,
@@ -45,12 +49,12 @@
         self._backend = backend
         self._feed = feed
 
-    # From the router.
+    # Calls for the router's actions.
 
     def send(self, request: Request, action: SendAttempt) -> None:
-        """Make an attempt, unless it is denied: then it ends as NOT_SENT."""
+        """Send an attempt. An attempt that a rule denies ends as NOT_SENT instead."""
         now = self._clock()
-        if not request.answered and request.client.has_disconnected():  # No connection is opened for it then.
+        if not request.answered and request.client.has_disconnected():  # Checked before a connection is opened.
             self._requests.disconnect(request)
         attempt = self._next_attempt(request, action, now)
         denied = self._denied(attempt)
@@ -83,9 +87,10 @@
         )
 
     def _denied(self, attempt: Attempt) -> Denied | None:
-        """Why an attempt may not be made, whatever the router chose; None: it may.
+        """Return the rule that denies an attempt, whatever the router chose, or None if the attempt may be sent.
 
-        What is not under way when a later endpoint list takes its replica away is withdrawn then.
+        The endpoint list is checked as it is now. If a later list removes the replica before the first byte of the
+        attempt is written, the attempt is withdrawn at that time.
         """
         request = attempt.request
         settings = self.deployment.router
@@ -104,13 +109,16 @@
         return retry_denial(request_class, request.execution, endpoint.zone, endpoint.cell, self._clock())
 
     def _has_effect(self, attempt: Attempt) -> bool:
-        """Whether the replica answers the request: a prefill has no effect."""
+        """Return whether the replica executes the request. A prefill has no effect."""
         if attempt.endpoint is None:
             return False
         return self.deployment.router.kinds[attempt.endpoint.kind].role != Role.PREFILL
 
     def _end_unsent(self, attempt: Attempt) -> None:
-        """Not sent: the request is answered, has another attempt out, or has no attempt left."""
+        """End an attempt that was denied.
+
+        Its request is answered, has another attempt in flight or no attempt left, or may not be sent to the replica.
+        """
         attempt.ended = True
         attempt.cancel_timers()
         request = attempt.request
@@ -118,13 +126,14 @@
             AttemptEnded(request.number, attempt.index, attempt.replica, Outcome.NOT_SENT, request.answered, 0, 0, None)
         )
 
-    # From the backend.
+    # Calls from the backend.
 
     def may_start(self, attempt: Attempt) -> bool:
-        """The last check before the first byte; False: the attempt is over.
+        """Check for the last time, before the first byte is written, whether the attempt may be sent.
 
-        While its connection came up the client may have gone, or the time may have ended by which it has to be
-        written; and in a busy event loop neither may have been noticed yet.
+        While the connection was being opened, the client may have disconnected, or the time limit for writing the
+        attempt may have passed. A busy event loop may not have processed either of them yet. Returns False if the
+        attempt has ended.
         """
         if not attempt.ended and attempt.request.client.has_disconnected():
             self._requests.disconnect(attempt.request)
@@ -133,10 +142,10 @@
         return not attempt.ended
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt that no longer may be written.
+        """End an attempt that may no longer be written.
 
-        Its last byte may have gone out in this very tick of the event loop, before the writer was notified: one that
-        has begun to be written may have been executed, so it ends as TIMEOUT.
+        Its last byte may have been sent in this same tick of the event loop, before the writer was notified. An
+        attempt that is at least partly written may have been executed, so it ends as TIMEOUT.
         """
         if attempt.ended:
             return
@@ -144,7 +153,10 @@
         self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold=sent)
 
     def start_response(self, attempt: Attempt) -> bool:
-        """The first event of the answer is here: its attempt and its request have no deadline any more."""
+        """Record the first event of the answer, which ends the deadlines of the attempt and of its request.
+
+        Returns False if the attempt has ended or its request is answered.
+        """
         request = attempt.request
         if attempt.ended or request.answered:
             return False
@@ -153,7 +165,7 @@
         attempt.response_started = True
         attempt.cancel_timers()
         self._requests.stop_deadline(request)
-        request.state_holders.clear()  # The state was fetched: with the first event its holders release it themselves.
+        request.state_holders.clear()  # The state was fetched; its holders release it with the first event.
         elapsed = self._clock() - attempt.sent_at
         self._feed(ResponseStarted(request.number, attempt.index, attempt.replica, elapsed))
         return True
@@ -167,7 +179,7 @@
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
-        """The attempt is over: answer the client if this was the answer, and pass the end on to the router."""
+        """End the attempt. Answer the client if this is its final answer, and pass the outcome to the router."""
         if attempt.ended:
             return
         elapsed = self._close(attempt, outcome)
@@ -189,19 +201,19 @@
         )
 
     def _close(self, attempt: Attempt, outcome: Outcome) -> int:
-        """Take the attempt off its request, and count it; the microseconds since it was sent."""
+        """Detach the attempt from its request and count it. Returns the microseconds since it was sent."""
         attempt.ended = True
         attempt.cancel_timers()
         attempt.request.current_attempt = None
         if outcome == Outcome.WITHDRAWN:
-            attempt.request.attempts -= 1  # It does not count among those that are allowed.
+            attempt.request.attempts -= 1  # It does not count towards the limit of attempts.
         self._counters.outcomes[outcome] += 1
         elapsed = self._clock() - attempt.sent_at
         log_attempt_ended(attempt, outcome, elapsed)
         return elapsed
 
     def _note_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
-        """Record on the request what the attempt may have left behind: a state, or the request's effect."""
+        """Record on the request what the attempt may have caused: state at its replica, or the request's execution."""
         request = attempt.request
         if may_hold and not attempt.response_started:
             request.state_holders.add(attempt.replica)
@@ -214,7 +226,7 @@
         request.last_outcome = outcome
 
     def _answer(self, attempt: Attempt, outcome: Outcome, replica_error: Any) -> None:
-        """Give the client its final answer, if the end of this attempt is one."""
+        """Send the client its final answer, if the end of this attempt is one."""
         request = attempt.request
         if request.answered:
             return
@@ -225,25 +237,28 @@
         elif replica_error is not None:
             self._requests.decline(request, replica_error)
 
-    # From the deadlines, the endpoint list, and a client that has gone.
+    # Calls from timers, from the endpoint list, and for a client that has disconnected.
 
     def expire(self, attempt: Attempt) -> None:
-        """Its time is over. The connection is closed first: otherwise the next attempt would be a second one out."""
+        """Time out the attempt.
+
+        Its connection is closed first: otherwise the next attempt would be a second one in flight.
+        """
         self._stop(attempt, Outcome.TIMEOUT)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Its answer is not wanted any more."""
+        """Cancel the attempt, because its answer is no longer needed."""
         self._stop(attempt, Outcome.CANCELLED)
 
     def stop_unlisted(self, attempt: Attempt) -> None:
-        """The endpoint list has taken its replica away before its first byte was written."""
+        """Withdraw an attempt whose replica was removed from the endpoint list before the first byte was written."""
         self._stop(attempt, Outcome.WITHDRAWN)
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
-        """Release what the attempt fetches, unless it has arrived.
+        """Release the state that the attempt fetches, unless the attempt has arrived at its replica.
 
-        Its replica has shown no sign. What was written on a connection that has fallen silent may never arrive, and the
-        time by which the state has to be released runs on. Where the attempt did arrive, holders ignore the release.
+        The replica has not responded yet. Data written to an unresponsive connection may never arrive, and the state
+        has to be released by a fixed time. If the attempt did arrive, the holders of the state ignore the release.
         """
         request = attempt.request
         if attempt.ended or not request.state_holders or not self._backend().has_started(attempt):
@@ -253,17 +268,20 @@
         self._backend().release_unless_fetched(request, set(request.state_holders))
 
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Close the attempt's connection, and end the attempt unless closing has shown how it ended."""
+        """Close the attempt's connection, and end the attempt unless its outcome was found while closing."""
         if attempt.ended:
             return
         sent = self._backend().cancel(attempt)
         if not sent:
             outcome = self._unsent_outcome(attempt)
-        # A prefill may have ended well at the very moment of its closing, and its state stays pinned.
+        # A prefill may have succeeded just as its connection was closed; its replica then still holds the state.
         self.end(attempt, outcome, may_hold=sent)
 
     def _unsent_outcome(self, attempt: Attempt) -> Outcome:
-        """How an attempt ends that was never sent: a fault of its replica only if it is listed and had a client."""
+        """Return the outcome of an attempt that was never sent completely.
+
+        It counts as a fault of the replica only if the replica is listed and the client is still connected.
+        """
         if not self._endpoints.accepts_requests(attempt.replica):
             return Outcome.WITHDRAWN
         if attempt.request.client_disconnected:
--- a/pearhill/core/backend.py
+++ b/pearhill/core/backend.py
@@ -1,4 +1,4 @@
-"""What the core requires of the driver that reaches the replicas."""
+"""The interface through which the core sends attempts to the replicas."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Backend(Protocol):
-    """The way to the replicas. It calls `Attempt.end` once for each attempt, except after `cancel`."""
+    """Sends attempts to replicas. It calls `Attempt.end` once for each attempt, except after `cancel`."""
 
     def send(self, attempt: Attempt) -> None:
         """Write the attempt's request, if `Attempt.may_start` allows it right before its first byte."""
@@ -17,17 +17,20 @@
     def cancel(self, attempt: Attempt) -> bool:
         """Close the attempt's connection before returning.
 
-        False: the replica surely never had the complete request.
+        Returns False if the replica certainly did not receive the complete request.
         """
 
     def has_started(self, attempt: Attempt) -> bool:
-        """Whether any byte of the attempt may have been written."""
+        """Return whether any byte of the attempt may have been written."""
 
     def check_health(self, replica: int) -> None:
-        """Query a replica's load; `Dispatcher.health_check_ended` is called once with the result."""
+        """Query a replica's load. `Dispatcher.health_check_ended` is called once with the result."""
 
     def release(self, request: Request, replicas: Collection[int]) -> None:
-        """Release what the replicas may hold for the request, with retries."""
+        """Release the state that the replicas may hold for the request, with retries."""
 
     def release_unless_fetched(self, request: Request, replicas: Collection[int]) -> None:
-        """Release it once while an attempt is out that may never have arrived. Where it has, nothing is released."""
+        """Release the state once, without retries, while the attempt that fetches it is in flight.
+
+        That attempt may never have arrived. If it has arrived, the replicas release nothing.
+        """
--- a/pearhill/core/client.py
+++ b/pearhill/core/client.py
@@ -1,4 +1,4 @@
-"""What the core requires of the front end that a request came from."""
+"""The interface through which the core answers the client of a request."""
 
 from __future__ import annotations
 
@@ -6,28 +6,32 @@
 
 
 class Client(Protocol):
-    """Where a request came from.
+    """The sender of a request; a front end implements it.
 
-    The core calls exactly one of `reject`, `fail`, `decline`, `finish` and `abort`, or none if the client goes first.
+    The core calls exactly one of `reject`, `fail`, `decline`, `finish` and `abort`, or none of them if the client
+    disconnects first.
     """
 
     def reject(self, retry_after: int) -> None:
-        """Final: not executed, and a retry is harmless after `retry_after` microseconds (0: no advice)."""
+        """Final answer: not executed; a retry is safe after `retry_after` microseconds (0: no delay is suggested)."""
 
     def fail(self) -> None:
-        """Final: failed, nothing is promised."""
+        """Final answer: failed; the request may or may not have been executed."""
 
     def decline(self, replica_error: Any) -> None:
-        """Final: a replica found fault with the request itself. The backend's dialect knows what the error is."""
+        """Final answer: a replica found the request itself to be invalid.
+
+        The backend's dialect defines the form of `replica_error`.
+        """
 
     async def forward(self, data: bytes) -> None:
-        """A piece of the answer, unchanged; returns when there is room for more."""
+        """Forward a piece of the answer unchanged. Returns when the client can take more."""
 
     def finish(self) -> None:
-        """Final: the answer is complete."""
+        """End the answer, which is complete."""
 
     def abort(self) -> None:
-        """Final: the answer has begun and will not be complete."""
+        """End the answer, which has begun and will not be completed."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, checked now: nothing more is begun for it."""
+        """Return whether the client has disconnected, checked now. No further work is started for such a client."""
--- a/pearhill/core/deadlines.py
+++ b/pearhill/core/deadlines.py
@@ -1,4 +1,4 @@
-"""Every deadline of the process in one sorted structure, swept in each tick of the event loop."""
+"""Every timer of the process in one sorted structure. The event loop runs the callbacks that are due."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from sortedcontainers import SortedDict
 
 Clock = Callable[[], int]  # microseconds
-Key = tuple[int, int]  # when a deadline is due, and its place among those of that time
+Key = tuple[int, int]  # due time, and a sequence number that orders callbacks of the same due time
 
 
 class Deadlines:
-    """Callbacks by due time, in microseconds of the clock passed in.
+    """Callbacks by due time, in microseconds of `clock`.
 
-    `on_sooner` is called with the earliest due time whenever that moves forward.
+    `on_sooner` is called with the earliest due time whenever a new callback makes it earlier.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,11 +27,11 @@
 
     @property
     def earliest(self) -> int | None:
-        """When the next callback is due; None: there is none."""
+        """The due time of the next callback, or None if there is none."""
         return self._due.peekitem(0)[0][0] if self._due else None
 
     def at(self, when: int, callback: Callable[[], None]) -> Key:
-        """Call back at a time, or in the next sweep if that has passed; the key cancels it."""
+        """Run a callback at time `when`, or in the next sweep if that has passed. Returns a key for `cancel`."""
         self._count += 1
         key = (when, self._count)
         self._due[key] = callback
@@ -40,16 +40,16 @@
         return key
 
     def after(self, wait: int, callback: Callable[[], None]) -> Key:
-        """Call back in `wait` microseconds; the key cancels it."""
+        """Run a callback in `wait` microseconds. Returns a key for `cancel`."""
         return self.at(self.clock() + wait, callback)
 
     def cancel(self, key: Key | None) -> None:
-        """Remove a deadline; nothing happens if it has passed already, or for None."""
+        """Remove a callback. A key whose callback has already run, or None, has no effect."""
         if key is not None:
             self._due.pop(key, None)
 
     def sweep(self) -> None:
-        """Run what is due. What a callback adds, for now or for the past, waits for the next sweep."""
+        """Run the callbacks that are due. Callbacks added meanwhile wait for the next sweep, even if already due."""
         now = self.clock()
         last = self._count
         while self._due:
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -1,8 +1,8 @@
-"""Drives one router: requests come in from a front end, attempts go out to a backend, outcomes come back.
+"""Drives one router: requests arrive from a front end, attempts go to a backend, and outcomes return from it.
 
-The router decides. The core passes events on to it (`event_queue`), performs its actions, and keeps what must hold
-whatever the router decides: one final answer for each request (`request_lifecycle`), at most one attempt out and none
-without permission (`attempt_lifecycle`).
+The router makes the decisions. The core passes events to it (`event_queue`), performs its actions, and enforces what
+must hold whatever the router decides: each request has one final answer (`request_lifecycle`) and at most one attempt
+in flight, and no attempt is sent without permission (`attempt_lifecycle`).
 """
 
 from __future__ import annotations
@@ -41,9 +41,10 @@
 
 
 class Dispatcher:
-    """The requests of one process, its router and its endpoint list. `backend` is set before the first event.
+    """The requests of one process, its router and its endpoint list. `backend` must be set before the first event.
 
-    `requests`: those that are not answered or have an attempt out, by number. `calls_by_class`: how requests ended.
+    `requests` holds the requests that are not answered or have an attempt in flight, by number. `calls_by_class` counts
+    how requests ended.
     """
 
     def __init__(self, deployment: Deployment, seed: int, deadlines: Deadlines, counters: Counters) -> None:
@@ -55,7 +56,7 @@
         self.backend: Backend | None = None
         self._events = EventQueue(self.router, self.clock, counters, self._perform)
         self._endpoints = EndpointList()
-        self._health_checks_since: dict[int, int] = {}  # by replica, of those that are out
+        self._health_checks_since: dict[int, int] = {}  # by replica: when its health check in flight was sent
         self._requests = RequestLifecycle(deployment, deadlines, counters, self._required_backend, self._events.feed)
         self._attempts = AttemptLifecycle(
             deployment,
@@ -70,12 +71,12 @@
         self.calls_by_class = self._requests.calls_by_class
 
     def _required_backend(self) -> Backend:
-        assert self.backend is not None, "a dispatcher needs its backend before its first event"
+        assert self.backend is not None, "dispatcher: the backend must be set before the first event"
         return self.backend
 
     @property
     def inflight(self) -> int:
-        """The requests that were accepted and have not ended."""
+        """The number of requests that were accepted and have not ended."""
         return self._requests.inflight
 
     @property
@@ -85,30 +86,30 @@
 
     @property
     def can_answer(self) -> bool:
-        """Whether a replica that decodes is listed as ready."""
+        """Whether a decode or mixed replica is listed as ready."""
         return self._endpoints.can_answer(self.deployment.router.kinds)
 
-    # From a front end.
+    # Calls from a front end.
 
     def accept(self, spec: RequestSpec, client: Client, payload: Any, arrived: int | None = None) -> Request:
-        """Accept a request. `arrived`: the time of its last byte, from which its deadline runs; None: now."""
+        """Accept a request. Its deadline runs from `arrived`, the time of its last byte; None means now."""
         return self._requests.accept(spec, client, payload, arrived)
 
     def record_rejection(self, request_class: int, reason: str = TOO_MANY_OPEN) -> None:
-        """Count a request that a front end has rejected and not passed on."""
+        """Count a request that a front end rejected without passing it to `accept`."""
         self._requests.record_rejection(request_class, reason)
 
     def disconnect(self, request: Request) -> None:
-        """The client has gone. Its attempt is cancelled, even one that is being answered."""
+        """Handle the client's disconnection. Its attempt is cancelled, even one that is being answered."""
         self._requests.disconnect(request)
 
-    # From the endpoint list and the configuration.
+    # Updates of the endpoint list and the configuration.
 
     def update_endpoints(self, full: bool, endpoints: tuple[Endpoint, ...]) -> None:
-        """Apply an endpoint list: all of it (`full`), or the endpoints that changed.
+        """Apply an endpoint list: the complete list (`full`), or the endpoints that changed.
 
-        Attempts that wait for a connection to a replica that no longer takes requests are withdrawn: they would be sent
-        long after the list.
+        Attempts that wait for a connection to a replica that no longer accepts requests are withdrawn. Otherwise they
+        would be sent long after the list was received.
         """
         self._endpoints.update(full, endpoints)
         unlisted = [
@@ -123,22 +124,22 @@
             self._attempts.stop_unlisted(attempt)
 
     def reconfigure(self, deployment: Deployment) -> None:
-        """Apply other settings for the same classes, kinds and zones; requests, attempts and statistics stay."""
+        """Apply new settings for the same classes, kinds and zones. Requests, attempts and statistics are kept."""
         self.deployment = deployment
         self._requests.deployment = deployment
         self._attempts.deployment = deployment
         self.router.reconfigure(deployment.router)
 
-    # From the backend.
+    # Calls from the backend.
 
     def health_check_ended(self, replica: int, outcome: Outcome, load: ReportedLoad | None) -> None:
-        """A health check has ended; `load` as in `HealthCheckEnded`."""
+        """Record the end of a health check. `load` is as in `HealthCheckEnded`."""
         self.counters.probes[outcome] += 1
         now = self.clock()
         since = self._health_checks_since.pop(replica, now)
         self._events.feed(HealthCheckEnded(replica, outcome, now - since, load))
 
-    # From the router.
+    # Actions of the router.
 
     def _perform(self, event: Event, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -149,7 +150,8 @@
     def _perform_action(self, action: Action) -> None:
         match action:
             case SetTimer(timer, delay):
-                # From now on it would run out later than the router reckons, after a stall behind the core's deadline.
+                # Counted from now, the timer would fire later than the router expects; after a stall, it could fire
+                # later than the request's deadline, at which the core fails the request.
                 self.deadlines.at(self._events.event_time + delay, lambda: self._events.feed(TimerFired(timer)))
             case LogMessage(text):
                 logger.info("router: {text}", text=text)
@@ -176,4 +178,4 @@
             case ReleaseState():
                 self._requests.release(request)
             case MigrateStream():
-                logger.warning("request {request}: streams are not migrated here", request=request.number)
+                logger.warning("request {request}: MigrateStream is not supported; ignored", request=request.number)
--- a/pearhill/core/endpoint_list.py
+++ b/pearhill/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as it was last received: which replicas there are, and which of them take requests."""
+"""The endpoint list as last received: which replicas exist, and which of them accept requests."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class EndpointList:
-    """The endpoints by replica; those that are gone are not in it."""
+    """The endpoints by replica, without those whose phase is GONE."""
 
     def __init__(self) -> None:
         self.by_replica: dict[int, Endpoint] = {}
 
     def update(self, full: bool, endpoints: tuple[Endpoint, ...]) -> None:
-        """Apply a list: all endpoints (`full`), or those that changed."""
+        """Apply a list: the complete list (`full`), or the endpoints that changed."""
         if full:
             self.by_replica = {}
         for endpoint in endpoints:
@@ -24,12 +24,12 @@
                 self.by_replica[endpoint.replica] = endpoint
 
     def accepts_requests(self, replica: int) -> bool:
-        """Whether the replica is listed as ready."""
+        """Return whether the replica is listed as ready."""
         endpoint = self.by_replica.get(replica)
         return endpoint is not None and endpoint.phase == Phase.READY
 
     def can_answer(self, kinds: Sequence[MachineKind]) -> bool:
-        """Whether a replica that decodes is listed as ready."""
+        """Return whether a decode or mixed replica is listed as ready."""
         return any(
             endpoint.phase == Phase.READY and kinds[endpoint.kind].role != Role.PREFILL
             for endpoint in self.by_replica.values()
--- a/pearhill/core/event_queue.py
+++ b/pearhill/core/event_queue.py
@@ -1,4 +1,4 @@
-"""The order in which a router receives events and its actions are performed."""
+"""Serializes the events that a router receives and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class FeedEvent(Protocol):
-    """Passes an event on to the router, as `EventQueue.feed` does."""
+    """Passes an event to the router, as `EventQueue.feed` does."""
 
     def __call__(self, event: Event, at: int | None = None) -> None:
-        """`at`: when it was raised, in microseconds; None: now."""
+        """Pass the event. `at` is the time when it was raised, in microseconds; None means now."""
 
 
 class EventQueue:
-    """Passes events to the router one at a time, and performs the actions of one before it passes on the next.
+    """Passes events to the router one at a time, and performs the actions of each before it passes the next.
 
-    An action may raise further events: the router is not entered again meanwhile, they wait in the queue.
+    An action may raise further events. They wait in the queue, so that the router is never called recursively.
     `perform` receives each event that the router has handled, and its actions.
 
-    An event's time is when it was raised, however long it then waited or the process stood still; `event_time` is that
-    of the event whose actions are performed, in microseconds. Delays that the router asks for run from there.
+    The time of an event is when it was raised, however long it then waited or the process was stalled. `event_time` is
+    the time of the event whose actions are being performed, in microseconds. Delays in these actions count from it.
     """
 
     def __init__(
@@ -48,9 +48,9 @@
         self.event_time = clock()
 
     def feed(self, event: Event, at: int | None = None) -> None:
-        """Handle an event, before this returns unless another one is being handled: then after that one.
+        """Handle an event before returning or, while another event is being handled, after the events already queued.
 
-        `at`: when it was raised, no earlier than the event before it; None: now.
+        `at` is the time when the event was raised, no earlier than that of the event before it; None means now.
         """
         self._waiting.append((self._clock() if at is None else at, event))
         if self._running:
@@ -67,8 +67,8 @@
         try:
             actions = self._router.handle(at, event)
         except Exception:
-            # A fault of the router must not end the process and every request that it has accepted.
+            # A fault in the router must not terminate the process, and with it every request that was accepted.
             self._counters.faults += 1
-            logger.exception("the router failed on {event}", event=event)
+            logger.exception("event queue: the router raised an exception while handling {event}", event=event)
             return
         self._perform(event, actions)
--- a/pearhill/core/replica_ids.py
+++ b/pearhill/core/replica_ids.py
@@ -1,4 +1,4 @@
-"""How replicas are numbered."""
+"""The numbering of replicas."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def replica_id(uid: str) -> int:
-    """The number of a replica: the same in every dispatcher, since it is computed from the replica's uid alone."""
+    """Return the number of a replica. Computed from its uid alone, it is the same in every dispatcher."""
     return int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=8).digest())
--- a/pearhill/core/request.py
+++ b/pearhill/core/request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its final answer, and each attempt at it."""
+"""Requests, from arrival to final answer, and the attempts made for them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class RequestSpec:
     """What a front end has read from a request: the fields of `RequestArrived` that describe it.
 
-    `timeout` and `retry_after` are microseconds; `id` is the client's own name for the request, for the log.
+    `timeout` and `retry_after` are in microseconds. `id` is the client's own identifier of the request, for the log.
     """
 
     request_class: int
@@ -40,11 +40,11 @@
 class Request:
     """One request from its arrival to its final answer and the end of its last attempt.
 
-    `answered`: nothing more is owed, since the final answer is out, the answer was cut, or the client has gone.
-    `state_holders`: the replicas that may hold a state for it. `interrupted`: an attempt was closed under way; its
-    replica sees that later, and may hold a state. `execution`: the first attempt that may have had the request's
-    effect. `prefill_replica`: the replica that has prefilled it last, 0 before that. `last_outcome`: of its last
-    attempt, empty before the first has ended.
+    `answered`: no answer is pending any more, because the final answer was sent, the answer was cut short, or the
+    client disconnected. `state_holders`: the replicas that may hold state for the request. `interrupted`: the
+    connection of an attempt was closed while it was in progress; its replica notices that later, and may hold state.
+    `execution`: the first attempt that may have executed the request. `prefill_replica`: the replica that last
+    prefilled it, or 0. `last_outcome`: the outcome of its last attempt, empty until the first one has ended.
     """
 
     number: int
@@ -66,7 +66,7 @@
 
 
 class AttemptOwner(Protocol):
-    """What an attempt passes the backend's reports on to."""
+    """The receiver of what the backend reports through an `Attempt`."""
 
     deadlines: Deadlines
 
@@ -94,18 +94,18 @@
         """See `Attempt.end`."""
 
     def expire(self, attempt: Attempt) -> None:
-        """The attempt's deadline has passed."""
+        """Handle the passing of the attempt's deadline."""
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
-        """The state that the attempt fetches has to be released now if the attempt has not arrived."""
+        """Release the state that the attempt fetches, if the attempt has not arrived by the time of the release."""
 
 
 class Attempt:
-    """One send of a request to one replica. The backend reports through `start_response` and `end`.
+    """One sending of a request to one replica. The backend reports through `start_response` and `end`.
 
-    Times are microseconds of the clock. `send_before`: its last byte has to be written by then; 0: whenever.
-    `endpoint`: the replica's entry in the endpoint list when the attempt was made. `last_forwarded_at`: when a piece
-    of its answer was last passed on to the client; 0: never.
+    Times are microseconds of the clock. `send_before`: the time by which the last byte has to be written, or 0 for no
+    limit. `endpoint`: the replica's entry in the endpoint list when the attempt was created. `last_forwarded_at`: when
+    a piece of the answer was last forwarded to the client, or 0 if none was.
     """
 
     __slots__ = (
@@ -154,23 +154,29 @@
 
     @property
     def timeout(self) -> int:
-        """The time that the attempt has in all, in microseconds."""
+        """The total time allowed for the attempt, in microseconds."""
         return self.deadline - self.sent_at
 
     def may_start(self) -> bool:
-        """The last check, right before the first byte. False: the attempt is over, and nothing of it may be written."""
+        """Check for the last time, right before the first byte, whether the attempt may be sent.
+
+        Returns False if the attempt has ended; no byte of it may be written then.
+        """
         return self._owner.may_start(self)
 
     def withdraw(self) -> None:
-        """End an attempt that is not written completely and no longer may be."""
+        """End an attempt that is not completely written and may no longer be."""
         self._owner.withdraw(self)
 
     def cancel(self) -> None:
-        """Close the attempt's connection and end it: its answer is not wanted any more."""
+        """Close the attempt's connection and end the attempt, because its answer is no longer needed."""
         self._owner.cancel(self)
 
     def start_response(self) -> bool:
-        """The first event of the answer is here. False: the attempt is over, and the event must not be forwarded."""
+        """Report the first event of the answer.
+
+        Returns False if the attempt has ended; the event must not be forwarded then.
+        """
         return self._owner.start_response(self)
 
     def end(
@@ -181,16 +187,16 @@
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
-        """The attempt is over.
+        """Report the end of the attempt.
 
-        `may_hold`: the replica may hold a state for the request, however the attempt ended. `retry_after`: for how
-        long, in microseconds, the replica wants nothing more. `replica_error`: the replica's error that is the client's
-        final answer; its form is agreed between the backend's dialect and the front end.
+        `may_hold`: the replica may hold state for the request, however the attempt ended. `retry_after`: for how many
+        microseconds the replica asks to be sent no further requests. `replica_error`: the replica's error that is the
+        client's final answer; its form is agreed between the backend's dialect and the front end.
         """
         self._owner.end(self, outcome, cached_tokens, may_hold, retry_after, replica_error)
 
     def cancel_timers(self) -> None:
-        """Cancel the attempt's deadline and the release of what it fetches."""
+        """Cancel the attempt's deadline and the scheduled release of the state that it fetches."""
         for key in (self._timeout_timer, self._release_timer):
             self._owner.deadlines.cancel(key)
         self._timeout_timer = None
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their acceptance to their one final answer, and the release of what replicas hold for them."""
+"""The lifecycle of requests, from acceptance to their one final answer, and the release of state held for them."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from pearhill.routing.permissions import may_reject
 from pearhill.settings import Deployment
 
-# Reason codes, as they are counted under `refusals`, `failures` and `violations`.
+# Reason codes, counted under `refusals`, `failures` and `violations`.
 TOO_MANY_OPEN = "too-many-open"
-EXPIRED = "expired"  # the request's time was over before its turn
-DEADLINE_EXCEEDED = "overdue"  # the router has not answered in time
+EXPIRED = "expired"  # the deadline passed before the request was processed
+DEADLINE_EXCEEDED = "overdue"  # the router did not answer the request by its deadline
 REJECTED_AFTER_EXECUTION = "refused-after-effect"
 
 
 class RequestLifecycle:
-    """Accepts requests, and ends each of them once: rejected, failed, answered, cut, or left by its client.
+    """Accepts requests and ends each exactly once: rejected, failed, answered, cut short, or left by its client.
 
-    `open_requests` are those that are not answered or have an attempt out, by number. `calls_by_class` counts how
-    requests ended. `inflight` counts the requests that were accepted and have not ended.
+    `open_requests` holds the requests that are not answered or have an attempt in flight, by number. `calls_by_class`
+    counts how requests ended. `inflight` counts the requests that were accepted and have not ended.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._next_number = 1
 
     def accept(self, spec: RequestSpec, client: Client, payload: Any, arrived: int | None) -> Request:
-        """Accept a request; its deadline runs from `arrived`, the time of its last byte, or from now."""
+        """Accept a request. Its deadline runs from `arrived`, the time of its last byte; None means now."""
         now = self._clock()
         deadline = (now if arrived is None else arrived) + spec.timeout
         request = Request(self._next_number, spec.request_class, client, payload, deadline, spec.id)
@@ -59,7 +59,7 @@
         self.open_requests[request.number] = request
         self._counters.taken += 1
         self.inflight += 1
-        if deadline <= now:  # It was read long before its turn: an answer to it would come too late.
+        if deadline <= now:  # It waited too long after it was read; an answer would come too late.
             self.reject(request, 0, EXPIRED)
             del self.open_requests[request.number]
             return request
@@ -68,13 +68,16 @@
         return request
 
     def record_rejection(self, request_class: int, reason: str) -> None:
-        """Count a request that a front end has rejected and not passed on."""
+        """Count a request that a front end rejected without passing it to `accept`."""
         self._counters.refusals[reason] += 1
         self._counters.refused += 1
         self._count(request_class, BUSY)
 
     def disconnect(self, request: Request) -> None:
-        """The client has gone: nothing more is owed, and the attempt is cancelled, even one that is being answered."""
+        """End a request whose client has disconnected.
+
+        No answer is pending any more. The attempt is cancelled, even one that is being answered.
+        """
         if request.answered:
             return
         request.client_disconnected = True
@@ -90,7 +93,10 @@
             attempt.cancel()
 
     def reject(self, request: Request, retry_after: int, reason: str) -> None:
-        """Reject the request, after which a retry is harmless; where it may have been executed, fail it instead."""
+        """Reject the request, after which a retry is safe.
+
+        A request that may have been executed is failed instead.
+        """
         may_have_executed = request.execution is not None or request.current_attempt is not None
         if not may_reject(self.deployment.router.classes[request.request_class], may_have_executed):
             self.record_violation(request, REJECTED_AFTER_EXECUTION)
@@ -111,35 +117,38 @@
         request.client.fail()
 
     def complete(self, request: Request) -> None:
-        """The answer has reached its end."""
+        """End the request, whose answer is complete."""
         self._finish(request, SUCCESS)
         self._counters.served += 1
         request.client.finish()
 
     def cut(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The answer has begun and will not be complete: ended in good order, it would pass for a complete one."""
+        """Abort an answer that has begun and will not be completed.
+
+        Ended normally, the partial answer would look complete to the client.
+        """
         self._finish(attempt.request, FAILURE)
         self._counters.broken += 1
         log_cut_answer(attempt, outcome, self._clock())
         attempt.request.client.abort()
 
     def decline(self, request: Request, replica_error: Any) -> None:
-        """Pass a replica's error on to the client: the request itself is at fault."""
+        """Forward a replica's error to the client, because the request itself is invalid."""
         self._finish(request, FAILURE)
         self._counters.declined += 1
         request.client.decline(replica_error)
 
     def stop_deadline(self, request: Request) -> None:
-        """The answer has begun: its length is no longer bounded by the request's deadline."""
+        """Cancel the request's deadline, which does not limit an answer that has begun."""
         self._deadlines.cancel(request.deadline_timer)
 
     def record_violation(self, request: Request, rule: str) -> None:
-        """The router requested what no rule allows. It is not done, and both are counted and logged."""
+        """Count and log an action of the router that a rule forbids and that was not performed."""
         self._counters.violations[rule] += 1
         log_violation(request, rule)
 
     def release(self, request: Request) -> None:
-        """Release what replicas may hold for the request."""
+        """Release the state that replicas may hold for the request."""
         replicas = request.state_holders
         request.state_holders = set()
         if replicas:
@@ -147,12 +156,12 @@
             self._backend().release(request, replicas)
 
     def forget_if_over(self, number: int) -> None:
-        """Drop a request that is answered and has no attempt out."""
+        """Remove a request that is answered and has no attempt in flight."""
         request = self.open_requests.get(number)
         if request is None or not request.answered or request.current_attempt is not None:
             return
         del self.open_requests[number]
-        if request.state_holders:  # Whatever led here, no state may stay pinned at a replica.
+        if request.state_holders:  # However the request ended, no replica may keep holding its state.
             self.release(request)
 
     def _finish(self, request: Request, result: str) -> None:
@@ -160,7 +169,7 @@
         self._count(request.request_class, result)
 
     def _close(self, request: Request) -> None:
-        """The one place where a request ends."""
+        """Mark the request as ended. Every request ends here."""
         request.answered = True
         self.inflight -= 1
         self._deadlines.cancel(request.deadline_timer)
@@ -170,9 +179,9 @@
         setattr(calls, result, getattr(calls, result) + 1)
 
     def _deadline_exceeded(self, request: Request) -> None:
-        """Answer in the router's place: its fault must not leave a client without an answer.
+        """Fail the request in place of the router, whose faults must not leave a client without an answer.
 
-        To the router this is a client that has gone, since nothing is owed any more.
+        The router receives a ClientDisconnected event, since no answer is pending any more.
         """
         if request.answered:
             return
--- a/pearhill/core/request_log.py
+++ b/pearhill/core/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests and attempts. Each names the request by its number, which is unique in the process."""
+"""Log lines about requests and attempts. Each contains the number of the request, which is unique in the process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def log_state(request: Request, state: str, detail: str) -> None:
-    """A request has come to a state: sent, left, refused or failed."""
+    """Log that a request has reached a state: sent, left, refused or failed."""
     logger.debug(
         "request={number} id={id} state={state} {why}",
         number=request.number,
@@ -20,7 +20,7 @@
 
 
 def log_attempt_ended(attempt: Attempt, outcome: Outcome, elapsed: int) -> None:
-    """An attempt is over, after `elapsed` microseconds."""
+    """Log the end of an attempt, `elapsed` microseconds after it was sent."""
     logger.debug(
         "attempt request={request} n={n} replica={replica} outcome={outcome} started={started} "
         "elapsed_us={elapsed_us} timeout_us={timeout_us}",
@@ -35,9 +35,9 @@
 
 
 def log_unconfirmed_fetch(attempt: Attempt) -> None:
-    """The replica of a fetch has not answered in time, so that what is fetched is released."""
+    """Log that a replica has not responded in time to an attempt that fetches state, so that the state is released."""
     logger.debug(
-        "attempt request={request} n={n} replica={replica} shows no sign: what is held for it is released",
+        "attempt request={request} n={n} replica={replica}: no response in time; releasing the state held for it",
         request=attempt.request.number,
         n=attempt.index,
         replica=attempt.replica,
@@ -45,7 +45,7 @@
 
 
 def log_cut_answer(attempt: Attempt, why: str, now: int) -> None:
-    """An answer began and is not complete: what ended it, and for how long nothing of it had been forwarded."""
+    """Log an answer that began and was not completed: its cause, and the time since data was last forwarded."""
     silent = now - attempt.last_forwarded_at if attempt.last_forwarded_at else 0
     logger.info(
         "answer cut request={request} id={id} replica={replica} why={why} silent_us={silent_us}",
@@ -58,10 +58,10 @@
 
 
 def log_violation(request: Request, rule: str) -> None:
-    """The router requested what no rule allows; it was not done."""
+    """Log an action of the router that a rule forbids and that was not performed."""
     logger.error("violation rule={rule} request={number} id={id}", rule=rule, number=request.number, id=request.id)
 
 
 def log_missed_deadline(request: Request) -> None:
-    """The router has let a request's deadline pass; the core has answered."""
+    """Log that the router let a request's deadline pass, so that the core answered it."""
     logger.error("request {request} reached its deadline without an answer from the router", request=request.number)
--- a/pearhill/load_reports/__init__.py
+++ b/pearhill/load_reports/__init__.py
@@ -1,5 +1,5 @@
-"""Load spread evenly by many dispatchers of which each sees a small part of it.
+"""Load estimates with which many dispatchers, each of which sees a small part of the load, spread it evenly.
 
-What replicas report, which of them to query and whether that pays, and what the other dispatchers have in flight. Free
-of I/O; the clock is passed in, in microseconds.
+The package stores what replicas report and what the other dispatchers have in flight, and decides which replicas to
+query and whether a query pays. It does no I/O. The clock is passed in, in microseconds.
 """
--- a/pearhill/load_reports/evenness.py
+++ b/pearhill/load_reports/evenness.py
@@ -1,18 +1,19 @@
-"""How evenly work lies on replicas: peak over mean, the Gini coefficient, and which replicas are idle."""
+"""How evenly load is distributed over replicas: peak over mean, the Gini coefficient, and the idle replicas."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MIN_WEIGHT = 1e-9  # of a replica, so that nothing is divided by 0
+MIN_WEIGHT = 1e-9  # lower bound of a replica's weight, to avoid a division by 0
 
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """`peak`: the busiest replica's work over the mean; 1 is even.
+    """How evenly work is distributed over replicas.
 
-    `gini`: 0 is even, near 1 is all at one. `idle`: the replicas without any work, in order.
+    `peak`: the busiest replica's work divided by the mean; 1 is even. `gini`: the Gini coefficient; 0 is even, and near
+    1 a single replica has all the work. `idle`: the replicas without any work, sorted.
     """
 
     peak: float
@@ -21,9 +22,10 @@
 
 
 def evenness(work: Mapping[str, float], weights: Mapping[str, float] | None = None) -> Evenness:
-    """The evenness of tokens in flight by replica.
+    """Return the evenness of tokens in flight by replica.
 
-    `weights` are the replicas' sizes, 1 where not given. Without any work at all it is even, and none is called idle.
+    `weights` are the replicas' capacities; a missing one counts as 1. Without any work at all, the distribution is
+    even and no replica counts as idle.
     """
     sizes = weights or {}
     shares = sorted(tokens / max(MIN_WEIGHT, sizes.get(name, 1.0)) for name, tokens in work.items())
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -1,10 +1,12 @@
-"""A router that knows the load: before a choice it queries the replicas between which it lies.
+"""A router that queries the load of the candidate replicas before it chooses one.
 
-The router says between which replicas it is to choose (`QueryLoad`). Here it is decided which of them to check, and for
-how long the request may wait for that; the router gets what is known as facts (`LoadKnown`) and chooses. One health
-check of a replica serves all requests that wait for it. A replica that answers no check is ejected: the router learns
-that from its report and chooses another, without a request having been lost there; and it is a check, never a request,
-that finds out when it is back.
+The router names the candidates of a choice (`QueryLoad`). This module decides which of them to check, and for how long
+the request may wait for that. The router then receives the load that is known (`LoadKnown`) and chooses. One health
+check of a replica serves all requests that wait for it.
+
+A replica that does not answer a health check is ejected. The load report passes this to the router, which chooses
+another replica, so that no request is lost at the ejected one. Whether that replica has recovered is tested by health
+checks, never by requests.
 """
 
 from __future__ import annotations
@@ -34,17 +36,20 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
 
-QUERY_TIMEOUT_SHARE = 1 / 40  # of the shortest latency objective: for so long a request waits for its query
-MAX_HOLD_TIME_DIVISOR = 4  # and for no more than this part of the time for which a state is held
-CHECK_LOST_AFTER_US = 2_000_000  # a check whose end never arrived; the driver ends each much sooner
-MIN_REPORT_CONFIDENCE = 0.5  # of a replica's own report; below it the sum over all dispatchers counts
-MIN_PEER_CONFIDENCE = 0.1  # of that sum
-JITTER_SEED = 0x5C007  # keeps these draws apart from the router's own
+QUERY_TIMEOUT_SHARE = 1 / 40  # of the shortest latency objective: how long a request waits for its query
+MAX_HOLD_TIME_DIVISOR = 4  # a query also waits no longer than the state hold time divided by this
+CHECK_LOST_AFTER_US = 2_000_000  # a check that has not ended by then is sent again; the backend ends each much sooner
+MIN_REPORT_CONFIDENCE = 0.5  # of a replica's own report; at or below it, the sum over all dispatchers is used
+MIN_PEER_CONFIDENCE = 0.1  # of that sum; at or below it, the replica's own report is used after all
+JITTER_SEED = 0x5C007  # separates the jitter's random draws from the router's own
 ALL_ROLES = frozenset((Role.PREFILL, Role.DECODE, Role.MIXED))
 
 
 class OwnLoad(NamedTuple):
-    """This dispatcher's tokens at one replica: yet to be prefilled there, and in flight there in all."""
+    """This dispatcher's tokens at one replica.
+
+    `queued_tokens` are yet to be prefilled there. `total_tokens` are all that are in flight there.
+    """
 
     replica: int
     queued_tokens: int
@@ -52,7 +57,7 @@
 
 
 class ReplicaStatus(NamedTuple):
-    """This dispatcher's tokens at one replica, as in `OwnLoad`, and whether the replica gets no new requests now."""
+    """This dispatcher's tokens at one replica, as in `OwnLoad`, and whether it sends no new requests there now."""
 
     queued_tokens: int
     total_tokens: int
@@ -60,7 +65,7 @@
 
 
 class LoadAwareRouter:
-    """Feed it every event with its time, as one would a `Router`; do what it returns, in order."""
+    """A `Router` with load queries. Feed it every event with its time, and perform the returned actions in order."""
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
         self.router = Router(settings, seed)
@@ -68,20 +73,20 @@
         self.pending_queries = PendingQueries()
         self._reports = Reports()
         self._unanswered = UnansweredChecks(random.Random(seed ^ JITTER_SEED))
-        self._checks_since: dict[int, int] = {}  # by replica, of the health checks that are out
+        self._checks_since: dict[int, int] = {}  # by replica: when its health check in flight was sent
         self.reconfigure(settings)
 
     def reconfigure(self, settings: RouterSettings) -> None:
-        """Apply other settings for the same classes, kinds and zones."""
+        """Apply new settings for the same classes, kinds and zones."""
         self.router.reconfigure(settings)
         self._checked_roles = roles_worth_querying(settings)
         self._query_timeout = _query_timeout(settings)
         self._set_query_roles()
 
     def use_peers(self, peers: PeerLoadSource | None) -> None:
-        """Take the other dispatchers' load from this source; None: from no one.
+        """Set the source of the other dispatchers' load, or None for no source.
 
-        What they share costs nothing more, so that every choice is queried.
+        Reading the source costs nothing further, so with a source the load is queried before every choice.
         """
         self.peers = peers
         self._set_query_roles()
@@ -89,10 +94,10 @@
     def _set_query_roles(self) -> None:
         self.router.placement.query_roles = ALL_ROLES if self.peers else self._checked_roles
 
-    # For the other dispatchers, and for operators.
+    # Read by other dispatchers and by operators.
 
     def own_load(self) -> list[OwnLoad]:
-        """This dispatcher's tokens at each replica where it has any."""
+        """Return this dispatcher's tokens at each replica where it has any."""
         return [
             OwnLoad(replica.id, replica.tokens_queued, replica.tokens_in_flight)
             for replica in self.router.replicas.values()
@@ -100,7 +105,7 @@
         ]
 
     def loads(self, now: int) -> dict[int, ReplicaStatus]:
-        """The status of each listed replica."""
+        """Return the status of each listed replica."""
         ejected = self._ejected_by_router(now)
         return {
             replica.id: ReplicaStatus(
@@ -112,11 +117,14 @@
         }
 
     def avoided_count(self, now: int) -> int:
-        """How many listed replicas get no new requests now."""
+        """Return the number of listed replicas to which this dispatcher currently sends no new requests."""
         return sum(status.avoided for status in self.loads(now).values())
 
     def _ejected_by_router(self, now: int) -> set[int]:
-        """Listed replicas that get nothing new for now, by the list's phase or by the router's outlier detection."""
+        """Return the listed replicas that currently get no new requests from the router.
+
+        The reason is their phase in the list, or the router's outlier detection.
+        """
         threshold = self.router.outliers.ejection_threshold(now)
         return {
             replica.id
@@ -129,7 +137,7 @@
     # Events.
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event; the actions that it asks for."""
+        """Handle one event. Returns the actions to perform."""
         match event:
             case HealthCheckEnded():
                 return self._end_check(now, event)
@@ -149,11 +157,14 @@
         listed = self.router.replicas.keys()
         self._reports.keep(listed)
         self._unanswered.keep(listed)
-        for gone in self._checks_since.keys() - listed:  # The end of its check may still come: no request waits for it.
+        for gone in self._checks_since.keys() - listed:  # The check may still end; no request waits for it.
             del self._checks_since[gone]
 
     def _answer_queries(self, now: int, actions: list[Action]) -> list[Action]:
-        """The router's actions, each query replaced by its health checks, or by what follows if it is answered now."""
+        """Return the router's actions, with each query replaced by its health checks.
+
+        A query that can be answered at once is replaced by the actions that follow from the answer.
+        """
         if not any(isinstance(action, QueryLoad) for action in actions):
             return actions
         out: list[Action] = []
@@ -201,9 +212,10 @@
         return actions
 
     def _end_query(self, now: int, request: int) -> list[Action]:
-        """The request waits no longer: the router chooses by what is known now."""
+        """End the wait of a request. The router chooses by the load that is known now."""
         query = self.pending_queries.close(request)
-        # Of a replica that has not answered in time nothing is known: it would look emptier, and get the request.
+        # The load of a replica that has not answered in time is unknown. If it were not ejected, it would look emptier
+        # than the others and get the request.
         for late in query.missing:
             self._unanswered.record_delay(now, late, self._query_timeout)
         return self._report_load(now, request, query.replicas)
@@ -213,14 +225,14 @@
         return self._answer_queries(now, self.router.handle(now, LoadKnown(request, reports)))
 
     def _report(self, now: int, number: int) -> LoadReport:
-        """The replica's own report, or, where that is old, the sum of what all dispatchers have there."""
+        """Return the replica's own report or, if that is old, the sum of all dispatchers' load there."""
         report = self._reports.report(now, number, self._unanswered.ejected_until(now, number))
         replica = self.router.replicas.get(number)
         if self.peers is None or replica is None or report.confidence > MIN_REPORT_CONFIDENCE:
             return report
         others = self.peers.others(now, number, replica.tokens_queued, replica.tokens_in_flight)
-        # In a fleet of hundreds most of the sum is never fresh. What is not is assumed to be the mean of what is, so
-        # that a small part says as much as a sample does.
+        # With hundreds of dispatchers, most of the sum is never fresh. The rest is assumed to be the mean of the fresh
+        # part, so that even a small fresh part is as informative as a sample.
         if others.confidence <= MIN_PEER_CONFIDENCE:
             return report
         return LoadReport(
@@ -233,7 +245,7 @@
 
 
 def _query_timeout(settings: RouterSettings) -> int:
-    """For how long a request waits for its query: a state that is held meanwhile has to be fetched in time."""
+    """Return how long a request waits for its query. State held meanwhile must still be fetched in time."""
     shortest = min(request_class.latency_objective for request_class in settings.classes)
     share = int(shortest * QUERY_TIMEOUT_SHARE)
     return max(settings.tick, min(share, settings.state_hold_time // MAX_HOLD_TIME_DIVISOR))
--- a/pearhill/load_reports/peer_load_source.py
+++ b/pearhill/load_reports/peer_load_source.py
@@ -1,4 +1,4 @@
-"""Where the load of the other dispatchers comes from."""
+"""The interface to the load of the other dispatchers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class OthersLoad(NamedTuple):
-    """The other dispatchers' tokens at one replica: yet to be prefilled there, and in flight there in all.
+    """The other dispatchers' tokens at one replica.
 
-    `confidence`: how much of that is fresh (1) and how much is assumed (0).
+    `queued_tokens` are yet to be prefilled there. `total_tokens` are all that are in flight there. `confidence` is the
+    fresh part of that load: 1 if all of it is fresh, 0 if all of it is assumed.
     """
 
     queued_tokens: float
@@ -17,7 +18,7 @@
 
 
 class PeerLoadSource(Protocol):
-    """Other dispatchers that share what they have in flight (`pearhill.membership`)."""
+    """Provides the load that the other dispatchers report (implemented in `pearhill.membership`)."""
 
     def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has so many tokens."""
+        """Return the load of the other dispatchers at a replica. The tokens passed in are this dispatcher's own."""
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -1,9 +1,9 @@
-"""What each dispatcher has in flight at each replica, as it says, and the sum of it over the fleet.
+"""The tokens that each dispatcher reports in flight at each replica, and their sum over the fleet.
 
-A digest is one dispatcher's gauge: the tokens that it has in flight at each replica now. A newer one replaces the older
-one whole, so that a digest that arrives twice, late, or out of order counts nothing twice. One that grows old fades,
-not to nothing but to the mean of what the others have there: as far as is known, a dispatcher that cannot be reached
-still sends its requests.
+A digest is a gauge of one dispatcher: the tokens that it has in flight at each replica now. A newer digest replaces the
+older one completely, so no token is counted twice if a digest arrives twice, late, or out of order. As a digest ages,
+its load decays not to zero but to the mean of the other dispatchers' load there, because a dispatcher that is
+unreachable for this one is assumed to still send requests.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 
 from pearhill.load_reports.peer_load_source import OthersLoad
 
-HALF_LIFE_US = 750_000  # of a digest: some gossip intervals, and the length of a prefill
-MAX_HALF_LIVES = 8  # after which a digest counts nothing
-MAX_ROWS = 48  # replicas of a digest; those with the most work
+HALF_LIFE_US = 750_000  # of a digest's weight: a few gossip intervals, and the duration of a prefill
+MAX_HALF_LIVES = 8  # after which a digest has no weight
+MAX_ROWS = 48  # replicas in a digest; those with the most tokens are included
 MAX_TOKENS = 1 << 40  # a row with more is discarded
 
-Version = tuple[int, int]  # incarnation and sequence: the larger is the newer
+Version = tuple[int, int]  # incarnation and sequence number; the larger is the newer
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLoad:
-    """One dispatcher's tokens at one replica: yet to be prefilled there, and in flight there in all."""
+    """One dispatcher's tokens at one replica.
+
+    `queued_tokens` are yet to be prefilled there. `total_tokens` are all that are in flight there.
+    """
 
     replica: int
     queued_tokens: int
@@ -38,23 +41,24 @@
 
 
 def largest_loads(rows: Iterable[ReplicaLoad]) -> list[ReplicaLoad]:
-    """The rows of a digest, which has room for `MAX_ROWS`: the largest."""
+    """Return the rows with the most tokens, at most `MAX_ROWS`, for a digest."""
     return sorted(rows, key=lambda row: (-row.total_tokens, row.replica))[:MAX_ROWS]
 
 
 class PeerLoads:
-    """The last digest of each peer, and their sums."""
+    """The latest digest of each peer, and their sums."""
 
     def __init__(self) -> None:
         self._last: dict[str, _Digest] = {}
-        # By replica there are few rows; a walk through all peers would make each choice slower the more there are.
+        # There are few rows for each replica. Without this index, each choice would iterate over all peers and become
+        # slower the more peers there are.
         self._by_replica: dict[int, dict[str, ReplicaLoad]] = {}
         self._counted: Collection[str] = ()
-        self._weights: dict[str, float] = {}  # of those counted: as of the last `weigh`, and 1 if received since
-        self._total_weight = 1.0  # their sum, and 1 for this dispatcher, whose own work is known
+        self._weights: dict[str, float] = {}  # of the counted peers: as of the last `weigh`, or 1 if received since
+        self._total_weight = 1.0  # their sum, plus 1 for this dispatcher, whose own load is known
 
     def receive(self, now: int, name: str, version: Version, rows: Iterable[ReplicaLoad]) -> bool:
-        """Take in a peer's digest. False: it is no newer than the last one."""
+        """Store a peer's digest. Returns False if it is no newer than the last one."""
         last = self._last.get(name)
         if last and version <= last.version:
             return False
@@ -69,15 +73,16 @@
         return True
 
     def last_row(self, name: str, replica: int) -> ReplicaLoad | None:
-        """What a peer's last digest says of a replica; None: nothing."""
+        """Return the replica's row in a peer's last digest, or None if it has none."""
         last = self._last.get(name)
         return last.rows.get(replica) if last else None
 
     def weigh(self, now: int, counted: Collection[str]) -> None:
-        """Compute anew which peers count, and how much.
+        """Recompute which peers count, and with which weights.
 
-        Called at every gossip interval, within which hardly anything fades, and not at a choice, which would become
-        slower the more peers there are. The same object as at the last call is taken for the same peers.
+        This is called at every gossip interval, within which weights hardly decay, and not at each choice, which would
+        become slower the more peers there are. If `counted` is the same object as in the last call, the peers are
+        taken to be unchanged.
         """
         if self._counted is not counted:
             self._counted = counted
@@ -85,9 +90,9 @@
             self._total_weight = 1 + sum(self._weights.values())
 
     def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> OthersLoad:
-        """The sum over the peers that are `counted`, whether they can be reached or not; `counted` as in `weigh`.
+        """Return the sum over the `counted` peers, reachable or not. `counted` is as in `weigh`.
 
-        A peer of which nothing is known counts as the mean of this dispatcher and all of which something is known.
+        A peer whose load is unknown counts as the mean of this dispatcher and of all peers whose load is known.
         """
         self.weigh(now, counted)
         queued = float(own.queued_tokens)
@@ -109,13 +114,13 @@
         )
 
     def keep(self, names: Collection[str]) -> None:
-        """Forget the digests of all but these peers."""
+        """Discard the digests of all peers except these."""
         for gone in self._last.keys() - set(names):
             self._remove_rows(gone)
             del self._last[gone]
 
     def weight(self, now: int, name: str) -> float:
-        """How much a peer's last digest counts: 1 when it arrives, half after a half-life, 0 after a few."""
+        """Return the weight of a peer's last digest: 1 on arrival, half after a half-life, 0 after `MAX_HALF_LIVES`."""
         last = self._last.get(name)
         if last is None:
             return 0.0
--- a/pearhill/load_reports/pending_queries.py
+++ b/pearhill/load_reports/pending_queries.py
@@ -1,15 +1,19 @@
-"""Requests whose choice waits for the answers of replicas."""
+"""Load queries whose requests wait for the answers of replicas."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-FIRST_QUERY_TIMER = 1 << 31  # the router numbers its own timers from 1
+FIRST_QUERY_TIMER = 1 << 31  # far above the router's own timers, which are numbered from 1
 
 
 @dataclass(slots=True)
 class PendingQuery:
-    """One request's query: the replicas of its choice, those that have yet to answer, and the timer that bounds it."""
+    """The load query of one request.
+
+    `replicas`: the candidates of its choice. `missing`: the replicas that have not answered yet. `timer`: the timer
+    that limits the wait.
+    """
 
     replicas: tuple[int, ...]
     missing: set[int]
@@ -17,7 +21,7 @@
 
 
 class PendingQueries:
-    """The queries that are out, by request. One health check of a replica serves all that wait for it."""
+    """The queries in flight, by request. One health check of a replica serves all requests that wait for it."""
 
     def __init__(self) -> None:
         self._by_request: dict[int, PendingQuery] = {}
@@ -31,33 +35,33 @@
         return request in self._by_request
 
     def add(self, request: int, replicas: tuple[int, ...], missing: set[int]) -> int:
-        """A request waits for the `missing` of these replicas; the number of the timer to set for it."""
+        """Add a request that waits for the `missing` replicas. Returns the number of the timer to set for it."""
         self._last_timer += 1
         self._request_of_timer[self._last_timer] = request
         self._by_request[request] = PendingQuery(replicas, missing, self._last_timer)
         return self._last_timer
 
     def waiting_for(self, replica: int) -> list[int]:
-        """The requests that wait for this replica, in the order of their queries."""
+        """Return the requests that wait for this replica, in the order of their queries."""
         return [request for request, query in self._by_request.items() if replica in query.missing]
 
     def record_answer(self, request: int, replica: int) -> bool:
-        """The request waits for this replica no longer. True: nor for any other."""
+        """Record that a request no longer waits for this replica. Returns True if it waits for no other either."""
         missing = self._by_request[request].missing
         missing.discard(replica)
         return not missing
 
     def timed_out(self, timer: int) -> int | None:
-        """The request whose timer this is; None: it waits no longer."""
+        """Return the request of a timer that has fired, or None if the request no longer waits."""
         request = self._request_of_timer.pop(timer, None)
         return request if request in self._by_request else None
 
     def close(self, request: int) -> PendingQuery:
-        """The request waits no longer: its query, with what is still missing."""
+        """Remove and return the query of a request, with the replicas that have not answered."""
         query = self._by_request.pop(request)
         self._request_of_timer.pop(query.timer, None)
         return query
 
     def drop(self, request: int) -> None:
-        """The request's client has gone; the timer runs out by itself."""
+        """Remove the query of a request whose client has disconnected. Its timer is left to fire."""
         self._by_request.pop(request, None)
--- a/pearhill/load_reports/unanswered_checks.py
+++ b/pearhill/load_reports/unanswered_checks.py
@@ -1,4 +1,4 @@
-"""Replicas that leave health checks unanswered are ejected, with a backoff, until one is answered."""
+"""Ejects replicas that leave health checks unanswered, with a backoff, until they answer one."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 FIRST_EJECTION_US = 400_000  # after the first unanswered check; doubled with each further one
 MAX_EJECTION_US = 3_200_000
 MAX_DOUBLINGS = 8
-JITTER = (0.75, 1.25)  # factors of an ejection
+JITTER = (0.75, 1.25)  # range of the random factor of an ejection
 
 
 @dataclass(slots=True)
 class _Unanswered:
-    """Checks in a row that one replica has not answered, and until when it is ejected for that."""
+    """The consecutive checks that one replica has not answered, and until when it is ejected for that."""
 
     count: int = 0
     ejected_until: int = 0
 
 
 class UnansweredChecks:
-    """By replica, since its last answer."""
+    """Unanswered health checks by replica, counted since its last answer."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._by_replica: dict[int, _Unanswered] = {}
 
     def ejected_until(self, now: int, replica: int) -> int:
-        """Until when the replica gets no requests; 0: it may get some now."""
+        """Return until when the replica gets no requests, or 0 if it may get some now."""
         unanswered = self._by_replica.get(replica)
         if unanswered is None or unanswered.ejected_until <= now:
             return 0
         return unanswered.ejected_until
 
     def record_answer(self, replica: int) -> None:
-        """The replica has answered: it is ejected no longer."""
+        """Record an answer of the replica, which ends its ejection."""
         self._by_replica.pop(replica, None)
 
     def record_failure(self, now: int, replica: int) -> None:
-        """A check has ended without an answer.
+        """Record a check that ended without an answer, and eject the replica.
 
-        The ejection is drawn from a range: dispatchers that found a replica silent at the same moment would otherwise
-        all check it again at the same moment.
+        The ejection has a random duration: dispatchers that found a replica unresponsive at the same moment would
+        otherwise all check it again at the same moment.
         """
         unanswered = self._by_replica.setdefault(replica, _Unanswered())
         ejection = min(MAX_EJECTION_US, FIRST_EJECTION_US << min(MAX_DOUBLINGS, unanswered.count))
@@ -50,11 +50,17 @@
         unanswered.ejected_until = now + int(ejection * self._rng.uniform(*JITTER))
 
     def record_delay(self, now: int, replica: int, delay: int) -> None:
-        """A check was not answered within `delay` and may still be: eject the replica for as long again."""
+        """Record a check that was not answered within `delay` microseconds and still may be.
+
+        The replica is ejected for the same time again.
+        """
         unanswered = self._by_replica.setdefault(replica, _Unanswered())
         unanswered.ejected_until = max(unanswered.ejected_until, now + delay)
 
     def keep(self, replicas: Collection[int]) -> None:
-        """Forget all but these: in a fleet of changing machines the rest would fill the memory."""
+        """Discard the records of all replicas except these.
+
+        In a fleet whose machines change, the records of old ones would otherwise fill the memory.
+        """
         for gone in self._by_replica.keys() - set(replicas):
             del self._by_replica[gone]
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher without sockets or processes: a clock that the test moves, and a backend that records its calls."""
+"""A dispatcher without sockets or processes: a clock that the test advances, and a backend that records its calls."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import SETTINGS
 
-ADVICE, BOOKING = 0, 1  # classes of SETTINGS: idempotent, unsafe to repeat
-PREFILL, DECODE, MIXED = 0, 1, 2  # kinds of SETTINGS, by their role
+ADVICE, BOOKING = 0, 1  # indices of the classes in SETTINGS: idempotent, unsafe to repeat
+PREFILL, DECODE, MIXED = 0, 1, 2  # indices of the kinds in SETTINGS, by role
 PREFILL_REPLICA = 1
 DECODE_REPLICAS = (2, 3)
 
 
 def endpoint(replica: int, kind: int, phase: Phase = Phase.READY) -> Endpoint:
-    """An entry of the endpoint list, in zone 0 and as large as any."""
+    """Returns an entry of the endpoint list in zone 0, with the same capacity as its peers."""
     return Endpoint(replica, 0, kind, 0, phase, 1.0, 0)
 
 
 class RecordingClient:
-    """A client that records its final answers. `disconnected` is what the dispatcher sees when it checks."""
+    """A client that records its final answers. `disconnected` is what `has_disconnected` returns."""
 
     def __init__(self) -> None:
         self.answers: list[str] = []
@@ -43,7 +43,7 @@
         self.answers.append("decline")
 
     async def forward(self, data: bytes) -> None:
-        raise AssertionError("no data here")
+        raise AssertionError("this client receives no data")
 
     def finish(self) -> None:
         self.answers.append("finish")
@@ -56,10 +56,10 @@
 
 
 class DispatcherHarness:
-    """A dispatcher before one prefill replica and two decode replicas, and the backend that it calls.
+    """A dispatcher with one prefill replica and two decode replicas. The harness itself is its backend.
 
-    `reached`: whether attempts have been written when they are cancelled. `on_cancel` is called before that is
-    returned. `released` and `released_unless_fetched` are the replicas of each call.
+    `reached`: whether attempts have been written when they are cancelled. `on_cancel` is called before `cancel`
+    returns that. `released` and `released_unless_fetched` hold the replicas of each call.
     """
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
         decode = [endpoint(replica, DECODE) for replica in DECODE_REPLICAS]
         self.dispatcher.update_endpoints(True, (endpoint(PREFILL_REPLICA, PREFILL), *decode))
 
-    # The backend.
+    # Backend.
 
     def send(self, attempt: Attempt) -> None:
         self.sent.append(attempt)
@@ -88,7 +88,7 @@
         return self.reached
 
     def check_health(self, replica: int) -> None:
-        raise AssertionError("no health checks with one dispatcher")
+        raise AssertionError("a single dispatcher sends no health checks")
 
     def release(self, request: Request, replicas: Collection[int]) -> None:
         self.released.append(set(replicas))
@@ -96,48 +96,48 @@
     def release_unless_fetched(self, request: Request, replicas: Collection[int]) -> None:
         self.released_unless_fetched.append(set(replicas))
 
-    # What a test does.
+    # Steps of a test.
 
     def accept(self, request_class: int = ADVICE, timeout: int = 5_000_000) -> RecordingClient:
-        """A request arrives."""
+        """Accepts a request of this class from a new client."""
         client = RecordingClient()
         spec = RequestSpec(request_class, timeout, prompt_tokens=3000, max_output_tokens=100)
         client.request = self.dispatcher.accept(spec, client, None)
         return client
 
     def accept_and_prefill(self, request_class: int = ADVICE) -> RecordingClient:
-        """A request arrives and its prefill ends well: a decode attempt is out as `sent[1]`."""
+        """Accepts a request and ends its prefill successfully; its decode attempt is then in flight as `sent[1]`."""
         client = self.accept(request_class)
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
         return client
 
     def wait(self, micros: int) -> None:
-        """Let time pass; each deadline is swept when it is due."""
+        """Advances the clock by `micros`, running each timer when it is due."""
         end = self.now + micros
         while (earliest := self.deadlines.earliest) is not None and earliest <= end:
             self.now = max(self.now, earliest)
             self.deadlines.sweep()
         self.now = end
 
-    # What a test sees.
+    # State that a test checks.
 
     @property
     def router(self) -> Any:
-        """The router, whose decisions some tests replace."""
+        """The router, whose `handle` some tests replace."""
         return self.dispatcher.router
 
     @property
     def judged(self) -> list[int]:
-        """The replicas whose failure rate the router has any evidence of."""
+        """The replicas for whose failure rate the router has recorded any outcome."""
         return [r.id for r in self.router.router.replicas.values() if r.failure_rate.weight]
 
     @property
     def blamed(self) -> list[int]:
-        """The replicas that the router holds a failure against."""
+        """The replicas for which the router has recorded a failure."""
         return [r.id for r in self.router.router.replicas.values() if r.failure_rate.value]
 
     def assert_over(self, client: RecordingClient, answers: list[str], released: list[set[int]]) -> None:
-        """These final answers, these releases, and no request is open."""
+        """Asserts the client's final answers and the releases, and that no request is open."""
         assert client.answers == answers
         assert self.released == released
         assert self.dispatcher.requests == {}
--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The process's deadlines, by a clock that the test moves."""
+"""Deadlines with a clock that the test advances."""
 
 from pearhill.core.deadlines import Deadlines
 
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""What the dispatcher holds whatever the router, the backend, the endpoint list and the clients do."""
+"""Guarantees of the dispatcher that hold whatever the router, the backend, the endpoint list and the clients do."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
     assert len(h.sent) == 2
 
 
-# Clients that go.
+# Clients that disconnect.
 
 
 def test_nothing_is_begun_for_a_client_that_is_seen_to_have_gone_at_the_first_byte(h: DispatcherHarness) -> None:
@@ -130,7 +130,7 @@
 def test_an_attempt_that_waits_for_its_connection_goes_elsewhere_when_the_list_takes_its_replica_away(
     h: DispatcherHarness, phase: Phase
 ) -> None:
-    """Nothing is spent on it: more replicas go than attempts are allowed."""
+    """A withdrawn attempt does not count as one: more replicas are unlisted than attempts are allowed."""
     h.reached = False
     client = take_replicas_away(h, phase)
     assert len({attempt.replica for attempt in h.sent}) == MAX_ATTEMPTS + 3
@@ -139,7 +139,7 @@
 
 
 def test_an_attempt_that_may_have_been_written_stays_when_the_list_takes_its_replica_away(h: DispatcherHarness) -> None:
-    """It may be executed there: sent elsewhere, the request would have two attempts out."""
+    """It may be executed there. If the request were sent elsewhere, it would have two attempts in flight."""
     client = take_replicas_away(h, Phase.DRAINING)
     assert len({attempt.replica for attempt in h.sent}) == 1
     assert h.dispatcher.counters.outcomes[Outcome.WITHDRAWN] == 0
@@ -147,7 +147,7 @@
 
 
 def take_replicas_away(h: DispatcherHarness, phase: Phase) -> RecordingClient:
-    """A booking before many replicas, of which the list takes the one that was chosen, again and again."""
+    """Accepts an unsafe request with many replicas listed, and repeatedly unlists the replica that was chosen."""
     mixed = range(10, MAX_ATTEMPTS + 13)
     h.dispatcher.update_endpoints(True, tuple(endpoint(replica, MIXED) for replica in mixed))
     client = h.accept(BOOKING)
@@ -157,7 +157,7 @@
 
 
 def answer_last_attempt(h: DispatcherHarness, client: RecordingClient) -> None:
-    """No replica was blamed, and the client had no answer; it gets its own now."""
+    """Checks that no outcome was recorded and the client has no answer yet, and then answers the last attempt."""
     assert client.answers == []
     assert h.judged == []
     h.sent[-1].start_response()
@@ -184,11 +184,11 @@
     assert len({attempt.replica for attempt in h.sent}) == 2
 
 
-# The time by which an attempt has to be written, and a state to be fetched.
+# Time limits for writing an attempt and for fetching a state.
 
 
 def test_an_attempt_that_is_not_begun_in_time_never_ran_and_is_no_failure_of_the_replica(h: DispatcherHarness) -> None:
-    """A state is fetched within `release-within` or released; its fetch waits for a connection until then."""
+    """State is fetched within `release-within` or released. Its fetch waits for a connection until then."""
     client = h.accept_and_prefill(BOOKING)
     assert h.sent[1].send_before == h.now + STATE_HOLD_TIME
     h.reached = False
@@ -198,11 +198,11 @@
     assert h.released == [{1}]
     assert client.answers == []
     assert h.blamed == []
-    assert h.sent[2].replica == 1  # prefilled anew: nothing has been executed
+    assert h.sent[2].replica == 1  # prefilled again, since nothing has been executed
 
 
 def test_a_booking_that_was_being_written_when_its_time_was_over_may_have_been_executed(h: DispatcherHarness) -> None:
-    """Its last byte may have left in this very tick; rejected, or sent elsewhere, it could be executed twice."""
+    """Its last byte may have been sent in this same tick. If rejected or sent elsewhere, it could be executed twice."""
     client = h.accept_and_prefill(BOOKING)
     h.now = h.sent[1].send_before
     h.sent[1].withdraw()
@@ -235,7 +235,7 @@
     assert h.released == []
 
 
-# One attempt out, and no effect twice.
+# At most one attempt in flight, and at most one execution.
 
 
 def test_a_second_attempt_is_not_sent_while_one_is_out_whatever_the_router_asks_for(h: DispatcherHarness) -> None:
@@ -255,7 +255,7 @@
 
 
 def test_an_effect_is_not_repeated_nor_its_request_rejected_whatever_the_router_asks_for(h: DispatcherHarness) -> None:
-    """Both are counted as violations; the client gets a failure."""
+    """Both actions are counted as violations, and the client receives a failure."""
     client = h.accept_and_prefill(BOOKING)
     number = client.request.number
     wanted: list[Action] = [SendAttempt(number, h.sent[1].replica, 10**6)]
@@ -279,13 +279,13 @@
 
 
 def test_a_stall_while_a_request_is_accepted_leaves_its_answer_to_the_router(h: DispatcherHarness) -> None:
-    """The router rejects what no replica answers in time; the core's own answer is a failure, and logged as one."""
+    """The router rejects a request that no replica answers in time. The core itself would fail it and log an error."""
     handle = h.router.handle
 
     def with_stall(now: int, event: Event) -> list[Action]:
         actions: list[Action] = handle(now, event)
         if isinstance(event, RequestArrived):
-            h.now += 10_000  # the process is kept from its core
+            h.now += 10_000  # the process is stalled
         return actions
 
     h.router.handle = with_stall
@@ -296,7 +296,7 @@
 
 
 def test_a_request_that_waits_behind_a_slow_event_is_answered_by_the_router_too(h: DispatcherHarness) -> None:
-    """Its time runs from its acceptance: a router that took it to have arrived later would answer too late."""
+    """Its deadline runs from its acceptance. If the router counted from a later time, it would answer too late."""
     handle = h.router.handle
     waiting: list[RecordingClient] = []
 
--- a/tests/core/test_event_queue.py
+++ b/tests/core/test_event_queue.py
@@ -1,4 +1,4 @@
-"""The order of events and of their actions."""
+"""The order in which events are handled and their actions are performed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def router(handle: Callable[[int, Any], list[Action]]) -> Any:
-    """A router that handles its events so."""
+    """Returns a router that handles events with `handle`."""
     return SimpleNamespace(handle=handle)
 
 
@@ -39,7 +39,7 @@
 
     def handle(now: int, event: Any) -> list[Action]:
         if event.request == 1:
-            raise ValueError("a fault of the router")
+            raise ValueError("a fault in the router")
         return []
 
     def perform(event: Any, actions: Iterable[Action]) -> None:
--- a/tests/core/test_request_counts.py
+++ b/tests/core/test_request_counts.py
@@ -1,4 +1,4 @@
-"""The counts of requests add up, whatever ends a request: a property over random histories of one dispatcher."""
+"""Each request is counted once, however it ends: a property test over random histories of one dispatcher."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class History:
-    """Steps on one dispatcher, and what the test has counted of them."""
+    """Applies steps to one dispatcher and keeps the expected counts."""
 
     def __init__(self) -> None:
         self.harness = DispatcherHarness()
@@ -94,7 +94,7 @@
         assert dispatcher.inflight == sum(not each.request.answered for each in self.accepted)
 
     def results(self, request_class: int) -> list[str]:
-        """How the answers to this class's requests count."""
+        """The results that the answers to this class's requests count as."""
         return [
             RESULT_OF[answer]
             for each in self.accepted
--- a/tests/load_reports/test_evenness.py
+++ b/tests/load_reports/test_evenness.py
@@ -1,4 +1,4 @@
-"""How evenly work lies on replicas."""
+"""Measures of how evenly work is distributed over replicas."""
 
 from __future__ import annotations
 
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -1,4 +1,4 @@
-"""Which replicas a dispatcher that sees little queries, and what it does with the answers."""
+"""Which replicas a dispatcher queries for their load, and how the answers affect its choices."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 class LoadAwareDriver(RouterDriver):
-    """A load-aware router before two prefill and two decode replicas. `checks`: the health checks that are out."""
+    """Drives a load-aware router with two prefill and two decode replicas. `checks`: the health checks in flight."""
 
     def __init__(self, settings: RouterSettings = MANY_DISPATCHERS, seed: int = 1) -> None:
         self.checks: list[int] = []
         super().__init__(settings, FLEET, seed)
-        # In place of the driver's own router, which takes the list anew.
+        # Replaces the driver's own router; the endpoint list is fed to the new one.
         self.router: Any = LoadAwareRouter(settings, seed)
         self.timers.clear()
         self.feed(EndpointsUpdated(True, FLEET))
@@ -44,36 +44,36 @@
         return actions
 
     def answer(self, replica: int, memory_used: float = 0.1, queued_ktokens: float = 0.0) -> None:
-        """The replica answers its health check with a report."""
+        """Ends the replica's health check with a report."""
         self.checks.remove(replica)
         self.feed(HealthCheckEnded(replica, Outcome.ANSWERED, MS, ReportedLoad(memory_used, queued_ktokens)))
 
     def end_check(self, replica: int, outcome: Outcome) -> None:
-        """The replica's health check ends without an answer."""
+        """Ends the replica's health check without an answer."""
         self.checks.remove(replica)
         self.feed(HealthCheckEnded(replica, outcome, MS, None))
 
     def answer_all(self) -> None:
-        """Every replica that is checked reports an empty queue."""
+        """Ends every health check in flight with a report of an empty queue."""
         for replica in list(self.checks):
             self.answer(replica)
 
     def prefill_replica(self, queued_ktokens: dict[int, float], session: int = 5) -> int:
-        """Where a request is prefilled when the replicas that are checked report these queues."""
+        """Returns the replica that prefills a new request if the checked replicas report these queues."""
         request, _ = self.arrive(session=session)
         for replica in list(self.checks):
             self.answer(replica, queued_ktokens=queued_ktokens[replica])
         return self.disconnect(request)
 
     def disconnect(self, request: int) -> int:
-        """The client goes, and its work with it; the replica that had it."""
+        """Disconnects the client and cancels its attempt. Returns the replica of that attempt."""
         self.feed(ClientDisconnected(request))
         self.end(request, Outcome.CANCELLED, answered=True)
         return self.sent[request].replica
 
 
 class FixedPeers:
-    """Other dispatchers with these tokens at each replica, queued and in all, of which so much is fresh."""
+    """A source of peer load: these tokens at each replica, all of them queued, with this confidence."""
 
     def __init__(self, tokens: dict[int, float], confidence: float) -> None:
         self.tokens = tokens
@@ -89,7 +89,7 @@
     return LoadAwareDriver()
 
 
-# What reports do to a choice.
+# Effects of reports on a choice.
 
 
 @pytest.mark.parametrize(("empty", "full"), [(1, 2), (2, 1)])
@@ -157,7 +157,7 @@
     drive.answer(answering, queued_ktokens=3.0)
     assert request not in drive.sent
     drive.wait(30 * MS)
-    assert drive.sent[request].replica == answering  # a replica that reports nothing does not count as empty
+    assert drive.sent[request].replica == answering  # a replica without a report does not count as empty
     drive.end_check(silent, Outcome.TIMEOUT)
     for n in range(8):
         assert drive.prefill_replica({1: 9.0, 2: 9.0}, session=20 + n) == answering
@@ -231,7 +231,7 @@
 
 
 def test_a_client_that_goes_while_its_query_is_out_leaves_nothing_behind(drive: LoadAwareDriver) -> None:
-    """Nor do the health checks of a replica that has left and come back."""
+    """The health check of a replica that was unlisted and listed again leaves nothing behind either."""
     drive.arrive()
     drive.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
     drive.answer_all()
--- a/tests/load_reports/test_pending_queries.py
+++ b/tests/load_reports/test_pending_queries.py
@@ -1,4 +1,4 @@
-"""Requests that wait for replicas' answers, by request, by replica and by timer."""
+"""Load queries that wait for replicas' answers: access by request, by replica and by timer."""
 
 from __future__ import annotations
 
--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -1,6 +1,8 @@
-"""The real program on a deployment unlike the first: no mixed kind, one zone, loads reported to health checks alone,
-nothing that a cancel stops, streams that can be resumed, tenants with quotas; and replicas that answer health checks as
-they like."""
+"""End-to-end tests of load queries: the real program, with stand-in replicas that answer health checks in many ways.
+
+The deployment differs from that of the other tests: it has no mixed kind, a single zone, loads that are reported only
+to health checks, no cancellation at replicas, streams that can be resumed, and tenants with quotas.
+"""
 
 from __future__ import annotations
 
@@ -67,7 +69,7 @@
 
 class TestLoadReportsOfReplicas(CleanupCase):
     def start(self, settings: dict[str, Any] = UNLIKE_FIRST, first_is_dead: bool = False) -> None:
-        """Two prefill and two decode replicas; `reports` is what each answers to a health check."""
+        """Starts two prefill and two decode replicas and the program. `reports`: their answers to health checks."""
         self.servers = [Standin() for _ in range(4)]
         self.reports: list[Answer] = [report(0.1, 0)] * 4
         for n, server in enumerate(self.servers):
@@ -125,7 +127,7 @@
     @pytest.mark.parametrize(
         "answers",
         [
-            pytest.param(BAD_REPORTS, id="bad reports"),  # the others eject replicas
+            pytest.param(BAD_REPORTS, id="bad reports"),  # the other cases eject replicas
             pytest.param([cut], id="cut"),
             pytest.param([lambda h: h.connection.close()], id="closed"),
             pytest.param([never], id="never"),
@@ -139,7 +141,7 @@
             before = sum(self.runs())
             for k, retry in enumerate(retries):
                 assert self.ask(f"{n}-{k}", **retry) == 200, n
-            assert sum(self.runs()) - before == 6, n  # a prefill and an answer each, and nothing twice
+            assert sum(self.runs()) - before == 6, n  # one prefill and one answer for each request, and no repeats
             assert ("GET", "/status/load") in self.servers[0].calls
         counters = self.program.counters()
         assert (counters["faults"], counters["failed"], counters["refused"]) == (0, 0, 0)
--- a/tests/load_reports/test_query_policy.py
+++ b/tests/load_reports/test_query_policy.py
@@ -1,4 +1,4 @@
-"""Where replicas are queried before a choice."""
+"""The roles whose replicas are queried before a choice."""
 
 from __future__ import annotations
 
--- a/tests/load_reports/test_reports.py
+++ b/tests/load_reports/test_reports.py
@@ -1,4 +1,4 @@
-"""How long a replica's report holds, and which reports are discarded."""
+"""The decay of a replica's report with age, and which reports are discarded."""
 
 from __future__ import annotations
 
