--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -57,11 +57,11 @@
         if not request.answered and request.client.has_disconnected():  # Checked before a connection is opened.
             self._requests.disconnect(request)
         attempt = self._next_attempt(request, action, now)
-        denied = self._denied(attempt)
+        denied = self._denial(attempt)
         if denied:
             if denied in VIOLATIONS:
                 self._requests.record_violation(request, denied)
-            self._end_unsent(attempt)
+            self._end_denied(attempt)
             return
         request.current_attempt = attempt
         self._counters.sent += 1
@@ -86,7 +86,7 @@
             self._endpoints.by_replica.get(action.replica),
         )
 
-    def _denied(self, attempt: Attempt) -> Denied | None:
+    def _denial(self, attempt: Attempt) -> Denied | None:
         """Return the rule that denies an attempt, whatever the router chose, or None if the attempt may be sent.
 
         The endpoint list is checked as it is now. If a later list removes the replica before the first byte of the
@@ -114,7 +114,7 @@
             return False
         return self.deployment.router.kinds[attempt.endpoint.kind].role != Role.PREFILL
 
-    def _end_unsent(self, attempt: Attempt) -> None:
+    def _end_denied(self, attempt: Attempt) -> None:
         """End an attempt that was denied.
 
         Its request is answered, has another attempt in flight or no attempt left, or may not be sent to the replica.
@@ -164,7 +164,7 @@
             return True
         attempt.response_started = True
         attempt.cancel_timers()
-        self._requests.stop_deadline(request)
+        self._requests.cancel_deadline(request)
         request.state_holders.clear()  # The state was fetched; its holders release it with the first event.
         elapsed = self._clock() - attempt.sent_at
         self._feed(ResponseStarted(request.number, attempt.index, attempt.replica, elapsed))
@@ -182,9 +182,9 @@
         """End the attempt. Answer the client if this is its final answer, and pass the outcome to the router."""
         if attempt.ended:
             return
-        elapsed = self._close(attempt, outcome)
-        self._note_effects(attempt, outcome, may_hold)
-        self._answer(attempt, outcome, replica_error)
+        elapsed = self._detach(attempt, outcome)
+        self._record_effects(attempt, outcome, may_hold)
+        self._answer_client(attempt, outcome, replica_error)
         request = attempt.request
         self._feed(
             AttemptEnded(
@@ -200,7 +200,7 @@
             )
         )
 
-    def _close(self, attempt: Attempt, outcome: Outcome) -> int:
+    def _detach(self, attempt: Attempt, outcome: Outcome) -> int:
         """Detach the attempt from its request and count it. Returns the microseconds since it was sent."""
         attempt.ended = True
         attempt.cancel_timers()
@@ -212,7 +212,7 @@
         log_attempt_ended(attempt, outcome, elapsed)
         return elapsed
 
-    def _note_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
+    def _record_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
         """Record on the request what the attempt may have caused: state at its replica, or the request's execution."""
         request = attempt.request
         if may_hold and not attempt.response_started:
@@ -225,7 +225,7 @@
             request.execution = Execution(endpoint.zone, endpoint.cell, attempt.sent_at)
         request.last_outcome = outcome
 
-    def _answer(self, attempt: Attempt, outcome: Outcome, replica_error: Any) -> None:
+    def _answer_client(self, attempt: Attempt, outcome: Outcome, replica_error: Any) -> None:
         """Send the client its final answer, if the end of this attempt is one."""
         request = attempt.request
         if request.answered:
@@ -233,7 +233,7 @@
         if outcome == Outcome.ANSWERED:
             self._requests.complete(request)
         elif attempt.response_started:
-            self._requests.cut(attempt, outcome)
+            self._requests.abort_answer(attempt, outcome)
         elif replica_error is not None:
             self._requests.decline(request, replica_error)
 
@@ -244,15 +244,15 @@
 
         Its connection is closed first: otherwise the next attempt would be a second one in flight.
         """
-        self._stop(attempt, Outcome.TIMEOUT)
+        self._close_and_end(attempt, Outcome.TIMEOUT)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel the attempt, because its answer is no longer needed."""
-        self._stop(attempt, Outcome.CANCELLED)
+        self._close_and_end(attempt, Outcome.CANCELLED)
 
-    def stop_unlisted(self, attempt: Attempt) -> None:
+    def withdraw_unlisted(self, attempt: Attempt) -> None:
         """Withdraw an attempt whose replica was removed from the endpoint list before the first byte was written."""
-        self._stop(attempt, Outcome.WITHDRAWN)
+        self._close_and_end(attempt, Outcome.WITHDRAWN)
 
     def release_unless_fetched(self, attempt: Attempt) -> None:
         """Release the state that the attempt fetches, unless the attempt has arrived at its replica.
@@ -267,7 +267,7 @@
         log_unconfirmed_fetch(attempt)
         self._backend().release_unless_fetched(request, set(request.state_holders))
 
-    def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _close_and_end(self, attempt: Attempt, outcome: Outcome) -> None:
         """Close the attempt's connection, and end the attempt unless its outcome was found while closing."""
         if attempt.ended:
             return
--- a/pearhill/core/deadlines.py
+++ b/pearhill/core/deadlines.py
@@ -19,23 +19,23 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.on_sooner: Callable[[int], None] = lambda at: None
-        self._due: SortedDict[Key, Callable[[], None]] = SortedDict()
-        self._count = 0
+        self._callbacks: SortedDict[Key, Callable[[], None]] = SortedDict()
+        self._last_sequence = 0
 
     def __len__(self) -> int:
-        return len(self._due)
+        return len(self._callbacks)
 
     @property
     def earliest(self) -> int | None:
         """The due time of the next callback, or None if there is none."""
-        return self._due.peekitem(0)[0][0] if self._due else None
+        return self._callbacks.peekitem(0)[0][0] if self._callbacks else None
 
     def at(self, when: int, callback: Callable[[], None]) -> Key:
         """Run a callback at time `when`, or in the next sweep if that has passed. Returns a key for `cancel`."""
-        self._count += 1
-        key = (when, self._count)
-        self._due[key] = callback
-        if self._due.peekitem(0)[0] == key:
+        self._last_sequence += 1
+        key = (when, self._last_sequence)
+        self._callbacks[key] = callback
+        if self._callbacks.peekitem(0)[0] == key:
             self.on_sooner(when)
         return key
 
@@ -46,16 +46,16 @@
     def cancel(self, key: Key | None) -> None:
         """Remove a callback. A key whose callback has already run, or None, has no effect."""
         if key is not None:
-            self._due.pop(key, None)
+            self._callbacks.pop(key, None)
 
     def sweep(self) -> None:
         """Run the callbacks that are due. Callbacks added meanwhile wait for the next sweep, even if already due."""
         now = self.clock()
-        last = self._count
-        while self._due:
-            key, callback = self._due.peekitem(0)
-            when, number = key
-            if when > now or number > last:
+        last = self._last_sequence
+        while self._callbacks:
+            key, callback = self._callbacks.peekitem(0)
+            when, sequence = key
+            if when > now or sequence > last:
                 break
-            del self._due[key]
+            del self._callbacks[key]
             callback()
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -56,7 +56,7 @@
         self.backend: Backend | None = None
         self._events = EventQueue(self.router, self.clock, counters, self._perform)
         self._endpoints = EndpointList()
-        self._health_checks_since: dict[int, int] = {}  # by replica: when its health check in flight was sent
+        self._health_checks_sent_at: dict[int, int] = {}  # by replica: when its health check in flight was sent
         self._requests = RequestLifecycle(deployment, deadlines, counters, self._required_backend, self._events.feed)
         self._attempts = AttemptLifecycle(
             deployment,
@@ -121,7 +121,7 @@
         ]
         self._events.feed(EndpointsUpdated(full, endpoints))
         for attempt in unlisted:
-            self._attempts.stop_unlisted(attempt)
+            self._attempts.withdraw_unlisted(attempt)
 
     def reconfigure(self, deployment: Deployment) -> None:
         """Apply new settings for the same classes, kinds and zones. Requests, attempts and statistics are kept."""
@@ -136,8 +136,8 @@
         """Record the end of a health check. `load` is as in `HealthCheckEnded`."""
         self.counters.probes[outcome] += 1
         now = self.clock()
-        since = self._health_checks_since.pop(replica, now)
-        self._events.feed(HealthCheckEnded(replica, outcome, now - since, load))
+        sent_at = self._health_checks_sent_at.pop(replica, now)
+        self._events.feed(HealthCheckEnded(replica, outcome, now - sent_at, load))
 
     # Actions of the router.
 
@@ -145,7 +145,7 @@
         for action in actions:
             self._perform_action(action)
         if not isinstance(event, EndpointsUpdated | TimerFired | HealthCheckEnded):
-            self._requests.forget_if_over(event.request)
+            self._requests.remove_if_ended(event.request)
 
     def _perform_action(self, action: Action) -> None:
         match action:
@@ -156,7 +156,7 @@
             case LogMessage(text):
                 logger.info("router: {text}", text=text)
             case SendHealthCheck(replica):
-                self._health_checks_since[replica] = self.clock()
+                self._health_checks_sent_at[replica] = self.clock()
                 self._required_backend().check_health(replica)
             case _:
                 request = self.requests.get(action.request)
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -10,7 +10,7 @@
 from pearhill.core.deadlines import Deadlines
 from pearhill.core.event_queue import FeedEvent
 from pearhill.core.request import Attempt, Request, RequestSpec
-from pearhill.core.request_log import log_cut_answer, log_missed_deadline, log_state, log_violation
+from pearhill.core.request_log import log_incomplete_answer, log_missed_deadline, log_state, log_violation
 from pearhill.counters import BUSY, FAILURE, SUCCESS, Calls, Counters
 from pearhill.routing.events import ClientDisconnected, RequestArrived
 from pearhill.routing.outcomes import Outcome
@@ -71,7 +71,7 @@
         """Count a request that a front end rejected without passing it to `accept`."""
         self._counters.refusals[reason] += 1
         self._counters.refused += 1
-        self._count(request_class, BUSY)
+        self._count_result(request_class, BUSY)
 
     def disconnect(self, request: Request) -> None:
         """End a request whose client has disconnected.
@@ -81,13 +81,13 @@
         if request.answered:
             return
         request.client_disconnected = True
-        self._close(request)
+        self._mark_ended(request)
         self._counters.left += 1
         attempt = request.current_attempt
         log_state(request, "left", "")
         if attempt and attempt.response_started:
             self._counters.left_in_answer += 1
-            log_cut_answer(attempt, "client-left", self._clock())
+            log_incomplete_answer(attempt, "client-left", self._clock())
         self._feed(ClientDisconnected(request.number))
         if attempt and not attempt.ended:
             attempt.cancel()
@@ -122,14 +122,14 @@
         self._counters.served += 1
         request.client.finish()
 
-    def cut(self, attempt: Attempt, outcome: Outcome) -> None:
+    def abort_answer(self, attempt: Attempt, outcome: Outcome) -> None:
         """Abort an answer that has begun and will not be completed.
 
         Ended normally, the partial answer would look complete to the client.
         """
         self._finish(attempt.request, FAILURE)
         self._counters.broken += 1
-        log_cut_answer(attempt, outcome, self._clock())
+        log_incomplete_answer(attempt, outcome, self._clock())
         attempt.request.client.abort()
 
     def decline(self, request: Request, replica_error: Any) -> None:
@@ -138,7 +138,7 @@
         self._counters.declined += 1
         request.client.decline(replica_error)
 
-    def stop_deadline(self, request: Request) -> None:
+    def cancel_deadline(self, request: Request) -> None:
         """Cancel the request's deadline, which does not limit an answer that has begun."""
         self._deadlines.cancel(request.deadline_timer)
 
@@ -155,7 +155,7 @@
             self._counters.released += len(replicas)
             self._backend().release(request, replicas)
 
-    def forget_if_over(self, number: int) -> None:
+    def remove_if_ended(self, number: int) -> None:
         """Remove a request that is answered and has no attempt in flight."""
         request = self.open_requests.get(number)
         if request is None or not request.answered or request.current_attempt is not None:
@@ -165,16 +165,16 @@
             self.release(request)
 
     def _finish(self, request: Request, result: str) -> None:
-        self._close(request)
-        self._count(request.request_class, result)
+        self._mark_ended(request)
+        self._count_result(request.request_class, result)
 
-    def _close(self, request: Request) -> None:
+    def _mark_ended(self, request: Request) -> None:
         """Mark the request as ended. Every request ends here."""
         request.answered = True
         self.inflight -= 1
         self._deadlines.cancel(request.deadline_timer)
 
-    def _count(self, request_class: int, result: str) -> None:
+    def _count_result(self, request_class: int, result: str) -> None:
         calls = self.calls_by_class[request_class]
         setattr(calls, result, getattr(calls, result) + 1)
 
--- a/pearhill/core/request_log.py
+++ b/pearhill/core/request_log.py
@@ -44,16 +44,16 @@
     )
 
 
-def log_cut_answer(attempt: Attempt, why: str, now: int) -> None:
+def log_incomplete_answer(attempt: Attempt, cause: str, now: int) -> None:
     """Log an answer that began and was not completed: its cause, and the time since data was last forwarded."""
-    silent = now - attempt.last_forwarded_at if attempt.last_forwarded_at else 0
+    idle_us = now - attempt.last_forwarded_at if attempt.last_forwarded_at else 0
     logger.info(
         "answer cut request={request} id={id} replica={replica} why={why} silent_us={silent_us}",
         request=attempt.request.number,
         id=attempt.request.id,
         replica=attempt.replica,
-        why=why,
-        silent_us=silent,
+        why=cause,
+        silent_us=idle_us,
     )
 
 
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -88,7 +88,7 @@
     if replica is None or fleet is None:
         return NO_MARK
     if fleet.gossip:
-        row = fleet.gossip.protocol.peer_loads.last_row(marker, replica.id)
+        row = fleet.gossip.protocol.peer_loads.latest_load(marker, replica.id)
         return row.total_tokens - FIRST_GOSSIP_MARK if row else NO_MARK
     assert fleet.reporting
     peer_load = fleet.reporting.reporter.peer_load(now, replica.id)
--- a/pearhill/load_reports/evenness.py
+++ b/pearhill/load_reports/evenness.py
@@ -27,12 +27,12 @@
     `weights` are the replicas' capacities; a missing one counts as 1. Without any work at all, the distribution is
     even and no replica counts as idle.
     """
-    sizes = weights or {}
-    shares = sorted(tokens / max(MIN_WEIGHT, sizes.get(name, 1.0)) for name, tokens in work.items())
-    total = sum(shares)
-    count = len(shares)
+    capacities = weights or {}
+    loads = sorted(tokens / max(MIN_WEIGHT, capacities.get(name, 1.0)) for name, tokens in work.items())
+    total = sum(loads)
+    count = len(loads)
     if total <= 0:
         return Evenness(1.0, 0.0, ())
-    ranked = sum((2 * rank - count - 1) * share for rank, share in enumerate(shares, 1))
+    ranked_sum = sum((2 * rank - count - 1) * load for rank, load in enumerate(loads, 1))
     idle = sorted(name for name, tokens in work.items() if tokens <= 0)
-    return Evenness(shares[-1] * count / total, ranked / (count * total), tuple(idle))
+    return Evenness(loads[-1] * count / total, ranked_sum / (count * total), tuple(idle))
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -18,7 +18,7 @@
 from pearhill.load_reports.peer_load_source import PeerLoadSource
 from pearhill.load_reports.pending_queries import FIRST_QUERY_TIMER, PendingQueries
 from pearhill.load_reports.query_policy import roles_worth_querying
-from pearhill.load_reports.reports import Reports
+from pearhill.load_reports.reports import LoadReports
 from pearhill.load_reports.unanswered_checks import UnansweredChecks
 from pearhill.routing.actions import Action, QueryLoad, SendHealthCheck, SetTimer
 from pearhill.routing.events import (
@@ -36,8 +36,8 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.routing.topology import Phase, Role
 
-QUERY_TIMEOUT_SHARE = 1 / 40  # of the shortest latency objective: how long a request waits for its query
-MAX_HOLD_TIME_DIVISOR = 4  # a query also waits no longer than the state hold time divided by this
+QUERY_TIMEOUT_FRACTION = 1 / 40  # of the shortest latency objective: how long a request waits for its query
+HOLD_TIME_DIVISOR = 4  # a query also waits no longer than the state hold time divided by this
 CHECK_LOST_AFTER_US = 2_000_000  # a check that has not ended by then is sent again; the backend ends each much sooner
 MIN_REPORT_CONFIDENCE = 0.5  # of a replica's own report; at or below it, the sum over all dispatchers is used
 MIN_PEER_CONFIDENCE = 0.1  # of that sum; at or below it, the replica's own report is used after all
@@ -71,9 +71,9 @@
         self.router = Router(settings, seed)
         self.peers: PeerLoadSource | None = None
         self.pending_queries = PendingQueries()
-        self._reports = Reports()
+        self._reports = LoadReports()
         self._unanswered = UnansweredChecks(random.Random(seed ^ JITTER_SEED))
-        self._checks_since: dict[int, int] = {}  # by replica: when its health check in flight was sent
+        self._checks_sent_at: dict[int, int] = {}  # by replica: when its health check in flight was sent
         self.reconfigure(settings)
 
     def reconfigure(self, settings: RouterSettings) -> None:
@@ -81,7 +81,7 @@
         self.router.reconfigure(settings)
         self._checked_roles = roles_worth_querying(settings)
         self._query_timeout = _query_timeout(settings)
-        self._set_query_roles()
+        self._update_query_roles()
 
     def use_peers(self, peers: PeerLoadSource | None) -> None:
         """Set the source of the other dispatchers' load, or None for no source.
@@ -89,9 +89,9 @@
         Reading the source costs nothing further, so with a source the load is queried before every choice.
         """
         self.peers = peers
-        self._set_query_roles()
+        self._update_query_roles()
 
-    def _set_query_roles(self) -> None:
+    def _update_query_roles(self) -> None:
         self.router.placement.query_roles = ALL_ROLES if self.peers else self._checked_roles
 
     # Read by other dispatchers and by operators.
@@ -106,7 +106,7 @@
 
     def loads(self, now: int) -> dict[int, ReplicaStatus]:
         """Return the status of each listed replica."""
-        ejected = self._ejected_by_router(now)
+        ejected = self._unavailable_to_router(now)
         return {
             replica.id: ReplicaStatus(
                 replica.tokens_queued,
@@ -120,7 +120,7 @@
         """Return the number of listed replicas to which this dispatcher currently sends no new requests."""
         return sum(status.avoided for status in self.loads(now).values())
 
-    def _ejected_by_router(self, now: int) -> set[int]:
+    def _unavailable_to_router(self, now: int) -> set[int]:
         """Return the listed replicas that currently get no new requests from the router.
 
         The reason is their phase in the list, or the router's outlier detection.
@@ -150,15 +150,15 @@
                 self.pending_queries.drop(event.request)
         actions = self._answer_queries(now, self.router.handle(now, event))
         if isinstance(event, EndpointsUpdated):
-            self._forget_unlisted()
+            self._discard_unlisted()
         return actions
 
-    def _forget_unlisted(self) -> None:
+    def _discard_unlisted(self) -> None:
         listed = self.router.replicas.keys()
         self._reports.keep(listed)
         self._unanswered.keep(listed)
-        for gone in self._checks_since.keys() - listed:  # The check may still end; no request waits for it.
-            del self._checks_since[gone]
+        for unlisted in self._checks_sent_at.keys() - listed:  # The check may still end; no request waits for it.
+            del self._checks_sent_at[unlisted]
 
     def _answer_queries(self, now: int, actions: list[Action]) -> list[Action]:
         """Return the router's actions, with each query replaced by its health checks.
@@ -167,13 +167,13 @@
         """
         if not any(isinstance(action, QueryLoad) for action in actions):
             return actions
-        out: list[Action] = []
+        result: list[Action] = []
         for action in actions:
             if isinstance(action, QueryLoad):
-                out += self._query(now, action)
+                result += self._query(now, action)
             else:
-                out.append(action)
-        return out
+                result.append(action)
+        return result
 
     def _query(self, now: int, query: QueryLoad) -> list[Action]:
         missing = {replica for replica in query.replicas if self._needs_check(now, replica)}
@@ -181,9 +181,9 @@
             return self._report_load(now, query.request, query.replicas)
         checks: list[Action] = []
         for replica in sorted(missing):
-            if self._is_check_out(now, replica):
+            if self._is_check_in_flight(now, replica):
                 continue
-            self._checks_since[replica] = now
+            self._checks_sent_at[replica] = now
             checks.append(SendHealthCheck(replica))
         timer = self.pending_queries.add(query.request, query.replicas, missing)
         return [*checks, SetTimer(timer, self._query_timeout)]
@@ -191,15 +191,15 @@
     def _needs_check(self, now: int, replica: int) -> bool:
         if self.router.replicas[replica].role not in self._checked_roles:
             return False
-        return not self._reports.fresh(now, replica) and not self._unanswered.ejected_until(now, replica)
+        return not self._reports.is_fresh(now, replica) and not self._unanswered.ejected_until(now, replica)
 
-    def _is_check_out(self, now: int, replica: int) -> bool:
-        since = self._checks_since.get(replica)
-        return since is not None and now - since < CHECK_LOST_AFTER_US
+    def _is_check_in_flight(self, now: int, replica: int) -> bool:
+        sent_at = self._checks_sent_at.get(replica)
+        return sent_at is not None and now - sent_at < CHECK_LOST_AFTER_US
 
     def _end_check(self, now: int, event: HealthCheckEnded) -> list[Action]:
         replica = event.replica
-        self._checks_since.pop(replica, None)
+        self._checks_sent_at.pop(replica, None)
         if event.outcome == Outcome.ANSWERED:
             self._unanswered.record_answer(replica)
             self._reports.receive(now, replica, event.load)
@@ -224,21 +224,21 @@
         reports = tuple(self._report(now, replica) for replica in replicas)
         return self._answer_queries(now, self.router.handle(now, LoadKnown(request, reports)))
 
-    def _report(self, now: int, number: int) -> LoadReport:
+    def _report(self, now: int, replica_id: int) -> LoadReport:
         """Return the replica's own report or, if that is old, the sum of all dispatchers' load there."""
-        report = self._reports.report(now, number, self._unanswered.ejected_until(now, number))
-        replica = self.router.replicas.get(number)
+        report = self._reports.report(now, replica_id, self._unanswered.ejected_until(now, replica_id))
+        replica = self.router.replicas.get(replica_id)
         if self.peers is None or replica is None or report.confidence > MIN_REPORT_CONFIDENCE:
             return report
-        others = self.peers.others(now, number, replica.tokens_queued, replica.tokens_in_flight)
+        peer_load = self.peers.others(now, replica_id, replica.tokens_queued, replica.tokens_in_flight)
         # With hundreds of dispatchers, most of the sum is never fresh. The rest is assumed to be the mean of the fresh
         # part, so that even a small fresh part is as informative as a sample.
-        if others.confidence <= MIN_PEER_CONFIDENCE:
+        if peer_load.confidence <= MIN_PEER_CONFIDENCE:
             return report
         return LoadReport(
-            number,
-            min(1.0, (replica.tokens_in_flight + others.total_tokens) / replica.memory_tokens),
-            replica.tokens_queued + others.queued_tokens,
+            replica_id,
+            min(1.0, (replica.tokens_in_flight + peer_load.total_tokens) / replica.memory_tokens),
+            replica.tokens_queued + peer_load.queued_tokens,
             1.0,
             report.ejected_until,
         )
@@ -247,5 +247,5 @@
 def _query_timeout(settings: RouterSettings) -> int:
     """Return how long a request waits for its query. State held meanwhile must still be fetched in time."""
     shortest = min(request_class.latency_objective for request_class in settings.classes)
-    share = int(shortest * QUERY_TIMEOUT_SHARE)
-    return max(settings.tick, min(share, settings.state_hold_time // MAX_HOLD_TIME_DIVISOR))
+    timeout = int(shortest * QUERY_TIMEOUT_FRACTION)
+    return max(settings.tick, min(timeout, settings.state_hold_time // HOLD_TIME_DIVISOR))
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -52,8 +52,8 @@
         self._last: dict[str, _Digest] = {}
         # There are few rows for each replica. Without this index, each choice would iterate over all peers and become
         # slower the more peers there are.
-        self._by_replica: dict[int, dict[str, ReplicaLoad]] = {}
-        self._counted: Collection[str] = ()
+        self._rows_by_replica: dict[int, dict[str, ReplicaLoad]] = {}
+        self._counted_peers: Collection[str] = ()
         self._weights: dict[str, float] = {}  # of the counted peers: as of the last `weigh`, or 1 if received since
         self._total_weight = 1.0  # their sum, plus 1 for this dispatcher, whose own load is known
 
@@ -66,58 +66,58 @@
         digest = _Digest(version, now, {row.replica: row for row in rows if _is_plausible(row)})
         self._last[name] = digest
         for replica, row in digest.rows.items():
-            self._by_replica.setdefault(replica, {})[name] = row
+            self._rows_by_replica.setdefault(replica, {})[name] = row
         if name in self._weights:
             self._total_weight += 1 - self._weights[name]
             self._weights[name] = 1.0
         return True
 
-    def last_row(self, name: str, replica: int) -> ReplicaLoad | None:
+    def latest_load(self, name: str, replica: int) -> ReplicaLoad | None:
         """Return the replica's row in a peer's last digest, or None if it has none."""
         last = self._last.get(name)
         return last.rows.get(replica) if last else None
 
-    def weigh(self, now: int, counted: Collection[str]) -> None:
+    def weigh(self, now: int, counted_peers: Collection[str]) -> None:
         """Recompute which peers count, and with which weights.
 
         This is called at every gossip interval, within which weights hardly decay, and not at each choice, which would
-        become slower the more peers there are. If `counted` is the same object as in the last call, the peers are
+        become slower the more peers there are. If `counted_peers` is the same object as in the last call, the peers are
         taken to be unchanged.
         """
-        if self._counted is not counted:
-            self._counted = counted
-            self._weights = {name: self.weight(now, name) for name in counted}
+        if self._counted_peers is not counted_peers:
+            self._counted_peers = counted_peers
+            self._weights = {name: self.weight(now, name) for name in counted_peers}
             self._total_weight = 1 + sum(self._weights.values())
 
-    def others(self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad) -> OthersLoad:
-        """Return the sum over the `counted` peers, reachable or not. `counted` is as in `weigh`.
+    def others(self, now: int, replica: int, counted_peers: Collection[str], own: ReplicaLoad) -> OthersLoad:
+        """Return the sum over the `counted_peers`, reachable or not. `counted_peers` is as in `weigh`.
 
         A peer whose load is unknown counts as the mean of this dispatcher and of all peers whose load is known.
         """
-        self.weigh(now, counted)
+        self.weigh(now, counted_peers)
         queued = float(own.queued_tokens)
         total = float(own.total_tokens)
         weights = self._weights
-        for name, row in self._by_replica.get(replica, {}).items():
+        for name, row in self._rows_by_replica.get(replica, {}).items():
             if name in weights:
                 weight = self.weight(now, name)
                 queued += weight * row.queued_tokens
                 total += weight * row.total_tokens
-        known = self._total_weight
+        known_weight = self._total_weight
         peers = len(weights)
-        unknown = peers + 1 - known
-        scale = 1 + unknown / known
+        unknown_weight = peers + 1 - known_weight
+        scale = 1 + unknown_weight / known_weight
         return OthersLoad(
             max(0.0, queued * scale - own.queued_tokens),
             max(0.0, total * scale - own.total_tokens),
-            (known - 1) / peers if peers else 1.0,
+            (known_weight - 1) / peers if peers else 1.0,
         )
 
     def keep(self, names: Collection[str]) -> None:
         """Discard the digests of all peers except these."""
-        for gone in self._last.keys() - set(names):
-            self._remove_rows(gone)
-            del self._last[gone]
+        for name in self._last.keys() - set(names):
+            self._remove_rows(name)
+            del self._last[name]
 
     def weight(self, now: int, name: str) -> float:
         """Return the weight of a peer's last digest: 1 on arrival, half after a half-life, 0 after `MAX_HALF_LIVES`."""
@@ -132,10 +132,10 @@
         if last is None:
             return
         for replica in last.rows:
-            rows = self._by_replica[replica]
+            rows = self._rows_by_replica[replica]
             del rows[name]
             if not rows:
-                del self._by_replica[replica]
+                del self._rows_by_replica[replica]
 
 
 def _is_plausible(row: ReplicaLoad) -> bool:
--- a/pearhill/load_reports/query_policy.py
+++ b/pearhill/load_reports/query_policy.py
@@ -15,7 +15,7 @@
 # The gain as a fraction of all priority weight, for each e-fold of dispatchers above MAX_DISPATCHERS_WITHOUT_GAIN, when
 # a prefill replica is chosen.
 GAIN_PER_E_FOLD = 0.02
-DECODE_GAIN_SHARE = 0.3  # of that gain, when a decode replica is chosen
+DECODE_GAIN_FRACTION = 0.3  # of that gain, when a decode replica is chosen
 CHECKS_PER_CHOICE = 2
 
 
@@ -25,5 +25,5 @@
         return frozenset()
     gain = GAIN_PER_E_FOLD * math.log(settings.instances / MAX_DISPATCHERS_WITHOUT_GAIN)
     price = CHECKS_PER_CHOICE * settings.health_check_price
-    gain_by_role = {Role.PREFILL: gain, Role.DECODE: gain * DECODE_GAIN_SHARE}
-    return frozenset(role for role, gained in gain_by_role.items() if gained > price)
+    gain_by_role = {Role.PREFILL: gain, Role.DECODE: gain * DECODE_GAIN_FRACTION}
+    return frozenset(role for role, role_gain in gain_by_role.items() if role_gain > price)
--- a/pearhill/load_reports/reports.py
+++ b/pearhill/load_reports/reports.py
@@ -21,39 +21,39 @@
 
 
 class _Received(NamedTuple):
-    at: int
+    received_at: int
     memory_used: float
     queued_tokens: float
 
 
-class Reports:
+class LoadReports:
     """The latest report of each replica."""
 
     def __init__(self) -> None:
-        self._last: dict[int, _Received] = {}
+        self._latest: dict[int, _Received] = {}
 
     def __len__(self) -> int:
-        return len(self._last)
+        return len(self._latest)
 
     def receive(self, now: int, replica: int, load: ReportedLoad | None) -> bool:
         """Store a report. Returns False, and keeps the last one, if there is no report or it is implausible."""
         if load is None or not _is_plausible(load):
             return False
         queued_tokens = load.queued_ktokens * TOKENS_PER_KTOKEN
-        self._last[replica] = _Received(now, min(1.0, load.memory_used), queued_tokens)
+        self._latest[replica] = _Received(now, min(1.0, load.memory_used), queued_tokens)
         return True
 
-    def fresh(self, now: int, replica: int) -> bool:
+    def is_fresh(self, now: int, replica: int) -> bool:
         """Return whether the last report is so recent that a query would bring nothing new."""
-        last = self._last.get(replica)
-        return last is not None and now - last.at < REFRESH_INTERVAL_US
+        last = self._latest.get(replica)
+        return last is not None and now - last.received_at < REFRESH_INTERVAL_US
 
     def report(self, now: int, replica: int, ejected_until: int = 0) -> LoadReport:
         """Return the load that is known of the replica now. `ejected_until` is copied into it."""
-        last = self._last.get(replica)
+        last = self._latest.get(replica)
         if last is None:
             return LoadReport(replica, 0.0, 0.0, 0.0, ejected_until)
-        confidence = _confidence(now - last.at)
+        confidence = _confidence(now - last.received_at)
         return LoadReport(replica, last.memory_used, last.queued_tokens * confidence, confidence, ejected_until)
 
     def keep(self, replicas: Collection[int]) -> None:
@@ -61,8 +61,8 @@
 
         Where machines are replaced under new names, the reports of old ones would otherwise fill the memory.
         """
-        for gone in self._last.keys() - set(replicas):
-            del self._last[gone]
+        for unlisted in self._latest.keys() - set(replicas):
+            del self._latest[unlisted]
 
 
 def _is_plausible(load: ReportedLoad) -> bool:
--- a/pearhill/load_reports/unanswered_checks.py
+++ b/pearhill/load_reports/unanswered_checks.py
@@ -62,5 +62,5 @@
 
         In a fleet whose machines change, the records of old ones would otherwise fill the memory.
         """
-        for gone in self._by_replica.keys() - set(replicas):
-            del self._by_replica[gone]
+        for unlisted in self._by_replica.keys() - set(replicas):
+            del self._by_replica[unlisted]
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -14,7 +14,7 @@
 from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import SETTINGS
 
-ADVICE, BOOKING = 0, 1  # indices of the classes in SETTINGS: idempotent, unsafe to repeat
+IDEMPOTENT_CLASS, UNSAFE_CLASS = 0, 1  # indices of the classes in SETTINGS: idempotent, unsafe to repeat
 PREFILL, DECODE, MIXED = 0, 1, 2  # indices of the kinds in SETTINGS, by role
 PREFILL_REPLICA = 1
 DECODE_REPLICAS = (2, 3)
@@ -98,14 +98,14 @@
 
     # Steps of a test.
 
-    def accept(self, request_class: int = ADVICE, timeout: int = 5_000_000) -> RecordingClient:
+    def accept(self, request_class: int = IDEMPOTENT_CLASS, timeout: int = 5_000_000) -> RecordingClient:
         """Accepts a request of this class from a new client."""
         client = RecordingClient()
         spec = RequestSpec(request_class, timeout, prompt_tokens=3000, max_output_tokens=100)
         client.request = self.dispatcher.accept(spec, client, None)
         return client
 
-    def accept_and_prefill(self, request_class: int = ADVICE) -> RecordingClient:
+    def accept_and_prefill(self, request_class: int = IDEMPOTENT_CLASS) -> RecordingClient:
         """Accepts a request and ends its prefill successfully; its decode attempt is then in flight as `sent[1]`."""
         client = self.accept(request_class)
         self.sent[0].end(Outcome.PREFILLED, may_hold=True)
@@ -127,16 +127,16 @@
         return self.dispatcher.router
 
     @property
-    def judged(self) -> list[int]:
+    def replicas_with_outcomes(self) -> list[int]:
         """The replicas for whose failure rate the router has recorded any outcome."""
         return [r.id for r in self.router.router.replicas.values() if r.failure_rate.weight]
 
     @property
-    def blamed(self) -> list[int]:
+    def replicas_with_failures(self) -> list[int]:
         """The replicas for which the router has recorded a failure."""
         return [r.id for r in self.router.router.replicas.values() if r.failure_rate.value]
 
-    def assert_over(self, client: RecordingClient, answers: list[str], released: list[set[int]]) -> None:
+    def assert_finished(self, client: RecordingClient, answers: list[str], released: list[set[int]]) -> None:
         """Asserts the client's final answers and the releases, and that no request is open."""
         assert client.answers == answers
         assert self.released == released
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -11,7 +11,15 @@
 from pearhill.routing.events import Event, RequestArrived
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Phase
-from tests.core.harness import ADVICE, BOOKING, MIXED, PREFILL, DispatcherHarness, RecordingClient, endpoint
+from tests.core.harness import (
+    IDEMPOTENT_CLASS,
+    MIXED,
+    PREFILL,
+    UNSAFE_CLASS,
+    DispatcherHarness,
+    RecordingClient,
+    endpoint,
+)
 from tests.standins import SETTINGS
 
 MAX_ATTEMPTS = SETTINGS["allowed"]["max-attempts"]
@@ -33,19 +41,19 @@
     assert h.sent[1].start_response()
     h.sent[1].end(Outcome.ANSWERED)
     h.sent[1].end(Outcome.TRUNCATED)  # the first end counts
-    h.assert_over(client, ["finish"], [])
+    h.assert_finished(client, ["finish"], [])
 
 
-def test_a_request_whose_time_was_over_before_its_turn_is_rejected_and_not_sent(h: DispatcherHarness) -> None:
+def test_a_request_past_its_deadline_on_acceptance_is_rejected_and_not_sent(h: DispatcherHarness) -> None:
     client = RecordingClient()
-    spec = RequestSpec(BOOKING, 1000, prompt_tokens=3000, max_output_tokens=100)
+    spec = RequestSpec(UNSAFE_CLASS, 1000, prompt_tokens=3000, max_output_tokens=100)
     h.dispatcher.accept(spec, client, None, arrived=h.now - 1000)
-    h.assert_over(client, ["reject"], [])
+    h.assert_finished(client, ["reject"], [])
     assert h.sent == []
     assert h.dispatcher.counters.refusals == {"expired": 1}
 
 
-@pytest.mark.parametrize("request_class", [ADVICE, BOOKING])
+@pytest.mark.parametrize("request_class", [IDEMPOTENT_CLASS, UNSAFE_CLASS])
 def test_every_request_has_one_answer_by_its_deadline_whatever_the_backend_does(
     h: DispatcherHarness, request_class: int
 ) -> None:
@@ -56,7 +64,7 @@
     assert h.now <= accepted_at + 5_000_000
 
 
-def test_a_router_that_fails_leaves_no_client_without_an_answer(h: DispatcherHarness) -> None:
+def test_a_request_fails_by_its_deadline_if_the_router_raises_an_exception(h: DispatcherHarness) -> None:
     h.router.handle = None
     client = h.accept()
     h.wait(6_000_000)
@@ -64,7 +72,7 @@
     assert h.dispatcher.counters.faults > 0
 
 
-def test_the_deadline_ends_with_the_first_event_and_a_cut_answer_is_not_completed(h: DispatcherHarness) -> None:
+def test_the_first_event_cancels_the_deadline_and_a_truncated_answer_is_aborted(h: DispatcherHarness) -> None:
     client = h.accept_and_prefill()
     h.sent[1].start_response()
     h.wait(20_000_000)
@@ -77,35 +85,37 @@
 # Clients that disconnect.
 
 
-def test_nothing_is_begun_for_a_client_that_is_seen_to_have_gone_at_the_first_byte(h: DispatcherHarness) -> None:
+def test_an_attempt_is_not_started_if_the_client_disconnected_before_its_first_byte(h: DispatcherHarness) -> None:
     client = h.accept_and_prefill()
     assert h.sent[1].may_start()
     client.disconnected = True
     h.reached = False
     assert not h.sent[1].may_start()
-    h.assert_over(client, [], [{1}])
+    h.assert_finished(client, [], [{1}])
     assert h.dispatcher.counters.left == 1
 
 
-def test_nothing_is_begun_for_a_client_that_is_seen_to_have_gone_at_the_choice(h: DispatcherHarness) -> None:
+def test_an_attempt_is_not_sent_if_the_client_disconnected_before_the_choice(h: DispatcherHarness) -> None:
     client = h.accept()
     client.disconnected = True
     h.sent[0].end(Outcome.PREFILLED, may_hold=True)
-    h.assert_over(client, [], [{1}])
+    h.assert_finished(client, [], [{1}])
     assert len(h.sent) == 1
     assert h.dispatcher.counters.left == 1
 
 
-def test_a_client_that_goes_while_its_connection_comes_up_is_no_failure_of_the_replica(h: DispatcherHarness) -> None:
+def test_a_client_that_disconnects_during_connection_setup_counts_no_failure_of_the_replica(
+    h: DispatcherHarness,
+) -> None:
     h.reached = False
     for _ in range(5):
         client = h.accept()
         h.dispatcher.disconnect(client.request)
     assert h.dispatcher.counters.outcomes == {Outcome.NOT_SENT: 5}
-    assert h.judged == []
+    assert h.replicas_with_outcomes == []
 
 
-def test_an_outcome_that_closing_shows_wins_over_the_cancellation(h: DispatcherHarness) -> None:
+def test_an_outcome_found_while_closing_the_connection_overrides_the_cancellation(h: DispatcherHarness) -> None:
     client = h.accept()
     h.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold=True)
     h.dispatcher.disconnect(client.request)
@@ -114,43 +124,43 @@
 
 
 @pytest.mark.parametrize(("reached", "released"), [(True, [{1}]), (False, [])])
-def test_a_prefill_that_is_cancelled_is_released_unless_it_never_arrived(
+def test_a_cancelled_prefill_is_released_unless_it_was_never_sent(
     h: DispatcherHarness, reached: bool, released: list[set[int]]
 ) -> None:
     h.reached = reached
     client = h.accept()
     h.dispatcher.disconnect(client.request)
-    h.assert_over(client, [], released)
+    h.assert_finished(client, [], released)
 
 
 # The endpoint list.
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
-def test_an_attempt_that_waits_for_its_connection_goes_elsewhere_when_the_list_takes_its_replica_away(
+def test_an_attempt_that_waits_for_its_connection_is_sent_elsewhere_when_its_replica_is_unlisted(
     h: DispatcherHarness, phase: Phase
 ) -> None:
     """A withdrawn attempt does not count as one: more replicas are unlisted than attempts are allowed."""
     h.reached = False
-    client = take_replicas_away(h, phase)
+    client = unlist_chosen_replicas(h, phase)
     assert len({attempt.replica for attempt in h.sent}) == MAX_ATTEMPTS + 3
     assert h.dispatcher.counters.outcomes[Outcome.WITHDRAWN] == MAX_ATTEMPTS + 2
     answer_last_attempt(h, client)
 
 
-def test_an_attempt_that_may_have_been_written_stays_when_the_list_takes_its_replica_away(h: DispatcherHarness) -> None:
+def test_an_attempt_that_may_have_been_written_continues_when_its_replica_is_unlisted(h: DispatcherHarness) -> None:
     """It may be executed there. If the request were sent elsewhere, it would have two attempts in flight."""
-    client = take_replicas_away(h, Phase.DRAINING)
+    client = unlist_chosen_replicas(h, Phase.DRAINING)
     assert len({attempt.replica for attempt in h.sent}) == 1
     assert h.dispatcher.counters.outcomes[Outcome.WITHDRAWN] == 0
     answer_last_attempt(h, client)
 
 
-def take_replicas_away(h: DispatcherHarness, phase: Phase) -> RecordingClient:
+def unlist_chosen_replicas(h: DispatcherHarness, phase: Phase) -> RecordingClient:
     """Accepts an unsafe request with many replicas listed, and repeatedly unlists the replica that was chosen."""
     mixed = range(10, MAX_ATTEMPTS + 13)
     h.dispatcher.update_endpoints(True, tuple(endpoint(replica, MIXED) for replica in mixed))
-    client = h.accept(BOOKING)
+    client = h.accept(UNSAFE_CLASS)
     for _ in range(MAX_ATTEMPTS + 2):
         h.dispatcher.update_endpoints(False, (endpoint(h.sent[-1].replica, MIXED, phase),))
     return client
@@ -159,14 +169,14 @@
 def answer_last_attempt(h: DispatcherHarness, client: RecordingClient) -> None:
     """Checks that no outcome was recorded and the client has no answer yet, and then answers the last attempt."""
     assert client.answers == []
-    assert h.judged == []
+    assert h.replicas_with_outcomes == []
     h.sent[-1].start_response()
     h.sent[-1].end(Outcome.ANSWERED)
-    h.assert_over(client, ["finish"], [])
+    h.assert_finished(client, ["finish"], [])
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
-def test_a_replica_that_is_not_listed_as_ready_gets_nothing_whatever_the_router_asks_for(
+def test_a_replica_that_is_not_listed_as_ready_gets_no_attempt_even_if_the_router_requests_one(
     h: DispatcherHarness, phase: Phase
 ) -> None:
     h.dispatcher.endpoints.update({n: replace(e, phase=phase) for n, e in h.dispatcher.endpoints.items()})
@@ -175,9 +185,9 @@
     assert client.answers == ["reject"]
 
 
-def test_a_booking_that_was_withdrawn_before_it_was_sent_may_go_elsewhere(h: DispatcherHarness) -> None:
+def test_an_unsafe_request_that_was_withdrawn_before_it_was_sent_is_sent_elsewhere(h: DispatcherHarness) -> None:
     h.dispatcher.update_endpoints(False, (endpoint(1, PREFILL, Phase.GONE), endpoint(5, MIXED), endpoint(6, MIXED)))
-    h.accept(BOOKING)
+    h.accept(UNSAFE_CLASS)
     first = h.sent[-1]
     h.reached = False
     h.dispatcher.update_endpoints(False, (endpoint(first.replica, MIXED, Phase.GONE),))
@@ -187,9 +197,9 @@
 # Time limits for writing an attempt and for fetching a state.
 
 
-def test_an_attempt_that_is_not_begun_in_time_never_ran_and_is_no_failure_of_the_replica(h: DispatcherHarness) -> None:
+def test_an_attempt_not_started_in_time_is_withdrawn_and_counts_no_failure_of_the_replica(h: DispatcherHarness) -> None:
     """State is fetched within `release-within` or released. Its fetch waits for a connection until then."""
-    client = h.accept_and_prefill(BOOKING)
+    client = h.accept_and_prefill(UNSAFE_CLASS)
     assert h.sent[1].send_before == h.now + STATE_HOLD_TIME
     h.reached = False
     h.now += STATE_HOLD_TIME
@@ -197,13 +207,13 @@
     assert h.dispatcher.counters.outcomes[Outcome.WITHDRAWN] == 1
     assert h.released == [{1}]
     assert client.answers == []
-    assert h.blamed == []
+    assert h.replicas_with_failures == []
     assert h.sent[2].replica == 1  # prefilled again, since nothing has been executed
 
 
-def test_a_booking_that_was_being_written_when_its_time_was_over_may_have_been_executed(h: DispatcherHarness) -> None:
+def test_an_unsafe_request_partly_written_at_its_time_limit_fails_and_is_not_resent(h: DispatcherHarness) -> None:
     """Its last byte may have been sent in this same tick. If rejected or sent elsewhere, it could be executed twice."""
-    client = h.accept_and_prefill(BOOKING)
+    client = h.accept_and_prefill(UNSAFE_CLASS)
     h.now = h.sent[1].send_before
     h.sent[1].withdraw()
     assert client.answers == ["fail"]
@@ -212,7 +222,7 @@
     assert h.dispatcher.counters.outcomes[Outcome.WITHDRAWN] == 0
 
 
-def test_a_state_whose_fetch_shows_no_sign_is_released_in_time_and_again_at_the_end_of_its_fetch(
+def test_a_state_whose_fetch_gets_no_response_is_released_in_time_and_again_when_the_fetch_ends(
     h: DispatcherHarness,
 ) -> None:
     client = h.accept_and_prefill()
@@ -227,7 +237,7 @@
     assert client.request.interrupted is True
 
 
-def test_a_state_whose_fetch_has_begun_in_time_needs_no_release(h: DispatcherHarness) -> None:
+def test_a_state_whose_fetch_gets_a_response_in_time_is_not_released(h: DispatcherHarness) -> None:
     h.accept_and_prefill()
     h.sent[1].start_response()
     h.wait(STATE_HOLD_TIME)
@@ -238,7 +248,9 @@
 # At most one attempt in flight, and at most one execution.
 
 
-def test_a_second_attempt_is_not_sent_while_one_is_out_whatever_the_router_asks_for(h: DispatcherHarness) -> None:
+def test_a_second_attempt_is_not_sent_while_one_is_in_flight_even_if_the_router_requests_it(
+    h: DispatcherHarness,
+) -> None:
     handle = h.router.handle
 
     def with_second_attempts(now: int, event: Event) -> list[Action]:
@@ -250,19 +262,21 @@
         return actions
 
     h.router.handle = with_second_attempts
-    h.accept(BOOKING)
+    h.accept(UNSAFE_CLASS)
     assert len(h.sent) == 1
 
 
-def test_an_effect_is_not_repeated_nor_its_request_rejected_whatever_the_router_asks_for(h: DispatcherHarness) -> None:
+def test_a_request_that_may_have_executed_is_not_resent_or_rejected_even_if_the_router_requests_it(
+    h: DispatcherHarness,
+) -> None:
     """Both actions are counted as violations, and the client receives a failure."""
-    client = h.accept_and_prefill(BOOKING)
+    client = h.accept_and_prefill(UNSAFE_CLASS)
     number = client.request.number
-    wanted: list[Action] = [SendAttempt(number, h.sent[1].replica, 10**6)]
-    h.router.handle = lambda now, event: [wanted.pop()] if wanted else []
+    requested: list[Action] = [SendAttempt(number, h.sent[1].replica, 10**6)]
+    h.router.handle = lambda now, event: [requested.pop()] if requested else []
     h.sent[1].end(Outcome.TRUNCATED, may_hold=True)
     assert len(h.sent) == 2
-    wanted.append(RejectRequest(number, 0))
+    requested.append(RejectRequest(number, 0))
     h.dispatcher.update_endpoints(False, ())
     assert client.answers == ["fail"]
     assert dict(h.dispatcher.counters.violations) == {"may-have-run": 1, "refused-after-effect": 1}
@@ -278,7 +292,7 @@
     assert len({attempt.request for attempt in h.sent if not attempt.ended}) == (0 if client.answers else 1)
 
 
-def test_a_stall_while_a_request_is_accepted_leaves_its_answer_to_the_router(h: DispatcherHarness) -> None:
+def test_a_request_is_answered_by_the_router_in_time_after_a_stall_during_its_acceptance(h: DispatcherHarness) -> None:
     """The router rejects a request that no replica answers in time. The core itself would fail it and log an error."""
     handle = h.router.handle
 
@@ -295,7 +309,7 @@
     assert not h.dispatcher.counters.failures
 
 
-def test_a_request_that_waits_behind_a_slow_event_is_answered_by_the_router_too(h: DispatcherHarness) -> None:
+def test_a_request_queued_behind_a_slow_event_is_answered_by_the_router_in_time(h: DispatcherHarness) -> None:
     """Its deadline runs from its acceptance. If the router counted from a later time, it would answer too late."""
     handle = h.router.handle
     waiting: list[RecordingClient] = []
--- a/tests/core/test_event_queue.py
+++ b/tests/core/test_event_queue.py
@@ -17,7 +17,7 @@
     return SimpleNamespace(handle=handle)
 
 
-def test_events_that_actions_raise_wait_until_all_actions_are_performed() -> None:
+def test_events_raised_by_actions_wait_until_all_actions_are_performed() -> None:
     order: list[str] = []
 
     def handle(now: int, event: Any) -> list[Action]:
@@ -34,7 +34,7 @@
     assert order == ["handle 1", "first", "second", "handle 2", "handle 2"]
 
 
-def test_an_event_on_which_the_router_fails_is_counted_and_the_next_is_handled() -> None:
+def test_an_event_on_which_the_router_raises_is_counted_as_a_fault_and_the_next_is_handled() -> None:
     performed: list[int] = []
 
     def handle(now: int, event: Any) -> list[Action]:
--- a/tests/core/test_request_counts.py
+++ b/tests/core/test_request_counts.py
@@ -10,9 +10,9 @@
 
 from pearhill.core.request import Request, RequestSpec
 from pearhill.routing.outcomes import Outcome
-from tests.core.harness import ADVICE, BOOKING, DispatcherHarness, RecordingClient
+from tests.core.harness import IDEMPOTENT_CLASS, UNSAFE_CLASS, DispatcherHarness, RecordingClient
 
-CLASSES = (ADVICE, BOOKING)
+CLASSES = (IDEMPOTENT_CLASS, UNSAFE_CLASS)
 RESULT_OF = {"finish": "success", "reject": "busy", "fail": "failure", "decline": "failure", "abort": "failure"}
 OUTCOMES = (
     Outcome.ANSWERED,
@@ -52,16 +52,16 @@
         self.rejected_by_front = dict.fromkeys(CLASSES, 0)
         self.disconnected = 0
 
-    def step(self, what: str, which: Any, number: int) -> None:
+    def step(self, kind: str, value: Any, number: int) -> None:
         dispatcher = self.harness.dispatcher
-        match what:
+        match kind:
             case "accept":
                 client = RecordingClient()
-                spec = RequestSpec(which, number, prompt_tokens=3000, max_output_tokens=100)
-                self.accepted.append(Accepted(which, client, dispatcher.accept(spec, client, None)))
+                spec = RequestSpec(value, number, prompt_tokens=3000, max_output_tokens=100)
+                self.accepted.append(Accepted(value, client, dispatcher.accept(spec, client, None)))
             case "reject":
-                dispatcher.record_rejection(which)
-                self.rejected_by_front[which] += 1
+                dispatcher.record_rejection(value)
+                self.rejected_by_front[value] += 1
             case "wait":
                 self.harness.wait(number)
             case "disconnect" if self.accepted:
@@ -69,11 +69,11 @@
                 self.disconnected += not request.answered
                 dispatcher.disconnect(request)
             case _ if self.harness.sent:
-                self.step_attempt(what, which, number)
+                self.step_attempt(kind, value, number)
 
-    def step_attempt(self, what: str, outcome: Any, number: int) -> None:
+    def step_attempt(self, kind: str, outcome: Any, number: int) -> None:
         attempt = self.harness.sent[number % len(self.harness.sent)]
-        if what == "start":
+        if kind == "start":
             attempt.start_response()
             return
         declined = outcome == Outcome.DECLINED and not attempt.response_started
@@ -107,6 +107,6 @@
 @given(st.lists(STEP, max_size=60))
 def test_each_request_is_counted_once_at_its_end(steps: list[tuple[str, Any, int]]) -> None:
     history = History()
-    for what, which, number in steps:
-        history.step(what, which, number)
+    for kind, value, number in steps:
+        history.step(kind, value, number)
         history.check()
--- a/tests/load_reports/test_evenness.py
+++ b/tests/load_reports/test_evenness.py
@@ -11,7 +11,7 @@
     assert evenness({"a": 5.0, "b": 5.0}) == Evenness(1.0, 0.0, ())
 
 
-def test_all_work_at_one_of_four_replicas_is_as_uneven_as_it_can_be() -> None:
+def test_all_work_at_one_of_four_replicas_gives_the_largest_peak_and_gini() -> None:
     assert evenness({"d": 8.0, "a": 0.0, "c": 0.0, "b": 0.0}) == Evenness(4.0, 0.75, ("a", "b", "c"))
 
 
@@ -22,5 +22,5 @@
 
 
 @pytest.mark.parametrize("work", [{}, {"a": 0.0, "b": 0.0}])
-def test_without_any_work_it_is_even_and_no_replica_is_called_idle(work: dict[str, float]) -> None:
+def test_no_work_is_even_and_no_replica_is_idle(work: dict[str, float]) -> None:
     assert evenness(work) == Evenness(1.0, 0.0, ())
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -85,7 +85,7 @@
 
 
 @pytest.fixture
-def drive() -> LoadAwareDriver:
+def driver() -> LoadAwareDriver:
     return LoadAwareDriver()
 
 
@@ -93,154 +93,156 @@
 
 
 @pytest.mark.parametrize(("empty", "full"), [(1, 2), (2, 1)])
-def test_the_replica_with_the_shorter_reported_queue_prefills(drive: LoadAwareDriver, empty: int, full: int) -> None:
-    assert drive.prefill_replica({empty: 0.0, full: 40.0}) == empty
+def test_the_replica_with_the_shorter_reported_queue_prefills(driver: LoadAwareDriver, empty: int, full: int) -> None:
+    assert driver.prefill_replica({empty: 0.0, full: 40.0}) == empty
 
 
-@pytest.mark.parametrize(("roomy", "full"), [(11, 12), (12, 11)])
-def test_the_replica_that_reports_memory_to_spare_decodes(drive: LoadAwareDriver, roomy: int, full: int) -> None:
-    drive.arrive()
-    drive.answer(1)
-    drive.answer(2)
-    drive.end(1, Outcome.PREFILLED)
-    drive.answer(roomy, memory_used=0.2)
-    drive.answer(full, memory_used=0.9)
-    assert drive.sent[1].replica == roomy
+@pytest.mark.parametrize(("emptier", "full"), [(11, 12), (12, 11)])
+def test_the_replica_that_reports_more_free_memory_decodes(driver: LoadAwareDriver, emptier: int, full: int) -> None:
+    driver.arrive()
+    driver.answer(1)
+    driver.answer(2)
+    driver.end(1, Outcome.PREFILLED)
+    driver.answer(emptier, memory_used=0.2)
+    driver.answer(full, memory_used=0.9)
+    assert driver.sent[1].replica == emptier
 
 
 @pytest.mark.parametrize("busy", PREFILL)
 @pytest.mark.parametrize("confidence", [1.0, 0.3])
-def test_the_peers_load_moves_a_choice_without_health_checks_where_replicas_report_nothing(
+def test_peer_load_changes_a_choice_without_health_checks_if_replicas_report_nothing(
     busy: int, confidence: float
 ) -> None:
-    drive = LoadAwareDriver(WITHOUT_REPORTS)
-    drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
-    request, _ = drive.arrive(session=5)
-    assert drive.checks == []
-    assert drive.sent[request].replica == 3 - busy
-    drive.end(request, Outcome.PREFILLED)
-    assert drive.sent[request].replica == 23 - (busy + 10)
+    driver = LoadAwareDriver(WITHOUT_REPORTS)
+    driver.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
+    request, _ = driver.arrive(session=5)
+    assert driver.checks == []
+    assert driver.sent[request].replica == 3 - busy
+    driver.end(request, Outcome.PREFILLED)
+    assert driver.sent[request].replica == 23 - (busy + 10)
 
 
 @pytest.mark.parametrize("busy", PREFILL)
-def test_the_peers_load_changes_nothing_where_hardly_any_of_it_is_fresh(busy: int) -> None:
+def test_peer_load_is_ignored_if_hardly_any_of_it_is_fresh(busy: int) -> None:
     without_peers = LoadAwareDriver(WITHOUT_REPORTS).prefill_replica({})
-    drive = LoadAwareDriver(WITHOUT_REPORTS)
-    drive.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
-    request, _ = drive.arrive(session=5)
-    assert drive.checks == []
-    assert drive.sent[request].replica == without_peers
+    driver = LoadAwareDriver(WITHOUT_REPORTS)
+    driver.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
+    request, _ = driver.arrive(session=5)
+    assert driver.checks == []
+    assert driver.sent[request].replica == without_peers
 
 
 # Health checks.
 
 
-def test_one_health_check_serves_all_that_wait_and_a_fresh_report_is_not_queried_again(drive: LoadAwareDriver) -> None:
-    first, _ = drive.arrive(session=5)
-    second, _ = drive.arrive(session=6)
-    assert sorted(drive.checks) == [1, 2]
-    drive.answer_all()
-    assert {first, second} <= drive.sent.keys()
-    assert drive.checks == []
-    drive.arrive(session=7)
-    assert drive.checks == []  # both have reported just now
-    drive.wait(REFRESH_INTERVAL_US + 1)
-    drive.arrive(session=8)
-    assert sorted(drive.checks) == [1, 2]
+def test_one_health_check_serves_all_waiting_requests_and_a_fresh_report_is_not_queried_again(
+    driver: LoadAwareDriver,
+) -> None:
+    first, _ = driver.arrive(session=5)
+    second, _ = driver.arrive(session=6)
+    assert sorted(driver.checks) == [1, 2]
+    driver.answer_all()
+    assert {first, second} <= driver.sent.keys()
+    assert driver.checks == []
+    driver.arrive(session=7)
+    assert driver.checks == []  # both have reported just now
+    driver.wait(REFRESH_INTERVAL_US + 1)
+    driver.arrive(session=8)
+    assert sorted(driver.checks) == [1, 2]
 
 
 @pytest.mark.parametrize(("silent", "answering"), [(1, 2), (2, 1)])
-def test_no_request_waits_long_for_an_answer_and_the_replica_that_gave_one_is_preferred(
-    drive: LoadAwareDriver, silent: int, answering: int
+def test_a_query_times_out_and_the_replica_that_answered_it_is_preferred(
+    driver: LoadAwareDriver, silent: int, answering: int
 ) -> None:
-    request, _ = drive.arrive()
-    drive.answer(answering, queued_ktokens=3.0)
-    assert request not in drive.sent
-    drive.wait(30 * MS)
-    assert drive.sent[request].replica == answering  # a replica without a report does not count as empty
-    drive.end_check(silent, Outcome.TIMEOUT)
+    request, _ = driver.arrive()
+    driver.answer(answering, queued_ktokens=3.0)
+    assert request not in driver.sent
+    driver.wait(30 * MS)
+    assert driver.sent[request].replica == answering  # a replica without a report does not count as empty
+    driver.end_check(silent, Outcome.TIMEOUT)
     for n in range(8):
-        assert drive.prefill_replica({1: 9.0, 2: 9.0}, session=20 + n) == answering
+        assert driver.prefill_replica({1: 9.0, 2: 9.0}, session=20 + n) == answering
 
 
-def test_a_silent_replica_is_tried_by_health_checks_and_not_by_requests(drive: LoadAwareDriver) -> None:
+def test_an_unresponsive_replica_gets_health_checks_and_no_requests(driver: LoadAwareDriver) -> None:
     checks = 0
-    eject_first_replica(drive)
+    eject_first_replica(driver)
     for n in range(200):  # ten seconds of sessions, each with its own home replica
-        drive.wait(50 * MS)
-        request, _ = drive.arrive(session=100 + n)
-        if 2 in drive.checks:
-            drive.answer(2)
-        if 1 in drive.checks:
+        driver.wait(50 * MS)
+        request, _ = driver.arrive(session=100 + n)
+        if 2 in driver.checks:
+            driver.answer(2)
+        if 1 in driver.checks:
             checks += 1
-            drive.end_check(1, Outcome.TIMEOUT)
-        assert drive.disconnect(request) == 2
+            driver.end_check(1, Outcome.TIMEOUT)
+        assert driver.disconnect(request) == 2
     doublings = math.log2(MAX_EJECTION_US / FIRST_EJECTION_US)
     assert 4 <= checks <= 2 + doublings + 10 * S / (0.75 * MAX_EJECTION_US)
 
 
-def test_a_silent_replica_that_answers_again_is_used_within_an_ejection(drive: LoadAwareDriver) -> None:
-    eject_first_replica(drive)
+def test_an_unresponsive_replica_that_answers_again_is_used_within_one_ejection_period(driver: LoadAwareDriver) -> None:
+    eject_first_replica(driver)
     for n in range(200):
-        drive.wait(50 * MS)
-        request, _ = drive.arrive(session=100 + n)
-        if 2 in drive.checks:
-            drive.answer(2)
-        if 1 in drive.checks:
-            drive.end_check(1, Outcome.TIMEOUT)
-        assert drive.disconnect(request) == 2
+        driver.wait(50 * MS)
+        request, _ = driver.arrive(session=100 + n)
+        if 2 in driver.checks:
+            driver.answer(2)
+        if 1 in driver.checks:
+            driver.end_check(1, Outcome.TIMEOUT)
+        assert driver.disconnect(request) == 2
     periods = 0
     for n in range(200):
-        drive.wait(50 * MS)
-        request, _ = drive.arrive(session=400 + n)
+        driver.wait(50 * MS)
+        request, _ = driver.arrive(session=400 + n)
         periods += 1
-        drive.answer_all()
-        if drive.disconnect(request) == 1:
+        driver.answer_all()
+        if driver.disconnect(request) == 1:
             break
     assert periods * 50 * MS < 1.3 * MAX_EJECTION_US
 
 
-def eject_first_replica(drive: LoadAwareDriver) -> None:
-    drive.arrive()
-    drive.answer(2)
-    drive.end_check(1, Outcome.UNREACHABLE)
+def eject_first_replica(driver: LoadAwareDriver) -> None:
+    driver.arrive()
+    driver.answer(2)
+    driver.end_check(1, Outcome.UNREACHABLE)
 
 
-def test_a_health_check_that_was_never_sent_says_nothing_of_its_replica(drive: LoadAwareDriver) -> None:
-    request, _ = drive.arrive()
-    drive.end_check(1, Outcome.NOT_SENT)
-    drive.end_check(2, Outcome.NOT_SENT)
-    drive.disconnect(request)
-    assert {drive.prefill_replica({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
+def test_a_health_check_that_was_never_sent_does_not_eject_its_replica(driver: LoadAwareDriver) -> None:
+    request, _ = driver.arrive()
+    driver.end_check(1, Outcome.NOT_SENT)
+    driver.end_check(2, Outcome.NOT_SENT)
+    driver.disconnect(request)
+    assert {driver.prefill_replica({1: 0.0, 2: 0.0}, session=n) for n in range(30)} == {1, 2}
 
 
-def test_a_health_check_whose_end_never_arrives_is_sent_again(drive: LoadAwareDriver) -> None:
-    drive.arrive(session=50)
-    assert sorted(drive.checks) == [1, 2]
-    drive.wait(3 * S)
-    drive.arrive(session=51)
-    assert sorted(drive.checks) == [1, 1, 2, 2]
+def test_a_health_check_without_a_result_is_sent_again(driver: LoadAwareDriver) -> None:
+    driver.arrive(session=50)
+    assert sorted(driver.checks) == [1, 2]
+    driver.wait(3 * S)
+    driver.arrive(session=51)
+    assert sorted(driver.checks) == [1, 1, 2, 2]
 
 
-def test_a_replica_that_leaves_while_it_is_checked_is_not_chosen(drive: LoadAwareDriver) -> None:
-    request, _ = drive.arrive()
-    drive.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
-    drive.answer(1)
-    drive.answer(2)
-    assert drive.sent[request].replica == 2
+def test_a_replica_that_is_unlisted_during_its_health_check_is_not_chosen(driver: LoadAwareDriver) -> None:
+    request, _ = driver.arrive()
+    driver.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
+    driver.answer(1)
+    driver.answer(2)
+    assert driver.sent[request].replica == 2
 
 
-def test_a_client_that_goes_while_its_query_is_out_leaves_nothing_behind(drive: LoadAwareDriver) -> None:
+def test_a_client_that_disconnects_during_its_query_leaves_no_pending_query(driver: LoadAwareDriver) -> None:
     """The health check of a replica that was unlisted and listed again leaves nothing behind either."""
-    drive.arrive()
-    drive.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
-    drive.answer_all()
-    drive.wait(REFRESH_INTERVAL_US + 1)
-    drive.feed(EndpointsUpdated(False, (FLEET[0],)))
-    request, _ = drive.arrive(session=9)
-    assert sorted(drive.checks) == [1, 2]
-    drive.feed(ClientDisconnected(request))
-    drive.answer_all()
-    drive.wait(S)
-    assert request not in drive.sent
-    assert len(drive.router.pending_queries) == 0
+    driver.arrive()
+    driver.feed(EndpointsUpdated(False, (replace(FLEET[0], phase=Phase.GONE),)))
+    driver.answer_all()
+    driver.wait(REFRESH_INTERVAL_US + 1)
+    driver.feed(EndpointsUpdated(False, (FLEET[0],)))
+    request, _ = driver.arrive(session=9)
+    assert sorted(driver.checks) == [1, 2]
+    driver.feed(ClientDisconnected(request))
+    driver.answer_all()
+    driver.wait(S)
+    assert request not in driver.sent
+    assert len(driver.router.pending_queries) == 0
--- a/tests/load_reports/test_pending_queries.py
+++ b/tests/load_reports/test_pending_queries.py
@@ -24,7 +24,7 @@
     assert len(queries) == 1
 
 
-def test_a_timer_names_its_request_once_and_only_while_that_waits(queries: PendingQueries) -> None:
+def test_a_timer_returns_its_request_once_and_only_while_the_request_waits(queries: PendingQueries) -> None:
     first = queries.add(7, (1,), {1})
     second = queries.add(8, (1,), {1})
     assert FIRST_QUERY_TIMER < first < second
@@ -34,7 +34,7 @@
     assert queries.timed_out(second) is None
 
 
-def test_a_request_whose_client_has_gone_waits_for_nothing(queries: PendingQueries) -> None:
+def test_a_request_whose_client_has_disconnected_waits_for_no_replica(queries: PendingQueries) -> None:
     timer = queries.add(7, (1,), {1})
     queries.drop(7)
     queries.drop(7)
--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -15,16 +15,18 @@
 
 from tests.standins import LAST, SETTINGS, TOKENS, CleanupCase, Discovery, Standin, dead_address, platform
 
-UNLIKE_FIRST: dict[str, Any] = copy.deepcopy(SETTINGS)
-UNLIKE_FIRST["allowed"].update({"may-cancel": False, "probing": True, "max-attempts": 6, "max-retry-after": 2000000})
-UNLIKE_FIRST["classes"] = [
+DIFFERENT_SETTINGS: dict[str, Any] = copy.deepcopy(SETTINGS)
+DIFFERENT_SETTINGS["allowed"].update(
+    {"may-cancel": False, "probing": True, "max-attempts": 6, "max-retry-after": 2000000}
+)
+DIFFERENT_SETTINGS["classes"] = [
     {"name": "question", "aim": 1000000, "deadline": 4000000, "effect": "read_like", "worth": 3.0},
     {"name": "order", "aim": 3000000, "deadline": 15000000, "effect": "non_idempotent", "worth": 5.0},
 ]
-UNLIKE_FIRST["extra"].update(
+DIFFERENT_SETTINGS["extra"].update(
     {"local-read": True, "release-within": 1000000, "resume": True, "role-by-kind": ["read", "write", "write"]}
 )
-UNLIKE_FIRST.update(
+DIFFERENT_SETTINGS.update(
     {
         "models": ["reads", "writes-a", "writes-b"],
         "n-instances": 200,
@@ -36,18 +38,18 @@
     }
 )
 BODY = json.dumps({"model": "chat", "stream": True, "messages": [{"role": "user", "content": "x" * 400}]}).encode()
-Answer = Callable[[Any], None]
+Responder = Callable[[Any], None]
 
 
-def report(x0: object, x1: object) -> Answer:
+def report(x0: object, x1: object) -> Responder:
     return lambda h: h.plain(200, f"active=3,waiting=1,x0={x0},x1={x1}".encode())
 
 
-def never(h: Any) -> None:
+def leave_unanswered(h: Any) -> None:
     h.standin.go.wait(20)
 
 
-def cut(h: Any) -> None:
+def truncate_body(h: Any) -> None:
     h.send_response(200)
     h.send_header("Content-Length", "40")
     h.end_headers()
@@ -55,7 +57,7 @@
     h.close_connection = True
 
 
-BAD_REPORTS: list[Answer] = [
+BAD_REPORTS: list[Responder] = [
     lambda h: h.plain(404),
     lambda h: h.plain(503),
     lambda h: h.plain(200),
@@ -68,10 +70,10 @@
 
 
 class TestLoadReportsOfReplicas(CleanupCase):
-    def start(self, settings: dict[str, Any] = UNLIKE_FIRST, first_is_dead: bool = False) -> None:
+    def start(self, settings: dict[str, Any] = DIFFERENT_SETTINGS, first_is_dead: bool = False) -> None:
         """Starts two prefill and two decode replicas and the program. `reports`: their answers to health checks."""
         self.servers = [Standin() for _ in range(4)]
-        self.reports: list[Answer] = [report(0.1, 0)] * 4
+        self.reports: list[Responder] = [report(0.1, 0)] * 4
         for n, server in enumerate(self.servers):
 
             def respond(h: Any, body: bytes, n: int = n) -> None:
@@ -100,17 +102,17 @@
         else:
             h.chunks(*TOKENS, LAST)
 
-    def ask(self, id: str, cls: str = "order", **more: str) -> int:
-        head = {
+    def post(self, id: str, request_class: str = "order", **extra_headers: str) -> int:
+        headers = {
             "Request-Id": id,
-            "Request-Class": cls,
+            "Request-Class": request_class,
             "Request-Timeout-Ms": "4000",
             "Tenant": "east",
             "Affinity-Key": f"{hash(id) & 0xffff:x}",
             "Request-Info": "prompt_len=3000,max_out=100",
-            **more,
+            **extra_headers,
         }
-        status, _, body = self.program.ask("POST", "/v1/chat/completions", BODY, head)
+        status, _, body = self.program.ask("POST", "/v1/chat/completions", BODY, headers)
         assert status != 200 or body == b"".join(TOKENS) + LAST
         return status
 
@@ -120,7 +122,7 @@
     def test_a_choice_follows_the_reports_and_costs_two_health_checks(self) -> None:
         self.start()
         self.reports = [report(0.1, 60), report(0.1, 0.4), report(0.3, 0), report(0.8, 0)]
-        assert [self.ask(f"a{n}") for n in range(6)] == [200] * 6
+        assert [self.post(f"a{n}") for n in range(6)] == [200] * 6
         assert self.runs() == [0, 6, 6, 0]
         assert self.program.counters()["probes"]["answered"] <= 6 * 4
 
@@ -128,44 +130,44 @@
         "answers",
         [
             pytest.param(BAD_REPORTS, id="bad reports"),  # the other cases eject replicas
-            pytest.param([cut], id="cut"),
+            pytest.param([truncate_body], id="cut"),
             pytest.param([lambda h: h.connection.close()], id="closed"),
-            pytest.param([never], id="never"),
+            pytest.param([leave_unanswered], id="never"),
         ],
     )
-    def test_whatever_a_health_check_brings_every_request_is_answered_once(self, answers: list[Answer]) -> None:
+    def test_every_request_is_answered_once_whatever_a_health_check_returns(self, answers: list[Responder]) -> None:
         retries: tuple[dict[str, str], ...] = ({}, {"Client-Retry": "again"}, {"Client-Retry": "perhaps"})
         self.start()
         for n, answer in enumerate(answers):
             self.reports = [answer] * 4
             before = sum(self.runs())
             for k, retry in enumerate(retries):
-                assert self.ask(f"{n}-{k}", **retry) == 200, n
+                assert self.post(f"{n}-{k}", **retry) == 200, n
             assert sum(self.runs()) - before == 6, n  # one prefill and one answer for each request, and no repeats
             assert ("GET", "/status/load") in self.servers[0].calls
         counters = self.program.counters()
         assert (counters["faults"], counters["failed"], counters["refused"]) == (0, 0, 0)
 
-    def test_a_dead_replica_is_found_by_a_health_check_and_costs_no_attempt(self) -> None:
+    def test_a_dead_replica_is_detected_by_a_health_check_and_costs_no_attempt(self) -> None:
         self.start(first_is_dead=True)
-        assert [self.ask(f"d{n}") for n in range(8)] == [200] * 8
+        assert [self.post(f"d{n}") for n in range(8)] == [200] * 8
         counters = self.program.counters()
         assert self.runs() == [0, 8] + self.runs()[2:]
         assert (counters["sent"], counters["probes"]["unreachable"] >= 1) == (16, True)
 
-    def test_a_tenant_that_is_unknown_and_one_without_a_quota_are_served(self) -> None:
+    def test_an_unknown_tenant_and_one_without_a_quota_are_served(self) -> None:
         self.start()
-        assert [self.ask(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))] == [200] * 3
+        assert [self.post(f"m{n}", Tenant=name) for n, name in enumerate(("east", "west", "nobody"))] == [200] * 3
 
     @pytest.mark.parametrize(
         "changes",
         [
             pytest.param({"n-instances": 3}, id="few dispatchers"),
             pytest.param({"report": {"via": "off", "columns": []}}, id="no reports"),
-            pytest.param({"allowed": {**UNLIKE_FIRST["allowed"], "probing": False}}, id="not allowed"),
+            pytest.param({"allowed": {**DIFFERENT_SETTINGS["allowed"], "probing": False}}, id="not allowed"),
         ],
     )
     def test_with_few_dispatchers_or_without_reports_no_health_check_is_sent(self, changes: dict[str, Any]) -> None:
-        self.start({**UNLIKE_FIRST, **changes})
-        assert [self.ask(f"f{n}") for n in range(3)] == [200] * 3
+        self.start({**DIFFERENT_SETTINGS, **changes})
+        assert [self.post(f"f{n}") for n in range(3)] == [200] * 3
         assert not [path for s in self.servers for _, path in s.calls if path == "/status/load"]
--- a/tests/load_reports/test_query_policy.py
+++ b/tests/load_reports/test_query_policy.py
@@ -25,7 +25,7 @@
         (8, 0.0, True, (Role.PREFILL, Role.DECODE)),
     ],
 )
-def test_replicas_are_queried_only_where_it_pays(
+def test_roles_are_queried_only_if_the_gain_exceeds_the_price(
     instances: int, price: float, health_checks: bool, roles: tuple[Role, ...]
 ) -> None:
     assert roles_worth_querying(
--- a/tests/load_reports/test_unanswered_checks.py
+++ b/tests/load_reports/test_unanswered_checks.py
@@ -26,14 +26,14 @@
     assert expected == MAX_EJECTION_US
 
 
-def test_an_ejection_ends_with_its_time(checks: UnansweredChecks) -> None:
+def test_an_ejection_expires(checks: UnansweredChecks) -> None:
     checks.record_failure(NOW, 1)
     until = checks.ejected_until(NOW, 1)
     assert checks.ejected_until(until - 1, 1) == until
     assert checks.ejected_until(until, 1) == 0
 
 
-def test_an_answer_ends_an_ejection_and_its_backoff(checks: UnansweredChecks) -> None:
+def test_an_answer_ends_an_ejection_and_resets_its_backoff(checks: UnansweredChecks) -> None:
     for _ in range(4):
         checks.record_failure(NOW, 1)
     checks.record_answer(1)
@@ -51,7 +51,7 @@
     assert checks.ejected_until(NOW, 1) == until
 
 
-def test_replicas_that_have_left_are_forgotten(checks: UnansweredChecks) -> None:
+def test_records_of_unlisted_replicas_are_discarded(checks: UnansweredChecks) -> None:
     checks.record_failure(NOW, 1)
     checks.record_failure(NOW, 2)
     checks.keep({2})
