--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -18,7 +18,7 @@
 from pearhill.routing.actions import SendAttempt
 from pearhill.routing.events import AttemptEnded, Event, ResponseStarted
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
-from pearhill.routing.permissions import Denied, Execution, attempt_denial, retry_denial, start_denial
+from pearhill.routing.permissions import Denied, Execution, attempt_denial, retry_denial, send_denial
 from pearhill.routing.topology import Role
 from pearhill.settings import Deployment
 
@@ -136,8 +136,8 @@
         attempt has ended.
         """
         if not attempt.ended and attempt.request.client.has_disconnected():
-            self._requests.disconnect(attempt.request)
-        if start_denial(self._clock(), attempt.send_before):
+            self._requests.handle_disconnect(attempt.request)
+        if send_denial(self._clock(), attempt.send_before):
             self.withdraw(attempt)
         return not attempt.ended
 
@@ -150,7 +150,7 @@
         if attempt.ended:
             return
         sent = self._backend().cancel(attempt)
-        self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold=sent)
+        self.end(attempt, Outcome.TIMEOUT if sent else Outcome.WITHDRAWN, may_hold_state=sent)
 
     def start_response(self, attempt: Attempt) -> bool:
         """Record the first event of the answer, which ends the deadlines of the attempt and of its request.
@@ -175,7 +175,7 @@
         attempt: Attempt,
         outcome: Outcome,
         cached_tokens: int = 0,
-        may_hold: bool = False,
+        may_hold_state: bool = False,
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
@@ -215,7 +215,7 @@
     def _record_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
         """Record on the request what the attempt may have caused: state at its replica, or the request's execution."""
         request = attempt.request
-        if may_hold and not attempt.response_started:
+        if may_hold_state and not attempt.response_started:
             request.state_holders.add(attempt.replica)
             request.interrupted = request.interrupted or outcome not in (Outcome.PREFILLED, Outcome.ERROR)
         if outcome == Outcome.PREFILLED:
@@ -261,7 +261,7 @@
         has to be released by a fixed time. If the attempt did arrive, the holders of the state ignore the release.
         """
         request = attempt.request
-        if attempt.ended or not request.state_holders or not self._backend().has_started(attempt):
+        if attempt.ended or not request.state_holders or not self._backend().may_have_been_sent(attempt):
             return
         self._counters.unconfirmed += 1
         log_unconfirmed_fetch(attempt)
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -117,7 +117,7 @@
             for request in self.requests.values()
             if (attempt := request.current_attempt)
             and not self._endpoints.accepts_requests(attempt.replica)
-            and not self._required_backend().has_started(attempt)
+            and not self._required_backend().may_have_been_sent(attempt)
         ]
         self._events.feed(EndpointsUpdated(full, endpoints))
         for attempt in unlisted:
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -63,7 +63,7 @@
             self.reject(request, 0, EXPIRED)
             del self.open_requests[request.number]
             return request
-        request.deadline_timer = self._deadlines.at(deadline, lambda: self._deadline_exceeded(request))
+        request.deadline_timer = self._deadlines.schedule_at(deadline, lambda: self._deadline_exceeded(request))
         self._feed(_arrival(request.number, spec, max(1, deadline - now)), now)
         return request
 
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 
 HALF_LIFE_US = 750_000  # of a digest's weight: a few gossip intervals, and the duration of a prefill
 MAX_HALF_LIVES = 8  # after which a digest has no weight
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -36,7 +36,7 @@
 
 def test_prefill_then_decode_then_one_answer(h: DispatcherHarness) -> None:
     client = h.accept()
-    h.sent[0].end(Outcome.PREFILLED, may_hold=True)
+    h.sent[0].end(Outcome.PREFILLED, may_hold_state=True)
     assert h.sent[0].replica == 1
     assert h.sent[1].start_response()
     h.sent[1].end(Outcome.ANSWERED)
@@ -110,15 +110,15 @@
     h.reached = False
     for _ in range(5):
         client = h.accept()
-        h.dispatcher.disconnect(client.request)
+        h.dispatcher.handle_disconnect(client.request)
     assert h.dispatcher.counters.outcomes == {Outcome.NOT_SENT: 5}
     assert h.replicas_with_outcomes == []
 
 
 def test_an_outcome_found_while_closing_the_connection_overrides_the_cancellation(h: DispatcherHarness) -> None:
     client = h.accept()
-    h.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold=True)
-    h.dispatcher.disconnect(client.request)
+    h.on_cancel = lambda attempt: attempt.end(Outcome.PREFILLED, cached_tokens=7, may_hold_state=True)
+    h.dispatcher.handle_disconnect(client.request)
     assert h.dispatcher.counters.outcomes == {"read": 1}
     assert h.released == [{1}]
 
@@ -232,7 +232,7 @@
     assert h.released_unless_fetched == [{1}]
     assert h.released == []
     assert len(h.sent) == 2
-    h.dispatcher.disconnect(client.request)
+    h.dispatcher.handle_disconnect(client.request)
     assert h.released == [{1, h.sent[1].replica}]
     assert client.request.interrupted is True
 
