--- a/pearhill/core/attempt_lifecycle.py
+++ b/pearhill/core/attempt_lifecycle.py
@@ -55,7 +55,7 @@
         """Send an attempt. An attempt that a rule denies ends as NOT_SENT instead."""
         now = self._clock()
         if not request.answered and request.client.has_disconnected():  # Checked before a connection is opened.
-            self._requests.disconnect(request)
+            self._requests.handle_disconnect(request)
         attempt = self._next_attempt(request, action, now)
         denied = self._denial(attempt)
         if denied:
@@ -183,7 +183,7 @@
         if attempt.ended:
             return
         elapsed = self._detach(attempt, outcome)
-        self._record_effects(attempt, outcome, may_hold)
+        self._record_effects(attempt, outcome, may_hold_state)
         self._answer_client(attempt, outcome, replica_error)
         request = attempt.request
         self._feed(
@@ -212,7 +212,7 @@
         log_attempt_ended(attempt, outcome, elapsed)
         return elapsed
 
-    def _record_effects(self, attempt: Attempt, outcome: Outcome, may_hold: bool) -> None:
+    def _record_effects(self, attempt: Attempt, outcome: Outcome, may_hold_state: bool) -> None:
         """Record on the request what the attempt may have caused: state at its replica, or the request's execution."""
         request = attempt.request
         if may_hold_state and not attempt.response_started:
@@ -275,7 +275,7 @@
         if not sent:
             outcome = self._unsent_outcome(attempt)
         # A prefill may have succeeded just as its connection was closed; its replica then still holds the state.
-        self.end(attempt, outcome, may_hold=sent)
+        self.end(attempt, outcome, may_hold_state=sent)
 
     def _unsent_outcome(self, attempt: Attempt) -> Outcome:
         """Return the outcome of an attempt that was never sent completely.
--- a/pearhill/core/backend.py
+++ b/pearhill/core/backend.py
@@ -20,7 +20,7 @@
         Returns False if the replica certainly did not receive the complete request.
         """
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         """Return whether any byte of the attempt may have been written."""
 
     def check_health(self, replica: int) -> None:
--- a/pearhill/core/deadlines.py
+++ b/pearhill/core/deadlines.py
@@ -7,19 +7,19 @@
 from sortedcontainers import SortedDict
 
 Clock = Callable[[], int]  # microseconds
-Key = tuple[int, int]  # due time, and a sequence number that orders callbacks of the same due time
+TimerKey = tuple[int, int]  # due time, and a sequence number that orders callbacks of the same due time
 
 
 class Deadlines:
     """Callbacks by due time, in microseconds of `clock`.
 
-    `on_sooner` is called with the earliest due time whenever a new callback makes it earlier.
+    `on_earlier_due` is called with the earliest due time whenever a new callback makes it earlier.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.on_sooner: Callable[[int], None] = lambda at: None
-        self._callbacks: SortedDict[Key, Callable[[], None]] = SortedDict()
+        self.on_earlier_due: Callable[[int], None] = lambda at: None
+        self._callbacks: SortedDict[TimerKey, Callable[[], None]] = SortedDict()
         self._last_sequence = 0
 
     def __len__(self) -> int:
@@ -30,26 +30,26 @@
         """The due time of the next callback, or None if there is none."""
         return self._callbacks.peekitem(0)[0][0] if self._callbacks else None
 
-    def at(self, when: int, callback: Callable[[], None]) -> Key:
-        """Run a callback at time `when`, or in the next sweep if that has passed. Returns a key for `cancel`."""
+    def schedule_at(self, when: int, callback: Callable[[], None]) -> TimerKey:
+        """Run a callback at time `when`, or in the next `run_due` if that has passed. Returns a key for `cancel`."""
         self._last_sequence += 1
         key = (when, self._last_sequence)
         self._callbacks[key] = callback
         if self._callbacks.peekitem(0)[0] == key:
-            self.on_sooner(when)
+            self.on_earlier_due(when)
         return key
 
-    def after(self, wait: int, callback: Callable[[], None]) -> Key:
+    def schedule_after(self, wait: int, callback: Callable[[], None]) -> TimerKey:
         """Run a callback in `wait` microseconds. Returns a key for `cancel`."""
-        return self.at(self.clock() + wait, callback)
+        return self.schedule_at(self.clock() + wait, callback)
 
-    def cancel(self, key: Key | None) -> None:
+    def cancel(self, key: TimerKey | None) -> None:
         """Remove a callback. A key whose callback has already run, or None, has no effect."""
         if key is not None:
             self._callbacks.pop(key, None)
 
-    def sweep(self) -> None:
-        """Run the callbacks that are due. Callbacks added meanwhile wait for the next sweep, even if already due."""
+    def run_due(self) -> None:
+        """Run the callbacks that are due. Callbacks added meanwhile wait for the next call, even if already due."""
         now = self.clock()
         last = self._last_sequence
         while self._callbacks:
--- a/pearhill/core/dispatcher.py
+++ b/pearhill/core/dispatcher.py
@@ -85,9 +85,9 @@
         return self._endpoints.by_replica
 
     @property
-    def can_answer(self) -> bool:
+    def has_ready_decoder(self) -> bool:
         """Whether a decode or mixed replica is listed as ready."""
-        return self._endpoints.can_answer(self.deployment.router.kinds)
+        return self._endpoints.has_ready_decoder(self.deployment.router.kinds)
 
     # Calls from a front end.
 
@@ -99,9 +99,9 @@
         """Count a request that a front end rejected without passing it to `accept`."""
         self._requests.record_rejection(request_class, reason)
 
-    def disconnect(self, request: Request) -> None:
+    def handle_disconnect(self, request: Request) -> None:
         """Handle the client's disconnection. Its attempt is cancelled, even one that is being answered."""
-        self._requests.disconnect(request)
+        self._requests.handle_disconnect(request)
 
     # Updates of the endpoint list and the configuration.
 
@@ -152,7 +152,9 @@
             case SetTimer(timer, delay):
                 # Counted from now, the timer would fire later than the router expects; after a stall, it could fire
                 # later than the request's deadline, at which the core fails the request.
-                self.deadlines.at(self._events.event_time + delay, lambda: self._events.feed(TimerFired(timer)))
+                self.deadlines.schedule_at(
+                    self._events.event_time + delay, lambda: self._events.feed(TimerFired(timer))
+                )
             case LogMessage(text):
                 logger.info("router: {text}", text=text)
             case SendHealthCheck(replica):
--- a/pearhill/core/endpoint_list.py
+++ b/pearhill/core/endpoint_list.py
@@ -28,7 +28,7 @@
         endpoint = self.by_replica.get(replica)
         return endpoint is not None and endpoint.phase == Phase.READY
 
-    def can_answer(self, kinds: Sequence[MachineKind]) -> bool:
+    def has_ready_decoder(self, kinds: Sequence[MachineKind]) -> bool:
         """Return whether a decode or mixed replica is listed as ready."""
         return any(
             endpoint.phase == Phase.READY and kinds[endpoint.kind].role != Role.PREFILL
--- a/pearhill/core/request.py
+++ b/pearhill/core/request.py
@@ -189,9 +189,9 @@
     ) -> None:
         """Report the end of the attempt.
 
-        `may_hold`: the replica may hold state for the request, however the attempt ended. `retry_after`: for how many
-        microseconds the replica asks to be sent no further requests. `replica_error`: the replica's error that is the
-        client's final answer; its form is agreed between the backend's dialect and the front end.
+        `may_hold_state`: the replica may hold state for the request, however the attempt ended. `retry_after`: for how
+        many microseconds the replica asks to be sent no further requests. `replica_error`: the replica's error that is
+        the client's final answer; its form is agreed between the backend's dialect and the front end.
         """
         self._owner.end(self, outcome, cached_tokens, may_hold_state, retry_after, replica_error)
 
--- a/pearhill/core/request_lifecycle.py
+++ b/pearhill/core/request_lifecycle.py
@@ -73,7 +73,7 @@
         self._counters.refused += 1
         self._count_result(request_class, BUSY)
 
-    def disconnect(self, request: Request) -> None:
+    def handle_disconnect(self, request: Request) -> None:
         """End a request whose client has disconnected.
 
         No answer is pending any more. The attempt is cancelled, even one that is being answered.
--- a/pearhill/load_reports/load_aware_router.py
+++ b/pearhill/load_reports/load_aware_router.py
@@ -83,7 +83,7 @@
         self._query_timeout = _query_timeout(settings)
         self._update_query_roles()
 
-    def use_peers(self, peers: PeerLoadSource | None) -> None:
+    def set_peer_load_source(self, peers: PeerLoadSource | None) -> None:
         """Set the source of the other dispatchers' load, or None for no source.
 
         Reading the source costs nothing further, so with a source the load is queried before every choice.
@@ -96,7 +96,7 @@
 
     # Read by other dispatchers and by operators.
 
-    def own_load(self) -> list[OwnLoad]:
+    def own_loads(self) -> list[OwnLoad]:
         """Return this dispatcher's tokens at each replica where it has any."""
         return [
             OwnLoad(replica.id, replica.tokens_queued, replica.tokens_in_flight)
@@ -104,7 +104,7 @@
             if replica.tokens_queued or replica.tokens_in_flight
         ]
 
-    def loads(self, now: int) -> dict[int, ReplicaStatus]:
+    def replica_statuses(self, now: int) -> dict[int, ReplicaStatus]:
         """Return the status of each listed replica."""
         ejected = self._unavailable_to_router(now)
         return {
@@ -118,7 +118,7 @@
 
     def avoided_count(self, now: int) -> int:
         """Return the number of listed replicas to which this dispatcher currently sends no new requests."""
-        return sum(status.avoided for status in self.loads(now).values())
+        return sum(status.avoided for status in self.replica_statuses(now).values())
 
     def _unavailable_to_router(self, now: int) -> set[int]:
         """Return the listed replicas that currently get no new requests from the router.
@@ -230,7 +230,7 @@
         replica = self.router.replicas.get(replica_id)
         if self.peers is None or replica is None or report.confidence > MIN_REPORT_CONFIDENCE:
             return report
-        peer_load = self.peers.others(now, replica_id, replica.tokens_queued, replica.tokens_in_flight)
+        peer_load = self.peers.estimate_peer_load(now, replica_id, replica.tokens_queued, replica.tokens_in_flight)
         # With hundreds of dispatchers, most of the sum is never fresh. The rest is assumed to be the mean of the fresh
         # part, so that even a small fresh part is as informative as a sample.
         if peer_load.confidence <= MIN_PEER_CONFIDENCE:
--- a/pearhill/load_reports/peer_load_source.py
+++ b/pearhill/load_reports/peer_load_source.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple, Protocol
 
 
-class OthersLoad(NamedTuple):
+class PeerLoadEstimate(NamedTuple):
     """The other dispatchers' tokens at one replica.
 
     `queued_tokens` are yet to be prefilled there. `total_tokens` are all that are in flight there. `confidence` is the
@@ -20,5 +20,5 @@
 class PeerLoadSource(Protocol):
     """Provides the load that the other dispatchers report (implemented in `pearhill.membership`)."""
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int, /) -> PeerLoadEstimate:
         """Return the load of the other dispatchers at a replica. The tokens passed in are this dispatcher's own."""
--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -54,7 +54,9 @@
         # slower the more peers there are.
         self._rows_by_replica: dict[int, dict[str, ReplicaLoad]] = {}
         self._counted_peers: Collection[str] = ()
-        self._weights: dict[str, float] = {}  # of the counted peers: as of the last `weigh`, or 1 if received since
+        self._weights: dict[
+            str, float
+        ] = {}  # of the counted peers: as of the last `update_weights`, or 1 if received since
         self._total_weight = 1.0  # their sum, plus 1 for this dispatcher, whose own load is known
 
     def receive(self, now: int, name: str, version: Version, rows: Iterable[ReplicaLoad]) -> bool:
@@ -77,7 +79,7 @@
         last = self._last.get(name)
         return last.rows.get(replica) if last else None
 
-    def weigh(self, now: int, counted_peers: Collection[str]) -> None:
+    def update_weights(self, now: int, counted_peers: Collection[str]) -> None:
         """Recompute which peers count, and with which weights.
 
         This is called at every gossip interval, within which weights hardly decay, and not at each choice, which would
@@ -89,12 +91,14 @@
             self._weights = {name: self.weight(now, name) for name in counted_peers}
             self._total_weight = 1 + sum(self._weights.values())
 
-    def others(self, now: int, replica: int, counted_peers: Collection[str], own: ReplicaLoad) -> OthersLoad:
-        """Return the sum over the `counted_peers`, reachable or not. `counted_peers` is as in `weigh`.
+    def estimate_peer_load(
+        self, now: int, replica: int, counted_peers: Collection[str], own: ReplicaLoad
+    ) -> PeerLoadEstimate:
+        """Return the sum over the `counted_peers`, reachable or not. `counted_peers` is as in `update_weights`.
 
         A peer whose load is unknown counts as the mean of this dispatcher and of all peers whose load is known.
         """
-        self.weigh(now, counted_peers)
+        self.update_weights(now, counted_peers)
         queued = float(own.queued_tokens)
         total = float(own.total_tokens)
         weights = self._weights
@@ -107,7 +111,7 @@
         peers = len(weights)
         unknown_weight = peers + 1 - known_weight
         scale = 1 + unknown_weight / known_weight
-        return OthersLoad(
+        return PeerLoadEstimate(
             max(0.0, queued * scale - own.queued_tokens),
             max(0.0, total * scale - own.total_tokens),
             (known_weight - 1) / peers if peers else 1.0,
--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -3,7 +3,7 @@
 from pearhill.core.deadlines import Deadlines
 
 
-def test_callbacks_run_in_order_of_due_time_and_those_they_add_wait_for_the_next_sweep() -> None:
+def test_callbacks_run_in_order_of_due_time_and_those_they_add_wait_for_the_next_run() -> None:
     now = 0
     ran: list[str] = []
     deadlines = Deadlines(lambda: now)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -98,7 +98,7 @@
 def test_an_attempt_is_not_sent_if_the_client_disconnected_before_the_choice(h: DispatcherHarness) -> None:
     client = h.accept()
     client.disconnected = True
-    h.sent[0].end(Outcome.PREFILLED, may_hold=True)
+    h.sent[0].end(Outcome.PREFILLED, may_hold_state=True)
     h.assert_finished(client, [], [{1}])
     assert len(h.sent) == 1
     assert h.dispatcher.counters.left == 1
@@ -129,7 +129,7 @@
 ) -> None:
     h.reached = reached
     client = h.accept()
-    h.dispatcher.disconnect(client.request)
+    h.dispatcher.handle_disconnect(client.request)
     h.assert_finished(client, [], released)
 
 
@@ -274,7 +274,7 @@
     number = client.request.number
     requested: list[Action] = [SendAttempt(number, h.sent[1].replica, 10**6)]
     h.router.handle = lambda now, event: [requested.pop()] if requested else []
-    h.sent[1].end(Outcome.TRUNCATED, may_hold=True)
+    h.sent[1].end(Outcome.TRUNCATED, may_hold_state=True)
     assert len(h.sent) == 2
     requested.append(RejectRequest(number, 0))
     h.dispatcher.update_endpoints(False, ())
--- a/tests/load_reports/test_load_aware_router.py
+++ b/tests/load_reports/test_load_aware_router.py
@@ -114,7 +114,7 @@
     busy: int, confidence: float
 ) -> None:
     driver = LoadAwareDriver(WITHOUT_REPORTS)
-    driver.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
+    driver.router.set_peer_load_source(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, confidence))
     request, _ = driver.arrive(session=5)
     assert driver.checks == []
     assert driver.sent[request].replica == 3 - busy
@@ -126,7 +126,7 @@
 def test_peer_load_is_ignored_if_hardly_any_of_it_is_fresh(busy: int) -> None:
     without_peers = LoadAwareDriver(WITHOUT_REPORTS).prefill_replica({})
     driver = LoadAwareDriver(WITHOUT_REPORTS)
-    driver.router.use_peers(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
+    driver.router.set_peer_load_source(FixedPeers({busy: 9000.0, busy + 10: 9000.0}, 0.05))
     request, _ = driver.arrive(session=5)
     assert driver.checks == []
     assert driver.sent[request].replica == without_peers
