--- a/pearhill/net/__init__.py
+++ b/pearhill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the only place that reads and writes them."""
+"""Socket I/O. No other package reads or writes sockets."""
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are answered one after the other, and it ends when it has to."""
+"""A client's connection: answers its requests in order, and closes on a timeout, an error or a drain."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from pearhill.net.unread_input import UnreadInput, peek_unread_input
 from pearhill.routing.permissions import ConnectionUse, may_close
 
-REQUEST_TIMEOUT_US = 2_000_000  # a request is complete by then, from its first byte
-# The first one's time begins so long after its accept at the latest. Bad clients have to be ended within 3 s.
+REQUEST_TIMEOUT_US = 2_000_000  # from a request's first byte until it has to be complete
+# The timeout of the first request starts at most this long after the accept, so that the connection of a client that
+# never completes a request is closed within the required 3 s.
 MAX_FIRST_REQUEST_DELAY_US = 800_000
 IDLE_TIMEOUT_US = 5_000_000  # between two requests
-RECHECK_INTERVAL_US = 20_000  # after a look for unread input that failed
+RECHECK_INTERVAL_US = 20_000  # between checks for unread input, after one failed
 
 
 class AcceptedConnection(ClientSocket):
@@ -26,29 +27,29 @@
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool = False) -> None:
         self.pending: Pending | None = None
-        self.answering = False  # a request has its turn
-        self.since = owner.deadlines.clock()  # its accept, the first byte of what is being read, the last answer
-        self._keep_alive = True  # its client lets it live on, and nothing on it has gone wrong
-        self._close_after_next = False  # the next answer ends it, whatever its request's headers
-        self._announced_close = False  # the client was notified that this answer is the last one
+        self.answering = False  # a request is being answered
+        self.since = owner.deadlines.clock()  # time of the accept, a partial request's first byte, or the last answer
+        self._keep_alive = True  # the client allows reuse, and no error occurred
+        self._close_after_next = False  # close after the next answer, whatever its request's headers say
+        self._announced_close = False  # the current answer's headers announce the close
         super().__init__(owner, sock, peer, delayed_accept)
         self._set_timer()
 
-    # What it is good for.
+    # State.
 
     @property
     def idle(self) -> bool:
-        """Nothing is being read, answered or written."""
+        """Whether nothing is being read, answered or written."""
         return self.idle_but_reading and not self.intake.in_message
 
     @property
     def idle_but_reading(self) -> bool:
-        """Nothing is being answered or written; a request may have begun."""
+        """Whether nothing is being answered or written. A request may be partly read."""
         return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
 
     @property
     def use(self) -> ConnectionUse:
-        """What it is good for now."""
+        """The connection's current state."""
         if self.closed or not self.idle_but_reading:
             return ConnectionUse.ANSWERING
         if self.ending:
@@ -59,16 +60,16 @@
 
     @property
     def may_close(self) -> bool:
-        """Whether it may be ended so that another can be accepted."""
+        """Whether the connection may be closed so that another can be accepted."""
         use = self.use
         unread = False
-        if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # a system call: only where it can matter
+        if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # only where the system call matters
             unread = peek_unread_input(self.sock) != UnreadInput.NONE
         return may_close(use, unread, self.owner.deadlines.clock() - self.since)
 
     @property
     def owes_a_request(self) -> bool:
-        """No request was ever received on it, or a request has begun and is not complete."""
+        """Whether the first request was not received yet, or a request is incomplete."""
         return self.intake.in_message or not self.requests
 
     # Reply.
@@ -79,43 +80,44 @@
         self._answered()
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer bad input and end the connection: what follows may be a part of that input."""
+        """Reject input and close the connection, because the bytes that follow may belong to the rejected input."""
         self._keep_alive = False
         self._reason = f"rejected-{status}"
         self.answer(status, headers, body)
 
     def start(self, status: int, headers: Headers = ()) -> None:
-        """Begin an answer in pieces; its head goes out with the first of them."""
+        """Start a chunked answer. Its head is sent together with the first chunk."""
         self.output.append(messages.stream_head(status, headers, close=not self._stays_open()))
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the answer, and wait while too much of it is unsent."""
+        """Send a chunk of the answer, and wait while too many bytes are unsent."""
         self._put(messages.chunk(data))
         await self.output.has_capacity.wait()
 
     def finish(self, last: bytes = b"") -> None:
-        """Send these last bytes and the end of the answer."""
+        """Send these last bytes and the last chunk, which completes the answer."""
         last_piece = messages.chunk(last) if last else b""
         self._put(last_piece + messages.LAST_CHUNK)
         self._answered()
 
     def abort(self, last: bytes = b"") -> None:
-        """Send these last bytes and end the connection without the answer's last chunk."""
+        """Send these last bytes, and close the connection without sending the answer's last chunk."""
         if last:
             self._put(messages.chunk(last))
         self._keep_alive = False
         self._reason = "answer-broken"
-        self._answered()  # what came of the answer still goes out
+        self._answered()  # the part of the answer that is already buffered is still sent
 
     def _stays_open(self) -> bool:
-        """Whether the connection outlives this answer. The client is notified of it, hence it is settled once.
-        Requests that were read behind it still get their answers, whatever requires the connection to end."""
+        """Whether the connection stays open after this answer. The answer's headers announce it to the client, so it is
+        determined once for each answer. Requests that were already read behind this one are still answered in a drain
+        or shutdown."""
         asked_to_end = (self.owner.draining or self._close_after_next) and not self.intake.waiting
         self._announced_close = not self._keep_alive or asked_to_end
         return not self._announced_close
 
     def _answered(self) -> None:
-        """The request that had its turn has its answer: end the connection, or go on to the next request."""
+        """Handle the end of an answer: close the connection, or continue with the next request."""
         self.answering = False
         self.pending = None
         asked_to_end = (self._announced_close or self.owner.closing) and not self.intake.waiting
@@ -125,10 +127,10 @@
             return
         self._advance()
 
-    # Requests, one after the other.
+    # Request handling.
 
     def _advance(self) -> None:
-        """Take up the next request, unless one is being answered."""
+        """Start the next waiting request, unless one is being answered."""
         while self.intake.waiting and not (self.answering or self.ending or self.closed):
             message = self.intake.waiting.popleft()
             self.answering = True
@@ -141,7 +143,7 @@
         self._set_timer()
 
     def _handle(self, message: RequestMessage) -> None:
-        """Give one request to the handler, which answers it now or later."""
+        """Pass a request to the handler, which answers it now or later."""
         self.requests += 1
         self._keep_alive = message.keep_alive
         self._announced_close = False
@@ -149,19 +151,19 @@
         try:
             pending = self.owner.handler.handle(message, self)
         except Exception:
-            # A fault in a handler must not leave its client without an answer.
+            # The client must get an answer even if the handler fails.
             logger.exception("a handler failed on {method} {path}", method=message.method, path=message.path)
             if self._is_answering(number):
                 self._keep_alive = False
                 self.answer(500)
             return
-        if self.closed and pending:  # the client's end was seen while the request was handled
+        if self.closed and pending:  # the client disconnected while the request was handled
             pending.left()
         elif self._is_answering(number):
             self.pending = pending
 
     def _is_answering(self, number: int) -> bool:
-        """Whether the request of this number still waits for its answer."""
+        """Whether the request with this number is still being answered."""
         return self.answering and self.requests == number
 
     def _reject(self, message: Rejected) -> None:
@@ -170,15 +172,16 @@
         self.reject(message.status, headers, body)
 
     def reject_partial_request(self) -> None:
-        """The process ends before the rest of the request can be waited for. Nothing of it was executed."""
+        """Reject a partly read request, because the process exits before the rest may arrive. It was not executed."""
         self.intake.waiting.append(Rejected(503, "this process ends: trying again elsewhere is harmless"))
         self._advance()
 
-    # Deadlines.
+    # Timeouts.
 
     def _set_timer(self) -> None:
-        """One deadline a connection: for a half-sent request, or for the next one to begin. Were it set anew
-        by each byte, or only by the first, a client that trickles or sends nothing would keep its place for good."""
+        """Set the connection's only timer: for the rest of a partial request, or for the start of the next one. If each
+        byte reset the timer, or only the first byte started it, a client that sends slowly or sends nothing would keep
+        its connection for ever."""
         deadlines = self.owner.deadlines
         deadlines.cancel(self._timer)
         self._timer = None
@@ -190,17 +193,17 @@
             self._timer = deadlines.at(self.since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
 
     def _request_overdue(self) -> None:
-        """The time for a request is over: its client has sent a part of it, or nothing at all."""
+        """Handle the request timeout: reject a partial request, or close the connection if no request was started."""
         if not self.intake.in_message:
             return self.close_unless_unread("silent")
         self.intake.waiting.append(Rejected(408, "the request did not arrive in time"))
         self._advance()
 
-    # Requests that come, and the end.
+    # Input and close.
 
     def _feed(self, data: memoryview) -> None:
-        """Parse bytes, and take up the requests that they complete. No name of a request stands in the reader's own
-        frame: that would keep the last one in memory for as long as its client stays."""
+        """Parse bytes, and start the requests that they complete. The reader's own frame must not refer to a request:
+        it would keep the last one in memory for as long as the client stays connected."""
         was_in_message = self.intake.in_message
         self.intake.feed(data, self.answering, self._send_continue)
         if self.intake.waiting:
@@ -214,14 +217,14 @@
         self._put(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def close_unless_unread(self, reason: str) -> None:
-        """End an idle connection, unless a request has come that was not read yet: its answer ends it then."""
+        """Close an idle connection, unless it has unread input: the answer to that request then closes it."""
         match peek_unread_input(self.sock):
             case UnreadInput.NONE:
                 self.close(reason)
             case UnreadInput.SOME:
                 self._close_after_next = True
                 self.since = self.owner.deadlines.clock()
-                self._set_timer()  # what came may be no request
+                self._set_timer()  # the unread bytes may not be a request
             case UnreadInput.UNKNOWN:
                 deadlines = self.owner.deadlines
                 deadlines.cancel(self._timer)
--- a/pearhill/net/address.py
+++ b/pearhill/net/address.py
@@ -1,4 +1,4 @@
-"""Where a process listens: a host and a port."""
+"""Network addresses: a host and a port."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 
 
 def parse_address(text: str) -> Address:
-    """Host and port of `HOST:PORT`; an IPv6 host may stand in brackets. ValueError: it is no such text."""
+    """Parse `HOST:PORT` and return host and port. An IPv6 host may be in brackets. Raises ValueError if the text has
+    another form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
-        raise ValueError(f"{text!r} is no HOST:PORT")
+        raise ValueError(f"{text!r} is not of the form HOST:PORT")
     return host.strip("[]"), int(port)
--- a/pearhill/net/admin_listener.py
+++ b/pearhill/net/admin_listener.py
@@ -1,4 +1,4 @@
-"""Where operators call, if their calls have an address of their own."""
+"""The listener for operators' calls, if the settings give them an address of their own."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pearhill.net.listener import Listener
 
 MAX_ADMIN_CONNECTIONS = 16  # descriptors for operators' calls
-MAX_ADMIN_BODY_BYTES = 4096  # of an operators' call, which has no use for a body
+MAX_ADMIN_BODY_BYTES = 4096  # of an operators' call; no call needs a body
 
 
 def open_admin_listener(
@@ -24,11 +24,11 @@
     handler: Handler,
     setting: str = "admin_addr",
 ) -> Listener:
-    """Listen for operators' calls. OSError: the address cannot be used; the text names the `setting` that has it."""
+    """Listen for operators' calls. Raises OSError if the address cannot be used; the message names the `setting`."""
     listener = Listener(
         loop, deadlines, counters, handler, MAX_ADMIN_CONNECTIONS, MAX_ADMIN_BODY_BYTES, side="operator"
     )
-    listener.close_after_answers()  # one call a connection
+    listener.close_after_answers()  # one call per connection
     try:
         host, port = listener.listen(address)
     except OSError as e:
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -1,9 +1,10 @@
-"""An aggregator over UDP: the ticks of one Aggregator, its datagrams out, those of dispatchers and of other aggregators
-in. Decides nothing.
+"""An aggregator over UDP: runs the ticks of one Aggregator, sends its datagrams, and passes it the datagrams of
+dispatchers and other aggregators. It makes no decisions itself.
 
-No dispatcher's address is kept: all that an aggregator sends to one is an answer, and goes where the datagram that it
-answers came from. So nobody can have a dispatcher's answers sent elsewhere by forged or replayed datagrams. The other
-aggregators are where the file has them, wherever datagrams in their names come from.
+Dispatchers' addresses are not stored. Everything that an aggregator sends to a dispatcher is an answer, and is sent to
+the source address of the datagram that it answers. Forged or replayed datagrams therefore cannot redirect the answers
+to a dispatcher. Other aggregators are sent to at their configured addresses, whatever the source address of datagrams
+in their names.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Aggregation:
-    """Drives `aggregator`. `peers`: where the other aggregators listen, by name."""
+    """Drives `aggregator`. `peers` has the addresses of the other aggregators by name."""
 
     def __init__(
         self,
@@ -38,12 +39,12 @@
         self._tick_key: Key | None = None
 
     def start(self) -> None:
-        """Begin to tick and to receive, once the socket is open."""
+        """Start ticking and receiving. The socket must be open."""
         self.datagrams.receivers[VERSION] = self._receive
         self._tick()
 
     def reconfigure(self, codec: AggregationCodec, peers: Mapping[str, Address]) -> None:
-        """Use other keys and other peers; what is known of those that stay, stays."""
+        """Replace the keys and peers. State about the peers that remain is retained."""
         self.codec = codec
         self.peers = peers
         self.aggregator.reconfigure(peers, self.deadlines.clock())
@@ -66,7 +67,7 @@
         self.datagrams.send(self.codec.pack(message), address)
 
     def figures(self) -> dict[str, Any]:
-        """What is known here, for operators."""
+        """Return the aggregator's state and counters, for operators."""
         return {
             "aggregator": self.aggregator.name,
             **self.aggregator.figures(self.deadlines.clock()),
@@ -74,6 +75,6 @@
         }
 
     def close(self) -> None:
-        """Neither tick nor receive any more."""
+        """Stop ticking and receiving."""
         self.deadlines.cancel(self._tick_key)
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -1,7 +1,7 @@
-"""One attempt on its connection: opened, written within its time, its response forwarded, and its outcome settled.
+"""One attempt on its connection: connects, writes the request in time, forwards the response, determines the outcome.
 
-What is sent and what makes a response complete is the dialect's matter; whether the attempt may have executed and what
-it left behind is settled here for all dialects.
+The dialect defines what is sent and when a response is complete. Whether the attempt may have executed, and whether the
+replica may hold state for it, is determined here for all dialects.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
 from pearhill.net.ticks import pause
 from pearhill.routing.outcomes import NOT_EXECUTED, Outcome
 
-STALL_TIMEOUT_US = 4_500_000  # a stream that is silent for so long is given up: its client may not wait 5 s for nothing
-# For a connection while a state is held: the Router begins none after its time, and 350 ms more are allowed.
+STALL_TIMEOUT_US = 4_500_000  # of a stream without output, which is then aborted: no client may wait 5 s for output
+# Connect timeout while replicas hold state. The router starts no connect after the time limit of that state, and a
+# connect may end at most 350 ms after the limit.
 HELD_CONNECT_TIMEOUT_US = 250_000
-SHORTAGE_RETRY_US = 20_000  # between two tries of a connection while the system is short of something
+SHORTAGE_RETRY_US = 20_000  # between two tries to connect while the system lacks a resource
 LAST_CHUNK_TIMEOUT_US = 1_000_000  # for the last chunk of a response that is complete without it
-MAX_BODY_BYTES = 64 * 1024  # of a response that is no stream
+MAX_BODY_BYTES = 64 * 1024  # of a response that is not a stream
 
 
 class ExchangeOwner(Protocol):
-    """What makes attempts, as far as each of them needs it."""
+    """The part of a backend that its attempts use."""
 
     pool: Pool
     dialect: Dialect
@@ -42,11 +43,11 @@
     releases: Releases
 
     def forget(self, attempt: Attempt) -> None:
-        """The attempt has ended."""
+        """Remove an attempt that has ended."""
 
 
 class AttemptExchange:
-    """One attempt on its connection."""
+    """One attempt and the exchange that carries it on a connection."""
 
     max_chunk = MAX_CHUNK
 
@@ -55,11 +56,11 @@
         self.attempt = attempt
         self.request_id = attempt.request.id
         self.connection: PooledConnection | None = None
-        self.may_have_sent = False  # from here on the replica may have the whole request
+        self.may_have_sent = False  # the replica may have the complete request
         self.status = 0
         self.not_started = False  # the replica has reported that it did not execute the request
         self.headers: Mapping[str, str] = {}
-        self.forwarding = False  # events wait for a slow client
+        self.forwarding = False  # an event is being forwarded, maybe to a slow client
         self.body = bytearray()
         self.stream = owner.dialect.stream(attempt.request.payload)
         self._stall_timer: Key | None = None
@@ -80,7 +81,7 @@
             if not await self.owner.releases.may_replace(attempt.request):
                 return self._finish(Outcome.NOT_SENT)
             connection = self.connection = await self._connect(address)
-        except PoolExhaustedError:  # Taken for the replica's failure, a flood here would eject every replica in turn.
+        except PoolExhaustedError:  # Counted as the replica's failure, a flood here would eject every replica in turn.
             return self._finish(Outcome.NOT_SENT)
         except ConnectError:
             return self._finish(Outcome.UNREACHABLE)
@@ -98,14 +99,14 @@
             self._finish(Outcome.TRUNCATED, may_hold=True)
 
     def _build_request(self) -> bytes:
-        """What is written, with the time that is left now."""
+        """Build the request, with the time that is left now."""
         attempt = self.attempt
         wait_ms = max(1, (attempt.deadline - self.owner.pool.deadlines.clock()) // 1000)
         return self.owner.dialect.request(attempt.request.payload, attempt.replica, wait_ms)
 
     async def _connect(self, address: Address) -> PooledConnection:
-        """A connection to the replica. A shortage of the system may be over in a moment: what is spent on it is time,
-        as on a connection that comes up late, and not an attempt. ConnectError: none came up in that time."""
+        """Connect to the replica. A resource shortage of the system may be over soon, so it costs time, as a slow
+        connect does, but no attempt. Raises ConnectError if no connection is established in time."""
         pool = self.owner.pool
         give_up_at = pool.deadlines.clock() + pool.connect_timeout
         while True:
@@ -118,15 +119,16 @@
             await pause(pool.deadlines, SHORTAGE_RETRY_US)
 
     def _send_overdue(self) -> None:
-        """Withdraw an attempt that was not written in time. Its connection may come up long after the choice, and a
-        replica that reads slowly has the last byte long after the first, and executes the request only then."""
+        """Withdraw an attempt that was not written in time. Its connection may be established long after the replica
+        was chosen, and a replica that reads slowly receives the last byte, and executes the request, long after the
+        first byte was sent."""
         if not (self.connection and self.connection.sent):
             self.attempt.withdraw()
 
     # The response.
 
     async def handle(self, event: Event) -> None:
-        """Take one piece of the response."""
+        """Handle one event of the response."""
         if type(event) is Data and self.status == 200:  # nearly all events
             return await self._forward(event.data)
         match event:
@@ -137,7 +139,7 @@
             case End(_, clean):
                 self._response_ended(clean)
             case Lost():
-                # While the request is being written only the writer knows whether its last byte went out.
+                # While the request is being written, only `_run` can determine whether its last byte was sent.
                 if self.connection and not self.connection.writing:
                     self._finish(Outcome.TRUNCATED, may_hold=True)
 
@@ -146,10 +148,10 @@
         self.not_started = headers.get("not-started") == "1"
         self.headers = headers
         if status == 200 and not self.owner.dialect.accepts(headers):
-            self._give_up("no-stream", Outcome.ERROR, f"an answer of type {headers.get('content-type')}")
+            self._give_up("no-stream", Outcome.ERROR, f"unexpected content type {headers.get('content-type')}")
 
     async def _forward(self, data: bytes) -> None:
-        """Forward what of the stream is complete, and end the attempt with the stream."""
+        """Forward the complete events of the stream, and end the attempt once the stream is complete."""
         deadlines = self.owner.pool.deadlines
         attempt = self.attempt
         try:
@@ -157,12 +159,12 @@
         except MalformedResponseError as error:
             return self._give_up("malformed", self._broken_outcome(), str(error))
         if ready and not attempt.ended:
-            # Only what is forwarded shows progress; bytes that never make an event could trickle for ever.
+            # Only forwarded events count as progress: bytes that never complete an event could arrive for ever.
             if not attempt.start_response():
                 return
             self.forwarding = True
             await attempt.request.client.forward(ready)
-            # Counted from here, so a slow client is not taken for a silent replica.
+            # The stall timeout starts here, so that a slow client is not mistaken for a silent replica.
             self.forwarding = False
             attempt.last_forwarded_at = deadlines.clock()
             if self._stall_timer is None and not attempt.ended:
@@ -172,7 +174,8 @@
             deadlines.after(LAST_CHUNK_TIMEOUT_US, self._last_chunk_overdue)
 
     def _check_stall(self) -> None:
-        """One deadline a stream, moved on when it is due: moved by each event it would cost more than the event."""
+        """Abort the stream if it has stalled. The stream's one deadline is postponed only when it is due, because
+        postponing it for each event would cost more than the event."""
         self._stall_timer = None
         if self.attempt.ended or self.forwarding:
             return
@@ -183,13 +186,13 @@
         self._stall_timer = deadlines.at(stalled_at, self._check_stall)
 
     def _last_chunk_overdue(self) -> None:
-        """A replica that never sends the last chunk would occupy this connection for good."""
+        """Close the connection if the last chunk is missing, which would otherwise occupy the connection for ever."""
         if self.connection and self.connection.exchange is self:
             self.connection.close("no-last-chunk")
 
     def _response_ended(self, clean: bool) -> None:
-        """Settle the outcome. A response that another one follows, or of another length than announced, is not `clean`:
-        nothing in it can be believed."""
+        """Determine the outcome. A response is not `clean` if another response follows it, or if its length differs
+        from the announced one: its content is then not trusted."""
         if clean and self.status not in (200, 202):
             verdict = self.owner.dialect.verdict(self.status, self.headers, bytes(self.body))
             if verdict:
@@ -215,21 +218,21 @@
         self._finish(Outcome.ANSWERED if complete else self._broken_outcome(), self.stream.cached_tokens)
 
     def _broken_outcome(self) -> Outcome:
-        """The outcome of a stream that is not complete and will not be."""
+        """The outcome of a stream that cannot be completed any more."""
         return Outcome.TRUNCATED if self.attempt.response_started else Outcome.ERROR
 
     def _prefill_cached_tokens(self) -> int:
-        """Prompt tokens found cached, as the body of a 202 reports them; 0 where it does not."""
+        """Return the cached prompt tokens that the body of a 202 reports, or 0 if it reports none."""
         try:
             return int(json.loads(self.body)["cached_tokens"])
         except (ValueError, KeyError, TypeError):
             return 0
 
-    # The end.
+    # End of the attempt.
 
     def _give_up(self, reason: str, outcome: Outcome, detail: str = "") -> None:
-        """Close the connection and end the attempt. A machine that vanished in mid-stream sends nothing, and its client
-        would wait for ever; one that sends nonsense may go on for as long."""
+        """Close the connection and end the attempt. Otherwise the client would wait for ever for a machine that failed
+        during the stream and sends nothing, or for one that sends malformed data without end."""
         if detail:
             replica = self.attempt.replica
             logger.warning("replica {replica}: {reason}: {why}", replica=replica, reason=reason, why=detail)
@@ -245,7 +248,7 @@
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
-        """End the attempt with this outcome. `may_hold`: the replica may hold state for the request."""
+        """End the attempt with this outcome. `may_hold` is set if the replica may hold state for the request."""
         self._cancel_timers()
         self.owner.forget(self.attempt)
         self.attempt.end(outcome, cached_tokens, may_hold, retry_after, replica_error)
@@ -256,11 +259,12 @@
         deadlines.cancel(self._send_timer)
 
     def cancel(self) -> bool:
-        """Give the attempt up. Returns whether the replica may have the whole request."""
+        """Cancel the attempt. Returns whether the replica may have the complete request."""
         self._cancel_timers()
         if self.task:
             self.task.cancel()
-            self.task = None  # Cancelled, it holds this exchange and its request's body until the collector comes.
+            # A cancelled task refers to this exchange and the request's body until the garbage collector runs.
+            self.task = None
         connection = self.connection
         if connection and not connection.closed:
             if self._fetches_held_state(connection):
@@ -270,10 +274,10 @@
         return self.may_have_sent
 
     def _fetches_held_state(self, connection: PooledConnection) -> bool:
-        """Whether the attempt was sent for state that replicas hold. Once it ends, the time to release that state runs,
-        and the replicas that hold it may be cut off: no release would reach them in time. While the connection is open
-        the attempt is in flight. A prefill, before which nothing is held, has to be over: its request may be rejected,
-        and nothing that may be executed may be in flight then."""
+        """Whether the attempt was sent to fetch state that replicas hold. Once it ends, the time limit for the release
+        of that state starts, and no release would arrive in time if the holders are unreachable. While the connection
+        stays open, the attempt counts as in flight. A prefill attempt, before which no state is held, has to be closed:
+        its request may be rejected, and nothing that may be executed may be in flight at that time."""
         return bool(
             self.attempt.request.state_holders
             and connection.sent
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -1,4 +1,4 @@
-"""The way to replicas over HTTP/1.1: one attempt is one request on one connection."""
+"""The backend that reaches replicas over HTTP/1.1: each attempt is one request on one connection."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from pearhill.net.pool import Pool
 from pearhill.net.releases import Releases
 
-ADDRESS_RETENTION_US = 60_000_000  # for a replica that has left the list: attempts and releases may still need it
+ADDRESS_RETENTION_US = 60_000_000  # for an unlisted replica: attempts and releases may still need its address
 
 
 class HttpBackend:
-    """Attempts, releases and health checks at replicas, by their numbers. `on_health_check` gets each health check's
-    end."""
+    """Sends attempts, releases and health checks to replicas, which are identified by their numbers. `on_health_check`
+    is called with the result of each health check."""
 
     def __init__(
         self,
@@ -31,15 +31,15 @@
         self.dialect = dialect
         self.addresses: dict[int, Address] = {}
         self.check_health = HealthChecks(pool, dialect, self.addresses, on_health_check).send
-        self.leaving: dict[int, Key] = {}  # replicas off the list, whose addresses go when their time is over
+        self.leaving: dict[int, Key] = {}  # by unlisted replica: the timer that removes its address
         self.exchanges: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
     # Addresses.
 
     def update_addresses(self, addresses: dict[int, Address], gone: Collection[int], full: bool) -> None:
-        """Where replicas listen; those that are `gone`, or missing from a `full` list, have left. No connections are
-        kept to a replica that has left or moved."""
+        """Update the addresses of replicas. Replicas in `gone`, and those missing from a `full` list, are unlisted.
+        Idle connections to an unlisted replica, or to a replica's previous address, are closed."""
         for replica, address in addresses.items():
             self._set_address(replica, address)
         missing = self.addresses.keys() - addresses.keys() if full else ()
@@ -60,35 +60,36 @@
         self.leaving[replica] = self.pool.deadlines.after(ADDRESS_RETENTION_US, forget)
 
     def _forget_address(self, replica: int) -> None:
-        """Where replicas come and go all day under new names, whatever is kept of each would fill the memory."""
+        """Remove a replica's address. Memory would otherwise grow without bound where replicas are replaced all day by
+        others with new names."""
         del self.addresses[replica]
         del self.leaving[replica]
 
     # Attempts.
 
     def send(self, attempt: Attempt) -> None:
-        """Begin an attempt; it ends by `Attempt.end`."""
+        """Start an attempt. `Attempt.end` is called with its outcome."""
         self.exchanges[attempt] = AttemptExchange(self, attempt)
 
     def has_started(self, attempt: Attempt) -> bool:
-        """Whether the replica may have the whole request of an attempt that has not ended."""
+        """Whether the replica may have the complete request of an attempt that has not ended."""
         exchange = self.exchanges.get(attempt)
         return exchange is not None and exchange.may_have_sent
 
     def cancel(self, attempt: Attempt) -> bool:
-        """Give an attempt up. Returns whether its replica may have the whole request."""
+        """Cancel an attempt. Returns whether its replica may have the complete request."""
         exchange = self.exchanges.pop(attempt, None)
         return exchange.cancel() if exchange else False
 
     def forget(self, attempt: Attempt) -> None:
-        """The attempt has ended."""
+        """Remove an attempt that has ended."""
         self.exchanges.pop(attempt, None)
 
     # Releases.
 
     @property
     def pending_releases(self) -> int:
-        """Releases that are being tried."""
+        """The number of releases in progress."""
         return self.releases.pending
 
     def release(self, request: Request, replicas: Collection[int]) -> None:
@@ -96,5 +97,5 @@
         self.releases.release(request, replicas)
 
     def release_unless_fetched(self, request: Request, replicas: Collection[int]) -> None:
-        """Release what is held for an attempt in flight that may never have arrived."""
+        """Release the state held for an attempt in flight that may never have arrived."""
         self.releases.release_unless_fetched(request, replicas)
--- a/pearhill/net/calls.py
+++ b/pearhill/net/calls.py
@@ -1,4 +1,4 @@
-"""Calls outside of clients' requests: one request to a server, and its whole response."""
+"""Calls that serve no client's request: one request to a server, and its complete response."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pearhill.net.pool import ConnectionPurpose, Pool
 from pearhill.net.ticks import time_limit
 
-MAX_COLLECTED_BYTES = 4 << 20  # of an endpoint list
+MAX_COLLECTED_BYTES = 4 << 20  # enough for an endpoint list
 
 
 async def call(
@@ -20,9 +20,9 @@
     purpose: ConnectionPurpose = ConnectionPurpose.CONTROL,
     fresh: bool = False,
 ) -> tuple[int, bytes]:
-    """Send one request; the status and body of its response. `timeout`, in microseconds, is for its connection, and
-    again for its response. `fresh`: on a new connection in any case. OSError, TimeoutError, ValueError (a response
-    that is too large) or ConnectError where there is none."""
+    """Send one request, and return the status and body of its response. `timeout`, in microseconds, applies to the
+    connect, and again to the response. `fresh` forces a new connection. Raises OSError, TimeoutError, ConnectError or
+    ValueError (the response is too large) if there is no usable response."""
     connection = await pool.acquire(address, purpose, timeout, fresh)
     response = CollectedResponse(pool.loop, max_body)
     try:
--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -1,4 +1,4 @@
-"""One client's socket: read by one task, written by another while something waits, and closed once neither uses it."""
+"""A client's socket: one task reads it, another writes it while bytes are unsent, and it is closed after both ended."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from pearhill.net.request_intake import READ_BYTES, RequestIntake
 from pearhill.net.socket_reader import is_transient
 
-LINGER_US = 1_000_000  # how long input is read past the last answer
-MAX_LINGER_BYTES = 256 * 1024  # how much input is read past the last answer
-MAX_DISCONNECT_CHECK_BYTES = 4 << 20  # read at once to see whether a client that has sent so much is still there
-WRITE_TIMEOUT_US = 20_000_000  # a client that takes no byte for so long is gone
+LINGER_US = 1_000_000  # how long input is still read after the last answer
+MAX_LINGER_BYTES = 256 * 1024  # how much input is still read after the last answer
+MAX_DISCONNECT_CHECK_BYTES = 4 << 20  # read by one check for a disconnect, which may follow unread bytes
+WRITE_TIMEOUT_US = 20_000_000  # a client that accepts no byte for this long is treated as disconnected
 
 
 class ConnectionOwner(Protocol):
-    """What accepts connections, as far as each of them needs it."""
+    """The part of a listener that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     deadlines: Deadlines
@@ -33,19 +33,19 @@
     handler: Handler
     max_body: int
     side: str
-    draining: bool  # answers end their connections
-    closing: bool  # no connection outlives its answer, even one that was begun before the drain
+    draining: bool  # each new answer closes its connection
+    closing: bool  # each answer closes its connection, even one that was started before the drain
 
     def spawn(self, work: Coroutine[Any, Any, None], /) -> asyncio.Task[None]:
-        """Run a task that the owner holds until it ends."""
+        """Run a task. The owner keeps a reference to it until it ends."""
 
     def forget(self, connection: Any) -> None:
-        """The connection's socket is closed."""
+        """Remove a connection whose socket is closed."""
 
 
 class ClientSocket(ABC):
-    """Reads, writes and closes one client's socket. `delayed_accept`: it may have stood in the accept queue for long,
-    and its first request with it."""
+    """Reads, writes and closes a client's socket. `delayed_accept` is set if the connection, and its first request, may
+    have waited in the accept queue for a long time."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool) -> None:
         self.owner = owner
@@ -53,29 +53,30 @@
         self.peer = peer
         self.intake = RequestIntake(owner.loop, sock, owner.deadlines.clock, owner.max_body, delayed_accept)
         self.output = OutputBuffer(owner.loop, sock)
-        self.ending = False  # it has had its last answer
+        self.ending = False  # the last answer was given, though some of it may be unsent
         self.closed = False
         self.requests = 0
-        self._bytes_after_last = 0  # read behind its last answer
+        self._bytes_after_last = 0  # read after the last answer
         self._timer: Key | None = None
-        self._reason = "answered"  # of its end after the last answer
-        self._writer: asyncio.Task[None] | None = None  # while there is something to write
+        self._reason = "answered"  # for the close after the last answer
+        self._writer: asyncio.Task[None] | None = None  # while bytes are unsent
         self._reader: asyncio.Task[None] | None = owner.spawn(self._read())
         self._reader.add_done_callback(self._task_done)
 
     @abstractmethod
     def _feed(self, data: memoryview) -> None:
-        """Take bytes that were read before the last answer."""
+        """Process bytes that were read before the last answer."""
 
     @abstractmethod
     def _on_closed(self) -> None:
-        """The connection has ended."""
+        """Handle the close of the connection."""
 
     # Reading.
 
     async def _read(self) -> None:
-        """A read that the loop does ahead of this task's turn is lost with the task when the connection is closed in
-        between: a request read, and dropped. So bytes are taken off the socket only here and in `has_disconnected`."""
+        """Read until the connection ends. Bytes are read from the socket only here and in `has_disconnected`: if the
+        event loop read them before this task runs, and the connection were closed in between, a request that was read
+        would be lost with the task."""
         reason = "client-closed"
         try:
             while not self.closed:
@@ -93,8 +94,8 @@
             self.intake.close()
 
     def _received(self, data: memoryview) -> bool:
-        """Take bytes that were read. False: enough was read behind the last answer. A client that sends megabytes
-        after it would else be read to the end."""
+        """Process bytes that were read. Returns False once enough was read after the last answer, because the input of
+        a client that sends megabytes after it should not be read to its end."""
         if self.ending:
             self._bytes_after_last += len(data)
             return self._bytes_after_last <= MAX_LINGER_BYTES
@@ -102,8 +103,9 @@
         return True
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, half-closed or reset its connection, seen on the socket itself. A busy loop
-        may not have read the end yet, or it stands behind more bytes, and the request would be forwarded in vain."""
+        """Whether the client has closed, half-closed or reset its connection, checked on the socket itself. A busy loop
+        may not have read the end of the stream yet, or more bytes may precede the end, and the request would be
+        forwarded in vain."""
         read = 0
         while not self.closed and read < MAX_DISCONNECT_CHECK_BYTES:
             try:
@@ -122,16 +124,17 @@
     # Writing.
 
     def _put(self, data: bytes) -> None:
-        """Send bytes, or leave what does not fit the socket to the writer."""
+        """Send bytes. The writer task sends those that the socket does not accept now."""
         if self.closed:
             return
-        writing = self._writer is not None and not self._writer.done()  # inline: this runs for each event
+        writing = self._writer is not None and not self._writer.done()  # inlined: this runs for each event
         self.output.add(data, send_now=not writing)
         if self.output.unsent and not writing:
             self._start_writer()
 
     def _start_writer(self) -> None:
-        """Run a writer for as long as there is something left to write, or an end to come after it."""
+        """Start the writer task, unless it runs already. It writes the unsent bytes and, after the last answer, starts
+        the close of the connection."""
         if not self.closed and not self._is_writing:
             self._writer = self.owner.spawn(self._write())
             self._writer.add_done_callback(self._task_done)
@@ -149,8 +152,8 @@
             self._linger()
 
     def _linger(self) -> None:
-        """Read on for a while past the last answer: closed with input unread, the connection would be reset and the
-        answer lost on its way (RFC 9112, 9.6)."""
+        """Continue to read for a while after the last answer: closing the socket with unread input would reset the
+        connection, and the answer could be lost in transit (RFC 9112, 9.6)."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -161,16 +164,16 @@
     def _is_writing(self) -> bool:
         return self._writer is not None and not self._writer.done()
 
-    # The end.
+    # Close.
 
     def close(self, reason: str) -> None:
-        """End the connection now; a request still being answered on it loses its client."""
+        """Close the connection now. The client of a request that is still being answered counts as disconnected."""
         if self.closed:
             return
         self.closed = True
         self.owner.deadlines.cancel(self._timer)
         self.output.close()
-        with contextlib.suppress(OSError):  # the client was first
+        with contextlib.suppress(OSError):  # the client may have closed it before
             self.sock.shutdown(socket.SHUT_RDWR)
         self._cancel_tasks()
         self._record_end(reason)
@@ -194,9 +197,9 @@
         )
 
     def _task_done(self, task: asyncio.Task[None]) -> None:
-        """Close the socket once neither task uses it: closed while the loop still polls it, its number may become
-        another's. A cancelled task holds its frame, and that this connection, until the collector comes: so both are
-        dropped here."""
+        """Close the socket once neither task uses it. If it were closed while the loop still polls it, its descriptor
+        could be reused by another socket. The references to the tasks are dropped here, because a cancelled task keeps
+        its frame, and with it this connection, until the garbage collector runs."""
         if self._reader and self._reader.done() and not self._is_writing:
             self.sock.close()
             self.owner.forget(self)
--- a/pearhill/net/clock.py
+++ b/pearhill/net/clock.py
@@ -1,4 +1,4 @@
-"""The process's clock: microseconds that never go back, counted so that they read as Unix time at the start."""
+"""The process's clock: monotonic microseconds that equal Unix time when the process starts."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 def start_clock() -> Callable[[], int]:
-    """A clock that reads as Unix time now, in microseconds, and then follows the monotonic clock: the wall clock may be
-    stepped later, and every deadline is a span of real time. Start times that an endpoint list reports in wall-clock
-    time are placed on this clock by `pearhill.routing.start_times`."""
+    """Return a clock in microseconds that equals Unix time now and then follows the monotonic clock, because the wall
+    clock may be stepped later, whereas deadlines are spans of real time. `pearhill.routing.start_times` converts start
+    times that an endpoint list reports in wall-clock time to this clock."""
     offset_ns = time.time_ns() - time.monotonic_ns()
     return lambda: (time.monotonic_ns() + offset_ns) // 1000
 
 
 def wall_clock() -> int:
-    """The system's wall clock, in microseconds of Unix time. It may be stepped at any moment."""
+    """Return the system's wall-clock time, in microseconds of Unix time. It may be stepped at any moment."""
     return time.time_ns() // 1000
 
 
 def monotonic_offset(clock: Callable[[], int]) -> int:
-    """Microseconds by which a clock of `start_clock` is ahead of the system's monotonic clock, which all processes
-    share."""
+    """Return the microseconds by which a clock of `start_clock` is ahead of the system's monotonic clock, which all
+    processes share."""
     return clock() - time.monotonic_ns() // 1000
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -1,5 +1,5 @@
-"""One UDP socket for all protocols that use it, distinguished by a datagram's first byte: its counts, and a log line
-for datagrams that are rejected. Decides nothing."""
+"""One UDP socket for several protocols, which are distinguished by a datagram's first byte. Counts datagrams and logs
+rejected ones; makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.address import Address
 
-REJECTION_LOG_INTERVAL_US = 60_000_000  # between two lines for rejected datagrams, at the least
+REJECTION_LOG_INTERVAL_US = 60_000_000  # minimum time between two log lines for rejected datagrams
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """`receivers`, by the version of their messages, raise MessageRejectedError for what they do not accept.
+    """The UDP socket.
 
-    `receive_buffer`: bytes that the system should buffer while this process is busy; 0: its default. `counts`:
-    datagrams and bytes, each way, without the headers of IP and UDP.
+    `receivers` has the function that handles the datagrams of each message version; it raises MessageRejectedError to
+    reject one. `receive_buffer` is how many bytes the system should buffer while this process is busy, or 0 for the
+    system's default. `counts` has datagrams and bytes in each direction, without the headers of IP and UDP.
     """
 
     def __init__(self, deadlines: Deadlines, side: str = "fleet", receive_buffer: int = 0) -> None:
@@ -32,26 +33,26 @@
         self.receivers: dict[int, Callable[[bytes, Address], None]] = {}
         self.counts: Counter[str] = Counter()
         self._transport: asyncio.DatagramTransport | None = None
-        self._rejected: Counter[str] = Counter()  # by reason, since the last line
+        self._rejected: Counter[str] = Counter()  # by reason, since the last log line
         self._last_rejected_peer = ""
         self._log_key: Key | None = None
 
     async def open(self, address: Address) -> Address:
-        """Open the socket; the address it got. OSError: the address cannot be used."""
+        """Open the socket and return its address. Raises OSError if the address cannot be used."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
         assert self._transport
         host, port = self._transport.get_extra_info("sockname")[:2]
         return host, port
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open; called by the event loop."""
+        """Configure the open socket; called by the event loop."""
         self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop has a type of its own
         if self.receive_buffer:
             sock = transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.receive_buffer)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Count a datagram and pass it on; called by the event loop."""
+        """Count a datagram and dispatch it; called by the event loop."""
         self.counts["received"] += 1
         self.counts["bytes_in"] += len(data)
         try:
@@ -72,12 +73,12 @@
         self.counts[f"rejected {reason}"] += 1
         self._rejected[reason] += 1
         self._last_rejected_peer = "{}:{}".format(*address[:2])
-        # With a line for each datagram, a flood of the port would fill the log as well.
+        # With a line for each datagram, a flood of datagrams would also fill the log.
         if self._log_key is None:
             self._log_rejected()
 
     def _log_rejected(self) -> None:
-        """Log the first rejected datagram at once, those of the interval that follows together at its end."""
+        """Log the first rejected datagram at once, and those of the following interval together at its end."""
         self._log_key = None
         if not self._rejected:
             return
@@ -92,11 +93,12 @@
         self._log_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed; its silence shows the same. Called by the event loop."""
+        """Count a datagram that could not be sent; called by the event loop. A peer whose port is closed needs no other
+        handling here, because its missing answers show the fault too."""
         self.counts[f"unsent {type(exc).__name__}"] += 1
 
     def send(self, data: bytes, address: Address) -> bool:
-        """Send a datagram. False: the socket is not open yet, or closed."""
+        """Send a datagram. Returns False if the socket is not open yet, or closed."""
         if self._transport is None or self._transport.is_closing():
             return False
         self._transport.sendto(data, address)
--- a/pearhill/net/dialect.py
+++ b/pearhill/net/dialect.py
@@ -1,4 +1,4 @@
-"""What a backend has to know of one protocol of replicas: what is sent, and what a response means."""
+"""The interface of a dialect, which builds requests and interprets responses in one protocol of replicas."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 
 
 class Stream(Protocol):
-    """One response's stream, fed what comes."""
+    """The parser of one response's stream."""
 
     @property
     def cached_tokens(self) -> int:
-        """Prompt tokens found cached, as far as the stream has reported."""
+        """Prompt tokens found cached, as the stream has reported so far."""
 
     def feed(self, data: bytes) -> bytes:
-        """The part of the stream to forward now. MalformedResponseError: the rest cannot be trusted."""
+        """Parse bytes, and return the part of the stream to forward now. Raises MalformedResponseError if the rest of
+        the stream cannot be trusted."""
 
     @property
     def whole(self) -> bool:
-        """Nothing is missing, whatever the connection does next."""
+        """Whether the stream is complete, whatever happens on the connection next."""
 
     def ends_well(self) -> bool:
-        """Whether the last chunk may come here."""
+        """Whether the stream is complete if the response's last chunk follows now."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a response that is no stream means in its dialect. `retry_after`: microseconds for which the replica wants
-    no further request; `replica_error`: the client's final answer, in the dialect's own form."""
+    """The meaning of a response that is not a stream. `retry_after` is for how many microseconds the replica accepts no
+    further request; `replica_error` is the client's final answer, in the dialect's own form."""
 
     outcome: Outcome
     retry_after: int = 0
@@ -40,16 +41,16 @@
 
 
 class Dialect(HealthCheckDialect, ReleaseDialect, Protocol):
-    """The messages of one protocol."""
+    """Builds and interprets the messages of one protocol."""
 
     def request(self, payload: Any, replica: int, wait_ms: int) -> bytes:
-        """An attempt's request; `wait_ms`: the client's time that is left."""
+        """Build an attempt's request. `wait_ms` is the time that the client has left."""
 
     def stream(self, payload: Any) -> Stream:
-        """What reads the response to this request."""
+        """Return a parser for the response to this request."""
 
     def accepts(self, headers: Mapping[str, str]) -> bool:
-        """Whether the body of a 200 with these headers is to be read as a stream."""
+        """Whether the body of a 200 with these headers is parsed as a stream."""
 
     def verdict(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict | None:
-        """What a response other than 200 and 202 means. None: as the platform's protocol has it."""
+        """Interpret a response other than 200 and 202. Returns None if the rules of the platform's protocol apply."""
--- a/pearhill/net/errors.py
+++ b/pearhill/net/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong on the way to a server, beside the system's own OSError and TimeoutError."""
+"""Errors of calls to servers, in addition to the system's OSError and TimeoutError."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ConnectError(NetError):
-    """No connection came up; nothing was sent."""
+    """No connection was established, and nothing was sent."""
 
 
 class PoolExhaustedError(ConnectError):
-    """A connection was not even tried: this process has no descriptor for it. It is no sign of a fault."""
+    """No connect was tried, because this process has no descriptor for it. The server is not at fault."""
 
 
 class SystemResourceError(PoolExhaustedError):
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -1,4 +1,4 @@
-"""Which client's connection ends so that another can be accepted: the one of least use first."""
+"""Chooses the clients' connections that are closed so that others can be accepted: the least useful first."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from pearhill.net.accepted import AcceptedConnection
 from pearhill.routing.permissions import ConnectionUse
 
-MAX_BATCH = 16  # connections of one kind that end in one go, where they are cheap to lose
+MAX_BATCH = 16  # connections of one state that are closed at once, in states where a close costs little
 
 
 class ClosableConnection(NamedTuple):
-    """A connection that can be ended, as it was when it was found; `batch`: how many of its kind end in one go."""
+    """A connection that may be closed, as it was when it was found. `batch` is how many of its state are closed at
+    once."""
 
     connection: AcceptedConnection
     use: ConnectionUse
@@ -22,30 +23,30 @@
 
     @property
     def unchanged(self) -> bool:
-        """Whether what was found of it still holds, and it may still be ended."""
+        """Whether the connection is still as it was when it was found, and may still be closed."""
         connection = self.connection
         return connection.use == self.use and connection.since == self.since and connection.may_close
 
 
 class ConnectionEvictor:
-    """Ends connections of `connections`, a set that its owner keeps up to date."""
+    """Closes connections of `connections`, a set that its owner keeps up to date."""
 
     def __init__(self, connections: set[AcceptedConnection]) -> None:
         self._connections = connections
-        self._closable = deque[ClosableConnection]()  # found by one walk, to be ended next
+        self._closable = deque[ClosableConnection]()  # found by one scan, to be closed next
 
     def close_finished(self) -> None:
-        """End the connections that have had their last answer."""
+        """Close the connections that have had their last answer."""
         finished = [connection for connection in self._connections if connection.use == ConnectionUse.FINISHED]
         for connection in finished:
             connection.close("room-needed")
 
     def make_room(self, max_connections: int) -> bool:
-        """End some connections in the order of `ConnectionUse`: first those that have had their last answer, then
-        those that never sent a request, of which hundreds would shut everyone out, then the one that has idled longest,
-        and a partial request last of all."""
-        # A flood of clients that stay costs a walk over all connections at each accept; most of a core went into it.
-        # What one walk has found serves for some accepts that follow, as long as it still holds.
+        """Close some connections, and return whether any was closed. The order is that of `ConnectionUse`: first those
+        that have had their last answer; then those that never sent a request, hundreds of which would block all other
+        clients; then the one that has been idle longest; and last, one with a partial request."""
+        # In a flood of clients that stay connected, a scan of all connections at each accept used most of a CPU core.
+        # So the result of one scan is used for several of the accepts that follow, as far as it is still valid.
         closed = 0
         walked = False
         while not closed and not walked:
@@ -56,7 +57,7 @@
         return closed > 0
 
     def _close_found(self) -> int:
-        """End connections that were found before, one batch at most; how many."""
+        """Close connections that were found before, one batch at most, and return how many were closed."""
         closed = 0
         while self._closable and closed < self._closable[0].batch:
             found = self._closable.popleft()
@@ -66,12 +67,12 @@
         return closed
 
     def _least_useful(self, max_connections: int) -> list[ClosableConnection]:
-        """Connections of one kind: the first kind of which there are any that can be ended."""
-        # By index: a walk over thousands of connections hashes no enum member.
+        """Return closable connections of one state, the first state that has any, oldest first."""
+        # A list indexed by state avoids hashing an enum member for each of thousands of connections.
         kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
         for connection in self._connections:
             kinds[connection.use].append(connection)
-        several = max(2, min(MAX_BATCH, max_connections // 8))  # where they are cheap to lose
+        several = max(2, min(MAX_BATCH, max_connections // 8))  # where a close costs little
         batches = (
             (ConnectionUse.FINISHED, several),
             (ConnectionUse.UNUSED, several),
--- a/pearhill/net/exchange.py
+++ b/pearhill/net/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges: one request on a connection to a server, and what becomes of its response."""
+"""Exchanges: one request on a connection to a server, and the handling of its response."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Exchange(Protocol):
-    """One request on a connection. `handle` gets each piece of the response, a `Lost` at the latest."""
+    """One request on a connection. `handle` is called with each event of the response, at least with a `Lost`."""
 
     @property
     def request_id(self) -> str:
-        """The client's id of the request, for the log; empty for calls that serve no request."""
+        """The client's id of the request, for the log, or empty for calls that serve no request."""
 
     @property
     def max_chunk(self) -> int:
-        """Bytes of a chunk of the response, which is gathered until it is complete."""
+        """The maximum size in bytes of a chunk of the response, which is buffered until it is complete."""
 
     async def handle(self, event: Event) -> None:
-        """Take one piece of the response, in order."""
+        """Handle one event of the response. Events arrive in order."""
 
 
 class CollectedResponse:
-    """An exchange whose whole response is collected, up to `max_body` bytes."""
+    """An exchange whose complete response is collected, up to `max_body` bytes."""
 
     request_id = ""
 
@@ -36,7 +36,7 @@
         self.done: asyncio.Future[Exception | None] = loop.create_future()
 
     async def handle(self, event: Event) -> None:
-        """Collect one piece; `done` has a result once nothing more is waited for."""
+        """Collect one event. The result of `done` is set once the response is complete or has failed."""
         match event:
             case Lost(why):
                 self._finish(ConnectionResetError(why))
@@ -47,7 +47,7 @@
             case Data(data):
                 self.body += data
                 if len(self.body) > self.max_body:
-                    self._finish(ValueError("the answer is too large"))
+                    self._finish(ValueError(f"response body larger than {self.max_body} bytes"))
 
     def _finish(self, error: Exception | None) -> None:
         if not self.done.done():
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -23,12 +23,12 @@
 from pearhill.net.gossip import Gossip
 from pearhill.net.reporting import Reporting
 
-SUMS_TIMEOUT_US = 3_000_000  # without fresh sums, before it is logged; a move to another aggregator takes less
+SUMS_TIMEOUT_US = 3_000_000  # without fresh sums, until a warning; a switch to another aggregator takes less
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSetup:
-    """The dispatchers to gossip with, and the aggregators that may be reported to, with where they listen."""
+    """The dispatchers to gossip with and the aggregators to which reports may be sent, with their addresses."""
 
     name: str
     listen: Address
@@ -45,13 +45,13 @@
 
     @property
     def uses_reports(self) -> bool:
-        """Whether it reports to aggregators."""
+        """Whether this dispatcher reports to aggregators."""
         return bool(self.sites)
 
 
 class Fleet:
-    """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `sources` is for the router's
-    `use_peers`."""
+    """Runs gossip and reports. `own_loads` returns this dispatcher's current tokens at each replica. `sources` is for
+    the router's `use_peers`."""
 
     def __init__(
         self, setup: FleetSetup, seed: int, deadlines: Deadlines, own_loads: Callable[[], Iterable[ReplicaLoad]]
@@ -63,29 +63,29 @@
         self.sources = CombinedLoadSource()
         self.gossip: Gossip | None = None
         self.reporting: Reporting | None = None
-        self.on_count: Callable[[int], None] = lambda count: None  # called with how many dispatchers share the work
+        self.on_count: Callable[[int], None] = lambda count: None  # called with the new number of dispatchers
         self._own_loads = own_loads
         self._count: int | None = None
-        self._logged_aggregator: str | None = ""  # None: none answers
+        self._logged_aggregator: str | None = ""  # None if none answers
         self._no_sums_since: int | None = None
 
     async def open(self) -> Address:
-        """Open the socket and begin. OSError: the address cannot be used."""
+        """Open the socket, start, and return the socket's address. Raises OSError if the address cannot be used."""
         address = await self.datagrams.open(self.setup.listen)
         self._settle()
         return address
 
     def reconfigure(self, setup: FleetSetup) -> None:
-        """Use other keys, peers and aggregators, one way more or less; what is known of those that stay, stays. Name,
-        region and address remain those of the start."""
+        """Replace the keys, peers and aggregators. Gossip or reports may start or stop. State about those that remain
+        is retained. Name, region and address remain those of the start."""
         started = self.setup
         self.setup = replace(setup, name=started.name, listen=started.listen, region=started.region)
         self._settle()
 
     def _settle(self) -> None:
         """Start, reconfigure or close gossip and reports, as the setup requires."""
-        # The time of the start is the incarnation, and seeds the random generator: with equal seeds, all dispatchers
-        # would ping the same one at the same time.
+        # The start time is the incarnation, and seeds the random generator: with equal seeds, all dispatchers would
+        # ping the same one at the same time.
         started = self.deadlines.clock()
         rng = random.Random(started ^ self.seed)
         self._settle_gossip(started, rng)
@@ -139,7 +139,7 @@
         self.on_count(count)
 
     def _count_received(self) -> int:
-        """Dispatchers of which something was received lately, this one among them."""
+        """Return the number of dispatchers from which a message was received recently, including this one."""
         reachable = len(self.gossip.protocol.members.reachable()) if self.gossip else 1
         if self.reporting is None:
             return reachable
@@ -147,7 +147,7 @@
         return max(reachable, reporting)
 
     def _log_aggregator(self, now: int) -> None:
-        """Log which aggregator answers, or that none has for longer than a move to another one takes."""
+        """Log which aggregator answers, or that none has answered for longer than a switch to another one takes."""
         assert self.reporting
         if self.sources.fresh(now):
             self._no_sums_since = None
@@ -161,12 +161,12 @@
             self._logged_aggregator = None
             logger.warning(
                 "fleet: no aggregator answers: {what}",
-                what="the talk goes on" if self.gossip else "each goes by its own work and the last count",
+                what="gossip continues" if self.gossip else "using this dispatcher's own load and the last count",
             )
 
     def told(self, node: FleetNode) -> dict[str, Any]:
-        """What is known here of the fleet, for operators. `shares`: dispatchers among whom shares of cold replicas and
-        the like are divided; 0: as many as the settings have."""
+        """Return this dispatcher's view of the fleet, for operators. `shares` is the number of dispatchers among which
+        the shares of cold replicas and the like are divided, or 0 if the number in the settings applies."""
         now = self.deadlines.clock()
         replicas, evenness = replica_figures(now, node, self.sources)
         return {
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -1,4 +1,4 @@
-"""What operators see of a fleet: loads by replica, how even they are, and the members known by gossip."""
+"""Figures of a fleet for operators: loads by replica, how evenly they are spread, and the members known by gossip."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class OwnLoads(Protocol):
-    """Knows this dispatcher's load of each replica."""
+    """Provides this dispatcher's own load at each replica."""
 
     def loads(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
-        """By replica: own queued tokens, own tokens in all, whether this dispatcher avoids it."""
+        """Return, by replica: own queued tokens, all own tokens, and whether this dispatcher avoids the replica."""
         ...
 
 
 class OwnDispatcher(Protocol):
-    """Has a router that knows the own loads."""
+    """Provides the router, which has the own loads."""
 
     @property
     def router(self) -> OwnLoads:
@@ -31,16 +31,16 @@
 
 
 class OwnBackend(Protocol):
-    """Knows where the replicas are."""
+    """Provides the addresses of the replicas."""
 
     @property
     def addresses(self) -> Mapping[int, Address]:
-        """By replica: where it listens."""
+        """The replicas' addresses by number."""
         ...
 
 
 class FleetNode(Protocol):
-    """What the figures need of the running dispatcher."""
+    """The part of the running dispatcher that the figures use."""
 
     @property
     def dispatcher(self) -> OwnDispatcher:
@@ -54,14 +54,14 @@
 
     @property
     def dispatcher_count(self) -> int:
-        """Dispatchers among whom shares are divided; 0: as many as the settings say."""
+        """The number of dispatchers among which shares are divided, or 0 if the number in the settings applies."""
         ...
 
 
 def replica_figures(
     now: int, node: FleetNode, sources: CombinedLoadSource
 ) -> tuple[list[dict[str, Any]], dict[str, Any]]:
-    """Own and others' tokens at each replica, and how evenly all tokens are spread."""
+    """Return own and others' tokens at each replica, and how evenly all tokens are spread."""
     rows: list[dict[str, Any]] = []
     totals: dict[str, float] = {}
     for replica, (waiting, load, avoided) in node.dispatcher.router.loads(now).items():
@@ -85,7 +85,7 @@
 
 
 def member_figures(now: int, members: Members) -> dict[str, Any]:
-    """The other dispatchers as the gossip sees them."""
+    """Return the state of the other dispatchers, as known by gossip."""
     return {
         name: {
             "state": str(member.state),
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip over UDP: the ticks of one GossipProtocol, its datagrams out and in. Decides nothing."""
+"""Gossip over UDP: runs the ticks of one GossipProtocol, and carries its datagrams. It makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Gossip:
-    """Drives `protocol`. `peers`: where the other dispatchers listen, by name."""
+    """Drives `protocol`. `peers` has the addresses of the other dispatchers by name."""
 
     def __init__(
         self,
@@ -28,17 +28,17 @@
         self.peers = peers
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
+        self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
         self._tick_key: Key | None = None
         self._count = 0
 
     def start(self) -> None:
-        """Begin to tick and to receive, once the socket is open."""
+        """Start ticking and receiving. The socket must be open."""
         self.datagrams.receivers[VERSION] = self._receive
         self._tick()
 
     def reconfigure(self, codec: GossipCodec, peers: Mapping[str, Address]) -> None:
-        """Use other keys and other peers; what is known of those that stay, stays."""
+        """Replace the keys and peers. State about the peers that remain is retained."""
         self.codec = codec
         self.peers = peers
         self.protocol.reconfigure(peers, self.deadlines.clock())
@@ -63,6 +63,6 @@
                 self.datagrams.send(self.codec.pack(message), address)
 
     def close(self) -> None:
-        """Neither tick nor receive any more."""
+        """Stop ticking and receiving."""
         self.deadlines.cancel(self._tick_key)
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -1,5 +1,5 @@
-"""Health checks: questions about replicas' load, over the same kept connections as requests. Which replica is checked,
-and when, is decided elsewhere."""
+"""Health checks: load queries to replicas, over the same pooled connections as requests. Which replica is checked, and
+when, is decided elsewhere."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from pearhill.routing.events import ReportedLoad
 from pearhill.routing.outcomes import Outcome
 
-ANSWER_TIMEOUT_US = 250_000  # for a connection, and again for an answer
+ANSWER_TIMEOUT_US = 250_000  # for the connect, and again for the response
 MAX_IN_FLIGHT = 64  # health checks must not take the descriptors that requests need
-MAX_REPORT_BYTES = 4 * 1024  # of an answer
-MAX_TRIES = 2  # A kept connection that the replica has closed is reset at its next use: that is no silence.
+MAX_REPORT_BYTES = 4 * 1024  # of a response
+MAX_TRIES = 2  # a pooled connection that the replica has closed is reset at its next use, although the replica is up
 
 HealthCheckCallback = Callable[[int, Outcome, ReportedLoad | None], None]
 
 
 class HealthCheckDialect(Protocol):
-    """The protocol's message that asks for the load."""
+    """Builds the load query of a protocol and interprets its response."""
 
     def health_check(self) -> bytes:
-        """The call that asks for the load."""
+        """Build the load query."""
 
     def load(self, status: int, body: bytes) -> ReportedLoad | None:
-        """What the answer reports. None: nothing that can be used."""
+        """Return the load that the response reports, or None if the response is not usable."""
 
 
 class HealthChecks:
-    """`on_result` gets each health check's end once: the replica, the outcome and the load it reported."""
+    """Sends health checks. `on_result` is called once for each, with the replica, the outcome and the load reported."""
 
     def __init__(
         self, pool: Pool, dialect: HealthCheckDialect, addresses: Mapping[int, Address], on_result: HealthCheckCallback
@@ -44,10 +44,10 @@
         self.in_flight = 0
 
     def send(self, replica: int) -> None:
-        """Begin a health check."""
+        """Start a health check."""
         address = self.addresses.get(replica)
         if address is None or self.in_flight >= MAX_IN_FLIGHT:
-            return self.on_result(replica, Outcome.NOT_SENT, None)  # not sent: no sign of a fault
+            return self.on_result(replica, Outcome.NOT_SENT, None)  # the replica is not at fault
         self.in_flight += 1
         self.pool.spawn(self._check(replica, address))
 
@@ -59,14 +59,14 @@
                 try:
                     outcome, load = await self._ask(address)
                     break
-                except OSError:  # a reset
+                except OSError:  # a reset, which is retried
                     outcome = Outcome.UNREACHABLE
         finally:
             self.in_flight -= 1
         self.on_result(replica, outcome, load)
 
     async def _ask(self, address: Address) -> tuple[Outcome, ReportedLoad | None]:
-        """One try. OSError: the connection broke, and another try may tell more."""
+        """Query the load once. Raises OSError if the connection broke, in which case a further try may succeed."""
         try:
             question = self.dialect.health_check()
             status, body = await call(
@@ -84,5 +84,5 @@
             return Outcome.NOT_SENT, None
         except ConnectError:
             return Outcome.UNREACHABLE, None
-        except ValueError:  # it answers, though with nothing that can be used
+        except ValueError:  # the replica responds, although the response is not usable
             return Outcome.ANSWERED, None
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -1,4 +1,4 @@
-"""Where clients connect: accepts them, bounds how many there are, and ends their connections in a drain."""
+"""The listener: accepts clients' connections, limits how many there are, and closes them in a drain."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from pearhill.routing.permissions import ConnectionUse
 
 BACKLOG = 1024  # connections that may wait in the accept queue
-MAX_ACCEPTS_PER_TICK = 16  # connections taken in one tick of the loop
-RECHECK_INTERVAL_US = 20_000  # of the accept queue, while no connection can be taken
+MAX_ACCEPTS_PER_TICK = 16  # connections accepted in one tick of the event loop
+RECHECK_INTERVAL_US = 20_000  # of the accept queue, while no connection can be accepted
 EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of descriptors, buffers or memory
 
 
 def inherited_socket(number: int) -> socket.socket:
-    """A socket that the parent process has left open for this one. ValueError: no clients can be accepted from it."""
+    """Return a socket that the parent process has left open. Raises ValueError if it cannot accept clients."""
     try:
         sock = socket.socket(fileno=number)
     except OSError as e:
@@ -38,13 +38,14 @@
         or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     ):
         sock.detach()  # it belongs to other code, which closes it
-        raise ValueError(f"descriptor {number} is no TCP socket that listens")
+        raise ValueError(f"descriptor {number} is not a listening TCP socket")
     return sock
 
 
 class Listener:
-    """`max_connections` bounds the connections; past it those of least use are ended. `send_buffer`: bytes that the
-    system may hold of an answer to one client, twice over; 0: as it likes. `side` names the connections in the log."""
+    """Accepts clients. Beyond `max_connections`, the least useful connections are closed. `send_buffer` is how many
+    bytes of an answer to one client the system may buffer, of which it may use twice as many, or 0 for the system's
+    default. `side` names the connections in the log."""
 
     def __init__(
         self,
@@ -66,20 +67,20 @@
         self.send_buffer = send_buffer
         self.side = side
         self.connections: set[AcceptedConnection] = set()
-        self.draining = False  # answers end their connections
-        self.closing = False  # no connection outlives its answer, even one that was begun before the drain
+        self.draining = False  # each new answer closes its connection
+        self.closing = False  # each answer closes its connection, even one that was started before the drain
         self._tasks = Tasks(loop, f"a {side} connection's task")
         self.spawn = self._tasks.spawn
         self._sock: socket.socket | None = None
-        self._polled = False  # connections are taken as they come
+        self._polled = False  # the event loop polls the listening socket
         self._recheck: Key | None = None
-        self._accept_failing = False  # the last accept lacked something: the next client may have waited
+        self._accept_failing = False  # the last accept lacked a resource, so the next client may have waited
         self._evictor = ConnectionEvictor(self.connections)
 
     # Accepting.
 
     def listen(self, address: Address) -> Address:
-        """Open a listening socket of this process; the address that it got."""
+        """Open a listening socket of this process, and return its address."""
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -91,7 +92,7 @@
         return self.adopt(sock)
 
     def adopt(self, sock: socket.socket) -> Address:
-        """Take connections from a socket that listens already, maybe for others too; the address that it has."""
+        """Accept clients from a socket that already listens, maybe for other processes too, and return its address."""
         self._sock = sock
         sock.setblocking(False)
         self._accept()
@@ -100,11 +101,11 @@
 
     @property
     def accepting(self) -> bool:
-        """The listening socket is open."""
+        """Whether the listening socket is open."""
         return self._sock is not None
 
     def pause(self, on: bool) -> None:
-        """Leave new clients to another process that takes them from the same socket, or take them again."""
+        """Pause accepting, and leave new clients to another process that accepts from the same socket, or resume."""
         if not on:
             return self._accept()
         self._unpoll()
@@ -112,7 +113,7 @@
         self._recheck = None
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set another bound on the connections. Those that idle longest end now, down to it."""
+        """Change the limit on connections. Those that have been idle longest are closed now, down to the limit."""
         self.max_connections = max_connections
         idle = [connection for connection in self.connections if connection.idle and not connection.closed]
         idle.sort(key=lambda connection: connection.since)
@@ -120,18 +121,19 @@
             connection.close_unless_unread("room-needed")
 
     def _accept(self) -> None:
-        """Take clients from the accept queue. An accept that is cancelled may have taken a connection that is
-        then held nowhere; so nothing waits in one, and each is taken in the tick that it is seen."""
+        """Accept clients from the accept queue. No task waits in an accept: if it were cancelled, a connection that it
+        had already accepted could be lost. Clients are accepted in the tick in which the loop reports them."""
         if self._recheck:
             self.deadlines.cancel(self._recheck)
             self._recheck = None
         if self._sock is None:
             return
         self._poll(self._sock)
-        # With one a tick, clients that send requests would wait behind hundreds that only connect.
+        # With one accept per tick, clients that send requests would wait behind hundreds that only connect.
         for taken in range(MAX_ACCEPTS_PER_TICK):
             full = len(self.connections) >= self.max_connections
-            if full and taken:  # Another would be ended, maybe the last one accepted, while the queue is empty.
+            if full and taken:
+                # A further connection would be closed, maybe the last one accepted, while the queue may be empty.
                 return
             if full and not self._evictor.make_room(self.max_connections):
                 return self._accept_later()
@@ -142,27 +144,29 @@
                 return
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRNOS:
-                    continue  # this connection has failed before it was taken; the next may be well
+                    continue  # this connection failed before it was accepted; the next may succeed
                 return self._accept_failed(error)
             self._take(client, peer)
-            if full:  # Connections that were ended are gone with the next tick; until then more would have to go.
+            if full:
+                # Closed connections are removed in the next tick; until then, each accept would close further ones.
                 return
 
     def _accept_failed(self, error: OSError) -> None:
-        """Descriptors, buffers or memory have run out: try again after a pause."""
+        """Handle an accept for which descriptors, buffers or memory ran out: retry after a pause."""
         self.counters.accept_failures += 1
         self._accept_failing = True
         logger.warning("accepting pauses: {error}", error=str(error))
         if error.errno == errno.EMFILE:
             self._evictor.make_room(self.max_connections)
         else:
-            # The system's tables are full, not those of this process: any connection that is ended here may have a
-            # request on its way, and clients in the accept queue can wait there.
+            # The system's resources ran out, not this process's descriptors. Any connection that is closed here may
+            # have a request in transit, whereas clients in the accept queue can wait there.
             self._evictor.close_finished()
         self._accept_later()
 
     def _accept_later(self) -> None:
-        """Polled while no connection can be taken, an accept queue that is not empty would spin the loop."""
+        """Stop polling, and retry later: polling a non-empty accept queue while no connection can be accepted would
+        make the event loop spin."""
         self._unpoll()
         self._recheck = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
 
@@ -178,51 +182,52 @@
 
     def _take(self, client: socket.socket, peer: Any) -> None:
         client.setblocking(False)
-        with contextlib.suppress(OSError):  # the client may have gone: its connection's reader will notice
+        with contextlib.suppress(OSError):  # the client may have disconnected, which its connection's reader detects
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if self.send_buffer:
-                # Left to itself the system grows it to megabytes for a client that reads nothing, unseen by this
-                # process, and the replica behind it is never held back.
+                # By default the system grows the buffer to megabytes for a client that reads nothing. This process does
+                # not see those bytes, and would apply no backpressure to the replica.
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer)
         self.connections.add(AcceptedConnection(self, client, f"{peer[0]}:{peer[1]}", self._accept_failing))
 
     def forget(self, connection: AcceptedConnection) -> None:
-        """The connection's socket is closed."""
+        """Remove a connection whose socket is closed."""
         self.connections.discard(connection)
 
-    # The end.
+    # Drain and shutdown.
 
     @property
     def open(self) -> bool:
-        """A client is connected. One that only idles may send in the last moment."""
+        """Whether any client is connected, even if idle: it may still send a request at the last moment."""
         return any(not connection.closed for connection in self.connections)
 
     @property
     def quiet(self) -> bool:
-        """Nothing is being read, answered or written, and no last answer is still on its way."""
+        """Whether nothing is being read, answered or written, and no last answer is still in transit."""
         return all(connection.closed or (connection.idle and not connection.ending) for connection in self.connections)
 
     def close_after_answers(self, on: bool = True) -> None:
-        """From now on each answer ends its connection, or no longer does."""
+        """From now on, close each connection after its next answer, or no longer if `on` is False."""
         self.draining = on
         self.closing = self.closing and on
 
     def close_idle(self) -> None:
-        """From now on no connection outlives its answer, even one that was begun before the drain."""
+        """Close idle connections, and from now on each connection after its answer, even an answer that was started
+        before the drain."""
         self.closing = True
         for connection in list(self.connections):
             if connection.idle:
                 connection.close_unless_unread("drained")
 
     def reject_partial_requests(self) -> None:
-        """Answer each request that is not complete with a rejection, and end its connection."""
+        """Reject each request that is incomplete, and close its connection."""
         for connection in list(self.connections):
             if connection.use == ConnectionUse.PARTIAL_REQUEST:
                 connection.reject_partial_request()
 
     def stop_accepting(self, leave: bool = False) -> None:
-        """Close the listening socket. `leave` clients in the accept queue to another process that accepts from the
-        same socket: with no such process they are reset, and what they have sent is lost."""
+        """Close the listening socket. `leave` leaves the clients in the accept queue to another process that accepts
+        from the same socket: without such a process they are reset, and what they have sent is lost."""
         if not self._sock:
             return
         self.pause(True)
@@ -232,7 +237,8 @@
         self._sock = None
 
     def accept_all(self) -> bool:
-        """Take every client in the accept queue now. False: descriptors or memory have run out, and some may wait."""
+        """Accept every client in the accept queue now. Returns False if descriptors or memory ran out, in which case
+        some clients may still wait."""
         for _ in range(BACKLOG if self._sock else 0):
             assert self._sock
             try:
@@ -249,7 +255,7 @@
         return True
 
     async def close(self) -> None:
-        """Stop accepting, end all connections, and wait for their tasks."""
+        """Stop accepting, close all connections, and wait for their tasks."""
         self.stop_accepting()
         for connection in list(self.connections):
             connection.close("shutdown")
--- a/pearhill/net/log.py
+++ b/pearhill/net/log.py
@@ -1,4 +1,4 @@
-"""Where log lines go: a thread writes them, so that a stuck reader of the log never holds up the loop."""
+"""The thread that writes log lines, so that a blocked reader of the log never blocks the event loop."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-MAX_QUEUED_LINES = 10_000  # that wait to be written; past it lines are dropped
-CLOSE_TIMEOUT_S = 1  # for the lines that wait when the log is closed
+MAX_QUEUED_LINES = 10_000  # that wait to be written; further lines are dropped
+CLOSE_TIMEOUT_S = 1  # for writing the queued lines when the log is closed
 
 
 def format_text(message: Message) -> str:
-    """A time, a level and the message."""
+    """Format a line as time, level and message."""
     record = message.record
     time = record["time"].replace(tzinfo=None).isoformat(timespec="milliseconds")
     return f"{time} {record['level'].name} {message}"
 
 
 def format_json(message: Message) -> str:
-    """One object a line: the message, and every field that was bound to it under its own name."""
+    """Format a line as one JSON object: the message, and every field bound to it under the field's own name."""
     record = message.record
     fields = {
         **record["extra"],
@@ -43,15 +43,15 @@
 
 
 class LogThread:
-    """Writes all log lines to standard error until `close`. `line_format` is `text` or `json`. ValueError: there is no
-    such level."""
+    """Writes all log lines to standard error until `close`. `line_format` is `text` or `json`. Raises ValueError if the
+    level does not exist."""
 
     def __init__(self, level: str = "INFO", line_format: str = "text") -> None:
         self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._format = FORMATTERS[line_format]
         logger.remove()
-        # The line is formatted here: loguru's way with times costs as much as all the rest of a line.
+        # Lines are formatted here, because loguru's formatting of times costs as much as the rest of a line.
         logger.add(self._put, format="{message}", level=level, backtrace=False, diagnose=False)
         self._thread.start()
 
@@ -61,12 +61,12 @@
 
     def _run(self) -> None:
         while (line := self._lines.get()) is not None:
-            # The disk may be full, or the reader gone: the line is lost, and later ones may get through again.
+            # If the disk is full or the log's reader has exited, this line is lost, but later lines may succeed.
             with contextlib.suppress(OSError, ValueError):
                 sys.stderr.write(line)
                 sys.stderr.flush()
 
     def close(self) -> None:
-        """Write what waits, within a second."""
+        """Write the queued lines, within a second."""
         self._lines.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/pearhill/net/output_buffer.py
+++ b/pearhill/net/output_buffer.py
@@ -1,4 +1,4 @@
-"""The bytes of answers to one client that the system has not taken yet, and the bound that holds their sender back."""
+"""Buffers the bytes of answers to a client that the system has not accepted yet, and limits how many a sender adds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from pearhill.net.socket_writer import SocketWriter
 
-MAX_BUFFERED_BYTES = 64 * 1024  # of an answer that wait for a slow client before its replica is held back
+MAX_BUFFERED_BYTES = 64 * 1024  # for a slow client, before backpressure is applied to its replica
 
 
 class OutputBuffer:
-    """Unsent bytes of one connection. `has_capacity` is cleared while more than `MAX_BUFFERED_BYTES` wait."""
+    """Unsent bytes of one connection. `has_capacity` is cleared while they are more than `MAX_BUFFERED_BYTES`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._sock = sock
@@ -23,21 +23,21 @@
         self.has_capacity.set()
 
     def append(self, data: bytes) -> None:
-        """Add bytes that go out with those that follow."""
+        """Add bytes that are sent together with the next ones."""
         self.unsent += data
 
     def add(self, data: bytes, send_now: bool) -> None:
-        """Add bytes and, if `send_now`, offer all that wait to the system. Most answers' pieces fit the socket at
-        once: a task and a deadline for each piece would cost more than the piece."""
+        """Add bytes and, if `send_now`, send as many unsent bytes as the socket accepts. It accepts most chunks at
+        once: a task and a deadline for each chunk would cost more than the chunk."""
         self.unsent += data
         if send_now:
-            with contextlib.suppress(OSError):  # full or broken: the write that follows shows which
+            with contextlib.suppress(OSError):  # full or broken, which the next write determines
                 del self.unsent[: self._sock.send(self.unsent)]
         if len(self.unsent) > MAX_BUFFERED_BYTES:
             self.has_capacity.clear()
 
     async def write_some(self) -> None:
-        """Write all that waits, at least `MAX_BUFFERED_BYTES` of it. OSError: the connection broke."""
+        """Write all unsent bytes, or at least `MAX_BUFFERED_BYTES` of them. Raises OSError if the connection broke."""
         written = 0
         while self.unsent and not self._closed and written < MAX_BUFFERED_BYTES:
             size = await self._writer.send_some(self.unsent)
@@ -47,6 +47,6 @@
                 self.has_capacity.set()
 
     def close(self) -> None:
-        """The connection ends: nothing more is written, and a sender that waits for capacity goes on."""
+        """Stop writing, because the connection closes, and resume a sender that waits for capacity."""
         self._closed = True
         self.has_capacity.set()
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers: opened as needed, one exchange at a time on each, kept a while, watched while idle."""
+"""The pool of connections to servers: opened on demand, used for one exchange at a time, kept while idle and reused."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from pearhill.net.tasks import Tasks
 from pearhill.net.ticks import time_limit
 
-MAX_CONNECT_US = 75_000_000  # the system itself gives up before
-DISCOVERY_CONNECTIONS = 8  # of the reserved ones: for the endpoint list alone
-# A server that sends a second response behind one does so some milliseconds later. By then the connection may carry
-# another request, whose response it would be taken for.
+MAX_CONNECT_US = 75_000_000  # the system's own connect timeout is shorter
+DISCOVERY_CONNECTIONS = 8  # of the reserved ones, for the endpoint list alone
+# A faulty server that sends a second response after a first one does so some milliseconds later. If the connection
+# already carried another request, the second response would be mistaken for that request's response.
 REUSE_DELAY_US = 20_000
 SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ConnectionPurpose(enum.IntEnum):
-    """What a connection is for. Each purpose may use the descriptors of those before it, and more."""
+    """The purpose of a connection. Each purpose may use the descriptors of the purposes before it, and more."""
 
     REQUEST = 0
-    CONTROL = 1  # releases and other calls that keep servers' and this process's state in order
+    CONTROL = 1  # releases and other calls that maintain the state of servers and of this process
     DISCOVERY = 2  # the endpoint list
 
 
 class Pool:
-    """All connections to servers. `max_connections` bounds them all together; `reserved_connections` more are for calls
-    that are no requests, `DISCOVERY_CONNECTIONS` of them for the endpoint list alone: requests use none of them, and
-    the hundreds of releases that follow a network partition do not use all. `connect_timeout` and `idle_timeout` are in
-    microseconds."""
+    """All connections to servers. `max_connections` limits their total. `reserved_connections` more are for calls that
+    are not requests, and `DISCOVERY_CONNECTIONS` of these are for the endpoint list alone: requests cannot use any of
+    them, and the hundreds of releases that follow a network partition cannot use all. `connect_timeout` and
+    `idle_timeout` are in microseconds."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         self.idle_timeout = idle_timeout
         self.max_connections = max_connections
         self.reserved_connections = reserved_connections
-        self.idle: dict[Address, list[PooledConnection]] = {}  # no empty lists: servers come and go, their keys too
+        self.idle: dict[Address, list[PooledConnection]] = {}  # without empty lists, as servers are replaced often
         self.open: set[PooledConnection] = set()
-        # Given up, but still open; they are closed before a request is rejected.
+        # Connections of cancelled fetches that are still open. They are closed before a request is rejected.
         self.discarded: dict[PooledConnection, None] = {}
         self._connecting = 0
         self.spawn = Tasks(loop, "a connection's task").spawn
@@ -69,29 +69,29 @@
         connect_within: int = MAX_CONNECT_US,
         fresh: bool = False,
     ) -> PooledConnection:
-        """A connection that is up: an idle one that still stands, the latest used first, else a new one.
-        `connect_within`: microseconds for a new one, if that is less than the settings allow. `fresh`: a new one in any
-        case. ConnectError: none came up."""
+        """Return an established connection: the most recently used idle one that is usable, or else a new one.
+        `connect_within` limits the microseconds for a new one, if that is less than the settings allow. `fresh` forces
+        a new one. Raises ConnectError if none is established."""
         if not fresh:
             idle = self._take_idle(address, purpose)
             if idle:
                 return idle
         if len(self.open) + self._connecting >= self._limit(purpose) and not self._close_one():
-            raise PoolExhaustedError("every descriptor set aside for servers is in use")
+            raise PoolExhaustedError("the limit on connections to servers is reached and none can be closed")
         sock = await self._connect(address, min(connect_within, self.connect_timeout))
         connection = PooledConnection(self, address, sock)
         self.open.add(connection)
         return connection
 
     def _take_idle(self, address: Address, purpose: ConnectionPurpose) -> PooledConnection | None:
-        """The idle connection that was used last; those that it finds to be over are closed."""
+        """Take the idle connection that was used last, or return None. Unusable ones that it finds are closed."""
         now = self.deadlines.clock()
         for connection in reversed(self.idle.get(address, []).copy()):
             if purpose == ConnectionPurpose.REQUEST and connection.reusable_at > now:
                 continue
             expired = connection.idle_timer is not None and connection.idle_timer[0] <= now
             self._remove_idle(connection)
-            if expired:  # the sweep comes late: the server may have forgotten it without a sign
+            if expired:  # the sweep is late, and the server may have dropped the connection silently
                 connection.close("idle")
                 continue
             if connection.usable:
@@ -100,7 +100,7 @@
         return None
 
     def _limit(self, purpose: ConnectionPurpose) -> int:
-        """How many connections there may be for one of this purpose to be opened. Without the reserve, hundreds of
+        """Return the limit on all connections when one for this purpose is opened. Without the reserve, hundreds of
         requests would leave no descriptor for releases and for the endpoint list."""
         match purpose:
             case ConnectionPurpose.REQUEST:
@@ -111,7 +111,7 @@
                 return self.max_connections + self.reserved_connections
 
     async def _connect(self, address: Address, timeout: int) -> socket.socket:
-        """A new socket that is connected within so many microseconds."""
+        """Return a new socket, connected within `timeout` microseconds."""
         sock: socket.socket | None = None
         self._connecting += 1
         try:
@@ -133,32 +133,34 @@
         return sock
 
     def _connect_error(self, address: Address, error: OSError) -> ConnectError:
-        """The error of a failed connect: a shortage of this system is distinguished from an unreachable server."""
+        """Return the error of a failed connect, which distinguishes a shortage of this system from an unreachable
+        server."""
         if error.errno in SHORTAGE_ERRNOS:
             self.counters.shortages += 1
             return SystemResourceError(str(error))
         return ConnectError(f"{address[0]}:{address[1]}: {error or 'timed out'}")
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set another bound on all connections together. Those that idle longest are closed now, down to it."""
+        """Change the limit on all connections together. Those idle longest are closed now, down to the limit."""
         self.max_connections = max_connections
         while len(self.open) > max_connections and self._close_one():
             pass
 
     def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
-        """Set other timeouts, in microseconds, for what is connected, or put back, from now on."""
+        """Change the timeouts, in microseconds, of connections that are opened or put back from now on."""
         self.connect_timeout = connect_timeout
         self.idle_timeout = idle_timeout
 
     def put_back(self, connection: PooledConnection, delay_reuse: bool = False) -> None:
-        """The connection is idle, and may carry another exchange; `delay_reuse`: a request only after a while."""
+        """Put back an idle connection, which may carry another exchange. With `delay_reuse`, it carries a request only
+        after `REUSE_DELAY_US`."""
         self.idle.setdefault(connection.address, []).append(connection)
         connection.reusable_at = self.deadlines.clock() + REUSE_DELAY_US if delay_reuse else 0
-        # A server closes an idle connection without a sign, and what is then sent may have been executed.
+        # A server may close an idle connection silently, and a request that is then sent may have been executed.
         connection.idle_timer = self.deadlines.after(self.idle_timeout, lambda: connection.close("idle"))
 
     def forget(self, connection: PooledConnection) -> None:
-        """The connection is closed."""
+        """Remove a closed connection."""
         self.open.discard(connection)
         self.discarded.pop(connection, None)
         self._remove_idle(connection)
@@ -173,12 +175,13 @@
             del self.idle[connection.address]
 
     def drop_idle(self, address: Address) -> None:
-        """Close the idle connections to a server that has left."""
+        """Close the idle connections to a server that is no longer used."""
         for connection in list(self.idle.get(address, ())):
             connection.close("server-left")
 
     def _close_one(self) -> bool:
-        """Close the connection that idles longest, else one that was given up. False: there is none of either."""
+        """Close the connection that has been idle longest, or else that of a cancelled fetch. Returns False if there is
+        neither."""
         oldest = min(
             (connection for idle in self.idle.values() for connection in idle),
             key=lambda connection: connection.idle_timer or (0, 0),
--- a/pearhill/net/pooled_connection.py
+++ b/pearhill/net/pooled_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: an exchange at a time, and a reader that sees the end of an idle connection at once."""
+"""A connection to a server: one exchange at a time, and a reader that detects the end of an idle connection at once."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 class ConnectionPool(Protocol):
-    """What keeps connections, as far as each of them needs it."""
+    """The part of a pool that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     counters: Counters
 
     def spawn(self, work: Coroutine[Any, Any, None], /) -> asyncio.Task[None]:
-        """Run a task that the pool holds until it ends."""
+        """Run a task. The pool keeps a reference to it until it ends."""
 
     def put_back(self, connection: PooledConnection, delay_reuse: bool) -> None:
-        """The connection may carry another exchange."""
+        """Put back a connection, which may carry another exchange."""
 
     def forget(self, connection: PooledConnection) -> None:
-        """The connection is closed."""
+        """Remove a closed connection."""
 
 
 class PooledConnection:
-    """One socket to a server. Its reader runs for the connection's whole life."""
+    """A socket to a server. Its reader runs until the connection is closed."""
 
     def __init__(self, pool: ConnectionPool, address: Address, sock: socket.socket) -> None:
         self.pool = pool
@@ -58,9 +58,9 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the server still keeps the connection open, seen on the socket itself. A request written to a
-        connection that the server has closed ends as a reset, and may have been executed. The kernel may know of the
-        end before the reader has run."""
+        """Whether the server still keeps the connection open, checked on the socket itself, because the kernel may have
+        received the end before the reader runs. A request written to a connection that the server has closed fails
+        with a reset, and may have been executed."""
         if self.closed:
             return False
         try:
@@ -72,7 +72,7 @@
         return False
 
     async def send(self, exchange: Exchange, build: Callable[[], bytes]) -> None:
-        """Write one request, built anew until its first byte goes out. OSError: its last byte was not written."""
+        """Write one request, rebuilt until its first byte is sent. Raises OSError if its last byte was not written."""
         self.exchange = exchange
         self.writing = True
         self.sent = False
@@ -108,41 +108,41 @@
             self._parser.close()
 
     async def _deliver(self, event: Event) -> None:
-        """Settle what becomes of the connection, then hand the event to its exchange."""
+        """Update the state of the connection, then pass the event to its exchange."""
         exchange = self.exchange
-        if not isinstance(event, Data):  # most are data
+        if not isinstance(event, Data):  # most events are data
             self._update(event, exchange)
         if exchange is None:
             return
         try:
             await exchange.handle(event)
         except Exception:
-            # A fault over one response would end the reader, and its request would wait for ever.
+            # An error while handling one event would end the reader, and the request would wait for ever.
             logger.exception("an exchange failed on {event}", event=type(event).__name__)
             self.close("fault")
             if not isinstance(event, Lost):
                 await exchange.handle(Lost("fault"))
 
     def _update(self, event: Event, exchange: Exchange | None) -> None:
-        """Close the connection, or put it back, where a response has ended or is lost."""
+        """Close the connection, or put it back into the pool, if a response has ended or is lost."""
         if isinstance(event, Lost):
             self.close("unasked-bytes" if exchange is None else f"lost-{event.why.partition(':')[0]}")
         elif isinstance(event, End):
             self.exchange = None
-            # A response that comes before the whole request was sent leaves the rest on the wire.
+            # After a response that precedes the end of its request, the rest of the request still follows on the wire.
             if event.reusable and self.sent and not self.closed:
                 self.pool.put_back(self, delay_reuse=not isinstance(exchange, CollectedResponse))
             else:
                 self.close("server-asked")
 
     def close(self, reason: str) -> None:
-        """End it now: the sending side is shut before this returns, whatever the loop still holds of the socket."""
+        """Close the connection now: the socket is shut down before this returns, even if the loop still uses it."""
         if self.closed:
             return
         request_id = self.exchange.request_id if self.exchange else ""
         self.closed = True
         self.exchange = None
-        with contextlib.suppress(OSError):  # it was never up, or is down already
+        with contextlib.suppress(OSError):  # never connected, or shut down already
             self.sock.shutdown(socket.SHUT_RDWR)
         if self._reader and asyncio.current_task(self.pool.loop) is not self._reader:
             self._reader.cancel()
@@ -158,8 +158,8 @@
         )
 
     def _reader_done(self, task: asyncio.Task[None]) -> None:
-        """Close the socket once its reader has ended: closed while the loop still polls it, its number may become
-        another's. A cancelled task holds its frame, and that this connection, until the collector comes: so it is
-        dropped here."""
+        """Close the socket once its reader has ended. If it were closed while the loop still polls it, its descriptor
+        could be reused by another socket. The reference to the task is dropped here, because a cancelled task keeps its
+        frame, and with it this connection, until the garbage collector runs."""
         self.sock.close()
         self._reader = None
--- a/pearhill/net/releases.py
+++ b/pearhill/net/releases.py
@@ -1,8 +1,8 @@
-"""Releases: the calls that release what replicas hold for a request, repeated until they have surely arrived.
+"""Releases: calls that release the state that replicas hold for a request, repeated until they have certainly arrived.
 
 A replica releases nothing while an attempt waits for the state, so a release that arrives before the end of that
-attempt is lost without a sign. Fetches that were given up stay on open connections (`keep_open`) until every holder can
-be reached; only then are they closed, and the release is sent again.
+attempt is ignored silently. The connections of cancelled fetches stay open (`keep_open`) until every holder is
+reachable; only then are they closed, and the release is sent again.
 """
 
 from __future__ import annotations
@@ -22,60 +22,60 @@
 from pearhill.net.pooled_connection import PooledConnection
 from pearhill.net.ticks import pause
 
-RETRY_LIMIT_US = 20_000_000  # how long a release is tried again
-# For the response to a release, and for its connection, before it is tried again on a new one: the first waits least.
-# One that stood idle may have fallen silent, and the time in which the state has to be released runs on.
+RETRY_LIMIT_US = 20_000_000  # how long a release is retried
+# Timeouts for the response to a release, and for its connect, before it is retried on a new connection. The first one
+# is the shortest, because an idle connection may have failed silently while the time limit for the release runs.
 FIRST_ANSWER_TIMEOUT_US = 50_000
 MAX_ANSWER_TIMEOUT_US = 250_000
-MAX_UNANSWERED = 8  # releases written and never answered, each on a connection that came up
+MAX_UNANSWERED = 8  # releases written and never answered, each on an established connection
 FIRST_BACKOFF_US = 20_000  # between tries of a release; doubled each time
 MAX_BACKOFF_US = 500_000
-# An attempt that was closed in flight ends at its replica when the close arrives there, on a way of its own. After so
-# long the release is sent once more: within the 300 ms that `release-within` gives at least.
+# An attempt that was closed in flight ends at its replica when the close arrives there, on a connection of its own. The
+# release is therefore repeated after this time, which is within the minimum of 300 ms for `release-within`.
 REPEAT_AFTER_CLOSE_US = 150_000
 
 
 class ReleaseDialect(Protocol):
-    """The protocol's message that releases state."""
+    """Builds the message of a protocol that releases state."""
 
     def release(self, payload: Any, replica: int) -> bytes:
-        """The call that releases what is held for a request."""
+        """Build the call that releases the state held for a request."""
 
 
 class ReleaseCall(NamedTuple):
-    """One release, as it is sent to one replica."""
+    """One release to one replica: its address and the message."""
 
     address: Address
     data: bytes
 
 
 class DiscardedResponse:
-    """The exchange of an attempt that was given up and whose connection stays open for now: nothing reads it."""
+    """The exchange of a cancelled attempt whose connection stays open for now. Its response is not used."""
 
     max_chunk = MAX_CHUNK
     request_id = ""
 
     async def handle(self, event: Event) -> None:
-        """Drop a piece of the response."""
+        """Ignore an event of the response."""
 
 
 class DiscardedFetch(NamedTuple):
-    """A fetch that was given up and may still be in flight."""
+    """A cancelled fetch that may still be in flight."""
 
     connection: PooledConnection
     exchange: DiscardedResponse
 
 
 class Releases:
-    """The releases of one process. `pending` counts those that are being tried."""
+    """The releases of one process. `pending` counts those in progress."""
 
     def __init__(self, pool: Pool, dialect: ReleaseDialect, addresses: Mapping[int, Address]) -> None:
         self.pool = pool
         self.dialect = dialect
         self.addresses = addresses
         self.pending = 0
-        # Both by the request's number: the request itself holds its prompt, and during a network partition there are
-        # hundreds.
+        # Both are keyed by the request's number. The request itself would keep its prompt in memory, and during a
+        # network partition there are hundreds.
         self._discarded: dict[int, list[DiscardedFetch]] = {}
         self._unreleased: dict[int, Collection[int]] = {}  # replicas that have not released yet
 
@@ -87,7 +87,8 @@
         self.pool.spawn(self._release_all(request.number, calls, request.interrupted))
 
     def release_unless_fetched(self, request: Request, replicas: Collection[int]) -> None:
-        """An attempt is in flight for what is held, but may never have arrived. If it has, this changes nothing."""
+        """Release the state once while an attempt that fetches it is in flight, in case that attempt never arrived. If
+        the attempt did arrive, the release has no effect."""
         self.pending += 1
         self.pool.spawn(self._release_once(self._calls(request, replicas)))
 
@@ -109,12 +110,13 @@
         await asyncio.gather(*(self._send(each) for each in calls))
 
     async def _release_all(self, number: int, calls: list[ReleaseCall], interrupted: bool) -> None:
-        """`interrupted`: an attempt of the request was closed before its response."""
+        """Send the releases, and repeat them after cancelled fetches are closed. `interrupted` is set if an attempt of
+        the request was closed before its response."""
         try:
             discarded = tuple(self._discarded.get(number, ()))
             await self._send_all(calls)
             if discarded:
-                # What an attempt waits for is not released: these calls only showed that all can be reached.
+                # State that an attempt waits for is not released: these calls only showed that all are reachable.
                 self._close(number, [fetch for fetch in discarded if fetch in self._discarded.get(number, ())])
                 await self._send_all(calls)
             if interrupted or discarded:
@@ -125,8 +127,8 @@
             self._unreleased.pop(number, None)
 
     async def _send(self, release: ReleaseCall) -> None:
-        """Send one release until it is answered: any answer shows that it has arrived. Without one it may be on its way
-        to a machine that is cut off, or to one that is slow, so it is sent again."""
+        """Send one release until it is answered; any answer shows that it has arrived. Without an answer, the machine
+        may be unreachable or slow, so the release is sent again."""
         pool = self.pool
         address, data = release
         backoff = FIRST_BACKOFF_US
@@ -145,37 +147,37 @@
             await pause(pool.deadlines, backoff)
             backoff = min(2 * backoff, MAX_BACKOFF_US)
             timeout = min(2 * timeout, MAX_ANSWER_TIMEOUT_US)
-        logger.warning("a release at {peer} is given up", peer="{}:{}".format(*address))
+        logger.warning("a release at {peer} was abandoned without an answer", peer="{}:{}".format(*address))
 
-    # Fetches that were given up and are still in flight.
+    # Cancelled fetches that are still in flight.
 
     def keep_open(self, request: Request, connection: PooledConnection) -> None:
-        """Keep the connection of a fetch that was given up, until the request is forwarded, or everything that is held
-        for it is released: one of these always follows."""
+        """Keep the connection of a cancelled fetch open until the request is forwarded again, or all state held for it
+        is released: one of these always follows."""
         exchange = DiscardedResponse()
         connection.exchange = exchange
         self._discarded.setdefault(request.number, []).append(DiscardedFetch(connection, exchange))
         self.pool.discarded[connection] = None
 
     def close_discarded(self, request: Request) -> None:
-        """Another attempt begins: those that were given up end now."""
+        """Close the request's cancelled fetches, because another attempt starts."""
         self._close(request.number, self._discarded.get(request.number, ()))
 
     def _close(self, number: int, fetches: Iterable[DiscardedFetch]) -> None:
         for fetch in list(fetches):
             connection = fetch.connection
             self.pool.discarded.pop(connection, None)
-            if connection.exchange is fetch.exchange:  # else it has been answered, and may serve another request
+            if connection.exchange is fetch.exchange:  # else it was answered, and may carry another request
                 connection.close("called-off")
             self._discarded[number].remove(fetch)
         if not self._discarded.get(number, True):
             del self._discarded[number]
 
     async def may_replace(self, request: Request) -> bool:
-        """Whether another fetch may take the place of one that was given up and is still in flight. If that one finds
-        no state, what is held is held for nothing, and the replicas that hold it may be cut off, or silent. So the
-        prefill replica has to answer now; a decode replica that was asked hangs, as a rule, and answers nothing, but it
-        has to be there."""
+        """Whether another fetch may replace a cancelled one that is still in flight. If the new fetch finds no state,
+        any state still held is useless, and its holders may be unreachable or unresponsive. So the prefill replica has
+        to answer now. A decode replica that received a fetch usually hangs and answers nothing, but it has to be
+        reachable."""
         if not self._discarded.get(request.number):
             return True
         holders = {*request.state_holders, *self._unreleased.get(request.number, ())}
@@ -183,7 +185,8 @@
         return all(reached)
 
     async def _reaches(self, request: Request, replica: int) -> bool:
-        """Whether a replica answers a release; while an attempt is in flight for what is held it releases nothing."""
+        """Whether a replica answers a release. It releases nothing while an attempt that fetches the state is in
+        flight, so the release is harmless."""
         address = self.addresses.get(replica)
         if address is None:
             return False
@@ -191,7 +194,7 @@
             try:
                 await call(self.pool, address, self.dialect.release(request.payload, replica), timeout, fresh=fresh)
                 return True
-            except TimeoutError:  # a connection was there, and nothing came on it
+            except TimeoutError:  # a connection was established, but no answer arrived
                 if fresh and replica != request.prefill_replica:
                     return True
             except (OSError, ValueError, ConnectError):
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -1,5 +1,5 @@
-"""A dispatcher's reports to aggregators over UDP: the ticks of one Reporter, its datagrams out, the answers in. Decides
-nothing."""
+"""A dispatcher's reports to aggregators over UDP: runs the ticks of one Reporter, sends its datagrams, and passes it
+the answers. It makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reporting:
-    """Drives `reporter`. `addresses`: where the aggregators listen, by name."""
+    """Drives `reporter`. `addresses` has the addresses of the aggregators by name."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.addresses = addresses
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when another count of dispatchers shares the work
+        self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
         self.on_exchange: Callable[[int], None] = lambda now: None  # called after each tick and answer, with its time
         self._tick_key: Key | None = None
         self._tick_due: int | None = None
@@ -39,14 +39,14 @@
         self._count: int | None = None
 
     def start(self) -> None:
-        """Begin to tick and to receive, once the socket is open."""
+        """Start ticking and receiving. The socket must be open."""
         self.datagrams.receivers[VERSION] = self._receive
         self._tick()
 
     def reconfigure(
         self, codec: AggregationCodec, sites: Iterable[AggregatorSite], addresses: Mapping[str, Address]
     ) -> None:
-        """Use other keys and other aggregators; the one in use stays in use if it is still named."""
+        """Replace the keys and aggregators. The aggregator in use stays in use if it is still listed."""
         self.codec = codec
         self.addresses = addresses
         self.reporter.reconfigure(sites, self.deadlines.clock())
@@ -72,8 +72,8 @@
     def _schedule_tick(self, now: int) -> None:
         """Set the timer of the next tick.
 
-        Ticks that are due at once, over and over, would be all that this process does. Their least interval counts
-        from the last tick: counted from now, each datagram that comes in would put the next one off.
+        Without a minimum interval, ticks that are always due would occupy the process. The interval counts from the
+        last tick: if it counted from now, each datagram that is received would postpone the next tick.
         """
         due = max(self._last_tick + MIN_TICK_INTERVAL_US, self.reporter.next_tick(now))
         if due == self._tick_due:
@@ -97,7 +97,8 @@
                 self.reporter.sent(len(data))
 
     def close(self) -> None:
-        """Notify the aggregator that this dispatcher leaves, so that nobody waits for it; the socket is still open."""
+        """Notify the aggregator that this dispatcher disconnects, so that it is not waited for. The socket must still
+        be open."""
         self.deadlines.cancel(self._tick_key)
         self._send(self.reporter.leave(self.deadlines.clock()))
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -1,13 +1,14 @@
-"""Reading from a socket with as few system calls as possible.
+"""Reads from a socket with as few system calls as possible.
 
-`loop.sock_recv_into` tries at once, gets EAGAIN, adds the socket to the poll, and takes it out again: on a stream whose
-events come one by one that is three calls beside the read itself. Here the socket stays in the poll between
-reads, and is taken out only while nothing waits for it, so that bytes that must wait for a slow client do not spin the
-loop.
+`loop.sock_recv_into` tries to read at once, gets EAGAIN, registers the socket for polling, and unregisters it again: on
+a stream whose events arrive one by one, these are three system calls in addition to the read itself. Here the socket
+stays registered between reads, and is unregistered only while no task waits for it, so that bytes that have to wait for
+a slow client do not make the event loop spin.
 
-A poll that stays is no promise of a further wake-up. libuv stops polling a socket on which the system reports an error,
-and reports it once, in the same wake-up as the bytes before it (`uv__poll_io`: POLLERR); asyncio's own loop goes on. So
-after a wake-up the socket is read until the read itself finds nothing, and only then is the poll waited on.
+A registered socket does not guarantee a further wake-up. libuv stops polling a socket on which the system reports an
+error, and reports the error once, in the same wake-up as the bytes before it (`uv__poll_io`: POLLERR); asyncio's own
+loop continues to poll. So after a wake-up the socket is read until a read finds no bytes, and only then does the reader
+wait for the next wake-up.
 """
 
 from __future__ import annotations
@@ -16,19 +17,20 @@
 import errno
 import socket
 
-# The system has no memory or buffer for a call at this moment: the connection is as it was.
+# The system has no memory or buffer for a call at this moment. The connection is not affected.
 SHORTAGE_ERRNOS = frozenset((errno.ENOBUFS, errno.ENOMEM))
-SHORTAGE_RETRY_S = 0.005  # clients' time runs on meanwhile
-READS_PER_TICK = 2  # then other tasks run, or a fast sender would keep the loop to itself
+SHORTAGE_RETRY_S = 0.005  # short, because clients' deadlines are not extended
+READS_PER_TICK = 2  # before other tasks run: a fast sender would otherwise monopolize the event loop
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether a failed read or write is no fault of the connection: it can be tried again."""
+    """Whether a failed read or write can be retried, because the connection itself is not at fault."""
     return isinstance(error, BlockingIOError | InterruptedError) or error.errno in SHORTAGE_ERRNOS
 
 
 class SocketReader:
-    """One reader at a time. Close it before the socket: a closed number that is still polled may be another's."""
+    """Reads for one task at a time. It must be closed before the socket: a closed descriptor that is still polled may
+    be reused by another socket."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop = loop
@@ -36,12 +38,13 @@
         self._number = sock.fileno()
         self._waiter: asyncio.Future[None] | None = None
         self._polled = False
-        self._empty = True  # since the last wake-up the socket has had nothing to read; before the first, it may wait
-        self._reads = 0  # since it last was empty, or since other tasks ran
-        self.delayed_s = 0.0  # for so long the bytes read last had been there, and could not be read
+        self._empty = True  # no bytes are left since the last wake-up; also before the first wake-up
+        self._reads = 0  # since the socket last was empty, or since other tasks ran
+        self.delayed_s = 0.0  # for how long a shortage kept the bytes read last from being read
 
     async def recv_into(self, buffer: bytearray | memoryview) -> int:
-        """As `loop.sock_recv_into`: bytes read, 0 at the end. OSError: the connection broke."""
+        """Read as `loop.sock_recv_into` does, and return the number of bytes, or 0 at the end of the stream. Raises
+        OSError if the connection broke."""
         if self._reads >= READS_PER_TICK:
             self._reads = 0
             await asyncio.sleep(0)
@@ -67,7 +70,7 @@
                 return size
 
     async def _wake_up(self) -> None:
-        """Wait until the poll reports the socket readable."""
+        """Wait until the event loop reports the socket readable."""
         if not self._polled:
             self._loop.add_reader(self._number, self._readable)
             self._polled = True
@@ -79,15 +82,15 @@
             self._waiter = None
 
     def _mark_empty(self) -> None:
-        """The socket is empty. If the last wake-up brought nothing at all, the poll may have been stopped by the loop:
-        it is armed anew."""
+        """Record that no bytes are left. If the last wake-up brought no bytes at all, the loop may have stopped
+        polling, so the socket is unregistered, and registered again by the next wait."""
         if not self._reads:
             self._unpoll()
         self._empty = True
         self._reads = 0
 
     def _readable(self) -> None:
-        self._empty = False  # even if the task that waits is cancelled before it runs
+        self._empty = False  # even if the waiting task is cancelled before it runs
         if self._waiter is None:
             self._unpoll()
         elif not self._waiter.done():
@@ -99,5 +102,5 @@
             self._loop.remove_reader(self._number)
 
     def close(self) -> None:
-        """Stop polling; nothing reads here any more."""
+        """Stop polling. No reads may follow."""
         self._unpoll()
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -1,4 +1,4 @@
-"""Writing to a socket: as much as the system takes, and the wait until it takes more."""
+"""Writes to a socket: as much as the system accepts, then waits until it accepts more."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SocketWriter:
-    """One writer at a time. `loop.sock_sendall` would not show how much was sent when a call failed."""
+    """Writes for one task at a time. `loop.sock_sendall` does not report how much was sent before a call failed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop = loop
@@ -18,7 +18,7 @@
         self._number = sock.fileno()
 
     async def send_some(self, data: bytes | bytearray | memoryview) -> int:
-        """Write some of the bytes, one at least; how many. OSError: the connection broke."""
+        """Write at least one of the bytes, and return how many were written. Raises OSError if the connection broke."""
         while True:
             try:
                 return self._sock.send(data)
@@ -26,8 +26,8 @@
                 await self._wait_after(error)
 
     async def send_all(self, build: Callable[[], bytes]) -> None:
-        """Write what `build` returns, built anew until its first byte has gone out. OSError: the connection broke, and
-        the last byte has not gone out."""
+        """Write what `build` returns; `build` is called for each try until the first byte is sent. Raises OSError if
+        the connection broke before the last byte was sent."""
         while True:
             data = build()
             try:
@@ -41,7 +41,7 @@
             unsent = unsent[size:]
 
     async def _wait_after(self, error: OSError) -> None:
-        """Wait until it is worth another try. The error itself is raised if the connection is over."""
+        """Wait until a retry may succeed. Raises the error itself if the connection broke."""
         if isinstance(error, BlockingIOError):
             await self._wait_writable()
         elif isinstance(error, InterruptedError):
@@ -52,12 +52,12 @@
             raise error
 
     async def _wait_writable(self) -> None:
-        """Wait until the poll reports the socket writable. It is armed anew for each wait: libuv stops one on which an
-        error was reported."""
+        """Wait until the event loop reports the socket writable. The socket is registered for each wait anew, because
+        libuv stops polling a socket on which an error was reported."""
         waiter: asyncio.Future[None] = self._loop.create_future()
 
         def wake_up() -> None:
-            """End the wait. The poll may call more than once before it is removed."""
+            """End the wait. The loop may call this more than once before the socket is unregistered."""
             if not waiter.done():
                 waiter.set_result(None)
 
--- a/pearhill/net/tasks.py
+++ b/pearhill/net/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that are held until they end, and whose failures are logged."""
+"""Tasks that are referenced until they end, and whose failures are logged."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task and hold it: the loop itself holds tasks weakly, and one that is held nowhere may vanish
-        half-way."""
+        """Run a task and keep a reference to it: the event loop has only weak references to tasks, and a task without
+        any other could be garbage-collected before it ends."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
@@ -34,5 +34,5 @@
             logger.opt(exception=error).error("{} failed", self._what)
 
     async def all_ended(self) -> None:
-        """Wait until the tasks that run now have ended, however they end."""
+        """Wait until the tasks that run now have ended, whether they succeed, fail or are cancelled."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -1,4 +1,4 @@
-"""Deadlines on the event loop: they are swept once in each tick of the loop in which one is due."""
+"""Runs deadlines on the event loop: they are swept once in each tick of the loop in which one is due."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
             self._arm(earliest)
 
     def _arm(self, when: int) -> None:
-        """Sweep at this time of the deadlines' clock, in microseconds, and not before."""
+        """Schedule the next sweep at this time of the deadlines' clock, in microseconds."""
         if self._handle:
             self._handle.cancel()
         wait_us = max(0, when - self._deadlines.clock())
-        # The loop's timers count whole milliseconds: rounded up, a sweep does not come before its deadline.
+        # The loop's timers count whole milliseconds. Rounding up prevents a sweep before its deadline.
         wait_ms = (wait_us + 999) // 1000
         self._handle = self._loop.call_later(wait_ms / 1000, self._sweep)
 
@@ -41,7 +41,7 @@
             self._arm_earliest()
 
     def close(self) -> None:
-        """Sweep no more."""
+        """Stop sweeping."""
         if self._handle:
             self._handle.cancel()
         self._deadlines.on_sooner = lambda at: None
@@ -49,7 +49,7 @@
 
 @asynccontextmanager
 async def time_limit(deadlines: Deadlines, micros: int) -> AsyncIterator[None]:
-    """TimeoutError for the body once so many microseconds are over."""
+    """Raise TimeoutError in the body after this many microseconds."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as scope:
         key = deadlines.after(micros, lambda: scope.reschedule(loop.time()))
@@ -60,7 +60,7 @@
 
 
 async def pause(deadlines: Deadlines, micros: int) -> None:
-    """Wait for so many microseconds."""
+    """Wait for this many microseconds."""
     over = asyncio.get_running_loop().create_future()
     key = deadlines.after(micros, lambda: None if over.done() else over.set_result(None))
     try:
--- a/pearhill/net/unread_input.py
+++ b/pearhill/net/unread_input.py
@@ -1,4 +1,4 @@
-"""Whether a socket holds bytes that have not been read yet, by a system call that does not take them."""
+"""Checks whether a socket has unread bytes, with a system call that does not consume them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class UnreadInput(enum.Enum):
-    """What a look at a socket shows. The look itself may fail for want of memory: then nothing is known."""
+    """The result of a check for unread bytes. UNKNOWN means that the check itself failed, as for want of memory."""
 
     NONE = 0
     SOME = 1
@@ -17,7 +17,7 @@
 
 
 def peek_unread_input(sock: socket.socket) -> UnreadInput:
-    """Look for unread bytes. The end of the connection and an error on it count as none."""
+    """Check a socket for unread bytes. The end of the connection or an error on it counts as none."""
     try:
         data = sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
--- a/tests/net/loops.py
+++ b/tests/net/loops.py
@@ -1,4 +1,4 @@
-"""The loop that asynchronous test cases run on."""
+"""The event loop on which asynchronous test cases run."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 
 class UvloopTestCase(unittest.IsolatedAsyncioTestCase):
-    """A test case on the loop that the program runs on; a subclass may set another."""
+    """A test case on uvloop, the program's event loop; a subclass may set another loop."""
 
     loop_factory: Callable[[], asyncio.AbstractEventLoop] = staticmethod(uvloop.new_event_loop)
 
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -1,4 +1,4 @@
-"""A client's connection on a virtual clock: when it is closed, whatever the system says about its socket."""
+"""Timeouts of a client's connection on a virtual clock, while checks of its socket fail."""
 
 import asyncio
 import errno
@@ -15,12 +15,12 @@
 from pearhill.net.ticks import EventLoopTicks
 from tests.virtual import VirtualLoop
 
-MAX_SILENT_S = 3.0  # a client that sends nothing, or stops half-way, is closed by then
-FAILING_LOOKS = 5  # in a row, for want of memory
+MAX_SILENT_S = 3.0  # a client that sends nothing, or stops half-way, is disconnected by then
+FAILING_LOOKS = 5  # in succession, for want of memory
 
 
 class FailingLooks:
-    """A socket whose next looks for unread bytes fail for want of memory."""
+    """A socket whose next checks for unread bytes fail for want of memory."""
 
     def __init__(self, sock: socket.socket, failing: int) -> None:
         self._sock = sock
@@ -46,7 +46,7 @@
 
 
 def test_a_silent_client_is_closed_in_time_though_looks_for_its_bytes_fail(loop: VirtualLoop) -> None:
-    """A look that fails was taken for bytes on their way, and gave it its whole time once more."""
+    """A failed check was treated like unread bytes, which restarted the client's timeout."""
 
     async def until_closed() -> float:
         deadlines = Deadlines(loop.micros)
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -1,4 +1,4 @@
-"""Attempts on the pool's connections: shortages here, attempts written too late, replicas that leave."""
+"""Attempts on the pool's connections: resource shortages, attempts written too late, and unlisted replicas."""
 
 import asyncio
 import errno
@@ -19,7 +19,7 @@
 
 
 class AttemptExchange(unittest.IsolatedAsyncioTestCase):
-    """A backend and a pool with room for one request, before a listening socket on loopback."""
+    """A backend and a pool with one connection for requests, and a listening socket on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.now = 0
@@ -40,7 +40,7 @@
         self.addCleanup(self.pool.close)
 
     async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self) -> None:
-        """And control calls that take all of theirs still leave connections for the endpoint list."""
+        """Control calls that use all of their connections still leave those for the endpoint list."""
         for use, room in (
             (ConnectionPurpose.REQUEST, 1),
             (ConnectionPurpose.CONTROL, 2),
@@ -64,7 +64,7 @@
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self) -> None:
-        """No attempt is spent on it at once either: the shortage may be over in a moment."""
+        """The attempt does not end at once either, because the shortage may be over soon."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         for number in (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
@@ -76,14 +76,14 @@
                 for _ in range(100):
                     await asyncio.sleep(0)
                 assert not task.done(), errno.errorcode[number]
-                self.now += 10**6  # the time for a connection is over
+                self.now += 10**6  # the connect timeout is over
                 while not task.done():
                     self.deadlines.sweep()
                     await asyncio.sleep(0)
             attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
     async def test_an_attempt_whose_last_byte_is_not_written_in_time_is_withdrawn(self) -> None:
-        """A replica that reads slowly would execute it after that time."""
+        """Otherwise a replica that reads slowly would execute it after that time."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         request = Mock(number=1, state_holders=(), payload=Payload("r1", "POST", "/", bytes(64 << 20), ""))
@@ -103,13 +103,13 @@
     async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self) -> None:
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
-            backend.update_addresses({n: self.address}, [], full=True)  # each list names one replica, and a new one
-            assert (n - 1 if n else n) in backend.addresses  # a release may still be owed to the last one
+            backend.update_addresses({n: self.address}, [], full=True)  # each list has one replica, which is new
+            assert (n - 1 if n else n) in backend.addresses  # a release to the previous one may still be outstanding
             self.now += 1_000_000
             self.deadlines.sweep()
         assert len(backend.addresses) < 100
         backend.update_addresses({}, [999], full=False)
-        backend.update_addresses({999: self.address}, [], full=False)  # it is back
+        backend.update_addresses({999: self.address}, [], full=False)  # it is listed again
         self.now += 100_000_000
         self.deadlines.sweep()
         assert set(backend.addresses) == {999}
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -31,7 +31,7 @@
         yield
         logger.remove(sink)
 
-    # The transport's side.
+    # The interface of the transport.
     def is_closing(self) -> bool:
         return False
 
@@ -67,7 +67,7 @@
         }
         assert len(self.lines) == 1
         self.run_for(REJECTION_LOG_INTERVAL_US)
-        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing logged
+        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing more was rejected, so nothing is logged
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
         assert [str(line).strip() for line in self.lines] == [
             "fleet: 1 datagrams are not taken: reasons=forged:1, the last from 10.0.0.9:77",
@@ -89,11 +89,11 @@
             self.datagrams.datagram_received(CODEC.pack(Hello(sender, "a1", 5, sequence, 9)), address)
             return [(CODEC.unpack(data, sender), to) for data, to in self.sent]
 
-        for sequence, port in ((1, 11), (2, 12)):  # a dispatcher may move
+        for sequence, port in ((1, 11), (2, 12)):  # a dispatcher's address may change
             ((answer, to),) = receive_hello("d1", sequence, ("10.0.0.3", port))
             assert isinstance(answer, HelloAck)
             assert to == ("10.0.0.3", port)
-        assert receive_hello("d1", 2, ("6.6.6.6", 6)) == []  # sent again by somebody: nothing goes there
+        assert receive_hello("d1", 2, ("6.6.6.6", 6)) == []  # replayed from elsewhere: nothing is sent there
         assert receive_hello("a2", 1, ("6.6.6.6", 6)) == []
 
 
@@ -133,7 +133,7 @@
         driver.on_count = lambda: counts.append(reporter.count(self.now))
         driver.start()
         self.data = CODEC.pack(HelloAck("a1", "d1", 5, 1, 9))
-        for _ in range(5):  # one that always has something due is asked now and then, also after a fault
+        for _ in range(5):  # a reporter whose tick is always due is ticked at intervals, even after an error
             with contextlib.suppress(ValueError):
                 self.run_for(MIN_TICK_INTERVAL_US)
         for _ in range(100):
@@ -142,7 +142,7 @@
         assert len(reporter.ticks) >= 14
         assert all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.ticks, reporter.ticks[1:], strict=False))
         assert counts[:2] == [2, 3]
-        driver.close()  # leaves, and neither sends nor receives any more
+        driver.close()  # notifies the aggregators, and neither sends nor receives any more
         assert [(len(data), address) for data, address in self.sent] == [(reporter.sizes[0], at)]
         ticks = len(reporter.ticks)
         self.run_for(S)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener's bound on connections, with real sockets and a handler that answers nothing."""
+"""The listener's limit on connections, with real sockets and without a handler."""
 
 import asyncio
 import errno
@@ -53,12 +53,12 @@
             await asyncio.sleep(0)
         assert self.walks < FLOOD / 8
         assert sum(not connection.closed for connection in self.listener.connections) <= MAX_CONNECTIONS
-        assert clients[0].recv(1) == b""  # the first client, which sent nothing, was ended
+        assert clients[0].recv(1) == b""  # the first client, which sent nothing, was disconnected
         with pytest.raises(BlockingIOError):
             clients[-1].recv(1)
 
     async def test_no_connection_is_ended_while_the_accept_queue_is_empty(self) -> None:
-        """The last one accepted, whose request was on its way, was ended as soon as the bound was reached."""
+        """The last one accepted, whose request was in transit, was closed as soon as the limit was reached."""
         for some in (3, MAX_CONNECTIONS - 3):
             before = len(self.listener.connections)
             for _ in range(some):
@@ -86,7 +86,7 @@
             each.connection.answering = False
 
     async def connect(self, count: int) -> list[socket.socket]:
-        """So many more clients, all accepted."""
+        """Connect `count` more clients, and wait until all are accepted."""
         clients = [socket.create_connection(self.address) for _ in range(count)]
         for client in clients:
             client.setblocking(False)
@@ -97,7 +97,7 @@
         return clients
 
     async def test_a_full_table_of_files_of_the_system_ends_no_connection_here(self) -> None:
-        """ENFILE, ENOBUFS and ENOMEM are the system's: any connection may have a request on its way."""
+        """ENFILE, ENOBUFS and ENOMEM are shortages of the system: any connection may have a request in transit."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             with self.subTest(errno=errno.errorcode[number]):
                 clients = await self.connect(3)
@@ -116,7 +116,7 @@
                     client.close()
 
     async def test_a_partial_request_is_not_ended_while_other_connections_can_be(self) -> None:
-        """Its last byte is on its way: closed now, it would be read and lost."""
+        """Its last byte may be in transit: if the connection were closed now, a request that was read would be lost."""
         half, silent = await self.connect(2)
         half.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
         while not any(connection.intake.in_message for connection in self.listener.connections):
@@ -131,7 +131,7 @@
             half.recv(1)
 
     async def test_a_silent_client_is_not_closed_over_a_request_that_waits_to_be_read(self) -> None:
-        """It came in the very moment in which its time was over, and the loop was late."""
+        """The request arrived just before its timeout, and the event loop had not read it yet."""
         (client,) = await self.connect(1)
         (connection,) = (connection for connection in self.listener.connections if not connection.closed)
         client.sendall(b"GET / HTTP/1.1\r\n")
@@ -139,7 +139,7 @@
         assert not connection.closed
 
     async def test_a_connection_that_fails_in_the_last_accepts_takes_none_behind_it_along(self) -> None:
-        """ECONNABORTED is that one connection's; those behind it would be reset with the socket."""
+        """ECONNABORTED concerns one connection; those behind it would be reset when the listening socket is closed."""
         real = self.listener._sock
         assert real
         self.listener.pause(True)
@@ -165,7 +165,7 @@
 
 
 class AbortedFirst:
-    """A listening socket whose next accept fails, as for a client that has gone already."""
+    """A listening socket whose next accept fails, as for a client that has already disconnected."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -1,4 +1,4 @@
-"""The log's thread goes on after lines that could not be written."""
+"""The log's thread continues after a line that could not be written."""
 
 import errno
 import io
--- a/tests/net/test_output_buffer.py
+++ b/tests/net/test_output_buffer.py
@@ -1,4 +1,4 @@
-"""Unsent bytes: sent at once where the socket takes them, bounded where it does not, every byte once and in order."""
+"""The output buffer sends bytes at once if the socket accepts them, each once and in order, and bounds unsent bytes."""
 
 import asyncio
 import errno
@@ -12,7 +12,7 @@
 
 
 class LimitedSocket:
-    """A socket that takes so many bytes in all, and then fails with this error number."""
+    """A socket that accepts `capacity` bytes in total, and then fails with the error `number`."""
 
     def __init__(self, sock: socket.socket, capacity: int, number: int = errno.EAGAIN) -> None:
         self.sock = sock
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool's connections, and the releases on them, before servers on loopback."""
+"""The pool's connections, and the releases on them, with servers on loopback."""
 
 import asyncio
 import socket
@@ -20,11 +20,11 @@
 from pearhill.platform.replica import ReplicaDialect
 
 EARLY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-LARGE_REQUEST = b"x" * (1 << 24)  # more than the system takes for a server that reads nothing
+LARGE_REQUEST = b"x" * (1 << 24)  # more than the system buffers for a server that reads nothing
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program runs on, 20 s at most."""
+    """Run a test on the program's event loop, for 20 s at most."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(work, 20))
 
@@ -41,14 +41,14 @@
 
 
 def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it() -> None:
-    """What was written to it would end as a reset, and may have been executed."""
+    """A request written to it would fail with a reset, and may have been executed."""
 
     async def scenario() -> None:
         pool = make_pool(Deadlines(start_clock()), reserved_connections=0)
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
             pool.put_back(first)
-            server.accept()[0].close()  # no tick of the loop from here to the next acquire
+            server.accept()[0].close()  # no tick of the event loop between here and the next acquire
             second = await pool.acquire(server.getsockname())
             assert second is not first
             assert first.closed
@@ -61,8 +61,8 @@
 
 
 def test_a_connection_carries_no_request_for_a_while_after_a_response() -> None:
-    """A second response, some milliseconds behind the first, would be taken for that request's. A control call is sent
-    at once: the response to it is of another kind, and nothing is executed twice by it."""
+    """A second response, some milliseconds after the first, would be mistaken for the response to that request. A
+    control call is sent at once: its response is of another kind, and it causes no execution."""
 
     async def scenario() -> None:
         now = 0
@@ -74,7 +74,7 @@
             pool.put_back(first, delay_reuse=True)
             second = await pool.acquire(server.getsockname(), ConnectionPurpose.REQUEST)
             assert second is not first
-            pool.put_back(second)  # it has carried none
+            pool.put_back(second)  # it has carried no request
             assert await pool.acquire(server.getsockname()) is second
             now += REUSE_DELAY_US
             assert await pool.acquire(server.getsockname()) is first
@@ -85,7 +85,7 @@
 
 
 def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release() -> None:
-    """300 ms are the least that a deployment gives, and 300 more are allowed. Two idle ones have fallen silent here."""
+    """The time limit is at least 300 ms, and 300 ms more are allowed. Here, two idle connections no longer answer."""
 
     async def scenario() -> None:
         now = 0
@@ -134,7 +134,7 @@
 
 
 def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it() -> None:
-    """The server may have forgotten it without a sign: what is sent there ends as a reset, and may be executed."""
+    """The server may have dropped it silently: a request written to it fails with a reset, and may be executed."""
 
     async def scenario() -> None:
         now = 0
@@ -154,8 +154,8 @@
 
 @pytest.mark.parametrize("how", ["answered early", "closed here"])
 def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how: str) -> None:
-    """The reader saw the end, and closed a socket on which the writer was still polled: it waited for good, and the
-    connection that got the number next was polled in its place."""
+    """The reader detected the end, and closed a socket that was still polled for the writer. The writer waited for
+    ever, and the next connection with the same descriptor was polled in its place."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/net/test_request_intake.py
+++ b/tests/net/test_request_intake.py
@@ -1,4 +1,4 @@
-"""What a client sends becomes requests in order, with the time at which each had arrived, and no more than may wait."""
+"""Input becomes requests in order, each with its time of arrival, and the number of waiting requests is limited."""
 
 import asyncio
 import socket
@@ -30,7 +30,7 @@
         self.intake.feed(memoryview(data), answering, send_continue)
 
     def targets(self) -> list[str | int]:
-        """What waits: the target of each request, the status of each rejection."""
+        """Return what waits, as the target of each request and the status of each rejection."""
         return [each.target if isinstance(each, RequestMessage) else each.status for each in self.intake.waiting]
 
     async def test_requests_wait_in_order(self) -> None:
@@ -72,7 +72,7 @@
         self.feed(head)
         assert self.continues == 1
         self.feed(b"x")
-        self.feed(head)  # behind one that waits
+        self.feed(head)  # while another request waits
         assert self.continues == 1
 
     async def test_no_interim_response_is_sent_while_a_request_is_being_answered(self) -> None:
@@ -80,7 +80,7 @@
         assert self.continues == 0
 
     async def test_a_request_had_arrived_before_the_system_could_be_asked_for_its_bytes(self) -> None:
-        """Its time runs from its last byte, and not from when there was memory to read it."""
+        """Its deadline counts from the arrival of its last byte, and not from when there was memory to read it."""
         self.intake.socket_reader.delayed_s = 0.25
         self.feed(GET % 0)
         self.intake.socket_reader.delayed_s = 0.0
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -1,4 +1,4 @@
-"""Reading with the socket left in the poll: ends, breaks, and no spinning while nothing reads."""
+"""Reads from a socket that stays registered for polling: ends, resets, and no spinning while nothing reads."""
 
 import asyncio
 import errno
@@ -15,7 +15,7 @@
 
 
 class FailingReads:
-    """A socket whose next reads fail with these error numbers, one after the other, before it reads."""
+    """A socket whose next reads fail with the error numbers in `errors`, one after the other."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -31,7 +31,7 @@
 
 
 class TestSocketReader(UvloopTestCase):
-    """On the loop that the program runs on. `TestSocketReaderOnAsyncio`: on the library's own."""
+    """Runs on uvloop, as the program does. `TestSocketReaderOnAsyncio` runs on asyncio's own loop."""
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -92,7 +92,7 @@
             assert await self.read() == b"kept", errno.errorcode[number]
 
     async def test_how_long_bytes_could_not_be_read_is_reported(self) -> None:
-        """A request's time runs from its last byte, and not from when the system had memory to read it."""
+        """A request's deadline counts from its last byte, and not from when the system had memory to read it."""
         self.sock.errors = [errno.ENOMEM] * 4
         self.theirs.sendall(b"kept")
         await self.read()
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -1,4 +1,4 @@
-"""Writing: short writes, and failures that say nothing about the connection."""
+"""Writes to a socket: short writes, and failures that do not concern the connection."""
 
 import asyncio
 import errno
@@ -12,7 +12,7 @@
 
 
 class LimitedWrites:
-    """A socket that takes at most so many bytes at once, and whose next writes fail with these error numbers."""
+    """A socket that accepts at most `max_bytes` at once, and whose next writes fail with the numbers in `errors`."""
 
     def __init__(self, sock: socket.socket, max_bytes: int) -> None:
         self.sock = sock
@@ -64,7 +64,7 @@
             await asyncio.wait_for(sending, 20)
 
     async def test_what_is_written_is_built_anew_until_its_first_byte_goes_out(self) -> None:
-        """A request says how much time is left, and may have to wait before anything of it is taken."""
+        """A request states how much time is left, and may have to wait before any of its bytes is accepted."""
         built = 0
 
         def build() -> bytes:
--- a/tests/net/test_unread_input.py
+++ b/tests/net/test_unread_input.py
@@ -1,4 +1,4 @@
-"""A look at a socket takes nothing from it, and says when it has shown nothing."""
+"""A check for unread input consumes nothing, and reports when it could not determine the result."""
 
 import errno
 import os
@@ -12,7 +12,7 @@
 
 
 class FailingSocket:
-    """A socket on which every read fails with this error number."""
+    """A socket on which every read fails with the error `number`."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -33,7 +33,7 @@
     ours, theirs = pair
     assert peek_unread_input(ours) == UnreadInput.NONE
     theirs.sendall(b"two")
-    ours.recv(1, socket.MSG_PEEK)  # they are here
+    ours.recv(1, socket.MSG_PEEK)  # waits until they have arrived
     assert peek_unread_input(ours) == UnreadInput.SOME
     assert ours.recv(10) == b"two"
     assert peek_unread_input(ours) == UnreadInput.NONE
