--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -28,7 +28,9 @@
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool = False) -> None:
         self.pending: Pending | None = None
         self.answering = False  # a request is being answered
-        self.since = owner.deadlines.clock()  # time of the accept, a partial request's first byte, or the last answer
+        self.state_since = (
+            owner.deadlines.clock()
+        )  # time of the accept, a partial request's first byte, or the last answer
         self._keep_alive = True  # the client allows reuse, and no error occurred
         self._close_after_next = False  # close after the next answer, whatever its request's headers say
         self._announced_close = False  # the current answer's headers announce the close
@@ -40,19 +42,19 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is being read, answered or written."""
-        return self.idle_but_reading and not self.intake.in_message
+        return self.idle_or_reading and not self.intake.in_message
 
     @property
-    def idle_but_reading(self) -> bool:
+    def idle_or_reading(self) -> bool:
         """Whether nothing is being answered or written. A request may be partly read."""
         return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
 
     @property
     def use(self) -> ConnectionUse:
         """The connection's current state."""
-        if self.closed or not self.idle_but_reading:
+        if self.closed or not self.idle_or_reading:
             return ConnectionUse.ANSWERING
-        if self.ending:
+        if self.last_answer_given:
             return ConnectionUse.FINISHED
         if self.intake.in_message:
             return ConnectionUse.PARTIAL_REQUEST
@@ -65,10 +67,10 @@
         unread = False
         if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # only where the system call matters
             unread = peek_unread_input(self.sock) != UnreadInput.NONE
-        return may_close(use, unread, self.owner.deadlines.clock() - self.since)
+        return may_close(use, unread, self.owner.deadlines.clock() - self.state_since)
 
     @property
-    def owes_a_request(self) -> bool:
+    def awaits_request(self) -> bool:
         """Whether the first request was not received yet, or a request is incomplete."""
         return self.intake.in_message or not self.requests
 
@@ -76,7 +78,7 @@
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
         """Send a complete answer."""
-        self._put(messages.answer(status, headers, body, close=not self._stays_open()))
+        self._send(messages.answer(status, headers, body, close=not self._stays_open()))
         self._answered()
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
@@ -91,19 +93,19 @@
 
     async def write(self, data: bytes) -> None:
         """Send a chunk of the answer, and wait while too many bytes are unsent."""
-        self._put(messages.chunk(data))
+        self._send(messages.chunk(data))
         await self.output.has_capacity.wait()
 
     def finish(self, last: bytes = b"") -> None:
         """Send these last bytes and the last chunk, which completes the answer."""
         last_piece = messages.chunk(last) if last else b""
-        self._put(last_piece + messages.LAST_CHUNK)
+        self._send(last_piece + messages.LAST_CHUNK)
         self._answered()
 
     def abort(self, last: bytes = b"") -> None:
         """Send these last bytes, and close the connection without sending the answer's last chunk."""
         if last:
-            self._put(messages.chunk(last))
+            self._send(messages.chunk(last))
         self._keep_alive = False
         self._reason = "answer-broken"
         self._answered()  # the part of the answer that is already buffered is still sent
@@ -122,7 +124,7 @@
         self.pending = None
         asked_to_end = (self._announced_close or self.owner.closing) and not self.intake.waiting
         if not self._keep_alive or asked_to_end:
-            self.ending = True
+            self.last_answer_given = True
             self._start_writer()
             return
         self._advance()
@@ -131,7 +133,7 @@
 
     def _advance(self) -> None:
         """Start the next waiting request, unless one is being answered."""
-        while self.intake.waiting and not (self.answering or self.ending or self.closed):
+        while self.intake.waiting and not (self.answering or self.last_answer_given or self.closed):
             message = self.intake.waiting.popleft()
             self.answering = True
             if isinstance(message, Rejected):
@@ -139,7 +141,7 @@
                 break
             self._handle(message)
         if not self.answering:
-            self.since = self.owner.deadlines.clock()
+            self.state_since = self.owner.deadlines.clock()
         self._set_timer()
 
     def _handle(self, message: RequestMessage) -> None:
@@ -185,12 +187,12 @@
         deadlines = self.owner.deadlines
         deadlines.cancel(self._timer)
         self._timer = None
-        if self.closed or self.answering or self.ending:
+        if self.closed or self.answering or self.last_answer_given:
             return
-        if self.owes_a_request:
-            self._timer = deadlines.at(self.since + REQUEST_TIMEOUT_US, self._request_overdue)
+        if self.awaits_request:
+            self._timer = deadlines.at(self.state_since + REQUEST_TIMEOUT_US, self._request_overdue)
         else:
-            self._timer = deadlines.at(self.since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
+            self._timer = deadlines.at(self.state_since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
 
     def _request_overdue(self) -> None:
         """Handle the request timeout: reject a partial request, or close the connection if no request was started."""
@@ -210,11 +212,11 @@
             self._advance()
         elif self.intake.in_message != was_in_message:
             now = self.owner.deadlines.clock()
-            self.since = now if self.requests else min(now, self.since + MAX_FIRST_REQUEST_DELAY_US)
+            self.state_since = now if self.requests else min(now, self.state_since + MAX_FIRST_REQUEST_DELAY_US)
             self._set_timer()
 
     def _send_continue(self) -> None:
-        self._put(b"HTTP/1.1 100 Continue\r\n\r\n")
+        self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def close_unless_unread(self, reason: str) -> None:
         """Close an idle connection, unless it has unread input: the answer to that request then closes it."""
@@ -223,7 +225,7 @@
                 self.close(reason)
             case UnreadInput.SOME:
                 self._close_after_next = True
-                self.since = self.owner.deadlines.clock()
+                self.state_since = self.owner.deadlines.clock()
                 self._set_timer()  # the unread bytes may not be a request
             case UnreadInput.UNKNOWN:
                 deadlines = self.owner.deadlines
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -108,13 +108,13 @@
         """Connect to the replica. A resource shortage of the system may be over soon, so it costs time, as a slow
         connect does, but no attempt. Raises ConnectError if no connection is established in time."""
         pool = self.owner.pool
-        give_up_at = pool.deadlines.clock() + pool.connect_timeout
+        retry_until = pool.deadlines.clock() + pool.connect_timeout
         while True:
             connect_within = HELD_CONNECT_TIMEOUT_US if self.attempt.request.state_holders else MAX_CONNECT_US
             try:
                 return await pool.acquire(address, connect_within=connect_within)
             except SystemResourceError:
-                if pool.deadlines.clock() >= give_up_at:
+                if pool.deadlines.clock() >= retry_until:
                     raise
             await pause(pool.deadlines, SHORTAGE_RETRY_US)
 
@@ -133,7 +133,7 @@
             return await self._forward(event.data)
         match event:
             case Head(status, headers):
-                self._started(status, headers)
+                self._head_received(status, headers)
             case Data(data):
                 self.body += data[: MAX_BODY_BYTES - len(self.body)]
             case End(_, clean):
@@ -143,12 +143,12 @@
                 if self.connection and not self.connection.writing:
                     self._finish(Outcome.TRUNCATED, may_hold=True)
 
-    def _started(self, status: int, headers: Mapping[str, str]) -> None:
+    def _head_received(self, status: int, headers: Mapping[str, str]) -> None:
         self.status = status
         self.not_started = headers.get("not-started") == "1"
         self.headers = headers
         if status == 200 and not self.owner.dialect.accepts(headers):
-            self._give_up("no-stream", Outcome.ERROR, f"unexpected content type {headers.get('content-type')}")
+            self._abort("no-stream", Outcome.ERROR, f"unexpected content type {headers.get('content-type')}")
 
     async def _forward(self, data: bytes) -> None:
         """Forward the complete events of the stream, and end the attempt once the stream is complete."""
@@ -157,7 +157,7 @@
         try:
             ready = self.stream.feed(data)
         except MalformedResponseError as error:
-            return self._give_up("malformed", self._broken_outcome(), str(error))
+            return self._abort("malformed", self._broken_outcome(), str(error))
         if ready and not attempt.ended:
             # Only forwarded events count as progress: bytes that never complete an event could arrive for ever.
             if not attempt.start_response():
@@ -182,7 +182,7 @@
         deadlines = self.owner.pool.deadlines
         stalled_at = self.attempt.last_forwarded_at + STALL_TIMEOUT_US
         if deadlines.clock() >= stalled_at:
-            return self._give_up("stalled", Outcome.TRUNCATED)
+            return self._abort("stalled", Outcome.TRUNCATED)
         self._stall_timer = deadlines.at(stalled_at, self._check_stall)
 
     def _last_chunk_overdue(self) -> None:
@@ -230,7 +230,7 @@
 
     # End of the attempt.
 
-    def _give_up(self, reason: str, outcome: Outcome, detail: str = "") -> None:
+    def _abort(self, reason: str, outcome: Outcome, detail: str = "") -> None:
         """Close the connection and end the attempt. Otherwise the client would wait for ever for a machine that failed
         during the stream and sends nothing, or for one that sends malformed data without end."""
         if detail:
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -31,39 +31,39 @@
         self.dialect = dialect
         self.addresses: dict[int, Address] = {}
         self.check_health = HealthChecks(pool, dialect, self.addresses, on_health_check).send
-        self.leaving: dict[int, Key] = {}  # by unlisted replica: the timer that removes its address
+        self.removal_timers: dict[int, Key] = {}  # by unlisted replica: the timer that removes its address
         self.exchanges: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
     # Addresses.
 
-    def update_addresses(self, addresses: dict[int, Address], gone: Collection[int], full: bool) -> None:
-        """Update the addresses of replicas. Replicas in `gone`, and those missing from a `full` list, are unlisted.
+    def update_addresses(self, addresses: dict[int, Address], unlisted: Collection[int], full: bool) -> None:
+        """Update the addresses of replicas. Replicas in `unlisted`, and those missing from a `full` list, are unlisted.
         Idle connections to an unlisted replica, or to a replica's previous address, are closed."""
         for replica, address in addresses.items():
             self._set_address(replica, address)
         missing = self.addresses.keys() - addresses.keys() if full else ()
-        for replica in {*gone, *missing} - self.leaving.keys():
+        for replica in {*unlisted, *missing} - self.removal_timers.keys():
             if replica in self.addresses:
-                self._left(replica)
+                self._unlist(replica)
 
     def _set_address(self, replica: int, address: Address) -> None:
         previous = self.addresses.get(replica)
         self.addresses[replica] = address
-        self.pool.deadlines.cancel(self.leaving.pop(replica, None))
+        self.pool.deadlines.cancel(self.removal_timers.pop(replica, None))
         if previous and previous != address:
             self.pool.drop_idle(previous)
 
-    def _left(self, replica: int) -> None:
+    def _unlist(self, replica: int) -> None:
         self.pool.drop_idle(self.addresses[replica])
         forget = partial(self._forget_address, replica)
-        self.leaving[replica] = self.pool.deadlines.after(ADDRESS_RETENTION_US, forget)
+        self.removal_timers[replica] = self.pool.deadlines.after(ADDRESS_RETENTION_US, forget)
 
     def _forget_address(self, replica: int) -> None:
         """Remove a replica's address. Memory would otherwise grow without bound where replicas are replaced all day by
         others with new names."""
         del self.addresses[replica]
-        del self.leaving[replica]
+        del self.removal_timers[replica]
 
     # Attempts.
 
--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -53,7 +53,7 @@
         self.peer = peer
         self.intake = RequestIntake(owner.loop, sock, owner.deadlines.clock, owner.max_body, delayed_accept)
         self.output = OutputBuffer(owner.loop, sock)
-        self.ending = False  # the last answer was given, though some of it may be unsent
+        self.last_answer_given = False  # the last answer was given, though some of it may be unsent
         self.closed = False
         self.requests = 0
         self._bytes_after_last = 0  # read after the last answer
@@ -90,13 +90,13 @@
                     break
         finally:
             self.intake.socket_reader.close()
-            self.close(self._reason if self.ending else reason)
+            self.close(self._reason if self.last_answer_given else reason)
             self.intake.close()
 
     def _received(self, data: memoryview) -> bool:
         """Process bytes that were read. Returns False once enough was read after the last answer, because the input of
         a client that sends megabytes after it should not be read to its end."""
-        if self.ending:
+        if self.last_answer_given:
             self._bytes_after_last += len(data)
             return self._bytes_after_last <= MAX_LINGER_BYTES
         self._feed(data)
@@ -123,7 +123,7 @@
 
     # Writing.
 
-    def _put(self, data: bytes) -> None:
+    def _send(self, data: bytes) -> None:
         """Send bytes. The writer task sends those that the socket does not accept now."""
         if self.closed:
             return
@@ -148,7 +148,7 @@
                 return self.close(f"client-{type(error).__name__}")
             finally:
                 self.owner.deadlines.cancel(write_timer)
-        if self.ending and not self.closed:
+        if self.last_answer_given and not self.closed:
             self._linger()
 
     def _linger(self) -> None:
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -35,7 +35,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._rejected: Counter[str] = Counter()  # by reason, since the last log line
         self._last_rejected_peer = ""
-        self._log_key: Key | None = None
+        self._log_timer: Key | None = None
 
     async def open(self, address: Address) -> Address:
         """Open the socket and return its address. Raises OSError if the address cannot be used."""
@@ -74,12 +74,12 @@
         self._rejected[reason] += 1
         self._last_rejected_peer = "{}:{}".format(*address[:2])
         # With a line for each datagram, a flood of datagrams would also fill the log.
-        if self._log_key is None:
+        if self._log_timer is None:
             self._log_rejected()
 
     def _log_rejected(self) -> None:
         """Log the first rejected datagram at once, and those of the following interval together at its end."""
-        self._log_key = None
+        self._log_timer = None
         if not self._rejected:
             return
         logger.warning(
@@ -90,7 +90,7 @@
             reasons=",".join(f"{reason}:{count}" for reason, count in sorted(self._rejected.items())),
         )
         self._rejected.clear()
-        self._log_key = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
+        self._log_timer = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
         """Count a datagram that could not be sent; called by the event loop. A peer whose port is closed needs no other
@@ -108,6 +108,6 @@
 
     def close(self) -> None:
         """Close the socket."""
-        self.deadlines.cancel(self._log_key)
+        self.deadlines.cancel(self._log_timer)
         if self._transport:
             self._transport.close()
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -12,20 +12,20 @@
 MAX_BATCH = 16  # connections of one state that are closed at once, in states where a close costs little
 
 
-class ClosableConnection(NamedTuple):
+class EvictionCandidate(NamedTuple):
     """A connection that may be closed, as it was when it was found. `batch` is how many of its state are closed at
     once."""
 
     connection: AcceptedConnection
     use: ConnectionUse
-    since: int
+    state_since: int
     batch: int
 
     @property
     def unchanged(self) -> bool:
         """Whether the connection is still as it was when it was found, and may still be closed."""
         connection = self.connection
-        return connection.use == self.use and connection.since == self.since and connection.may_close
+        return connection.use == self.use and connection.state_since == self.state_since and connection.may_close
 
 
 class ConnectionEvictor:
@@ -33,7 +33,7 @@
 
     def __init__(self, connections: set[AcceptedConnection]) -> None:
         self._connections = connections
-        self._closable = deque[ClosableConnection]()  # found by one scan, to be closed next
+        self._candidates = deque[EvictionCandidate]()  # found by one scan, to be closed next
 
     def close_finished(self) -> None:
         """Close the connections that have had their last answer."""
@@ -48,40 +48,40 @@
         # In a flood of clients that stay connected, a scan of all connections at each accept used most of a CPU core.
         # So the result of one scan is used for several of the accepts that follow, as far as it is still valid.
         closed = 0
-        walked = False
-        while not closed and not walked:
-            walked = not self._closable
-            if walked:
-                self._closable.extend(self._least_useful(max_connections))
-            closed = self._close_found()
+        scanned = False
+        while not closed and not scanned:
+            scanned = not self._candidates
+            if scanned:
+                self._candidates.extend(self._least_useful(max_connections))
+            closed = self._close_candidates()
         return closed > 0
 
-    def _close_found(self) -> int:
+    def _close_candidates(self) -> int:
         """Close connections that were found before, one batch at most, and return how many were closed."""
         closed = 0
-        while self._closable and closed < self._closable[0].batch:
-            found = self._closable.popleft()
+        while self._candidates and closed < self._candidates[0].batch:
+            found = self._candidates.popleft()
             if found.unchanged:
                 found.connection.close("room-needed")
                 closed += 1
         return closed
 
-    def _least_useful(self, max_connections: int) -> list[ClosableConnection]:
+    def _least_useful(self, max_connections: int) -> list[EvictionCandidate]:
         """Return closable connections of one state, the first state that has any, oldest first."""
         # A list indexed by state avoids hashing an enum member for each of thousands of connections.
-        kinds: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
+        by_state: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
         for connection in self._connections:
-            kinds[connection.use].append(connection)
-        several = max(2, min(MAX_BATCH, max_connections // 8))  # where a close costs little
+            by_state[connection.use].append(connection)
+        batch_size = max(2, min(MAX_BATCH, max_connections // 8))  # where a close costs little
         batches = (
-            (ConnectionUse.FINISHED, several),
-            (ConnectionUse.UNUSED, several),
+            (ConnectionUse.FINISHED, batch_size),
+            (ConnectionUse.UNUSED, batch_size),
             (ConnectionUse.IDLE, 1),
             (ConnectionUse.PARTIAL_REQUEST, 1),
         )
         for use, batch in batches:
-            oldest = nsmallest(4 * several, kinds[use], key=lambda connection: connection.since)
-            found = [ClosableConnection(each, use, each.since, batch) for each in oldest if each.may_close]
+            oldest = nsmallest(4 * batch_size, by_state[use], key=lambda connection: connection.state_since)
+            found = [EvictionCandidate(each, use, each.state_since, batch) for each in oldest if each.may_close]
             if found:
                 return found
         return []
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -78,47 +78,47 @@
     def reconfigure(self, setup: FleetSetup) -> None:
         """Replace the keys, peers and aggregators. Gossip or reports may start or stop. State about those that remain
         is retained. Name, region and address remain those of the start."""
-        started = self.setup
-        self.setup = replace(setup, name=started.name, listen=started.listen, region=started.region)
+        initial = self.setup
+        self.setup = replace(setup, name=initial.name, listen=initial.listen, region=initial.region)
         self._settle()
 
     def _settle(self) -> None:
         """Start, reconfigure or close gossip and reports, as the setup requires."""
         # The start time is the incarnation, and seeds the random generator: with equal seeds, all dispatchers would
         # ping the same one at the same time.
-        started = self.deadlines.clock()
-        rng = random.Random(started ^ self.seed)
-        self._settle_gossip(started, rng)
-        self._settle_reporting(started, rng)
-        self._recount()
+        started_at = self.deadlines.clock()
+        rng = random.Random(started_at ^ self.seed)
+        self._apply_gossip_setup(started_at, rng)
+        self._apply_reporting_setup(started_at, rng)
+        self._update_count()
 
-    def _settle_gossip(self, started: int, rng: random.Random) -> None:
+    def _apply_gossip_setup(self, started_at: int, rng: random.Random) -> None:
         setup = self.setup
         codec = GossipCodec(list(setup.keys))
         if self.gossip and setup.uses_gossip:
             self.gossip.reconfigure(codec, setup.peers)
         elif setup.uses_gossip:
-            protocol = GossipProtocol(setup.name, setup.peers, started, rng, self._own_loads)
+            protocol = GossipProtocol(setup.name, setup.peers, started_at, rng, self._own_loads)
             self.sources.gossip = protocol
             self.gossip = Gossip(protocol, codec, setup.peers, self.deadlines, self.datagrams)
-            self.gossip.on_count = self._recount
+            self.gossip.on_count = self._update_count
             self.gossip.start()
         elif self.gossip:
             self.gossip.close()
             self.gossip = None
             self.sources.gossip = None
 
-    def _settle_reporting(self, started: int, rng: random.Random) -> None:
+    def _apply_reporting_setup(self, started_at: int, rng: random.Random) -> None:
         setup = self.setup
         codec = AggregationCodec(list(setup.keys))
         addresses = setup.aggregators or {}
         if self.reporting and setup.uses_reports:
             self.reporting.reconfigure(codec, setup.sites, addresses)
         elif setup.uses_reports:
-            reporter = Reporter(setup.name, setup.region, setup.sites, started, rng, self._own_loads)
+            reporter = Reporter(setup.name, setup.region, setup.sites, started_at, rng, self._own_loads)
             self.sources.reporter = reporter
             self.reporting = Reporting(reporter, codec, addresses, self.deadlines, self.datagrams)
-            self.reporting.on_count = self._recount
+            self.reporting.on_count = self._update_count
             self.reporting.on_exchange = self._log_aggregator
             self.reporting.start()
         elif self.reporting:
@@ -126,7 +126,7 @@
             self.reporting = None
             self.sources.reporter = None
 
-    def _recount(self) -> None:
+    def _update_count(self) -> None:
         count = self.sources.count(self.deadlines.clock())
         if count is None or count == self._count:
             return
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -29,7 +29,7 @@
         self.deadlines = deadlines
         self.datagrams = datagrams
         self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
-        self._tick_key: Key | None = None
+        self._tick_timer: Key | None = None
         self._count = 0
 
     def start(self) -> None:
@@ -45,7 +45,7 @@
 
     def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._tick_key = self.deadlines.at(now + GOSSIP_TICK_US, self._tick)
+        self._tick_timer = self.deadlines.at(now + GOSSIP_TICK_US, self._tick)
         self._send(self.protocol.tick(now))
         count = self.protocol.count(now)
         if count != self._count:
@@ -64,5 +64,5 @@
 
     def close(self) -> None:
         """Stop ticking and receiving."""
-        self.deadlines.cancel(self._tick_key)
+        self.deadlines.cancel(self._tick_timer)
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/health_checks.py
+++ b/pearhill/net/health_checks.py
@@ -57,7 +57,7 @@
         try:
             for _ in range(MAX_TRIES):
                 try:
-                    outcome, load = await self._ask(address)
+                    outcome, load = await self._query_load(address)
                     break
                 except OSError:  # a reset, which is retried
                     outcome = Outcome.UNREACHABLE
@@ -65,14 +65,14 @@
             self.in_flight -= 1
         self.on_result(replica, outcome, load)
 
-    async def _ask(self, address: Address) -> tuple[Outcome, ReportedLoad | None]:
+    async def _query_load(self, address: Address) -> tuple[Outcome, ReportedLoad | None]:
         """Query the load once. Raises OSError if the connection broke, in which case a further try may succeed."""
         try:
-            question = self.dialect.health_check()
+            query = self.dialect.health_check()
             status, body = await call(
                 self.pool,
                 address,
-                question,
+                query,
                 ANSWER_TIMEOUT_US,
                 MAX_REPORT_BYTES,
                 purpose=ConnectionPurpose.REQUEST,
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -73,7 +73,7 @@
         self.spawn = self._tasks.spawn
         self._sock: socket.socket | None = None
         self._polled = False  # the event loop polls the listening socket
-        self._recheck: Key | None = None
+        self._recheck_timer: Key | None = None
         self._accept_failing = False  # the last accept lacked a resource, so the next client may have waited
         self._evictor = ConnectionEvictor(self.connections)
 
@@ -109,30 +109,30 @@
         if not on:
             return self._accept()
         self._unpoll()
-        self.deadlines.cancel(self._recheck)
-        self._recheck = None
+        self.deadlines.cancel(self._recheck_timer)
+        self._recheck_timer = None
 
     def set_max_connections(self, max_connections: int) -> None:
         """Change the limit on connections. Those that have been idle longest are closed now, down to the limit."""
         self.max_connections = max_connections
         idle = [connection for connection in self.connections if connection.idle and not connection.closed]
-        idle.sort(key=lambda connection: connection.since)
+        idle.sort(key=lambda connection: connection.state_since)
         for connection in idle[: max(0, len(self.connections) - max_connections)]:
             connection.close_unless_unread("room-needed")
 
     def _accept(self) -> None:
         """Accept clients from the accept queue. No task waits in an accept: if it were cancelled, a connection that it
         had already accepted could be lost. Clients are accepted in the tick in which the loop reports them."""
-        if self._recheck:
-            self.deadlines.cancel(self._recheck)
-            self._recheck = None
+        if self._recheck_timer:
+            self.deadlines.cancel(self._recheck_timer)
+            self._recheck_timer = None
         if self._sock is None:
             return
         self._poll(self._sock)
         # With one accept per tick, clients that send requests would wait behind hundreds that only connect.
-        for taken in range(MAX_ACCEPTS_PER_TICK):
+        for accept_count in range(MAX_ACCEPTS_PER_TICK):
             full = len(self.connections) >= self.max_connections
-            if full and taken:
+            if full and accept_count:
                 # A further connection would be closed, maybe the last one accepted, while the queue may be empty.
                 return
             if full and not self._evictor.make_room(self.max_connections):
@@ -146,7 +146,7 @@
                 if error.errno not in EXHAUSTION_ERRNOS:
                     continue  # this connection failed before it was accepted; the next may succeed
                 return self._accept_failed(error)
-            self._take(client, peer)
+            self._add_connection(client, peer)
             if full:
                 # Closed connections are removed in the next tick; until then, each accept would close further ones.
                 return
@@ -168,7 +168,7 @@
         """Stop polling, and retry later: polling a non-empty accept queue while no connection can be accepted would
         make the event loop spin."""
         self._unpoll()
-        self._recheck = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
+        self._recheck_timer = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
 
     def _poll(self, sock: socket.socket) -> None:
         if not self._polled:
@@ -180,7 +180,7 @@
             self._polled = False
             self.loop.remove_reader(self._sock.fileno())
 
-    def _take(self, client: socket.socket, peer: Any) -> None:
+    def _add_connection(self, client: socket.socket, peer: Any) -> None:
         client.setblocking(False)
         with contextlib.suppress(OSError):  # the client may have disconnected, which its connection's reader detects
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -204,7 +204,10 @@
     @property
     def quiet(self) -> bool:
         """Whether nothing is being read, answered or written, and no last answer is still in transit."""
-        return all(connection.closed or (connection.idle and not connection.ending) for connection in self.connections)
+        return all(
+            connection.closed or (connection.idle and not connection.last_answer_given)
+            for connection in self.connections
+        )
 
     def close_after_answers(self, on: bool = True) -> None:
         """From now on, close each connection after its next answer, or no longer if `on` is False."""
@@ -251,7 +254,7 @@
                     self._accept_failing = True
                     return False
                 continue  # that client has disconnected; those behind it have not
-            self._take(client, peer)
+            self._add_connection(client, peer)
         return True
 
     async def close(self) -> None:
@@ -259,4 +262,4 @@
         self.stop_accepting()
         for connection in list(self.connections):
             connection.close("shutdown")
-        await self._tasks.all_ended()
+        await self._tasks.wait_all()
--- a/pearhill/net/log.py
+++ b/pearhill/net/log.py
@@ -52,10 +52,10 @@
         self._format = FORMATTERS[line_format]
         logger.remove()
         # Lines are formatted here, because loguru's formatting of times costs as much as the rest of a line.
-        logger.add(self._put, format="{message}", level=level, backtrace=False, diagnose=False)
+        logger.add(self._enqueue, format="{message}", level=level, backtrace=False, diagnose=False)
         self._thread.start()
 
-    def _put(self, message: Message) -> None:
+    def _enqueue(self, message: Message) -> None:
         if self._lines.qsize() < MAX_QUEUED_LINES:
             self._lines.put(self._format(message))
 
--- a/pearhill/net/pooled_connection.py
+++ b/pearhill/net/pooled_connection.py
@@ -85,12 +85,12 @@
     async def _read(self) -> None:
         buffer = bytearray(READ_BYTES)
         view = memoryview(buffer)
-        incoming = SocketReader(self.pool.loop, self.sock)
+        reader = SocketReader(self.pool.loop, self.sock)
         reason = "reader-failed"
         try:
             while not self.closed:
                 try:
-                    size = await incoming.recv_into(buffer)
+                    size = await reader.recv_into(buffer)
                     events = self._parser.feed(view[:size]) if size else self._parser.eof()
                     reason = "server-eof"
                 except OSError as error:
@@ -103,7 +103,7 @@
                 if not size:
                     break
         finally:
-            incoming.close()
+            reader.close()
             self.close(reason)
             self._parser.close()
 
--- a/pearhill/net/releases.py
+++ b/pearhill/net/releases.py
@@ -81,7 +81,7 @@
 
     def release(self, request: Request, replicas: Collection[int]) -> None:
         """Release everything that these replicas hold for the request."""
-        calls = self._calls(request, replicas)
+        calls = self._build_calls(request, replicas)
         self.pending += 1
         self._unreleased[request.number] = replicas
         self.pool.spawn(self._release_all(request.number, calls, request.interrupted))
@@ -90,9 +90,9 @@
         """Release the state once while an attempt that fetches it is in flight, in case that attempt never arrived. If
         the attempt did arrive, the release has no effect."""
         self.pending += 1
-        self.pool.spawn(self._release_once(self._calls(request, replicas)))
+        self.pool.spawn(self._release_once(self._build_calls(request, replicas)))
 
-    def _calls(self, request: Request, replicas: Collection[int]) -> list[ReleaseCall]:
+    def _build_calls(self, request: Request, replicas: Collection[int]) -> list[ReleaseCall]:
         calls = []
         for replica in replicas:
             address = self.addresses.get(replica)
@@ -134,8 +134,8 @@
         backoff = FIRST_BACKOFF_US
         timeout = FIRST_ANSWER_TIMEOUT_US
         unanswered = 0
-        give_up_at = pool.deadlines.clock() + RETRY_LIMIT_US
-        while unanswered < MAX_UNANSWERED and pool.deadlines.clock() < give_up_at:
+        retry_until = pool.deadlines.clock() + RETRY_LIMIT_US
+        while unanswered < MAX_UNANSWERED and pool.deadlines.clock() < retry_until:
             try:
                 await call(pool, address, data, timeout, fresh=timeout > FIRST_ANSWER_TIMEOUT_US)
                 return
@@ -181,10 +181,10 @@
         if not self._discarded.get(request.number):
             return True
         holders = {*request.state_holders, *self._unreleased.get(request.number, ())}
-        reached = await asyncio.gather(*(self._reaches(request, replica) for replica in holders))
+        reached = await asyncio.gather(*(self._is_reachable(request, replica) for replica in holders))
         return all(reached)
 
-    async def _reaches(self, request: Request, replica: int) -> bool:
+    async def _is_reachable(self, request: Request, replica: int) -> bool:
         """Whether a replica answers a release. It releases nothing while an attempt that fetches the state is in
         flight, so the release is harmless."""
         address = self.addresses.get(replica)
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -33,7 +33,7 @@
         self.datagrams = datagrams
         self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
         self.on_exchange: Callable[[int], None] = lambda now: None  # called after each tick and answer, with its time
-        self._tick_key: Key | None = None
+        self._tick_timer: Key | None = None
         self._tick_due: int | None = None
         self._last_tick = 0
         self._count: int | None = None
@@ -78,8 +78,8 @@
         due = max(self._last_tick + MIN_TICK_INTERVAL_US, self.reporter.next_tick(now))
         if due == self._tick_due:
             return
-        self.deadlines.cancel(self._tick_key)
-        self._tick_key = self.deadlines.at(due, self._tick)
+        self.deadlines.cancel(self._tick_timer)
+        self._tick_timer = self.deadlines.at(due, self._tick)
         self._tick_due = due
 
     def _notify(self, now: int) -> None:
@@ -99,6 +99,6 @@
     def close(self) -> None:
         """Notify the aggregator that this dispatcher disconnects, so that it is not waited for. The socket must still
         be open."""
-        self.deadlines.cancel(self._tick_key)
+        self.deadlines.cancel(self._tick_timer)
         self._send(self.reporter.leave(self.deadlines.clock()))
         self.datagrams.receivers.pop(VERSION, None)
--- a/pearhill/net/request_intake.py
+++ b/pearhill/net/request_intake.py
@@ -62,7 +62,7 @@
                 self._parser.close()
                 break
             if isinstance(event, RequestMessage):
-                event.arrived = self._clock() - self._unread_for_us()
+                event.arrived = self._clock() - self._read_delay_us()
             self.waiting.append(event)
 
     def _is_flooded(self, answering: bool) -> bool:
@@ -72,7 +72,7 @@
         waiting_bytes = sum(len(message.body) for message in self.waiting if isinstance(message, RequestMessage))
         return waiting_bytes > self._parser.max_body
 
-    def _unread_for_us(self) -> int:
+    def _read_delay_us(self) -> int:
         """Return the microseconds for which a shortage of the system kept the bytes read last from being read."""
         delayed_accept = self._delayed_accept
         self._delayed_accept = False
--- a/pearhill/net/socket_reader.py
+++ b/pearhill/net/socket_reader.py
@@ -35,7 +35,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop = loop
         self._sock = sock
-        self._number = sock.fileno()
+        self._descriptor = sock.fileno()
         self._waiter: asyncio.Future[None] | None = None
         self._polled = False
         self._empty = True  # no bytes are left since the last wake-up; also before the first wake-up
@@ -72,7 +72,7 @@
     async def _wake_up(self) -> None:
         """Wait until the event loop reports the socket readable."""
         if not self._polled:
-            self._loop.add_reader(self._number, self._readable)
+            self._loop.add_reader(self._descriptor, self._readable)
             self._polled = True
         waiter = self._loop.create_future()
         self._waiter = waiter
@@ -99,7 +99,7 @@
     def _unpoll(self) -> None:
         if self._polled:
             self._polled = False
-            self._loop.remove_reader(self._number)
+            self._loop.remove_reader(self._descriptor)
 
     def close(self) -> None:
         """Stop polling. No reads may follow."""
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -15,7 +15,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop = loop
         self._sock = sock
-        self._number = sock.fileno()
+        self._descriptor = sock.fileno()
 
     async def send_some(self, data: bytes | bytearray | memoryview) -> int:
         """Write at least one of the bytes, and return how many were written. Raises OSError if the connection broke."""
@@ -61,8 +61,8 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-        self._loop.add_writer(self._number, wake_up)
+        self._loop.add_writer(self._descriptor, wake_up)
         try:
             await waiter
         finally:
-            self._loop.remove_writer(self._number)
+            self._loop.remove_writer(self._descriptor)
--- a/pearhill/net/tasks.py
+++ b/pearhill/net/tasks.py
@@ -10,11 +10,11 @@
 
 
 class Tasks:
-    """A group of tasks of one kind; `what` names the kind in the log."""
+    """A group of tasks of one kind; `kind` names it in the log."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, what: str) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, kind: str) -> None:
         self._loop = loop
-        self._what = what
+        self._kind = kind
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -31,8 +31,8 @@
             return
         error = task.exception()
         if error:
-            logger.opt(exception=error).error("{} failed", self._what)
+            logger.opt(exception=error).error("{} failed", self._kind)
 
-    async def all_ended(self) -> None:
+    async def wait_all(self) -> None:
         """Wait until the tasks that run now have ended, whether they succeed, fail or are cancelled."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -61,9 +61,9 @@
 
 async def pause(deadlines: Deadlines, micros: int) -> None:
     """Wait for this many microseconds."""
-    over = asyncio.get_running_loop().create_future()
-    key = deadlines.after(micros, lambda: None if over.done() else over.set_result(None))
+    elapsed = asyncio.get_running_loop().create_future()
+    key = deadlines.after(micros, lambda: None if elapsed.done() else elapsed.set_result(None))
     try:
-        await over
+        await elapsed
     finally:
         deadlines.cancel(key)
--- a/tests/net/test_accepted.py
+++ b/tests/net/test_accepted.py
@@ -16,10 +16,10 @@
 from tests.virtual import VirtualLoop
 
 MAX_SILENT_S = 3.0  # a client that sends nothing, or stops half-way, is disconnected by then
-FAILING_LOOKS = 5  # in succession, for want of memory
+FAILING_PEEKS = 5  # in succession, for want of memory
 
 
-class FailingLooks:
+class FailingPeeks:
     """A socket whose next checks for unread bytes fail for want of memory."""
 
     def __init__(self, sock: socket.socket, failing: int) -> None:
@@ -38,14 +38,14 @@
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    made = VirtualLoop()
-    asyncio.set_event_loop(made)
-    yield made
-    made.close()
+    virtual_loop = VirtualLoop()
+    asyncio.set_event_loop(virtual_loop)
+    yield virtual_loop
+    virtual_loop.close()
     asyncio.set_event_loop(None)
 
 
-def test_a_silent_client_is_closed_in_time_though_looks_for_its_bytes_fail(loop: VirtualLoop) -> None:
+def test_a_silent_client_is_disconnected_in_time_although_checks_for_unread_input_fail(loop: VirtualLoop) -> None:
     """A failed check was treated like unread bytes, which restarted the client's timeout."""
 
     async def until_closed() -> float:
@@ -56,13 +56,13 @@
         while not listener.connections:
             await asyncio.sleep(0)
         (connection,) = listener.connections
-        connection.sock = FailingLooks(connection.sock, FAILING_LOOKS)  # type: ignore[assignment]
-        began = loop.time()
+        connection.sock = FailingPeeks(connection.sock, FAILING_PEEKS)  # type: ignore[assignment]
+        started_at = loop.time()
         assert await reader.read() == b""
-        took = loop.time() - began
+        elapsed = loop.time() - started_at
         writer.close()
         await listener.close()
         ticks.close()
-        return took
+        return elapsed
 
     assert loop.run_until_complete(until_closed()) <= MAX_SILENT_S
--- a/tests/net/test_attempt_exchange.py
+++ b/tests/net/test_attempt_exchange.py
@@ -18,7 +18,7 @@
 from pearhill.routing.outcomes import Outcome
 
 
-class AttemptExchange(unittest.IsolatedAsyncioTestCase):
+class TestAttemptExchange(unittest.IsolatedAsyncioTestCase):
     """A backend and a pool with one connection for requests, and a listening socket on loopback."""
 
     async def asyncSetUp(self) -> None:
@@ -39,20 +39,20 @@
         )
         self.addCleanup(self.pool.close)
 
-    async def test_control_calls_get_connections_when_requests_have_taken_all_of_theirs(self) -> None:
+    async def test_control_calls_get_connections_after_requests_have_used_all_of_theirs(self) -> None:
         """Control calls that use all of their connections still leave those for the endpoint list."""
-        for use, room in (
+        for purpose, capacity in (
             (ConnectionPurpose.REQUEST, 1),
             (ConnectionPurpose.CONTROL, 2),
             (ConnectionPurpose.DISCOVERY, DISCOVERY_CONNECTIONS),
         ):
-            for _ in range(room):
-                await self.pool.acquire(self.address, use)
-            for no_more in range(use + 1):
+            for _ in range(capacity):
+                await self.pool.acquire(self.address, purpose)
+            for full_purpose in range(purpose + 1):
                 with pytest.raises(PoolExhaustedError):
-                    await self.pool.acquire(self.address, ConnectionPurpose(no_more))
+                    await self.pool.acquire(self.address, ConnectionPurpose(full_purpose))
 
-    async def test_a_full_pool_is_no_fault_of_the_replica(self) -> None:
+    async def test_an_attempt_that_finds_the_pool_exhausted_ends_as_not_sent(self) -> None:
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
         await self.pool.acquire(self.address)
@@ -63,7 +63,7 @@
         await task
         attempt.end.assert_called_once_with(Outcome.NOT_SENT, 0, False, 0, None)
 
-    async def test_a_system_out_of_descriptors_or_ports_is_no_fault_of_the_replica(self) -> None:
+    async def test_an_attempt_is_retried_then_not_sent_if_the_system_lacks_descriptors_or_ports(self) -> None:
         """The attempt does not end at once either, because the shortage may be over soon."""
         backend = HttpBackend(self.pool, ReplicaDialect())
         backend.update_addresses({1: self.address}, [], full=True)
@@ -100,7 +100,7 @@
         assert backend.has_started(attempt)
         assert backend.cancel(attempt)
 
-    async def test_replicas_that_have_left_are_forgotten_once_no_release_may_be_owed_to_them(self) -> None:
+    async def test_addresses_of_unlisted_replicas_are_removed_once_no_release_can_need_them(self) -> None:
         backend = HttpBackend(self.pool, ReplicaDialect())
         for n in range(1000):
             backend.update_addresses({n: self.address}, [], full=True)  # each list has one replica, which is new
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -20,9 +20,9 @@
 CODEC = AggregationCodec([b"k" * 16])
 
 
-class Case:
+class DatagramsCase:
     @pytest.fixture(autouse=True)
-    def begin(self) -> Iterator[None]:
+    def set_up(self) -> Iterator[None]:
         self.now, self.sent, self.lines = 1000 * S, list[tuple[bytes, Any]](), list[str]()
         self.deadlines = Deadlines(lambda: self.now)
         self.datagrams = Datagrams(self.deadlines)
@@ -48,8 +48,8 @@
             self.now = end
 
 
-class TestRejectedDatagrams(Case):
-    def test_are_counted_each_and_logged_once_a_minute_with_their_reasons(self) -> None:
+class TestRejectedDatagrams(DatagramsCase):
+    def test_rejected_datagrams_are_counted_and_logged_once_a_minute_with_their_reasons(self) -> None:
         def receiver(data: bytes, address: Any) -> None:
             if len(data) > 1:
                 raise MessageRejectedError("forged")
@@ -76,8 +76,8 @@
         ]
 
 
-class TestAggregation(Case):
-    def test_answers_go_where_the_datagram_came_from_and_to_other_aggregators_where_the_file_says(self) -> None:
+class TestAggregation(DatagramsCase):
+    def test_dispatchers_are_answered_at_the_source_address_and_aggregators_at_the_configured_one(self) -> None:
         aggregator = Aggregator("a1", ["a2"], self.now, random.Random(1))
         driver = Aggregation(aggregator, CODEC, {"a2": ("10.0.0.2", 2)}, self.deadlines, self.datagrams)
         driver.start()
@@ -97,11 +97,11 @@
         assert receive_hello("a2", 1, ("6.6.6.6", 6)) == []
 
 
-class TestReporting(Case):
-    def test_ticks_when_due_and_neither_spins_nor_is_put_off_by_what_comes_in(self) -> None:
+class TestReporting(DatagramsCase):
+    def test_ticks_run_at_a_minimum_interval_and_are_not_postponed_by_received_datagrams(self) -> None:
         case = self
 
-        class Eager:
+        class AlwaysDueReporter:
             name, ticks, sizes = "d1", list[int](), list[int]()
 
             def next_tick(self, now: int) -> int:
@@ -128,7 +128,7 @@
 
             due = case.now
 
-        reporter, counts, at = Eager(), list[int](), ("10.0.0.2", 2)
+        reporter, counts, at = AlwaysDueReporter(), list[int](), ("10.0.0.2", 2)
         driver = Reporting(reporter, CODEC, {"a1": at}, self.deadlines, self.datagrams)  # type: ignore[arg-type]
         driver.on_count = lambda: counts.append(reporter.count(self.now))
         driver.start()
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -26,12 +26,12 @@
         self.ticks = EventLoopTicks(loop, self.deadlines)
         self.listener = Listener(loop, self.deadlines, Counters(), handler=None, max_connections=MAX_CONNECTIONS)  # type: ignore[arg-type]
         self.address = self.listener.listen(("127.0.0.1", 0))
-        self.walks = 0
+        self.scans = 0
         evictor = self.listener._evictor
         least_useful = evictor._least_useful
 
         def counted(max_connections: int) -> Any:
-            self.walks += 1
+            self.scans += 1
             return least_useful(max_connections)
 
         evictor._least_useful = counted  # type: ignore[method-assign]
@@ -40,7 +40,7 @@
         await self.listener.close()
         self.ticks.close()
 
-    async def test_a_flood_costs_no_walk_over_all_connections_for_each_client(self) -> None:
+    async def test_a_flood_of_clients_does_not_scan_all_connections_for_each_client(self) -> None:
         clients = []
         for _ in range(FLOOD):
             client = socket.create_connection(self.address)
@@ -51,25 +51,25 @@
         ended = self.listener.counters.connections
         while ended["client room-needed"] < FLOOD - MAX_CONNECTIONS - 16:
             await asyncio.sleep(0)
-        assert self.walks < FLOOD / 8
+        assert self.scans < FLOOD / 8
         assert sum(not connection.closed for connection in self.listener.connections) <= MAX_CONNECTIONS
         assert clients[0].recv(1) == b""  # the first client, which sent nothing, was disconnected
         with pytest.raises(BlockingIOError):
             clients[-1].recv(1)
 
-    async def test_no_connection_is_ended_while_the_accept_queue_is_empty(self) -> None:
+    async def test_no_connection_is_closed_while_the_accept_queue_is_empty(self) -> None:
         """The last one accepted, whose request was in transit, was closed as soon as the limit was reached."""
-        for some in (3, MAX_CONNECTIONS - 3):
+        for batch in (3, MAX_CONNECTIONS - 3):
             before = len(self.listener.connections)
-            for _ in range(some):
+            for _ in range(batch):
                 self.addCleanup(socket.create_connection(self.address).close)
-            while len(self.listener.connections) < before + some:
+            while len(self.listener.connections) < before + batch:
                 await asyncio.sleep(0)
         for _ in range(10):
             await asyncio.sleep(0)
         assert self.listener.counters.connections["client room-needed"] == 0
 
-    async def test_a_connection_that_has_become_useful_since_it_was_found_is_not_ended(self) -> None:
+    async def test_an_eviction_candidate_that_is_in_use_again_is_not_closed(self) -> None:
         clients = [socket.create_connection(self.address) for _ in range(MAX_CONNECTIONS - 1)]
         for client in clients:
             self.addCleanup(client.close)
@@ -77,7 +77,7 @@
             await asyncio.sleep(0)
         evictor = self.listener._evictor
         found = evictor._least_useful(MAX_CONNECTIONS)
-        evictor._closable.extend(found)
+        evictor._candidates.extend(found)
         for each in found:
             each.connection.answering = True
         assert evictor.make_room(MAX_CONNECTIONS)
@@ -96,7 +96,7 @@
             await asyncio.sleep(0)
         return clients
 
-    async def test_a_full_table_of_files_of_the_system_ends_no_connection_here(self) -> None:
+    async def test_a_resource_shortage_of_the_system_closes_no_connection(self) -> None:
         """ENFILE, ENOBUFS and ENOMEM are shortages of the system: any connection may have a request in transit."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
             with self.subTest(errno=errno.errorcode[number]):
@@ -115,10 +115,10 @@
                         client.recv(1)
                     client.close()
 
-    async def test_a_partial_request_is_not_ended_while_other_connections_can_be(self) -> None:
+    async def test_a_connection_with_a_partial_request_is_not_closed_while_others_can_be(self) -> None:
         """Its last byte may be in transit: if the connection were closed now, a request that was read would be lost."""
-        half, silent = await self.connect(2)
-        half.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
+        partial, silent = await self.connect(2)
+        partial.sendall(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf")
         while not any(connection.intake.in_message for connection in self.listener.connections):
             await asyncio.sleep(0)
         for _ in range(MAX_CONNECTIONS + 8):
@@ -128,9 +128,9 @@
             await asyncio.sleep(0)
         assert silent.recv(1) == b""
         with pytest.raises(BlockingIOError):
-            half.recv(1)
+            partial.recv(1)
 
-    async def test_a_silent_client_is_not_closed_over_a_request_that_waits_to_be_read(self) -> None:
+    async def test_a_client_with_an_unread_request_is_not_disconnected_at_its_timeout(self) -> None:
         """The request arrived just before its timeout, and the event loop had not read it yet."""
         (client,) = await self.connect(1)
         (connection,) = (connection for connection in self.listener.connections if not connection.closed)
@@ -138,14 +138,14 @@
         connection._request_overdue()
         assert not connection.closed
 
-    async def test_a_connection_that_fails_in_the_last_accepts_takes_none_behind_it_along(self) -> None:
+    async def test_clients_behind_a_failed_accept_are_accepted_before_the_socket_is_closed(self) -> None:
         """ECONNABORTED concerns one connection; those behind it would be reset when the listening socket is closed."""
         real = self.listener._sock
         assert real
         self.listener.pause(True)
         client = socket.create_connection(self.address)
         self.addCleanup(client.close)
-        self.listener._sock = AbortedFirst(real)  # type: ignore[assignment]
+        self.listener._sock = FirstAcceptAborted(real)  # type: ignore[assignment]
         self.listener.stop_accepting()
         assert "{}:{}".format(*client.getsockname()) in {connection.peer for connection in self.listener.connections}
 
@@ -164,7 +164,7 @@
         raise OSError(self.number, os.strerror(self.number))
 
 
-class AbortedFirst:
+class FirstAcceptAborted:
     """A listening socket whose next accept fails, as for a client that has already disconnected."""
 
     def __init__(self, sock: socket.socket) -> None:
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -30,7 +30,7 @@
         return size
 
 
-def test_lines_are_written_again_once_the_disk_has_room() -> None:
+def test_lines_are_written_again_once_the_disk_has_space() -> None:
     stderr = FullDisk()
     with patch.object(sys, "stderr", stderr):
         log = LogThread()
--- a/tests/net/test_output_buffer.py
+++ b/tests/net/test_output_buffer.py
@@ -40,7 +40,7 @@
         self.sock = LimitedSocket(ours, 0)
         self.buffer = OutputBuffer(asyncio.get_running_loop(), self.sock)  # type: ignore[arg-type]
 
-    async def test_what_fits_goes_out_at_once_with_what_was_appended_before(self) -> None:
+    async def test_bytes_that_fit_are_sent_at_once_after_appended_bytes(self) -> None:
         self.sock.capacity = 100
         self.buffer.append(b"head ")
         assert not self.sock.sent
@@ -48,19 +48,19 @@
         assert self.sock.sent == b"head body"
         assert not self.buffer.unsent
 
-    async def test_bytes_are_only_kept_while_another_write_is_under_way(self) -> None:
+    async def test_bytes_are_only_buffered_while_another_write_is_in_progress(self) -> None:
         self.sock.capacity = 100
         self.buffer.add(b"later", send_now=False)
         assert not self.sock.sent
         assert self.buffer.unsent == b"later"
 
-    async def test_a_send_that_fails_leaves_the_bytes(self) -> None:
+    async def test_a_failed_send_leaves_the_bytes_unsent(self) -> None:
         for number in (errno.EAGAIN, errno.ENOBUFS, errno.EPIPE):
             self.sock.number = number
             self.buffer.add(b"x", send_now=True)
         assert self.buffer.unsent == b"xxx"
 
-    async def test_its_sender_is_held_back_past_the_bound_and_goes_on_below_it(self) -> None:
+    async def test_the_sender_waits_above_the_limit_and_resumes_below_it(self) -> None:
         self.buffer.add(b"x" * MAX_BUFFERED_BYTES, send_now=True)
         assert self.buffer.has_capacity.is_set()
         self.buffer.add(b"x", send_now=True)
@@ -70,18 +70,18 @@
         assert self.buffer.has_capacity.is_set()
         assert len(self.sock.sent) == MAX_BUFFERED_BYTES + 1
 
-    async def test_a_piece_above_the_bound_that_the_socket_takes_holds_nothing_back(self) -> None:
+    async def test_a_chunk_above_the_limit_that_the_socket_accepts_makes_no_sender_wait(self) -> None:
         self.sock.capacity = 2 * MAX_BUFFERED_BYTES
         self.buffer.add(b"x" * (2 * MAX_BUFFERED_BYTES), send_now=True)
         assert self.buffer.has_capacity.is_set()
 
-    async def test_a_write_on_a_broken_connection_is_an_error(self) -> None:
+    async def test_a_write_on_a_broken_connection_raises_an_error(self) -> None:
         self.sock.number = errno.EPIPE
         self.buffer.add(b"x", send_now=True)
         with pytest.raises(BrokenPipeError):
             await self.buffer.write_some()
 
-    async def test_a_sender_that_waits_goes_on_when_the_connection_ends(self) -> None:
+    async def test_a_waiting_sender_resumes_when_the_connection_closes(self) -> None:
         self.buffer.add(b"x" * (MAX_BUFFERED_BYTES + 1), send_now=True)
         waiting = asyncio.ensure_future(self.buffer.has_capacity.wait())
         await asyncio.sleep(0)
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -40,7 +40,7 @@
     return Pool(asyncio.get_running_loop(), deadlines, Counters(), **{**defaults, **settings})
 
 
-def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it() -> None:
+def test_a_connection_that_the_server_has_closed_is_not_reused_even_before_its_reader_has_run() -> None:
     """A request written to it would fail with a reset, and may have been executed."""
 
     async def scenario() -> None:
@@ -60,7 +60,7 @@
     run(scenario())
 
 
-def test_a_connection_carries_no_request_for_a_while_after_a_response() -> None:
+def test_a_connection_carries_no_request_until_the_reuse_delay_after_a_response_is_over() -> None:
     """A second response, some milliseconds after the first, would be mistaken for the response to that request. A
     control call is sent at once: its response is of another kind, and it causes no execution."""
 
@@ -84,7 +84,7 @@
     run(scenario())
 
 
-def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release() -> None:
+def test_a_release_that_is_not_answered_on_idle_connections_is_retried_on_a_new_one_in_time() -> None:
     """The time limit is at least 300 ms, and 300 ms more are allowed. Here, two idle connections no longer answer."""
 
     async def scenario() -> None:
@@ -133,7 +133,7 @@
     run(scenario())
 
 
-def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it() -> None:
+def test_an_expired_idle_connection_is_not_reused_even_if_a_late_sweep_has_not_closed_it() -> None:
     """The server may have dropped it silently: a request written to it fails with a reset, and may be executed."""
 
     async def scenario() -> None:
@@ -152,8 +152,8 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("how", ["answered early", "closed here"])
-def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how: str) -> None:
+@pytest.mark.parametrize("cause", ["answered early", "closed here"])
+def test_a_waiting_write_ends_with_its_connection_and_the_descriptor_is_closed_only_then(cause: str) -> None:
     """The reader detected the end, and closed a socket that was still polled for the writer. The writer waited for
     ever, and the next connection with the same descriptor was polled in its place."""
 
@@ -166,7 +166,7 @@
             number = connection.sock.fileno()
             writing = asyncio.ensure_future(connection.send(CollectedResponse(loop, 100), lambda: LARGE_REQUEST))
             await asyncio.sleep(0)
-            if how == "answered early":
+            if cause == "answered early":
                 peer.sendall(EARLY_RESPONSE)
             else:
                 connection.close("called-off")
--- a/tests/net/test_request_intake.py
+++ b/tests/net/test_request_intake.py
@@ -37,7 +37,7 @@
         self.feed(b"".join(GET % number for number in range(3)))
         assert self.targets() == ["/0", "/1", "/2"]
 
-    async def test_a_large_buffer_is_only_for_the_rest_of_a_request(self) -> None:
+    async def test_a_large_buffer_is_only_used_for_the_rest_of_a_request(self) -> None:
         assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
         self.feed(POST % (0, 9))
         assert self.intake.in_message
@@ -46,7 +46,7 @@
         assert not self.intake.in_message
         assert len(self.intake.new_buffer()) == FIRST_READ_BYTES
 
-    async def test_a_flood_of_requests_ends_with_a_rejection_and_nothing_behind_it_is_kept(self) -> None:
+    async def test_a_flood_of_requests_ends_with_a_rejection_and_later_requests_are_discarded(self) -> None:
         self.feed(b"".join(GET % number for number in range(20)), answering=True)
         assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS)), 429]
         self.feed(GET % 99, answering=True)
@@ -56,18 +56,18 @@
         self.feed(b"".join(GET % number for number in range(20)))
         assert self.targets() == [*(f"/{number}" for number in range(MAX_PIPELINED_REQUESTS + 1)), 429]
 
-    async def test_waiting_bodies_are_bounded_by_one_largest_body(self) -> None:
+    async def test_waiting_bodies_are_limited_to_the_maximum_size_of_one_body(self) -> None:
         body = b"x" * (MAX_BODY // 2 + 1)
         self.feed(b"".join(POST % (number, len(body)) + body for number in range(3)), answering=True)
         assert self.targets() == ["/0", "/1", 429]
 
-    async def test_a_malformed_request_is_a_rejection(self) -> None:
+    async def test_a_malformed_request_is_rejected(self) -> None:
         self.feed(b"nonsense\r\n\r\n")
         (rejected,) = self.intake.waiting
         assert isinstance(rejected, Rejected)
         assert rejected.status == 400
 
-    async def test_an_interim_response_never_lands_inside_an_answer(self) -> None:
+    async def test_no_interim_response_is_sent_while_another_request_waits(self) -> None:
         head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n"
         self.feed(head)
         assert self.continues == 1
@@ -79,7 +79,7 @@
         self.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n", answering=True)
         assert self.continues == 0
 
-    async def test_a_request_had_arrived_before_the_system_could_be_asked_for_its_bytes(self) -> None:
+    async def test_a_delayed_read_does_not_change_the_arrival_time_of_a_request(self) -> None:
         """Its deadline counts from the arrival of its last byte, and not from when there was memory to read it."""
         self.intake.socket_reader.delayed_s = 0.25
         self.feed(GET % 0)
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -56,18 +56,18 @@
         self.theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         self.theirs.close()
 
-    async def test_bytes_in_order_and_the_end(self) -> None:
+    async def test_bytes_are_read_in_order_up_to_the_end_of_the_stream(self) -> None:
         self.theirs.sendall(b"one two three")
         assert await self.read() + await self.read() == b"one two three"
         self.theirs.shutdown(socket.SHUT_WR)
         assert await self.read() == b""
 
-    async def test_a_reset_is_an_error(self) -> None:
+    async def test_a_reset_raises_an_error(self) -> None:
         self.reset()
         with pytest.raises(ConnectionResetError):
             await self.read()
 
-    async def test_a_reset_behind_bytes_in_one_wake_up_is_an_error_once_they_are_read(self) -> None:
+    async def test_a_reset_reported_together_with_bytes_raises_an_error_after_they_are_read(self) -> None:
         waiting = asyncio.create_task(self.read())
         await asyncio.sleep(0)
         self.theirs.sendall(b"one two")
@@ -76,7 +76,7 @@
         with pytest.raises(ConnectionResetError):
             await self.read()
 
-    async def test_a_reset_in_a_wake_up_whose_read_was_cancelled_is_an_error_at_the_next(self) -> None:
+    async def test_a_reset_reported_to_a_cancelled_read_raises_an_error_at_the_next_read(self) -> None:
         waiting = asyncio.create_task(self.read())
         await asyncio.sleep(0)
         self.reset()
@@ -85,13 +85,13 @@
         with pytest.raises(ConnectionResetError):
             await self.read()
 
-    async def test_a_read_that_fails_for_want_of_memory_or_by_a_signal_is_tried_again(self) -> None:
+    async def test_a_read_that_fails_for_want_of_memory_or_by_a_signal_is_retried(self) -> None:
         for number in (errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS):
             self.sock.errors = [number, number]
             self.theirs.sendall(b"kept")
             assert await self.read() == b"kept", errno.errorcode[number]
 
-    async def test_how_long_bytes_could_not_be_read_is_reported(self) -> None:
+    async def test_the_time_for_which_bytes_could_not_be_read_is_reported(self) -> None:
         """A request's deadline counts from its last byte, and not from when the system had memory to read it."""
         self.sock.errors = [errno.ENOMEM] * 4
         self.theirs.sendall(b"kept")
@@ -101,7 +101,7 @@
         await self.read()
         assert self.reader.delayed_s == 0.0
 
-    async def test_a_reset_is_seen_though_the_read_of_its_wake_up_failed(self) -> None:
+    async def test_a_reset_is_detected_although_the_first_read_after_its_wake_up_failed(self) -> None:
         for number in (errno.EINTR, errno.EAGAIN, errno.ENOMEM):
             with self.subTest(errno.errorcode[number]):
                 await self.asyncSetUp()
@@ -110,7 +110,7 @@
                 with pytest.raises(ConnectionResetError):
                     await self.read()
 
-    async def test_a_sender_that_never_stops_lets_other_tasks_run(self) -> None:
+    async def test_other_tasks_run_while_a_sender_never_stops(self) -> None:
         self.theirs.sendall(b"x" * 8 * 50)
         await self.read()
         ticks = 0
@@ -127,7 +127,7 @@
         other.cancel()
         assert ticks >= 40 // READS_PER_TICK - 1
 
-    async def test_a_cancelled_read_takes_nothing(self) -> None:
+    async def test_a_cancelled_read_consumes_nothing(self) -> None:
         task = asyncio.create_task(self.reader.recv_into(self.buffer))
         await asyncio.sleep(0)
         task.cancel()
@@ -135,7 +135,7 @@
         self.theirs.sendall(b"kept")
         assert await self.read() == b"kept"
 
-    async def test_bytes_that_nothing_reads_do_not_spin_the_loop(self) -> None:
+    async def test_unread_bytes_do_not_make_the_event_loop_spin(self) -> None:
         self.theirs.sendall(b"a")
         await self.read()
         wake_ups = 0
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -37,14 +37,14 @@
         self.addCleanup(ours.close)
         self.addCleanup(self.theirs.close)
 
-    async def test_every_byte_goes_out_once_whatever_fails_between(self) -> None:
+    async def test_every_byte_is_sent_once_despite_transient_failures(self) -> None:
         self.sock.max_bytes = 3
         for number in (errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS):
             self.sock.errors = [number, number]
             await asyncio.wait_for(self.writer.send_all(lambda: b"one two three"), 20)
             assert self.theirs.recv(100) == b"one two three", errno.errorcode[number]
 
-    async def test_what_does_not_fit_waits_until_it_is_taken(self) -> None:
+    async def test_bytes_that_do_not_fit_wait_until_they_are_accepted(self) -> None:
         data = bytes(range(256)) * 8192
         sending = asyncio.create_task(self.writer.send_all(lambda: data))
         await asyncio.sleep(0)
@@ -56,14 +56,14 @@
         await sending
         assert bytes(received) == data
 
-    async def test_a_connection_that_ends_while_it_takes_nothing_is_an_error(self) -> None:
+    async def test_a_connection_that_closes_during_a_waiting_write_raises_an_error(self) -> None:
         sending = asyncio.create_task(self.writer.send_all(lambda: b"x" * (1 << 22)))
         await asyncio.sleep(0)
         self.theirs.close()
         with pytest.raises((BrokenPipeError, ConnectionResetError)):
             await asyncio.wait_for(sending, 20)
 
-    async def test_what_is_written_is_built_anew_until_its_first_byte_goes_out(self) -> None:
+    async def test_data_is_rebuilt_until_its_first_byte_is_sent(self) -> None:
         """A request states how much time is left, and may have to wait before any of its bytes is accepted."""
         built = 0
 
@@ -77,7 +77,7 @@
         await asyncio.wait_for(self.writer.send_all(build), 20)
         assert (self.theirs.recv(100), built) == (b"5 left", 4)
 
-    async def test_an_interrupted_write_waits_for_nothing(self) -> None:
+    async def test_an_interrupted_write_is_retried_at_once(self) -> None:
         self.sock.errors = [errno.EINTR] * 5
         sending = asyncio.ensure_future(self.writer.send_all(lambda: b"x"))
         for _ in range(10):
--- a/tests/net/test_unread_input.py
+++ b/tests/net/test_unread_input.py
@@ -29,7 +29,7 @@
             yield ours, theirs
 
 
-def test_a_look_shows_bytes_and_leaves_them(pair: tuple[socket.socket, socket.socket]) -> None:
+def test_a_check_finds_bytes_and_does_not_consume_them(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     assert peek_unread_input(ours) == UnreadInput.NONE
     theirs.sendall(b"two")
@@ -39,7 +39,7 @@
     assert peek_unread_input(ours) == UnreadInput.NONE
 
 
-def test_the_end_of_a_connection_is_no_input(pair: tuple[socket.socket, socket.socket]) -> None:
+def test_the_end_of_a_connection_is_not_unread_input(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     theirs.shutdown(socket.SHUT_WR)
     assert ours.recv(1) == b""
@@ -55,6 +55,6 @@
         (errno.ECONNRESET, UnreadInput.NONE),
     ],
 )
-def test_a_look_that_fails_for_want_of_memory_or_by_a_signal_shows_nothing(number: int, found: UnreadInput) -> None:
+def test_a_failed_check_is_unknown_unless_the_connection_is_broken(number: int, found: UnreadInput) -> None:
     sock: Any = FailingSocket(number)
     assert peek_unread_input(sock) == found
