--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -105,7 +105,7 @@
     def has_disconnected(self) -> bool:
         """Whether the client has closed, half-closed or reset its connection, checked on the socket itself. A busy loop
         may not have read the end of the stream yet, or more bytes may precede the end, and the request would be
-        forwarded in vain."""
+        forwarded needlessly."""
         read = 0
         while not self.closed and read < MAX_DISCONNECT_CHECK_BYTES:
             try:
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -13,8 +13,8 @@
 
 
 class EvictionCandidate(NamedTuple):
-    """A connection that may be closed, as it was when it was found. `batch` is how many of its state are closed at
-    once."""
+    """A connection that may be closed, with its state when a scan found it. `batch` is how many connections in that
+    state are closed at once."""
 
     connection: AcceptedConnection
     use: ConnectionUse
@@ -23,7 +23,7 @@
 
     @property
     def unchanged(self) -> bool:
-        """Whether the connection is still as it was when it was found, and may still be closed."""
+        """Whether the connection's state has not changed since the scan, and it may still be closed."""
         connection = self.connection
         return connection.use == self.use and connection.state_since == self.state_since and connection.may_close
 
--- a/pearhill/net/exchange.py
+++ b/pearhill/net/exchange.py
@@ -9,7 +9,8 @@
 
 
 class Exchange(Protocol):
-    """One request on a connection. `handle` is called with each event of the response, at least with a `Lost`."""
+    """One request on a connection. `handle` is called with each event of the response. If the connection fails before
+    the end of the response, the last event is a `Lost`."""
 
     @property
     def request_id(self) -> str:
--- a/pearhill/net/pooled_connection.py
+++ b/pearhill/net/pooled_connection.py
@@ -118,7 +118,7 @@
             await exchange.handle(event)
         except Exception:
             # An error while handling one event would end the reader, and the request would wait for ever.
-            logger.exception("an exchange failed on {event}", event=type(event).__name__)
+            logger.exception("an exchange failed while handling a {event} event", event=type(event).__name__)
             self.close("fault")
             if not isinstance(event, Lost):
                 await exchange.handle(Lost("fault"))
--- a/pearhill/net/request_intake.py
+++ b/pearhill/net/request_intake.py
@@ -55,9 +55,9 @@
                     send_continue()
                 continue
             if self._is_flooded(answering):
-                # Unread bytes of a flood would hide the disconnect of its client, whose requests would be forwarded in
-                # vain. So reading continues, the rest is discarded, and the connection closes after the answers to the
-                # first requests.
+                # Unread bytes of a flood would hide the disconnect of its client, whose requests would be forwarded
+                # needlessly. So reading continues, the rest is discarded, and the connection closes after the answers
+                # to the first requests.
                 self.waiting.append(Rejected(429, "too many requests at once on one connection"))
                 self._parser.close()
                 break
--- a/pearhill/net/socket_writer.py
+++ b/pearhill/net/socket_writer.py
@@ -52,7 +52,7 @@
             raise error
 
     async def _wait_writable(self) -> None:
-        """Wait until the event loop reports the socket writable. The socket is registered for each wait anew, because
+        """Wait until the event loop reports the socket writable. The socket is registered again for each wait, because
         libuv stops polling a socket on which an error was reported."""
         waiter: asyncio.Future[None] = self._loop.create_future()
 
