--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -28,9 +28,8 @@
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, peer: str, delayed_accept: bool = False) -> None:
         self.pending: Pending | None = None
         self.answering = False  # a request is being answered
-        self.state_since = (
-            owner.deadlines.clock()
-        )  # time of the accept, a partial request's first byte, or the last answer
+        # Time of the accept, a partial request's first byte, or the last answer.
+        self.state_since = owner.deadlines.clock()
         self._keep_alive = True  # the client allows reuse, and no error occurred
         self._close_after_next = False  # close after the next answer, whatever its request's headers say
         self._announced_close = False  # the current answer's headers announce the close
