--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -60,9 +60,9 @@
         """Close connections that were found before, one batch at most, and return how many were closed."""
         closed = 0
         while self._candidates and closed < self._candidates[0].batch:
-            found = self._candidates.popleft()
-            if found.unchanged:
-                found.connection.close("room-needed")
+            candidate = self._candidates.popleft()
+            if candidate.unchanged:
+                candidate.connection.close("room-needed")
                 closed += 1
         return closed
 
@@ -81,7 +81,7 @@
         )
         for use, batch in batches:
             oldest = nsmallest(4 * batch_size, by_state[use], key=lambda connection: connection.state_since)
-            found = [EvictionCandidate(each, use, each.state_since, batch) for each in oldest if each.may_close]
-            if found:
-                return found
+            candidates = [EvictionCandidate(each, use, each.state_since, batch) for each in oldest if each.may_close]
+            if candidates:
+                return candidates
         return []
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -30,11 +30,11 @@
         evictor = self.listener._evictor
         least_useful = evictor._least_useful
 
-        def counted(max_connections: int) -> Any:
+        def counting_least_useful(max_connections: int) -> Any:
             self.scans += 1
             return least_useful(max_connections)
 
-        evictor._least_useful = counted  # type: ignore[method-assign]
+        evictor._least_useful = counting_least_useful  # type: ignore[method-assign]
 
     async def asyncTearDown(self) -> None:
         await self.listener.close()
@@ -48,8 +48,8 @@
             self.addCleanup(client.close)
             clients.append(client)
             await asyncio.sleep(0)
-        ended = self.listener.counters.connections
-        while ended["client room-needed"] < FLOOD - MAX_CONNECTIONS - 16:
+        closed_counts = self.listener.counters.connections
+        while closed_counts["client room-needed"] < FLOOD - MAX_CONNECTIONS - 16:
             await asyncio.sleep(0)
         assert self.scans < FLOOD / 8
         assert sum(not connection.closed for connection in self.listener.connections) <= MAX_CONNECTIONS
@@ -76,13 +76,13 @@
         while len(self.listener.connections) < MAX_CONNECTIONS - 1:
             await asyncio.sleep(0)
         evictor = self.listener._evictor
-        found = evictor._least_useful(MAX_CONNECTIONS)
-        evictor._candidates.extend(found)
-        for each in found:
+        candidates = evictor._least_useful(MAX_CONNECTIONS)
+        evictor._candidates.extend(candidates)
+        for each in candidates:
             each.connection.answering = True
         assert evictor.make_room(MAX_CONNECTIONS)
-        assert not any(each.connection.closed for each in found)
-        for each in found:
+        assert not any(each.connection.closed for each in candidates)
+        for each in candidates:
             each.connection.answering = False
 
     async def connect(self, count: int) -> list[socket.socket]:
