--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -12,7 +12,7 @@
 from pearhill.http1.server import Rejected
 from pearhill.net.client_socket import ClientSocket, ConnectionOwner
 from pearhill.net.unread_input import UnreadInput, peek_unread_input
-from pearhill.routing.permissions import ConnectionUse, may_close
+from pearhill.routing.permissions import ConnectionState, may_close
 
 REQUEST_TIMEOUT_US = 2_000_000  # from a request's first byte until it has to be complete
 # The timeout of the first request starts at most this long after the accept, so that the connection of a client that
@@ -56,8 +56,8 @@
         if self.last_answer_given:
             return ConnectionUse.FINISHED
         if self.intake.in_message:
-            return ConnectionUse.PARTIAL_REQUEST
-        return ConnectionUse.IDLE if self.requests else ConnectionUse.UNUSED
+            return ConnectionState.PARTIAL_REQUEST
+        return ConnectionState.IDLE if self.requests else ConnectionState.UNUSED
 
     @property
     def may_close(self) -> bool:
@@ -229,11 +229,11 @@
             case UnreadInput.UNKNOWN:
                 deadlines = self.owner.deadlines
                 deadlines.cancel(self._timer)
-                self._timer = deadlines.after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
+                self._timer = deadlines.schedule_after(RECHECK_INTERVAL_US, lambda: self.close_unless_unread(reason))
 
     def _on_closed(self) -> None:
         """Notify the handler that the client of the request being answered has disconnected."""
         pending = self.pending
         self.pending = None
         if pending:
-            pending.left()
+            pending.handle_disconnect()
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator import AGGREGATOR_TICK_US, Aggregator
 from pearhill.net.address import Address
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from functools import partial
 
-from pearhill.core.deadlines import Key
+from pearhill.core.deadlines import TimerKey
 from pearhill.core.request import Attempt, Request
 from pearhill.net.address import Address
 from pearhill.net.attempt_exchange import AttemptExchange
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.message_authenticator import MessageRejectedError
 from pearhill.net.address import Address
 
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from pearhill.net.accepted import AcceptedConnection
-from pearhill.routing.permissions import ConnectionUse
+from pearhill.routing.permissions import ConnectionState
 
 MAX_BATCH = 16  # connections of one state that are closed at once, in states where a close costs little
 
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -136,7 +136,7 @@
             count=count,
             there=self._count_received(),
         )
-        self.on_count(count)
+        self.on_count_change(count)
 
     def _count_received(self) -> int:
         """Return the number of dispatchers from which a message was received recently, including this one."""
@@ -149,7 +149,7 @@
     def _log_aggregator(self, now: int) -> None:
         """Log which aggregator answers, or that none has answered for longer than a switch to another one takes."""
         assert self.reporting
-        if self.sources.fresh(now):
+        if self.sources.has_fresh_sums(now):
             self._no_sums_since = None
             aggregator = self.reporting.reporter.figures(now)["aggregator"]
             if aggregator != self._logged_aggregator:
@@ -173,7 +173,7 @@
             "name": self.setup.name,
             "count": self.sources.count(now),
             "shares": node.dispatcher_count,
-            "source": self.sources.in_use(now),
+            "source": self.sources.active_source(now),
             "members": member_figures(now, self.gossip.protocol.members) if self.gossip else {},
             "reports": self.reporting.reporter.figures(now) if self.reporting else None,
             "engines": replicas,
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from pearhill.load_reports.evenness import evenness
-from pearhill.membership.members import Members
+from pearhill.membership.members import SwimMembership
 from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.net.address import Address
 
@@ -64,9 +64,9 @@
     """Return own and others' tokens at each replica, and how evenly all tokens are spread."""
     rows: list[dict[str, Any]] = []
     totals: dict[str, float] = {}
-    for replica, (waiting, load, avoided) in node.dispatcher.router.loads(now).items():
+    for replica, (waiting, load, avoided) in node.dispatcher.router.replica_statuses(now).items():
         address = "{}:{}".format(*node.backend.addresses.get(replica, UNKNOWN_ADDRESS))
-        others = sources.others(now, replica, waiting, load)
+        others = sources.estimate_peer_load(now, replica, waiting, load)
         totals[address] = load + others.total_tokens
         rows.append(
             {
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.gossip import GossipMessage, GossipProtocol
 from pearhill.membership.gossip_messages import VERSION, GossipCodec
 from pearhill.membership.members import GOSSIP_TICK_US
@@ -50,7 +50,7 @@
         count = self.protocol.count(now)
         if count != self._count:
             self._count = count
-            self.on_count()
+            self.on_count_change()
 
     def _receive(self, data: bytes, address: Address) -> None:
         message = self.codec.unpack(data, self.protocol.members.name)
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.counters import Counters
 from pearhill.http1.handler import Handler
 from pearhill.http1.server import MAX_BODY
@@ -18,7 +18,7 @@
 from pearhill.net.address import Address
 from pearhill.net.eviction import ConnectionEvictor
 from pearhill.net.tasks import Tasks
-from pearhill.routing.permissions import ConnectionUse
+from pearhill.routing.permissions import ConnectionState
 
 BACKLOG = 1024  # connections that may wait in the accept queue
 MAX_ACCEPTS_PER_TICK = 16  # connections accepted in one tick of the event loop
@@ -225,7 +225,7 @@
     def reject_partial_requests(self) -> None:
         """Reject each request that is incomplete, and close its connection."""
         for connection in list(self.connections):
-            if connection.use == ConnectionUse.PARTIAL_REQUEST:
+            if connection.state == ConnectionState.PARTIAL_REQUEST:
                 connection.reject_partial_request()
 
     def stop_accepting(self, leave: bool = False) -> None:
@@ -233,8 +233,8 @@
         from the same socket: without such a process they are reset, and what they have sent is lost."""
         if not self._sock:
             return
-        self.pause(True)
-        if not leave:
+        self.pause_accepting(True)
+        if not leave_queue:
             self.accept_all()
         self._sock.close()
         self._sock = None
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from pearhill.core.deadlines import Deadlines, Key
+from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.membership.aggregation_messages import VERSION, AggregationCodec, AggregationMessage
 from pearhill.membership.aggregator_choice import AggregatorSite
 from pearhill.membership.reporter import Reporter
@@ -86,7 +86,7 @@
         count = self.reporter.count(now)
         if count != self._count:
             self._count = count
-            self.on_count()
+            self.on_count_change()
         self.on_exchange(now)
 
     def _send(self, messages: list[AggregationMessage]) -> None:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -142,7 +142,7 @@
         """ECONNABORTED concerns one connection; those behind it would be reset when the listening socket is closed."""
         real = self.listener._sock
         assert real
-        self.listener.pause(True)
+        self.listener.pause_accepting(True)
         client = socket.create_connection(self.address)
         self.addCleanup(client.close)
         self.listener._sock = FirstAcceptAborted(real)  # type: ignore[assignment]
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -121,7 +121,7 @@
                 await asyncio.sleep(0)
             assert pending
             now += wait
-            deadlines.sweep()
+            deadlines.run_due()
         while backend.pending_releases:
             await asyncio.sleep(0)
         assert (len(received), connections) == (2, 3)
