--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -49,12 +49,12 @@
         return not (self.answering or self.intake.waiting or self.output.unsent or self._is_writing)
 
     @property
-    def use(self) -> ConnectionUse:
+    def state(self) -> ConnectionState:
         """The connection's current state."""
         if self.closed or not self.idle_or_reading:
-            return ConnectionUse.ANSWERING
+            return ConnectionState.ANSWERING
         if self.last_answer_given:
-            return ConnectionUse.FINISHED
+            return ConnectionState.FINISHED
         if self.intake.in_message:
             return ConnectionState.PARTIAL_REQUEST
         return ConnectionState.IDLE if self.requests else ConnectionState.UNUSED
@@ -62,11 +62,11 @@
     @property
     def may_close(self) -> bool:
         """Whether the connection may be closed so that another can be accepted."""
-        use = self.use
+        state = self.state
         unread = False
-        if use not in (ConnectionUse.FINISHED, ConnectionUse.ANSWERING):  # only where the system call matters
+        if state not in (ConnectionState.FINISHED, ConnectionState.ANSWERING):  # only where the system call matters
             unread = peek_unread_input(self.sock) != UnreadInput.NONE
-        return may_close(use, unread, self.owner.deadlines.clock() - self.state_since)
+        return may_close(state, unread, self.owner.deadlines.clock() - self.state_since)
 
     @property
     def awaits_request(self) -> bool:
@@ -159,7 +159,7 @@
                 self.answer(500)
             return
         if self.closed and pending:  # the client disconnected while the request was handled
-            pending.left()
+            pending.handle_disconnect()
         elif self._is_answering(number):
             self.pending = pending
 
@@ -189,9 +189,11 @@
         if self.closed or self.answering or self.last_answer_given:
             return
         if self.awaits_request:
-            self._timer = deadlines.at(self.state_since + REQUEST_TIMEOUT_US, self._request_overdue)
+            self._timer = deadlines.schedule_at(self.state_since + REQUEST_TIMEOUT_US, self._request_overdue)
         else:
-            self._timer = deadlines.at(self.state_since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle"))
+            self._timer = deadlines.schedule_at(
+                self.state_since + IDLE_TIMEOUT_US, lambda: self.close_unless_unread("idle")
+            )
 
     def _request_overdue(self) -> None:
         """Handle the request timeout: reject a partial request, or close the connection if no request was started."""
--- a/pearhill/net/aggregation.py
+++ b/pearhill/net/aggregation.py
@@ -36,7 +36,7 @@
         self.deadlines = deadlines
         self.datagrams = datagrams
         self.on_tick: Callable[[int], None] = lambda now: None  # called after each tick, with its time
-        self._tick_timer: Key | None = None
+        self._tick_timer: TimerKey | None = None
 
     def start(self) -> None:
         """Start ticking and receiving. The socket must be open."""
@@ -51,7 +51,7 @@
 
     def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._tick_timer = self.deadlines.at(now + AGGREGATOR_TICK_US, self._tick)
+        self._tick_timer = self.deadlines.schedule_at(now + AGGREGATOR_TICK_US, self._tick)
         for message in self.aggregator.tick(now):
             address = self.peers.get(message.to)
             if address:
--- a/pearhill/net/attempt_exchange.py
+++ b/pearhill/net/attempt_exchange.py
@@ -147,7 +147,7 @@
         self.status = status
         self.not_started = headers.get("not-started") == "1"
         self.headers = headers
-        if status == 200 and not self.owner.dialect.accepts(headers):
+        if status == 200 and not self.owner.dialect.is_stream(headers):
             self._abort("no-stream", Outcome.ERROR, f"unexpected content type {headers.get('content-type')}")
 
     async def _forward(self, data: bytes) -> None:
@@ -185,7 +185,7 @@
         stalled_at = self.attempt.last_forwarded_at + STALL_TIMEOUT_US
         if deadlines.clock() >= stalled_at:
             return self._abort("stalled", Outcome.TRUNCATED)
-        self._stall_timer = deadlines.at(stalled_at, self._check_stall)
+        self._stall_timer = deadlines.schedule_at(stalled_at, self._check_stall)
 
     def _last_chunk_overdue(self) -> None:
         """Close the connection if the last chunk is missing, which would otherwise occupy the connection for ever."""
@@ -250,7 +250,7 @@
         retry_after: int = 0,
         replica_error: Any = None,
     ) -> None:
-        """End the attempt with this outcome. `may_hold` is set if the replica may hold state for the request."""
+        """End the attempt with this outcome. `may_hold_state` is set if the replica may hold state for the request."""
         self._cancel_timers()
         self.owner.forget(self.attempt)
         self.attempt.end(outcome, cached_tokens, may_hold_state, retry_after, replica_error)
--- a/pearhill/net/backend.py
+++ b/pearhill/net/backend.py
@@ -31,7 +31,7 @@
         self.dialect = dialect
         self.addresses: dict[int, Address] = {}
         self.check_health = HealthChecks(pool, dialect, self.addresses, on_health_check).send
-        self.removal_timers: dict[int, Key] = {}  # by unlisted replica: the timer that removes its address
+        self.removal_timers: dict[int, TimerKey] = {}  # by unlisted replica: the timer that removes its address
         self.exchanges: dict[Attempt, AttemptExchange] = {}
         self.releases = Releases(pool, dialect, self.addresses)
 
@@ -57,7 +57,7 @@
     def _unlist(self, replica: int) -> None:
         self.pool.drop_idle(self.addresses[replica])
         forget = partial(self._forget_address, replica)
-        self.removal_timers[replica] = self.pool.deadlines.after(ADDRESS_RETENTION_US, forget)
+        self.removal_timers[replica] = self.pool.deadlines.schedule_after(ADDRESS_RETENTION_US, forget)
 
     def _forget_address(self, replica: int) -> None:
         """Remove a replica's address. Memory would otherwise grow without bound where replicas are replaced all day by
@@ -71,7 +71,7 @@
         """Start an attempt. `Attempt.end` is called with its outcome."""
         self.exchanges[attempt] = AttemptExchange(self, attempt)
 
-    def has_started(self, attempt: Attempt) -> bool:
+    def may_have_been_sent(self, attempt: Attempt) -> bool:
         """Whether the replica may have the complete request of an attempt that has not ended."""
         exchange = self.exchanges.get(attempt)
         return exchange is not None and exchange.may_have_sent
--- a/pearhill/net/client_socket.py
+++ b/pearhill/net/client_socket.py
@@ -57,7 +57,7 @@
         self.closed = False
         self.requests = 0
         self._bytes_after_last = 0  # read after the last answer
-        self._timer: Key | None = None
+        self._timer: TimerKey | None = None
         self._reason = "answered"  # for the close after the last answer
         self._writer: asyncio.Task[None] | None = None  # while bytes are unsent
         self._reader: asyncio.Task[None] | None = owner.spawn(self._read())
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -35,7 +35,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._rejected: Counter[str] = Counter()  # by reason, since the last log line
         self._last_rejected_peer = ""
-        self._log_timer: Key | None = None
+        self._log_timer: TimerKey | None = None
 
     async def open(self, address: Address) -> Address:
         """Open the socket and return its address. Raises OSError if the address cannot be used."""
@@ -90,7 +90,7 @@
             reasons=",".join(f"{reason}:{count}" for reason, count in sorted(self._rejected.items())),
         )
         self._rejected.clear()
-        self._log_timer = self.deadlines.after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
+        self._log_timer = self.deadlines.schedule_after(REJECTION_LOG_INTERVAL_US, self._log_rejected)
 
     def error_received(self, exc: Exception) -> None:
         """Count a datagram that could not be sent; called by the event loop. A peer whose port is closed needs no other
--- a/pearhill/net/dialect.py
+++ b/pearhill/net/dialect.py
@@ -23,10 +23,10 @@
         the stream cannot be trusted."""
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the stream is complete, whatever happens on the connection next."""
 
-    def ends_well(self) -> bool:
+    def may_end(self) -> bool:
         """Whether the stream is complete if the response's last chunk follows now."""
 
 
@@ -43,13 +43,13 @@
 class Dialect(HealthCheckDialect, ReleaseDialect, Protocol):
     """Builds and interprets the messages of one protocol."""
 
-    def request(self, payload: Any, replica: int, wait_ms: int) -> bytes:
-        """Build an attempt's request. `wait_ms` is the time that the client has left."""
+    def request(self, payload: Any, replica: int, remaining_ms: int) -> bytes:
+        """Build an attempt's request. `remaining_ms` is the time that the client has left."""
 
     def stream(self, payload: Any) -> Stream:
         """Return a parser for the response to this request."""
 
-    def accepts(self, headers: Mapping[str, str]) -> bool:
+    def is_stream(self, headers: Mapping[str, str]) -> bool:
         """Whether the body of a 200 with these headers is parsed as a stream."""
 
     def verdict(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict | None:
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -17,7 +17,7 @@
     state are closed at once."""
 
     connection: AcceptedConnection
-    use: ConnectionUse
+    state: ConnectionState
     state_since: int
     batch: int
 
@@ -25,7 +25,7 @@
     def unchanged(self) -> bool:
         """Whether the connection's state has not changed since the scan, and it may still be closed."""
         connection = self.connection
-        return connection.use == self.use and connection.state_since == self.state_since and connection.may_close
+        return connection.state == self.state and connection.state_since == self.state_since and connection.may_close
 
 
 class ConnectionEvictor:
@@ -37,14 +37,14 @@
 
     def close_finished(self) -> None:
         """Close the connections that have had their last answer."""
-        finished = [connection for connection in self._connections if connection.use == ConnectionUse.FINISHED]
+        finished = [connection for connection in self._connections if connection.state == ConnectionState.FINISHED]
         for connection in finished:
             connection.close("room-needed")
 
     def make_room(self, max_connections: int) -> bool:
-        """Close some connections, and return whether any was closed. The order is that of `ConnectionUse`: first those
-        that have had their last answer; then those that never sent a request, hundreds of which would block all other
-        clients; then the one that has been idle longest; and last, one with a partial request."""
+        """Close some connections, and return whether any was closed. The order is that of `ConnectionState`: first
+        those that have had their last answer; then those that never sent a request, hundreds of which would block all
+        other clients; then the one that has been idle longest; and last, one with a partial request."""
         # In a flood of clients that stay connected, a scan of all connections at each accept used most of a CPU core.
         # So the result of one scan is used for several of the accepts that follow, as far as it is still valid.
         closed = 0
@@ -69,19 +69,19 @@
     def _least_useful(self, max_connections: int) -> list[EvictionCandidate]:
         """Return closable connections of one state, the first state that has any, oldest first."""
         # A list indexed by state avoids hashing an enum member for each of thousands of connections.
-        by_state: list[list[AcceptedConnection]] = [[] for _ in ConnectionUse]
+        by_state: list[list[AcceptedConnection]] = [[] for _ in ConnectionState]
         for connection in self._connections:
-            by_state[connection.use].append(connection)
+            by_state[connection.state].append(connection)
         batch_size = max(2, min(MAX_BATCH, max_connections // 8))  # where a close costs little
         batches = (
-            (ConnectionUse.FINISHED, batch_size),
-            (ConnectionUse.UNUSED, batch_size),
-            (ConnectionUse.IDLE, 1),
-            (ConnectionUse.PARTIAL_REQUEST, 1),
+            (ConnectionState.FINISHED, batch_size),
+            (ConnectionState.UNUSED, batch_size),
+            (ConnectionState.IDLE, 1),
+            (ConnectionState.PARTIAL_REQUEST, 1),
         )
-        for use, batch in batches:
-            oldest = nsmallest(4 * batch_size, by_state[use], key=lambda connection: connection.state_since)
-            candidates = [EvictionCandidate(each, use, each.state_since, batch) for each in oldest if each.may_close]
+        for state, batch in batches:
+            oldest = nsmallest(4 * batch_size, by_state[state], key=lambda connection: connection.state_since)
+            candidates = [EvictionCandidate(each, state, each.state_since, batch) for each in oldest if each.may_close]
             if candidates:
                 return candidates
         return []
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -51,7 +51,7 @@
 
 class Fleet:
     """Runs gossip and reports. `own_loads` returns this dispatcher's current tokens at each replica. `sources` is for
-    the router's `use_peers`."""
+    the router's `set_peer_load_source`."""
 
     def __init__(
         self, setup: FleetSetup, seed: int, deadlines: Deadlines, own_loads: Callable[[], Iterable[ReplicaLoad]]
@@ -63,7 +63,7 @@
         self.sources = CombinedLoadSource()
         self.gossip: Gossip | None = None
         self.reporting: Reporting | None = None
-        self.on_count: Callable[[int], None] = lambda count: None  # called with the new number of dispatchers
+        self.on_count_change: Callable[[int], None] = lambda count: None  # called with the new number of dispatchers
         self._own_loads = own_loads
         self._count: int | None = None
         self._logged_aggregator: str | None = ""  # None if none answers
@@ -101,7 +101,7 @@
             protocol = GossipProtocol(setup.name, setup.peers, started_at, rng, self._own_loads)
             self.sources.gossip = protocol
             self.gossip = Gossip(protocol, codec, setup.peers, self.deadlines, self.datagrams)
-            self.gossip.on_count = self._update_count
+            self.gossip.on_count_change = self._update_count
             self.gossip.start()
         elif self.gossip:
             self.gossip.close()
@@ -118,7 +118,7 @@
             reporter = Reporter(setup.name, setup.region, setup.sites, started_at, rng, self._own_loads)
             self.sources.reporter = reporter
             self.reporting = Reporting(reporter, codec, addresses, self.deadlines, self.datagrams)
-            self.reporting.on_count = self._update_count
+            self.reporting.on_count_change = self._update_count
             self.reporting.on_exchange = self._log_aggregator
             self.reporting.start()
         elif self.reporting:
@@ -164,7 +164,7 @@
                 what="gossip continues" if self.gossip else "using this dispatcher's own load and the last count",
             )
 
-    def told(self, node: FleetNode) -> dict[str, Any]:
+    def figures(self, node: FleetNode) -> dict[str, Any]:
         """Return this dispatcher's view of the fleet, for operators. `shares` is the number of dispatchers among which
         the shares of cold replicas and the like are divided, or 0 if the number in the settings applies."""
         now = self.deadlines.clock()
--- a/pearhill/net/fleet_figures.py
+++ b/pearhill/net/fleet_figures.py
@@ -16,7 +16,7 @@
 class OwnLoads(Protocol):
     """Provides this dispatcher's own load at each replica."""
 
-    def loads(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
+    def replica_statuses(self, now: int) -> Mapping[int, tuple[int, int, bool]]:
         """Return, by replica: own queued tokens, all own tokens, and whether this dispatcher avoids the replica."""
         ...
 
@@ -84,7 +84,7 @@
     return rows, {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)}
 
 
-def member_figures(now: int, members: Members) -> dict[str, Any]:
+def member_figures(now: int, members: SwimMembership) -> dict[str, Any]:
     """Return the state of the other dispatchers, as known by gossip."""
     return {
         name: {
--- a/pearhill/net/gossip.py
+++ b/pearhill/net/gossip.py
@@ -28,8 +28,8 @@
         self.peers = peers
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
-        self._tick_timer: Key | None = None
+        self.on_count_change: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
+        self._tick_timer: TimerKey | None = None
         self._count = 0
 
     def start(self) -> None:
@@ -45,7 +45,7 @@
 
     def _tick(self) -> None:
         now = self.deadlines.clock()
-        self._tick_timer = self.deadlines.at(now + GOSSIP_TICK_US, self._tick)
+        self._tick_timer = self.deadlines.schedule_at(now + GOSSIP_TICK_US, self._tick)
         self._send(self.protocol.tick(now))
         count = self.protocol.count(now)
         if count != self._count:
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -73,7 +73,7 @@
         self.spawn = self._tasks.spawn
         self._sock: socket.socket | None = None
         self._polled = False  # the event loop polls the listening socket
-        self._recheck_timer: Key | None = None
+        self._recheck_timer: TimerKey | None = None
         self._accept_failing = False  # the last accept lacked a resource, so the next client may have waited
         self._evictor = ConnectionEvictor(self.connections)
 
@@ -104,7 +104,7 @@
         """Whether the listening socket is open."""
         return self._sock is not None
 
-    def pause(self, on: bool) -> None:
+    def pause_accepting(self, on: bool) -> None:
         """Pause accepting, and leave new clients to another process that accepts from the same socket, or resume."""
         if not on:
             return self._accept()
@@ -168,7 +168,7 @@
         """Stop polling, and retry later: polling a non-empty accept queue while no connection can be accepted would
         make the event loop spin."""
         self._unpoll()
-        self._recheck_timer = self.deadlines.after(RECHECK_INTERVAL_US, self._accept)
+        self._recheck_timer = self.deadlines.schedule_after(RECHECK_INTERVAL_US, self._accept)
 
     def _poll(self, sock: socket.socket) -> None:
         if not self._polled:
@@ -197,12 +197,12 @@
     # Drain and shutdown.
 
     @property
-    def open(self) -> bool:
+    def has_open_connections(self) -> bool:
         """Whether any client is connected, even if idle: it may still send a request at the last moment."""
         return any(not connection.closed for connection in self.connections)
 
     @property
-    def quiet(self) -> bool:
+    def all_answered(self) -> bool:
         """Whether nothing is being read, answered or written, and no last answer is still in transit."""
         return all(
             connection.closed or (connection.idle and not connection.last_answer_given)
@@ -228,9 +228,9 @@
             if connection.state == ConnectionState.PARTIAL_REQUEST:
                 connection.reject_partial_request()
 
-    def stop_accepting(self, leave: bool = False) -> None:
-        """Close the listening socket. `leave` leaves the clients in the accept queue to another process that accepts
-        from the same socket: without such a process they are reset, and what they have sent is lost."""
+    def stop_accepting(self, leave_queue: bool = False) -> None:
+        """Close the listening socket. `leave_queue` leaves the clients in the accept queue to another process that
+        accepts from the same socket: without such a process they are reset, and what they have sent is lost."""
         if not self._sock:
             return
         self.pause_accepting(True)
--- a/pearhill/net/pool.py
+++ b/pearhill/net/pool.py
@@ -157,7 +157,7 @@
         self.idle.setdefault(connection.address, []).append(connection)
         connection.reusable_at = self.deadlines.clock() + REUSE_DELAY_US if delay_reuse else 0
         # A server may close an idle connection silently, and a request that is then sent may have been executed.
-        connection.idle_timer = self.deadlines.after(self.idle_timeout, lambda: connection.close("idle"))
+        connection.idle_timer = self.deadlines.schedule_after(self.idle_timeout, lambda: connection.close("idle"))
 
     def forget(self, connection: PooledConnection) -> None:
         """Remove a closed connection."""
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -31,9 +31,9 @@
         self.addresses = addresses
         self.deadlines = deadlines
         self.datagrams = datagrams
-        self.on_count: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
+        self.on_count_change: Callable[[], None] = lambda: None  # called when the number of dispatchers changes
         self.on_exchange: Callable[[int], None] = lambda now: None  # called after each tick and answer, with its time
-        self._tick_timer: Key | None = None
+        self._tick_timer: TimerKey | None = None
         self._tick_due: int | None = None
         self._last_tick = 0
         self._count: int | None = None
@@ -79,7 +79,7 @@
         if due == self._tick_due:
             return
         self.deadlines.cancel(self._tick_timer)
-        self._tick_timer = self.deadlines.at(due, self._tick)
+        self._tick_timer = self.deadlines.schedule_at(due, self._tick)
         self._tick_due = due
 
     def _notify(self, now: int) -> None:
--- a/pearhill/net/ticks.py
+++ b/pearhill/net/ticks.py
@@ -62,7 +62,7 @@
 async def pause(deadlines: Deadlines, micros: int) -> None:
     """Wait for this many microseconds."""
     elapsed = asyncio.get_running_loop().create_future()
-    key = deadlines.after(micros, lambda: None if elapsed.done() else elapsed.set_result(None))
+    key = deadlines.schedule_after(micros, lambda: None if elapsed.done() else elapsed.set_result(None))
     try:
         await elapsed
     finally:
