--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool's connections, and the releases on them, before servers on loopback."""
+"""The pool's connections, and the releases on them, with servers on loopback."""
 
 import asyncio
 import socket
@@ -20,11 +20,11 @@
 from pearhill.platform.replica import ReplicaDialect
 
 EARLY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-LARGE_REQUEST = b"x" * (1 << 24)  # more than the system takes for a server that reads nothing
+LARGE_REQUEST = b"x" * (1 << 24)  # more than the system buffers for a server that reads nothing
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program runs on, 20 s at most."""
+    """Run a test on the program's event loop, for 20 s at most."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(work, 20))
 
@@ -40,15 +40,15 @@
     return Pool(asyncio.get_running_loop(), deadlines, Counters(), **{**defaults, **settings})
 
 
-def test_a_connection_that_the_server_has_closed_is_not_used_though_its_reader_has_not_run_to_see_it() -> None:
-    """What was written to it would end as a reset, and may have been executed."""
+def test_a_connection_that_the_server_has_closed_is_not_reused_even_before_its_reader_has_run() -> None:
+    """A request written to it would fail with a reset, and may have been executed."""
 
     async def scenario() -> None:
         pool = make_pool(Deadlines(start_clock()), reserved_connections=0)
         with socket.create_server(("127.0.0.1", 0)) as server:
             first = await pool.acquire(server.getsockname())
             pool.put_back(first)
-            server.accept()[0].close()  # no tick of the loop from here to the next acquire
+            server.accept()[0].close()  # no tick of the event loop between here and the next acquire
             second = await pool.acquire(server.getsockname())
             assert second is not first
             assert first.closed
@@ -60,9 +60,9 @@
     run(scenario())
 
 
-def test_a_connection_carries_no_request_for_a_while_after_a_response() -> None:
-    """A second response, some milliseconds behind the first, would be taken for that request's. A control call is sent
-    at once: the response to it is of another kind, and nothing is executed twice by it."""
+def test_a_connection_carries_no_request_until_the_reuse_delay_after_a_response_is_over() -> None:
+    """A second response, some milliseconds after the first, would be mistaken for the response to that request. A
+    control call is sent at once: its response is of another kind, and it causes no execution."""
 
     async def scenario() -> None:
         now = 0
@@ -74,7 +74,7 @@
             pool.put_back(first, delay_reuse=True)
             second = await pool.acquire(server.getsockname(), ConnectionPurpose.REQUEST)
             assert second is not first
-            pool.put_back(second)  # it has carried none
+            pool.put_back(second)  # it has carried no request
             assert await pool.acquire(server.getsockname()) is second
             now += REUSE_DELAY_US
             assert await pool.acquire(server.getsockname()) is first
@@ -84,8 +84,8 @@
     run(scenario())
 
 
-def test_a_release_on_a_silent_connection_is_sent_on_a_new_one_well_within_the_time_to_release() -> None:
-    """300 ms are the least that a deployment gives, and 300 more are allowed. Two idle ones have fallen silent here."""
+def test_a_release_that_is_not_answered_on_idle_connections_is_retried_on_a_new_one_in_time() -> None:
+    """The time limit is at least 300 ms, and 300 ms more are allowed. Here, two idle connections no longer answer."""
 
     async def scenario() -> None:
         now = 0
@@ -133,8 +133,8 @@
     run(scenario())
 
 
-def test_a_connection_that_idled_too_long_is_not_used_though_a_late_loop_has_not_closed_it() -> None:
-    """The server may have forgotten it without a sign: what is sent there ends as a reset, and may be executed."""
+def test_an_expired_idle_connection_is_not_reused_even_if_a_late_sweep_has_not_closed_it() -> None:
+    """The server may have dropped it silently: a request written to it fails with a reset, and may be executed."""
 
     async def scenario() -> None:
         now = 0
@@ -152,10 +152,10 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("how", ["answered early", "closed here"])
-def test_a_write_that_waits_ends_with_its_connection_and_its_number_is_free_only_then(how: str) -> None:
-    """The reader saw the end, and closed a socket on which the writer was still polled: it waited for good, and the
-    connection that got the number next was polled in its place."""
+@pytest.mark.parametrize("cause", ["answered early", "closed here"])
+def test_a_waiting_write_ends_with_its_connection_and_the_descriptor_is_closed_only_then(cause: str) -> None:
+    """The reader detected the end, and closed a socket that was still polled for the writer. The writer waited for
+    ever, and the next connection with the same descriptor was polled in its place."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -166,7 +166,7 @@
             number = connection.sock.fileno()
             writing = asyncio.ensure_future(connection.send(CollectedResponse(loop, 100), lambda: LARGE_REQUEST))
             await asyncio.sleep(0)
-            if how == "answered early":
+            if cause == "answered early":
                 peer.sendall(EARLY_RESPONSE)
             else:
                 connection.close("called-off")
