--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -1,4 +1,4 @@
-"""The aggregator as a daemon: its socket, its operators' calls, its signals."""
+"""The aggregator daemon: its UDP socket, its admin endpoint and its signal handlers."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from pearhill.net.ticks import EventLoopTicks
 from pearhill.node.signals import handled_signals
 
-RECEIVE_BUFFER_BYTES = 4 << 20  # hundreds of dispatchers report while this process stands still for a moment
-LOG_INTERVAL_US = 1_000_000  # at which the count and the other aggregators are looked at for the log
+RECEIVE_BUFFER_BYTES = 4 << 20  # for the reports of hundreds of dispatchers during a short stall
+LOG_INTERVAL_US = 1_000_000  # at which count and other aggregators are checked for changes to log
 PEER_SILENCE_US = 2_000_000  # after which another aggregator is logged as silent
 
 
 class AggregatorDaemon(CallTable):
-    """Belongs to the running event loop. `reread` reads the control machine's file once more."""
+    """Runs on the current event loop. `reread` reads the control machine's file again."""
 
     def __init__(self, setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
         self.setup = setup
@@ -41,7 +41,7 @@
         self.deadlines = Deadlines(start_clock())
         self.ticks = EventLoopTicks(self.loop, self.deadlines)
         self.datagrams = Datagrams(self.deadlines, "aggregator", RECEIVE_BUFFER_BYTES)
-        started = self.deadlines.clock()  # its incarnation too
+        started = self.deadlines.clock()  # also its incarnation
         self.aggregator = Aggregator(setup.name, setup.peers, started, random.Random(started))
         codec = AggregationCodec(list(setup.keys))
         self.aggregation = Aggregation(self.aggregator, codec, setup.peers, self.deadlines, self.datagrams)
@@ -54,7 +54,7 @@
             {"/ready": ("GET", self._ready), "/counters": ("GET", self._counters), "/ops/fleet": ("GET", self._fleet)}
         )
 
-    # Operators' calls.
+    # Admin endpoint.
 
     def _ready(self, query: str, reply: Reply) -> None:
         if self.stopped.is_set():
@@ -68,7 +68,7 @@
     def _fleet(self, query: str, reply: Reply) -> None:
         reply.answer(200, JSON, json.dumps(self.aggregation.figures()).encode() + b"\n")
 
-    # The log.
+    # Logging.
 
     def _log_changes(self, now: int) -> None:
         if now - self._logged_at < LOG_INTERVAL_US:
@@ -78,7 +78,7 @@
         if figures["counted"] != self._logged_count:
             self._logged_count = figures["counted"]
             logger.info(
-                "aggregator: {counted} dispatchers are counted, {heard} of them are heard of, {members} report here",
+                "aggregator: {counted} dispatchers counted, {heard} with current reports, {members} report to this one",
                 counted=figures["counted"],
                 heard=figures["heard"],
                 members=figures["members"],
@@ -88,20 +88,23 @@
 
     def _log_silent(self, silent: set[str]) -> None:
         for name in sorted(silent - self._silent_peers):
-            logger.warning("aggregator: {peer} is not heard", peer=name)
+            logger.warning("aggregator: no recent message from {peer}", peer=name)
         for name in sorted(self._silent_peers - silent):
-            logger.info("aggregator: {peer} is heard again", peer=name)
+            logger.info("aggregator: receiving messages from {peer} again", peer=name)
         self._silent_peers = silent
 
     def report(self) -> None:
-        """Write the counters to the log."""
+        """Logs the counters."""
         counts = dict(self.datagrams.counts)
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
 
-    # Start, reload, end.
+    # Start, reload and shutdown.
 
     def reload(self) -> str:
-        """Use the file as it is now; returns, for the log, what came of it. ConfigError: nothing has changed."""
+        """Applies the current state of the file and returns a summary for the log.
+
+        Raises ConfigError if the file is invalid; nothing has changed then.
+        """
         new = self.reread()
         old = self.setup
         self.setup = new
@@ -126,7 +129,7 @@
         logger.info("aggregator {name} listens on {host}:{port}", name=self.setup.name, host=host, port=port)
 
     async def serve(self) -> None:
-        """Run until SIGTERM or SIGINT. OSError: an address cannot be used."""
+        """Runs until SIGTERM or SIGINT. Raises OSError if an address cannot be used."""
         with handled_signals(self.loop, self.stopped.set, self.report, self.reload):
             admin = self.setup.admin
             operators = self._listen_for_operators(admin) if admin else None
@@ -141,5 +144,5 @@
 
 
 async def serve(setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
-    """Run one aggregator until it is stopped. OSError: an address cannot be used."""
+    """Runs one aggregator until it is stopped. Raises OSError if an address cannot be used."""
     await AggregatorDaemon(setup, reread).serve()
--- a/pearhill/aggregator/setup.py
+++ b/pearhill/aggregator/setup.py
@@ -1,4 +1,4 @@
-"""What an aggregator runs with: the control machine's file, its addresses and keys read."""
+"""The setup of an aggregator: the control machine's file with its addresses parsed and its keys loaded."""
 
 from __future__ import annotations
 
@@ -19,8 +19,11 @@
 
 
 class AggregatorTable(Struct, forbid_unknown_fields=True):
-    """The aggregator's own table. `peer`: the other aggregators; it may name this one too, so that one list serves all.
-    The first key signs, each of them is accepted."""
+    """The aggregator's own table.
+
+    `peer` lists the other aggregators. It may include this one, so that all aggregators can use the same list. The
+    first key signs and each of them is accepted.
+    """
 
     name: values.Name
     listen: values.Address
@@ -30,24 +33,27 @@
 
 
 class AggregatorFile(Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The complete file."""
 
     aggregator: AggregatorTable
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatorSetup:
-    """What one aggregator runs with; addresses are host and port, `peers` by name."""
+    """The setup of one aggregator. Addresses are host and port; `peers` are by name."""
 
     name: str
     listen: Address
     keys: tuple[bytes, ...]
     peers: Mapping[str, Address]
-    admin: Address | None  # where operators call
+    admin: Address | None  # of the admin endpoint
 
 
 def load(path: str) -> AggregatorSetup:
-    """Read the control machine's file. ConfigError names it, the key, what was found and what is allowed."""
+    """Reads the control machine's file.
+
+    Raises ConfigError, whose text names the file, the key, what was found and what is allowed.
+    """
     table = typed.load(path, AggregatorFile)[0].aggregator
     try:
         return AggregatorSetup(
--- a/pearhill/membership/__init__.py
+++ b/pearhill/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which dispatchers are there, and what work each has sent where, by gossip or by way of aggregators.
+"""Membership and loads of a fleet of dispatchers, exchanged by gossip or through aggregators.
 
-State machines free of I/O; clock and randomness are passed in. The platform's dispatchers must not gossip or report to
-one another, and load none of this.
+The modules are state machines without I/O; callers pass in the clock and the random generator. Dispatchers of the
+platform must not gossip or report to one another, so the platform's program does not import this package.
 """
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -1,7 +1,7 @@
-"""Messages between dispatchers and aggregators as datagrams of version 2: one message is one datagram.
+"""Messages between dispatchers and aggregators, encoded as datagrams of version 2, one message per datagram.
 
-Fields may change their names, but never their order or types, nor messages their tags: processes of different versions
-work side by side in a roll.
+Fields may be renamed, but the order and types of fields and the tags of messages must never change: processes of
+different versions run side by side during a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from pearhill.membership.message_authenticator import MAX_COUNT, MessageAuthenticator, MessageRejectedError
 
 VERSION = 2
-SLOTS_PER_PART = 512  # two gauges of each, however little they can be packed, and the rest of the message fit
-MAX_PACKED_GAUGE_BYTES = 1050  # in one part
+SLOTS_PER_PART = 512  # with the two gauges of each, even uncompressed, a message fits one datagram
+MAX_PACKED_GAUGE_BYTES = 1050  # per part
 MAX_SLOTS = 8192
 MAX_PARTS = 32
-MAX_TABLE_ENTRIES = 48  # in one message
-MAX_UNASSIGNED = 64  # replicas without a slot, in one report
-MAX_MEMBER_LIST_BYTES = 1100  # of entries in one part of a member list
-LEASE_US = 2_000_000  # a dispatcher's work is held for so long
-PARTIAL_SUM_LEASE_US = 1_500_000  # and another aggregator's sums
-# So long after its last report to an aggregator, a dispatcher's work is in nobody's sums by way of that one.
+MAX_TABLE_ENTRIES = 48  # per message
+MAX_UNASSIGNED = 64  # replicas without a slot, per report
+MAX_MEMBER_LIST_BYTES = 1100  # of entries, per part of a member list
+LEASE_US = 2_000_000  # how long a dispatcher's work counts
+PARTIAL_SUM_LEASE_US = 1_500_000  # how long another aggregator's sums count
+# This long after a dispatcher's last report to an aggregator, no sums include the work reported there any more.
 COMBINED_LEASE_US = LEASE_US + PARTIAL_SUM_LEASE_US
 
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
-OptionalCount = Annotated[int, Meta(ge=-1, le=MAX_COUNT)]  # -1: none
+OptionalCount = Annotated[int, Meta(ge=-1, le=MAX_COUNT)]  # -1 means none
 Name = Annotated[str, Meta(min_length=1, max_length=96)]
 PartNumber = Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
 PartCount = Annotated[int, Meta(ge=1, le=MAX_PARTS)]
@@ -36,15 +36,15 @@
 SlotCount = Annotated[int, Meta(ge=0, le=MAX_SLOTS)]
 GaugeCode = Annotated[int, Meta(ge=0, lt=gauges.CODES)]
 ReplicaId = Annotated[int, Meta(ge=0)]
-TableEntry = tuple[Slot, ReplicaId, Count]  # slot, replica, version of the table at which it got it
+TableEntry = tuple[Slot, ReplicaId, Count]  # slot, replica, table version that assigned the slot to it
 TableEntries = Annotated[tuple[TableEntry, ...], Meta(max_length=MAX_TABLE_ENTRIES)]
 UnassignedLoad = tuple[ReplicaId, GaugeCode, GaugeCode]  # replica, queued tokens, all tokens
 UnassignedLoads = Annotated[tuple[UnassignedLoad, ...], Meta(max_length=MAX_UNASSIGNED)]
-MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silence in ms (-1: it left)
+MemberEntry = tuple[Name, Count, Count, OptionalCount]  # name, incarnation, attach, silence in ms (-1: left)
 
 
 class Header(NamedTuple):
-    """The fields of every message, for whoever makes one."""
+    """The fields that every message begins with, for code that builds messages."""
 
     sender: str
     to: str
@@ -53,10 +53,10 @@
 
 
 class SumsPart(TypedDict):
-    """The fields that `Sums` and `PartialSum` share, for whoever makes one.
+    """The fields that `Sums` and `PartialSum` share, for code that builds them.
 
-    An answer has `parts` of them, numbered from 0. Each has the gauges of a range of slots; `entries`, the changes of
-    the slot table up to `version`, are in the first one.
+    An answer consists of `parts` messages, numbered from 0. Each contains the gauges of a range of slots; only the
+    first contains `entries`, the changes of the slot table up to `version`.
     """
 
     version: int
@@ -71,7 +71,7 @@
 
 
 class AggregationMessage(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The fields of every message; `sequence` grows with each message of a sender, whoever it is for."""
+    """The fields of every message. `sequence` increases with each message of a sender, across all recipients."""
 
     sender: Name
     to: Name
@@ -80,10 +80,10 @@
 
 
 class Report(AggregationMessage, frozen=True, tag=0):
-    """A dispatcher's work: packed gauges of the slots from `first_slot` on, and of replicas that have none.
+    """A dispatcher's work: packed gauges of the slots from `first_slot` on, and gauges of replicas without a slot.
 
-    `echo`: the newest of its reports to which this aggregator's answer came, by which the aggregator bounds the age of
-    this one. `quiet_ms`: for how long no other aggregator had a report of this name.
+    `echo` is the newest of the sender's reports whose answer it has received; with it, the aggregator bounds the age
+    of this report. `quiet_ms` is how long no other aggregator has received a report under the sender's name.
     """
 
     number: Count
@@ -103,10 +103,10 @@
 
 
 class Sums(AggregationMessage, frozen=True, tag=1):
-    """The answer to a report: the work of `reporting` dispatchers of the `counted`.
+    """The answer to a report: the summed work of `reporting` dispatchers out of `counted`.
 
-    `included_report`: the addressee's report that is in the sums, -1 for none. `settled`: the aggregator started long
-    enough ago to know all dispatchers.
+    `included_report` is the recipient's report that the sums include, or -1 if they include none. `settled` says
+    whether the aggregator has run long enough to have received a report or member entry of every dispatcher.
     """
 
     report_number: Count
@@ -126,9 +126,9 @@
 
 
 class PartialSum(AggregationMessage, frozen=True, tag=2):
-    """The work of the dispatchers that report to an aggregator, for another aggregator.
+    """The summed work of the dispatchers that report to one aggregator, for another aggregator.
 
-    `echo`: the addressee's newest message that came, by the sequence of its first part.
+    `echo` is the newest message received from the recipient, identified by the sequence of its first part.
     """
 
     reporting: Count
@@ -148,7 +148,7 @@
 
 
 class MemberList(AggregationMessage, frozen=True, tag=3):
-    """The members that an aggregator counts, for another aggregator."""
+    """The members that one aggregator counts, for another aggregator."""
 
     part: PartNumber
     parts: PartCount
@@ -156,19 +156,19 @@
 
 
 class Hello(AggregationMessage, frozen=True, tag=4):
-    """A check whether an aggregator is up. Answered by a HelloAck of the same number."""
+    """A check whether an aggregator is up; it is answered by a HelloAck with the same number."""
 
     number: Count
 
 
 class HelloAck(AggregationMessage, frozen=True, tag=5):
-    """The answer to a Hello of the same number."""
+    """The answer to the Hello with the same number."""
 
     number: Count
 
 
 class Superseded(AggregationMessage, frozen=True, tag=6):
-    """Sent to a dispatcher of whose name a newer incarnation reports, or reported, here."""
+    """Notifies a dispatcher that a newer incarnation of its name reports, or has reported, to the aggregator."""
 
     known_incarnation: Count
 
@@ -179,25 +179,31 @@
 
 
 class AggregationCodec(MessageAuthenticator):
-    """Messages to datagrams and back."""
+    """Encodes messages as datagrams and decodes them."""
 
     version = VERSION
 
     def pack(self, message: AggregationMessage) -> bytes:
-        """The datagram of a message. ValueError: it does not fit; whoever makes messages bounds them."""
+        """Returns the datagram of a message.
+
+        Raises ValueError if the message is too large; code that builds messages keeps them within the limit.
+        """
         body = _encoder.encode(message)
         if not self.fits(body):
-            raise ValueError(f"{type(message).__name__} to {message.to}: {len(body)} bytes are too many")
+            raise ValueError(f"{type(message).__name__} to {message.to} is too large for a datagram: {len(body)} bytes")
         return self.seal(body)
 
     def unpack(self, data: bytes, me: str) -> AggregationMessage:
-        """The message of a datagram. MessageRejectedError: it is foreign, forged, torn, or not for `me`."""
+        """Returns the message of a datagram.
+
+        Raises MessageRejectedError if the datagram is foreign, forged, truncated or not addressed to `me`.
+        """
         try:
             message = _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
         if message.to != me:
-            # Replayed to another aggregator, a report would be counted twice.
+            # Without this check, a report replayed to another aggregator would be counted twice.
             raise MessageRejectedError("not-for-me")
         if isinstance(message, Report | Sums | PartialSum | MemberList) and message.part >= message.parts:
             raise MessageRejectedError("malformed")
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -1,10 +1,10 @@
-"""One aggregator: it receives the reports of the dispatchers that chose it and the other aggregators' sums, and answers
-with the sums of both.
+"""One aggregator: it receives the reports of the dispatchers that chose it and the partial sums of the other
+aggregators, and answers each report with the sums of both.
 
-Work is counted under leases (`reported_work`, `peer_aggregator`), so that nobody's counts twice: a dispatcher that
-changed its aggregator COMBINED_LEASE_US ago is in no other sums any more, and only then its work is counted here. Who
-shares the work is forgotten more slowly (`member_directory`). Times are microseconds of the caller's clock; no other
-process's clock is looked at.
+Work is counted under leases (`reported_work`, `peer_aggregator`), so that no dispatcher's work is counted twice:
+COMBINED_LEASE_US after a dispatcher changed its aggregator, no other aggregator's sums include its work, and only then
+does the new aggregator count it. Membership expires more slowly than work (`member_directory`). Times are microseconds
+of the caller's clock; no other process's clock is read.
 """
 
 from __future__ import annotations
@@ -47,15 +47,18 @@
 from pearhill.membership.snapshots import Snapshot, gauge_ranges, take_snapshot
 
 AGGREGATOR_TICK_US = 100_000
-MAX_TICK_GAP_US = 750_000  # between two ticks; after more, this process stood still
+MAX_TICK_GAP_US = 750_000  # between two ticks; a longer gap means that this process was stalled
 MEMBER_LIST_INTERVAL_US = 2_000_000
-MIN_MEMBER_LIST_INTERVAL_US = 250_000  # when the members changed
+MIN_MEMBER_LIST_INTERVAL_US = 250_000  # when the members have changed
 SWEEP_INTERVAL_US = 1_000_000
-SETTLING_TIME_US = 10_000_000  # after a start: every dispatcher has reported by then, backoff included
+SETTLING_TIME_US = 10_000_000  # after a start; by then every dispatcher has reported, even after a backoff
 
 
 class Aggregator:
-    """`started` must grow with each start of the same name: the time of the start does."""
+    """The state machine of one aggregator.
+
+    `started` must be larger than at any earlier start under the same name; callers pass the time of the start.
+    """
 
     def __init__(self, name: str, peers: Iterable[str], started: int, rng: random.Random) -> None:
         self.name = name
@@ -82,10 +85,10 @@
         self._sequence += 1
         return Header(self.name, to, self.incarnation, self._sequence)
 
-    # Messages that come in.
+    # Incoming messages.
 
     def receive(self, now: int, message: AggregationMessage) -> list[AggregationMessage]:
-        """Take an authentic message, whenever it comes and however often. The answers to it."""
+        """Processes an authentic message, which may be late or repeated. Returns the answers to it."""
         if isinstance(message, Report | Hello):
             return self._receive_from_dispatcher(now, message)
         if isinstance(message, PartialSum | MemberList) and message.sender in self.peers:
@@ -108,11 +111,14 @@
         return self._receive_report(now, message)
 
     def _newer_incarnation(self, message: Report | Hello) -> tuple[int, int] | None:
-        """The newest incarnation of the sender's name, and until when it may run, if it is newer than the sender's."""
+        """Returns the newest incarnation of the sender's name and the time until which it may run.
+
+        Returns None if no incarnation newer than the sender's is known.
+        """
         newest = (-1, 0)
         record = self.directory.records.get(message.sender)
         if record:
-            # What another aggregator knows of it comes every MEMBER_LIST_INTERVAL_US, if it comes.
+            # Another aggregator reports the member only every MEMBER_LIST_INTERVAL_US, and its list may be lost.
             lifetime = LEASE_US if record.via == self.name else SILENCE_TIMEOUT_US
             newest = max(newest, (record.incarnation.started, record.last_seen + lifetime))
         session = self._sessions.get(message.sender)
@@ -123,12 +129,12 @@
     def _answer_superseded(
         self, now: int, message: Report | Hello, newest: int, running_until: int
     ) -> list[AggregationMessage]:
-        """Answer a sender of whose name a newer incarnation is known. Nothing else changes by its message."""
+        """Answers a sender whose name has a newer incarnation. The sender's message changes no other state."""
         if now < running_until:
-            # Two of one name that are notified of each other while both run would outbid each other for ever.
+            # While both processes run, notifying them would make each raise its incarnation above the other's forever.
             return []
         if isinstance(message, Hello):
-            # Without an answer, a dispatcher whose clock went back would never return to its region's aggregator.
+            # Without an answer, a dispatcher whose clock was set back would never return to its region's aggregator.
             return [HelloAck(*self._header(message.sender), message.number)]
         if message.part or message.leaving:
             return []
@@ -160,11 +166,11 @@
         return session
 
     def _learn(self, name: str, update: MemberRecord) -> bool:
-        """False: something newer is known of the member."""
+        """Merges an update about a member. Returns False if a newer state of the member is known."""
         if not self.directory.learn(name, update):
             return False
         member = self.work.members.get(name)
-        # Elsewhere it is counted as soon as its lease here is known to be over, so it must not count here any longer.
+        # The other aggregator counts the member as soon as its lease here must have ended, so this one stops at once.
         if member and (update.left or (update.via != self.name and member.incarnation < update.incarnation)):
             self.work.remove(name)
         return True
@@ -201,7 +207,7 @@
         snapshot = self._current_snapshot(now)
         known_version = report.known_version if report.known_incarnation == self.incarnation else 0
         entries = self.table.entries_after(known_version)
-        # With so much of the table to come, the dispatcher does not know yet to whom most of the sums belong.
+        # A dispatcher that lacks this many table entries cannot assign most of the sums to replicas yet.
         ranges = snapshot.ranges if len(entries) < MAX_TABLE_ENTRIES else []
         included_report = snapshot.included_report(report.sender, report.incarnation)
         counted = self.count(now)
@@ -220,7 +226,7 @@
         ]
 
     def _parts(self, entries: tuple[TableEntry, ...], ranges: list[GaugeRange]) -> list[SumsPart]:
-        """Changes of the slot table and ranges of gauges, as the parts of one answer; at least one part."""
+        """Returns changes of the slot table and ranges of gauges as the parts of one answer; at least one part."""
         if entries or not ranges:
             ranges = [EMPTY_RANGE, *ranges]
         return [
@@ -246,7 +252,7 @@
     # Ticks.
 
     def tick(self, now: int) -> list[AggregationMessage]:
-        """Let what has run out go. What the other aggregators are to know."""
+        """Expires leases and silent members. Returns the messages that are due to the other aggregators."""
         self._notice_stall(now)
         self.work.expire(now)
         for name in self.directory.forget_silent(now, lambda via: self._is_silent(now, via)):
@@ -267,7 +273,7 @@
         return peer is not None and now - peer.last_seen >= LEASE_US
 
     def _sweep(self, now: int) -> None:
-        """Drop sessions and replay windows that are no longer needed, and find slots where nobody has work."""
+        """Drops sessions and replay windows that are no longer needed, and finds the slots without work."""
         self._sessions = {
             name: session
             for name, session in self._sessions.items()
@@ -322,21 +328,21 @@
         parts = self.directory.entries(now)
         return [MemberList(*self._header(to), part, len(parts), tuple(entries)) for part, entries in enumerate(parts)]
 
-    # For others.
+    # Queries.
 
     def count(self, now: int) -> int:
-        """Dispatchers that share the work, as far as is known."""
+        """Returns how many dispatchers share the work, as far as has been reported to this aggregator."""
         return self.directory.count()
 
     def _is_settled(self, now: int) -> bool:
-        """Whether every dispatcher has surely been received or passed on since the start."""
+        """Returns whether every dispatcher must have been seen since the start, here or through another aggregator."""
         age = now - self.incarnation
         if age >= PARTITION_TIMEOUT_US:
             return True
         return age >= SETTLING_TIME_US and all(peer.last_seen >= 0 for peer in self.peers.values())
 
     def figures(self, now: int) -> dict[str, Any]:
-        """What is known here and how old it is, for operators."""
+        """Returns this aggregator's state and the age of what it received, for operators."""
         self.work.expire(now)
         reported_elsewhere = sum(peer.reporting for peer in self.peers.values() if peer.is_fresh(now))
         return {
@@ -352,7 +358,7 @@
         }
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
-        """Name the other aggregators anew. What is known of those that stay, stays."""
+        """Replaces the list of other aggregators. The state of those that remain is retained."""
         self.peers = {name: self.peers.get(name) or PeerAggregator() for name in peers if name != self.name}
         self._snapshot = None
         self._member_list_due = now
--- a/pearhill/membership/aggregator_choice.py
+++ b/pearhill/membership/aggregator_choice.py
@@ -1,7 +1,9 @@
-"""To which aggregator a dispatcher reports, when it gives one up, and when it returns to its own region's.
+"""Chooses the aggregator that a dispatcher reports to, and decides when to abandon it and when to return to the one of
+its own region.
 
-Its region's aggregators come first, the others in rendezvous order (Thaler and Ravishankar, 1996), so that those who
-lose one share the rest. Times are microseconds.
+The aggregators of the dispatcher's region come first. Within a region and outside it they are in rendezvous order
+(Thaler and Ravishankar, 1996), so that the dispatchers that lose an aggregator spread over the others. Times are
+microseconds.
 """
 
 from __future__ import annotations
@@ -11,39 +13,39 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MAX_UNANSWERED_REPORTS = 4  # in a row, and
-ANSWER_TIMEOUT_US = 2_000_000  # this time, after which an aggregator is given up
-MIN_BACKOFF_US = 1_000_000  # between tries once all aggregators were given up
+MAX_UNANSWERED_REPORTS = 4  # in a row, before an aggregator is abandoned;
+ANSWER_TIMEOUT_US = 2_000_000  # this long without any answer must have passed as well
+MIN_BACKOFF_US = 1_000_000  # between attempts once all aggregators have failed
 MAX_BACKOFF_US = 8_000_000
 MIN_HELLO_INTERVAL_US = 5_000_000
 MAX_HELLO_INTERVAL_US = 15_000_000
-HELLOS_TO_RETURN = 2  # answers in a row after which the region's aggregator is trusted again
+HELLOS_TO_RETURN = 2  # answers in a row before the dispatcher returns to its region's aggregator
 NONE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class AggregatorSite:
-    """An aggregator's name, and the region where it stands."""
+    """An aggregator's name and region."""
 
     name: str
     region: str
 
 
 def rendezvous_order(name: str, region: str, sites: Iterable[AggregatorSite]) -> list[str]:
-    """Aggregators' names in the order in which the dispatcher `name` of the region tries them."""
+    """Returns the aggregators' names in the order in which dispatcher `name` of `region` tries them."""
 
     def rank(site: AggregatorSite) -> tuple[bool, bytes]:
-        """Sort key: the own region first, then by rendezvous hash (highest random weight)."""
+        """Returns the sort key: the own region first, then the rendezvous hash (highest random weight)."""
         return site.region != region, hashlib.sha256(f"{name}\0{site.name}".encode()).digest()
 
     return [site.name for site in sorted(sites, key=rank)]
 
 
 class AggregatorChoice:
-    """The aggregator in use; `attachment` counts its changes, `moves` those from one to another."""
+    """The aggregator in use. `attachment` counts attachments to an aggregator, `moves` changes to another one."""
 
     def __init__(self, now: int, rng: random.Random) -> None:
-        self.order: list[str] = []  # as they are tried
+        self.order: list[str] = []  # aggregators in the order in which they are tried
         self.current = ""
         self.attachment = 0
         self.moves = 0
@@ -52,21 +54,21 @@
         self._unanswered = 0  # reports in a row
         self._waiting_since = NONE
         self._failed = 0  # aggregators in a row that did not answer
-        self._hello_number = NONE  # of the one that is not answered yet
+        self._hello_number = NONE  # of the hello that is not answered yet
         self._answered_hellos = 0  # in a row
 
     @property
     def is_away(self) -> bool:
-        """Whether another than the first aggregator is in use."""
+        """Whether an aggregator other than the first is in use."""
         return bool(self.order) and self.current != self.order[0]
 
     @property
     def all_failed(self) -> bool:
-        """Whether none has answered since each was tried."""
+        """Whether all aggregators have been tried in a row without an answer."""
         return self._failed >= len(self.order)
 
     def attach(self, now: int, to: str) -> None:
-        """Use the aggregator `to` from now on."""
+        """Switches to the aggregator `to`."""
         if self.current and to != self.current:
             self.moves += 1
         self.current = to
@@ -79,47 +81,50 @@
     # Answers and failures.
 
     def report_sent(self, now: int) -> None:
-        """A report went to the aggregator in use."""
+        """Records that a report was sent to the aggregator in use."""
         self._unanswered += 1
         if self._waiting_since < 0:
             self._waiting_since = now
 
     def answered(self) -> None:
-        """The aggregator in use has answered."""
+        """Records that the aggregator in use has answered."""
         self._unanswered = 0
         self._waiting_since = NONE
         self._failed = 0
 
     def excuse_stall(self, now: int) -> None:
-        """This process stood still: answers wait unread, and without this a good aggregator would be given up."""
+        """Restarts the answer timeout after a stall of this process.
+
+        Answers that arrived during the stall are still unread; a working aggregator would be abandoned otherwise.
+        """
         if self._waiting_since >= 0:
             self._waiting_since = now
 
     def should_give_up(self, now: int) -> bool:
-        """Whether the aggregator in use is taken for lost."""
+        """Returns whether to abandon the aggregator in use."""
         if self.all_failed:
             return self._unanswered >= 1
         return self._unanswered >= MAX_UNANSWERED_REPORTS and now - self._waiting_since >= ANSWER_TIMEOUT_US
 
     def next_after_failure(self) -> str:
-        """The aggregator to try now that the one in use is taken for lost."""
+        """Counts the aggregator in use as failed and returns the next one to try."""
         self._failed += 1
         return self.order[(self.order.index(self.current) + 1) % len(self.order)]
 
     def backoff(self) -> int | None:
-        """How long to wait before the next try; None: not all aggregators have failed.
+        """Returns how long to wait before the next attempt, or None if not all aggregators have failed.
 
-        Drawn at random: all dispatchers lost the aggregators at the same moment, and would all try again together.
+        The time is random: dispatchers that lost the aggregators at the same moment would otherwise retry together.
         """
         if not self.all_failed:
             return None
         longest = min(MAX_BACKOFF_US, 2 * MIN_BACKOFF_US << min(8, self._failed - len(self.order)))
         return int(self._rng.uniform(0, longest - MIN_BACKOFF_US))
 
-    # The way back.
+    # Return to the first aggregator.
 
     def restart_hellos(self, now: int) -> None:
-        """Count answers to hellos anew."""
+        """Resets the count of answered hellos and schedules the next hello."""
         self._answered_hellos = 0
         self.hello_due = now + self._hello_interval()
 
@@ -127,17 +132,17 @@
         return int(self._rng.uniform(MIN_HELLO_INTERVAL_US, MAX_HELLO_INTERVAL_US))
 
     def next_hello(self, now: int) -> int | None:
-        """The number of the hello to send to the first aggregator now, if one is due."""
+        """Returns the number of the hello to send to the first aggregator now, or None if none is due."""
         if not self.is_away or now < self.hello_due:
             return None
         self.hello_due = now + self._hello_interval()
         if self._hello_number >= 0:
-            self._answered_hellos = 0  # the last one was not answered
+            self._answered_hellos = 0  # the last hello was not answered
         self._hello_number = self._rng.getrandbits(31)
         return self._hello_number
 
     def hello_answered(self, sender: str, number: int) -> bool:
-        """Whether it is time to return to the first aggregator, now that it answered a hello."""
+        """Records the answer to a hello. Returns whether to return to the first aggregator."""
         if sender != self.order[0] or number != self._hello_number or not self.is_away:
             return False
         self._hello_number = NONE
@@ -145,5 +150,5 @@
         return self._answered_hellos >= HELLOS_TO_RETURN
 
     def returned(self) -> None:
-        """The first aggregator is in use again."""
+        """Records that the first aggregator is in use again."""
         self._failed = 0
--- a/pearhill/membership/fragments.py
+++ b/pearhill/membership/fragments.py
@@ -1,4 +1,4 @@
-"""Messages that come in several parts, and the times at which numbered messages were sent; both bounded."""
+"""Reassembly of messages that arrive in several parts, and send times of numbered messages; both are bounded."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 from pearhill.membership.aggregation_messages import PartialSum, Report
 
-MAX_UNFINISHED_MESSAGES = 3  # of one sender
+MAX_UNFINISHED_MESSAGES = 3  # per sender
 MAX_SEND_TIMES = 32
 
 Fragment = TypeVar("Fragment", Report, PartialSum)
 
 
 class FragmentAssembler(Generic[Fragment]):
-    """Puts the parts of one sender's messages together."""
+    """Reassembles the messages of one sender from their parts."""
 
     def __init__(self) -> None:
-        self._parts: dict[int, dict[int, Fragment]] = {}  # by the message's number and the part's
+        self._parts: dict[int, dict[int, Fragment]] = {}  # by message number, then by part number
 
     def add(self, number: int, fragment: Fragment) -> list[Fragment] | None:
-        """All parts of the message in order once they have come, else None. Older unfinished messages are dropped."""
+        """Adds one part. Returns all parts of its message in order if they are complete, else None.
+
+        A complete message drops the unfinished messages before it; else the oldest beyond MAX_UNFINISHED_MESSAGES drop.
+        """
         received = self._parts.setdefault(number, {})
         received[fragment.part] = fragment
         if len(received) == fragment.parts:
@@ -33,17 +36,17 @@
 
 
 class SendTimes:
-    """When each of the newest MAX_SEND_TIMES numbered messages was sent, in microseconds."""
+    """The send times, in microseconds, of the newest MAX_SEND_TIMES numbered messages."""
 
     def __init__(self) -> None:
         self._times: OrderedDict[int, int] = OrderedDict()
 
     def remember(self, number: int, now: int) -> None:
-        """The message `number` is sent now."""
+        """Records that message `number` is sent now."""
         self._times[number] = now
         while len(self._times) > MAX_SEND_TIMES:
             self._times.popitem(last=False)
 
     def get(self, number: int) -> int | None:
-        """None: it was never sent, or too many messages ago."""
+        """Returns when message `number` was sent, or None if it was never sent or MAX_SEND_TIMES messages ago."""
         return self._times.get(number)
--- a/pearhill/membership/gauge_ranges.py
+++ b/pearhill/membership/gauge_ranges.py
@@ -1,4 +1,4 @@
-"""Gauges of a whole slot table cut into ranges that each fit one datagram."""
+"""Splits the gauges of a slot table into ranges that each fit one datagram."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class GaugeRange(NamedTuple):
-    """Packed gauges of `slot_count` slots from `first_slot` on: all tokens, and those still queued."""
+    """Packed gauges of `slot_count` slots from `first_slot` on: all tokens (loads) and the queued ones (waits)."""
 
     first_slot: int
     slot_count: int
@@ -21,9 +21,9 @@
 
 
 def single_range(loads: bytes, waits: bytes, reserved_bytes: int = 0) -> GaugeRange | None:
-    """All slots in one range; None: packed, and with `reserved_bytes` beside them, they do not fit a datagram.
+    """Returns all slots as one range, or None if the packed gauges and `reserved_bytes` do not fit one datagram.
 
-    `loads` and `waits` are codes by slot, equally long.
+    `loads` and `waits` are codes by slot, of equal length.
     """
     whole = GaugeRange(0, len(loads), pack(loads), pack(waits))
     if len(whole.loads) + len(whole.waits) + reserved_bytes > MAX_PACKED_GAUGE_BYTES:
@@ -32,7 +32,7 @@
 
 
 def split_into_ranges(loads: bytes, waits: bytes) -> list[GaugeRange]:
-    """A range for each SLOTS_PER_PART slots, which fits a datagram however little it can be packed."""
+    """Returns one range per SLOTS_PER_PART slots; each fits one datagram even uncompressed."""
     return [_range_from(first_slot, loads, waits) for first_slot in range(0, len(loads), SLOTS_PER_PART)]
 
 
--- a/pearhill/membership/gauges.py
+++ b/pearhill/membership/gauges.py
@@ -1,7 +1,7 @@
-"""Gauges: tokens as a code of one byte on a logarithmic scale, and rows of codes packed into few bytes.
+"""Gauges: token counts as one-byte codes on a logarithmic scale, and rows of codes packed into few bytes.
 
-Code 0 is no tokens; codes 1 to 255 grow by some 7% each. They stand for whole numbers, so that sums are exact and what
-was added can be subtracted again to the last token.
+Code 0 stands for no tokens; each of the codes 1 to 255 stands for about 7% more than the one before. All of them stand
+for whole numbers, so that sums are exact and subtracting a gauge removes exactly the tokens that it added.
 """
 
 from __future__ import annotations
@@ -10,43 +10,46 @@
 from bisect import bisect_right
 
 MIN_TOKENS = 16  # of code 1
-GROWTH = 1.07  # of a code's tokens over those of the code before it
+GROWTH = 1.07  # ratio between the tokens of adjacent codes
 CODES = 256
 TOKENS: tuple[float, ...] = (0.0, *(float(round(MIN_TOKENS * GROWTH**k)) for k in range(CODES - 1)))
-# From which tokens on the next code is the nearer one. Even one token is code 1: rounded to none, the work of many
-# small requests would vanish.
+# Token counts from which on the next code is the nearer one. A single token already gets code 1: rounded down to 0, the
+# work of many small requests would vanish.
 _BOUNDS = [1.0, *((a * b) ** 0.5 for a, b in zip(TOKENS[1:], TOKENS[2:], strict=False))]
 
-# How a row is packed: its first byte.
+# First byte of a packed row, which says how the row is packed.
 RAW = 0
 SPARSE = 1
 DEFLATED = 2
-MIN_DEFLATED_BYTES = 32  # shorter rows do not get shorter
-_RAW_DEFLATE = -15  # zlib's window bits: no header
+MIN_DEFLATED_BYTES = 32  # shorter rows do not shrink when deflated
+_RAW_DEFLATE = -15  # zlib's window bits for a stream without a header
 _SET_BITS = [bytes(k for k in range(8) if byte >> k & 1) for byte in range(256)]
 _MARKS = b"0" + b"1" * 255
 
 
 def encode(tokens: float) -> int:
-    """The nearest code; beyond the last one, the last."""
+    """Returns the nearest code; token counts beyond the last code get the last code."""
     return bisect_right(_BOUNDS, tokens)
 
 
 def decode(code: int) -> float:
-    """The tokens a code stands for."""
+    """Returns the tokens that a code stands for."""
     return TOKENS[code]
 
 
 def pack(codes: bytes) -> bytes:
-    """A row of codes as a byte that shows how it is packed, then the codes; or a bitmap of those that are not 0 and
-    these alone; or all deflated (RFC 1951), since replicas of a fleet are loaded much alike. Whichever is shortest."""
+    """Packs a row of codes in the shortest of three ways, which the first byte names.
+
+    RAW: the codes themselves. SPARSE: a bitmap of the codes other than 0, then these codes. DEFLATED: all codes,
+    deflated (RFC 1951), which is effective because the replicas of a fleet have similar loads.
+    """
     if not codes:
         return bytes((RAW,))
     best = bytes((RAW,)) + codes
     non_zero = codes.replace(b"\0", b"")
     bitmap_size = _bitmap_size(len(codes))
     if bitmap_size + len(non_zero) < len(codes):
-        # Bit k of the number is slot k: the marks as binary digits, the last slot first.
+        # Bit k of the bitmap stands for slot k, so the last slot is the first binary digit.
         bitmap = int(codes.translate(_MARKS)[::-1], 2).to_bytes(bitmap_size, "little")
         best = bytes((SPARSE,)) + bitmap + non_zero
     if len(best) > MIN_DEFLATED_BYTES:
@@ -55,7 +58,7 @@
 
 
 def unpack(data: bytes, count: int) -> bytes:
-    """The codes of `count` slots. ValueError: it is not what `pack` makes of so many."""
+    """Returns the codes of `count` slots. Raises ValueError if `data` is not that many packed codes."""
     codes = _unpack(data[:1], data[1:], count)
     if codes is None or len(codes) != count:
         raise ValueError(f"{len(data)} bytes are not {count} packed gauges")
@@ -63,7 +66,7 @@
 
 
 def _unpack(how: bytes, packed: bytes, count: int) -> bytes | None:
-    """None: they are certainly not packed so."""
+    """Returns the codes, whose number the caller checks, or None if they are not packed in the given way."""
     if how == bytes((RAW,)):
         return packed
     if how == bytes((SPARSE,)):
@@ -97,7 +100,10 @@
 
 
 def _inflate(packed: bytes, count: int) -> bytes | None:
-    """At most one code more than there should be: a datagram can hold a megabyte, deflated."""
+    """Returns at most `count` + 1 codes, or None if they are malformed.
+
+    The limit is needed because a datagram can contain a megabyte of deflated codes.
+    """
     unpacker = zlib.decompressobj(_RAW_DEFLATE)
     try:
         codes = unpacker.decompress(packed, count + 1)
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -1,4 +1,4 @@
-"""One dispatcher's part in the gossip of a fleet: members and loads together.
+"""The gossip protocol of one dispatcher: membership and loads in the same messages.
 
 Times are microseconds of the caller's clock.
 """
@@ -15,13 +15,13 @@
 from pearhill.membership.members import Members, MemberState, MemberUpdate, Payload
 from pearhill.membership.replay_window import ReplayWindow
 
-PARTITION_SHARE = 1 / 3  # of the fleet: more than that, dead together, is a network partition
-PARTITION_TIMEOUT_US = 60_000_000  # after so long they count as dead all the same
+PARTITION_SHARE = 1 / 3  # of the fleet; if more are dead at once, a network partition is assumed
+PARTITION_TIMEOUT_US = 60_000_000  # after this long, members behind a partition count as dead as well
 
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What one dispatcher sends another; `sequence` grows with each message, whoever it is for."""
+    """A message between two dispatchers. `sequence` increases with each message of a sender, across all recipients."""
 
     sender: str
     incarnation: int
@@ -32,7 +32,7 @@
 
 
 class GossipProtocol:
-    """`own_loads` gives this dispatcher's tokens at each replica, as they are now."""
+    """One dispatcher's side of the gossip. `own_loads` returns this dispatcher's current tokens at each replica."""
 
     def __init__(
         self,
@@ -50,17 +50,17 @@
         self._window = ReplayWindow()
 
     def tick(self, now: int) -> list[GossipMessage]:
-        """The messages that are due."""
+        """Returns the messages that are due."""
         payloads = self.members.tick(now)
         self._counted_peers = self.counted(now)
         self.peer_loads.weigh(now, self._counted_peers)
         return self._messages(payloads)
 
     def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
-        """Take an authentic message, whenever it comes and however often. The answers to it."""
+        """Processes an authentic message, which may be late or repeated. Returns the answers to it."""
         if message.sender not in self.members.members:
             return []
-        # Replayed, the messages of a dead dispatcher would be signs of its life.
+        # Without this check, replayed messages of a dead dispatcher would make it look alive.
         if not self._window.first_time(message.sender, message.incarnation, message.sequence):
             return []
         version = (message.incarnation, message.sequence)
@@ -86,10 +86,10 @@
         )
 
     def counted(self, now: int) -> set[str]:
-        """The peers that send requests, as far as is known: the reachable, and those behind a network partition.
+        """Returns the peers that presumably send requests: those not dead, and those behind a network partition.
 
-        Counted as dead, each side of a partition would take the other's share too: together they would give each
-        starting replica, each tenant's quota and each retry budget twice what is right.
+        If each side of a partition counted the other side as dead, both would claim the whole of each limit: together
+        they would grant each starting replica, each tenant's quota and each retry budget twice the intended amount.
         """
         members = self.members.members
         alive = {name for name, member in members.items() if member.state != MemberState.DEAD}
@@ -103,16 +103,19 @@
         return alive | lately_dead if is_partition else alive
 
     def count(self, now: int) -> int:
-        """Dispatchers that share the work, this one among them."""
+        """Returns how many dispatchers share the work, including this one."""
         return len(self.counted(now)) + 1
 
     def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
+        """Returns the estimated load of the other dispatchers at a replica.
+
+        `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
+        """
         own = ReplicaLoad(replica, queued_tokens, total_tokens)
         return self.peer_loads.others(now, replica, self._counted_peers, own)
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
-        """Name the peers anew. What is known of those that stay, stays."""
+        """Replaces the list of peers. The state of those that remain is retained."""
         self.members.reconfigure(peers, now)
         self.peer_loads.keep(self.members.members)
         self._counted_peers = self.counted(now)
--- a/pearhill/membership/gossip_messages.py
+++ b/pearhill/membership/gossip_messages.py
@@ -1,4 +1,4 @@
-"""Gossip messages as datagrams of version 1: one message is one datagram."""
+"""Gossip messages, encoded as datagrams of version 1, one message per datagram."""
 
 from __future__ import annotations
 
@@ -35,13 +35,12 @@
 
 
 class GossipCodec(MessageAuthenticator):
-    """Gossip messages to datagrams and back."""
+    """Encodes gossip messages as datagrams and decodes them."""
 
     version = VERSION
 
     def pack(self, message: GossipMessage) -> bytes:
-        """The datagram of a message. Of a digest that does not fit, the smallest loads are left out, then the last
-        updates."""
+        """Returns the datagram of a message. If it is too large, omits the smallest loads, then the last updates."""
         updates = [(update.name, update.incarnation, update.state) for update in message.updates]
         loads = [(load.replica, load.queued_tokens, load.total_tokens) for load in message.loads]
         body = _encode(message, updates, loads)
@@ -54,13 +53,16 @@
         return self.seal(body)
 
     def unpack(self, data: bytes, me: str) -> GossipMessage:
-        """The message of a datagram. MessageRejectedError: it is foreign, forged, torn, or not for `me`."""
+        """Returns the message of a datagram.
+
+        Raises MessageRejectedError if the datagram is foreign, forged, truncated or not addressed to `me`.
+        """
         try:
             body = _decoder.decode(self.unseal(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
         if body.to != me:
-            # Replayed to another dispatcher, an ack would answer a ping that its sender never received.
+            # An ack replayed to another dispatcher would otherwise answer a ping that its sender never received.
             raise MessageRejectedError("not-for-me")
         if not _is_valid(body):
             raise MessageRejectedError("malformed")
--- a/pearhill/membership/known_table.py
+++ b/pearhill/membership/known_table.py
@@ -12,18 +12,18 @@
 
 @dataclass(slots=True)
 class KnownTable:
-    """The table of one start of an aggregator, as far as it is known here."""
+    """The slot table of one start of an aggregator, as far as this dispatcher has received it."""
 
     incarnation: int = 0
-    version: int = 0  # up to which it is known
+    version: int = 0  # up to which the table has been received
     slot_of: dict[int, int] = field(default_factory=dict)
     replicas: list[int] = field(default_factory=list)  # by slot
-    assigned_version: list[int] = field(default_factory=list)  # by slot: at which it got its replica
-    latest: int = 0  # the aggregator's own version, as last received
-    was_complete: bool = False  # it has been known up to `latest` once
+    assigned_version: list[int] = field(default_factory=list)  # by slot: table version that assigned it
+    latest: int = 0  # the aggregator's current version, as last received
+    was_complete: bool = False  # whether the table has been received up to `latest` at least once
 
     def update(self, entries: Iterable[TableEntry]) -> None:
-        """Take the entries that are not known yet; they come in order of versions."""
+        """Adds the entries that are new. Entries arrive in the order of their versions."""
         for slot, replica, version in entries:
             if version > self.version:
                 self._assign(slot, replica, version)
--- a/pearhill/membership/member_directory.py
+++ b/pearhill/membership/member_directory.py
@@ -1,8 +1,8 @@
-"""Which dispatchers share the work, as far as the aggregators know together.
+"""The dispatchers that share the work, merged from the information of all aggregators.
 
-Aggregators send one another all members they count, each with its incarnation and how long it has been silent; the
-newer incarnation and the newer sign of life win. Many members that fall silent together are taken for a network
-partition, not for so many crashes, and stay counted for longer. Times are microseconds.
+Aggregators send one another all members that they count, each with its incarnation and the time for which it has been
+silent. The newer incarnation wins, then the more recent sign of life. If many members fall silent together, a network
+partition is assumed rather than as many crashes, and these members stay counted for longer. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 from pearhill.membership.aggregation_messages import MAX_MEMBER_LIST_BYTES, MAX_PARTS, MemberEntry
 
-SILENCE_TIMEOUT_US = 10_000_000  # a silent member is counted for so long
-PARTITION_TIMEOUT_US = 900_000_000  # and for so long when it is behind a network partition
-LEFT_TIMEOUT_US = 60_000_000  # one that left is remembered: a late message of it does not bring it back
-HOP_ALLOWANCE_US = 1_000_000  # added to a silence that is passed on; longer than a datagram is under way
-PARTITION_SHARE = 1 / 3  # more than that of all, or of one aggregator's, silent together: a partition
-MIN_LOST_FOR_PARTITION = 3  # of one aggregator's members, who may be few
-ENTRY_BYTES = 22  # of a member list's entry at most, beside the name
+SILENCE_TIMEOUT_US = 10_000_000  # how long a silent member stays counted
+PARTITION_TIMEOUT_US = 900_000_000  # how long a member behind a network partition stays counted
+LEFT_TIMEOUT_US = 60_000_000  # how long a member that left is retained, so that a late message does not re-add it
+HOP_ALLOWANCE_US = 1_000_000  # added to a silence that is forwarded; longer than a datagram is in transit
+PARTITION_SHARE = 1 / 3  # if more of all, or of one aggregator's, members are silent, a partition is assumed
+MIN_LOST_FOR_PARTITION = 3  # silent members of one aggregator, which may have few members
+ENTRY_BYTES = 22  # largest size of a member list's entry, without the name
 
 
 class Incarnation(NamedTuple):
-    """One start of a dispatcher and one attachment to an aggregator; the larger is the newer."""
+    """One start of a dispatcher and one of its attachments to an aggregator; the larger value is the newer."""
 
-    started: int  # which start of the process
-    attachment: int  # which change of its aggregator since then
+    started: int  # identifies the start of the process
+    attachment: int  # counts the attachments to an aggregator since then
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One dispatcher that shares the work. `via`: the aggregator by which it was seen last."""
+    """One dispatcher that shares the work. `via` is the aggregator through which it was last seen."""
 
     incarnation: Incarnation
     last_seen: int
@@ -42,13 +42,13 @@
 
 
 class MemberDirectory:
-    """All members that are known, by name."""
+    """All known members by name."""
 
     def __init__(self) -> None:
         self.records: dict[str, MemberRecord] = {}
 
     def learn(self, name: str, update: MemberRecord) -> bool:
-        """Merge what came of a member. False: something newer is known of it."""
+        """Merges an update about a member. Returns False if a newer state of the member is known."""
         known = self.records.get(name)
         if known is None or known.incarnation < update.incarnation:
             self.records[name] = update
@@ -64,38 +64,41 @@
         return True
 
     def learn_allowed(self, name: str, silence: int, left: bool) -> bool:
-        """Whether an entry of another aggregator's member list is worth merging."""
+        """Returns whether to merge an entry of another aggregator's member list."""
         if silence >= PARTITION_TIMEOUT_US:
             return False
         if silence >= SILENCE_TIMEOUT_US and not was_passed_on_as_partitioned(silence):
             return False
-        # Passed to and fro between aggregators, one that left would never be forgotten.
+        # Aggregators would otherwise forward a member that left back and forth and never remove it.
         return not left or name in self.records
 
     def count(self) -> int:
-        """Dispatchers that share the work."""
+        """Returns how many dispatchers share the work."""
         return sum(not record.left for record in self.records.values())
 
     def count_partitioned(self) -> int:
-        """Those of them that are taken to be behind a network partition."""
+        """Returns how many of them are assumed to be behind a network partition."""
         return sum(record.partitioned for record in self.records.values())
 
     def summary(self) -> frozenset[tuple[str, Incarnation, bool]]:
-        """What other aggregators have to be sent soon when it changes."""
+        """Returns the state that other aggregators must receive soon after it changes."""
         return frozenset((name, record.incarnation, record.left) for name, record in self.records.items())
 
     def extend_silences(self, now: int, stalled: int) -> None:
-        """Excuse all silences by the time for which this process stood still.
+        """Subtracts the time for which this process was stalled from all silences.
 
-        What the members sent meanwhile waits unread: without this, all would be taken for silent. None is seen later
-        than now, or one seen since would be held for present for as long again.
+        Messages that arrived during the stall are still unread, so all members would count as silent otherwise. The
+        last sign of life is never set later than `now`: a member whose message was read after the stall would
+        otherwise stay counted for the length of the stall longer.
         """
         for record in self.records.values():
             record.last_seen = min(now, record.last_seen + stalled)
 
     def forget_silent(self, now: int, is_silent: Callable[[str], bool]) -> list[str]:
-        """Remove members that have been silent for too long; their names. `is_silent` takes
-        another aggregator's name and returns whether nothing is received from it."""
+        """Removes members that have been silent for too long and returns their names.
+
+        `is_silent` takes another aggregator's name and returns whether nothing is received from that aggregator.
+        """
         silences = {name: now - record.last_seen for name, record in self.records.items()}
         self._mark_partitioned(silences, is_silent)
         forgotten = [name for name, silence in silences.items() if silence >= _timeout(self.records[name])]
@@ -123,7 +126,7 @@
             )
 
     def entries(self, now: int) -> list[list[MemberEntry]]:
-        """All members for another aggregator, in as many lists as datagrams are needed."""
+        """Returns all members for another aggregator, in one list per datagram."""
         parts: list[list[MemberEntry]] = [[]]
         size = 0
         for name, record in self.records.items():
@@ -138,7 +141,7 @@
 
 
 def was_passed_on_as_partitioned(silence: int) -> bool:
-    """Only a member that is taken to be behind a partition is passed on with so long a silence."""
+    """Returns whether the silence is that of a member assumed behind a partition; only those are listed for so long."""
     return silence >= SILENCE_TIMEOUT_US + HOP_ALLOWANCE_US
 
 
@@ -151,7 +154,7 @@
 
 
 def _silence_ms(now: int, record: MemberRecord) -> int:
-    """How long it has been silent, as in a member list; -1: it left."""
+    """Returns the silence as a member list contains it, or -1 if the member left."""
     if record.left:
         return -1
     return (max(0, now - record.last_seen) + HOP_ALLOWANCE_US) // 1000
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -1,10 +1,11 @@
-"""Which of the named dispatchers are alive: SWIM (Das, Gupta, Motivala, 2002) with suspicion, incarnations and indirect
-probes.
-
-Every message is a sign of life of its sender, and passes a few member updates on. A ping without an answer is repeated
-by way of others, so that one bad path condemns nobody; then its target is suspect, and dead when it does not object. A
-dispatcher that learns of its own death raises its incarnation, and that update replaces the old one everywhere. Times
-are microseconds of the caller's clock; no other process's clock is looked at.
+"""Failure detection among the configured dispatchers: SWIM (Das, Gupta, Motivala, 2002) with suspicion, incarnations
+and indirect probes.
+
+Every message is a sign of life of its sender and carries a few member updates. A ping without an answer is repeated
+through other members, so that a single bad path does not make a member suspect. After that the target is suspect, and
+dead unless it refutes the suspicion in time. A dispatcher that is reported suspect or dead raises its incarnation, and
+that update replaces the old one everywhere. Times are microseconds of the caller's clock; no other process's clock is
+read.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 GOSSIP_TICK_US = 250_000
 MIN_PINGS_PER_TICK = 4
 MAX_PINGS_PER_TICK = 24
-TICKS_PER_ROUND = 2  # in which every member is pinged once, unless MAX_PINGS_PER_TICK forbids
-ACK_TIMEOUT_US = 250_000  # then as long again for an answer by way of others
+TICKS_PER_ROUND = 2  # each member is pinged once per round, unless MAX_PINGS_PER_TICK prevents it
+ACK_TIMEOUT_US = 250_000  # for a direct answer, then as long again for an answer through other members
 INDIRECT_PROBES = 3
-MAX_TICK_GAP_US = 3 * GOSSIP_TICK_US  # between two ticks; after more, this process stood still
-SUSPICION_US = 2_000_000  # in which a suspect may object
-MAX_UPDATES = 12  # carried by one message
+MAX_TICK_GAP_US = 3 * GOSSIP_TICK_US  # between two ticks; a longer gap means that this process was stalled
+SUSPICION_US = 2_000_000  # time for a suspect to refute the suspicion
+MAX_UPDATES = 12  # per message
 
 
 class MemberState(StrEnum):
-    """What a member is taken for; the values are those on the wire."""
+    """The assumed state of a member; the values are those on the wire."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
 
 
-_PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2}  # within one incarnation
+_PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2}  # per incarnation, the highest wins
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """A member's state as one message reports it. `state` may be one that this version does not know."""
+    """A member's state as reported by one message. `state` may be one that this version does not support."""
 
     name: str
     incarnation: int
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Answered by an Ack of the same number."""
+    """A ping, answered by an Ack with the same number."""
 
     to: str
     number: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a Ping or PingRequest of the same number."""
+    """The answer to the Ping or PingRequest with the same number."""
 
     to: str
     number: int
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """An indirect ping (SWIM's ping-req): the addressee pings `target` and forwards its Ack."""
+    """An indirect ping (SWIM's ping-req): the recipient pings `target` and forwards its Ack."""
 
     to: str
     number: int
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another dispatcher, its state, and since when it has that state here."""
+    """Another dispatcher, its assumed state, and since when this dispatcher assumes that state."""
 
     incarnation: int = 0
     state: MemberState = MemberState.ALIVE
@@ -85,36 +86,39 @@
 
 @dataclass(slots=True)
 class OpenPing:
-    """A ping without an answer so far. `requester`: the dispatcher that requested it by its `request_number`."""
+    """A ping that is not answered yet. `requester` is the dispatcher that requested it under `request_number`."""
 
     to: str
     sent_at: int
-    is_indirect: bool = False  # others ping for this one, or this one for another
+    is_indirect: bool = False  # other members were asked to ping as well, or one of them requested this ping
     requester: str = ""
     request_number: int = 0
 
 
 class Members:
-    """`incarnation` must grow with each start of the same name: the time of the start does."""
+    """The members of a fleet as one dispatcher sees them.
+
+    `incarnation` must be larger than at any earlier start under the same name; callers pass the time of the start.
+    """
 
     def __init__(self, name: str, peers: Iterable[str], incarnation: int, now: int, rng: random.Random) -> None:
         self.name = name
         self.incarnation = incarnation
         self.rng = rng
         self.members = {peer: Member(state_since=now) for peer in peers if peer != name}
-        self._round: list[str] = []  # still to be pinged in this round
+        self._round: list[str] = []  # members not yet pinged in this round
         self._open_pings: dict[int, OpenPing] = {}
-        # Numbered from 1 at each start, a replayed ack to an earlier start would answer a ping of this one.
+        # With numbers from 1 at each start, a replayed ack to an earlier start would answer a ping of this one.
         self._ping_number = rng.getrandbits(48)
         self._last_tick = now
         self._times_sent: dict[str, int] = {}  # by member with a new state: how often its update was sent
 
     def reachable(self) -> set[str]:
-        """Members that answer or may still object to their death, and this dispatcher."""
+        """Returns the members that are alive or suspect, and this dispatcher."""
         return {self.name, *(name for name, member in self.members.items() if member.state != MemberState.DEAD)}
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
-        """Name the members anew. What is known of those that stay, stays."""
+        """Replaces the list of members. The state of those that remain is retained."""
         names = {name for name in peers if name != self.name}
         self.members = {name: self.members.get(name) or Member(state_since=now) for name in sorted(names)}
         self._round = [name for name in self._round if name in names]
@@ -126,7 +130,7 @@
     # Ticks.
 
     def tick(self, now: int) -> list[Payload]:
-        """What is due of open pings and suspects, and the next pings."""
+        """Declares overdue suspects dead. Returns the indirect probes that are due, and the next pings."""
         self._notice_stall(now)
         payloads = self._follow_up_pings(now)
         self._declare_dead(now)
@@ -135,7 +139,7 @@
         return payloads
 
     def _notice_stall(self, now: int) -> None:
-        """What a suspect answered while this process stood still waits unread: it gets that time on top."""
+        """Extends suspicions by the time of a stall: answers that arrived meanwhile are still unread."""
         gap = now - self._last_tick
         self._last_tick = now
         if gap > MAX_TICK_GAP_US:
@@ -153,9 +157,9 @@
         return min(count, MAX_PINGS_PER_TICK, max(MIN_PINGS_PER_TICK, per_tick))
 
     def _next_in_round(self) -> str:
-        """The next member of a shuffled round: drawn one by one, some member would be left out for long.
+        """Returns the next member of a shuffled round; with independent draws, some member might not be drawn for long.
 
-        Dead members are in the round too: there is no other way to notice that a network partition healed.
+        Dead members are part of the round, because their pings are the only way to detect a healed partition.
         """
         if not self._round:
             self._round = sorted(self.members)
@@ -189,12 +193,12 @@
         if member.state == MemberState.ALIVE and not ping.requester:
             self._set(now, ping.to, member.incarnation, MemberState.SUSPECT)
 
-    # Messages that come in.
+    # Incoming messages.
 
     def receive(
         self, now: int, sender: str, incarnation: int, payload: Payload | None, updates: Iterable[MemberUpdate]
     ) -> list[Payload]:
-        """Take an authentic message that has not come before. The answers to it."""
+        """Processes an authentic message that is not a replay. Returns the answers to it."""
         if sender not in self.members:
             return []
         self._merge(now, MemberUpdate(sender, incarnation, MemberState.ALIVE))
@@ -217,7 +221,7 @@
             del self._open_pings[number]
             return [Ack(ping.requester, ping.request_number)] if ping.requester in self.members else []
         if ping.is_indirect and not ping.requester:
-            del self._open_pings[number]  # a helper passes on that the target answered
+            del self._open_pings[number]  # a helper forwarded the target's answer
         return []
 
     def _merge(self, now: int, update: MemberUpdate) -> None:
@@ -232,7 +236,7 @@
             self._set(now, update.name, update.incarnation, state)
 
     def _object_to(self, update: MemberUpdate) -> None:
-        """Raise the incarnation above that of a wrong update: without this, all would take this dispatcher for dead."""
+        """Raises the incarnation above that of a wrong update; all members would declare this one dead otherwise."""
         if update.state != MemberState.ALIVE and update.incarnation >= self.incarnation:
             self.incarnation = update.incarnation + 1
 
@@ -243,11 +247,14 @@
         member.state_since = now
         self._times_sent[name] = 0
 
-    # Updates that go out.
+    # Outgoing updates.
 
     def updates_for(self, to: str) -> list[MemberUpdate]:
-        """What the next message passes on: this dispatcher's state, the addressee's unless it is alive, so that it can
-        object, then the updates that were sent least often."""
+        """Returns the updates for the next message to member `to`.
+
+        These are this dispatcher's state, the recipient's state unless it is alive, so that the recipient can refute
+        it, and then the updates that were sent least often.
+        """
         updates = [MemberUpdate(self.name, self.incarnation, MemberState.ALIVE)]
         addressee = self.members.get(to)
         if addressee and addressee.state != MemberState.ALIVE:
--- a/pearhill/membership/message_authenticator.py
+++ b/pearhill/membership/message_authenticator.py
@@ -1,4 +1,4 @@
-"""Datagrams with a keyed checksum: one byte of version, the checksum, a body in MessagePack."""
+"""Authenticated datagrams: one byte of version, a message authentication code (MAC), a body in MessagePack."""
 
 from __future__ import annotations
 
@@ -6,38 +6,40 @@
 import hmac
 from typing import ClassVar
 
-MAX_DATAGRAM_BYTES = 1400  # fits any path without being split
+MAX_DATAGRAM_BYTES = 1400  # fits any path without fragmentation
 TAG_BYTES = 16  # of HMAC-SHA256 (RFC 2104, truncated as its section 5 allows)
 MIN_KEY_BYTES = 16
-MAX_COUNT = 1 << 62  # an incarnation or sequence, which must leave room to count on
+MAX_COUNT = 1 << 62  # of an incarnation or sequence; leaves a margin for increments
 
 
 class MessageRejectedError(Exception):
-    """A datagram that is not accepted; the text is its reason code."""
+    """Raised for a datagram that is not accepted; the text is the reason code."""
 
 
 class MessageAuthenticator:
-    """Seals and opens datagrams of one version. The first of `keys` signs, each of them is accepted, so that a key is
-    changed without a gap."""
+    """Signs and verifies datagrams of one version.
+
+    The first of `keys` signs and each of them is accepted, so that a key can be rotated without rejected datagrams.
+    """
 
     version: ClassVar[int]
 
     def __init__(self, keys: list[bytes]) -> None:
-        """ValueError: there is no key, or one is too short."""
+        """Raises ValueError if there is no key or one is too short."""
         if not keys or min(map(len, keys)) < MIN_KEY_BYTES:
             raise ValueError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
         self.keys = keys
 
     def fits(self, body: bytes) -> bool:
-        """Whether a datagram holds the body."""
+        """Returns whether the body fits one datagram."""
         return 1 + TAG_BYTES + len(body) <= MAX_DATAGRAM_BYTES
 
     def seal(self, body: bytes) -> bytes:
-        """The datagram of a body."""
+        """Returns the signed datagram of a body."""
         return bytes((self.version,)) + self.tag(self.keys[0], body) + body
 
     def unseal(self, data: bytes) -> bytes:
-        """The body of a datagram. MessageRejectedError: it is foreign, forged or torn."""
+        """Returns the body of a datagram. Raises MessageRejectedError if it is foreign, forged or truncated."""
         if len(data) > MAX_DATAGRAM_BYTES or len(data) <= 1 + TAG_BYTES:
             raise MessageRejectedError("size")
         if data[0] != self.version:
@@ -50,5 +52,5 @@
 
     @classmethod
     def tag(cls, key: bytes, body: bytes) -> bytes:
-        """The keyed checksum over version and body."""
+        """Returns the MAC over version and body."""
         return hmac.digest(key, bytes((cls.version,)) + body, hashlib.sha256)[:TAG_BYTES]
--- a/pearhill/membership/peer_aggregator.py
+++ b/pearhill/membership/peer_aggregator.py
@@ -1,7 +1,7 @@
-"""What one aggregator keeps of another: its table, its sums, and how far it has this aggregator's table.
+"""What one aggregator stores about a peer: the peer's slot table and sums, and how much of this one's table it has.
 
-Its sums count under a lease as a dispatcher's work does: until PARTIAL_SUM_LEASE_US after the message to which they
-respond was sent. Times are microseconds.
+The peer's sums count under a lease, as a dispatcher's work does: until PARTIAL_SUM_LEASE_US after this aggregator sent
+the message that they answer. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,42 +14,45 @@
 from pearhill.membership.gauges import TOKENS, unpack
 
 UNKNOWN_REPLICA = -1
-SlotFor = Callable[[int], int | None]  # this aggregator's slot of a replica
+SlotFor = Callable[[int], int | None]  # returns this aggregator's slot of a replica
 
 
 @dataclass(slots=True)
 class PeerAggregator:
-    """One start of another aggregator. Messages are named by the sequence of their first part."""
+    """One start of another aggregator. Messages are identified by the sequence of their first part."""
 
     incarnation: int = -1
     last_seen: int = -1
     version: int = 0
-    replicas: list[int] = field(default_factory=list)  # by its slots
-    sent: SendTimes = field(default_factory=SendTimes)  # by message
-    newest_received: int = -1  # of its messages
+    replicas: list[int] = field(default_factory=list)  # by the peer's slots
+    sent: SendTimes = field(default_factory=SendTimes)  # send times of the messages to the peer
+    newest_received: int = -1  # newest message received from the peer
     fragments: FragmentAssembler[PartialSum] = field(default_factory=FragmentAssembler)
-    newest_counted: int = -1  # of its messages whose sums are used
+    newest_counted: int = -1  # newest message of the peer whose sums are used
     lease_end: int = -1
     reporting: int = 0
     loads: list[float] = field(default_factory=list)  # by this aggregator's slots
     waits: list[float] = field(default_factory=list)
-    known_incarnation: int = -1  # of this aggregator's table, as the peer has it
+    known_incarnation: int = -1  # of this aggregator's table, as the peer last reported
     known_version: int = 0
 
     def is_fresh(self, now: int) -> bool:
-        """Whether its sums count."""
+        """Returns whether the peer's sums count."""
         return self.lease_end > now
 
     def has_work(self, slot: int) -> bool:
-        """Whether its last sums have work at the slot, fresh or not."""
+        """Returns whether the peer's last sums, fresh or not, include work at the slot."""
         return slot < len(self.loads) and bool(self.loads[slot] or self.waits[slot])
 
     def receive(self, now: int, message: PartialSum, started: int, slot_count: int, slot_for: SlotFor) -> None:
-        """Take its partial sums once all parts have come. `started`: this aggregator's own start."""
+        """Processes one part of the peer's sums, which count once all parts have arrived.
+
+        `started` is this aggregator's own start.
+        """
         number = message.sequence - message.part
         self.newest_received = max(self.newest_received, number)
         if message.known_incarnation != started:
-            # It has received nothing of this start yet: its table's entries are those that an earlier start lacked.
+            # The peer has received nothing of this start yet; its entries are those that an earlier start lacked.
             return
         if number >= self.newest_counted:
             self.known_incarnation = message.known_incarnation
@@ -76,7 +79,7 @@
                 self.version = version
 
     def _count(self, messages: list[PartialSum], slot_count: int, slot_for: SlotFor) -> None:
-        """Its gauges by its slots, as tokens by this aggregator's slots."""
+        """Converts gauges by the peer's slots to tokens by this aggregator's slots."""
         loads = [0.0] * slot_count
         waits = [0.0] * slot_count
         for message in messages:
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -1,4 +1,4 @@
-"""Which source of the others' loads is used: the aggregators' sums or the dispatchers' gossip."""
+"""Selects the source of the other dispatchers' loads: the aggregators' sums or gossip."""
 
 from __future__ import annotations
 
@@ -14,40 +14,48 @@
 
 
 class CombinedLoadSource:
-    """Satisfies `load_reports.peer_load_source.PeerLoadSource`. While a fleet changes from one way to the other, some
-    dispatchers use both; one that uses only one of them is missing from the other."""
+    """Implements `load_reports.peer_load_source.PeerLoadSource` with aggregators' sums and gossip.
+
+    While a fleet is migrated from one to the other, some dispatchers use both; a dispatcher that uses only one of them
+    is missing from the other.
+    """
 
     def __init__(self) -> None:
         self.reporter: Reporter | None = None
         self.gossip: GossipProtocol | None = None
-        self._sums_count_all = False  # as of the last `count`: they count no fewer than the gossip does
+        self._sums_count_all = False  # as of the last `count`: the sums count no fewer than the gossip
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them; None: no source has ever reported. To be called again
-        whenever either source has another count."""
+        """Returns how many dispatchers share the work, including this one, or None if no source has ever reported.
+
+        Must be called again whenever the count of either source changes.
+        """
         by_sums = self.reporter.count(now) if self.reporter else None
         by_gossip = self.gossip.count(now) if self.gossip else None
         self._sums_count_all = by_sums is not None and (by_gossip is None or by_sums >= by_gossip)
-        # By the smaller count, each cold replica would get the shares of the dispatchers that it leaves out as well.
+        # With the smaller count, each cold replica would also get the shares of the dispatchers that it leaves out.
         return max((count for count in (by_sums, by_gossip) if count is not None), default=None)
 
     def fresh(self, now: int) -> bool:
-        """Whether the aggregators' sums are recent."""
+        """Returns whether the aggregators' sums are recent."""
         age_s = self.reporter.figures(now)["age_s"] if self.reporter else None
         return age_s is not None and age_s * 1e6 < MAX_SUMS_AGE_US
 
     def in_use(self, now: int) -> str:
-        """SOURCE_SUMS or SOURCE_GOSSIP, for operators; empty where there are neither fresh sums nor gossip."""
+        """Returns SOURCE_SUMS or SOURCE_GOSSIP, for operators, or "" without fresh sums and gossip."""
         if self._sums_count_all and self.fresh(now):
             return SOURCE_SUMS
         return SOURCE_GOSSIP if self.gossip else ""
 
     def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
+        """Returns the estimated load of the other dispatchers at a replica.
+
+        `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
+        """
         others = NOTHING_KNOWN
         if self.reporter and (self._sums_count_all or self.gossip is None):
             others = self.reporter.others(now, replica, queued_tokens, total_tokens)
         if others.confidence <= 0 and self.gossip:
-            # All aggregators may be gone; the gossip goes on.
+            # Gossip continues even if all aggregators are down.
             return self.gossip.others(now, replica, queued_tokens, total_tokens)
         return others
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -1,8 +1,8 @@
-"""What the other dispatchers have at each replica, made of an aggregator's sums.
+"""The other dispatchers' load at each replica, derived from an aggregator's sums.
 
-Sums hold this dispatcher's own work as of some earlier report; it is taken off again. They fade with age, not to
-nothing but to what this dispatcher itself has, for each of the others: one that cannot be heard still sends requests,
-as far as anybody knows. Times are microseconds.
+Sums include this dispatcher's own work as of an earlier report, which is subtracted. The weight of sums decreases with
+age. The estimate then approaches not zero but this dispatcher's own load for each of the others, because a dispatcher
+that cannot be reached presumably still sends requests. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from pearhill.membership.known_table import KnownTable
 from pearhill.membership.sent_reports import NO_GAUGE, OwnGauges
 
-MAX_SUMS_AGE_US = 2_500_000  # older sums are not used at all
-SUMS_HALF_LIFE_US = 2_000_000  # after which half of them still holds
+MAX_SUMS_AGE_US = 2_500_000  # older sums are not used
+SUMS_HALF_LIFE_US = 2_000_000  # age at which sums have half their weight
 
 
 class PeerLoad(NamedTuple):
-    """Others' tokens at a replica, of how many of them, and as of when."""
+    """The other dispatchers' tokens at a replica, how many of them reported, and when."""
 
     queued_tokens: float
     total_tokens: float
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True)
 class SumsRange:
-    """Sums over the slots from `first_slot` on. `own`: this dispatcher's gauges that are in them."""
+    """Sums over the slots from `first_slot` on. `own` are this dispatcher's gauges that the sums include."""
 
-    asked_at: int  # when the report was sent that they answer
+    asked_at: int  # when the report that these sums answer was sent
     version: int
     first_slot: int
     loads: bytes
     waits: bytes
-    reporting: int  # others, without this dispatcher
+    reporting: int  # dispatchers other than this one
     own: OwnGauges
 
     @property
@@ -47,28 +47,28 @@
         return self.first_slot + len(self.loads)
 
     def overlaps(self, other: SumsRange) -> bool:
-        """Whether any slot is in both."""
+        """Returns whether any slot is in both ranges."""
         return self.first_slot < other.end_slot and other.first_slot < self.end_slot
 
 
 class PeerSums:
-    """The newest sums over each range of slots. `source`: the aggregator they come from."""
+    """The newest sums over each range of slots. `source` is the aggregator that sent them."""
 
     def __init__(self) -> None:
         self.source = ""
         self.ranges: list[SumsRange] = []
         self.counted: int | None = None  # dispatchers that share the work, as last received
         self.reporting = 0
-        self.received_at = -1  # when the report was sent that the newest sums answer
+        self.received_at = -1  # when the report that the newest sums answer was sent
         self._settled = False
 
     def clear(self, source: str) -> None:
-        """From now on sums come from another aggregator, or from another start of it."""
+        """Drops all sums, because the next ones come from another aggregator or another start of it."""
         self.source = source
         self.ranges.clear()
 
     def update_counts(self, sums: Sums, asked_at: int) -> None:
-        """Take the counts of dispatchers unless newer ones are known."""
+        """Stores the counts of dispatchers unless newer ones are stored."""
         if asked_at < self.received_at:
             return
         self.reporting = sums.reporting
@@ -77,7 +77,7 @@
         self._settled = self._settled or sums.settled
 
     def update_range(self, sums: Sums, asked_at: int, own: OwnGauges) -> None:
-        """Take the gauges. They replace older ones of the same slots; newer ones stay."""
+        """Stores the gauges. They replace older ones of the same slots; newer ones are retained."""
         new = SumsRange(
             asked_at=asked_at,
             version=sums.version,
@@ -93,19 +93,20 @@
             self.ranges.append(new)
 
     def count(self) -> int | None:
-        """Dispatchers that share the work, this one among them. None: no aggregator that surely knew has reported.
+        """Returns how many dispatchers share the work, including this one, or None without a settled answer so far.
 
-        By the first answer of an aggregator that has just started this dispatcher would be one of few, and take
-        nearly all of a cold replica's share.
+        An aggregator that has just started counts few dispatchers. With that count, this dispatcher would claim nearly
+        all of a cold replica's share.
         """
         return self.counted if self._settled else None
 
     def others(
         self, now: int, table: KnownTable | None, replica: int, queued_tokens: int, total_tokens: int
     ) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has so many queued tokens, and in all.
+        """Returns the estimated load of the other dispatchers at a replica.
 
-        `table`: of the aggregator the sums come from.
+        `table` is that of the aggregator that sent the sums. `queued_tokens` and `total_tokens` are this dispatcher's
+        own tokens at the replica.
         """
         others = (self.counted or 1) - 1
         if others <= 0:
@@ -113,7 +114,7 @@
         peer_load = self.peer_load(now, table, replica)
         if peer_load is None:
             return OthersLoad(float(others * queued_tokens), float(others * total_tokens), 0.0)
-        # Each of whom nothing is known counts as the mean of all of whom something is, this dispatcher among them.
+        # A dispatcher without known load counts as the mean of those with known load, this one included.
         weight = 0.5 ** (max(0, now - peer_load.reported_at) / SUMS_HALF_LIFE_US)
         known = weight * min(peer_load.reporting, others)
         scale = (1 + others) / (1 + known)
@@ -124,10 +125,10 @@
         )
 
     def peer_load(self, now: int, table: KnownTable | None, replica: int) -> PeerLoad | None:
-        """What the others reported at a replica. None: no sums of it are known, or they are too old.
+        """Returns what the other dispatchers reported at a replica, or None if no recent sums include the replica.
 
-        `table`: of the aggregator the sums come from. Before all of it is known, replicas that are not in it yet would
-        look empty to every dispatcher.
+        `table` is that of the aggregator that sent the sums. Returns None until that table has been complete once:
+        replicas that are still missing from it would look idle to every dispatcher.
         """
         if table is None or not table.was_complete:
             return None
@@ -139,14 +140,14 @@
             is_current = table.version >= table.latest
             return PeerLoad(0.0, 0.0, sums.reporting, sums.asked_at) if is_current else None
         if table.assigned_version[slot] > sums.version:
-            return None  # these are sums of the replica that had the slot before
+            return None  # the sums are those of the replica that had the slot before
         own = sums.own.get(replica, NO_GAUGE)
         waiting = TOKENS[sums.waits[slot - sums.first_slot]] - TOKENS[own.waiting]
         load = TOKENS[sums.loads[slot - sums.first_slot]] - TOKENS[own.load]
         return PeerLoad(max(0.0, waiting), max(0.0, load), sums.reporting, sums.asked_at)
 
     def _range_of(self, slot: int | None) -> SumsRange | None:
-        """The range with the slot; any range for a replica without a slot."""
+        """Returns the range with the slot, or any range if `slot` is None; None if there is no such range."""
         for sums in self.ranges:
             if slot is None or sums.first_slot <= slot < sums.end_slot:
                 return sums
--- a/pearhill/membership/replay_window.py
+++ b/pearhill/membership/replay_window.py
@@ -1,15 +1,15 @@
-"""Which messages have certainly not come before: the anti-replay window of RFC 4303, section 3.4.3."""
+"""Detection of replayed messages: the anti-replay window of RFC 4303, section 3.4.3."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 from typing import NamedTuple
 
-WINDOW_MESSAGES = 1024  # of one sender; a tick of a large fleet sends some dozens
+WINDOW_MESSAGES = 1024  # per sender; one tick in a large fleet sends a few dozen
 
 
 class SenderWindow(NamedTuple):
-    """What has come of one start of a sender. Bit k of `seen` stands for the sequence `newest` - k."""
+    """What has been received from one start of a sender. Bit k of `seen` stands for sequence `newest` - k."""
 
     incarnation: int
     newest: int
@@ -20,13 +20,13 @@
 
 
 class ReplayWindow:
-    """The windows of all senders."""
+    """The replay windows of all senders."""
 
     def __init__(self) -> None:
         self._windows: dict[str, SenderWindow] = {}
 
     def first_time(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Whether a message has certainly not come before; one that others overtook on its way is accepted too."""
+        """Records a message. Returns whether it is certainly new; reordered messages are accepted as well."""
         window = _with_message(self._windows.get(sender, NOTHING_SEEN), incarnation, sequence)
         if window is None:
             return False
@@ -34,12 +34,12 @@
         return True
 
     def keep(self, names: Collection[str]) -> None:
-        """Forget all senders but these."""
+        """Drops the windows of all senders but these."""
         self._windows = {name: window for name, window in self._windows.items() if name in names}
 
 
 def _with_message(window: SenderWindow, incarnation: int, sequence: int) -> SenderWindow | None:
-    """The window with one more message; None: it came before, or may have."""
+    """Returns the window with one more message, or None if the message is, or may be, a replay."""
     if incarnation > window.incarnation:
         return SenderWindow(incarnation, sequence, 1)
     if incarnation < window.incarnation or sequence <= window.newest - WINDOW_MESSAGES:
--- a/pearhill/membership/reported_work.py
+++ b/pearhill/membership/reported_work.py
@@ -1,8 +1,8 @@
 """The work of the dispatchers that report to this aggregator, each counted under a lease.
 
-Nobody is counted twice because work is held by a lease (Gray and Cheriton, 1989) whose end both sides know: a
-report names the newest answer that its sender has, so it is no older than that answer. Its work counts until
-`aggregation_messages.LEASE_US` after that answer was sent, however long the report was under way. Times are
+No work is counted twice, because each lease (Gray and Cheriton, 1989) has an end that both sides can determine: a
+report names the newest answer that its sender has received, so the report is no older than that answer. Its work counts
+until `aggregation_messages.LEASE_US` after that answer was sent, however long the report was in transit. Times are
 microseconds.
 """
 
@@ -24,7 +24,7 @@
     """One dispatcher's work: codes by slot, in the totals until `lease_end` (or NOT_COUNTED)."""
 
     incarnation: Incarnation
-    counts_from: int  # before, its work may be in another aggregator's sums
+    counts_from: int  # before this time, its work may be in another aggregator's sums
     lease_end: int = NOT_COUNTED
     report_number: int = -1  # of the report that is in the totals
     loads: bytes = b""
@@ -32,12 +32,12 @@
 
     @property
     def is_counted(self) -> bool:
-        """Whether its work is in the totals."""
+        """Whether the work is in the totals."""
         return self.lease_end >= 0
 
 
 class ReportedWork:
-    """Work by dispatcher, and its totals by slot. `started`: which start of this aggregator reports must know."""
+    """Work by dispatcher, and its totals by slot. `started` is the start of this aggregator that reports must name."""
 
     def __init__(self, started: int, table: SlotTable, totals: SlotTotals) -> None:
         self.members: dict[str, LeasedWork] = {}
@@ -46,22 +46,25 @@
         self._table = table
 
     def attend(self, now: int, name: str, incarnation: Incarnation, quiet: int) -> None:
-        """A sign of life of a dispatcher that reports here. `quiet`: for how long it has reported to nobody else."""
+        """Records a sign of life of a dispatcher that reports here.
+
+        `quiet` is how long the dispatcher has not reported to any other aggregator.
+        """
         member = self.members.get(name)
         if member is None or (member.incarnation != incarnation and member.lease_end < now):
-            if member:  # Between two ticks, work whose lease has ended is still in the totals.
+            if member:  # Work whose lease has ended stays in the totals until the next tick.
                 self._withdraw(member)
             self.members[name] = LeasedWork(incarnation, now + max(0, COMBINED_LEASE_US - quiet))
             return
         if member.incarnation.started != incarnation.started:
-            # While its work is held here by a lease, nobody else has begun to count it.
+            # While the lease runs here, no other aggregator has begun to count the work.
             self._withdraw(member)
             self.members[name] = LeasedWork(incarnation, now)
             return
         member.incarnation = incarnation
 
     def count(self, now: int, name: str, incarnation: Incarnation, reports: list[Report], lease_end: int) -> None:
-        """Count the work in all parts of a report, unless another aggregator may still count this dispatcher's work."""
+        """Counts the work in all parts of a report, unless another aggregator may still count the dispatcher's work."""
         member = self.members.get(name)
         if member is None or member.incarnation != incarnation or now < member.counts_from:
             return
@@ -80,7 +83,7 @@
         member.lease_end = lease_end
 
     def _add_slots(self, report: Report, loads: bytearray, waits: bytearray) -> None:
-        """The gauges by slot, if the sender's table is of this start."""
+        """Adds the gauges by slot if the sender's table is that of this start."""
         if report.known_incarnation != self._started:
             return
         first = report.first_slot
@@ -89,14 +92,14 @@
         waits[first:end] = unpack(report.waits, report.slot_count)[: max(0, end - first)]
         if report.known_version >= self._table.reused_version:
             return
-        # Meant for the replica that had the slot before, the gauges would count as work of the one that has it now.
+        # The gauge of a reassigned slot is that of its former replica and must not count for the current one.
         for slot in range(first, end):
             if self._table.changed_since(slot, report.known_version):
                 loads[slot] = 0
                 waits[slot] = 0
 
     def _add_unassigned(self, now: int, report: Report, loads: bytearray, waits: bytearray) -> None:
-        """The gauges of replicas for which the sender knows no slot."""
+        """Adds the gauges of replicas for which the sender has no slot."""
         for replica, waiting, load in report.unassigned:
             slot = self._table.slot_for(now, replica)
             if slot is None:
@@ -109,13 +112,13 @@
                 waits[slot] = waiting
 
     def remove(self, name: str) -> None:
-        """The dispatcher reports here no longer."""
+        """Removes a dispatcher that no longer reports here, and its work."""
         member = self.members.pop(name, None)
         if member:
             self._withdraw(member)
 
     def expire(self, now: int) -> None:
-        """Take work whose lease has ended out of the totals."""
+        """Removes work whose lease has ended from the totals."""
         for member in self.members.values():
             if 0 <= member.lease_end <= now:
                 self._withdraw(member)
@@ -130,7 +133,7 @@
         member.report_number = -1
 
     def counted_reports(self) -> dict[str, tuple[int, int]]:
-        """By dispatcher: its start, and the number of the report that is in the totals."""
+        """Returns, by dispatcher, its start and the number of its report that is in the totals."""
         return {
             name: (member.incarnation.started, member.report_number)
             for name, member in self.members.items()
@@ -138,5 +141,5 @@
         }
 
     def reporting(self) -> int:
-        """How many dispatchers' work is in the totals."""
+        """Returns how many dispatchers' work is in the totals."""
         return sum(member.is_counted for member in self.members.values())
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -1,4 +1,4 @@
-"""A dispatcher reports its own work to one aggregator, and makes of the sums in the answers what the others have.
+"""Reports a dispatcher's own work to one aggregator and derives the other dispatchers' loads from the answers.
 
 Times are microseconds of the caller's clock.
 """
@@ -30,18 +30,18 @@
 from pearhill.membership.replay_window import ReplayWindow
 from pearhill.membership.sent_reports import GaugePair, OwnGauges, SentReport, SentReports
 
-REPORT_INTERVAL_US = 100_000  # between two reports at the least
-JITTER = 0.1  # the share of it that is drawn
-MAX_TICK_DELAY_US = 1_000_000  # when a tick comes later than this, this process stood still
-MAX_UNASSIGNED_AT_FIRST = 16  # replicas without a slot in a report, until the table was known once
-UNASSIGNED_BYTES = 14  # of one replica without a slot, at the most
+REPORT_INTERVAL_US = 100_000  # between two reports, unless the byte budget delays the next
+JITTER = 0.1  # random share of the interval, added or subtracted
+MAX_TICK_DELAY_US = 1_000_000  # a longer delay means that this process was stalled
+MAX_UNASSIGNED_AT_FIRST = 16  # replicas without a slot per report, until the table has been complete once
+UNASSIGNED_BYTES = 14  # largest size of the entry of one replica without a slot
 NONE = -1
 
 Unassigned = tuple[tuple[int, int, int], ...]  # replica, waiting, load
 
 
 class OwnWork(NamedTuple):
-    """This dispatcher's gauges: by the aggregator's slots, of replicas without one, and all of them by replica."""
+    """This dispatcher's gauges: by the aggregator's slots, of replicas without a slot, and all by replica."""
 
     loads: bytes
     waits: bytes
@@ -50,7 +50,7 @@
 
 
 class ReportPart(NamedTuple):
-    """One part of a report, before it gets its header."""
+    """One part of a report, without its header."""
 
     first_slot: int
     slot_count: int
@@ -60,8 +60,11 @@
 
 
 class Reporter:
-    """`own_loads` gives this dispatcher's tokens at each replica, as they are now. `started` must grow with each start
-    of the same name: the time of the start does."""
+    """The state machine of one dispatcher's reports.
+
+    `own_loads` returns this dispatcher's current tokens at each replica. `started` must be larger than at any earlier
+    start under the same name; callers pass the time of the start.
+    """
 
     def __init__(
         self,
@@ -79,11 +82,11 @@
         self._own_loads = own_loads
         self._window = ReplayWindow()
         self._sequence = 0
-        # Numbered from 1 at each start, an answer to an earlier start's report would answer one of this start.
+        # With numbers from 1 at each start, an answer to an earlier start's report would answer one of this start.
         self._reports = SentReports(started, rng.getrandbits(31))
         self._tables: dict[str, KnownTable] = {}  # by aggregator
         self._sums = PeerSums()
-        self._echo = NONE  # the newest report to which an answer of the aggregator in use came
+        self._echo = NONE  # the newest report that the aggregator in use has answered
         self._now = started
         self._due = started + int(rng.random() * REPORT_INTERVAL_US)
         self._budget = ByteBudget(started)
@@ -97,16 +100,16 @@
 
     @property
     def attach(self) -> int:
-        """How often an aggregator was begun to be used."""
+        """How often this dispatcher attached to an aggregator."""
         return self._choice.attachment
 
     @property
     def moves(self) -> int:
-        """How often one aggregator was left for another."""
+        """How often this dispatcher changed to another aggregator."""
         return self._choice.moves
 
     def reconfigure(self, aggregators: Iterable[AggregatorSite], now: int) -> None:
-        """Name the aggregators anew. What is known of those that stay, stays."""
+        """Replaces the list of aggregators. The state of those that remain is retained."""
         order = rendezvous_order(self.name, self.region, aggregators)
         self._choice.order = order
         self._tables = {name: self._tables.get(name) or KnownTable() for name in order}
@@ -124,7 +127,7 @@
     # Reports.
 
     def next_tick(self, now: int) -> int:
-        """When `tick` is to be called next; it may change with each message that is received."""
+        """Returns when to call `tick` next; the time may change with each received message."""
         due = self._report_due()
         if self._choice.is_away:
             due = min(due, self._choice.hello_due)
@@ -134,7 +137,7 @@
         return max(self._due, self._budget.paid_at)
 
     def tick(self, now: int) -> list[AggregationMessage]:
-        """What is due by now, if anything."""
+        """Returns the messages that are due."""
         if not self._choice.order:
             self._due = now + REPORT_INTERVAL_US
             return []
@@ -154,7 +157,7 @@
         return messages
 
     def _give_up(self, now: int) -> None:
-        """Use the next aggregator; after all of them, pause first."""
+        """Switches to the next aggregator; once all have failed, only after a backoff."""
         self._move(now, self._choice.next_after_failure())
         backoff = self._choice.backoff()
         if backoff is not None:
@@ -169,7 +172,7 @@
         work = self._own_work(table)
         self._reports.add(now, self.current, work.gauges)
         self._choice.report_sent(now)
-        # One try each once all have failed, until one answers.
+        # Once all aggregators have failed, each is tried with a single report until one answers.
         interval = MIN_BACKOFF_US if self._choice.all_failed else REPORT_INTERVAL_US
         self._due = now + int(interval * self.rng.uniform(1 - JITTER, 1 + JITTER))
         parts = _split(work)
@@ -195,8 +198,11 @@
         ]
 
     def _own_work(self, table: KnownTable) -> OwnWork:
-        """This dispatcher's work by the table's slots. Of replicas without one only the largest: most likely they have
-        one, which the next answers tell."""
+        """Returns this dispatcher's work by the table's slots.
+
+        Of the replicas without a slot, only those with the most work are included: most likely they have slots in the
+        aggregator's table, which the next answers contain.
+        """
         loads = bytearray(len(table.replicas))
         waits = bytearray(len(table.replicas))
         without_slot: list[tuple[int, int, int]] = []
@@ -219,7 +225,7 @@
         return OwnWork(bytes(loads), bytes(waits), unassigned, gauges)
 
     def leave(self, now: int) -> list[AggregationMessage]:
-        """The last message: from now on no aggregator is to count this dispatcher."""
+        """Returns the last message, after which the aggregators no longer count this dispatcher."""
         if not self._choice.order:
             return []
         return [
@@ -241,20 +247,23 @@
         ]
 
     def sent(self, size: int) -> None:
-        """A datagram of `size` bytes went out."""
+        """Pays for an outgoing datagram of `size` bytes."""
         self._budget.sent(self._now, size)
 
     # Answers.
 
     def receive(self, now: int, message: AggregationMessage, size: int) -> list[AggregationMessage]:
-        """Take an authentic message, whenever it comes and however often; `size`: bytes of its datagram."""
+        """Processes an authentic message, which may be late or repeated. Returns the answers to it.
+
+        `size` is the length of its datagram in bytes.
+        """
         self._now = max(self._now, now)
         self._budget.received(size)
         if message.sender not in self._tables:
             return []
         if not self._window.first_time(message.sender, message.incarnation, message.sequence):
             return []
-        # Paid for before this check, a datagram that somebody replays would put the reports off for good.
+        # If replays were paid for as well, repeating one datagram could delay the reports indefinitely.
         self._budget.pay(self._now, size)
         if isinstance(message, HelloAck):
             self._receive_hello_ack(now, message)
@@ -279,7 +288,7 @@
     def _receive_sums(self, now: int, sums: Sums) -> None:
         report = self._reports.get(sums.report_number)
         if report is None or now - report.sent_at >= MAX_SUMS_AGE_US:
-            return  # it waited somewhere
+            return  # the answer was delayed for too long
         table = self._table_of(sums)
         self._choice.answered()
         table.latest = max(table.latest, sums.version)
@@ -289,12 +298,12 @@
         own = self._own_gauges_in(sums, report)
         if own is None or table.version < sums.reused_version:
             return
-        has_gauges = sums.slot_count > 0 or sums.version == 0  # no slots at all: nobody has work anywhere
+        has_gauges = sums.slot_count > 0 or sums.version == 0  # version 0: no slots, so no work
         if has_gauges:
             self._sums.update_range(sums, report.sent_at, own)
 
     def _table_of(self, sums: Sums) -> KnownTable:
-        """The sender's table, begun anew when the sender has started anew."""
+        """Returns the sender's table, which is reset when the sender has restarted."""
         table = self._tables[sums.sender]
         if table.incarnation != sums.incarnation:
             table = KnownTable(sums.incarnation)
@@ -305,31 +314,34 @@
         return table
 
     def _own_gauges_in(self, sums: Sums, report: SentReport) -> OwnGauges | None:
-        """This dispatcher's own gauges that are in the sums. None: some are, and it is no longer known which."""
+        """Returns this dispatcher's own gauges that the sums include, or None if they are no longer known."""
         if sums.included_report < 0:
             return self._reports.gauges_elsewhere(report.sent_at, self.current)
         included = self._reports.get(sums.included_report)
         return included.gauges if included else None
 
-    # What the others have.
+    # Loads of the other dispatchers.
 
     def count(self, now: int) -> int | None:
-        """Dispatchers that share the work, this one among them; None: no aggregator that surely knew has reported."""
+        """Returns how many dispatchers share the work, including this one, or None without a settled answer so far."""
         return self._sums.count()
 
     def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
-        """What the others have at a replica where this dispatcher has so many queued tokens, and in all."""
+        """Returns the estimated load of the other dispatchers at a replica.
+
+        `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
+        """
         return self._sums.others(now, self._sums_table(), replica, queued_tokens, total_tokens)
 
     def peer_load(self, now: int, replica: int) -> PeerLoad | None:
-        """What the others reported at a replica; None: no sums of it are known, or they are too old."""
+        """Returns what the other dispatchers reported at a replica, or None if no recent sums include the replica."""
         return self._sums.peer_load(now, self._sums_table(), replica)
 
     def _sums_table(self) -> KnownTable | None:
         return self._tables.get(self._sums.source)
 
     def figures(self, now: int) -> dict[str, Any]:
-        """What is known here, for operators."""
+        """Returns the state of the reports and sums, for operators."""
         received_at = self._sums.received_at
         return {
             "aggregator": self.current,
@@ -344,7 +356,7 @@
 
 
 def _split(work: OwnWork) -> list[ReportPart]:
-    """One part if all fits a datagram; else ranges of slots, and replicas without a slot by themselves."""
+    """Returns one part if it fits one datagram, else a part per range of slots and one for replicas without a slot."""
     whole = single_range(work.loads, work.waits, len(work.unassigned) * UNASSIGNED_BYTES)
     if whole:
         return [ReportPart(*whole, work.unassigned)]
--- a/pearhill/membership/reporter_session.py
+++ b/pearhill/membership/reporter_session.py
@@ -1,4 +1,4 @@
-"""What an aggregator keeps of one dispatcher that sends it reports, whether it is counted or not."""
+"""An aggregator's state about one dispatcher that sends it reports, whether the dispatcher is counted or not."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(slots=True)
 class ReporterSession:
-    """One start of a dispatcher. Times are microseconds."""
+    """The reports of one start of a dispatcher. Times are microseconds."""
 
     incarnation: int
     last_seen: int = 0
-    answered: SendTimes = field(default_factory=SendTimes)  # by report: when its answer was sent
-    newest_report: int = -1  # of which all parts came
+    answered: SendTimes = field(default_factory=SendTimes)  # by report number: when the answer was sent
+    newest_report: int = -1  # newest report of which all parts were received
     fragments: FragmentAssembler[Report] = field(default_factory=FragmentAssembler)
 
     def lease_end(self, now: int, report: Report) -> int | None:
-        """Until when the report's work may count. None: it answers no recent answer of this aggregator.
+        """Returns until when the report's work may count, or None if it names no recent answer of this aggregator.
 
-        A report that no answer called for may have waited in a socket for any time, or be replayed by anybody.
+        A report that names no recent answer may have waited in a socket for any length of time, or may be a replay.
         """
         sent_at = self.answered.get(report.echo)
         if sent_at is None or now - sent_at >= LEASE_US:
@@ -29,7 +29,7 @@
         return sent_at + LEASE_US
 
     def add(self, report: Report) -> list[Report] | None:
-        """All parts of a report that is newer than any before, once the last of them comes."""
+        """Adds one part. Returns all parts of its report if they are complete and it is the newest, else None."""
         parts = self.fragments.add(report.number, report)
         if not parts or report.number <= self.newest_report:
             return None
--- a/pearhill/membership/sent_reports.py
+++ b/pearhill/membership/sent_reports.py
@@ -1,4 +1,4 @@
-"""The reports that a dispatcher sent lately, and what of its own work may still be in somebody's sums."""
+"""The reports that a dispatcher sent recently, and its own work that aggregators' sums may still include."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 MAX_REMEMBERED_REPORTS = 64
 MAX_REPORT_AGE_US = 5_000_000
-SUMS_SLACK_US = 200_000  # sums may be made a little before the report that they answer
-LONG_AGO_US = 6_000_000  # longer than any sums are used after the last report to another aggregator
+SUMS_SLACK_US = 200_000  # sums may be computed slightly before the report that they answer arrives
+LONG_AGO_US = 6_000_000  # exceeds how long sums can include a report to another aggregator
 
 
 class GaugePair(NamedTuple):
-    """Codes of this dispatcher's own tokens at a replica: those still queued, and all."""
+    """Codes of this dispatcher's own tokens at a replica: the queued ones, and all."""
 
     waiting: int
     load: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class SentReport:
-    """A report: when it was sent, to which aggregator, and which gauges it held."""
+    """A report: when it was sent, to which aggregator, and the gauges that it contained."""
 
     sent_at: int
     to: str
@@ -35,22 +35,25 @@
 
 
 class SentReports:
-    """`newest_number`: of the newest report; they are numbered in sequence. Times are microseconds."""
+    """The recent reports by number. `newest_number` is the number of the newest one. Times are microseconds."""
 
     def __init__(self, started: int, newest_number: int) -> None:
         self.newest_number = newest_number
         self._started = started
         self._reports: OrderedDict[int, SentReport] = OrderedDict()
         self._last_sent_to: dict[str, int] = {}  # by aggregator
-        self._gauges_elsewhere: OwnGauges = {}  # the most that was reported to aggregators left since
+        self._gauges_elsewhere: OwnGauges = {}  # the largest that were reported to aggregators used before
 
     def next_number(self) -> int:
-        """The number of the next report."""
+        """Returns the number of the next report."""
         self.newest_number += 1
         return self.newest_number
 
     def add(self, now: int, to: str, gauges: OwnGauges) -> None:
-        """A report goes out. Reports are dropped after a while: sums that old hold other gauges than these."""
+        """Records a report that is sent now.
+
+        Drops reports beyond MAX_REMEMBERED_REPORTS or MAX_REPORT_AGE_US: sums that old contain other gauges.
+        """
         self._reports[self.next_number()] = SentReport(now, to, gauges)
         self._last_sent_to[to] = now
         while len(self._reports) > MAX_REMEMBERED_REPORTS or self._oldest_age(now) > MAX_REPORT_AGE_US:
@@ -60,11 +63,11 @@
         return now - next(iter(self._reports.values())).sent_at
 
     def get(self, number: int) -> SentReport | None:
-        """None: it was never sent, or too long ago."""
+        """Returns the report, or None if it was never sent or has been dropped."""
         return self._reports.get(number)
 
     def move_to(self, aggregator: str) -> None:
-        """From now on reports go to another aggregator: keep the largest gauges that the others were sent."""
+        """Records that reports now go to `aggregator`, and retains the largest gauges that the others were sent."""
         largest: OwnGauges = {}
         for report in self._reports.values():
             if report.to == aggregator:
@@ -75,14 +78,16 @@
         self._gauges_elsewhere = largest
 
     def gauges_elsewhere(self, sums_asked_at: int, aggregator: str) -> OwnGauges:
-        """Own gauges that may still be in an aggregator's sums by way of others that were left."""
+        """Returns own gauges that an aggregator's sums may still include through aggregators used before."""
         if sums_asked_at >= self._last_sent_elsewhere(aggregator) + COMBINED_LEASE_US + SUMS_SLACK_US:
             return {}
         return self._gauges_elsewhere
 
     def quiet_ms(self, now: int, aggregator: str) -> int:
-        """How long no other aggregator can have had a report of this name: an earlier start of it may have sent some,
-        up to this start."""
+        """Returns how long no other aggregator can have received a report under this dispatcher's name.
+
+        The time before this start is not included, because an earlier start may have sent reports then.
+        """
         return max(0, now - max(self._started, self._last_sent_elsewhere(aggregator))) // 1000
 
     def _last_sent_elsewhere(self, aggregator: str) -> int:
--- a/pearhill/membership/slot_table.py
+++ b/pearhill/membership/slot_table.py
@@ -1,5 +1,7 @@
-"""An aggregator's table of replicas: small slot numbers in place of 64-bit ids, and a version that shows how much of
-the table another process knows."""
+"""An aggregator's table of replicas.
+
+The table replaces 64-bit ids by small slot numbers. Its version shows how much of it another process has received.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +12,20 @@
 from pearhill.membership.aggregation_messages import MAX_SLOTS, MAX_TABLE_ENTRIES, TableEntry
 from pearhill.membership.slot_totals import SlotTotals
 
-SLOT_IDLE_US = 30_000_000  # a slot where nobody had work for so long may be given to another replica
+SLOT_IDLE_US = 30_000_000  # a slot without work for this long may be reassigned to another replica
 
 
 class SlotTable:
-    """Gives slots to replicas. `totals` grows with it; `has_work` returns whether anybody has work at a slot."""
+    """Assigns slots to replicas. `totals` grows with the table; `has_work` returns whether a slot has any work."""
 
     def __init__(self, totals: SlotTotals, has_work: Callable[[int], bool]) -> None:
         self.replicas: list[int] = []  # by slot
         self.version = 0
-        self.reused_version = 0  # at which a slot was last given to another replica
+        self.reused_version = 0  # at which a slot was last reassigned to another replica
         self._totals = totals
         self._has_work = has_work
         self._slot_of: dict[int, int] = {}
-        self._assigned_version: list[int] = []  # by slot: at which it got its replica
+        self._assigned_version: list[int] = []  # by slot: table version that assigned it
         self._assignments: list[tuple[int, int]] = []  # version and slot, in order of versions
         self._used_at: list[int] = []  # by slot
         self._idle_slots: list[int] = []  # as of the last sweep, the longest idle last
@@ -32,7 +34,7 @@
         return len(self.replicas)
 
     def slot_for(self, now: int, replica: int) -> int | None:
-        """The replica's slot, assigned now if it has none. None: all slots are in use."""
+        """Returns the replica's slot, assigning one if it has none, or None if all slots are in use."""
         if replica in self._slot_of:
             return self._slot_of[replica]
         while self._idle_slots and not self._is_idle(now, self._idle_slots[-1]):
@@ -69,11 +71,11 @@
         return now - self._used_at[slot] >= SLOT_IDLE_US and not self._has_work(slot)
 
     def changed_since(self, slot: int, version: int) -> bool:
-        """Whether the slot got its replica after that version of the table."""
+        """Returns whether the slot was assigned to its replica after that version of the table."""
         return self._assigned_version[slot] > version
 
     def entries_after(self, known_version: int) -> tuple[TableEntry, ...]:
-        """What a table of that version lacks, oldest first, at most MAX_TABLE_ENTRIES."""
+        """Returns the entries that a table of that version lacks, oldest first, at most MAX_TABLE_ENTRIES."""
         if known_version >= self.version:
             return ()
         start = bisect_right(self._assignments, (known_version, MAX_SLOTS))
@@ -81,7 +83,7 @@
         return tuple((slot, self.replicas[slot], version) for version, slot in assignments)
 
     def sweep(self, now: int, vectors: Iterable[tuple[list[float], list[float]]]) -> None:
-        """Find the idle slots. `vectors`: tokens by slot of this and the other aggregators, loads and waits of each."""
+        """Finds the idle slots. `vectors` are loads and waits, in tokens by slot, of this and each other aggregator."""
         for loads, waits in vectors:
             for slot in compress(range(len(loads)), map(float.__add__, loads, waits)):
                 self._used_at[slot] = now
--- a/pearhill/membership/slot_totals.py
+++ b/pearhill/membership/slot_totals.py
@@ -1,4 +1,4 @@
-"""Sums of tokens by slot, exact whatever is added and taken off again."""
+"""Sums of tokens by slot, which stay exact through any additions and subtractions."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class SlotTotals:
-    """Tokens by slot, over all dispatchers that are counted: all of them, and those still queued."""
+    """Tokens by slot over all counted dispatchers: all tokens (loads) and the queued ones (waits)."""
 
     def __init__(self) -> None:
         self.loads: list[float] = []
         self.waits: list[float] = []
 
     def append_slot(self) -> None:
-        """One more slot, where nobody has work yet."""
+        """Adds a slot without work."""
         self.loads.append(0.0)
         self.waits.append(0.0)
 
     def has_work(self, slot: int) -> bool:
-        """Whether any counted dispatcher has work at the slot."""
+        """Returns whether any counted dispatcher has work at the slot."""
         return bool(self.loads[slot] or self.waits[slot])
 
     def replace(self, old_loads: bytes, old_waits: bytes, new_loads: bytes, new_waits: bytes) -> None:
-        """Count a dispatcher's new codes by slot in place of its old ones."""
+        """Counts a dispatcher's new codes by slot in place of its old ones."""
         _replace(self.loads, old_loads, new_loads)
         _replace(self.waits, old_waits, new_waits)
 
 
 def _replace(totals: list[float], old: bytes, new: bytes) -> None:
-    """Only slots whose code differs are visited: most stay the same from one report to the next."""
+    """Updates `totals`. Visits only slots whose code differs, because most do not change between two reports."""
     length = max(len(old), len(new))
     old = old.ljust(length, b"\0")
     new = new.ljust(length, b"\0")
--- a/pearhill/membership/snapshots.py
+++ b/pearhill/membership/snapshots.py
@@ -1,4 +1,4 @@
-"""The sums of all reported work at one moment, as many answers carry them."""
+"""The sums of all reported work at one moment, which many answers share."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from pearhill.membership.peer_aggregator import PeerAggregator
 from pearhill.membership.reported_work import ReportedWork
 
-SNAPSHOT_INTERVAL_US = 10_000  # sums are made again after so long, and so much longer for each slot:
-SNAPSHOT_INTERVAL_PER_SLOT_US = 50
+SNAPSHOT_INTERVAL_US = 10_000  # minimum age before sums are computed again
+SNAPSHOT_INTERVAL_PER_SLOT_US = 50  # the same, per slot, for large tables
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """Sums over all slots, made at `taken_at` microseconds from the work of `reporting` dispatchers."""
+    """Sums over all slots, computed at `taken_at` microseconds from the work of `reporting` dispatchers."""
 
     taken_at: int
     reporting: int
-    included: dict[str, tuple[int, int]]  # by dispatcher that reports here: its start, the report's number
+    included: dict[str, tuple[int, int]]  # by dispatcher that reports here: its start and the report's number
     ranges: list[GaugeRange]
 
     def is_due(self, now: int, slot_count: int) -> bool:
-        """Whether the sums are to be made again."""
+        """Returns whether the sums must be computed again."""
         return now - self.taken_at >= max(SNAPSHOT_INTERVAL_US, SNAPSHOT_INTERVAL_PER_SLOT_US * slot_count)
 
     def included_report(self, name: str, incarnation: int) -> int:
-        """The number of that dispatcher's report that is in the sums; -1: none of that start."""
+        """Returns the number of the dispatcher's report that the sums include, or -1 if there is none of that start."""
         started, number = self.included.get(name, (-1, -1))
         return number if started == incarnation else -1
 
 
 def take_snapshot(now: int, work: ReportedWork, peers: Iterable[PeerAggregator]) -> Snapshot:
-    """Sum up the work that is reported here and the fresh sums of the other aggregators."""
+    """Adds up the work that is reported here and the fresh sums of the other aggregators."""
     work.expire(now)
     loads = list(work.totals.loads)
     waits = list(work.totals.waits)
@@ -49,7 +49,7 @@
 
 
 def gauge_ranges(loads: list[float], waits: list[float]) -> list[GaugeRange]:
-    """Tokens by slot as gauges, in as few ranges as datagrams allow; none where there are no slots."""
+    """Returns tokens by slot as gauges, in one range if it fits one datagram; no range if there are no slots."""
     if not loads:
         return []
     load_codes = bytes(map(encode, loads))
--- a/tests/membership/fleet_processes.py
+++ b/tests/membership/fleet_processes.py
@@ -1,4 +1,4 @@
-"""The base of tests that run a fleet as processes and ask each what it knows."""
+"""Base class of tests that run a fleet as processes and query the state of each."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class FleetProcesses(CleanupCase):
-    """`programs` and the addresses for operators' calls are by name; `run_one` of a subclass adds to both."""
+    """`programs` and the addresses of the admin endpoints are by name; `run_one` of a subclass adds to both."""
 
-    WAIT_S = 30  # for what must come about
+    WAIT_S = 30  # timeout of `until`
     programs: dict[str, Program]
     admin_addresses: dict[str, str]
 
     def told(self, name: str) -> dict[str, Any]:
-        """What this process knows of the fleet."""
+        """Returns the state of the fleet as this process reports it."""
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         assert status == 200
         figures: dict[str, Any] = json.loads(answer)
         return figures
 
     def until(self, what: Callable[[], Any], *names: str) -> None:
-        """Wait for it; fails after WAIT_S with what the named processes know."""
+        """Waits until the condition holds; fails after WAIT_S with the fleet state of the named processes."""
         end = time.monotonic() + self.WAIT_S
         while not what():
             assert time.monotonic() < end, [self.told(n) for n in names]
--- a/tests/membership/samples.py
+++ b/tests/membership/samples.py
@@ -8,7 +8,7 @@
 
 
 def report(number: int = 1, **changed: object) -> Report:
-    """A report of d0 to a0, with the fields changed that are given."""
+    """Returns a report of d0 to a0 with the given fields changed."""
     fields = {
         "sender": "d0",
         "to": "a0",
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet: dispatchers and aggregators on a simulated clock and network, for the tests of both."""
+"""A fleet of dispatchers and aggregators on a simulated clock and network, for the tests of both."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 S = 1_000_000
 KEY = b"k" * 32
-STEP = 1.07**1.5  # three times rounded to the nearest code: my report, a part, the sums
-LATELY = LEASE_US + PARTIAL_SUM_LEASE_US + MAX_SUMS_AGE_US + 2 * S  # what was said before that is in nobody's sums
+STEP = 1.07**1.5  # rounded to the nearest code three times: the report, a partial sum, the sums
+LATELY = LEASE_US + PARTIAL_SUM_LEASE_US + MAX_SUMS_AGE_US + 2 * S  # no sums include work that was reported longer ago
 SITES = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
 
 
 class Process:
-    """A dispatcher whose work is at a replica of its own, so that the sums there show whose work they hold."""
+    """A dispatcher with work at a replica of its own, so that the sums there show whose work they include."""
 
     def __init__(self, world: World, name: str, region: str, replica: int, incarnation: int) -> None:
         self.world, self.name, self.region, self.replica, self.load = world, name, region, replica, 10_000
         self.reported: list[tuple[int, int]] = []
         self.reporter = Reporter(name, region, SITES, incarnation, random.Random(world.rng.random()), self.rows)
         self.reporter._due = world.now + world.rng.randrange(500_000)
-        self.received: list[tuple[AggregationMessage, object]] = []  # while it stands still
+        self.received: list[tuple[AggregationMessage, object]] = []  # while it is stalled
         self.up, self.stalled, self.known = True, False, set[object]()
 
     def rows(self) -> list[ReplicaLoad]:
@@ -57,8 +57,8 @@
         self.aggregators: dict[str, Aggregator] = {}
         self.stalled: dict[
             str, list[tuple[AggregationMessage, object]]
-        ] = {}  # aggregators, and what waits in their sockets
-        self.addresses: dict[tuple[str, str], Process] = {}  # as each aggregator has learnt them
+        ] = {}  # stalled aggregators and the messages waiting in their sockets
+        self.addresses: dict[tuple[str, str], Process] = {}  # by aggregator and dispatcher name: whom to answer
         self.replayable: list[tuple[object, AggregationMessage, object]] = []
         self.arrivals: list[tuple[int, str]] = []
         self.most_moves = Counter[int]()
@@ -72,7 +72,7 @@
         heapq.heappush(self.heap, (self.now + wait, self.events, what, thing))
 
     def start(self, name: str, region: str, incarnation: int | None = None) -> Process:
-        n = 1 + len(self.processes)  # no two start within the same microsecond
+        n = 1 + len(self.processes)  # no two processes start within the same microsecond
         process = Process(self, name, region, n, n + (self.now if incarnation is None else incarnation))
         self.processes.append(process)
         self.at(0, "report", process)
@@ -143,7 +143,7 @@
         self.now = end
 
     def wake(self) -> None:
-        """What waited in a socket is read before the first beat."""
+        """Ends all stalls. Messages that waited in a socket are read before the next tick."""
         stalled, self.stalled = self.stalled, {}
         for name, waiting in stalled.items():
             for f, sender in waiting:
@@ -166,14 +166,14 @@
         return {p.reporter.count(self.now) for p in self.up()}
 
     def wrong_views(self) -> list[str]:
-        """Dispatchers that do not know the work of all others, or know work that nobody has."""
+        """Returns the dispatchers whose sums lack work of another one or include work that no dispatcher has."""
         wrong = []
         for p in self.up():
             for other in self.processes:
                 told = p.reporter.peer_load(self.now, other.replica)
                 load = other.load if other.up and other is not p else 0
                 if told is None or not load / STEP <= told.total_tokens <= load * STEP:
-                    wrong.append(f"{p.name} {p.reporter.figures(self.now)}: {told} of {other.name}, who has {load}")
+                    wrong.append(f"{p.name} {p.reporter.figures(self.now)}: has {told} of {other.name}, load {load}")
         return wrong
 
     def check(self) -> None:
@@ -182,7 +182,7 @@
                 told = p.reporter.peer_load(self.now, other.replica)
                 if told is not None:
                     most = other.most_lately(self.now) if other is not p else 0
-                    detail = f"{p.name} at {p.reporter.current}: {told} of {other.name}, which reported {most}"
+                    detail = f"{p.name} at {p.reporter.current}: has {told} of {other.name}, which reported {most}"
                     assert told.total_tokens <= most * STEP, detail
                     assert told.queued_tokens <= most / 2 * STEP, detail
         named = {p.name for p in self.processes}
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -1,5 +1,5 @@
-"""Dispatchers report to aggregators over a network that drops, doubles, delays, reorders and partitions; both are
-killed, stalled, restarted, and started twice under one name."""
+"""Dispatchers report to aggregators over a network that drops, duplicates, delays and reorders datagrams and
+partitions; dispatchers and aggregators are killed, stalled, restarted, and started twice under one name."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
     @rule(data=st.data(), region=st.sampled_from(("r0", "r1", "r2")), back=st.sampled_from((0, 0, 5 * S, 500 * S)))
     def a_dispatcher_starts(self, data: st.DataObject, region: str, back: int) -> None:
-        """One that is new, or was there, or still is; its clock may have been set back."""
+        """Starts a new name, or one that ran before or still runs; its clock may have been set back."""
         if len(self.world.up()) < 8:
             self.world.start(f"d{data.draw(st.integers(0, 6))}", region, self.world.now - back)
 
@@ -98,13 +98,13 @@
             self.world.deliver(*data.draw(st.sampled_from(self.world.replayable)))
 
     def teardown(self) -> None:
-        """Whatever has happened: soon after it is over all agree on the work, and on who is there."""
+        """After all faults end, the dispatchers soon agree on the work and on the number of dispatchers."""
         if not hasattr(self, "world"):
             return
         world = self.world
         for name in {p.name for p in world.up()}:
             for process in world.up(name)[:-1]:
-                process.up = False  # two of one name are never right
+                process.up = False  # with two running processes of one name, no view can be right
         world.heal()
         for site in SITES:
             if site.name not in world.aggregators:
@@ -119,7 +119,7 @@
         assert len(names) <= count <= len({p.name for p in world.processes})
         for p in world.up():
             assert p.reporter.current == "a" + p.region[1:]
-            # All that are there are heard, whoever else is still counted as cut off.
+            # The work of all running dispatchers is received, whichever others still count as partitioned.
             sure = p.reporter.others(world.now, p.replica, 0, p.load)[2]
             assert sure * (count - 1) > 0.5 * (len(names) - 1) or len(names) == 1
 
@@ -134,7 +134,7 @@
     world = World(6, 1)
     world.checked(6 * S)
     assert world.wrong_views() == []
-    assert world.counts() == {None}  # aggregators that have just begun may not know all
+    assert world.counts() == {None}  # aggregators that have just started may not count all dispatchers
     world.checked(6 * S)
     assert world.wrong_views() == []
     assert world.counts() == {6}
@@ -143,7 +143,7 @@
     assert 4_500 < waiting < 5_500
     assert 9_000 < load < 11_000
     assert 0.9 < sure <= 1
-    # Half of them unheard: who is not heard counts as the mean of those that are.
+    # Half of them do not report: each of these counts as the mean of those that do.
     for chunk in p.reporter._sums.ranges:
         chunk.reporting, chunk.asked_at = 2, world.now
     assert p.reporter.others(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
@@ -160,8 +160,8 @@
     world.checked(S)
     assert world.counts() == {6}
     world.checked(LEASE_US + PARTIAL_SUM_LEASE_US)
-    assert world.wrong_views() == []  # the work of both is gone
-    world.checked(SILENCE_TIMEOUT_US - 6 * S)  # elsewhere its silence is told a second too long
+    assert world.wrong_views() == []  # the work of both has expired
+    world.checked(SILENCE_TIMEOUT_US - 6 * S)  # other aggregators receive its silence with HOP_ALLOWANCE_US added
     assert world.counts() == {6}
     world.checked(3 * S)
     assert world.counts() == {5}
@@ -179,7 +179,7 @@
     assert world.wrong_views() == []
     assert {p.reporter.moves for p in world.up() if p.region == "r1"} == {1}
     taken = Counter(p.reporter.current for p in world.up() if p.region == "r1")
-    assert all(taken[name] >= 2 for name in ("a0", "a2"))  # the survivors share
+    assert all(taken[name] >= 2 for name in ("a0", "a2"))  # the other two aggregators share them
     world.most_moves.clear()
     before = {p: p.reporter.moves for p in world.up()}
     world.start_aggregator("a1")
@@ -207,7 +207,7 @@
     tries = [p.reporter._reports.newest_number for p in world.up()]
     world.run(20 * S)
     for p, before in zip(world.up(), tries, strict=True):
-        assert 1 <= p.reporter._reports.newest_number - before <= 12  # 1 to 8 s between them
+        assert 1 <= p.reporter._reports.newest_number - before <= 12  # 1 to 8 s between two attempts
     assert world.counts() == {24}
     for site in SITES:
         world.start_aggregator(site.name)
@@ -243,7 +243,7 @@
         assert (world.counts(), world.wrong_views()) == ({count}, [])
         return
     for p in world.up():
-        p.up = p.region == "r0"  # they had died there
+        p.up = p.region == "r0"  # the dispatchers of the other regions crash while cut off
     world.run(PARTITION_TIMEOUT_US)
     assert world.counts() == {3}
 
@@ -252,7 +252,7 @@
     world = World(5, 6)
     world.checked(12 * S)
     world.processes[0].up = False
-    world.start("d0", "r1")  # elsewhere: its work waits until the old one's is surely over
+    world.start("d0", "r1")  # at another aggregator, which counts it once the old process's leases have ended
     for _ in range(60):
         world.checked(AGGREGATOR_TICK_US)
         assert {c for c in world.counts() if c is not None} == {5}
@@ -278,7 +278,7 @@
     world.checked(12 * S)
     world.stalled["a0"] = []
     world.checked(9 * S)
-    world.wake()  # reports of dispatchers that others have counted for long
+    world.wake()  # its socket holds reports of dispatchers that other aggregators count by now
     world.checked(40 * S)
     assert (world.counts(), world.wrong_views()) == ({6}, [])
     moves = [p.reporter.moves for p in world.up()]
@@ -300,7 +300,7 @@
 
         def send(sender: object, frames: list[AggregationMessage]) -> None:
             for f in frames:
-                size = len(pack(f))  # ValueError: too long
+                size = len(pack(f))  # raises ValueError if it does not fit one datagram
                 if isinstance(sender, Process) and sender.name == "d0" or f.to == "d0":
                     total["d0"] += size + HEADER_BYTES
                     seen.append((world.now, size + HEADER_BYTES))
--- a/tests/membership/test_aggregation_messages.py
+++ b/tests/membership/test_aggregation_messages.py
@@ -1,4 +1,4 @@
-"""Messages between dispatchers and aggregators come back as they were; foreign and forged ones are rejected."""
+"""Messages between dispatchers and aggregators survive encoding; foreign and forged datagrams are rejected."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
     )
     for frame in (*FRAMES, *largest):
         assert codec.unpack(codec.pack(frame), frame.to) == frame
-    with pytest.raises(ValueError, match="too many"):
+    with pytest.raises(ValueError, match="is too large for a datagram"):
         codec.pack(report(loads=bytes(1_400)))
 
 
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -1,5 +1,5 @@
-"""Three real aggregators and five real dispatchers with stand-in replicas, through a relay: crashes, stalls,
-partitions, bad paths, and dispatchers that still only gossip."""
+"""Processes of three aggregators and five dispatchers, with stand-in replicas, that exchange datagrams through a relay:
+crashes, stalls, partitions, lossy paths, and dispatchers that only gossip."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Case(FleetProcesses):
-    WAIT_S = 60  # it takes some seconds, a way home up to thirty
+    WAIT_S = 60  # most take a few seconds; the return to the home aggregator takes up to thirty
 
     def begin(self, *names: str) -> None:
         print(f"seed {SEED}")
@@ -51,7 +51,7 @@
         self.admin_addresses = {}
 
     def hold(self, handler: Any, sent: bytes) -> None:
-        """A stream that has begun and goes on until the test lets it end."""
+        """Starts a stream that continues until the test sets `go`."""
         handler.chunks(TOKENS[0], last=False)
         while not self.go.wait(1):
             handler.more(TOKENS[0])
@@ -102,7 +102,7 @@
             self.programs[name].process.send_signal(number)
 
     def agree(self, count: int, heard: int, *names: str, source: str = "sums") -> None:
-        """Each of these counts so many dispatchers, and the sums that it goes by hold the work of so many."""
+        """Waits until each of these counts `count` dispatchers and uses sums with the work of `heard` of them."""
 
         def so(name: str) -> bool:
             t = self.told(name)
@@ -119,7 +119,7 @@
     def test_crashes_stalls_cuts_and_the_loss_of_all_are_seen_through(self) -> None:
         self.begin(*A, *D)
         with ThreadPoolExecutor() as pool:
-            # Aggregators first: a dispatcher whose home is not there yet goes elsewhere, and home after seconds only.
+            # Aggregators first: without its home aggregator, a dispatcher uses another one for some seconds.
             list(pool.map(self.run_one, A))
             list(pool.map(self.run_one, D))
         self.agree(5, 5, *D)
@@ -128,11 +128,11 @@
         self.own_load = self.told("d1")["engines"][0]["mine"]["load"]
         assert self.own_load > 0
         self.until(self.all_know, *D)
-        # A bad path.
+        # A lossy path.
         self.see_a_bad_path_through()
-        # One aggregator is killed, and another one stands still.
+        # One aggregator is killed and another one is stalled.
         self.lose_two_aggregators()
-        # A dispatcher crashes, and starts anew under its name.
+        # A dispatcher crashes and restarts under the same name.
         self.send(signal.SIGKILL, "d5")
         self.agree(4, 4, *D[:4])
         self.run_one("d5")
@@ -143,17 +143,17 @@
         self.agree(5, 1, "d5")
         self.relay.cut()
         self.agree(5, 5, *D)
-        # All come home.
+        # All dispatchers return to their home aggregators.
         self.until(lambda: {d: self.uses(d) for d in D} == HOMES, *D)
-        # All aggregators are killed: each goes by its own work, and the last count.
+        # All aggregators are killed: each dispatcher uses its own work and the last count.
         self.lose_all_aggregators()
-        # One that ends takes its leave.
+        # A dispatcher that shuts down leaves the fleet at once.
         self.send(signal.SIGTERM, "d4")
         self.agree(4, 4, "d1", "d2", "d3", "d5")
         assert not re.search("Traceback", "".join(line for p in self.programs.values() for line in p.lines))
 
     def open_stream(self, name: str) -> None:
-        """A request at this dispatcher whose answer stays under way."""
+        """Sends this dispatcher a request whose answer stays in flight."""
         sent = body(stream=True)
         client = socket.create_connection((self.programs[name].host, self.programs[name].port), 20)
         self.cleanup.callback(client.close)
@@ -164,12 +164,12 @@
         assert b" 200 OK" in client.recv(200)
 
     def all_know(self) -> bool:
-        """Whether each of the others knows d1's one request, as much as it is; never twice."""
+        """Returns whether all others count the load of d1's one request; asserts that none counts it twice."""
         known = dict[str, float]()
         for d in D[1:]:
             t = self.told(d)
             assert t["reports"]["heard"] <= 5
-            if t["reports"]["heard"] == 5:  # else the sums are a sample
+            if t["reports"]["heard"] == 5:  # otherwise the sums are scaled up from fewer dispatchers
                 known[d] = t["engines"][0]["others"]["load"]
         assert max(known.values(), default=0) < 1.3 * self.own_load
         return len(known) == 4 and min(known.values()) > 0.5 * self.own_load
@@ -185,7 +185,7 @@
         self.send(signal.SIGKILL, "a1")
         self.send(signal.SIGSTOP, "a2")
         self.until(lambda: {self.uses(d) for d in D} == {"a3"} and self.all_know(), *D)
-        self.programs["a3"].wait_line("aggregator: a1 is not heard")
+        self.programs["a3"].wait_line("aggregator: no recent message from a1")
         assert {self.told(d)["count"] for d in D} == {5}
         self.send(signal.SIGCONT, "a2")
         self.run_one("a1")
@@ -209,10 +209,10 @@
         def goes_by_gossip(name: str) -> bool:
             return [self.told(name)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"]
 
-        for d in trio:  # the sums lack d1, so that all go by the talk
+        for d in trio:  # the sums lack d1, so all use gossip
             self.until(functools.partial(goes_by_gossip, d), d)
         self.until(lambda: self.told("d2")["reports"]["counted"] == self.told("a1")["counted"] == 2, "d2")
-        # Foreign datagrams change nothing, are counted, and named once.
+        # Foreign datagrams change nothing, are counted, and are logged once.
         wanted = {"rejected size": 3, "rejected forged": 1, "rejected version": 1}
 
         def has_counted(name: str) -> bool:
@@ -229,7 +229,7 @@
             assert sum("not taken" in line for line in program.lines) == 1
         self.programs["d1"].reload(self.fleet("d1", ("a1",), ("d2", "d3")))
         self.agree(3, 3, *trio)
-        # The talk ends, and another key takes the old one's place.
+        # Gossip ends, and a new key replaces the old one.
         self.keys = ["key", "new"]
         self.programs["a1"].reload(self.control("a1"), "reload: done, 0 other aggregators")
         self.keys = ["new", "key"]
@@ -242,12 +242,12 @@
         self.agree(3, 3, *trio)
         assert [self.told(d)["members"] for d in trio] == [{}] * 3
         assert self.told("a1")["datagrams"]["rejected forged"] == 1
-        # One look at all.
+        # The fleet command shows all of them.
         code, out, err = run("fleet", *self.admin_addresses.values())
         assert (code, err) == (0, "")
         assert re.search(r"d1 +counts 3 dispatchers, goes by sums; the talk hears 0 others; sums of a1, ", out)
         assert re.search(r"a1 +aggregator: counts 3 dispatchers, hears 3, 3 report to it; no other is named", out)
-        # The aggregator is gone for good: back to the talk.
+        # The aggregator is killed: the dispatchers return to gossip.
         self.send(signal.SIGKILL, "a1")
         for d in trio:
             self.programs[d].reload(self.fleet(d, (), tuple(p for p in trio if p != d)))
@@ -262,14 +262,14 @@
 
 @pytest.fixture
 def folder(tmp_path: pathlib.Path) -> pathlib.Path:
-    """With two files of keys, of which one is too short."""
+    """A folder with two key files, of which one is too short."""
     (tmp_path / "good").write_text("k" * 32)
     (tmp_path / "short").write_text("k" * 15)
     return tmp_path
 
 
 def write(folder: pathlib.Path, text: str) -> pathlib.Path:
-    """A file of this text, in which FOLDER stands for the folder of the keys."""
+    """Writes a file with this text, in which FOLDER stands for the folder of the keys."""
     path = folder / "file.toml"
     path.write_text(text.replace("FOLDER", str(folder)))
     return path
--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -41,7 +41,7 @@
     a.receive(
         later, report(51, known_incarnation=now, echo=50, known_version=1, slot_count=1, loads=packed, waits=packed)
     )
-    assert a.work.totals.loads == [0]  # it meant replica 7
+    assert a.work.totals.loads == [0]  # the report's gauge is that of replica 7
     (answer,) = a.receive(
         later, report(52, known_incarnation=now, echo=50, known_version=2, slot_count=1, loads=packed, waits=packed)
     )
@@ -76,14 +76,14 @@
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
-    a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it was overtaken
+    a.receive(now, report(3, known_incarnation=now, echo=1, unassigned=((7, 50, 60),)))  # it arrives late
     assert a.work.totals.loads == [gauges.TOKENS[150]]
     for sequence, attach, load in ((1, 1, gauges.TOKENS[150]), (2, 2, 0)):
         a.receive(now, MemberList("a1", "a0", now, sequence, 0, 1, (("d0", 5, attach, 1_000),)))
         assert (a.work.totals.loads, a.count(now)) == ([load], 1)
-    a.receive(now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),)))  # late, of the stay before
+    a.receive(now, report(5, known_incarnation=now, echo=4, unassigned=((7, 100, 150),)))  # late, of the old attachment
     assert (a.work.totals.loads, list(a.work.members)) == ([0], [])
-    a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # it left
+    a.receive(now, MemberList("a1", "a0", now, 3, 0, 1, (("d0", 5, 2, -1), ("d1", 5, 1, -1))))  # both left
     assert (a.count(now), sorted(a.directory.records)) == (0, ["d0"])
 
 
@@ -99,7 +99,7 @@
     for _ in range(SILENCE_TIMEOUT_US // AGGREGATOR_TICK_US + 1):
         now += AGGREGATOR_TICK_US
         a.tick(now)
-    assert (a.count(now), a.figures(now)["cut"]) == (1, 1)  # all that there were fell silent: a cut
+    assert (a.count(now), a.figures(now)["cut"]) == (1, 1)  # all members are silent: a partition is assumed
 
 
 def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time() -> None:
@@ -107,14 +107,14 @@
     for n in range(1, 6):
         a.receive(now, report(1, sender=f"d{n}"))
         a.receive(now, report(2, sender=f"d{n}", known_incarnation=1_000 * S, echo=1))
-    now += 60 * S  # it stands still; what waited is read before its beat
+    now += 60 * S  # a stall, after which waiting messages are read before the tick
     for n in range(1, 6):
         a.receive(now, report(3, sender=f"d{n}", sequence=3, known_incarnation=1_000 * S, echo=2))
         a.receive(now, report(4, sender=f"d{n}", sequence=4, known_incarnation=1_000 * S, echo=3))
     a.tick(now)
     for k in range((SILENCE_TIMEOUT_US + S) // AGGREGATOR_TICK_US):
         now += AGGREGATOR_TICK_US
-        for n in range(2, 6):  # one is dead by now
+        for n in range(2, 6):  # d1 is dead by now
             at = 5 + k
             a.receive(now, report(at, sender=f"d{n}", known_incarnation=1_000 * S, echo=at - 1))
         a.tick(now)
@@ -125,7 +125,7 @@
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
-        hello = Hello("d0", "a0", 4, 1, 77)  # a report's incarnation is 5
+        hello = Hello("d0", "a0", 4, 1, 77)  # the sample report's incarnation is 5
         assert [type(f) for f in a.receive(now + wait, hello)] == answers
     assert [type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))] == [Superseded]
 
@@ -160,7 +160,7 @@
 
 
 def test_work_of_a_dispatcher_that_restarts_leaves_the_totals_between_two_ticks_too() -> None:
-    """The lease of its work ends just before the new process's second report, and no tick has come in between."""
+    """The lease of its work ends just before the new process's second report, with no tick in between."""
     now = 1_000 * S
     a = Aggregator("a0", [], now, random.Random(1))
     a.receive(now, report(1))
--- a/tests/membership/test_gauges.py
+++ b/tests/membership/test_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges come back as they were packed, and near to the tokens they stand for."""
+"""Packed gauges unpack to the same codes, and codes are close to the tokens that they stand for."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,5 @@
-"""Dispatchers gossip over a network that drops, doubles, delays and partitions; they crash, restart and stall."""
+"""Dispatchers gossip over a network that drops, duplicates and delays datagrams and partitions; they crash, restart and
+stall."""
 
 from __future__ import annotations
 
@@ -20,11 +21,11 @@
 
 S = 1_000_000
 KEY = b"k" * 32
-SETTLED = 9 * S  # a round of pings, a ping by way of others, the time to object, and the news of it
+SETTLED = 9 * S  # a round of pings, an indirect probe, the suspicion time, and the spread of the update
 
 
 class Net:
-    """Protocols, each with its own tick, and the datagrams on their way between them."""
+    """Protocol instances, each with its own tick, and the datagrams in transit between them."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.now, self.count = random.Random(seed), 1_000 * S, 0
@@ -44,7 +45,7 @@
         heapq.heappush(self.heap, (self.now + wait, self.count, what, thing))
 
     def start(self, name: str) -> None:
-        # Each has so many tokens at replica 1: its own power of ten, so that a sum shows whose work it holds.
+        # Each has another power of ten of tokens at replica 1, so that a sum shows whose work it includes.
         rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
         self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
         self.at(self.rng.randrange(GOSSIP_TICK_US), "tick", (name, self.up[name]))
@@ -62,7 +63,7 @@
         if to not in self.up:
             return
         if to in self.stalled:
-            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # its socket keeps it, past its next tick
+            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # it stays in the socket past the next tick
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
@@ -143,12 +144,12 @@
         for name, protocol in getattr(self, "net", Net(0, 0)).up.items():
             others = protocol.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in protocol.peer_loads._last if n != name)
-            # Fresh reports alone, without what is assumed of the silent: never more than each has reported.
+            # Without the share assumed for silent peers, the sum never exceeds what the peers have reported.
             worth = 1 + sum(protocol.peer_loads.weight(self.net.now, n) for n in self.net.names)
             assert others.total_tokens * worth / (len(self.net.names) + 1) <= known + 1e-6
 
     def teardown(self) -> None:
-        """Whatever has happened: soon after it is over all agree, on the living and on the dead."""
+        """After all faults end, all dispatchers soon agree on which members are alive and which are dead."""
         if not hasattr(self, "net"):
             return
         self.net.heal()
@@ -169,7 +170,7 @@
     net = Net(9, 1)
     net.run(3 * S)
     assert {c.count(net.now) for c in net.up.values()} == {9}
-    for name in ("d1", "d4", "d7"):  # a third of them
+    for name in ("d1", "d4", "d7"):  # a third of the fleet, which is not taken for a partition
         del net.up[name]
     net.run(5 * S)
     assert {c.count(net.now) for c in net.up.values()} == {6}
@@ -182,7 +183,7 @@
     net.cuts = {(a, b) for a in net.names for b in net.names if (a in side) != (b in side)}
     net.run(20 * S)
     assert {len(c.members.reachable()) for c in net.up.values()} == {4}
-    assert {c.count(net.now) for c in net.up.values()} == {8}  # each half goes on sending for itself
+    assert {c.count(net.now) for c in net.up.values()} == {8}  # each half continues to send requests
     net.cuts.clear()
     net.run(4 * S)
     assert {len(c.members.reachable()) for c in net.up.values()} == {8}
@@ -192,7 +193,7 @@
     net = Net(5, 3)
     net.run(3 * S)
     net.delay = 40_000
-    while not net.up["d2"].members._open_pings:  # it stops with a ping out, whose answer waits unread
+    while not net.up["d2"].members._open_pings:  # it stalls with an open ping, whose answer stays unread
         net.run(10_000)
     net.stalled = {"d2"}
     net.run(6 * S)
@@ -243,7 +244,7 @@
 
 def test_the_silent_still_send_as_far_as_anybody_knows() -> None:
     work, mine = PeerLoads(), ReplicaLoad(7, 100, 100)
-    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300  # nothing is known: as much as I have, each
+    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300  # no reports: the own load, for each
     for name in "abc":
         work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
     now = work.others(0, 7, ["a", "b", "c"], mine)
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -1,4 +1,4 @@
-"""Which source of the others' loads is used: the aggregators' sums or the gossip."""
+"""The choice between the aggregators' sums and gossip as the source of the other dispatchers' loads."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 class StubSource:
-    """A reporter or a gossip protocol in a given state."""
+    """A stub of a reporter or a gossip protocol in a given state."""
 
     def __init__(self, count: int | None, load: float, sure: float, age_s: float | None = 0.1) -> None:
         self.told, self._count, self.age_s = OthersLoad(0.0, load, sure), count, age_s
@@ -32,17 +32,15 @@
     ("sums", "talk", "count", "in_use", "load"),
     [
         pytest.param(None, None, None, "", 0.0, id="neither"),
-        pytest.param(None, StubSource(4, 7, 0.5), 4, "talk", 7, id="the talk alone"),
+        pytest.param(None, StubSource(4, 7, 0.5), 4, "talk", 7, id="gossip alone"),
         pytest.param(StubSource(4, 9, 0.9), None, 4, "sums", 9, id="sums alone"),
-        pytest.param(StubSource(4, 9, 0.0, GONE), None, 4, "", 9, id="sums alone, and old"),
-        pytest.param(StubSource(None, 0, 0.0, None), None, None, "", 0, id="nobody has told yet"),
-        pytest.param(
-            StubSource(None, 0, 0.0, None), StubSource(4, 7, 0.5), 4, "talk", 7, id="nobody has told yet, the talk has"
-        ),
-        pytest.param(StubSource(4, 9, 0.9), StubSource(4, 7, 0.5), 4, "sums", 9, id="all on both"),
-        pytest.param(StubSource(4, 9, 0.9), StubSource(2, 7, 0.5), 4, "sums", 9, id="some no longer talk"),
-        pytest.param(StubSource(3, 9, 0.9), StubSource(4, 7, 0.5), 4, "talk", 7, id="some talk only"),
-        pytest.param(StubSource(4, 9, 0.0, GONE), StubSource(2, 7, 0.5), 4, "talk", 7, id="the aggregators are gone"),
+        pytest.param(StubSource(4, 9, 0.0, GONE), None, 4, "", 9, id="sums alone, too old"),
+        pytest.param(StubSource(None, 0, 0.0, None), None, None, "", 0, id="no count yet"),
+        pytest.param(StubSource(None, 0, 0.0, None), StubSource(4, 7, 0.5), 4, "talk", 7, id="no sums yet, but gossip"),
+        pytest.param(StubSource(4, 9, 0.9), StubSource(4, 7, 0.5), 4, "sums", 9, id="all use both"),
+        pytest.param(StubSource(4, 9, 0.9), StubSource(2, 7, 0.5), 4, "sums", 9, id="some no longer gossip"),
+        pytest.param(StubSource(3, 9, 0.9), StubSource(4, 7, 0.5), 4, "talk", 7, id="some only gossip"),
+        pytest.param(StubSource(4, 9, 0.0, GONE), StubSource(2, 7, 0.5), 4, "talk", 7, id="no aggregator answers"),
     ],
 )
 def test_sums_are_used_while_they_count_all_that_gossip_else_the_gossip(
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -1,4 +1,5 @@
-"""Five real dispatchers that gossip through a relay, and stand-in replicas: crashes, stalls, partitions, bad paths."""
+"""Five dispatcher processes that gossip through a relay, with stand-in replicas: crashes, stalls, partitions, lossy
+paths."""
 
 from __future__ import annotations
 
@@ -21,7 +22,7 @@
 from tests.standins import LAST, TOKENS, Program, Standin
 
 SEED = 20261201
-LOAD = 400  # tokens that one of the test's requests is taken for, roughly: half of the most it may answer
+LOAD = 400  # rough token estimate of one of the test's requests: half of its largest answer
 
 
 class TestProcesses(FleetProcesses):
@@ -47,7 +48,7 @@
             self.run_one(name)
 
     def hold(self, handler: Any, sent: bytes) -> None:
-        """A stream that has begun and goes on until the test lets it end."""
+        """Starts a stream that continues until the test sets `go`."""
         handler.chunks(TOKENS[0], last=False)
         self.go.wait(60)
         handler.more(LAST)
@@ -69,7 +70,7 @@
         return program
 
     def agree(self, count: int, heard: int, *names: str) -> None:
-        """Each of these counts so many dispatchers, and hears so many, itself among them."""
+        """Waits until each of these counts `count` dispatchers and sees `heard` of them alive, itself included."""
 
         def so(name: str) -> bool:
             t = self.told(name)
@@ -78,7 +79,7 @@
         self.until(lambda: all(so(n) for n in names), *names)
 
     def ask(self, name: str) -> None:
-        """A stream through this dispatcher, which stays open."""
+        """Opens a stream through this dispatcher and leaves it open."""
         program, sent = self.programs[name], body(stream=True)
         client = socket.create_connection((program.host, program.port), 20)
         self.cleanup.callback(client.close)
@@ -98,7 +99,7 @@
     def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
-        # A bad path condemns nobody.
+        # A lossy path makes no dispatcher dead.
         self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
         seen = self.relay.passed
         self.until(lambda: self.relay.passed > seen + 600)
@@ -109,16 +110,16 @@
         self.programs["d5"].process.kill()
         self.agree(4, 4, "d1", "d2", "d3", "d4")
         self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them are heard of")
-        # The same name starts anew.
+        # The same name restarts.
         self.run_one("d5")
         self.agree(5, 5, *self.NAMES)
-        # One stands still, and comes back.
+        # One stalls and resumes.
         self.programs["d4"].process.send_signal(signal.SIGSTOP)
         self.agree(4, 4, "d1", "d2", "d3", "d5")
         self.programs["d4"].process.send_signal(signal.SIGCONT)
         self.agree(5, 5, *self.NAMES)
         assert not re.search(r"[0-3] of them are heard", "".join(self.programs["d4"].lines[5:]))
-        # A cut in two: nobody believes that two fifths have died, or three.
+        # A partition: neither side counts the other two fifths, or three, as dead.
         self.relay.cut(["d1", "d2"], ["d3", "d4", "d5"])
         self.agree(5, 2, "d1", "d2")
         self.agree(5, 3, "d3", "d4", "d5")
@@ -126,8 +127,8 @@
         self.agree(5, 5, *self.NAMES)
 
     def test_each_takes_the_replica_that_all_the_others_have_left_alone(self) -> None:
-        """One conversation's requests, each at another dispatcher that has nothing open itself: they alternate between
-        its two replicas. Without the others' loads all would go to the first of its order."""
+        """One conversation's requests, each sent to another dispatcher with no stream of its own, alternate between the
+        home pair of replicas. Without the others' loads, all would go to the first replica of that pair."""
         self.start(replicas=6)
         self.agree(5, 5, *self.NAMES)
         for asked, name in enumerate(self.NAMES, 1):
@@ -152,7 +153,7 @@
 
 
 def fleet_file(folder: pathlib.Path, peers: str = PEER, key: str = '["{}/good"]', listen: str = "127.0.0.1:0") -> str:
-    """An operator's file with a fleet; `{}` in `key` stands for the folder of the key files."""
+    """Returns a configuration file with a fleet; `{}` in `key` stands for the folder of the key files."""
     (folder / "good").write_text("k" * 32)
     (folder / "short").write_text("k" * 15)
     keys = key.replace("{}", str(folder))
--- a/tests/membership/test_reporter.py
+++ b/tests/membership/test_reporter.py
@@ -1,4 +1,4 @@
-"""One reporter by itself: its ticks, its count, and what it makes of sums."""
+"""One reporter by itself: its ticks, its count, and its use of sums."""
 
 from __future__ import annotations
 
@@ -89,6 +89,6 @@
     (asked,) = r.tick(now)
     assert isinstance(asked, Report)
     r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
-    assert r.peer_load(now, 80) is None  # the last sums of slot 0 were replica 70's
+    assert r.peer_load(now, 80) is None  # the last sums of slot 0 were those of replica 70
     loads_now = [r.peer_load(now, replica) for replica in (70, 71)]
     assert tuple(load and load.total_tokens for load in loads_now) == (0, gauges.TOKENS[100])
