--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -244,7 +244,8 @@
 
 def test_the_silent_still_send_as_far_as_anybody_knows() -> None:
     work, mine = PeerLoads(), ReplicaLoad(7, 100, 100)
-    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300  # no reports: the own load, for each
+    # Without reports, each peer counts as the own load.
+    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300
     for name in "abc":
         work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
     now = work.others(0, 7, ["a", "b", "c"], mine)
