--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -32,11 +32,11 @@
 
 
 class AggregatorDaemon(CallTable):
-    """Runs on the current event loop. `reread` reads the control machine's file again."""
+    """Runs on the current event loop. `load_setup` reads the control machine's file again."""
 
-    def __init__(self, setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
+    def __init__(self, setup: AggregatorSetup, load_setup: Callable[[], AggregatorSetup]) -> None:
         self.setup = setup
-        self.reread = reread
+        self.load_setup = load_setup
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(start_clock())
         self.ticks = EventLoopTicks(self.loop, self.deadlines)
@@ -93,7 +93,7 @@
             logger.info("aggregator: receiving messages from {peer} again", peer=name)
         self._silent_peers = silent
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         """Logs the counters."""
         counts = dict(self.datagrams.counts)
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
@@ -105,18 +105,18 @@
 
         Raises ConfigError if the file is invalid; nothing has changed then.
         """
-        new = self.reread()
+        new = self.load_setup()
         old = self.setup
         self.setup = new
         self.aggregation.reconfigure(AggregationCodec(list(new.keys)), new.peers)
-        for_later = for_next_start(
+        deferred = for_next_start(
             ("aggregator.name", old.name, new.name),
             ("aggregator.listen", old.listen, new.listen),
             ("aggregator.admin_addr", old.admin, new.admin),
         )
-        return f"{len(new.peers)} other aggregators{for_later}"
+        return f"{len(new.peers)} other aggregators{deferred}"
 
-    def _listen_for_operators(self, address: Address) -> Listener:
+    def _open_admin_endpoint(self, address: Address) -> Listener:
         return open_admin_listener(self.loop, self.deadlines, Counters(), address, self, "aggregator.admin_addr")
 
     async def _open_datagrams(self) -> None:
@@ -130,19 +130,19 @@
 
     async def serve(self) -> None:
         """Runs until SIGTERM or SIGINT. Raises OSError if an address cannot be used."""
-        with handled_signals(self.loop, self.stopped.set, self.report, self.reload):
+        with handled_signals(self.loop, self.stopped.set, self.log_counters, self.reload):
             admin = self.setup.admin
-            operators = self._listen_for_operators(admin) if admin else None
+            admin_endpoint = self._open_admin_endpoint(admin) if admin else None
             await self._open_datagrams()
             await self.stopped.wait()
             self.aggregation.close()
             self.datagrams.close()
-            if operators:
-                await operators.close()
+            if admin_endpoint:
+                await admin_endpoint.close()
             self.ticks.close()
-            self.report()
+            self.log_counters()
 
 
-async def serve(setup: AggregatorSetup, reread: Callable[[], AggregatorSetup]) -> None:
+async def serve(setup: AggregatorSetup, load_setup: Callable[[], AggregatorSetup]) -> None:
     """Runs one aggregator until it is stopped. Raises OSError if an address cannot be used."""
-    await AggregatorDaemon(setup, reread).serve()
+    await AggregatorDaemon(setup, load_setup).serve()
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -191,7 +191,7 @@
         body = _encoder.encode(message)
         if not self.fits(body):
             raise ValueError(f"{type(message).__name__} to {message.to} is too large for a datagram: {len(body)} bytes")
-        return self.seal(body)
+        return self.sign(body)
 
     def unpack(self, data: bytes, me: str) -> AggregationMessage:
         """Returns the message of a datagram.
@@ -199,7 +199,7 @@
         Raises MessageRejectedError if the datagram is foreign, forged, truncated or not addressed to `me`.
         """
         try:
-            message = _decoder.decode(self.unseal(data))
+            message = _decoder.decode(self.verify(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
         if message.to != me:
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -36,7 +36,7 @@
     Incarnation,
     MemberDirectory,
     MemberRecord,
-    was_passed_on_as_partitioned,
+    is_partitioned_silence,
 )
 from pearhill.membership.peer_aggregator import PeerAggregator
 from pearhill.membership.replay_window import ReplayWindow
@@ -70,7 +70,7 @@
         self.table = SlotTable(totals, self._has_work)
         self.work = ReportedWork(started, self.table, totals)
         self._sessions: dict[str, ReporterSession] = {}
-        self._window = ReplayWindow()
+        self._replay_window = ReplayWindow()
         self._sequence = 0
         self._snapshot: Snapshot | None = None
         self._announced_members: frozenset[tuple[str, Incarnation, bool]] = frozenset()
@@ -95,22 +95,22 @@
             self._receive_from_peer(now, message)
         return []
 
-    def _is_first_time(self, message: AggregationMessage) -> bool:
-        return self._window.first_time(message.sender, message.incarnation, message.sequence)
+    def _is_new(self, message: AggregationMessage) -> bool:
+        return self._replay_window.accept(message.sender, message.incarnation, message.sequence)
 
     def _receive_from_dispatcher(self, now: int, message: Report | Hello) -> list[AggregationMessage]:
         if message.sender in self.peers or message.sender == self.name:
             return []
-        newer = self._newer_incarnation(message)
+        newer = self._find_newer_incarnation(message)
         if newer is not None:
             return self._answer_superseded(now, message, *newer)
-        if not self._is_first_time(message):
+        if not self._is_new(message):
             return []
         if isinstance(message, Hello):
             return [HelloAck(*self._header(message.sender), message.number)]
         return self._receive_report(now, message)
 
-    def _newer_incarnation(self, message: Report | Hello) -> tuple[int, int] | None:
+    def _find_newer_incarnation(self, message: Report | Hello) -> tuple[int, int] | None:
         """Returns the newest incarnation of the sender's name and the time until which it may run.
 
         Returns None if no incarnation newer than the sender's is known.
@@ -145,17 +145,17 @@
         session = self._session(report)
         session.last_seen = now
         if report.leaving:
-            self._learn(report.sender, MemberRecord(incarnation, now, self.name, left=True))
+            self._merge_member(report.sender, MemberRecord(incarnation, now, self.name, left=True))
             return []
         lease_end = session.lease_end(now, report) if report.known_incarnation == self.incarnation else None
-        if lease_end is not None and self._learn(report.sender, MemberRecord(incarnation, now, self.name)):
-            self.work.attend(now, report.sender, incarnation, max(0, report.quiet_ms) * 1000)
+        if lease_end is not None and self._merge_member(report.sender, MemberRecord(incarnation, now, self.name)):
+            self.work.renew_member(now, report.sender, incarnation, max(0, report.quiet_ms) * 1000)
         reports = session.add(report)
         if reports and lease_end is not None:
             self.work.count(now, report.sender, incarnation, reports, lease_end)
         if report.part:
             return []
-        session.answered.remember(report.number, now)
+        session.answer_times.record(report.number, now)
         return self._answer(now, report)
 
     def _session(self, report: Report) -> ReporterSession:
@@ -165,9 +165,9 @@
             self._sessions[report.sender] = session
         return session
 
-    def _learn(self, name: str, update: MemberRecord) -> bool:
+    def _merge_member(self, name: str, update: MemberRecord) -> bool:
         """Merges an update about a member. Returns False if a newer state of the member is known."""
-        if not self.directory.learn(name, update):
+        if not self.directory.merge(name, update):
             return False
         member = self.work.members.get(name)
         # The other aggregator counts the member as soon as its lease here must have ended, so this one stops at once.
@@ -176,7 +176,7 @@
         return True
 
     def _receive_from_peer(self, now: int, message: PartialSum | MemberList) -> None:
-        if not self._is_first_time(message):
+        if not self._is_new(message):
             return
         peer = self.peers[message.sender]
         if message.incarnation > peer.incarnation:
@@ -195,11 +195,11 @@
                 continue
             left = silence_ms < 0
             silence = max(0, silence_ms) * 1000
-            if not self.directory.learn_allowed(name, silence, left):
+            if not self.directory.may_merge(name, silence, left):
                 continue
-            partitioned = was_passed_on_as_partitioned(silence)
+            partitioned = is_partitioned_silence(silence)
             incarnation = Incarnation(started, attachment)
-            self._learn(name, MemberRecord(incarnation, now - silence, message.sender, left, partitioned))
+            self._merge_member(name, MemberRecord(incarnation, now - silence, message.sender, left, partitioned))
 
     # Answers.
 
@@ -253,20 +253,20 @@
 
     def tick(self, now: int) -> list[AggregationMessage]:
         """Expires leases and silent members. Returns the messages that are due to the other aggregators."""
-        self._notice_stall(now)
+        self._detect_stall(now)
         self.work.expire(now)
-        for name in self.directory.forget_silent(now, lambda via: self._is_silent(now, via)):
+        for name in self.directory.remove_silent(now, lambda via: self._is_silent(now, via)):
             self.work.remove(name)
         if now >= self._sweep_due:
             self._sweep_due = now + SWEEP_INTERVAL_US
             self._sweep(now)
         return self._all_partial_sums(now) + self._due_member_lists(now)
 
-    def _notice_stall(self, now: int) -> None:
+    def _detect_stall(self, now: int) -> None:
         gap = now - self._last_tick
         self._last_tick = now
         if gap > MAX_TICK_GAP_US:
-            self.directory.extend_silences(now, gap)
+            self.directory.discount_stall(now, gap)
 
     def _is_silent(self, now: int, aggregator: str) -> bool:
         peer = self.peers.get(aggregator)
@@ -279,7 +279,7 @@
             for name, session in self._sessions.items()
             if now - session.last_seen <= LEFT_TIMEOUT_US or name in self.directory.records
         }
-        self._window.keep({*self._sessions, *self.peers})
+        self._replay_window.keep({*self._sessions, *self.peers})
         totals = self.work.totals
         fresh = [(peer.loads, peer.waits) for peer in self.peers.values() if peer.is_fresh(now)]
         self.table.sweep(now, [(totals.loads, totals.waits), *fresh])
@@ -296,7 +296,7 @@
         self, now: int, name: str, peer: PeerAggregator, ranges: list[GaugeRange], reporting: int
     ) -> list[PartialSum]:
         entries = self.table.entries_after(peer.known_version)
-        peer.sent.remember(self._sequence + 1, now)
+        peer.send_times.record(self._sequence + 1, now)
         return [
             PartialSum(
                 *self._header(name),
--- a/pearhill/membership/aggregator_choice.py
+++ b/pearhill/membership/aggregator_choice.py
@@ -52,20 +52,20 @@
         self.hello_due = now
         self._rng = rng
         self._unanswered = 0  # reports in a row
-        self._waiting_since = NONE
-        self._failed = 0  # aggregators in a row that did not answer
+        self._unanswered_since = NONE
+        self._failures_in_row = 0  # aggregators in a row that did not answer
         self._hello_number = NONE  # of the hello that is not answered yet
         self._answered_hellos = 0  # in a row
 
     @property
-    def is_away(self) -> bool:
+    def uses_fallback(self) -> bool:
         """Whether an aggregator other than the first is in use."""
         return bool(self.order) and self.current != self.order[0]
 
     @property
     def all_failed(self) -> bool:
         """Whether all aggregators have been tried in a row without an answer."""
-        return self._failed >= len(self.order)
+        return self._failures_in_row >= len(self.order)
 
     def attach(self, now: int, to: str) -> None:
         """Switches to the aggregator `to`."""
@@ -74,41 +74,41 @@
         self.current = to
         self.attachment += 1
         self._unanswered = 0
-        self._waiting_since = NONE
+        self._unanswered_since = NONE
         self._hello_number = NONE
         self.restart_hellos(now)
 
     # Answers and failures.
 
-    def report_sent(self, now: int) -> None:
+    def record_report(self, now: int) -> None:
         """Records that a report was sent to the aggregator in use."""
         self._unanswered += 1
-        if self._waiting_since < 0:
-            self._waiting_since = now
+        if self._unanswered_since < 0:
+            self._unanswered_since = now
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Records that the aggregator in use has answered."""
         self._unanswered = 0
-        self._waiting_since = NONE
-        self._failed = 0
+        self._unanswered_since = NONE
+        self._failures_in_row = 0
 
-    def excuse_stall(self, now: int) -> None:
+    def restart_answer_timeout(self, now: int) -> None:
         """Restarts the answer timeout after a stall of this process.
 
         Answers that arrived during the stall are still unread; a working aggregator would be abandoned otherwise.
         """
-        if self._waiting_since >= 0:
-            self._waiting_since = now
+        if self._unanswered_since >= 0:
+            self._unanswered_since = now
 
-    def should_give_up(self, now: int) -> bool:
+    def should_abandon(self, now: int) -> bool:
         """Returns whether to abandon the aggregator in use."""
         if self.all_failed:
             return self._unanswered >= 1
-        return self._unanswered >= MAX_UNANSWERED_REPORTS and now - self._waiting_since >= ANSWER_TIMEOUT_US
+        return self._unanswered >= MAX_UNANSWERED_REPORTS and now - self._unanswered_since >= ANSWER_TIMEOUT_US
 
     def next_after_failure(self) -> str:
         """Counts the aggregator in use as failed and returns the next one to try."""
-        self._failed += 1
+        self._failures_in_row += 1
         return self.order[(self.order.index(self.current) + 1) % len(self.order)]
 
     def backoff(self) -> int | None:
@@ -118,7 +118,7 @@
         """
         if not self.all_failed:
             return None
-        longest = min(MAX_BACKOFF_US, 2 * MIN_BACKOFF_US << min(8, self._failed - len(self.order)))
+        longest = min(MAX_BACKOFF_US, 2 * MIN_BACKOFF_US << min(8, self._failures_in_row - len(self.order)))
         return int(self._rng.uniform(0, longest - MIN_BACKOFF_US))
 
     # Return to the first aggregator.
@@ -133,7 +133,7 @@
 
     def next_hello(self, now: int) -> int | None:
         """Returns the number of the hello to send to the first aggregator now, or None if none is due."""
-        if not self.is_away or now < self.hello_due:
+        if not self.uses_fallback or now < self.hello_due:
             return None
         self.hello_due = now + self._hello_interval()
         if self._hello_number >= 0:
@@ -141,14 +141,14 @@
         self._hello_number = self._rng.getrandbits(31)
         return self._hello_number
 
-    def hello_answered(self, sender: str, number: int) -> bool:
+    def record_hello_answer(self, sender: str, number: int) -> bool:
         """Records the answer to a hello. Returns whether to return to the first aggregator."""
-        if sender != self.order[0] or number != self._hello_number or not self.is_away:
+        if sender != self.order[0] or number != self._hello_number or not self.uses_fallback:
             return False
         self._hello_number = NONE
         self._answered_hellos += 1
         return self._answered_hellos >= HELLOS_TO_RETURN
 
-    def returned(self) -> None:
+    def record_return(self) -> None:
         """Records that the first aggregator is in use again."""
-        self._failed = 0
+        self._failures_in_row = 0
--- a/pearhill/membership/fragments.py
+++ b/pearhill/membership/fragments.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._times: OrderedDict[int, int] = OrderedDict()
 
-    def remember(self, number: int, now: int) -> None:
+    def record(self, number: int, now: int) -> None:
         """Records that message `number` is sent now."""
         self._times[number] = now
         while len(self._times) > MAX_SEND_TIMES:
--- a/pearhill/membership/gauge_ranges.py
+++ b/pearhill/membership/gauge_ranges.py
@@ -25,10 +25,10 @@
 
     `loads` and `waits` are codes by slot, of equal length.
     """
-    whole = GaugeRange(0, len(loads), pack(loads), pack(waits))
-    if len(whole.loads) + len(whole.waits) + reserved_bytes > MAX_PACKED_GAUGE_BYTES:
+    full_range = GaugeRange(0, len(loads), pack(loads), pack(waits))
+    if len(full_range.loads) + len(full_range.waits) + reserved_bytes > MAX_PACKED_GAUGE_BYTES:
         return None
-    return whole
+    return full_range
 
 
 def split_into_ranges(loads: bytes, waits: bytes) -> list[GaugeRange]:
@@ -37,6 +37,6 @@
 
 
 def _range_from(first_slot: int, loads: bytes, waits: bytes) -> GaugeRange:
-    some_loads = loads[first_slot : first_slot + SLOTS_PER_PART]
-    some_waits = waits[first_slot : first_slot + SLOTS_PER_PART]
-    return GaugeRange(first_slot, len(some_loads), pack(some_loads), pack(some_waits))
+    range_loads = loads[first_slot : first_slot + SLOTS_PER_PART]
+    range_waits = waits[first_slot : first_slot + SLOTS_PER_PART]
+    return GaugeRange(first_slot, len(range_loads), pack(range_loads), pack(range_waits))
--- a/pearhill/membership/gauges.py
+++ b/pearhill/membership/gauges.py
@@ -65,13 +65,13 @@
     return codes
 
 
-def _unpack(how: bytes, packed: bytes, count: int) -> bytes | None:
+def _unpack(packing: bytes, packed: bytes, count: int) -> bytes | None:
     """Returns the codes, whose number the caller checks, or None if they are not packed in the given way."""
-    if how == bytes((RAW,)):
+    if packing == bytes((RAW,)):
         return packed
-    if how == bytes((SPARSE,)):
+    if packing == bytes((SPARSE,)):
         return _unpack_sparse(packed, count)
-    if how == bytes((DEFLATED,)):
+    if packing == bytes((DEFLATED,)):
         return _inflate(packed, count)
     return None
 
--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -47,12 +47,12 @@
         self._own_loads = own_loads
         self._sequence = 0
         self._counted_peers = set(self.members.members)  # as of the last tick
-        self._window = ReplayWindow()
+        self._replay_window = ReplayWindow()
 
     def tick(self, now: int) -> list[GossipMessage]:
         """Returns the messages that are due."""
         payloads = self.members.tick(now)
-        self._counted_peers = self.counted(now)
+        self._counted_peers = self.counted_peers(now)
         self.peer_loads.weigh(now, self._counted_peers)
         return self._messages(payloads)
 
@@ -61,7 +61,7 @@
         if message.sender not in self.members.members:
             return []
         # Without this check, replayed messages of a dead dispatcher would make it look alive.
-        if not self._window.first_time(message.sender, message.incarnation, message.sequence):
+        if not self._replay_window.accept(message.sender, message.incarnation, message.sequence):
             return []
         version = (message.incarnation, message.sequence)
         self.peer_loads.receive(now, message.sender, version, message.loads)
@@ -85,7 +85,7 @@
             loads=loads,
         )
 
-    def counted(self, now: int) -> set[str]:
+    def counted_peers(self, now: int) -> set[str]:
         """Returns the peers that presumably send requests: those not dead, and those behind a network partition.
 
         If each side of a partition counted the other side as dead, both would claim the whole of each limit: together
@@ -93,18 +93,18 @@
         """
         members = self.members.members
         alive = {name for name, member in members.items() if member.state != MemberState.DEAD}
-        lately_dead = {
+        recently_dead = {
             name
             for name, member in members.items()
             if member.state == MemberState.DEAD and now - member.state_since < PARTITION_TIMEOUT_US
         }
-        known = len(alive) + len(lately_dead) + 1
-        is_partition = len(lately_dead) > math.floor(PARTITION_SHARE * known)
-        return alive | lately_dead if is_partition else alive
+        known = len(alive) + len(recently_dead) + 1
+        is_partition = len(recently_dead) > math.floor(PARTITION_SHARE * known)
+        return alive | recently_dead if is_partition else alive
 
     def count(self, now: int) -> int:
         """Returns how many dispatchers share the work, including this one."""
-        return len(self.counted(now)) + 1
+        return len(self.counted_peers(now)) + 1
 
     def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
         """Returns the estimated load of the other dispatchers at a replica.
@@ -118,5 +118,5 @@
         """Replaces the list of peers. The state of those that remain is retained."""
         self.members.reconfigure(peers, now)
         self.peer_loads.keep(self.members.members)
-        self._counted_peers = self.counted(now)
-        self._window.keep(self.members.members)
+        self._counted_peers = self.counted_peers(now)
+        self._replay_window.keep(self.members.members)
--- a/pearhill/membership/gossip_messages.py
+++ b/pearhill/membership/gossip_messages.py
@@ -50,7 +50,7 @@
             else:
                 updates.pop()
             body = _encode(message, updates, loads)
-        return self.seal(body)
+        return self.sign(body)
 
     def unpack(self, data: bytes, me: str) -> GossipMessage:
         """Returns the message of a datagram.
@@ -58,7 +58,7 @@
         Raises MessageRejectedError if the datagram is foreign, forged, truncated or not addressed to `me`.
         """
         try:
-            body = _decoder.decode(self.unseal(data))
+            body = _decoder.decode(self.verify(data))
         except (msgspec.DecodeError, RecursionError):
             raise MessageRejectedError("malformed") from None
         if body.to != me:
--- a/pearhill/membership/known_table.py
+++ b/pearhill/membership/known_table.py
@@ -19,15 +19,15 @@
     slot_of: dict[int, int] = field(default_factory=dict)
     replicas: list[int] = field(default_factory=list)  # by slot
     assigned_version: list[int] = field(default_factory=list)  # by slot: table version that assigned it
-    latest: int = 0  # the aggregator's current version, as last received
-    was_complete: bool = False  # whether the table has been received up to `latest` at least once
+    latest_version: int = 0  # the aggregator's current version, as last received
+    has_been_complete: bool = False  # whether the table has been received up to `latest_version` at least once
 
     def update(self, entries: Iterable[TableEntry]) -> None:
         """Adds the entries that are new. Entries arrive in the order of their versions."""
         for slot, replica, version in entries:
             if version > self.version:
                 self._assign(slot, replica, version)
-        self.was_complete = self.was_complete or self.version >= self.latest
+        self.has_been_complete = self.has_been_complete or self.version >= self.latest_version
 
     def _assign(self, slot: int, replica: int, version: int) -> None:
         missing = slot + 1 - len(self.replicas)
--- a/pearhill/membership/member_directory.py
+++ b/pearhill/membership/member_directory.py
@@ -19,7 +19,7 @@
 LEFT_TIMEOUT_US = 60_000_000  # how long a member that left is retained, so that a late message does not re-add it
 HOP_ALLOWANCE_US = 1_000_000  # added to a silence that is forwarded; longer than a datagram is in transit
 PARTITION_SHARE = 1 / 3  # if more of all, or of one aggregator's, members are silent, a partition is assumed
-MIN_LOST_FOR_PARTITION = 3  # silent members of one aggregator, which may have few members
+MIN_SILENT_FOR_PARTITION = 3  # silent members of one aggregator, which may have few members
 ENTRY_BYTES = 22  # largest size of a member list's entry, without the name
 
 
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self.records: dict[str, MemberRecord] = {}
 
-    def learn(self, name: str, update: MemberRecord) -> bool:
+    def merge(self, name: str, update: MemberRecord) -> bool:
         """Merges an update about a member. Returns False if a newer state of the member is known."""
         known = self.records.get(name)
         if known is None or known.incarnation < update.incarnation:
@@ -63,11 +63,11 @@
         known.partitioned = known.partitioned or update.partitioned
         return True
 
-    def learn_allowed(self, name: str, silence: int, left: bool) -> bool:
+    def may_merge(self, name: str, silence: int, left: bool) -> bool:
         """Returns whether to merge an entry of another aggregator's member list."""
         if silence >= PARTITION_TIMEOUT_US:
             return False
-        if silence >= SILENCE_TIMEOUT_US and not was_passed_on_as_partitioned(silence):
+        if silence >= SILENCE_TIMEOUT_US and not is_partitioned_silence(silence):
             return False
         # Aggregators would otherwise forward a member that left back and forth and never remove it.
         return not left or name in self.records
@@ -84,7 +84,7 @@
         """Returns the state that other aggregators must receive soon after it changes."""
         return frozenset((name, record.incarnation, record.left) for name, record in self.records.items())
 
-    def extend_silences(self, now: int, stalled: int) -> None:
+    def discount_stall(self, now: int, stalled: int) -> None:
         """Subtracts the time for which this process was stalled from all silences.
 
         Messages that arrived during the stall are still unread, so all members would count as silent otherwise. The
@@ -94,35 +94,38 @@
         for record in self.records.values():
             record.last_seen = min(now, record.last_seen + stalled)
 
-    def forget_silent(self, now: int, is_silent: Callable[[str], bool]) -> list[str]:
+    def remove_silent(self, now: int, is_silent: Callable[[str], bool]) -> list[str]:
         """Removes members that have been silent for too long and returns their names.
 
         `is_silent` takes another aggregator's name and returns whether nothing is received from that aggregator.
         """
         silences = {name: now - record.last_seen for name, record in self.records.items()}
         self._mark_partitioned(silences, is_silent)
-        forgotten = [name for name, silence in silences.items() if silence >= _timeout(self.records[name])]
-        for name in forgotten:
+        removed = [name for name, silence in silences.items() if silence >= _timeout(self.records[name])]
+        for name in removed:
             del self.records[name]
-        return forgotten
+        return removed
 
     def _mark_partitioned(self, silences: dict[str, int], is_silent: Callable[[str], bool]) -> None:
-        lost = [
+        newly_silent = [
             record
             for name, record in self.records.items()
             if SILENCE_TIMEOUT_US // 2 <= silences[name] < 2 * SILENCE_TIMEOUT_US and not record.left
         ]
-        is_partition = len(lost) > PARTITION_SHARE * self.count()
+        is_partition = len(newly_silent) > PARTITION_SHARE * self.count()
         members_via = Counter(record.via for record in self.records.values())
-        lost_via = Counter(record.via for record in lost)
+        newly_silent_via = Counter(record.via for record in newly_silent)
         for name, record in self.records.items():
             if silences[name] < SILENCE_TIMEOUT_US or record.partitioned or record.left:
                 continue
-            lost_here = lost_via[record.via]
+            newly_silent_here = newly_silent_via[record.via]
             record.partitioned = (
                 is_partition
                 or is_silent(record.via)
-                or (lost_here >= MIN_LOST_FOR_PARTITION and lost_here > PARTITION_SHARE * members_via[record.via])
+                or (
+                    newly_silent_here >= MIN_SILENT_FOR_PARTITION
+                    and newly_silent_here > PARTITION_SHARE * members_via[record.via]
+                )
             )
 
     def entries(self, now: int) -> list[list[MemberEntry]]:
@@ -140,7 +143,7 @@
         return parts
 
 
-def was_passed_on_as_partitioned(silence: int) -> bool:
+def is_partitioned_silence(silence: int) -> bool:
     """Returns whether the silence is that of a member assumed behind a partition; only those are listed for so long."""
     return silence >= SILENCE_TIMEOUT_US + HOP_ALLOWANCE_US
 
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -131,14 +131,14 @@
 
     def tick(self, now: int) -> list[Payload]:
         """Declares overdue suspects dead. Returns the indirect probes that are due, and the next pings."""
-        self._notice_stall(now)
+        self._detect_stall(now)
         payloads = self._follow_up_pings(now)
         self._declare_dead(now)
         for _ in range(self._pings_per_tick()):
             payloads.append(self._ping(now, self._next_in_round()))
         return payloads
 
-    def _notice_stall(self, now: int) -> None:
+    def _detect_stall(self, now: int) -> None:
         """Extends suspicions by the time of a stall: answers that arrived meanwhile are still unread."""
         gap = now - self._last_tick
         self._last_tick = now
@@ -184,8 +184,10 @@
         return payloads
 
     def _indirect_probes(self, number: int, target: str) -> list[PingRequest]:
-        able = [name for name, member in self.members.items() if member.state == MemberState.ALIVE and name != target]
-        helpers = self.rng.sample(able, min(INDIRECT_PROBES, len(able)))
+        candidates = [
+            name for name, member in self.members.items() if member.state == MemberState.ALIVE and name != target
+        ]
+        helpers = self.rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
         return [PingRequest(helper, number, target) for helper in helpers]
 
     def _suspect(self, now: int, ping: OpenPing) -> None:
@@ -226,7 +228,7 @@
 
     def _merge(self, now: int, update: MemberUpdate) -> None:
         if update.name == self.name:
-            self._object_to(update)
+            self._refute(update)
             return
         member = self.members.get(update.name)
         if member is None or update.state not in _PRECEDENCE:
@@ -235,7 +237,7 @@
         if (update.incarnation, _PRECEDENCE[state]) > (member.incarnation, _PRECEDENCE[member.state]):
             self._set(now, update.name, update.incarnation, state)
 
-    def _object_to(self, update: MemberUpdate) -> None:
+    def _refute(self, update: MemberUpdate) -> None:
         """Raises the incarnation above that of a wrong update; all members would declare this one dead otherwise."""
         if update.state != MemberState.ALIVE and update.incarnation >= self.incarnation:
             self.incarnation = update.incarnation + 1
@@ -259,13 +261,13 @@
         addressee = self.members.get(to)
         if addressee and addressee.state != MemberState.ALIVE:
             updates.append(MemberUpdate(to, addressee.incarnation, addressee.state))
-        most_times = 3 * math.ceil(math.log2(len(self.members) + 2))
+        max_times = 3 * math.ceil(math.log2(len(self.members) + 2))
         least_sent = sorted(self._times_sent, key=lambda name: self._times_sent[name])
         for name in least_sent[: MAX_UPDATES - len(updates)]:
             if name in self.members and name != to:
                 member = self.members[name]
                 updates.append(MemberUpdate(name, member.incarnation, member.state))
             self._times_sent[name] += 1
-            if self._times_sent[name] >= most_times:
+            if self._times_sent[name] >= max_times:
                 del self._times_sent[name]
         return updates
--- a/pearhill/membership/message_authenticator.py
+++ b/pearhill/membership/message_authenticator.py
@@ -34,11 +34,11 @@
         """Returns whether the body fits one datagram."""
         return 1 + TAG_BYTES + len(body) <= MAX_DATAGRAM_BYTES
 
-    def seal(self, body: bytes) -> bytes:
+    def sign(self, body: bytes) -> bytes:
         """Returns the signed datagram of a body."""
         return bytes((self.version,)) + self.tag(self.keys[0], body) + body
 
-    def unseal(self, data: bytes) -> bytes:
+    def verify(self, data: bytes) -> bytes:
         """Returns the body of a datagram. Raises MessageRejectedError if it is foreign, forged or truncated."""
         if len(data) > MAX_DATAGRAM_BYTES or len(data) <= 1 + TAG_BYTES:
             raise MessageRejectedError("size")
--- a/pearhill/membership/peer_aggregator.py
+++ b/pearhill/membership/peer_aggregator.py
@@ -25,7 +25,7 @@
     last_seen: int = -1
     version: int = 0
     replicas: list[int] = field(default_factory=list)  # by the peer's slots
-    sent: SendTimes = field(default_factory=SendTimes)  # send times of the messages to the peer
+    send_times: SendTimes = field(default_factory=SendTimes)  # send times of the messages to the peer
     newest_received: int = -1  # newest message received from the peer
     fragments: FragmentAssembler[PartialSum] = field(default_factory=FragmentAssembler)
     newest_counted: int = -1  # newest message of the peer whose sums are used
@@ -61,7 +61,7 @@
         messages = self.fragments.add(number, message)
         if not messages or number <= self.newest_counted:
             return
-        sent_at = self.sent.get(message.echo)
+        sent_at = self.send_times.get(message.echo)
         if sent_at is None or now - sent_at >= PARTIAL_SUM_LEASE_US:
             return
         if self.version < message.reused_version:
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -33,7 +33,7 @@
 class SumsRange:
     """Sums over the slots from `first_slot` on. `own` are this dispatcher's gauges that the sums include."""
 
-    asked_at: int  # when the report that these sums answer was sent
+    requested_at: int  # when the report that these sums answer was sent
     version: int
     first_slot: int
     loads: bytes
@@ -67,19 +67,19 @@
         self.source = source
         self.ranges.clear()
 
-    def update_counts(self, sums: Sums, asked_at: int) -> None:
+    def update_counts(self, sums: Sums, requested_at: int) -> None:
         """Stores the counts of dispatchers unless newer ones are stored."""
-        if asked_at < self.received_at:
+        if requested_at < self.received_at:
             return
         self.reporting = sums.reporting
-        self.received_at = asked_at
+        self.received_at = requested_at
         self.counted = sums.counted if sums.settled else max(self.counted or 0, sums.counted)
         self._settled = self._settled or sums.settled
 
-    def update_range(self, sums: Sums, asked_at: int, own: OwnGauges) -> None:
+    def update_range(self, sums: Sums, requested_at: int, own: OwnGauges) -> None:
         """Stores the gauges. They replace older ones of the same slots; newer ones are retained."""
         new = SumsRange(
-            asked_at=asked_at,
+            requested_at=requested_at,
             version=sums.version,
             first_slot=sums.first_slot,
             loads=unpack(sums.loads, sums.slot_count),
@@ -87,7 +87,7 @@
             reporting=max(0, sums.reporting - (sums.included_report >= 0)),
             own=own,
         )
-        self.ranges = [r for r in self.ranges if r.loads and (r.asked_at > new.asked_at or not r.overlaps(new))]
+        self.ranges = [r for r in self.ranges if r.loads and (r.requested_at > new.requested_at or not r.overlaps(new))]
         # Parts of one answer do not overlap.
         if not any(r.overlaps(new) for r in self.ranges):
             self.ranges.append(new)
@@ -130,21 +130,21 @@
         `table` is that of the aggregator that sent the sums. Returns None until that table has been complete once:
         replicas that are still missing from it would look idle to every dispatcher.
         """
-        if table is None or not table.was_complete:
+        if table is None or not table.has_been_complete:
             return None
         slot = table.slot_of.get(replica)
         sums = self._range_of(slot)
-        if sums is None or now - sums.asked_at >= MAX_SUMS_AGE_US:
+        if sums is None or now - sums.requested_at >= MAX_SUMS_AGE_US:
             return None
         if slot is None:
-            is_current = table.version >= table.latest
-            return PeerLoad(0.0, 0.0, sums.reporting, sums.asked_at) if is_current else None
+            is_current = table.version >= table.latest_version
+            return PeerLoad(0.0, 0.0, sums.reporting, sums.requested_at) if is_current else None
         if table.assigned_version[slot] > sums.version:
             return None  # the sums are those of the replica that had the slot before
         own = sums.own.get(replica, NO_GAUGE)
         waiting = TOKENS[sums.waits[slot - sums.first_slot]] - TOKENS[own.waiting]
         load = TOKENS[sums.loads[slot - sums.first_slot]] - TOKENS[own.load]
-        return PeerLoad(max(0.0, waiting), max(0.0, load), sums.reporting, sums.asked_at)
+        return PeerLoad(max(0.0, waiting), max(0.0, load), sums.reporting, sums.requested_at)
 
     def _range_of(self, slot: int | None) -> SumsRange | None:
         """Returns the range with the slot, or any range if `slot` is None; None if there is no such range."""
--- a/pearhill/membership/replay_window.py
+++ b/pearhill/membership/replay_window.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._windows: dict[str, SenderWindow] = {}
 
-    def first_time(self, sender: str, incarnation: int, sequence: int) -> bool:
+    def accept(self, sender: str, incarnation: int, sequence: int) -> bool:
         """Records a message. Returns whether it is certainly new; reordered messages are accepted as well."""
         window = _with_message(self._windows.get(sender, NOTHING_SEEN), incarnation, sequence)
         if window is None:
--- a/pearhill/membership/reported_work.py
+++ b/pearhill/membership/reported_work.py
@@ -45,16 +45,16 @@
         self._started = started
         self._table = table
 
-    def attend(self, now: int, name: str, incarnation: Incarnation, quiet: int) -> None:
+    def renew_member(self, now: int, name: str, incarnation: Incarnation, quiet_us: int) -> None:
         """Records a sign of life of a dispatcher that reports here.
 
-        `quiet` is how long the dispatcher has not reported to any other aggregator.
+        `quiet_us` is how long the dispatcher has not reported to any other aggregator.
         """
         member = self.members.get(name)
         if member is None or (member.incarnation != incarnation and member.lease_end < now):
             if member:  # Work whose lease has ended stays in the totals until the next tick.
                 self._withdraw(member)
-            self.members[name] = LeasedWork(incarnation, now + max(0, COMBINED_LEASE_US - quiet))
+            self.members[name] = LeasedWork(incarnation, now + max(0, COMBINED_LEASE_US - quiet_us))
             return
         if member.incarnation.started != incarnation.started:
             # While the lease runs here, no other aggregator has begun to count the work.
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -80,7 +80,7 @@
         self.incarnation = started
         self.rng = rng
         self._own_loads = own_loads
-        self._window = ReplayWindow()
+        self._replay_window = ReplayWindow()
         self._sequence = 0
         # With numbers from 1 at each start, an answer to an earlier start's report would answer one of this start.
         self._reports = SentReports(started, rng.getrandbits(31))
@@ -99,7 +99,7 @@
         return self._choice.current
 
     @property
-    def attach(self) -> int:
+    def attachment(self) -> int:
         """How often this dispatcher attached to an aggregator."""
         return self._choice.attachment
 
@@ -113,14 +113,14 @@
         order = rendezvous_order(self.name, self.region, aggregators)
         self._choice.order = order
         self._tables = {name: self._tables.get(name) or KnownTable() for name in order}
-        self._window.keep(order)
+        self._replay_window.keep(order)
         if self.current not in self._tables:
             self._move(now, order[0] if order else "")
         self._choice.restart_hellos(now)
 
     def _move(self, now: int, to: str) -> None:
         if self.current and to != self.current:
-            self._reports.move_to(to)
+            self._reports.change_aggregator(to)
         self._choice.attach(now, to)
         self._echo = NONE
 
@@ -129,7 +129,7 @@
     def next_tick(self, now: int) -> int:
         """Returns when to call `tick` next; the time may change with each received message."""
         due = self._report_due()
-        if self._choice.is_away:
+        if self._choice.uses_fallback:
             due = min(due, self._choice.hello_due)
         return max(now, due)
 
@@ -142,7 +142,7 @@
             self._due = now + REPORT_INTERVAL_US
             return []
         if now - self._report_due() > MAX_TICK_DELAY_US:
-            self._choice.excuse_stall(now)
+            self._choice.restart_answer_timeout(now)
         self._now = now
         messages: list[AggregationMessage] = []
         hello_number = self._choice.next_hello(now)
@@ -150,13 +150,13 @@
             messages.append(Hello(*self._header(self._choice.order[0]), hello_number))
         if now < self._report_due():
             return messages
-        if self._choice.should_give_up(now):
-            self._give_up(now)
+        if self._choice.should_abandon(now):
+            self._switch_aggregator(now)
         if now >= self._due:
             messages += self._report(now)
         return messages
 
-    def _give_up(self, now: int) -> None:
+    def _switch_aggregator(self, now: int) -> None:
         """Switches to the next aggregator; once all have failed, only after a backoff."""
         self._move(now, self._choice.next_after_failure())
         backoff = self._choice.backoff()
@@ -171,7 +171,7 @@
         table = self._tables[self.current]
         work = self._own_work(table)
         self._reports.add(now, self.current, work.gauges)
-        self._choice.report_sent(now)
+        self._choice.record_report(now)
         # Once all aggregators have failed, each is tried with a single report until one answers.
         interval = MIN_BACKOFF_US if self._choice.all_failed else REPORT_INTERVAL_US
         self._due = now + int(interval * self.rng.uniform(1 - JITTER, 1 + JITTER))
@@ -182,7 +182,7 @@
                 number=self._reports.newest_number,
                 part=number,
                 parts=len(parts),
-                attach=self.attach,
+                attach=self.attachment,
                 quiet_ms=self._reports.quiet_ms(now, self.current),
                 leaving=False,
                 known_incarnation=table.incarnation,
@@ -219,8 +219,8 @@
             waits[slot] = gauge.waiting
             gauges[row.replica] = gauge
         without_slot.sort(reverse=True)
-        most = MAX_UNASSIGNED if table.was_complete else MAX_UNASSIGNED_AT_FIRST
-        unassigned = tuple((replica, waiting, load) for load, waiting, replica in without_slot[:most])
+        limit = MAX_UNASSIGNED if table.has_been_complete else MAX_UNASSIGNED_AT_FIRST
+        unassigned = tuple((replica, waiting, load) for load, waiting, replica in without_slot[:limit])
         gauges.update((replica, GaugePair(waiting, load)) for replica, waiting, load in unassigned)
         return OwnWork(bytes(loads), bytes(waits), unassigned, gauges)
 
@@ -234,7 +234,7 @@
                 number=self._reports.next_number(),
                 part=0,
                 parts=1,
-                attach=self.attach,
+                attach=self.attachment,
                 quiet_ms=self._reports.quiet_ms(now, self.current),
                 leaving=True,
                 known_incarnation=0,
@@ -248,7 +248,7 @@
 
     def sent(self, size: int) -> None:
         """Pays for an outgoing datagram of `size` bytes."""
-        self._budget.sent(self._now, size)
+        self._budget.record_sent(self._now, size)
 
     # Answers.
 
@@ -258,10 +258,10 @@
         `size` is the length of its datagram in bytes.
         """
         self._now = max(self._now, now)
-        self._budget.received(size)
+        self._budget.record_received(size)
         if message.sender not in self._tables:
             return []
-        if not self._window.first_time(message.sender, message.incarnation, message.sequence):
+        if not self._replay_window.accept(message.sender, message.incarnation, message.sequence):
             return []
         # If replays were paid for as well, repeating one datagram could delay the reports indefinitely.
         self._budget.pay(self._now, size)
@@ -276,22 +276,22 @@
         return []
 
     def _receive_hello_ack(self, now: int, message: HelloAck) -> None:
-        if self._choice.hello_answered(message.sender, message.number):
+        if self._choice.record_hello_answer(message.sender, message.number):
             self._move(now, message.sender)
-            self._choice.returned()
+            self._choice.record_return()
 
     def _receive_superseded(self, message: Superseded) -> None:
         if message.known_incarnation >= self.incarnation:
             self.incarnation = message.known_incarnation + 1
-            self._choice.answered()
+            self._choice.record_answer()
 
     def _receive_sums(self, now: int, sums: Sums) -> None:
         report = self._reports.get(sums.report_number)
         if report is None or now - report.sent_at >= MAX_SUMS_AGE_US:
             return  # the answer was delayed for too long
         table = self._table_of(sums)
-        self._choice.answered()
-        table.latest = max(table.latest, sums.version)
+        self._choice.record_answer()
+        table.latest_version = max(table.latest_version, sums.version)
         self._echo = max(self._echo, sums.report_number)
         table.update(sums.entries)
         self._sums.update_counts(sums, report.sent_at)
@@ -316,7 +316,7 @@
     def _own_gauges_in(self, sums: Sums, report: SentReport) -> OwnGauges | None:
         """Returns this dispatcher's own gauges that the sums include, or None if they are no longer known."""
         if sums.included_report < 0:
-            return self._reports.gauges_elsewhere(report.sent_at, self.current)
+            return self._reports.gauges_sent_elsewhere(report.sent_at, self.current)
         included = self._reports.get(sums.included_report)
         return included.gauges if included else None
 
@@ -345,7 +345,7 @@
         received_at = self._sums.received_at
         return {
             "aggregator": self.current,
-            "attach": self.attach,
+            "attach": self.attachment,
             "age_s": (now - received_at) / 1e6 if received_at >= 0 else None,
             "counted": self._sums.counted,
             "heard": self._sums.reporting,
@@ -357,9 +357,9 @@
 
 def _split(work: OwnWork) -> list[ReportPart]:
     """Returns one part if it fits one datagram, else a part per range of slots and one for replicas without a slot."""
-    whole = single_range(work.loads, work.waits, len(work.unassigned) * UNASSIGNED_BYTES)
-    if whole:
-        return [ReportPart(*whole, work.unassigned)]
+    single_part = single_range(work.loads, work.waits, len(work.unassigned) * UNASSIGNED_BYTES)
+    if single_part:
+        return [ReportPart(*single_part, work.unassigned)]
     parts = [ReportPart(*gauges, ()) for gauges in split_into_ranges(work.loads, work.waits)]
     if work.unassigned:
         parts.append(ReportPart(*EMPTY_RANGE, work.unassigned))
--- a/pearhill/membership/reporter_session.py
+++ b/pearhill/membership/reporter_session.py
@@ -14,7 +14,7 @@
 
     incarnation: int
     last_seen: int = 0
-    answered: SendTimes = field(default_factory=SendTimes)  # by report number: when the answer was sent
+    answer_times: SendTimes = field(default_factory=SendTimes)  # by report number: when the answer was sent
     newest_report: int = -1  # newest report of which all parts were received
     fragments: FragmentAssembler[Report] = field(default_factory=FragmentAssembler)
 
@@ -23,7 +23,7 @@
 
         A report that names no recent answer may have waited in a socket for any length of time, or may be a replay.
         """
-        sent_at = self.answered.get(report.echo)
+        sent_at = self.answer_times.get(report.echo)
         if sent_at is None or now - sent_at >= LEASE_US:
             return None
         return sent_at + LEASE_US
--- a/pearhill/membership/sent_reports.py
+++ b/pearhill/membership/sent_reports.py
@@ -11,7 +11,7 @@
 MAX_REMEMBERED_REPORTS = 64
 MAX_REPORT_AGE_US = 5_000_000
 SUMS_SLACK_US = 200_000  # sums may be computed slightly before the report that they answer arrives
-LONG_AGO_US = 6_000_000  # exceeds how long sums can include a report to another aggregator
+NEVER_SENT_AGE_US = 6_000_000  # exceeds how long sums can include a report to another aggregator
 
 
 class GaugePair(NamedTuple):
@@ -42,7 +42,7 @@
         self._started = started
         self._reports: OrderedDict[int, SentReport] = OrderedDict()
         self._last_sent_to: dict[str, int] = {}  # by aggregator
-        self._gauges_elsewhere: OwnGauges = {}  # the largest that were reported to aggregators used before
+        self._gauges_sent_elsewhere: OwnGauges = {}  # the largest that were reported to aggregators used before
 
     def next_number(self) -> int:
         """Returns the number of the next report."""
@@ -66,7 +66,7 @@
         """Returns the report, or None if it was never sent or has been dropped."""
         return self._reports.get(number)
 
-    def move_to(self, aggregator: str) -> None:
+    def change_aggregator(self, aggregator: str) -> None:
         """Records that reports now go to `aggregator`, and retains the largest gauges that the others were sent."""
         largest: OwnGauges = {}
         for report in self._reports.values():
@@ -75,13 +75,13 @@
             for replica, gauge in report.gauges.items():
                 known = largest.get(replica, NO_GAUGE)
                 largest[replica] = GaugePair(max(gauge.waiting, known.waiting), max(gauge.load, known.load))
-        self._gauges_elsewhere = largest
+        self._gauges_sent_elsewhere = largest
 
-    def gauges_elsewhere(self, sums_asked_at: int, aggregator: str) -> OwnGauges:
+    def gauges_sent_elsewhere(self, sums_requested_at: int, aggregator: str) -> OwnGauges:
         """Returns own gauges that an aggregator's sums may still include through aggregators used before."""
-        if sums_asked_at >= self._last_sent_elsewhere(aggregator) + COMBINED_LEASE_US + SUMS_SLACK_US:
+        if sums_requested_at >= self._last_sent_elsewhere(aggregator) + COMBINED_LEASE_US + SUMS_SLACK_US:
             return {}
-        return self._gauges_elsewhere
+        return self._gauges_sent_elsewhere
 
     def quiet_ms(self, now: int, aggregator: str) -> int:
         """Returns how long no other aggregator can have received a report under this dispatcher's name.
@@ -92,4 +92,4 @@
 
     def _last_sent_elsewhere(self, aggregator: str) -> int:
         times = (sent_at for name, sent_at in self._last_sent_to.items() if name != aggregator)
-        return max(times, default=-LONG_AGO_US)
+        return max(times, default=-NEVER_SENT_AGE_US)
--- a/pearhill/membership/snapshots.py
+++ b/pearhill/membership/snapshots.py
@@ -54,5 +54,5 @@
         return []
     load_codes = bytes(map(encode, loads))
     wait_codes = bytes(map(encode, waits))
-    whole = single_range(load_codes, wait_codes)
-    return [whole] if whole else split_into_ranges(load_codes, wait_codes)
+    full_range = single_range(load_codes, wait_codes)
+    return [full_range] if full_range else split_into_ranges(load_codes, wait_codes)
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -145,7 +145,7 @@
     assert 0.9 < sure <= 1
     # Half of them do not report: each of these counts as the mean of those that do.
     for chunk in p.reporter._sums.ranges:
-        chunk.reporting, chunk.asked_at = 2, world.now
+        chunk.reporting, chunk.requested_at = 2, world.now
     assert p.reporter.others(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
     assert p.reporter.others(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
 
--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -156,7 +156,7 @@
         (2, 1, True),
         (1, 2_001, False),
     ):
-        assert window.first_time("d", incarnation, sequence) == first, (incarnation, sequence)
+        assert window.accept("d", incarnation, sequence) == first, (incarnation, sequence)
 
 
 def test_work_of_a_dispatcher_that_restarts_leaves_the_totals_between_two_ticks_too() -> None:
--- a/tests/membership/test_reporter.py
+++ b/tests/membership/test_reporter.py
@@ -65,11 +65,11 @@
         now = r.next_tick(now)
         assert r.tick(now)[0].to == "a0"
     now += 6 * S
-    assert (r.tick(now)[0].to, r.attach) == ("a0", 1)
+    assert (r.tick(now)[0].to, r.attachment) == ("a0", 1)
     for _ in range(30):
         now = r.next_tick(now)
         r.tick(now)
-    assert (r.current != "a0", r.attach, r.moves) == (True, 2, 1)
+    assert (r.current != "a0", r.attachment, r.moves) == (True, 2, 1)
 
 
 def test_half_a_table_gives_no_peer_load() -> None:
