--- a/tests/membership/fleet_processes.py
+++ b/tests/membership/fleet_processes.py
@@ -14,20 +14,20 @@
 class FleetProcesses(CleanupCase):
     """`programs` and the addresses of the admin endpoints are by name; `run_one` of a subclass adds to both."""
 
-    WAIT_S = 30  # timeout of `until`
+    TIMEOUT_S = 30  # timeout of `wait_until`
     programs: dict[str, Program]
     admin_addresses: dict[str, str]
 
-    def told(self, name: str) -> dict[str, Any]:
+    def fleet_state(self, name: str) -> dict[str, Any]:
         """Returns the state of the fleet as this process reports it."""
         status, _, answer = call(self.admin_addresses[name], "GET", "/ops/fleet")
         assert status == 200
         figures: dict[str, Any] = json.loads(answer)
         return figures
 
-    def until(self, what: Callable[[], Any], *names: str) -> None:
+    def wait_until(self, condition: Callable[[], Any], *names: str) -> None:
         """Waits until the condition holds; fails after WAIT_S with the fleet state of the named processes."""
-        end = time.monotonic() + self.WAIT_S
-        while not what():
-            assert time.monotonic() < end, [self.told(n) for n in names]
+        end = time.monotonic() + self.TIMEOUT_S
+        while not condition():
+            assert time.monotonic() < end, [self.fleet_state(n) for n in names]
             time.sleep(0.05)
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -25,16 +25,16 @@
 from tests.standins import LAST, ROOT, TOKENS, Program, Standin
 
 SEED = 20261202
-HOMES = {"d1": "a1", "d2": "a1", "d3": "a2", "d4": "a2", "d5": "a3"}
-A, D = ("a1", "a2", "a3"), tuple(HOMES)
+HOME_AGGREGATORS = {"d1": "a1", "d2": "a1", "d3": "a2", "d4": "a2", "d5": "a3"}
+AGGREGATORS, DISPATCHERS = ("a1", "a2", "a3"), tuple(HOME_AGGREGATORS)
 
 
-class Case(FleetProcesses):
-    WAIT_S = 60  # most take a few seconds; the return to the home aggregator takes up to thirty
+class AggregationCase(FleetProcesses):
+    TIMEOUT_S = 60  # most take a few seconds; the return to the home aggregator takes up to thirty
 
-    def begin(self, *names: str) -> None:
+    def set_up(self, *names: str) -> None:
         print(f"seed {SEED}")
-        self.aggregators = tuple(name for name in names if name not in HOMES)
+        self.aggregators = tuple(name for name in names if name not in HOME_AGGREGATORS)
         folder = tempfile.TemporaryDirectory()
         self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
@@ -43,17 +43,17 @@
             (self.folder / name).write_text(f"a-{name}-that-all-of-them-hold\n")
         self.relay = Relay(names, SEED)
         self.cleanup.callback(self.relay.close)
-        self.replica, self.go = Standin(), threading.Event()
+        self.replica, self.release = Standin(), threading.Event()
         self.replica.respond = self.hold
         self.cleanup.callback(self.replica.close)
-        self.cleanup.callback(self.go.set)
+        self.cleanup.callback(self.release.set)
         self.programs = {}
         self.admin_addresses = {}
 
     def hold(self, handler: Any, sent: bytes) -> None:
-        """Starts a stream that continues until the test sets `go`."""
+        """Starts a stream that continues until the test sets `release`."""
         handler.chunks(TOKENS[0], last=False)
-        while not self.go.wait(1):
+        while not self.release.wait(1):
             handler.more(TOKENS[0])
         handler.more(LAST)
         handler.wfile.write(b"0\r\n\r\n")
@@ -68,17 +68,17 @@
         keys = ", ".join(f'"{self.folder}/{key}"' for key in self.keys)
         return f'[{table}]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = [{keys}]\n'
 
-    def control(self, name: str) -> str:
+    def aggregator_file(self, name: str) -> str:
         return (
             self.head("aggregator", name)
             + 'admin_addr = "127.0.0.1:0"\n'
             + self.table("aggregator.peer", self.aggregators, False)
         )
 
-    def fleet(self, name: str, aggregators: tuple[str, ...], peers: tuple[str, ...] = ()) -> str:
+    def fleet_file(self, name: str, aggregators: tuple[str, ...], peers: tuple[str, ...] = ()) -> str:
         extra = (
             self.head("fleet", name)
-            + f'region = "{HOMES[name]}"\n'
+            + f'region = "{HOME_AGGREGATORS[name]}"\n'
             + self.table("fleet.peer", peers, False)
             + self.table("fleet.aggregator", aggregators)
         )
@@ -87,9 +87,11 @@
 
     def run_one(self, name: str, text: str = "") -> None:
         path = self.folder / f"{name}.toml"
-        path.write_text(text or (self.fleet(name, A) if name in HOMES else self.control(name)))
+        path.write_text(
+            text or (self.fleet_file(name, AGGREGATORS) if name in HOME_AGGREGATORS else self.aggregator_file(name))
+        )
         program = self.programs[name] = (
-            Program("--chat", str(path)) if name in HOMES else Served("aggregator", str(path))
+            Program("--chat", str(path)) if name in HOME_AGGREGATORS else Served("aggregator", str(path))
         )
         self.cleanup.callback(program.kill)
         program.config = path
@@ -104,47 +106,47 @@
     def agree(self, count: int, heard: int, *names: str, source: str = "sums") -> None:
         """Waits until each of these counts `count` dispatchers and uses sums with the work of `heard` of them."""
 
-        def so(name: str) -> bool:
-            t = self.told(name)
+        def agrees(name: str) -> bool:
+            t = self.fleet_state(name)
             return (t["count"], t["shares"], t["source"], t["reports"]["heard"]) == (count, count, source, heard)
 
-        self.until(lambda: all(so(n) for n in names), *names)
+        self.wait_until(lambda: all(agrees(n) for n in names), *names)
 
-    def uses(self, name: str) -> str:
-        in_use: str = self.told(name)["reports"]["aggregator"]
+    def aggregator_of(self, name: str) -> str:
+        in_use: str = self.fleet_state(name)["reports"]["aggregator"]
         return in_use
 
 
-class TestProcesses(Case):
-    def test_crashes_stalls_cuts_and_the_loss_of_all_are_seen_through(self) -> None:
-        self.begin(*A, *D)
+class TestProcesses(AggregationCase):
+    def test_a_fleet_survives_crashes_stalls_partitions_and_the_loss_of_all_aggregators(self) -> None:
+        self.set_up(*AGGREGATORS, *DISPATCHERS)
         with ThreadPoolExecutor() as pool:
             # Aggregators first: without its home aggregator, a dispatcher uses another one for some seconds.
-            list(pool.map(self.run_one, A))
-            list(pool.map(self.run_one, D))
-        self.agree(5, 5, *D)
-        assert {d: self.uses(d) for d in D} == HOMES
+            list(pool.map(self.run_one, AGGREGATORS))
+            list(pool.map(self.run_one, DISPATCHERS))
+        self.agree(5, 5, *DISPATCHERS)
+        assert {d: self.aggregator_of(d) for d in DISPATCHERS} == HOME_AGGREGATORS
         self.open_stream("d1")
-        self.own_load = self.told("d1")["engines"][0]["mine"]["load"]
+        self.own_load = self.fleet_state("d1")["engines"][0]["mine"]["load"]
         assert self.own_load > 0
-        self.until(self.all_know, *D)
+        self.wait_until(self.all_count_the_request, *DISPATCHERS)
         # A lossy path.
-        self.see_a_bad_path_through()
+        self.survive_a_lossy_path()
         # One aggregator is killed and another one is stalled.
         self.lose_two_aggregators()
         # A dispatcher crashes and restarts under the same name.
         self.send(signal.SIGKILL, "d5")
-        self.agree(4, 4, *D[:4])
+        self.agree(4, 4, *DISPATCHERS[:4])
         self.run_one("d5")
-        self.agree(5, 5, *D)
+        self.agree(5, 5, *DISPATCHERS)
         # A region is cut off.
-        self.relay.cut(["a3", "d5"], [n for n in (*A, *D) if n not in ("a3", "d5")])
-        self.agree(5, 4, *D[:4])
+        self.relay.cut(["a3", "d5"], [n for n in (*AGGREGATORS, *DISPATCHERS) if n not in ("a3", "d5")])
+        self.agree(5, 4, *DISPATCHERS[:4])
         self.agree(5, 1, "d5")
         self.relay.cut()
-        self.agree(5, 5, *D)
+        self.agree(5, 5, *DISPATCHERS)
         # All dispatchers return to their home aggregators.
-        self.until(lambda: {d: self.uses(d) for d in D} == HOMES, *D)
+        self.wait_until(lambda: {d: self.aggregator_of(d) for d in DISPATCHERS} == HOME_AGGREGATORS, *DISPATCHERS)
         # All aggregators are killed: each dispatcher uses its own work and the last count.
         self.lose_all_aggregators()
         # A dispatcher that shuts down leaves the fleet at once.
@@ -163,85 +165,90 @@
         )
         assert b" 200 OK" in client.recv(200)
 
-    def all_know(self) -> bool:
+    def all_count_the_request(self) -> bool:
         """Returns whether all others count the load of d1's one request; asserts that none counts it twice."""
         known = dict[str, float]()
-        for d in D[1:]:
-            t = self.told(d)
+        for d in DISPATCHERS[1:]:
+            t = self.fleet_state(d)
             assert t["reports"]["heard"] <= 5
             if t["reports"]["heard"] == 5:  # otherwise the sums are scaled up from fewer dispatchers
                 known[d] = t["engines"][0]["others"]["load"]
         assert max(known.values(), default=0) < 1.3 * self.own_load
         return len(known) == 4 and min(known.values()) > 0.5 * self.own_load
 
-    def see_a_bad_path_through(self) -> None:
+    def survive_a_lossy_path(self) -> None:
         self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
         seen = self.relay.passed
-        self.until(lambda: self.all_know() and self.relay.passed > seen + 100, *D)
-        assert {self.told(d)["count"] for d in D} == {5}
+        self.wait_until(lambda: self.all_count_the_request() and self.relay.passed > seen + 100, *DISPATCHERS)
+        assert {self.fleet_state(d)["count"] for d in DISPATCHERS} == {5}
         self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
 
     def lose_two_aggregators(self) -> None:
         self.send(signal.SIGKILL, "a1")
         self.send(signal.SIGSTOP, "a2")
-        self.until(lambda: {self.uses(d) for d in D} == {"a3"} and self.all_know(), *D)
+        self.wait_until(
+            lambda: {self.aggregator_of(d) for d in DISPATCHERS} == {"a3"} and self.all_count_the_request(),
+            *DISPATCHERS,
+        )
         self.programs["a3"].wait_line("aggregator: no recent message from a1")
-        assert {self.told(d)["count"] for d in D} == {5}
+        assert {self.fleet_state(d)["count"] for d in DISPATCHERS} == {5}
         self.send(signal.SIGCONT, "a2")
         self.run_one("a1")
 
     def lose_all_aggregators(self) -> None:
-        self.send(signal.SIGKILL, *A)
-        self.agree(5, 5, *D, source="")
-        assert [self.told(d)["engines"][0]["others"]["sure"] for d in D] == [0] * 5
-        for name in A:
+        self.send(signal.SIGKILL, *AGGREGATORS)
+        self.agree(5, 5, *DISPATCHERS, source="")
+        assert [self.fleet_state(d)["engines"][0]["others"]["sure"] for d in DISPATCHERS] == [0] * 5
+        for name in AGGREGATORS:
             self.run_one(name)
-        self.until(self.all_know, *D)
-        self.agree(5, 5, *D)
+        self.wait_until(self.all_count_the_request, *DISPATCHERS)
+        self.agree(5, 5, *DISPATCHERS)
 
-    def test_old_and_new_stand_side_by_side_and_a_fleet_goes_over_by_reloads(self) -> None:
+    def test_a_fleet_moves_between_gossip_and_sums_by_reloads(self) -> None:
         trio = ("d1", "d2", "d3")
-        self.begin("a1", *trio)
+        self.set_up("a1", *trio)
         for name in ("a1", *trio):
             peers = tuple(p for p in trio if p != name)
-            self.run_one(name, "" if name == "a1" else self.fleet(name, ("a1",) if name != "d1" else (), peers))
+            self.run_one(name, "" if name == "a1" else self.fleet_file(name, ("a1",) if name != "d1" else (), peers))
 
-        def goes_by_gossip(name: str) -> bool:
-            return [self.told(name)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"]
+        def uses_gossip(name: str) -> bool:
+            return [self.fleet_state(name)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"]
 
         for d in trio:  # the sums lack d1, so all use gossip
-            self.until(functools.partial(goes_by_gossip, d), d)
-        self.until(lambda: self.told("d2")["reports"]["counted"] == self.told("a1")["counted"] == 2, "d2")
+            self.wait_until(functools.partial(uses_gossip, d), d)
+        self.wait_until(
+            lambda: self.fleet_state("d2")["reports"]["counted"] == self.fleet_state("a1")["counted"] == 2, "d2"
+        )
         # Foreign datagrams change nothing, are counted, and are logged once.
         wanted = {"rejected size": 3, "rejected forged": 1, "rejected version": 1}
 
         def has_counted(name: str) -> bool:
-            datagrams: dict[str, int] = self.told(name)["datagrams"]
+            datagrams: dict[str, int] = self.fleet_state(name)["datagrams"]
             return wanted.items() <= datagrams.items()
 
         for name in ("a1", "d2"):
-            with socket.socket(type=socket.SOCK_DGRAM) as foe:
+            with socket.socket(type=socket.SOCK_DGRAM) as sender:
                 for data in (b"", b"\x02", b"\x02" + b"x" * 200, b"\x03" * 60, b"\x02" * 1401):
-                    foe.sendto(data, self.relay.to[name])
-            self.until(functools.partial(has_counted, name), name)
+                    sender.sendto(data, self.relay.to[name])
+            self.wait_until(functools.partial(has_counted, name), name)
             program = self.programs[name]
             program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
             assert sum("not taken" in line for line in program.lines) == 1
-        self.programs["d1"].reload(self.fleet("d1", ("a1",), ("d2", "d3")))
+        self.programs["d1"].reload(self.fleet_file("d1", ("a1",), ("d2", "d3")))
         self.agree(3, 3, *trio)
         # Gossip ends, and a new key replaces the old one.
         self.keys = ["key", "new"]
-        self.programs["a1"].reload(self.control("a1"), "reload: done, 0 other aggregators")
+        self.programs["a1"].reload(self.aggregator_file("a1"), "reload: done, 0 other aggregators")
         self.keys = ["new", "key"]
         for d in trio:
-            self.programs[d].reload(self.fleet(d, ("a1",)))
+            self.programs[d].reload(self.fleet_file(d, ("a1",)))
         self.keys = ["new"]
-        self.programs["a1"].reload(self.control("a1"))
-        seen = {d: self.told(d)["datagrams"]["taken"] for d in trio}
-        self.until(lambda: all(self.told(d)["datagrams"]["taken"] > seen[d] + 2 for d in trio), *trio)
+        self.programs["a1"].reload(self.aggregator_file("a1"))
+        seen = {d: self.fleet_state(d)["datagrams"]["taken"] for d in trio}
+        self.wait_until(lambda: all(self.fleet_state(d)["datagrams"]["taken"] > seen[d] + 2 for d in trio), *trio)
         self.agree(3, 3, *trio)
-        assert [self.told(d)["members"] for d in trio] == [{}] * 3
-        assert self.told("a1")["datagrams"]["rejected forged"] == 1
+        assert [self.fleet_state(d)["members"] for d in trio] == [{}] * 3
+        assert self.fleet_state("a1")["datagrams"]["rejected forged"] == 1
         # The fleet command shows all of them.
         code, out, err = run("fleet", *self.admin_addresses.values())
         assert (code, err) == (0, "")
@@ -250,14 +257,15 @@
         # The aggregator is killed: the dispatchers return to gossip.
         self.send(signal.SIGKILL, "a1")
         for d in trio:
-            self.programs[d].reload(self.fleet(d, (), tuple(p for p in trio if p != d)))
-        self.until(
-            lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.told, trio)} == {(3, "talk", None)},
+            self.programs[d].reload(self.fleet_file(d, (), tuple(p for p in trio if p != d)))
+        self.wait_until(
+            lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.fleet_state, trio)}
+            == {(3, "talk", None)},
             *trio,
         )
 
 
-OURS, THEIRS = "fleet.aggregator", "aggregator.peer"
+FLEET_AGGREGATOR, AGGREGATOR_PEER = "fleet.aggregator", "aggregator.peer"
 
 
 @pytest.fixture
@@ -275,64 +283,96 @@
     return path
 
 
-def fleet(more: str = "", name: str = "d1") -> str:
+def fleet_file(more: str = "", name: str = "d1") -> str:
     head = f'[fleet]\nname = "{name}"\nlisten = "127.0.0.1:0"\nkey_files = ["FOLDER/good"]\n'
     return operator_file(["a:1"], f"{head}{more}")
 
 
-def control(more: str = "", key: str = "good", listen: str = "127.0.0.1:0") -> str:
+def aggregator_file(more: str = "", key: str = "good", listen: str = "127.0.0.1:0") -> str:
     return f'[aggregator]\nname = "a1"\nlisten = "{listen}"\nkey_files = ["FOLDER/{key}"]\n{more}'
 
 
-def named(kind: str, name: str = "a2", more: str = "") -> str:
+def peer_table(kind: str, name: str = "a2", more: str = "") -> str:
     return f'[[{kind}]]\nname = "{name}"\naddress = "127.0.0.1:1"\n{more}'
 
 
-UNKNOWN_TABLE = control("[chat]\n")
+UNKNOWN_TABLE = aggregator_file("[chat]\n")
 
 
 @pytest.mark.parametrize(
-    ("module", "text", "why"),
+    ("module", "text", "expected"),
     [
-        (chat, fleet(), "fleet.peer: found nothing; allowed: a list of one or more, where fleet.aggregator "),
-        (chat, fleet(named(OURS) * 2), r"fleet.aggregator\[1\].name: found 'a2'; allowed: a name that no oth"),
-        (chat, fleet(named(OURS, "d1")), r"aggregator\[0\].name: found 'd1'; allowed: a name that no dispatc"),
-        (chat, fleet(named(OURS) + named("fleet.peer")), r"aggregator\[0\].name: found 'a2'; allowed: a name"),
-        (chat, fleet(named(OURS, more="zone = 1\n")), r"fleet.aggregator\[0\].zone: found a key that is not"),
-        (chat, fleet(named(OURS, more="region = 1\n")), r"fleet.aggregator\[0\].region: found 1; allowed: te"),
-        (chat, fleet(named(OURS, "x" * 97)), r"fleet.aggregator\[0\].name: found 'x"),
-        (chat, fleet(named(OURS), "x" * 97), "fleet.name: found 'x+...; allowed: 96 characters at most"),
-        (chat, fleet(named(OURS).replace(":1", ":99999")), r"aggregator\[0\].address: found .*; allowed: HOST"),
+        (chat, fleet_file(), "fleet.peer: found nothing; allowed: a list of one or more, where fleet.aggregator "),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR) * 2),
+            r"fleet.aggregator\[1\].name: found 'a2'; allowed: a name that no oth",
+        ),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR, "d1")),
+            r"aggregator\[0\].name: found 'd1'; allowed: a name that no dispatc",
+        ),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR) + peer_table("fleet.peer")),
+            r"aggregator\[0\].name: found 'a2'; allowed: a name",
+        ),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR, more="zone = 1\n")),
+            r"fleet.aggregator\[0\].zone: found a key that is not",
+        ),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR, more="region = 1\n")),
+            r"fleet.aggregator\[0\].region: found 1; allowed: te",
+        ),
+        (chat, fleet_file(peer_table(FLEET_AGGREGATOR, "x" * 97)), r"fleet.aggregator\[0\].name: found 'x"),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR), "x" * 97),
+            "fleet.name: found 'x+...; allowed: 96 characters at most",
+        ),
+        (
+            chat,
+            fleet_file(peer_table(FLEET_AGGREGATOR).replace(":1", ":99999")),
+            r"aggregator\[0\].address: found .*; allowed: HOST",
+        ),
         (aggregator, "", "aggregator: found nothing; allowed: a table; it must be given"),
-        (aggregator, control(named(THEIRS) * 2), r"aggregator.peer\[1\].name: found 'a2'; allowed: a name tha"),
-        (aggregator, control(key="short"), r"aggregator.key_files\[0\]: found .*15 characters.*; allowed: 16"),
-        (aggregator, control(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
-        (aggregator, control(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
-        (aggregator, control('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
+        (
+            aggregator,
+            aggregator_file(peer_table(AGGREGATOR_PEER) * 2),
+            r"aggregator.peer\[1\].name: found 'a2'; allowed: a name tha",
+        ),
+        (aggregator, aggregator_file(key="short"), r"aggregator.key_files\[0\]: found .*15 characters.*; allowed: 16"),
+        (aggregator, aggregator_file(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
+        (aggregator, aggregator_file(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
+        (aggregator, aggregator_file('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
         (aggregator, UNKNOWN_TABLE, "chat: found a key that is not known; allowed: aggregator"),
     ],
 )
-def test_bad_files_are_told_by_file_path_found_and_allowed(
-    folder: pathlib.Path, module: Any, text: str, why: str
+def test_an_invalid_file_is_reported_with_path_key_found_and_allowed_value(
+    folder: pathlib.Path, module: Any, text: str, expected: str
 ) -> None:
     path = write(folder, text)
-    with pytest.raises(ConfigError, match=f"{path}: .*{why}"):
+    with pytest.raises(ConfigError, match=f"{path}: .*{expected}"):
         module.load(str(path))
 
 
-def test_a_bad_file_ends_the_command_with_one_line_and_exit_code_2(folder: pathlib.Path) -> None:
+def test_an_invalid_file_ends_the_command_with_one_line_and_exit_code_2(folder: pathlib.Path) -> None:
     code, _, err = run("aggregator", str(write(folder, UNKNOWN_TABLE)))
     assert (code, err.count("\n")) == (2, 1)
 
 
 def test_a_file_may_name_1024_aggregators_and_as_many_peers(folder: pathlib.Path) -> None:
-    tables = (named(OURS, f"a{k}") + named("fleet.peer", f"p{k}") for k in range(1024))
-    found = chat.load(str(write(folder, fleet("".join(tables))))).fleet
+    tables = (peer_table(FLEET_AGGREGATOR, f"a{k}") + peer_table("fleet.peer", f"p{k}") for k in range(1024))
+    found = chat.load(str(write(folder, fleet_file("".join(tables))))).fleet
     assert found
     assert (len(found.sites), len(found.peers)) == (1024, 1024)
 
 
-def test_the_commented_file_is_good(folder: pathlib.Path) -> None:
+def test_the_commented_example_file_is_valid(folder: pathlib.Path) -> None:
     text = (ROOT / "deploy/aggregator.toml").read_text()
     path = write(folder, text.replace("/etc/pearhill/fleet.key", "FOLDER/good"))
     assert run("aggregator", "--check", str(path)) == (
--- a/tests/membership/test_aggregator.py
+++ b/tests/membership/test_aggregator.py
@@ -24,7 +24,7 @@
 from tests.membership.simulated_fleet import S
 
 
-def test_a_slot_gets_another_replica_and_old_reports_of_it_count_nowhere() -> None:
+def test_a_reassigned_slot_counts_no_report_for_its_former_replica() -> None:
     now, a = 1_000 * S, Aggregator("a0", [], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     a.receive(now, report(2, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
@@ -60,19 +60,21 @@
         (60_000, 0, False, False),
     ],
 )
-def test_work_counts_when_it_is_surely_nowhere_else_and_only_with_an_echo(
+def test_work_counts_once_no_other_aggregator_can_count_it_and_only_with_an_echo(
     quiet: int, wait: int, echo: bool, counts: bool
 ) -> None:
-    now, news = 1_000 * S, ((7, 100, 150),)
-    a, known = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
+    now, unassigned = 1_000 * S, ((7, 100, 150),)
+    a, known_incarnation = Aggregator("a0", [], now, random.Random(1)), now if echo else now - 1
     for k in range(wait // S + 2):
         at = now + max(0, k - 1) * S
-        a.receive(at, report(k, known_incarnation=known, echo=k - 1, quiet_ms=quiet, unassigned=news))
-    a.receive(now + wait, report(99, known_incarnation=known, echo=wait // S, quiet_ms=0, unassigned=news))
+        a.receive(at, report(k, known_incarnation=known_incarnation, echo=k - 1, quiet_ms=quiet, unassigned=unassigned))
+    a.receive(
+        now + wait, report(99, known_incarnation=known_incarnation, echo=wait // S, quiet_ms=0, unassigned=unassigned)
+    )
     assert (sum(a.work.totals.loads) > 0) == counts
 
 
-def test_an_older_report_replaces_no_newer_and_one_that_is_told_elsewhere_is_dropped_at_once() -> None:
+def test_an_older_report_is_ignored_and_a_member_reported_elsewhere_is_dropped_at_once() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     a.receive(now, report(4, known_incarnation=now, echo=1, unassigned=((7, 100, 150),)))
@@ -87,7 +89,7 @@
     assert (a.count(now), sorted(a.directory.records)) == (0, ["d0"])
 
 
-def test_an_aggregator_that_stood_still_forgets_no_member_for_that() -> None:
+def test_a_stall_of_an_aggregator_expires_no_member() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.tick(now)
     a.receive(now, report(1))
@@ -102,7 +104,7 @@
     assert (a.count(now), a.figures(now)["cut"]) == (1, 1)  # all members are silent: a partition is assumed
 
 
-def test_members_read_before_the_first_tick_after_a_stall_are_forgotten_in_time() -> None:
+def test_members_read_before_the_first_tick_after_a_stall_expire_in_time() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     for n in range(1, 6):
         a.receive(now, report(1, sender=f"d{n}"))
@@ -121,7 +123,7 @@
     assert a.count(now) == 4
 
 
-def test_one_whose_clock_went_back_may_come_home_once_its_namesake_is_over() -> None:
+def test_a_dispatcher_whose_clock_was_set_back_is_answered_once_the_newer_incarnation_expires() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     a.receive(now, report(1))
     for wait, answers in ((LEASE_US // 2, []), (LEASE_US, [HelloAck])):
@@ -130,19 +132,19 @@
     assert [type(f) for f in a.receive(now + 2 * LEASE_US, report(2, incarnation=4))] == [Superseded]
 
 
-def test_what_comes_twice_or_from_strangers_is_not_taken() -> None:
+def test_replayed_messages_and_messages_of_unknown_senders_are_ignored() -> None:
     now, a = 1_000 * S, Aggregator("a0", ["a1"], 1_000 * S, random.Random(1))
     assert len(a.receive(now, report(1))) == 1
     assert a.receive(now, report(1)) == []
     hello = Hello("d1", "a0", 5, 1, 77)
     assert a.receive(now, hello) == [HelloAck("a0", "d1", now, 2, 77)]
     assert a.receive(now, hello) == []
-    for frame in (
+    for message in (
         MemberList("a9", "a0", 5, 1, 0, 1, (("x", 1, 1, 0),)),
         Superseded("d1", "a0", 5, 2, 9),
         report(2, sender="a1"),
     ):
-        assert a.receive(now, frame) == []
+        assert a.receive(now, message) == []
     assert a.count(now) == 0
     window = ReplayWindow()
     for incarnation, sequence, first in (
@@ -159,7 +161,7 @@
         assert window.accept("d", incarnation, sequence) == first, (incarnation, sequence)
 
 
-def test_work_of_a_dispatcher_that_restarts_leaves_the_totals_between_two_ticks_too() -> None:
+def test_work_of_a_restarted_dispatcher_leaves_the_totals_without_a_tick_in_between() -> None:
     """The lease of its work ends just before the new process's second report, with no tick in between."""
     now = 1_000 * S
     a = Aggregator("a0", [], now, random.Random(1))
--- a/tests/membership/test_gauges.py
+++ b/tests/membership/test_gauges.py
@@ -14,9 +14,9 @@
 
 @given(st.binary(max_size=900), st.floats(0, 1), st.integers(0, 1 << 30))
 @examples(max_examples=150, deadline=None, database=None, derandomize=True)
-def test_gauges_come_back_and_are_near(codes: bytes, thin: float, seed: int) -> None:
+def test_gauges_survive_packing_and_are_close_to_the_tokens(codes: bytes, density: float, seed: int) -> None:
     rng = random.Random(seed)
-    codes = bytes(c if rng.random() < thin else 0 for c in codes)
+    codes = bytes(c if rng.random() < density else 0 for c in codes)
     assert gauges.unpack(gauges.pack(codes), len(codes)) == codes
     assert len(gauges.pack(codes)) <= len(codes) + 1
     with pytest.raises(ValueError, match=r"bytes are not \d+ packed gauges"):
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -21,18 +21,18 @@
 
 S = 1_000_000
 KEY = b"k" * 32
-SETTLED = 9 * S  # a round of pings, an indirect probe, the suspicion time, and the spread of the update
+CONVERGENCE_TIME_US = 9 * S  # a round of pings, an indirect probe, the suspicion time, and the spread of the update
 
 
-class Net:
+class Network:
     """Protocol instances, each with its own tick, and the datagrams in transit between them."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.rng, self.now, self.count = random.Random(seed), 1_000 * S, 0
         self.names = [f"d{n}" for n in range(count)]
         self.heap: list[tuple[int, int, str, Any]] = []
-        self.drop = self.double = 0.0
-        self.delay, self.cuts = 2_000, set[tuple[str, str]]()
+        self.drop = self.duplicate = 0.0
+        self.delay, self.blocked_paths = 2_000, set[tuple[str, str]]()
         self.up: dict[str, GossipProtocol] = {}
         self.stalled: set[str] = set()
         self.codec = GossipCodec([KEY])
@@ -40,49 +40,50 @@
         for name in self.names:
             self.start(name)
 
-    def at(self, wait: int, what: str, thing: object = None) -> None:
+    def schedule(self, wait: int, kind: str, subject: object = None) -> None:
         self.count += 1
-        heapq.heappush(self.heap, (self.now + wait, self.count, what, thing))
+        heapq.heappush(self.heap, (self.now + wait, self.count, kind, subject))
 
     def start(self, name: str) -> None:
         # Each has another power of ten of tokens at replica 1, so that a sum shows whose work it includes.
         rows = [ReplicaLoad(1, 0, 10 ** self.names.index(name))]
         self.up[name] = GossipProtocol(name, self.names, self.now, random.Random(self.rng.random()), lambda: rows)
-        self.at(self.rng.randrange(GOSSIP_TICK_US), "tick", (name, self.up[name]))
+        self.schedule(self.rng.randrange(GOSSIP_TICK_US), "tick", (name, self.up[name]))
 
     def send(self, sender: str, messages: list[GossipMessage]) -> None:
         for m in messages:
             data = self.codec.pack(m)
             self.replayable = [*self.replayable[-200:], (m.payload.to, data)]
-            if (sender, m.payload.to) in self.cuts or self.rng.random() < self.drop:
+            if (sender, m.payload.to) in self.blocked_paths or self.rng.random() < self.drop:
                 continue
-            for _ in range(1 + (self.rng.random() < self.double)):
-                self.at(self.rng.randrange(1, 2 * self.delay), "datagram", (m.payload.to, data))
+            for _ in range(1 + (self.rng.random() < self.duplicate)):
+                self.schedule(self.rng.randrange(1, 2 * self.delay), "datagram", (m.payload.to, data))
 
     def deliver(self, to: str, data: bytes) -> None:
         if to not in self.up:
             return
         if to in self.stalled:
-            return self.at(2 * GOSSIP_TICK_US, "datagram", (to, data))  # it stays in the socket past the next tick
+            # The datagram stays in the socket past the next tick.
+            return self.schedule(2 * GOSSIP_TICK_US, "datagram", (to, data))
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
     def run(self, micros: int) -> None:
         end = self.now + micros
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, what, thing = heapq.heappop(self.heap)
-            if what == "tick":
-                name, protocol = thing
+            self.now, _, kind, subject = heapq.heappop(self.heap)
+            if kind == "tick":
+                name, protocol = subject
                 if self.up.get(name) is protocol:
                     if name not in self.stalled:
                         self.send(name, protocol.tick(self.now))
-                    self.at(GOSSIP_TICK_US, "tick", thing)
+                    self.schedule(GOSSIP_TICK_US, "tick", subject)
             else:
-                self.deliver(*thing)
+                self.deliver(*subject)
         self.now = end
 
     def heal(self) -> None:
-        self.drop, self.double, self.delay = 0.0, 0.0, 2_000
-        self.cuts.clear()
+        self.drop, self.duplicate, self.delay = 0.0, 0.0, 2_000
+        self.blocked_paths.clear()
         self.stalled.clear()
 
     def views(self) -> dict[str, dict[str, str]]:
@@ -92,7 +93,7 @@
 class Fleet(RuleBasedStateMachine):
     @initialize(count=st.integers(3, 9), seed=st.integers(0, 1 << 30))
     def begin(self, count: int, seed: int) -> None:
-        self.net = Net(count, seed)
+        self.net = Network(count, seed)
         self.net.run(2 * S)
 
     @rule(micros=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
@@ -101,23 +102,23 @@
 
     @rule(
         drop=st.sampled_from((0.0, 0.3, 0.9)),
-        double=st.sampled_from((0.0, 0.5)),
+        duplicate=st.sampled_from((0.0, 0.5)),
         delay=st.sampled_from((100, 20_000, 400_000)),
     )
-    def the_network_is_bad(self, drop: float, double: float, delay: int) -> None:
-        self.net.drop, self.net.double, self.net.delay = drop, double, delay
+    def the_network_is_bad(self, drop: float, duplicate: float, delay: int) -> None:
+        self.net.drop, self.net.duplicate, self.net.delay = drop, duplicate, delay
 
     @rule(data=st.data())
     def some_are_cut_off(self, data: st.DataObject) -> None:
         side = data.draw(st.sets(st.sampled_from(self.net.names)))
         one_way = data.draw(st.booleans())
-        self.net.cuts |= {(a, b) for a in side for b in self.net.names if b not in side}
+        self.net.blocked_paths |= {(a, b) for a in side for b in self.net.names if b not in side}
         if not one_way:
-            self.net.cuts |= {(b, a) for a, b in list(self.net.cuts)}
+            self.net.blocked_paths |= {(b, a) for a, b in list(self.net.blocked_paths)}
 
     @rule()
     def the_cut_heals(self) -> None:
-        self.net.cuts.clear()
+        self.net.blocked_paths.clear()
 
     @rule(data=st.data())
     def one_crashes(self, data: st.DataObject) -> None:
@@ -141,7 +142,7 @@
 
     @invariant()
     def no_work_is_counted_twice(self) -> None:
-        for name, protocol in getattr(self, "net", Net(0, 0)).up.items():
+        for name, protocol in getattr(self, "net", Network(0, 0)).up.items():
             others = protocol.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in protocol.peer_loads._last if n != name)
             # Without the share assumed for silent peers, the sum never exceeds what the peers have reported.
@@ -153,7 +154,7 @@
         if not hasattr(self, "net"):
             return
         self.net.heal()
-        self.net.run(SETTLED)
+        self.net.run(CONVERGENCE_TIME_US)
         for name, view in self.net.views().items():
             assert view == {
                 n: MemberState.ALIVE if n in self.net.up else MemberState.DEAD for n in self.net.names if n != name
@@ -166,8 +167,8 @@
 TestFleet = Fleet.TestCase
 
 
-def test_a_dead_one_is_told_dead_in_bounded_time_and_then_counts_no_more() -> None:
-    net = Net(9, 1)
+def test_a_dead_dispatcher_is_detected_in_bounded_time_and_no_longer_counted() -> None:
+    net = Network(9, 1)
     net.run(3 * S)
     assert {c.count(net.now) for c in net.up.values()} == {9}
     for name in ("d1", "d4", "d7"):  # a third of the fleet, which is not taken for a partition
@@ -176,21 +177,21 @@
     assert {c.count(net.now) for c in net.up.values()} == {6}
 
 
-def test_a_cut_in_two_leaves_all_counted_and_heals() -> None:
-    net = Net(8, 2)
+def test_a_partition_in_two_halves_leaves_all_counted_and_heals() -> None:
+    net = Network(8, 2)
     net.run(3 * S)
     side = net.names[:4]
-    net.cuts = {(a, b) for a in net.names for b in net.names if (a in side) != (b in side)}
+    net.blocked_paths = {(a, b) for a in net.names for b in net.names if (a in side) != (b in side)}
     net.run(20 * S)
     assert {len(c.members.reachable()) for c in net.up.values()} == {4}
     assert {c.count(net.now) for c in net.up.values()} == {8}  # each half continues to send requests
-    net.cuts.clear()
+    net.blocked_paths.clear()
     net.run(4 * S)
     assert {len(c.members.reachable()) for c in net.up.values()} == {8}
 
 
-def test_one_that_stood_still_condemns_nobody_and_is_believed_again() -> None:
-    net = Net(5, 3)
+def test_a_stalled_dispatcher_suspects_no_peer_and_is_alive_again_afterwards() -> None:
+    net = Network(5, 3)
     net.run(3 * S)
     net.delay = 40_000
     while not net.up["d2"].members._open_pings:  # it stalls with an open ping, whose answer stays unread
@@ -205,8 +206,8 @@
     assert net.views()["d0"]["d2"] == MemberState.ALIVE
 
 
-def test_a_suspect_has_its_time_to_object_though_the_one_that_suspects_it_stood_still() -> None:
-    net = Net(2, 6)
+def test_a_suspect_keeps_its_time_to_refute_if_the_suspecting_dispatcher_stalls() -> None:
+    net = Network(2, 6)
     net.run(3 * S)
     del net.up["d1"]
     while net.views()["d0"]["d1"] == MemberState.ALIVE:
@@ -220,70 +221,70 @@
     assert net.views()["d0"]["d1"] == MemberState.DEAD
 
 
-def test_what_comes_twice_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start() -> None:
-    net = Net(2, 5)
+def test_a_repeated_ping_is_answered_once_and_an_old_ack_answers_no_ping_of_a_later_start() -> None:
+    net = Network(2, 5)
     first, second = net.up["d0"], net.up["d1"]
     ping = first.tick(net.now)[0]
     (ack,) = second.receive(net.now, ping)
     assert isinstance(ack.payload, Ack)
     assert second.receive(net.now, ping) == []
-    anew = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
-    anew.tick(net.now + S)
-    anew.receive(net.now + S, ack)
-    assert len(anew.members._open_pings) == 1
+    restarted = GossipProtocol("d0", net.names, net.now + S, random.Random(8), lambda: [])
+    restarted.tick(net.now + S)
+    restarted.receive(net.now + S, ack)
+    assert len(restarted.members._open_pings) == 1
 
 
-def test_a_path_that_fails_in_one_direction_condemns_nobody() -> None:
-    net = Net(6, 4)
+def test_a_path_that_fails_in_one_direction_makes_no_member_dead() -> None:
+    net = Network(6, 4)
     net.run(3 * S)
-    net.cuts = {("d0", "d1")}
+    net.blocked_paths = {("d0", "d1")}
     for _ in range(40):
         net.run(GOSSIP_TICK_US)
         assert all(MemberState.DEAD not in view.values() for view in net.views().values())
 
 
-def test_the_silent_still_send_as_far_as_anybody_knows() -> None:
-    work, mine = PeerLoads(), ReplicaLoad(7, 100, 100)
+def test_silent_peers_are_assumed_to_send_the_mean_load() -> None:
+    work, own_load = PeerLoads(), ReplicaLoad(7, 100, 100)
     # Without reports, each peer counts as the own load.
-    assert work.others(0, 7, ["a", "b", "c"], mine).total_tokens == 300
+    assert work.others(0, 7, ["a", "b", "c"], own_load).total_tokens == 300
     for name in "abc":
         work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
-    now = work.others(0, 7, ["a", "b", "c"], mine)
+    now = work.others(0, 7, ["a", "b", "c"], own_load)
     assert (now.total_tokens, now.confidence) == (1200, 1)
     work.receive(6 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
-    later = work.others(8 * HALF_LIFE_US, 7, ["a", "b", "c"], mine)
+    later = work.others(8 * HALF_LIFE_US, 7, ["a", "b", "c"], own_load)
     assert later.confidence < 0.1
     assert 100 < later.total_tokens < 300
     assert not work.receive(9 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 9, 9)])
     assert not work.receive(9 * HALF_LIFE_US, "a", (0, 9), [])
 
 
-PLAIN = Ping("d2", 9)
+PING = Ping("d2", 9)
 
 
-def message(rows: int = 3, rumours: int = 2, say: Ping | Ack | PingRequest = PLAIN) -> GossipMessage:
+def message(rows: int = 3, update_count: int = 2, payload: Ping | Ack | PingRequest = PING) -> GossipMessage:
     return GossipMessage(
         "d1",
         1 << 50,
         77,
-        say,
-        tuple(MemberUpdate(f"d{n}", 1 << 50, MemberState.ALIVE) for n in range(rumours)),
+        payload,
+        tuple(MemberUpdate(f"d{n}", 1 << 50, MemberState.ALIVE) for n in range(update_count)),
         tuple(largest_loads(ReplicaLoad((1 << 63) + n, 40_000 + n, 1 << 39) for n in range(rows))),
     )
 
 
-def test_a_message_comes_back_as_it_was_and_the_largest_fits_one_datagram() -> None:
-    for m in (message(), message(say=Ack("d2", 5)), message(say=PingRequest("d2", 5, "d3")), message(0, 0)):
+def test_a_message_survives_encoding_and_the_largest_fits_one_datagram() -> None:
+    for m in (message(), message(payload=Ack("d2", 5)), message(payload=PingRequest("d2", 5, "d3")), message(0, 0)):
         assert GossipCodec([KEY]).unpack(GossipCodec([KEY]).pack(m), "d2") == m
     packed = GossipCodec([KEY]).pack(message(MAX_ROWS, 12))
-    back = GossipCodec([KEY]).unpack(packed, "d2")
+    unpacked = GossipCodec([KEY]).unpack(packed, "d2")
     assert len(packed) <= MAX_DATAGRAM_BYTES
-    assert len(back.loads) >= 40
-    assert back.loads == message(MAX_ROWS).loads[: len(back.loads)]
+    assert len(unpacked.loads) >= 40
+    assert unpacked.loads == message(MAX_ROWS).loads[: len(unpacked.loads)]
 
 
 @pytest.mark.parametrize(
-    ("spoil", "reason"),
+    ("corrupt", "reason"),
     [
         (lambda d: d[:10], "size"),
         (lambda d: d + b"x" * MAX_DATAGRAM_BYTES, "size"),
@@ -292,18 +293,20 @@
         (lambda d: d[:-1], "forged"),
         (lambda d: d + b"\0", "forged"),
         (lambda d: GossipCodec([b"j" * 32]).pack(message()), "forged"),
-        (lambda d: GossipCodec([KEY]).pack(message(say=Ping("d3", 1))), "not-for-me"),
+        (lambda d: GossipCodec([KEY]).pack(message(payload=Ping("d3", 1))), "not-for-me"),
         (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\x93\x01") + b"\x93\x01", "malformed"),
         (lambda d: b"\x01" + GossipCodec.tag(KEY, b"\xc1" * 40) + b"\xc1" * 40, "malformed"),
         (lambda d: GossipCodec([KEY]).pack(GossipMessage("d1", 1 << 63, 1, Ping("d2", 1), (), ())), "malformed"),
     ],
 )
-def test_what_is_foreign_forged_torn_or_for_another_is_not_taken(spoil: Callable[[bytes], bytes], reason: str) -> None:
+def test_a_foreign_forged_truncated_or_misaddressed_datagram_is_rejected(
+    corrupt: Callable[[bytes], bytes], reason: str
+) -> None:
     with pytest.raises(MessageRejectedError, match=f"^{reason}$"):
-        GossipCodec([KEY]).unpack(spoil(GossipCodec([KEY]).pack(message())), "d2")
+        GossipCodec([KEY]).unpack(corrupt(GossipCodec([KEY]).pack(message())), "d2")
 
 
-def test_any_flipped_byte_is_noticed_and_a_key_is_changed_without_a_gap() -> None:
+def test_any_flipped_byte_is_rejected_and_keys_can_be_rotated() -> None:
     packed = GossipCodec([KEY]).pack(message())
     for n in range(len(packed)):
         with pytest.raises(MessageRejectedError):
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -33,11 +33,11 @@
         self.relay = Relay(list(self.NAMES), SEED)
         self.cleanup.callback(self.relay.close)
         self.replicas = [Standin() for _ in range(replicas)]
-        self.go = threading.Event()
+        self.release = threading.Event()
         for replica in self.replicas:
             replica.respond = self.hold
             self.cleanup.callback(replica.close)
-        self.cleanup.callback(self.go.set)
+        self.cleanup.callback(self.release.set)
         folder = tempfile.TemporaryDirectory()
         self.cleanup.callback(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
@@ -48,9 +48,9 @@
             self.run_one(name)
 
     def hold(self, handler: Any, sent: bytes) -> None:
-        """Starts a stream that continues until the test sets `go`."""
+        """Starts a stream that continues until the test sets `release`."""
         handler.chunks(TOKENS[0], last=False)
-        self.go.wait(60)
+        self.release.wait(60)
         handler.more(LAST)
         handler.wfile.write(b"0\r\n\r\n")
 
@@ -72,13 +72,13 @@
     def agree(self, count: int, heard: int, *names: str) -> None:
         """Waits until each of these counts `count` dispatchers and sees `heard` of them alive, itself included."""
 
-        def so(name: str) -> bool:
-            t = self.told(name)
+        def agrees(name: str) -> bool:
+            t = self.fleet_state(name)
             return (t["count"], 1 + sum(m["state"] == "alive" for m in t["members"].values())) == (count, heard)
 
-        self.until(lambda: all(so(n) for n in names), *names)
+        self.wait_until(lambda: all(agrees(n) for n in names), *names)
 
-    def ask(self, name: str) -> None:
+    def open_stream(self, name: str) -> None:
         """Opens a stream through this dispatcher and leaves it open."""
         program, sent = self.programs[name], body(stream=True)
         client = socket.create_connection((program.host, program.port), 20)
@@ -90,20 +90,20 @@
         assert b" 200 OK" in client.recv(200)
 
     def known_load(self, name: str) -> float:
-        total: float = sum(e["mine"]["load"] + e["others"]["load"] for e in self.told(name)["engines"])
+        total: float = sum(e["mine"]["load"] + e["others"]["load"] for e in self.fleet_state(name)["engines"])
         return total
 
-    def all_know(self, least: float) -> bool:
+    def all_count_more_than(self, least: float) -> bool:
         return min(map(self.known_load, self.NAMES)) > least
 
-    def test_crash_stall_cut_and_restart_are_seen_by_all_and_counted_right(self) -> None:
+    def test_crash_stall_partition_and_restart_are_detected_by_all_and_counted_correctly(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         # A lossy path makes no dispatcher dead.
         self.relay.drop, self.relay.double, self.relay.delay_s = 0.2, 0.3, 0.1
         seen = self.relay.passed
-        self.until(lambda: self.relay.passed > seen + 600)
-        assert {self.told(n)["count"] for n in self.NAMES} == {5}
+        self.wait_until(lambda: self.relay.passed > seen + 600)
+        assert {self.fleet_state(n)["count"] for n in self.NAMES} == {5}
         self.relay.drop = self.relay.double = self.relay.delay_s = 0.0
         self.agree(5, 5, *self.NAMES)
         # A crash.
@@ -126,26 +126,28 @@
         self.relay.cut()
         self.agree(5, 5, *self.NAMES)
 
-    def test_each_takes_the_replica_that_all_the_others_have_left_alone(self) -> None:
+    def test_each_dispatcher_chooses_the_replica_that_the_others_have_left_idle(self) -> None:
         """One conversation's requests, each sent to another dispatcher with no stream of its own, alternate between the
         home pair of replicas. Without the others' loads, all would go to the first replica of that pair."""
         self.start(replicas=6)
         self.agree(5, 5, *self.NAMES)
-        for asked, name in enumerate(self.NAMES, 1):
-            self.ask(name)
-            wanted = (asked - 0.5) * LOAD
-            self.until(functools.partial(self.all_know, wanted))
+        for stream_count, name in enumerate(self.NAMES, 1):
+            self.open_stream(name)
+            wanted = (stream_count - 0.5) * LOAD
+            self.wait_until(functools.partial(self.all_count_more_than, wanted))
             runs = sorted(replica.runs for replica in self.replicas)
-            assert runs == [0, 0, 0, 0, asked // 2, asked - asked // 2]
+            assert runs == [0, 0, 0, 0, stream_count // 2, stream_count - stream_count // 2]
 
-    def test_forged_datagrams_change_nothing_and_are_counted(self) -> None:
+    def test_forged_datagrams_are_rejected_and_counted(self) -> None:
         self.start()
         self.agree(5, 5, *self.NAMES)
         host, port = self.relay.to["d1"]
-        with socket.socket(type=socket.SOCK_DGRAM) as foe:
+        with socket.socket(type=socket.SOCK_DGRAM) as sender:
             for data in (b"", b"\x01", b"\x01" + b"x" * 200, b"\x02" * 60, b"\x00" * 1400):
-                foe.sendto(data, (host, port))
-        self.until(lambda: sum(n for why, n in self.told("d1")["datagrams"].items() if "rejected" in why) == 5)
+                sender.sendto(data, (host, port))
+        self.wait_until(
+            lambda: sum(n for reason, n in self.fleet_state("d1")["datagrams"].items() if "rejected" in reason) == 5
+        )
         self.agree(5, 5, *self.NAMES)
 
 
@@ -168,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "expected"),
     [
         ({"peers": PEER + PEER}, r"fleet.peer\[1\].name: found 'd2'; allowed: a name that no other peer has"),
         ({"peers": ""}, "fleet.peer: found nothing; allowed: a list"),
@@ -179,9 +181,9 @@
         ({"peers": PEER + "porto = 1\n"}, "fleet.peer.*porto"),
     ],
 )
-def test_bad_settings_of_the_fleet_are_told_by_their_path(
-    tmp_path: pathlib.Path, changes: dict[str, str], why: str
+def test_invalid_fleet_settings_are_reported_with_their_path(
+    tmp_path: pathlib.Path, changes: dict[str, str], expected: str
 ) -> None:
     text = fleet_file(tmp_path, **changes)
-    with pytest.raises(ConfigError, match=why):
+    with pytest.raises(ConfigError, match=expected):
         setup.loads(text)
--- a/tests/membership/test_reporter.py
+++ b/tests/membership/test_reporter.py
@@ -13,7 +13,7 @@
 from tests.membership.simulated_fleet import SITES, S
 
 
-def test_replayed_answers_put_no_report_off() -> None:
+def test_replayed_answers_do_not_delay_reports() -> None:
     r = reporter.Reporter("d1", "r0", SITES[:1], S, random.Random(8), lambda: [])
     at = r.next_tick(S)
     (report,) = r.tick(at)
@@ -58,7 +58,7 @@
         assert r.count(at) == count
 
 
-def test_answers_missing_while_this_process_stood_still_are_no_fault_of_the_aggregator() -> None:
+def test_answers_missing_during_a_stall_do_not_change_the_aggregator() -> None:
     now = 1_000 * S
     r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
     for _ in range(5):
@@ -72,23 +72,27 @@
     assert (r.current != "a0", r.attachment, r.moves) == (True, 2, 1)
 
 
-def test_half_a_table_gives_no_peer_load() -> None:
+def test_an_incomplete_table_gives_no_peer_load() -> None:
     now = 1_000 * S
     r = Reporter("d0", "r0", SITES, now, random.Random(1), lambda: [])
     loads = gauges.pack(bytes((100,) * 4))
-    for k, (entries, told) in enumerate(((((0, 70, 1), (1, 71, 2)), False), (((2, 72, 3), (3, 73, 4)), True))):
+    for k, (entries, is_known) in enumerate(((((0, 70, 1), (1, 71, 2)), False), (((2, 72, 3), (3, 73, 4)), True))):
         now = r.next_tick(now)
-        (asked,) = r.tick(now)
-        assert isinstance(asked, Report)
-        r.receive(now, Sums("a0", "d0", 5, k, asked.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200)
+        (sent_report,) = r.tick(now)
+        assert isinstance(sent_report, Report)
+        r.receive(
+            now, Sums("a0", "d0", 5, k, sent_report.number, -1, 4, 5, 4, 0, 0, 1, 0, loads, loads, entries, 4), 200
+        )
         for replica in (70, 73, 99):
-            assert (r.peer_load(now, replica) is not None) == told
-            if not told:
+            assert (r.peer_load(now, replica) is not None) == is_known
+            if not is_known:
                 assert r.others(now, replica, 2, 3) == (8.0, 12.0, 0.0)
     now = r.next_tick(now)
-    (asked,) = r.tick(now)
-    assert isinstance(asked, Report)
-    r.receive(now, Sums("a0", "d0", 5, 9, asked.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200)
+    (sent_report,) = r.tick(now)
+    assert isinstance(sent_report, Report)
+    r.receive(
+        now, Sums("a0", "d0", 5, 9, sent_report.number, -1, 4, 5, 5, 5, 0, 2, 0, b"\0", b"\0", ((0, 80, 5),)), 200
+    )
     assert r.peer_load(now, 80) is None  # the last sums of slot 0 were those of replica 70
     loads_now = [r.peer_load(now, replica) for replica in (70, 71)]
     assert tuple(load and load.total_tokens for load in loads_now) == (0, gauges.TOKENS[100])
