--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.load_reports.peer_loads import PeerLoads, ReplicaLoad, largest_loads
-from pearhill.membership.members import Members, MemberState, MemberUpdate, Payload
+from pearhill.membership.members import MemberState, MemberUpdate, Payload, SwimMembership
 from pearhill.membership.replay_window import ReplayWindow
 
 PARTITION_SHARE = 1 / 3  # of the fleet; if more are dead at once, a network partition is assumed
@@ -42,7 +42,7 @@
         rng: random.Random,
         own_loads: Callable[[], Iterable[ReplicaLoad]],
     ) -> None:
-        self.members = Members(name, peers, started, started, rng)
+        self.members = SwimMembership(name, peers, started, started, rng)
         self.peer_loads = PeerLoads()
         self._own_loads = own_loads
         self._sequence = 0
@@ -112,7 +112,7 @@
         `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
         """
         own = ReplicaLoad(replica, queued_tokens, total_tokens)
-        return self.peer_loads.others(now, replica, self._counted_peers, own)
+        return self.peer_loads.estimate_peer_load(now, replica, self._counted_peers, own)
 
     def reconfigure(self, peers: Iterable[str], now: int) -> None:
         """Replaces the list of peers. The state of those that remain is retained."""
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.membership.gossip import GossipProtocol
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.reporter import Reporter
 
-NOTHING_KNOWN = OthersLoad(queued_tokens=0.0, total_tokens=0.0, confidence=0.0)
+NOTHING_KNOWN = PeerLoadEstimate(queued_tokens=0.0, total_tokens=0.0, confidence=0.0)
 
 SOURCE_SUMS = "sums"
 SOURCE_GOSSIP = "talk"
@@ -54,7 +54,7 @@
         """
         others = NOTHING_KNOWN
         if self.reporter and (self._sums_count_all or self.gossip is None):
-            others = self.reporter.others(now, replica, queued_tokens, total_tokens)
+            others = self.reporter.estimate_peer_load(now, replica, queued_tokens, total_tokens)
         if others.confidence <= 0 and self.gossip:
             # Gossip continues even if all aggregators are down.
             return self.gossip.others(now, replica, queued_tokens, total_tokens)
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.membership.aggregation_messages import (
     MAX_UNASSIGNED,
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pearhill.load_reports.peer_load_source import OthersLoad
+from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 from pearhill.membership.peer_load_source import CombinedLoadSource
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 
@@ -50,5 +50,5 @@
 ) -> None:
     sources = CombinedLoadSource()
     sources.reporter, sources.gossip = sums, talk
-    assert (sources.count(0), sources.in_use(0)) == (count, in_use)
-    assert sources.others(0, 1, 0, 0).total_tokens == load
+    assert (sources.count(0), sources.active_source(0)) == (count, in_use)
+    assert sources.estimate_peer_load(0, 1, 0, 0).total_tokens == load
