--- a/pearhill/membership/gossip.py
+++ b/pearhill/membership/gossip.py
@@ -53,7 +53,7 @@
         """Returns the messages that are due."""
         payloads = self.members.tick(now)
         self._counted_peers = self.counted_peers(now)
-        self.peer_loads.weigh(now, self._counted_peers)
+        self.peer_loads.update_weights(now, self._counted_peers)
         return self._messages(payloads)
 
     def receive(self, now: int, message: GossipMessage) -> list[GossipMessage]:
@@ -106,7 +106,7 @@
         """Returns how many dispatchers share the work, including this one."""
         return len(self.counted_peers(now)) + 1
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         """Returns the estimated load of the other dispatchers at a replica.
 
         `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -95,7 +95,7 @@
     request_number: int = 0
 
 
-class Members:
+class SwimMembership:
     """The members of a fleet as one dispatcher sees them.
 
     `incarnation` must be larger than at any earlier start under the same name; callers pass the time of the start.
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -36,18 +36,18 @@
         # With the smaller count, each cold replica would also get the shares of the dispatchers that it leaves out.
         return max((count for count in (by_sums, by_gossip) if count is not None), default=None)
 
-    def fresh(self, now: int) -> bool:
+    def has_fresh_sums(self, now: int) -> bool:
         """Returns whether the aggregators' sums are recent."""
         age_s = self.reporter.figures(now)["age_s"] if self.reporter else None
         return age_s is not None and age_s * 1e6 < MAX_SUMS_AGE_US
 
-    def in_use(self, now: int) -> str:
+    def active_source(self, now: int) -> str:
         """Returns SOURCE_SUMS or SOURCE_GOSSIP, for operators, or "" without fresh sums and gossip."""
-        if self._sums_count_all and self.fresh(now):
+        if self._sums_count_all and self.has_fresh_sums(now):
             return SOURCE_SUMS
         return SOURCE_GOSSIP if self.gossip else ""
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         """Returns the estimated load of the other dispatchers at a replica.
 
         `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
@@ -57,5 +57,5 @@
             others = self.reporter.estimate_peer_load(now, replica, queued_tokens, total_tokens)
         if others.confidence <= 0 and self.gossip:
             # Gossip continues even if all aggregators are down.
-            return self.gossip.others(now, replica, queued_tokens, total_tokens)
+            return self.gossip.estimate_peer_load(now, replica, queued_tokens, total_tokens)
         return others
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -102,7 +102,7 @@
 
     def estimate_peer_load(
         self, now: int, table: KnownTable | None, replica: int, queued_tokens: int, total_tokens: int
-    ) -> OthersLoad:
+    ) -> PeerLoadEstimate:
         """Returns the estimated load of the other dispatchers at a replica.
 
         `table` is that of the aggregator that sent the sums. `queued_tokens` and `total_tokens` are this dispatcher's
@@ -113,7 +113,7 @@
             return PeerLoadEstimate(0.0, 0.0, 1.0 if self.counted else 0.0)
         peer_load = self.peer_load(now, table, replica)
         if peer_load is None:
-            return OthersLoad(float(others * queued_tokens), float(others * total_tokens), 0.0)
+            return PeerLoadEstimate(float(others * queued_tokens), float(others * total_tokens), 0.0)
         # A dispatcher without known load counts as the mean of those with known load, this one included.
         weight = 0.5 ** (max(0, now - peer_load.reported_at) / SUMS_HALF_LIFE_US)
         known = weight * min(peer_load.reporting, others)
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -326,12 +326,12 @@
         """Returns how many dispatchers share the work, including this one, or None without a settled answer so far."""
         return self._sums.count()
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         """Returns the estimated load of the other dispatchers at a replica.
 
         `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
         """
-        return self._sums.others(now, self._sums_table(), replica, queued_tokens, total_tokens)
+        return self._sums.estimate_peer_load(now, self._sums_table(), replica, queued_tokens, total_tokens)
 
     def peer_load(self, now: int, replica: int) -> PeerLoad | None:
         """Returns what the other dispatchers reported at a replica, or None if no recent sums include the replica."""
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -120,7 +120,7 @@
         for p in world.running():
             assert p.reporter.current == "a" + p.region[1:]
             # The work of all running dispatchers is received, whichever others still count as partitioned.
-            confidence = p.reporter.others(world.now, p.replica, 0, p.load)[2]
+            confidence = p.reporter.estimate_peer_load(world.now, p.replica, 0, p.load)[2]
             assert confidence * (count - 1) > 0.5 * (len(names) - 1) or len(names) == 1
 
 
@@ -139,15 +139,15 @@
     assert world.incorrect_views() == []
     assert world.counts() == {6}
     p = world.processes[0]
-    waiting, load, confidence = p.reporter.others(world.now, 2, 0, 0)
+    waiting, load, confidence = p.reporter.estimate_peer_load(world.now, 2, 0, 0)
     assert 4_500 < waiting < 5_500
     assert 9_000 < load < 11_000
     assert 0.9 < confidence <= 1
     # Half of them do not report: each of these counts as the mean of those that do.
     for sums_range in p.reporter._sums.ranges:
         sums_range.reporting, sums_range.requested_at = 2, world.now
-    assert p.reporter.others(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
-    assert p.reporter.others(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
+    assert p.reporter.estimate_peer_load(world.now, 2, 0, 0)[1] / load == pytest.approx(2, abs=0.2)
+    assert p.reporter.estimate_peer_load(world.now, 2, 0, 0)[2] == pytest.approx(0.4, abs=5e-8)
 
 
 def test_a_crashed_dispatcher_expires_and_a_leaving_one_is_removed_at_once() -> None:
@@ -202,7 +202,7 @@
     world.aggregators.clear()
     world.run(MAX_SUMS_AGE_US)
     for p in world.running():
-        assert p.reporter.others(world.now, 1, 0, 30) == (0.0, 23 * 30.0, 0.0)
+        assert p.reporter.estimate_peer_load(world.now, 1, 0, 30) == (0.0, 23 * 30.0, 0.0)
     world.run(10 * S)
     report_counts = [p.reporter._reports.newest_number for p in world.running()]
     world.run(20 * S)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -143,7 +143,7 @@
     @invariant()
     def no_work_is_counted_twice(self) -> None:
         for name, protocol in getattr(self, "net", Network(0, 0)).up.items():
-            others = protocol.peer_loads.others(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
+            others = protocol.peer_loads.estimate_peer_load(self.net.now, 1, list(self.net.names), ReplicaLoad(1, 0, 0))
             known = sum(10 ** self.net.names.index(n) for n in protocol.peer_loads._last if n != name)
             # Without the share assumed for silent peers, the sum never exceeds what the peers have reported.
             worth = 1 + sum(protocol.peer_loads.weight(self.net.now, n) for n in self.net.names)
@@ -246,13 +246,13 @@
 def test_silent_peers_are_assumed_to_send_the_mean_load() -> None:
     work, own_load = PeerLoads(), ReplicaLoad(7, 100, 100)
     # Without reports, each peer counts as the own load.
-    assert work.others(0, 7, ["a", "b", "c"], own_load).total_tokens == 300
+    assert work.estimate_peer_load(0, 7, ["a", "b", "c"], own_load).total_tokens == 300
     for name in "abc":
         work.receive(0, name, (1, 1), [ReplicaLoad(7, 400, 400)])
-    now = work.others(0, 7, ["a", "b", "c"], own_load)
+    now = work.estimate_peer_load(0, 7, ["a", "b", "c"], own_load)
     assert (now.total_tokens, now.confidence) == (1200, 1)
     work.receive(6 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 0, 0)])
-    later = work.others(8 * HALF_LIFE_US, 7, ["a", "b", "c"], own_load)
+    later = work.estimate_peer_load(8 * HALF_LIFE_US, 7, ["a", "b", "c"], own_load)
     assert later.confidence < 0.1
     assert 100 < later.total_tokens < 300
     assert not work.receive(9 * HALF_LIFE_US, "a", (1, 2), [ReplicaLoad(7, 9, 9)])
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -13,12 +13,12 @@
     """A stub of a reporter or a gossip protocol in a given state."""
 
     def __init__(self, count: int | None, load: float, confidence: float, age_s: float | None = 0.1) -> None:
-        self.estimate, self._count, self.age_s = OthersLoad(0.0, load, confidence), count, age_s
+        self.estimate, self._count, self.age_s = PeerLoadEstimate(0.0, load, confidence), count, age_s
 
     def count(self, now: int) -> int | None:
         return self._count
 
-    def others(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> OthersLoad:
+    def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
         return self.estimate
 
     def figures(self, now: int) -> dict[str, Any]:
--- a/tests/membership/test_reporter.py
+++ b/tests/membership/test_reporter.py
@@ -86,7 +86,7 @@
         for replica in (70, 73, 99):
             assert (r.peer_load(now, replica) is not None) == is_known
             if not is_known:
-                assert r.others(now, replica, 2, 3) == (8.0, 12.0, 0.0)
+                assert r.estimate_peer_load(now, replica, 2, 3) == (8.0, 12.0, 0.0)
     now = r.next_tick(now)
     (sent_report,) = r.tick(now)
     assert isinstance(sent_report, Report)
