--- a/pearhill/aggregator/daemon.py
+++ b/pearhill/aggregator/daemon.py
@@ -27,7 +27,7 @@
 from pearhill.node.signals import handled_signals
 
 RECEIVE_BUFFER_BYTES = 4 << 20  # for the reports of hundreds of dispatchers during a short stall
-LOG_INTERVAL_US = 1_000_000  # at which count and other aggregators are checked for changes to log
+LOG_INTERVAL_US = 1_000_000  # between two checks whether the count or a silent aggregator must be logged
 PEER_SILENCE_US = 2_000_000  # after which another aggregator is logged as silent
 
 
--- a/pearhill/aggregator/setup.py
+++ b/pearhill/aggregator/setup.py
@@ -46,7 +46,7 @@
     listen: Address
     keys: tuple[bytes, ...]
     peers: Mapping[str, Address]
-    admin: Address | None  # of the admin endpoint
+    admin: Address | None  # of the admin endpoint, if there is one
 
 
 def load(path: str) -> AggregatorSetup:
--- a/pearhill/membership/aggregation_messages.py
+++ b/pearhill/membership/aggregation_messages.py
@@ -15,15 +15,15 @@
 from pearhill.membership.message_authenticator import MAX_COUNT, MessageAuthenticator, MessageRejectedError
 
 VERSION = 2
-SLOTS_PER_PART = 512  # with the two gauges of each, even uncompressed, a message fits one datagram
+SLOTS_PER_PART = 512  # the two gauges of each fit one datagram with the other fields, even uncompressed
 MAX_PACKED_GAUGE_BYTES = 1050  # per part
 MAX_SLOTS = 8192
 MAX_PARTS = 32
 MAX_TABLE_ENTRIES = 48  # per message
 MAX_UNASSIGNED = 64  # replicas without a slot, per report
 MAX_MEMBER_LIST_BYTES = 1100  # of entries, per part of a member list
-LEASE_US = 2_000_000  # how long a dispatcher's work counts
-PARTIAL_SUM_LEASE_US = 1_500_000  # how long another aggregator's sums count
+LEASE_US = 2_000_000  # how long a dispatcher's work counts after the answer that its report echoes
+PARTIAL_SUM_LEASE_US = 1_500_000  # how long another aggregator's sums count after the message that they echo
 # This long after a dispatcher's last report to an aggregator, no sums include the work reported there any more.
 COMBINED_LEASE_US = LEASE_US + PARTIAL_SUM_LEASE_US
 
--- a/pearhill/membership/aggregator.py
+++ b/pearhill/membership/aggregator.py
@@ -335,7 +335,7 @@
         return self.directory.count()
 
     def _is_settled(self, now: int) -> bool:
-        """Returns whether every dispatcher must have been seen since the start, here or through another aggregator."""
+        """Returns whether this aggregator has run long enough to have received every dispatcher's report or entry."""
         age = now - self.incarnation
         if age >= PARTITION_TIMEOUT_US:
             return True
--- a/pearhill/membership/aggregator_choice.py
+++ b/pearhill/membership/aggregator_choice.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MAX_UNANSWERED_REPORTS = 4  # in a row, before an aggregator is abandoned;
-ANSWER_TIMEOUT_US = 2_000_000  # this long without any answer must have passed as well
+MAX_UNANSWERED_REPORTS = 4  # an aggregator is abandoned after at least this many in a row
+ANSWER_TIMEOUT_US = 2_000_000  # an aggregator is abandoned no earlier than this after the first of them
 MIN_BACKOFF_US = 1_000_000  # between attempts once all aggregators have failed
 MAX_BACKOFF_US = 8_000_000
 MIN_HELLO_INTERVAL_US = 5_000_000
--- a/pearhill/membership/member_directory.py
+++ b/pearhill/membership/member_directory.py
@@ -19,7 +19,7 @@
 LEFT_TIMEOUT_US = 60_000_000  # how long a member that left is retained, so that a late message does not re-add it
 HOP_ALLOWANCE_US = 1_000_000  # added to a silence that is forwarded; longer than a datagram is in transit
 PARTITION_SHARE = 1 / 3  # if more of all, or of one aggregator's, members are silent, a partition is assumed
-MIN_SILENT_FOR_PARTITION = 3  # silent members of one aggregator, which may have few members
+MIN_SILENT_FOR_PARTITION = 3  # of one aggregator's members; with few members, fewer silent ones prove no partition
 ENTRY_BYTES = 22  # largest size of a member list's entry, without the name
 
 
--- a/pearhill/membership/members.py
+++ b/pearhill/membership/members.py
@@ -96,7 +96,7 @@
 
 
 class SwimMembership:
-    """The members of a fleet as one dispatcher sees them.
+    """The members of a fleet and their states in the view of one dispatcher.
 
     `incarnation` must be larger than at any earlier start under the same name; callers pass the time of the start.
     """
@@ -108,7 +108,7 @@
         self.members = {peer: Member(state_since=now) for peer in peers if peer != name}
         self._round: list[str] = []  # members not yet pinged in this round
         self._open_pings: dict[int, OpenPing] = {}
-        # With numbers from 1 at each start, a replayed ack to an earlier start would answer a ping of this one.
+        # Starts at random: with numbers from 1, a replayed ack to an earlier start would answer a ping of this one.
         self._ping_number = rng.getrandbits(48)
         self._last_tick = now
         self._times_sent: dict[str, int] = {}  # by member with a new state: how often its update was sent
--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -42,7 +42,7 @@
         return age_s is not None and age_s * 1e6 < MAX_SUMS_AGE_US
 
     def active_source(self, now: int) -> str:
-        """Returns SOURCE_SUMS or SOURCE_GOSSIP, for operators, or "" without fresh sums and gossip."""
+        """Returns SOURCE_SUMS or SOURCE_GOSSIP, for operators, or "" if there are neither fresh sums nor gossip."""
         if self._sums_count_all and self.has_fresh_sums(now):
             return SOURCE_SUMS
         return SOURCE_GOSSIP if self.gossip else ""
--- a/pearhill/membership/peer_sums.py
+++ b/pearhill/membership/peer_sums.py
@@ -93,10 +93,10 @@
             self.ranges.append(new)
 
     def count(self) -> int | None:
-        """Returns how many dispatchers share the work, including this one, or None without a settled answer so far.
+        """Returns how many dispatchers share the work, including this one.
 
-        An aggregator that has just started counts few dispatchers. With that count, this dispatcher would claim nearly
-        all of a cold replica's share.
+        Returns None until a settled aggregator has answered. An aggregator that has just started counts few
+        dispatchers; with that count, this dispatcher would claim nearly all of a cold replica's share.
         """
         return self.counted if self._settled else None
 
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -82,7 +82,7 @@
         self._own_loads = own_loads
         self._replay_window = ReplayWindow()
         self._sequence = 0
-        # With numbers from 1 at each start, an answer to an earlier start's report would answer one of this start.
+        # Starts at random: with numbers from 1, an answer to an earlier start's report would answer one of this start.
         self._reports = SentReports(started, rng.getrandbits(31))
         self._tables: dict[str, KnownTable] = {}  # by aggregator
         self._sums = PeerSums()
@@ -157,7 +157,7 @@
         return messages
 
     def _switch_aggregator(self, now: int) -> None:
-        """Switches to the next aggregator; once all have failed, only after a backoff."""
+        """Switches to the next aggregator; once all have failed, a backoff delays the next report."""
         self._move(now, self._choice.next_after_failure())
         backoff = self._choice.backoff()
         if backoff is not None:
@@ -323,7 +323,10 @@
     # Loads of the other dispatchers.
 
     def count(self, now: int) -> int | None:
-        """Returns how many dispatchers share the work, including this one, or None without a settled answer so far."""
+        """Returns how many dispatchers share the work, including this one.
+
+        Returns None until a settled aggregator has answered.
+        """
         return self._sums.count()
 
     def estimate_peer_load(self, now: int, replica: int, queued_tokens: int, total_tokens: int) -> PeerLoadEstimate:
--- a/pearhill/membership/sent_reports.py
+++ b/pearhill/membership/sent_reports.py
@@ -10,8 +10,8 @@
 
 MAX_REMEMBERED_REPORTS = 64
 MAX_REPORT_AGE_US = 5_000_000
-SUMS_SLACK_US = 200_000  # sums may be computed slightly before the report that they answer arrives
-NEVER_SENT_AGE_US = 6_000_000  # exceeds how long sums can include a report to another aggregator
+SUMS_SLACK_US = 200_000  # sums may have been computed slightly before the report that they answer
+NEVER_SENT_AGE_US = 6_000_000  # exceeds the time for which sums can include a report to another aggregator
 
 
 class GaugePair(NamedTuple):
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -70,7 +70,7 @@
         return program
 
     def agree(self, count: int, heard: int, *names: str) -> None:
-        """Waits until each of these counts `count` dispatchers and sees `heard` of them alive, itself included."""
+        """Waits until each of these counts `count` dispatchers and has `heard` of them as alive, itself included."""
 
         def agrees(name: str) -> bool:
             t = self.fleet_state(name)
