--- a/pearhill/membership/peer_load_source.py
+++ b/pearhill/membership/peer_load_source.py
@@ -7,7 +7,7 @@
 from pearhill.membership.peer_sums import MAX_SUMS_AGE_US
 from pearhill.membership.reporter import Reporter
 
-NOTHING_KNOWN = PeerLoadEstimate(queued_tokens=0.0, total_tokens=0.0, confidence=0.0)
+NO_PEER_LOAD = PeerLoadEstimate(queued_tokens=0.0, total_tokens=0.0, confidence=0.0)
 
 SOURCE_SUMS = "sums"
 SOURCE_GOSSIP = "talk"
@@ -52,7 +52,7 @@
 
         `queued_tokens` and `total_tokens` are this dispatcher's own tokens there.
         """
-        others = NOTHING_KNOWN
+        others = NO_PEER_LOAD
         if self.reporter and (self._sums_count_all or self.gossip is None):
             others = self.reporter.estimate_peer_load(now, replica, queued_tokens, total_tokens)
         if others.confidence <= 0 and self.gossip:
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -119,8 +119,8 @@
             self.arrivals += [(self.now, to)] * isinstance(message, Report)
             self.send(to, answers)
 
-    def run(self, micros: int) -> None:
-        end = self.now + micros
+    def run(self, duration_us: int) -> None:
+        end = self.now + duration_us
         while self.heap and self.heap[0][0] <= end:
             self.now, _, kind, subject = heapq.heappop(self.heap)
             if kind == "tick":
@@ -197,8 +197,8 @@
         for a in self.aggregators.values():
             assert a.count(self.now) <= len(named)
 
-    def run_checked(self, micros: int) -> None:
-        end = self.now + micros
+    def run_checked(self, duration_us: int) -> None:
+        end = self.now + duration_us
         while self.now < end:
             self.run(min(100_000, end - self.now))
             self.check()
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -33,9 +33,9 @@
         self.world = FleetSimulation(count, seed)
         self.world.run_checked(2 * S)
 
-    @rule(micros=st.sampled_from((AGGREGATOR_TICK_US // 3, S, 4 * S, 12 * S)))
-    def time_passes(self, micros: int) -> None:
-        self.world.run_checked(micros)
+    @rule(duration_us=st.sampled_from((AGGREGATOR_TICK_US // 3, S, 4 * S, 12 * S)))
+    def time_passes(self, duration_us: int) -> None:
+        self.world.run_checked(duration_us)
 
     @rule(
         drop=st.sampled_from((0.0, 0.3, 0.8)),
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -113,8 +113,8 @@
         self.wait_until(lambda: all(agrees(n) for n in names), *names)
 
     def aggregator_of(self, name: str) -> str:
-        in_use: str = self.fleet_state(name)["reports"]["aggregator"]
-        return in_use
+        aggregator_name: str = self.fleet_state(name)["reports"]["aggregator"]
+        return aggregator_name
 
 
 class TestProcesses(AggregationCase):
@@ -205,16 +205,16 @@
         self.agree(5, 5, *DISPATCHERS)
 
     def test_a_fleet_moves_between_gossip_and_sums_by_reloads(self) -> None:
-        trio = ("d1", "d2", "d3")
-        self.set_up("a1", *trio)
-        for name in ("a1", *trio):
-            peers = tuple(p for p in trio if p != name)
+        dispatchers = ("d1", "d2", "d3")
+        self.set_up("a1", *dispatchers)
+        for name in ("a1", *dispatchers):
+            peers = tuple(p for p in dispatchers if p != name)
             self.run_one(name, "" if name == "a1" else self.fleet_file(name, ("a1",) if name != "d1" else (), peers))
 
         def uses_gossip(name: str) -> bool:
             return [self.fleet_state(name)[key] for key in ("count", "shares", "source")] == [3, 3, "talk"]
 
-        for d in trio:  # the sums lack d1, so all use gossip
+        for d in dispatchers:  # the sums lack d1, so all use gossip
             self.wait_until(functools.partial(uses_gossip, d), d)
         self.wait_until(
             lambda: self.fleet_state("d2")["reports"]["counted"] == self.fleet_state("a1")["counted"] == 2, "d2"
@@ -235,19 +235,21 @@
             program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
             assert sum("not taken" in line for line in program.lines) == 1
         self.programs["d1"].reload(self.fleet_file("d1", ("a1",), ("d2", "d3")))
-        self.agree(3, 3, *trio)
+        self.agree(3, 3, *dispatchers)
         # Gossip ends, and a new key replaces the old one.
         self.keys = ["key", "new"]
         self.programs["a1"].reload(self.aggregator_file("a1"), "reload: done, 0 other aggregators")
         self.keys = ["new", "key"]
-        for d in trio:
+        for d in dispatchers:
             self.programs[d].reload(self.fleet_file(d, ("a1",)))
         self.keys = ["new"]
         self.programs["a1"].reload(self.aggregator_file("a1"))
-        seen = {d: self.fleet_state(d)["datagrams"]["taken"] for d in trio}
-        self.wait_until(lambda: all(self.fleet_state(d)["datagrams"]["taken"] > seen[d] + 2 for d in trio), *trio)
-        self.agree(3, 3, *trio)
-        assert [self.fleet_state(d)["members"] for d in trio] == [{}] * 3
+        seen = {d: self.fleet_state(d)["datagrams"]["taken"] for d in dispatchers}
+        self.wait_until(
+            lambda: all(self.fleet_state(d)["datagrams"]["taken"] > seen[d] + 2 for d in dispatchers), *dispatchers
+        )
+        self.agree(3, 3, *dispatchers)
+        assert [self.fleet_state(d)["members"] for d in dispatchers] == [{}] * 3
         assert self.fleet_state("a1")["datagrams"]["rejected forged"] == 1
         # The fleet command shows all of them.
         code, out, err = run("fleet", *self.admin_addresses.values())
@@ -256,12 +258,12 @@
         assert re.search(r"a1 +aggregator: counts 3 dispatchers, hears 3, 3 report to it; no other is named", out)
         # The aggregator is killed: the dispatchers return to gossip.
         self.send(signal.SIGKILL, "a1")
-        for d in trio:
-            self.programs[d].reload(self.fleet_file(d, (), tuple(p for p in trio if p != d)))
+        for d in dispatchers:
+            self.programs[d].reload(self.fleet_file(d, (), tuple(p for p in dispatchers if p != d)))
         self.wait_until(
-            lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.fleet_state, trio)}
+            lambda: {(t["count"], t["source"], t["reports"]) for t in map(self.fleet_state, dispatchers)}
             == {(3, "talk", None)},
-            *trio,
+            *dispatchers,
         )
 
 
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -67,8 +67,8 @@
             return self.schedule(2 * GOSSIP_TICK_US, "datagram", (to, data))
         self.send(to, self.up[to].receive(self.now, self.codec.unpack(data, to)))
 
-    def run(self, micros: int) -> None:
-        end = self.now + micros
+    def run(self, duration_us: int) -> None:
+        end = self.now + duration_us
         while self.heap and self.heap[0][0] <= end:
             self.now, _, kind, subject = heapq.heappop(self.heap)
             if kind == "tick":
@@ -96,9 +96,9 @@
         self.net = Network(count, seed)
         self.net.run(2 * S)
 
-    @rule(micros=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
-    def time_passes(self, micros: int) -> None:
-        self.net.run(micros)
+    @rule(duration_us=st.sampled_from((GOSSIP_TICK_US // 3, GOSSIP_TICK_US, S, 4 * S)))
+    def time_passes(self, duration_us: int) -> None:
+        self.net.run(duration_us)
 
     @rule(
         drop=st.sampled_from((0.0, 0.3, 0.9)),
--- a/tests/membership/test_peer_load_source.py
+++ b/tests/membership/test_peer_load_source.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sums", "talk", "count", "in_use", "load"),
+    ("sums", "gossip", "count", "active_source", "load"),
     [
         pytest.param(None, None, None, "", 0.0, id="neither"),
         pytest.param(None, StubSource(4, 7, 0.5), 4, "talk", 7, id="gossip alone"),
@@ -46,9 +46,9 @@
     ],
 )
 def test_sums_are_used_while_they_count_all_gossiping_dispatchers_else_gossip(
-    sums: Any, talk: Any, count: int | None, in_use: str, load: float
+    sums: Any, gossip: Any, count: int | None, active_source: str, load: float
 ) -> None:
     sources = CombinedLoadSource()
-    sources.reporter, sources.gossip = sums, talk
-    assert (sources.count(0), sources.active_source(0)) == (count, in_use)
+    sources.reporter, sources.gossip = sums, gossip
+    assert (sources.count(0), sources.active_source(0)) == (count, active_source)
     assert sources.estimate_peer_load(0, 1, 0, 0).total_tokens == load
