--- a/pearhill/http1/client.py
+++ b/pearhill/http1/client.py
@@ -1,4 +1,4 @@
-"""The client's side of an HTTP/1.1 connection: bytes in, the pieces of one answer after another out."""
+"""The client side of an HTTP/1.1 connection: parses the bytes that a server sends into events of its responses."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 import httptools
 
-MAX_HEAD = 32 * 1024  # bytes of an answer that are no body, the interim answers before it included
+MAX_HEAD = 32 * 1024  # bytes of a response outside its body, including the interim responses before it
 MAX_CHUNK = 256 * 1024  # bytes
-FIRST_FINAL_STATUS = 200  # below it an answer is interim, and another one follows
+FIRST_FINAL_STATUS = 200  # a response with a lower status is interim: another one follows
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The status and the headers of an answer, by lower-case name."""
+    """The status and the headers of a response. Header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
-@dataclass(slots=True)  # Not frozen: one is made for every piece of every stream, and a frozen one takes longer.
+@dataclass(slots=True)  # Not frozen: one is created for every piece of every stream, and a frozen one is slower.
 class Data:
-    """A piece of the body; of a chunked one, all complete chunks that one read has brought."""
+    """A piece of the body. For a chunked body it holds all chunks that one read has completed."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The answer is complete.
+    """The response is complete.
 
-    `reusable`: the connection may carry another request. `clean`: no bytes that belong to no answer followed it.
+    `reusable`: the connection may carry another request. `clean`: no unexpected bytes followed the response.
     """
 
     reusable: bool
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The connection has ended, or its bytes are no HTTP/1.1, before the answer was complete."""
+    """The connection ended, or its bytes were not valid HTTP/1.1, before the response was complete."""
 
     why: str
 
@@ -48,48 +48,48 @@
 
 
 class ClientConnection:
-    """Fed what a server sends. `expect` opens an exchange; bytes outside one are an error.
+    """Parses the responses on one connection. `expect` opens an exchange; bytes outside an exchange are an error.
 
-    `awaiting`: an exchange is open.
+    `awaiting`: whether an exchange is open.
     """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._events: list[Event] = []
         self._headers: dict[str, str] = {}
-        self._chunk: bytearray | None = None  # what has arrived of a chunk that is not complete
+        self._chunk: bytearray | None = None  # the received part of an incomplete chunk
         self._complete_chunks: list[bytes] = []
-        self._framing = 0  # bytes of this answer that are no body
+        self._framing = 0  # bytes of this response outside its body
         self._most_chunk = MAX_CHUNK
         self.awaiting = False
 
     def expect(self, most_chunk: int = MAX_CHUNK) -> None:
-        """Open an exchange. `most_chunk`: bytes of a chunk, which is gathered here until it is complete."""
+        """Open an exchange. `most_chunk`: the largest chunk in bytes, as chunks are buffered until complete."""
         self.awaiting = True
         self._framing = 0
         self._most_chunk = most_chunk
 
     def feed(self, data: bytes | memoryview) -> list[Event]:
-        """What the server has sent; the events that are complete now."""
+        """Parse bytes that the server has sent. Returns the events that they complete."""
         if not self.awaiting:
             return [Lost("unasked")]
         self._framing += len(data)
         try:
             self._parser.feed_data(data)
-            # The parser keeps a header that never ends, and says nothing of it until it does.
+            # The parser buffers a header without reporting it until it ends, so an endless one is detected here.
             if self.awaiting and self._framing > MAX_HEAD:
-                raise ValueError("the head of the answer is too large")
+                raise ValueError(f"the head of the response is larger than {MAX_HEAD} bytes")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as e:
             if self.awaiting:
                 self._lose(f"malformed: {e.__context__ or e}")
-            else:  # On a connection that is used again, what follows an answer would be taken for the next one.
+            else:  # On a reused connection these bytes would be read as the response to the next request.
                 self._events[-1] = End(reusable=False, clean=False)
         return self._take_events()
 
     def eof(self, why: str = "eof") -> list[Event]:
-        """The server has ended its sending, or the connection broke: `why`.
+        """Handle the end of the server's bytes. `why`: the reason of the `Lost` event if a response is incomplete.
 
-        An answer without a length, which ends with its connection (RFC 9112, 6.3), is not accepted: its end could not
+        A response without a length, which ends with its connection (RFC 9112, 6.3), is not accepted: its end cannot
         be distinguished from a broken connection.
         """
         if self.awaiting:
@@ -97,7 +97,7 @@
         return self._take_events()
 
     def close(self) -> None:
-        """Nothing more will be fed. The parser and this object refer to each other: they are freed at once only so."""
+        """Drop the parser. The two refer to each other: without this only the garbage collector frees them."""
         self.awaiting = False
         self._parser = None
 
@@ -107,7 +107,7 @@
         self._events.append(Lost(why))
 
     def _take_events(self) -> list[Event]:
-        """The events found, which are then the caller's alone: a last one kept here would stay in memory."""
+        """Return the events found and keep none: an event kept here would stay in memory with an idle connection."""
         self._flush_chunks()
         events = self._events
         self._events = []
@@ -116,50 +116,50 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
+        """Handle the start of a response."""
         if not self.awaiting:
-            raise ValueError("an answer that was not asked for")
+            raise ValueError("a response arrived without a request")
         self._headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer; of a repeated one the last counts."""
+        """Store a header or a trailer. The last value of a repeated one is kept."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        """The head is complete. The event has a copy of the headers, since trailers are added to them later."""
+        """Report the head. The event gets a copy of the headers, since trailers are added to the original later."""
         status = self._parser.get_status_code()
         if status >= FIRST_FINAL_STATUS:
             self._events.append(Head(status, dict(self._headers)))
 
     def on_chunk_header(self) -> None:
-        """A chunk begins."""
+        """Handle the start of a chunk."""
         self._chunk = bytearray()
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body. A chunk is gathered, up to a bound: one of gigabytes would fill the memory."""
+        """Handle a part of the body. The size of a chunk is bounded: one of gigabytes would fill the memory."""
         self._framing -= len(body)
         if self._chunk is None:
             self._events.append(Data(body))
             return
         self._chunk += body
         if len(self._chunk) > self._most_chunk:
-            raise ValueError("a chunk is too large")
+            raise ValueError(f"a chunk is larger than {self._most_chunk} bytes")
 
     def on_chunk_complete(self) -> None:
-        """A chunk is complete. Its size proves right only behind its last byte: nothing of it is passed on before."""
+        """Queue a complete chunk. None of it is reported earlier: its size is verified only after its last byte."""
         if self._chunk:
             self._complete_chunks.append(bytes(self._chunk))
         self._chunk = None
 
     def on_message_complete(self) -> None:
-        """The answer is complete, or an interim one, which another follows."""
+        """Handle the end of a response. An interim response is skipped, since another one follows it."""
         if self._parser.get_status_code() >= FIRST_FINAL_STATUS:
             self.awaiting = False
             self._flush_chunks()
             self._events.append(End(self._parser.should_keep_alive()))
 
     def _flush_chunks(self) -> None:
-        """One event for all chunks that a read brought: a busy server's come by the dozen."""
+        """Report all chunks of one read as one event: a read from a busy server completes dozens of chunks."""
         if self._complete_chunks:
             self._events.append(Data(b"".join(self._complete_chunks)))
             self._complete_chunks.clear()
--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -1,4 +1,4 @@
-"""The interface between connections and front ends: the same for the listener's connections and for ASGI."""
+"""The interface between connections and front ends. The listener's connections and the ASGI adapter both use it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """A request that is being answered."""
 
     def handle_disconnect(self) -> None:
-        """Its client has gone."""
+        """Handle the disconnect of the client."""
 
 
 class Reply(Protocol):
@@ -21,35 +21,40 @@
     """
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        """A complete answer."""
+        """Send a complete response."""
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer bad input. What follows it on its connection may be a part of it, so that none of that is served."""
+        """Answer invalid input. The bytes after it on the connection may belong to it, so none of them are served."""
 
     def start(self, status: int, headers: Headers = ()) -> None:
-        """The head of an answer in pieces; it goes out with the first of them."""
+        """Begin a response whose body follows in pieces. The head is sent with the first piece."""
 
     async def write(self, data: bytes) -> None:
-        """A piece of the body; returns when there is room for more."""
+        """Send a piece of the body. Returns once the send buffer has room for more."""
 
     def finish(self, last: bytes = b"") -> None:
-        """The answer is complete, with these last bytes."""
+        """Complete the response with these last bytes of the body."""
 
     def abort(self, last: bytes = b"") -> None:
-        """The answer is cut, after these last bytes."""
+        """Truncate the response after these last bytes of the body."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, checked now.
+        """Check now whether the client has disconnected.
 
-        Then `Pending.handle_disconnect` has been called, or is once there is one.
+        If so, `Pending.handle_disconnect` has been called, or is called as soon as `Handler.handle` has returned the
+        `Pending`.
         """
 
 
 class Handler(Protocol):
-    """A front end."""
+    """A front end: the handler of one API's requests."""
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Answer a request, now or later. None: its client need not be watched: it is answered, or may go unnoticed."""
+        """Answer a request, now or later.
+
+        Returns None if a disconnect of the client need not be reported: the request is answered already, or its
+        handling does not depend on the client.
+        """
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
-        """Headers and body for input that was rejected before it became a request."""
+        """Return the headers and the body of the response to input that could not be parsed as a request."""
--- a/pearhill/http1/messages.py
+++ b/pearhill/http1/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages, and how they are written."""
+"""HTTP/1.1 messages and their serialization."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True)
 class RequestMessage:
-    """A complete request. Header names are in lower case; see `add_header` for repeated ones.
+    """A complete request. Header names are in lower case; see `add_header` for repeated headers.
 
-    `arrived`: when its last byte was read, in microseconds of the process's clock; None: not known.
+    `arrived`: when the last byte of the request was read, in microseconds of the process's clock; None if unknown.
     """
 
     method: str
@@ -26,15 +26,15 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Return the target without its query."""
         return self.target.partition("?")[0]
 
 
 def add_header(headers: dict[str, str], name: str, value: str) -> None:
-    """Add a field to headers by lower-case name; a repeated one becomes a list (RFC 9110, 5.3).
+    """Add a field to headers by its lower-case name. Values of a repeated field form a list (RFC 9110, 5.3).
 
-    Of a field that comes twice, two recipients might otherwise each take another value. Where one value is needed, a
-    list is not accepted.
+    If only one value of a repeated field were kept, two recipients might each use a different one. Code that needs a
+    single value rejects a list.
     """
     headers[name] = f"{headers[name]}, {value}" if name in headers else value
 
@@ -44,7 +44,7 @@
 
 
 def request(method: str, target: str, host: str, headers: Headers = (), body: bytes | None = None) -> bytes:
-    """A complete request; None: it has no body, and no Content-Length."""
+    """Return a complete request in bytes. With a `body` of None it has neither a body nor a Content-Length."""
     length = "" if body is None else f"Content-Length: {len(body)}\r\n"
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n{_fields(headers)}{length}\r\n"
     return head.encode("latin-1") + (body or b"")
@@ -58,18 +58,18 @@
 
 
 def answer(status: int, headers: Headers = (), body: bytes = b"", close: bool = False) -> bytes:
-    """A complete answer. `close`: the connection ends with it."""
+    """Return a complete response in bytes. `close`: the connection is closed after it."""
     framing = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
     ending = "Connection: close\r\n" if close else ""
     return f"{_status(status)}{_fields(headers)}{framing}{ending}\r\n".encode("latin-1") + body
 
 
 def stream_head(status: int, headers: Headers = (), close: bool = False) -> bytes:
-    """The head of an answer whose body follows in chunks."""
+    """Return the head of a response whose body follows in chunks."""
     ending = "Connection: close\r\n" if close else ""
     return f"{_status(status)}{_fields(headers)}Transfer-Encoding: chunked\r\n{ending}\r\n".encode("latin-1")
 
 
 def chunk(data: bytes) -> bytes:
-    """A chunk of a body; `LAST_CHUNK` ends the body."""
+    """Return a chunk of a body in bytes; `LAST_CHUNK` ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/pearhill/http1/server.py
+++ b/pearhill/http1/server.py
@@ -1,4 +1,4 @@
-"""The server's side of an HTTP/1.1 connection: bytes in, complete requests out."""
+"""The server side of an HTTP/1.1 connection: parses the bytes that a client sends into complete requests."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from pearhill.http1.messages import RequestMessage, add_header
 
 MAX_BODY = 256 * 1024  # bytes
-MAX_HEAD = 32 * 1024  # bytes of a request that are no body
-HEADER_SEPARATORS = 4  # bytes of `: ` and CR LF
+MAX_HEAD = 32 * 1024  # bytes of a request outside its body
+HEADER_SEPARATORS = 4  # bytes of `: ` and CR LF, per header
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Input that is no acceptable request; nothing after it on the connection can be understood."""
+    """Input that is not an acceptable request. No later byte of the connection can be parsed."""
 
     status: int
     why: str
@@ -31,13 +31,13 @@
 
 
 class _RejectedError(Exception):
-    """Raised through the parser, which loses its cause: `ServerConnection._rejected` keeps that."""
+    """Raised in a callback to stop the parser, which drops the cause: `ServerConnection._rejected` holds that."""
 
 
 class ServerConnection:
-    """Fed what a client sends. After a `Rejected` it is `broken` and accepts nothing more.
+    """Parses the requests on one connection. After a `Rejected` event it is `broken` and ignores further bytes.
 
-    `in_message`: a request has begun and is not complete.
+    `in_message`: whether a request has begun and is incomplete.
     """
 
     def __init__(self, max_body: int = MAX_BODY) -> None:
@@ -46,23 +46,23 @@
         self.broken = False
         self._parser = httptools.HttpRequestParser(self)
         self._events: list[Event] = []
-        # Not the exception: that would keep its frames alive, and with them the buffers that were fed.
+        # The exception itself is not stored: it would keep its frames alive, and with them the buffers of the callers.
         self._rejected: Rejected | None = None
         self._message = RequestMessage("", "")
         self._body = bytearray()
-        self._head_size = 0  # bytes of the head's parts that the parser has reported
-        self._framing = 0  # bytes of this message that are no body
+        self._head_size = 0  # bytes of the head that the parser has reported so far
+        self._framing = 0  # bytes of this message outside its body
         self._head_complete = False
 
     def feed(self, data: bytes | memoryview) -> list[Event]:
-        """What the client has sent; the events that are complete now."""
+        """Parse bytes that the client has sent. Returns the events that they complete."""
         if self.broken:
             return []
         self._framing += len(data)
         try:
             self._parser.feed_data(data)
-            # The parser keeps a header that never ends, and says nothing of it until it does. Chunk extensions,
-            # trailers and blank lines before a request may be endless too.
+            # The parser buffers a header without reporting it until it ends, so an endless one is detected here. Chunk
+            # extensions, trailers and blank lines before a request may be endless too.
             if self._framing > MAX_HEAD:
                 self._reject(431, "the head of the request is too large")
         except (_RejectedError, httptools.HttpParserError) as e:
@@ -72,7 +72,7 @@
         return self._take_events()
 
     def close(self) -> None:
-        """Nothing more will be fed. The parser and this object refer to each other: they are freed at once only so."""
+        """Drop the parser. The two refer to each other: without this only the garbage collector frees them."""
         self.broken = True
         self._parser = None
 
@@ -86,7 +86,7 @@
             self._reject(431, "the head of the request is too large")
 
     def _take_events(self) -> list[Event]:
-        """The events found, which are then the caller's alone: a last one kept here would stay in memory."""
+        """Return the events found and keep none: an event kept here would stay in memory with an idle connection."""
         events = self._events
         self._events = []
         return events
@@ -94,7 +94,7 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state for a new request."""
         self._message = RequestMessage("", "")
         self._body = bytearray()
         self._head_size = 0
@@ -103,18 +103,18 @@
         self.in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the target."""
         self._count_head(len(url))
         self._message.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which must not pass for a header that the head did not have."""
+        """Add a header. A trailer is ignored: it must not be mistaken for a header of the head."""
         self._count_head(len(name) + len(value) + HEADER_SEPARATORS)
         if not self._head_complete:
             add_header(self._message.headers, name.decode("latin-1").lower(), value.decode("latin-1").strip())
 
     def on_headers_complete(self) -> None:
-        """The head is complete: what of it decides where the request ends has to be beyond doubt."""
+        """Check the complete head. Headers that determine where the request ends must be unambiguous."""
         self._head_complete = True
         headers = self._message.headers
         self._check_framing(headers.get("content-length"), headers.get("transfer-encoding"))
@@ -122,7 +122,7 @@
             self._reject(426, "HTTP/1.1 is needed")
         if "," in headers.get("host", ","):
             self._reject(400, "one Host is needed")
-        # To the parser the body of an upgrade belongs to another protocol, and the request has none.
+        # The parser treats the bytes after an upgrade request as another protocol: the request would have no body.
         if self._parser.should_upgrade():
             self._reject(400, "no upgrade is offered here")
         self._message.method = self._parser.get_method().decode("latin-1")
@@ -130,7 +130,10 @@
             self._events.append(ContinueWanted())
 
     def _check_framing(self, length: str | None, coding: str | None) -> None:
-        """Two ways to tell where the body ends would let one request hide inside another (RFC 9112, 11.2)."""
+        """Reject an ambiguous or invalid body length.
+
+        Two statements of the length would allow request smuggling: one request hidden in another (RFC 9112, 11.2).
+        """
         if length is not None and (coding is not None or "," in length):
             self._reject(400, "the length of the body is stated in more than one way")
         if coding is not None and coding.lower() != "chunked":
@@ -141,14 +144,14 @@
             self._reject(413, "the body is too large")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body, within the allowed size."""
         self._framing -= len(body)
         if len(self._body) + len(body) > self.max_body:
             self._reject(413, "the body is too large")
         self._body += body
 
     def on_message_complete(self) -> None:
-        """The request is complete. It is not kept: the last one of each open connection would fill the memory."""
+        """Report the complete request. No reference is kept: the last of every idle connection would fill memory."""
         message = self._message
         message.body = bytes(self._body)
         message.keep_alive = self._parser.should_keep_alive()
--- a/pearhill/http1/sse.py
+++ b/pearhill/http1/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as a state machine that is fed bytes and keeps each event's own bytes.
+"""A parser of server-sent events, as a state machine that is fed bytes and preserves the raw bytes of each event.
 
 Source: the HTML standard, "Server-sent events", 9.2.5 (parsing) and 9.2.6 (interpreting an event stream).
 """
@@ -15,11 +15,11 @@
 
 
 class EventStreamError(Exception):
-    """Bytes that are no stream of events."""
+    """Raised for bytes that are not a valid event stream."""
 
 
 class ServerEvent(NamedTuple):
-    """One event. `raw`: as it arrived, the blank line included. `data`: UTF-8; None: there is nothing to dispatch."""
+    """One event. `raw`: its bytes as received, with the blank line. `data`: UTF-8, or None without a data line."""
 
     raw: bytes
     data: bytes | None
@@ -27,26 +27,30 @@
 
 
 class EventParser:
-    """Lines end in CR LF, LF or CR. A CR at the end of the input waits for what follows it.
+    """Parses the events of one stream. Lines end in CR LF, LF or CR.
 
-    `most`: bytes that one event may have.
+    A CR at the end of the input is kept until the next byte shows whether an LF belongs to it. `most`: the largest
+    accepted event in bytes.
     """
 
     def __init__(self, most: int = MAX_EVENT) -> None:
         self.most = most
         self._buffer = b""
-        self._line_start = 0  # of the next line, in the buffer
+        self._line_start = 0  # the position of the next line in the buffer
         self._data: list[bytes] = []
         self._name = ""
-        self._started = False  # the first line, which may have a byte order mark, has been read
+        self._started = False  # whether the first line, which may have a byte order mark, has been parsed
 
     @property
     def between_events(self) -> bool:
-        """Whether no event has begun that is not complete."""
+        """Return whether the bytes fed so far end between two events."""
         return not self._buffer.strip(b"\r\n")
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """The events that are complete now. `EventStreamError`: no UTF-8, or an event past `most` bytes."""
+        """Parse bytes of the stream. Returns the events that they complete.
+
+        Raises EventStreamError if the bytes are not UTF-8, or an event is larger than `most` bytes.
+        """
         if not self._buffer:
             events = self._parse_plain(data)
             if events is not None:
@@ -54,9 +58,9 @@
         return self._parse_lines(data)
 
     def _parse_plain(self, data: bytes) -> list[ServerEvent] | None:
-        """Parse what nearly all servers send nearly always: events of one `data: ` line each, ended by LF LF.
+        """Parse events of one `data: ` line each that end in LF LF: the fast path for what most servers usually send.
 
-        None: it is anything else, and has to be parsed line by line.
+        Returns None if the bytes have another form and must be parsed line by line.
         """
         if not data.endswith(b"\n\n") or b"\r" in data or len(data) > self.most:
             return None
@@ -85,11 +89,11 @@
         return events
 
     def _take_event(self) -> ServerEvent:
-        """The event whose blank line ends where the next line begins."""
+        """Remove from the buffer the event whose blank line ends at the start of the next line, and return it."""
         raw = self._buffer[: self._line_start]
         self._buffer = self._buffer[self._line_start :]
         self._line_start = 0
-        self._check_size(raw)  # Else whether it passes would depend on where reads happen to end.
+        self._check_size(raw)  # Checked here too: otherwise acceptance would depend on where reads end.
         event = ServerEvent(raw, b"\n".join(self._data) if self._data else None, self._name or _DEFAULT_NAME)
         self._data = []
         self._name = ""
@@ -97,7 +101,7 @@
 
     def _check_size(self, event: bytes) -> None:
         if len(event) > self.most:
-            raise EventStreamError("an event is too large")
+            raise EventStreamError(f"an event is larger than {self.most} bytes")
 
     def _parse_field(self, line: bytes) -> None:
         _check_utf8(line)
@@ -113,4 +117,4 @@
     try:
         data.decode()
     except UnicodeDecodeError:
-        raise EventStreamError("an event is no UTF-8") from None
+        raise EventStreamError("an event is not valid UTF-8") from None
--- a/pearhill/platform/__init__.py
+++ b/pearhill/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's own protocol: its clients, its replicas and its discovery."""
+"""The platform's own protocol, towards its clients, its replicas and its discovery."""
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -1,4 +1,4 @@
-"""One dispatcher of the platform: its parts put together."""
+"""Assembles and runs one dispatcher of the platform."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.platform.schedule import CallSchedule
 
-# How long after the start discovery may stay silent before the list known at the start is good enough.
+# If discovery has not answered for so long after the start, the list known at the start is used.
 KNOWN_LIST_AFTER_US = 1_000_000
 
-# Makes another seed of the node's: the Router draws from that one, and the two streams must not be the same.
+# Derives the schedule's seed from the node's. The Router draws from the node's seed: the two must not draw the same.
 SCHEDULE_SEED_MASK = 0x51
 
 
 async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
     """Run one dispatcher until a signal ends the process.
 
-    `read_anew` returns the configuration that follows the one in force.
+    `read_anew` reads the configuration again. Its argument is the configuration in force.
     """
     await PlatformDaemon(config, read_anew).run()
 
 
 class PlatformDaemon:
-    """The node, the watch of its discovery and the takeover from another process; asked when it may serve."""
+    """Runs the node, the watch of its discovery and the takeover from another process; decides when it may serve."""
 
     def __init__(self, config: Config, read_anew: Callable[[Config], Config]) -> None:
         self.config = config
@@ -58,7 +58,7 @@
             self.takeover = TakeoverTask(self.node, config.message_folder, config.name)
 
     async def run(self) -> None:
-        """Serve until a signal ends the process, then close everything."""
+        """Serve until a signal ends the process, then close all connections."""
         config = self.config
         self.watch.start()
         admin = (config.admin, AdminEndpoint(Operations(self.node, self.reports_ready))) if config.admin else None
@@ -77,38 +77,39 @@
         self.node.close()
 
     def has_current_list(self) -> bool:
-        """Whether there is an endpoint list to serve by.
+        """Return whether there is an endpoint list that may be used.
 
-        The list known at the start is stale: only a discovery that stays silent makes it good enough.
+        The list known at the start may be outdated. It is used only if discovery does not answer within
+        `KNOWN_LIST_AFTER_US`.
         """
         return self.watch.has_answered or self.node.deadlines.clock() > self.known_list_counts_from
 
     def can_serve(self) -> bool:
-        """Whether there is a list, and a replica in it that can answer."""
+        """Return whether there is a usable endpoint list with a replica that can answer."""
         return self.has_current_list() and self.node.dispatcher.has_ready_decoder
 
     def is_ready(self) -> bool:
-        """What readiness checks of the platform are answered."""
+        """Return the answer to the platform's readiness checks."""
         return self.can_serve() and not self.node.drain.out_of_rotation
 
     def may_accept(self) -> bool:
-        """Whether clients may be accepted yet.
+        """Return whether clients may be accepted yet.
 
-        What discovery has counts as received from the process's first moment. A request taken before discovery's first
-        answer would be placed by an outdated list.
+        The dispatcher is held to the list that discovery has from the start of the process on. A request accepted
+        before discovery's first answer would be forwarded according to an outdated list.
         """
         if self.takeover is None:
             return self.has_current_list()
         return self.takeover.may_accept(self.can_serve())
 
     def reports_ready(self) -> bool:
-        """What the operators' call answers on readiness."""
+        """Return the readiness that the operators' call reports."""
         if not (self.can_serve() and self.node.accepting):
             return False
         return self.takeover is None or self.takeover.reports_ready()
 
     def reload(self) -> str:
-        """Put the next configuration in force; returns, for the log, what came of it."""
+        """Read the configuration again and apply it. Returns a description of the result for the log."""
         before = self.config
         fresh = self.read_anew(before)
         deployment = fresh.deployment
@@ -122,10 +123,10 @@
 
 
 def _schedule(config: Config) -> CallSchedule:
-    """The schedule of the calls to discovery.
+    """Return the schedule of the calls to discovery.
 
-    The seed is this start's own: drawn from a seed that all dispatchers share, the calls that it spreads would be in
-    step.
+    Its seed comes from `Config.seed`, which differs at each start: with a seed that all dispatchers share, the calls
+    that the schedule is to spread would coincide.
     """
     deployment = config.deployment
     return CallSchedule(
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery: polls for the whole endpoint list, then watches for changes to it."""
+"""The client of the discovery service: polls for the complete endpoint list, then watches for changes to it."""
 
 from __future__ import annotations
 
@@ -24,24 +24,25 @@
 
 PATH = "/v1/endpoints"
 
-# The ways in which a call may fail; any other exception is a fault of this program and is logged with its traceback.
+# What a failed call may raise. Any other exception is a bug in this program and is logged with its traceback.
 EXPECTED_ERRORS = (OSError, TimeoutError, ValueError, KeyError, TypeError, ConnectError)
 
-UpdateCallback = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]  # (is it the whole list, ..)
+UpdateCallback = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]  # (complete, endpoints, addresses)
 
 
 @dataclass(frozen=True)
 class OpenCall:
-    """A call that is out, and when it began, in microseconds of the process's clock."""
+    """An unanswered call and when it began, in microseconds of the process's clock."""
 
     task: asyncio.Task[None]
     began: int
 
 
 class Watch:
-    """Keeps the endpoint list of one dispatcher up to date, for as long as the process lives.
+    """Keeps the endpoint list of one dispatcher up to date.
 
-    `known`: a list in discovery's form that the dispatcher starts with. `on_update` gets each list and each change.
+    `known`: the endpoint list at the start, in the form of discovery's answers. `on_update` is called with each list
+    and each change.
     """
 
     def __init__(
@@ -58,27 +59,27 @@
         self.deployment = deployment
         self.on_update = on_update
         self.schedule = schedule
-        self.has_answered = False  # discovery has answered since the start
+        self.has_answered = False  # whether discovery has answered since the start
         self.revision = 0
-        self.endpoints: dict[int, Endpoint] = {}  # as last listed
+        self.endpoints: dict[int, Endpoint] = {}  # by replica, as last listed
         if known.get("targets"):
             self.apply(known)
-        # Whether there is a list to which the changes that come next apply. Where all poll one service, dozens of whole
-        # lists would keep it busy for seconds, in which no dispatcher learns anything; changes since the known list
-        # cost a line or two.
+        # Whether there is a list that the next changes apply to. At a service that all dispatchers share, the known
+        # list is such a list: dozens of complete lists would keep the service busy for seconds, in which no dispatcher
+        # gets an update, while the changes since the known list take a line or two each.
         self._has_list = bool(known.get("targets")) and schedule.shared
-        self._calls: list[OpenCall] = []  # the oldest first
-        self._next_call: TimerKey | None = None  # the timer of the next one, whatever becomes of the open ones
-        self._last_call_at = pool.deadlines.clock()  # when the last one went out, or since when one is awaited
+        self._calls: list[OpenCall] = []  # oldest first
+        self._next_call: TimerKey | None = None  # the timer of the next call, whatever happens to the open ones
+        self._last_call_at = pool.deadlines.clock()  # when the last call was sent; at first, when the watch was created
         self._failing_since = 0
-        self._failure = ""  # the last failure since the last answer
+        self._failure = ""  # the last failure since the last answer; empty if there is none
 
     def start(self) -> None:
         """Schedule the first call."""
         self._call_after(self.schedule.first_call_delay())
 
     def stop(self) -> None:
-        """End all calls with their connections: an answer to the old watch would be taken for the new one's."""
+        """Cancel all calls with their connections: a late answer would be taken for the answer to a later call."""
         self.pool.deadlines.cancel(self._next_call)
         calls = self._calls
         self._calls = []
@@ -87,26 +88,26 @@
                 open_call.task.cancel()
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere now. Its revisions may be counted otherwise, so the whole list is requested."""
+        """Switch to discovery at another address. Its revisions may differ, so the complete list is requested."""
         self.stop()
         self.pool.drop_idle(self.address)
         self.address = address
         self._has_list = False
-        # A reload reaches the whole fleet at once, and so would the calls for whole lists: they are spread.
+        # A reload reaches the whole fleet at once, so the calls for complete lists are spread over time.
         self._call_after(self.schedule.delay_after_move(self.pool.deadlines.clock() - self._last_call_at))
 
     def apply(self, answer: Mapping[str, Any]) -> None:
-        """Put a list or a change in force.
+        """Apply a list or a change.
 
-        KeyError, TypeError or ValueError: it is neither, and nothing of it is taken.
+        Raises KeyError, TypeError or ValueError if the answer is neither. Then no part of it is applied.
         """
         revision = int(answer["rev"])
         whole = bool(answer["all"])
         endpoints, addresses = parse_endpoints(answer["targets"], self.deployment, self.endpoints)
         if revision < self.revision and not whole:
-            # A discovery that counts anew would get requests for changes after a revision that it reaches in days.
+            # Discovery has restarted its count. It would reach the revision that a watch names only after days.
             self._has_list = False
-            raise ValueError(f"version {revision} after {self.revision}")
+            raise ValueError(f"revision {revision} is older than the current revision {self.revision}")
         self.revision = revision
         if not endpoints and not whole:
             return
@@ -126,7 +127,7 @@
             self._call()
 
     def _call(self) -> None:
-        """Begin one more call. Discovery may stay silent: what was known then stays in force."""
+        """Begin one more call. If discovery does not answer, the current list stays in force."""
         self.pool.deadlines.cancel(self._next_call)
         if len(self._calls) >= self.schedule.max_concurrent_calls:
             self._end_one_call()
@@ -139,32 +140,32 @@
             )
 
     def _end_one_call(self) -> None:
-        """End the open call that the next one replaces."""
+        """Cancel the open call that the next one replaces."""
         begun = [open_call.began for open_call in self._calls]
         index = self.schedule.call_to_replace(self.pool.deadlines.clock(), begun)
         self._calls.pop(index).task.cancel()
 
     def _on_silence(self, elapsed: int) -> None:
-        """The last call is unanswered for so long: another one goes out beside it."""
+        """Send another call beside the last one, which has been unanswered for `elapsed` microseconds."""
         if not self.schedule.failures:
             self._record_failure(f"anything: silent for {elapsed // 1000} ms")
             self.schedule.delay_after_failure(elapsed)
         self._call()
 
     async def _poll(self, wait: int) -> None:
-        """Make one call, and schedule the one that follows it."""
+        """Make one call and schedule the next one."""
         target = f"{PATH}?after={self.revision}&wait_ms={max(1, wait // 1000)}" if self._has_list else PATH
         task = asyncio.current_task()
         clock = self.pool.deadlines.clock
         revision = self.revision
-        # Not set sooner: a move in the same moment ends a call before it has begun.
+        # Set here and not when the task is created: `move` may cancel the task before it runs.
         began = self._last_call_at = clock()
         try:
             await self._fetch(target, wait)
         except Exception as e:
-            # Whatever a body makes the parser do, the calls have to go on: nothing else would make the next one.
+            # The next call has to be scheduled whatever the parser raises: no other code would schedule it.
             if not isinstance(e, EXPECTED_ERRORS):
-                logger.opt(exception=e).error("discovery: an answer to {target} could not be read", target=target)
+                logger.opt(exception=e).error("discovery: an answer to {target} could not be parsed", target=target)
             still_open = [open_call for open_call in self._calls if open_call.task is not task]
             if len(still_open) < len(self._calls):
                 self._calls = still_open
@@ -179,7 +180,7 @@
         self._call_after(self.schedule.delay_after_answer(early))
 
     async def _fetch(self, target: str, wait: int) -> None:
-        """Call discovery and apply its answer; what it raises beside `EXPECTED_ERRORS` is unexpected."""
+        """Call discovery and apply its answer. Raises one of `EXPECTED_ERRORS` if the call fails."""
         status, body = await call(
             self.pool,
             self.address,
@@ -188,11 +189,11 @@
             purpose=ConnectionPurpose.DISCOVERY,
         )
         if status != 200:
-            raise ValueError(f"status {status}")
+            raise ValueError(f"discovery answered with status {status}")
         self.apply(json.loads(body))
 
     def _record_failure(self, failure: str) -> None:
-        """Log a failure, the same one in a row once: at a dozen calls a second its lines would fill the log."""
+        """Log a failure unless it repeats the last one: at a dozen calls a second the lines would fill the log."""
         if not self._failure:
             self._failing_since = self.pool.deadlines.clock()
         if failure != self._failure:
--- a/pearhill/platform/endpoint_list.py
+++ b/pearhill/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints in an answer of discovery, read into the records of the routing."""
+"""Parses the endpoints in discovery's answers into the records of the routing package."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
 ENDING_STATES = ("leaving", "left")
-INVALID_TARGET = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # what a senseless target raises
+INVALID_TARGET = (KeyError, ValueError, TypeError, AttributeError, OverflowError)  # raised by an invalid target
 
 
 def parse_endpoints(
@@ -25,9 +25,9 @@
     deployment: Deployment,
     known: Mapping[int, Endpoint] = MappingProxyType({}),
 ) -> tuple[tuple[Endpoint, ...], dict[int, Address]]:
-    """The endpoints of an answer, and their addresses by replica. `known`: the last list.
+    """Return the endpoints of an answer, and their addresses by replica. `known`: the last list.
 
-    A target that makes no sense is left out: the others still count.
+    An invalid target is left out and logged; the others are still used.
     """
     endpoints: list[Endpoint] = []
     addresses: dict[int, Address] = {}
@@ -62,9 +62,10 @@
 
 
 def _ending_endpoint(target: Any, known: Mapping[int, Endpoint]) -> Endpoint | None:
-    """What is certain even of an invalid target: that a known replica drains or has gone.
+    """Return the last known endpoint with its new phase, if an invalid target says that it is draining or unlisted.
 
-    Without it a replica whose change of state is left out would go on getting requests.
+    Returns None otherwise. Without this the replica would still receive requests, since its change of state would be
+    left out.
     """
     last = known.get(replica_id(str(target.get("uid")))) if isinstance(target, Mapping) else None
     if last is None or target.get("state") not in ENDING_STATES:
@@ -73,9 +74,10 @@
 
 
 def _index(value: Any, names: tuple[str, ...], bound: int) -> int:
-    """The position of a name among the settings' names; else the one that it carries: "b" and "m1" are the second.
+    """Return the position of a name among the settings' names, or else the one that the name states.
 
-    ValueError: it is below 0, or not below `bound`.
+    A letter or a number states a position from 0 on: "b" and "m1" are the second. Raises ValueError unless the position
+    is at least 0 and below `bound`.
     """
     text = str(value)
     if text in names:
@@ -93,10 +95,10 @@
 
 
 def _log_invalid(invalid: list[tuple[Exception, Any]], total: int) -> None:
-    """One line for all of them: a line for each of a thousand would fill the log."""
+    """Log all invalid targets in one line: a line for each of a thousand would fill the log."""
     error, target = invalid[0]
     logger.warning(
-        "discovery: {count} targets of {all} are left out, the first: {error}: {target}",
+        "discovery: {count} of {all} targets are invalid and left out, the first: {error}: {target}",
         count=len(invalid),
         all=total,
         error=repr(error),
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -1,4 +1,4 @@
-"""The platform's front end: requests of its clients in, the core's answers out."""
+"""The platform's front end: parses the requests of its clients and writes the core's answers to them."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What a replica gets of the request, unchanged."""
+    """The parts of a request that are forwarded to a replica unchanged."""
 
     id: str
     method: str
     target: str
     body: bytes
     content_type: str
-    idempotency_key: str = ""  # by it the replicas discard a repeat
+    idempotency_key: str = ""  # replicas discard a repeated request with the same key
 
 
 def retry_after_headers(delay: int) -> Headers:
-    """Retry-After for a delay in microseconds; none where there is no delay."""
+    """Return a Retry-After header for a delay in microseconds, or no header if the delay is 0."""
     return (("Retry-After", f"{delay / 1e6:.3f}"),) if delay > 0 else ()
 
 
 class PlatformClient:
-    """The core's view of one client of the platform. `on_end` is called when its request is over."""
+    """The core's interface to one client of the platform. `on_end` is called when its request has ended."""
 
     def __init__(self, dispatcher: Dispatcher, reply: Reply, on_end: Callable[[], None]) -> None:
         self.dispatcher = dispatcher
@@ -50,12 +50,12 @@
         self.started = False
 
     def _end(self) -> None:
-        """Drop the request: else the two hold each other, and the body, until the garbage collector runs."""
+        """Drop the request, which refers to this client: both, and the body, would wait for the garbage collector."""
         self.request = None
         self.on_end()
 
     def reject(self, retry_after: int) -> None:
-        """Answer that nothing was executed; `retry_after` is microseconds."""
+        """Answer that nothing was executed. `retry_after` is in microseconds."""
         self._end()
         headers = (*TEXT_HEADERS, *retry_after_headers(retry_after))
         self.reply.answer(503, headers, b"refused: trying again is harmless\n")
@@ -66,32 +66,32 @@
         self.reply.answer(500, TEXT_HEADERS, b"failed\n")
 
     def decline(self, replica_error: Any) -> None:
-        """Fail. The platform's replicas have no such answer; were there one, nothing would be promised."""
+        """Fail the request. The platform's replicas never decline one, and its protocol has no answer for that case."""
         self.fail()
 
     async def forward(self, data: bytes) -> None:
-        """Pass on a piece of the stream; the first one begins the answer."""
+        """Forward a piece of the stream. The first piece begins the answer."""
         if not self.started:
             self.started = True
             self.reply.start(200, EVENT_STREAM_HEADERS)
         await self.reply.write(data)
 
     def finish(self) -> None:
-        """End the answer: it is complete."""
+        """End the complete answer."""
         self._end()
         self.reply.finish()
 
     def abort(self) -> None:
-        """Break the answer off: it is truncated."""
+        """Truncate the answer, so that the client sees it as incomplete."""
         self._end()
         self.reply.abort()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, seen now."""
+        """Check now whether the client has disconnected."""
         return self.reply.has_disconnected()
 
     def handle_disconnect(self) -> None:
-        """The client has disconnected."""
+        """Report the client's disconnect to the core, if its request is open."""
         request = self.request
         self._end()
         if request:
@@ -101,7 +101,7 @@
 class PlatformFront:
     """Answers the platform's calls.
 
-    `is_refused`: whether a request that was read at this time is to be rejected, since the process ends.
+    `is_refused`: whether a request that arrived at this time is rejected because the process is shutting down.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         self._parser = RequestParser(dispatcher.deployment.class_names, dispatcher.deployment.tenant_names)
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Answer a call, or begin a request and return its client. None: it is answered already."""
+        """Answer a call, or begin a request and return its client. Returns None if the call is answered already."""
         path = message.path
         method = message.method
         if path == COMPLETIONS_PATH and method == "POST":
@@ -132,7 +132,7 @@
         return None
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
-        """Headers and body for input that was rejected before it became a request."""
+        """Return the headers and the body of the response to input that could not be parsed as a request."""
         return TEXT_HEADERS, f"{why}\n".encode()
 
     def _answer_unknown(self, path: str, reply: Reply) -> None:
@@ -144,7 +144,7 @@
             reply.answer(404, TEXT_HEADERS, b"no such call\n")
 
     def _begin(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Hand a request to the core. None: it has been answered already."""
+        """Pass a request to the core and return its client. Returns None if the request has been rejected."""
         try:
             spec = self._parser.parse(message)
         except BadRequestError as e:
@@ -161,9 +161,9 @@
         return client
 
     def _rejected(self, spec: RequestSpec, arrived: int | None, reply: Reply) -> bool:
-        """Whether a request may not be begun; it is answered then."""
+        """Reject a request that may not be begun. Returns whether it has been rejected."""
         dispatcher = self.dispatcher
-        if spec.id in self.open_ids:  # a replica could not distinguish two requests of one id
+        if spec.id in self.open_ids:  # a replica could not distinguish two requests with the same id
             dispatcher.counters.rejected += 1
             reply.reject(409, TEXT_HEADERS, b"a request with this Request-Id is open\n")
             return True
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -1,4 +1,4 @@
-"""The dialect of the platform's replicas: the requests to them, and their load reports and streams."""
+"""The protocol of the platform's replicas: the requests to them, their load reports and their streams."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from pearhill.routing.events import ReportedLoad
 
 HOST = "app.svc"
-USAGE_TAIL_BYTES = 512  # at the end of a stream, in which its usage stands
-STATUSES_WITH_LOAD = (200, 503)  # a replica that is not ready reports its load all the same
+USAGE_TAIL_BYTES = 512  # at the end of a stream, which contain its usage
+STATUSES_WITH_LOAD = (200, 503)  # a replica that is not ready (503) still reports its load
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
 _CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
 def parse_load_report(report: str) -> ReportedLoad | None:
-    """The replica's load, out of the text of its report.
+    """Parse the text of a replica's load report.
 
-    None: the text lacks one of them, is torn, or repeats a value, and may be wrong throughout.
+    Returns None if the text lacks a required value, is malformed, or repeats a value: then none of it can be trusted.
     """
     values: dict[str, float] = {}
     for part in report.strip().split(","):
@@ -35,7 +35,7 @@
 
 
 class ReplicaStream:
-    """One stream. Its events are passed on as they come, byte for byte; only the usage near its end is read."""
+    """Reads one stream. Its events are forwarded byte for byte; only the usage near its end is parsed."""
 
     def __init__(self) -> None:
         self._tail = b""
@@ -43,19 +43,22 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Prompt tokens that the replica found cached, as far as the stream has reported."""
+        """Return the number of cached prompt tokens that the stream has reported so far."""
         found = _CACHED_TOKENS.findall(self._tail)
         return int(found[-1]) if found else 0
 
     @property
     def complete(self) -> bool:
-        """Whether nothing is missing: the platform's streams are complete with their last chunk, and not before."""
+        """Return whether the events show that the stream is complete.
+
+        Always false: a stream of the platform is complete only with its last chunk.
+        """
         return False
 
     def feed(self, data: bytes) -> bytes:
-        """The complete events to pass on now: a stream may break off in the middle of one.
+        """Return the events that `data` completes, to be forwarded now. A partial event is kept until it is complete.
 
-        MalformedResponseError: these are no events.
+        Raises MalformedResponseError if the bytes are not valid events.
         """
         try:
             ready = b"".join(event.raw for event in self._parser.feed(data))
@@ -65,45 +68,45 @@
         return ready
 
     def may_end(self) -> bool:
-        """Whether the last chunk may come here."""
+        """Return whether the stream may end here."""
         return self._parser.between_events
 
 
 class ReplicaDialect:
-    """What is written to the platform's replicas, and what their answers mean."""
+    """Writes the requests to the platform's replicas and interprets their answers."""
 
     def request(self, payload: Payload, replica: int, remaining_ms: int) -> bytes:
-        """The request of one attempt; `remaining_ms` is the time that is left to it."""
+        """Return the request of one attempt. `remaining_ms`: the time left for it."""
         headers = [
             ("Request-Id", payload.id),
             ("Request-Timeout-Ms", str(remaining_ms)),
             ("Content-Type", payload.content_type),
         ]
-        if payload.idempotency_key:  # without it a repeat of an idempotent request would run twice
+        if payload.idempotency_key:  # without the key a replica would execute a repeated request twice
             headers.append(("Idempotency-Key", payload.idempotency_key))
         return messages.request(payload.method, payload.target, HOST, headers, payload.body)
 
     def release(self, payload: Payload, replica: int) -> bytes:
-        """The call that releases the state of a request."""
+        """Return the call that releases the held state of a request."""
         return messages.request("DELETE", f"/state/{payload.id}", HOST)
 
     def health_check(self) -> bytes:
-        """The call for a load report."""
+        """Return the call that requests a load report."""
         return messages.request("GET", "/status/load", HOST)
 
     def load(self, status: int, body: bytes) -> ReportedLoad | None:
-        """What a health check reports (see `parse_load_report`). None: nothing that can be used."""
+        """Return the load that a health check reports (see `parse_load_report`), or None if the answer has none."""
         if status not in STATUSES_WITH_LOAD:
             return None
         return parse_load_report(body.decode("latin-1"))
 
     def stream(self, payload: Payload) -> ReplicaStream:
-        """A reader for the stream that answers this request."""
+        """Return a reader for the stream that answers this request."""
         return ReplicaStream()
 
     def is_stream(self, headers: Mapping[str, str]) -> bool:
-        """Whether the body of a 200 with these headers is a stream: the platform's always is."""
+        """Return whether the body of a 200 with these headers is a stream. The platform's always is."""
         return True
 
     def verdict(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
-        """What another status means: nothing beyond the protocol's own rules."""
+        """Interpret another status. Returns None: the platform has no rules beyond those of the protocol."""
--- a/pearhill/platform/request_parser.py
+++ b/pearhill/platform/request_parser.py
@@ -1,4 +1,4 @@
-"""Reads the platform's request headers and body into the facts that the core needs of a request."""
+"""Parses the platform's request headers and body into the `RequestSpec` that the core uses."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from pearhill.core.request import RequestSpec
 from pearhill.http1.messages import RequestMessage
 
-NETWORK_ALLOWANCE_US = 10_000  # kept back from the client's time, for the way here and back
+NETWORK_ALLOWANCE_US = 10_000  # subtracted from the client's timeout, for the network transfer in both directions
 MAX_TIMEOUT_US = 600_000_000
-MAX_HEX_KEY_DIGITS = 16  # of an affinity key that is a 64-bit number already
+MAX_HEX_KEY_DIGITS = 16  # of an affinity key that is a 64-bit number in hexadecimal
 KEY_BYTES = 8
-BYTES_PER_TOKEN = 4  # estimates a prompt's length where the client does not send it
+BYTES_PER_TOKEN = 4  # estimates the length of a prompt if the client does not state it
 REQUIRED_HEADERS = ("Request-Id", "Request-Class", "Request-Timeout-Ms")
 _REQUEST_ID = re.compile(r"[\x21-\x7e]{1,128}")
 
 
 class BadRequestError(Exception):
-    """A request that cannot be read; the text is for its client."""
+    """Raised for an invalid request. The text is sent to the client."""
 
 
 def affinity_key(text: str) -> int:
-    """A conversation or prompt prefix as a number, the same at every dispatcher; 0 where there is none."""
+    """Hash the key of a conversation or prompt prefix to a number, the same at every dispatcher.
+
+    Returns 0 if the key is empty. A short hexadecimal key is used as the number that it states.
+    """
     if not text:
         return 0
     if len(text) <= MAX_HEX_KEY_DIGITS and re.fullmatch(r"[0-9a-fA-F]+", text):
@@ -33,14 +36,14 @@
 
 
 class RequestParser:
-    """Reads requests by the names of classes and tenants in the settings."""
+    """Parses requests. The names of classes and tenants are those in the settings."""
 
     def __init__(self, class_names: Sequence[str], tenant_names: Sequence[str]) -> None:
         self._classes = {name: k for k, name in enumerate(class_names)}
         self._tenants = {name: k for k, name in enumerate(tenant_names)}
 
     def parse(self, message: RequestMessage) -> RequestSpec:
-        """The request's facts. BadRequestError: the first of its faults."""
+        """Return the specification of a request. Raises BadRequestError for the first fault found."""
         headers = message.headers
         request_id = _request_id(headers)
         request_class = self._classes.get(headers["request-class"])
@@ -68,7 +71,7 @@
 
 
 def _request_id(headers: Mapping[str, str]) -> str:
-    """The request's id, once all headers that a request needs are there."""
+    """Return the request's id. Raises BadRequestError if the id is malformed or a required header is missing."""
     for name in REQUIRED_HEADERS:
         if not headers.get(name.lower()):
             raise BadRequestError(f"{name} is missing")
@@ -79,7 +82,7 @@
 
 
 def _timeout(headers: Mapping[str, str]) -> int:
-    """The client's time in microseconds."""
+    """Return the client's timeout in microseconds."""
     timeout = _number("Request-Timeout-Ms", headers["request-timeout-ms"]) * 1000
     if not 0 < timeout <= MAX_TIMEOUT_US:
         raise BadRequestError("Request-Timeout-Ms is out of range")
@@ -96,7 +99,7 @@
 
 
 def _request_info(text: str) -> dict[str, str]:
-    """The pairs of Request-Info: `name=value`, separated by commas; empty parts do not count."""
+    """Parse Request-Info: pairs `name=value`, separated by commas. Empty parts are ignored."""
     info: dict[str, str] = {}
     for part in text.split(","):
         stripped = part.strip()
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""The client's side of a connection: whatever the server sends, one answer's pieces and its end."""
+"""The client side of a connection turns whatever the server sends into the pieces and the end of one response."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def connection() -> ClientConnection:
-    """One before the answer to its first request."""
+    """A connection that expects the response to its first request."""
     connection = ClientConnection()
     connection.expect()
     return connection
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""The server's side of a connection: whatever the reads, complete requests or one rejection."""
+"""The server side of a connection reports complete requests or one rejection, however the input is split into reads."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 
 def test_rejected_input_is_released_at_once() -> None:
-    """The connection lives on; it must not keep its callers' frames alive."""
+    """The connection object outlives the call and must not keep its callers' frames alive."""
     connection = ServerConnection()
 
     class Buffer:
@@ -114,7 +114,7 @@
 def test_nothing_is_kept_of_a_request_that_was_passed_on() -> None:
     connection = ServerConnection()
     (request,) = connection.feed(REQUEST)
-    assert sys.getrefcount(request) == 2  # this name and the call's own: its body goes with its answer
+    assert sys.getrefcount(request) == 2  # this name and the call's argument; the body is freed with the response
 
 
 def server_after_a_request() -> ServerConnection:
--- a/tests/http1/test_sse.py
+++ b/tests/http1/test_sse.py
@@ -1,4 +1,4 @@
-"""Event streams: whatever the reads, and whichever way through the parser, the same events come out."""
+"""The parser returns the same events however the input is split into reads, and on its fast and its general path."""
 
 from collections.abc import Iterable
 
@@ -23,7 +23,7 @@
         b"nonsense",
     ]
 )
-EncodedEvents = list[tuple[list[bytes], bytes]]  # lines, and how they end
+EncodedEvents = list[tuple[list[bytes], bytes]]  # lines and their line ending
 EVENTS = st.lists(st.tuples(st.lists(LINES, max_size=3), st.sampled_from([b"\n", b"\r\n", b"\r"])), max_size=8)
 
 
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -1,5 +1,7 @@
-"""The wall clock is stepped while the program runs, or between the starts of two processes. Replicas' starts are
-reported in its time. The program runs under the soak's shim, which steps it."""
+"""The wall clock is stepped while the program runs, or between the starts of two processes.
+
+Discovery reports the start times of replicas in wall-clock time. The program runs under the soak test's shim, which
+steps its clock."""
 
 import functools
 import json
@@ -24,13 +26,13 @@
 
 
 class Shimmed(Program):
-    """The program under the shim, which takes its commands from a pipe."""
+    """The program under the shim, which reads commands from a pipe."""
 
     LAUNCH = ("-m", "pearhill.lab.soak.shim")
 
 
 class Timed(Discovery):
-    """Lists replicas with their last starts, in Unix milliseconds."""
+    """Lists replicas with the times of their last starts, in Unix milliseconds."""
 
     def __init__(self, *targets: tuple[str, str, str]) -> None:
         self.boot_ms: dict[str, int] = {}
@@ -44,7 +46,7 @@
 
 
 def start(folder: Any, discovery: Discovery, monkeypatch: pytest.MonkeyPatch) -> tuple[Program, Any]:
-    """The program, and what sends a command to its shim."""
+    """Return the program and a function that sends a command to its shim."""
     read_end, write_end = os.pipe()
     monkeypatch.setattr("subprocess.Popen", _with_stdin(read_end))
     path = folder / "config.json"
@@ -62,7 +64,7 @@
 def test_a_replica_that_restarts_after_the_clock_was_set_back_is_started_slowly(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, step_s: int
 ) -> None:
-    """Its start lies before the last one, by the new clock: taken for the old one, it would get its whole share."""
+    """By the new clock its start is earlier than the last one. Taken for the last one, it would get no slow start."""
     warm, cold, go = Standin(), Standin(), threading.Event()
     discovery = Timed(("s-0", warm.address, "all-in-one"), ("s-1", cold.address, "all-in-one"))
     discovery.boot_ms = {"s-1": int((time.time() - 15) * 1000)}
@@ -85,7 +87,7 @@
             clients.append(connection)
         while warm.runs + cold.runs + program.counters()["refused"] < ASKED:
             assert time.monotonic() < end, (warm.runs, cold.runs, program.counters())
-        # 0.28 of its capacity, of which this dispatcher's bucket holds one request at a time.
+        # At 0.28 of its capacity this dispatcher's bucket for the replica holds one request at a time.
         assert cold.runs <= 3 < warm.runs, (warm.runs, cold.runs)
     finally:
         go.set()
@@ -122,9 +124,9 @@
 
 class TakeoverOnAFullDisk(TakeoverCase):
     def test_a_successor_whose_message_nobody_can_read_leaves_its_predecessor_the_time(self) -> None:
-        """The predecessor cannot know of it, and would be ended while it still accepts clients.
+        """The predecessor cannot read the message, and would be terminated while it still accepts clients.
 
-        In the end the successor reports ready."""
+        So the successor reports ready only after the time in which a predecessor normally yields."""
         old = self.start_process()
         old.wait_ready()
         began = time.monotonic()
--- a/tests/platform/test_cut_answers.py
+++ b/tests/platform/test_cut_answers.py
@@ -1,4 +1,4 @@
-"""What the log has of a truncated answer: its request, which side ended it, and what was still under way."""
+"""The log of a truncated answer names its request, the side that ended it and what was still in flight."""
 
 import threading
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def half_an_answer(end: threading.Event) -> Standin:
-    """A server that writes one event and closes its connection at `end`."""
+    """Return a replica that writes one event and closes its connection when `end` is set."""
     server = Standin()
 
     def respond(handler: Any, body: bytes) -> None:
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -1,4 +1,4 @@
-"""The platform's front, replicas and discovery, over real sockets."""
+"""The platform's front end, replicas and discovery, over real sockets."""
 
 import contextlib
 import functools
@@ -83,7 +83,7 @@
         assert (counters["taken"], counters["sent"], counters["served"]) == (1, 2, 1)
 
     def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self) -> None:
-        """The replicas discard repeats by it; who has none sends none on."""
+        """Replicas discard repeated requests by the key. A request without a key is forwarded without one."""
         keyed = [{**SETTINGS["classes"][0], "effect": "idempotency_key", "group": "all", "window": 5_000_000}]
         servers = self.start("all-in-one", "all-in-one", settings={**SETTINGS, "classes": keyed})
         for server in servers:
@@ -159,7 +159,7 @@
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("c3"))
         reader.wait_for("POST")
-        connection.close()  # the client leaves
+        connection.close()  # the client disconnects
         reader.wait_for("DELETE", "/state/c3")
         assert self.program.counters()["left"] == 1
 
@@ -235,7 +235,7 @@
 
 class TestLimits(PlatformCase):
     def idle(self, count: int) -> list[socket.socket]:
-        """So many clients that connect and say nothing."""
+        """Return this many clients that connect and send nothing."""
         made = [socket.create_connection((self.program.host, self.program.port), 20) for _ in range(count)]
         for client in made:
             self.cleanup.callback(client.close)
@@ -247,12 +247,12 @@
         used.request("GET", "/ready")
         used.getresponse().read()
         half, first = self.idle(2)
-        half.sendall(b"GET / HT")  # its rest may be on its way: it is read, and closed over it would be lost
+        half.sendall(b"GET / HT")  # the rest may be in flight, and would be lost if the connection were closed
         self.idle(20)
         assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
         assert first.recv(1) == b""
         assert half.recv(12) == b"HTTP/1.1 408"
-        used.request("GET", "/ready")  # it has been of use: others make room first
+        used.request("GET", "/ready")  # it has carried a request: connections without one are closed first
         assert used.getresponse().status == 200
         self.program.wait_line("side=client .* reason=room-needed")
 
@@ -261,7 +261,7 @@
         large = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
 
         def resident(asked: int) -> int:
-            """MB held after so many requests, each on a connection of its own that stays a while."""
+            """Return the resident MB after so many requests, each on its own connection; every other one stays open."""
             stay = [self.program.connect() for _ in range(asked)]
             for n, connection in enumerate(stay):
                 connection.request("POST", PATH, large, headers(f"{asked}-{n}"))
@@ -271,7 +271,7 @@
                 return int(file.read().split()[1]) * resource.getpagesize() >> 20
 
         before = resident(40)
-        assert resident(160) - before < 8  # their bodies alone are 24
+        assert resident(160) - before < 8  # the request bodies alone are 24 MB
 
     def test_out_of_descriptors_accepting_pauses_and_goes_on(self) -> None:
         self.start("all-in-one", files=24)
@@ -284,14 +284,14 @@
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def raw(self, *parts: bytes) -> Any:
-        """A server's answer to a POST, byte by byte as the test says; its connection stays open."""
+        """Return a responder that writes exactly these bytes as the answer to a POST and keeps the connection open."""
 
         def respond(handler: StandinHandler, body: bytes) -> None:
             try:
                 for part in parts:
                     handler.wfile.write(part)
                 handler.wfile.flush()
-                handler.rfile.read(1)  # the dispatcher's end of it
+                handler.rfile.read(1)  # until the dispatcher closes the connection
             except OSError:
                 pass
             handler.close_connection = True
@@ -328,7 +328,7 @@
         assert server.runs == 3
 
     def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self) -> None:
-        """Of two answers neither can be believed; the one may be another request's."""
+        """If two answers arrive, neither can be trusted: one may belong to another request."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = self.raw(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + self.HEAD)
@@ -353,7 +353,7 @@
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("open"))
         response = connection.getresponse()
-        self.program.reload(platform_file(other.address))  # its environment still names the old one
+        self.program.reload(platform_file(other.address))  # RELAY_DISCOVERY still names the old discovery
         other.wait_for("GET", "/v1/endpoints?")
         assert other.calls[0] == ("GET", "/v1/endpoints")
         assert self.program.ask("POST", PATH, BODY, headers("next"))[0] == 200
@@ -406,7 +406,7 @@
         (entry,), addresses = parse_endpoints([self.TARGET], deployment)
         assert entry == Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000)
         assert addresses == {entry.replica: ("127.0.0.1", 8080)}
-        # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
+        # The program's clock shows Unix time, so a start time of just now is neither in the future nor long past.
         assert abs(start_clock()() - time.time() * 1e6) < 60e6
 
     def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self) -> None:
@@ -425,7 +425,7 @@
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
                 assert parse_endpoints([target], deployment, known)[0] == (replace(entry, phase=phase),)
-                assert parse_endpoints([target], deployment)[0] == ()  # not listed before: nothing to end
+                assert parse_endpoints([target], deployment)[0] == ()  # not listed before, so there is nothing to drain
 
 
 class TestEnding(PlatformCase):
@@ -451,7 +451,7 @@
         self.program.wait_line(r'counters .*"served": 1')
 
     def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self) -> None:
-        """Else a prefill replica that is cut off holds useless state past its time. Its client is answered at once."""
+        """Otherwise an unreachable prefill replica holds useless state too long. The client is answered at once."""
         reader, writer = self.start("reader", "writer")
         released, closed, held = threading.Event(), threading.Event(), list[socket.socket]()
 
@@ -482,7 +482,7 @@
                 held[-1].recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             released.set()
             assert closed.wait(20)
-            reader.wait_for("DELETE", count=deletes + 2)  # sent before, it releases nothing that an attempt waits for
+            reader.wait_for("DELETE", count=deletes + 2)  # one sent earlier releases no state that an attempt waits for
 
     def test_an_idle_connection_that_the_replica_closed_is_not_used_again(self) -> None:
         (server,) = self.start("all-in-one")
@@ -516,10 +516,10 @@
         assert len(json.dumps(self.discovery.answer(), indent=4)) > 256 * 1024
         calls = len(self.discovery.calls)
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 3)
-        assert self.program.counters()["lists"] < 20  # though none of its calls may wait there
+        assert self.program.counters()["lists"] < 20  # although the agent answers every call at once
 
     def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self) -> None:
-        """The first replica's connections come up late: its queue of them is full until the list has taken it away."""
+        """The first replica's accept queue is full until it is no longer listed, so connections to it open late."""
         second = Standin()
         self.cleanup.callback(second.close)
         with socket.socket() as late, socket.socket() as before:
@@ -538,19 +538,19 @@
                 self.discovery.update(*self.discovery.targets, ("s-1", second.address, "all-in-one"))
                 self.discovery.wait_for("GET", f"/v1/endpoints?after={known + 1}")
                 late.settimeout(20)
-                with late.accept()[0]:  # room: from here on its connection comes up at the next try
+                with late.accept()[0]:  # this frees a place in the queue: the connection opens at the next try
                     status, _, body = asked.result(20)
         assert (status, body) == (200, b"".join(TOKENS) + LAST)
         counters = self.program.counters()
         assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
     def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self) -> None:
-        """Its calls hang for good, those on new connections too for a while; then one is answered."""
+        """The open calls never end, and neither do calls on new connections for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
         silent, whole = threading.Event(), self.discovery.respond
         silent.set()
         self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else whole(h, b)
-        self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the watch that is open
+        self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the open watch
         calls = len(self.discovery.calls)
         self.program.wait_line("discovery: no answer to anything: silent")
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 10)
@@ -561,7 +561,7 @@
         self.discovery.wait_for("GET", "/v1/endpoints?after=3")
         assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
         assert (first.runs, second.runs) == (1, 0)
-        assert len(self.discovery.calls) - known < 20  # watches again, and not a call every few milliseconds
+        assert len(self.discovery.calls) - known < 20  # it watches again instead of polling every few milliseconds
 
     def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self) -> None:
         gone, server = Standin(), Standin()
@@ -587,7 +587,7 @@
         with ThreadPoolExecutor() as pool:
             program = pool.submit(Program, RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
             status = 0
-            while not status:  # as clients do that come again at once
+            while not status:  # like clients that retry at once
                 try:
                     connection = http.client.HTTPConnection(address, timeout=20)
                     connection.request("POST", PATH, BODY, headers())
--- a/tests/platform/test_failing_calls.py
+++ b/tests/platform/test_failing_calls.py
@@ -1,4 +1,6 @@
-"""Reads and writes that fail for want of memory, or by a signal, end no connection: the real program under the shim."""
+"""Reads and writes that fail for lack of memory or are interrupted by a signal end no connection.
+
+The real program runs under the shim, which injects the failures."""
 
 import pathlib
 import time
@@ -12,8 +14,8 @@
 
 __all__ = ["day"]
 ROUNDS = 30
-PAUSES = 25  # failed accepts, one each 20 ms
-ALLOWED_EXCESS_MS = 150  # a replica may be given so much more time than its client has left
+PAUSES = 25  # failed accepts, one every 20 ms
+ALLOWED_EXCESS_MS = 150  # a replica may be given this much more time than its client has left
 
 
 @pytest.mark.parametrize(
@@ -45,7 +47,7 @@
 def test_a_request_that_waited_in_the_accept_queue_has_only_the_rest_of_its_time(
     day: Day, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No connection could be accepted meanwhile; its request was there all the while."""
+    """While no connection can be accepted, its request has already been received by the system."""
     server, timeout_ms = Standin(), 5000
     day.discovery = Discovery(("s-0", server.address, "all-in-one"))
     day.things += [day.discovery, server]
@@ -57,7 +59,7 @@
         return sum("accepting pauses" in line for line in lines)
 
     command("fail accept ENFILE 1")
-    while not pauses():  # until the command is in force: whoever comes from here on has to wait
+    while not pauses():  # until the command is in force: later connections have to wait
         day.connect()
         with condition:
             condition.wait_for(pauses, 0.02)
--- a/tests/platform/test_held_states.py
+++ b/tests/platform/test_held_states.py
@@ -1,4 +1,4 @@
-"""State on a prefill replica is released in time, though the fetch never arrives, or its end arrives late."""
+"""Held state on a prefill replica is released in time if the fetch never arrives, or if its end arrives late."""
 
 import threading
 from typing import Any
@@ -14,8 +14,8 @@
 
 
 def test_a_state_is_released_in_time_though_the_fetch_on_an_open_connection_never_arrives(day: Day) -> None:  # noqa: F811
-    """The decode replica's connection has fallen silent, with no error: what was written there is not out. A release
-    while it is out changes nothing, so it is sent long before the attempt times out."""
+    """The decode replica's connection stops responding without an error, so the fetch written to it is never executed.
+    A release does no harm while a fetch is in progress, so it is sent long before the attempt times out."""
     prefill, decode, over = Standin(), Standin(), threading.Event()
     outcomes: list[dict[str, int]] = []
     released = threading.Event()
@@ -28,7 +28,7 @@
 
     prefill.respond = read
     decode.respond = lambda handler, body: (
-        handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if it had got nothing
+        handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if nothing had arrived
     )
     program = day.start((prefill, "reader"), (decode, "writer"))
     client = day.connect()
@@ -40,8 +40,8 @@
 
 
 def test_a_release_is_repeated_after_the_end_of_a_fetch_that_the_decode_replica_sees_late(day: Day) -> None:  # noqa: F811
-    """The release overtakes the close of the fetch, and releases nothing while the decode replica waits for the state:
-    one has to come after that."""
+    """A release that overtakes the close of the fetch releases nothing while the decode replica waits for the state, so
+    another one must follow the close."""
     prefill, decode = Standin(), Standin()
     deletes = threading.Semaphore(0)
 
@@ -61,6 +61,6 @@
     client.sendall(request("h2", "advice", 4000))
     decode.wait_for("POST")
     client.close()
-    for _ in range(2):  # one shows that the prefill can be reached, one follows the close at once
+    for _ in range(2):  # one shows that the prefill replica is reachable, one follows the close at once
         assert deletes.acquire(timeout=20)
     assert deletes.acquire(timeout=20), "no release came once the decode had seen the end of the fetch"
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -1,5 +1,7 @@
-"""Several real dispatchers, each with an agent of its own, while a list takes away a replica whose connections come up
-late. What is proven is order, not time: a byte on any of its connections has left after the change was in force."""
+"""Several real dispatchers, each with its own agent, while a replica whose connections open late is drained.
+
+The test proves an order and does not depend on time: any byte received by that replica was sent after the change was in
+force."""
 
 import http.client
 import json
@@ -17,10 +19,10 @@
 
 
 class LateReplica:
-    """A replica whose connections come up only from `accept_from_now_on` on.
+    """A replica whose connections open only after `accept_from_now_on`.
 
-    Till then its accept queue is full, and the system's own attempts wait 1 s and more. It counts the bytes that it
-    receives, and answers none."""
+    Until then its accept queue is full, and the system repeats a connection attempt only after 1 s or more. The replica
+    counts the bytes that it receives and answers none."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -31,11 +33,11 @@
         self.sock.listen(0)
         self.first.connect(self.sock.getsockname())
         self.address = "{}:{}".format(*self.sock.getsockname())
-        self.accepted = threading.Semaphore(0)  # dispatchers' connections that are up
+        self.accepted = threading.Semaphore(0)  # open connections of dispatchers
 
     def accept_from_now_on(self) -> None:
         threading.Thread(target=self._accept, daemon=True).start()
-        self.first.sendall(b"!")  # one that is not a dispatcher's, to see that it is up
+        self.first.sendall(b"!")  # the test's own connection, which shows that the replica accepts
         assert self.first.recv(1) == b"!"
 
     def _accept(self) -> None:
@@ -64,7 +66,7 @@
 
 
 def ask(program: Program, id: str) -> tuple[int, bytes]:
-    """A booking; 0 where its dispatcher has died."""
+    """Send a booking. Returns the status and the body; the status is 0 if the dispatcher was killed."""
     try:
         status, _, body = program.ask(
             "POST",
@@ -84,8 +86,9 @@
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
 def test_no_dispatcher_sends_to_a_replica_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int) -> None:
-    """One plainly, one whose agent is silent while the list changes, one that is killed and starts by yesterday's list.
-    Each booking waits for its connection when the list changes, and runs once, elsewhere."""
+    """One dispatcher runs undisturbed, one has an agent that is silent while the list changes, and one is killed and
+    restarted with the outdated list. Each booking waits for its connection when the list changes, and runs once, at
+    another replica."""
     late, good = LateReplica(), Standin()
     agents = [Discovery(("s-0", late.address, "all-in-one")) for _ in range(3)]
     changes: dict[str, Any] = {
@@ -118,7 +121,7 @@
             asked.append(pool.submit(ask, programs[3], "b3"))
             silent.clear()
             for agent in agents:
-                agent.wait_for("GET", "/v1/endpoints?after=2")  # its dispatcher has the change
+                agent.wait_for("GET", "/v1/endpoints?after=2")  # the dispatcher has received the change
             late.accept_from_now_on()
             answers = [a.result(20) for a in asked]
         served = (200, b"".join(TOKENS) + LAST)
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -1,6 +1,7 @@
-"""What is owed at the instant in which something ends or is handed on (docs/design/owed.md), by the real program on
-loopback. Each crossing is forced by the order of events: while the program is stopped (SIGSTOP) the system takes what
-comes, in that order, and all of it waits for the program when it goes on."""
+"""What the program must still do when a client, replica or process ends or is replaced (docs/design/owed.md).
+
+The real program runs on loopback. Each race is forced by the order of events: while the program is stopped (SIGSTOP),
+the system receives input in that order, and all of it is pending when the program continues."""
 
 import http.client
 import json
@@ -34,7 +35,7 @@
 
 
 def answer(sock: socket.socket) -> tuple[int, bytes]:
-    """One answer; (0, b"") where the connection ends without one. The end of a broken body is not taken for one."""
+    """Read one complete answer. Returns (0, b"") if the connection ends without one, or in the middle of its body."""
     response = http.client.HTTPResponse(sock)
     try:
         response.begin()
@@ -44,7 +45,7 @@
 
 
 def stands(sock: socket.socket) -> bool:
-    """Nothing has come on it, not even its end."""
+    """Return whether nothing has arrived on the connection, neither data nor its end."""
     sock.setblocking(False)
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -58,7 +59,7 @@
 
 
 class Stopped:
-    """The program stands still inside: whatever comes waits for it, in the order in which it came."""
+    """Stops the program within the block. Its input stays pending in the order in which it arrived."""
 
     def __init__(self, program: Program) -> None:
         self.pid = program.process.pid
@@ -74,7 +75,7 @@
 
 
 def wait_connecting(late: LateReplica) -> None:
-    """A connection to it has been asked for, by the system's own word, and is not up."""
+    """Wait until /proc/net/tcp shows a connection to the replica that is being opened (SYN_SENT)."""
     _, port = late.sock.getsockname()
     end = time.monotonic() + 20
     while True:
@@ -85,7 +86,7 @@
 
 
 class Day:
-    """One dispatcher, its agent, and the servers that it names; all of it ends with the test."""
+    """One dispatcher, its agent and the replicas that the agent lists. All of them end with the test."""
 
     def __init__(self) -> None:
         self.things: list[Any] = []
@@ -103,7 +104,7 @@
         return sock
 
     def until(self, what: Callable[[dict[str, Any]], Any]) -> None:
-        """The program's own counters say so. Asked on one connection that stays."""
+        """Wait until the program's counters meet a condition. One connection is used for all polls."""
         connection = self.program.connect()
         end = time.monotonic() + 20
         while True:
@@ -145,15 +146,15 @@
 
 
 def test_nothing_is_begun_for_a_client_whose_end_stands_behind_its_request(day: Day) -> None:
-    """The program comes to read the one when the other is there, and has an idle connection to send it on. All that a
-    flood has sent stands between the two."""
+    """When the program reads the request, the end of the connection has already arrived, with up to a flood of further
+    requests between the two. An idle connection to the replica is ready to carry the request."""
     server = Standin()
     program = day.start((server, "all-in-one"))
     before = day.connect()
     for n, (more, end) in enumerate((more, end) for more in (b"", request("p1"), FLOOD, HALF) for end in ENDS):
         before.sendall(request(f"b{n}"))
         assert answer(before) == (200, SERVED)
-        rested = time.monotonic() + 0.1  # its connection may carry another request by then
+        rested = time.monotonic() + 0.1  # the replica connection may carry another request by then
         client = day.connect()
         with Stopped(program):
             client.sendall(request(f"a{n}") + more)
@@ -166,7 +167,7 @@
 
         day.until(has_left)
         assert server.runs == n + 1, (end, more[:200])
-    before.sendall(request("a0"))  # nothing is left of it, not even its name
+    before.sendall(request("a0"))  # no trace of that request is left: its id may be used again
     assert answer(before) == (200, SERVED)
 
 
@@ -174,7 +175,7 @@
 def test_nothing_is_begun_for_a_client_that_has_gone_when_its_connection_to_the_server_comes_up(
     day: Day, end: Callable[[socket.socket], None]
 ) -> None:
-    """That is up first, so that the loop comes to it first."""
+    """The connection to the replica opens before the client disconnects, so the event loop handles it first."""
     late = LateReplica()
     program = day.start((late, "all-in-one"), settings=SLOW_CONNECT)
     client = day.connect()
@@ -189,7 +190,7 @@
 
 
 def test_a_client_that_goes_is_seen_though_it_has_sent_more_than_is_read_of_it(day: Day) -> None:
-    """Its request waits for its answer meanwhile; a flood used to stop the reading of its own end."""
+    """Its request is in flight. A flood of requests behind it used to stop the reading of the connection's end."""
     server = Standin()
     server.respond = lambda handler, body: handler.connection.recv(1)
     program = day.start((server, "all-in-one"))
@@ -203,7 +204,7 @@
 
 
 def test_of_a_flood_on_one_connection_the_first_are_answered_and_then_it_ends(day: Day) -> None:
-    """What is kept of it is bounded; the rest is read and thrown away, so that it hides no end."""
+    """The number of queued requests is bounded. The rest is read and discarded, so that the end is still seen."""
     server = Standin()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
     day.start((server, "all-in-one"))
@@ -216,12 +217,12 @@
 
 
 def test_a_request_on_the_connection_that_just_then_makes_room_is_answered(day: Day) -> None:
-    """It was read off the socket in the very turn in which another came, for whom the longest idle one had to go; and
-    went with it."""
+    """The request was read in the same iteration of the event loop in which another client connected and the longest
+    idle connection was closed for it. The request was lost with that connection."""
     server = Standin()
     program = day.start((server, "all-in-one"), limits={"sockets": 64})
     idle = list[socket.socket]()
-    for n in range(16):  # twice as many as there is room for
+    for n in range(16):  # twice as many as the limit allows
         idle.append(day.connect())
         idle[-1].sendall(request(f"i{n}"))
         assert answer(idle[-1]) == (200, SERVED)
@@ -229,16 +230,17 @@
     with Stopped(program):
         oldest.sendall(request("last"))
         others = [day.connect() for _ in range(2)]
-        for n, other in enumerate(others):  # else one that has asked for nothing yet makes room
+        for n, other in enumerate(others):  # otherwise one that has sent no request yet would be closed first
             other.sendall(request(f"o{n}"))
     for sock in (oldest, *others):
         assert answer(sock) == (200, SERVED)
     assert server.runs == 19
-    assert sum(map(stands, idle)) < 8  # another connection has made room
+    assert sum(map(stands, idle)) < 8  # another connection was closed instead
 
 
 def test_a_keyed_request_is_not_begun_again_once_its_window_is_over(day: Day) -> None:
-    """The choice came in time, and the connection after it. A refusal is harmless: all servers discard repeats."""
+    """The replica is chosen within the window, but its connection opens later. A rejection is harmless: all replicas
+    discard repeated requests."""
     window = 2_500_000
     keyed = {
         **SLOW_CONNECT,
@@ -265,7 +267,7 @@
 
 
 def test_another_fetch_is_not_begun_while_the_prefill_replica_that_holds_the_state_answers_nothing(day: Day) -> None:
-    """Found no state there, nothing would be out, and what is held could not be let go of."""
+    """If the other fetch found no state, no attempt would remain open, and the held state could not be released."""
     silent, given_up = threading.Event(), threading.Event()
     prefill, decode_replicas = Standin(), [Standin(), Standin()]
     asked: list[Standin] = []
@@ -296,19 +298,19 @@
     assert len(asked) == 1
     assert not given_up.is_set()
     silent.set()
-    assert given_up.wait(20)  # all that holds something answers: it is let go of
+    assert given_up.wait(20)  # every holder of state now answers, so the state can be released
 
 
 def test_the_end_waits_for_releases_and_ends_whoever_rests_before_it_can_take_a_request_more(day: Day) -> None:
-    """The client came while connections were still accepted, and sent nothing. What it sends once nothing is accepted
-    was read, and lost as the process ended; the releases went on for a second."""
+    """An idle client had connected while connections were still accepted. A request that it sent after that was read
+    and lost when the process exited; the releases took another second."""
     answering, replica = threading.Event(), Standin()
 
     def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             answering.wait(30)
             return handler.plain(204)
-        handler.rfile.read(1)  # until its dispatcher gives it up
+        handler.rfile.read(1)  # until its dispatcher closes the connection
 
     replica.respond = read
     program = day.start((replica, "all-in-one"))
@@ -320,7 +322,7 @@
     program.process.terminate()
     program.wait_line("draining")
     first = day.connect()
-    assert first.recv(1) == b""  # from here on idle connections end
+    assert first.recv(1) == b""  # from here on idle connections are closed
     rests = day.connect()
     while True:
         try:
@@ -335,7 +337,7 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_take_none_from_the_list_the_servers_or_new_requests(day: Day) -> None:
-    """Discovery is silent meanwhile, and is called again and again. Whoever has a request open keeps its connection."""
+    """Discovery is silent and called repeatedly meanwhile. A client with an open request keeps its connection."""
     server, over = Standin(), threading.Event()
     known = [
         {
@@ -375,14 +377,14 @@
 
 
 def write_until(over: threading.Event, handler: Any) -> None:
-    """A stream of large events, without an end."""
+    """Write a stream of large events until `over` is set."""
     handler.chunks(last=False)
     while not over.is_set():
         handler.more(b"data: " + b"x" * 60_000 + b"\n\n")
 
 
 def write_one_by_one(events: list[bytes], seen: threading.Semaphore, handler: Any) -> None:
-    """A stream of these events, each once the client has seen the last one."""
+    """Write a stream of these events, each after the client has received the one before."""
     handler.chunks(last=False)
     for event in events:
         handler.more(event)
@@ -391,16 +393,17 @@
 
 
 def flood_until(over: threading.Event, sock: socket.socket, data: bytes) -> None:
-    """Send these bytes again and again."""
+    """Send these bytes repeatedly until `over` is set."""
     try:
         while not over.is_set():
             sock.sendall(data)
     except OSError:
-        over.wait(20)  # the program has ended this connection
+        over.wait(20)  # the program has closed this connection
 
 
 def test_events_go_on_one_by_one_while_neighbours_flood_trickle_and_read_nothing(day: Day) -> None:
-    """The replica writes an event when its client has the last one: none waits for another, or for a neighbour."""
+    """The replica writes an event after the client has received the one before: none is delayed by a later event or a
+    neighbour."""
     server, seen, over = Standin(), threading.Semaphore(0), threading.Event()
     events = [b'data: {"n":%d}\n\n' % n for n in range(20)]
 
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -1,4 +1,4 @@
-"""Requests read behind another one on the same connection: their time runs, and they are answered in a drain."""
+"""Requests that are queued behind another one on the same connection: their timeouts run, and a drain answers them."""
 
 import signal
 import socket
@@ -14,8 +14,8 @@
 
 
 class Answers:
-    """Answers that follow one another on a connection. One buffer reads them all: a second one would miss what the
-    first has read ahead."""
+    """Reads consecutive answers on one connection. All are read through one buffer: a second buffer would miss the
+    bytes that the first has read ahead."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.file = sock.makefile("rb")
@@ -24,19 +24,19 @@
         return self
 
     def close(self) -> None:
-        """The buffer stays for the next answer."""
+        """Keep the buffer open for the next answer."""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.file, name)
 
     def next(self) -> tuple[int, bytes]:
-        """One answer; (0, b"") where the connection ends without one."""
+        """Return one answer, or (0, b"") if the connection ends without one."""
         return answer(self)  # type: ignore[arg-type]
 
 
 def test_a_replica_is_given_no_more_time_than_the_client_has_left(day: Day) -> None:  # noqa: F811
-    """Those behind wait for the first one's answer, and their time runs from their last byte. One whose time is over
-    before its turn is rejected, and not sent."""
+    """Queued requests wait for the answer to the first, and their timeouts run from their last byte. A request whose
+    timeout passes in the queue is rejected without being forwarded."""
     server = Standin()
 
     def respond(handler: Any, body: bytes) -> None:
@@ -60,7 +60,7 @@
 
 
 def test_what_was_read_before_a_drain_is_answered_in_it(day: Day) -> None:  # noqa: F811
-    """The first answer came while the process was ending, ended the connection, and the others were dropped."""
+    """The first answer was sent during the drain and closed its connection, so that the other requests were lost."""
     server, ending = Standin(), threading.Event()
     server.respond = lambda handler, body: (ending.wait(20), handler.chunks(*TOKENS, LAST))
     program = day.start((server, "all-in-one"))
@@ -76,7 +76,7 @@
 
 
 def test_what_arrives_long_after_the_signal_to_end_is_refused(day: Day) -> None:  # noqa: F811
-    """Under way when the platform kills, it would be lost; rejected, it is served elsewhere."""
+    """If it were in flight when the platform kills the process, it would be lost; rejected, it is served elsewhere."""
     server, over = Standin(), threading.Event()
     server.respond = lambda handler, body: (over.wait(20), handler.chunks(*TOKENS, LAST))
     program = day.start((server, "all-in-one"))
--- a/tests/platform/test_reset_behind_bytes.py
+++ b/tests/platform/test_reset_behind_bytes.py
@@ -1,7 +1,7 @@
-"""A connection that is reset right behind its last bytes, by the real program on loopback.
+"""A connection that is reset directly after its last bytes, with the real program on loopback.
 
-While the program is stopped (SIGSTOP) the system takes the bytes and the reset, in that order, so that one wake-up of
-its loop brings both. No test here rests on a time: each asks what ended the connection."""
+While the program is stopped (SIGSTOP) the system receives the bytes and the reset, in that order, so one iteration of
+the event loop gets both. No test here depends on a time: each checks the reason for which the connection ended."""
 
 import pathlib
 import socket
@@ -19,21 +19,21 @@
 
 
 def reset_from(handler: Any) -> None:
-    """Reset the connection of a stand-in's handler."""
+    """Reset the connection of a simulated replica's handler."""
     handler.close_connection = True
-    handler.rfile.close()  # it keeps the socket open
+    handler.rfile.close()  # it would keep the socket open
     reset(handler.connection)
 
 
 def ended_by(day: Any, *reasons: str) -> str:
-    """The first of these reasons for which the program has ended a connection."""
+    """Return the first of these reasons for which the program has ended a connection."""
     day.until(lambda counters: any(counters["connections"].get(reason) for reason in reasons))
     connections = day.program.counters()["connections"]
     return next(reason for reason in reasons if connections.get(reason))
 
 
 def body_until_its_end(sock: socket.socket) -> bytes:
-    """All that comes of an answer, whether whole or not."""
+    """Return the rest of an answer, complete or not."""
     got = b""
     while data := sock.recv(65_536):
         got += data
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("behind", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
 def test_a_reset_behind_an_event_ends_the_answer_of_its_client(day: Day, behind: bytes) -> None:
-    """Incident 40: it was never seen, and the client was left waiting for the rest."""
+    """Incident 40: the reset was not noticed, and the client was left waiting for the rest."""
     server, stopped, gone = Standin(), threading.Event(), threading.Event()
 
     def respond(handler: Any, body: bytes) -> None:
@@ -63,11 +63,11 @@
     assert ended_by(day, "server stalled", RESET_SEEN) == RESET_SEEN
     rest = body_until_its_end(client)
     assert (TOKENS[1] in rest) == (behind == TOKENS[1])
-    assert not rest.endswith(b"0\r\n\r\n")  # nothing says that it is whole
+    assert not rest.endswith(b"0\r\n\r\n")  # the answer is not marked as complete
 
 
 def test_a_reset_behind_half_a_list_is_seen_and_the_list_asked_for_again(day: Day) -> None:
-    """What discovery has counts as reported; the call was given up only at the end of its time."""
+    """A change counts as reported as soon as discovery has it, but the call ended only at its timeout."""
     server, called, stopped, gone = Standin(), threading.Event(), threading.Event(), threading.Event()
     program = day.start((server, "all-in-one"))
     list_as_usual = day.discovery.respond
@@ -103,12 +103,12 @@
     assert program.counters()["outcomes"] == {"cancelled": 1}
     other = day.connect()
     server.go.set()
-    other.sendall(request("c1", "advice"))  # nothing is left of it, not even its name
+    other.sendall(request("c1", "advice"))  # no trace of that request is left: its id may be used again
     assert answer(other)[0] == 200
 
 
 class Unread:
-    """A server that takes one connection and reads nothing."""
+    """A replica that accepts one connection and reads nothing."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -130,7 +130,7 @@
 def test_a_reset_while_a_request_waits_to_be_written_ends_its_attempt(
     day: Day, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, early: bytes
 ) -> None:
-    """Its last byte was never written, so that it never ran. The system takes no byte of it meanwhile."""
+    """The system accepts no byte of the request. Its last byte was never written, so it was never executed."""
     stuck = Unread()
     day.discovery = Discovery(("s-0", stuck.address, "all-in-one"))
     day.things += [day.discovery, stuck]
@@ -144,6 +144,6 @@
     with Stopped(day.program):
         connection.sendall(early)
         reset(connection)
-        stuck.sock.close()  # another connection is refused
+        stuck.sock.close()  # further connections are refused
     assert answer(client)[0] == 503
     assert set(day.program.counters()["outcomes"]) == {"unreachable"}
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -1,4 +1,4 @@
-"""When discovery is called: one shared by a whole fleet, through outages, and an agent of one's own."""
+"""When discovery is called: a service that a whole fleet shares, through outages, and an agent of one dispatcher."""
 
 import heapq
 import random
@@ -14,10 +14,12 @@
 
 
 class Service:
-    """One discovery that `count` processes call, each by the real schedule. It answers one call at a time, `cost`
-    microseconds each; a call that stands in line for 2 s is rejected; a watch is answered when there is an
-    event, or its wait is over. While it is down a call is `refused` at once, `silent` (never answered, even once it is
-    back), or answered with `nonsense`. `received`: when each process learned of the one change."""
+    """A simulated discovery service that `count` processes call, each according to the real schedule.
+
+    The service answers one call at a time and takes `cost` microseconds for each. It rejects a call that has been
+    queued for 2 s, and answers a watch at the next event or at the end of its wait. While the service is down, a call
+    is `refused` at once, `silent` (never answered, even after the service is back), or answered with `nonsense`.
+    `received`: when each process received the one change."""
 
     def __init__(self, count: int, seed: int, how: str, down: tuple[int, int], change: int, cost: int) -> None:
         self.schedules = [CallSchedule(True, count, GRACE, random.Random(seed * 1000 + n)) for n in range(count)]
@@ -26,7 +28,7 @@
         self.line: deque[tuple[int, int, int]] = deque()
         self.busy = False
         self.began = [0] * count
-        self.numbers = [0] * count  # of each one's call, so that what comes of one given up is no matter
+        self.numbers = [0] * count  # of each process's current call, so that events of cancelled calls are ignored
         self.watching: dict[int, int] = {}
         self.listed, self.received, self.calls = [False] * count, [0] * count, list[int]()
         self.count = 0
@@ -53,7 +55,7 @@
     def call(self, now: int, n: int) -> None:
         self.numbers[n] += 1
         self.began[n] = now
-        if self.schedules[n].failures or not self.listed[n]:  # else it opens its watch again, having been answered
+        if self.schedules[n].failures or not self.listed[n]:  # otherwise it opens its watch again after an answer
             self.calls.append(now)
         wait = self.schedules[n].watch_wait(self.listed[n])
         self.at(now + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
@@ -96,13 +98,13 @@
         self.at(now + self.schedules[n].delay_after_failure(now - self.began[n]), "call", n)
 
     def fall(self, now: int, n: int) -> None:
-        """Whoever watches, or stands in line, is reset, or hears no more."""
+        """Reset the watches and the queued calls, or leave them without an answer."""
         out = [*self.watching, *(n for _, n, number in self.line if number == self.numbers[n])]
         self.watching.clear()
         self.line.clear()
         for n in out:
             if self.how == "silent":
-                self.numbers[n] += 1  # what it would have been answered is lost
+                self.numbers[n] += 1  # the pending answer is lost
                 wait = self.schedules[n].watch_wait(True)
                 self.at(self.began[n] + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
             else:
@@ -119,8 +121,8 @@
 def test_events_of_a_shared_discovery_are_never_six_seconds_old_and_its_calls_do_not_crowd_it(
     count: int, how: str
 ) -> None:
-    """Through 20 s without it, with a change before, in or after that. The oldest event, and the most calls in a
-    second, stand in docs/design/owed.md."""
+    """The service is down for 20 s, with a change before, during or after that. docs/design/owed.md states the oldest
+    event and the most calls in a second that were measured."""
     back, oldest, most = 40 * S, 0, 0
     for seed in range(5):
         for change in (back - 20 * S - 1, back - 10 * S, back, back + S, back + 7 * S + seed * 100_000):
@@ -136,7 +138,7 @@
                 most = max(most, last - first + 1)
     print(f"{count} processes, {how}: the oldest event {oldest / S:.2f} s, most calls in a second {most}")
     assert oldest < 5.9 * S
-    assert most <= max(8, 0.9 * count)  # it can answer 200
+    assert most <= max(8, 0.9 * count)  # the service can answer 200 a second
 
 
 @pytest.mark.parametrize("count", [1, 30, 230])
@@ -149,18 +151,18 @@
         waits = [one.delay_after_failure(took) for _ in range(40)]
         assert max(waits) + took <= MAX_CALL_INTERVAL_US
         assert max(waits) + took + MAX_QUEUE_WAIT_US < 5.9 * S
-    assert min(one.delay_after_failure(0) for _ in range(40)) > S  # it has backed off
+    assert min(one.delay_after_failure(0) for _ in range(40)) > S  # the backoff has grown
     assert one.delay_after_answer() == 0 < one.delay_after_answer(early=True) <= MAX_CALL_INTERVAL_US
 
 
 @pytest.mark.parametrize("grace", [1_000, 250_000, 500_000, 1_000_000])
 @pytest.mark.parametrize("shared", [False, True])
 def test_what_a_silent_watch_misses_is_called_for_before_it_counts_as_reported(shared: bool, grace: int) -> None:
-    """STANDING.md: reported 6 s after the silence began, or 2 s after the call's wait is over, whichever is later. At a
-    shared service the new call may stand 2 s in line."""
+    """STANDING.md: a change that a silent watch misses counts as reported 6 s after the silence began, or 2 s after the
+    end of the call's wait, whichever is later. At a shared service the new call may be queued for 2 s."""
     one = CallSchedule(shared, 200, grace, random.Random(5))
     wait = one.watch_wait(True)
-    reported = max(6 * S, wait + 2 * S)  # silent from the call's first moment on
+    reported = max(6 * S, wait + 2 * S)  # silent from the start of the call on
     noticed = one.overlap_delay(wait) or one.answer_timeout(wait)
     assert wait + 300_000 <= noticed <= wait + S
     answered = noticed + (one.delay_after_failure(noticed) + MAX_QUEUE_WAIT_US if shared else S // 10)
@@ -169,17 +171,17 @@
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
 def test_events_of_a_silent_agent_that_comes_back_are_received_well_within_the_grace(grace: int) -> None:
-    """Whether it answers what it was asked while it was silent, or only what it is asked from then on."""
+    """This holds whether the agent then answers the calls made while it was silent, or only calls made from then on."""
     one = CallSchedule(False, 200, grace, random.Random(5))
     assert one.watch_wait(True) == WATCH_WAIT_US
     assert one.first_call_delay() == 0
-    # After a connection that was reset it is called at once, since the agent has events all the while.
+    # After a reset connection the agent is called again at once, since it may have events at any time.
     assert one.delay_after_failure(100) == 0
     for _ in range(200):
-        assert one.watch_wait(True) == 0  # one that may wait would not show that it is back
+        assert one.watch_wait(True) == 0  # a call that may wait would not show early that the agent is back
         assert one.overlap_delay(0) <= grace // 5
         assert one.delay_after_failure(100) <= grace // 5
-        assert one.answer_timeout(0) > 500_000  # a slow answer is not given up for the next call
+        assert one.answer_timeout(0) > 500_000  # a slow answer is still awaited when the next call is made
     one.delay_after_answer()
     assert one.watch_wait(True) == WATCH_WAIT_US
 
@@ -215,7 +217,7 @@
 
 
 def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list() -> None:
-    """An older revision, a failure and nonsense: each is logged in one line, and the next good list is in force."""
+    """An older revision, a failure and an invalid answer are each logged in one line. The next good list is applied."""
     server, discovery = Standin(), Discovery()
     discovery.rev = 7
     answers = [
@@ -235,7 +237,7 @@
     try:
         program.wait_line("status 503")
         program.wait_line("no answer to .*after=0.*TypeError")
-        program.wait_line("no answer to .*after=9.*version 2 after 9")
+        program.wait_line("no answer to .*after=9.*revision 2 is older than the current revision 9")
         discovery.wait_for("GET", "/v1/endpoints?after=7")
         assert ("GET", "/v1/endpoints") in discovery.calls
         program.wait_ready()
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -1,7 +1,8 @@
-"""The platform's SIGKILL comes as early as the longest deadline (3 s at most) plus 0.7 s after SIGTERM. One node on a
-virtual clock, its clients and a replica on loopback: all of it is over by then, whatever the deadlines.
+"""A shutdown is over before the platform's SIGKILL, whatever the deadlines.
 
-Time passes only while everybody waits, so the bounds are exact and do not depend on the machine."""
+The earliest SIGKILL comes the longest deadline (3 s at most) plus 0.7 s after SIGTERM. The test runs one node on a
+virtual clock, with clients and a replica on loopback. Virtual time passes only while all tasks wait, so the bounds are
+exact and do not depend on the machine."""
 
 import asyncio
 import contextlib
@@ -28,9 +29,9 @@
 
 MAX_KILL_DEADLINE_S = 3.0
 KILL_AFTER_DEADLINE_S = 0.7
-MAX_SIGNAL_DELAY_S = 0.15  # the program may notice SIGTERM so late
-NEW_CONNECTIONS_S = 0.4  # for so long new connections come
-MAX_CROSSING_S = 0.03  # a close and a request that meet on the way
+MAX_SIGNAL_DELAY_S = 0.15  # the longest delay with which the program notices SIGTERM
+NEW_CONNECTIONS_S = 0.4  # new connections are made for so long
+MAX_CROSSING_S = 0.03  # a close and a request that cross in flight
 ANSWER_S = 0.05
 PIECE_S = 0.3  # between the pieces of a request that is written slowly
 SERVED = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (*TOKENS, LAST)) + b"0\r\n\r\n"
@@ -38,7 +39,7 @@
 
 
 class Replica:
-    """Reads and writes; the requests named `hang..` are never answered."""
+    """A mixed replica. It never answers requests whose ids begin with `hang`."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         machine = ServerConnection()
@@ -55,7 +56,7 @@
 
 
 async def ends_within(reader: asyncio.StreamReader, seconds: float) -> bool:
-    """Whether something comes on the connection meanwhile, or its end does; nothing is taken off it."""
+    """Return whether data or the end of the connection arrives in this time. No data is consumed."""
     until = asyncio.get_running_loop().time() + seconds
     while not reader._buffer and not reader.at_eof():  # type: ignore[attr-defined]
         if asyncio.get_running_loop().time() >= until:
@@ -66,7 +67,7 @@
 
 @dataclass
 class ClientRecord:
-    """What one client observed on one connection; times in seconds since SIGTERM."""
+    """What one client observed on one connection. Times are in seconds since SIGTERM."""
 
     name: str
     answered: int = 0
@@ -77,7 +78,7 @@
 
 @dataclass
 class ShutdownRun:
-    """A node that is told to end, and its clients."""
+    """A node that is shut down, and its clients."""
 
     loop: VirtualLoop
     address: Address
@@ -89,7 +90,7 @@
         return self.loop.time() - self.term_at
 
     async def ask_until_the_end(self, name: str, first_after: float, pause: float, pieces: int = 1) -> None:
-        """Ask on one connection, over and over, until it ends."""
+        """Send requests on one connection until it ends."""
         record = ClientRecord(name)
         self.records.append(record)
         try:
@@ -120,7 +121,7 @@
         writer.close()
 
     async def send_once(self, name: str, data: bytes) -> None:
-        """Send these bytes, and then nothing more."""
+        """Send these bytes and nothing more."""
         record = ClientRecord(name)
         self.records.append(record)
         reader, writer = await asyncio.open_connection(*self.address)
@@ -132,7 +133,7 @@
 
 
 async def run_shutdown(loop: VirtualLoop, deadline_s: float, hang: bool) -> tuple[ShutdownRun, float | None]:
-    """A shutdown under way. The time at which the node had ended, None: not by the earliest SIGKILL."""
+    """Run a shutdown. Returns it with the time at which the node ended, or None if the earliest SIGKILL came first."""
     classes = [{**each, "deadline": int(deadline_s * 1e6)} for each in SETTINGS["classes"]]
     node = Node(parse({**SETTINGS, "classes": classes}), ReplicaDialect(), Limits(256, 7))
     server = await asyncio.start_server(Replica().serve, "127.0.0.1", 0)
@@ -177,12 +178,12 @@
     asyncio.set_event_loop(loop)
     monkeypatch.setattr(pearhill.node.node, "start_clock", lambda: loop.micros)
     yield loop
-    for task in (left := asyncio.all_tasks(loop)):  # releases that are still being tried
+    for task in (left := asyncio.all_tasks(loop)):  # releases that are still being retried
         task.cancel()
     loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
     loop.close()
     asyncio.set_event_loop(None)
-    for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1):  # a node that has ended ignores them
+    for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1):  # a node that has ended leaves them ignored
         signal.signal(number, signal.SIG_DFL)
     signal.signal(signal.SIGINT, signal.default_int_handler)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGUSR1})
@@ -208,7 +209,8 @@
 def test_a_replica_that_hangs_keeps_no_connection_open_but_its_own_requests(
     loop: VirtualLoop, deadline_s: float
 ) -> None:
-    """That one is answered at its deadline; where this is later than the kill, it came long enough before it."""
+    """The hung request is answered at its deadline. If that is after SIGKILL, the request is still open then, which is
+    accepted: it had arrived long enough before."""
     shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=True))
     open_still = [record.name for record in shutdown.records if record.ended is None]
     assert open_still == (["hangs"] if deadline_s > MAX_KILL_DEADLINE_S + KILL_AFTER_DEADLINE_S else [])
--- a/tests/platform/test_watch_way.py
+++ b/tests/platform/test_watch_way.py
@@ -1,7 +1,8 @@
-"""A change's way from the agent to the list in force, whatever happens to the calls in between, on a virtual clock.
+"""Every change at the agent reaches the list in force, whatever happens to the calls, on a virtual clock.
 
-The agent is modelled by FLEET.md: what it has counts as reported, whether or not a watch is open; what a silent watch
-misses, 6 s after it fell silent, or 2 s after that call's wait is over. The Watch is the real one."""
+The model of the agent follows FLEET.md: a change counts as reported when the agent has it, whether or not a watch is
+open. A change that a silent watch misses counts as reported 6 s after the silence began, or 2 s after the end of that
+call's wait. The `Watch` is the real one."""
 
 import asyncio
 import itertools
@@ -30,7 +31,7 @@
 
 
 class Open:
-    """A call at the agent."""
+    """An open call at the agent."""
 
     def __init__(self, at: int, wait: int, over: asyncio.Future[Exception | None]) -> None:
         self.at, self.wait, self.over = at, wait, over
@@ -38,14 +39,14 @@
 
 
 class Agent:
-    """`keeps`: what it was asked while it was down is answered when it is back; else it never is."""
+    """A simulated agent. `keeps`: calls made while it is down are answered when it is back, and otherwise never."""
 
     def __init__(self, loop: VirtualLoop, keeps: bool, grace: int, applied: dict[int, int]) -> None:
         self.loop, self.keeps, self.rev, self.open = loop, keeps, 1, list[Open]()
         self.grace, self.applied = grace, applied
         self.down_at: int | None = None
         self.garbled, self.calls = 0, 0
-        self.reported: dict[int, int] = {}  # by version
+        self.reported: dict[int, int] = {}  # by revision
 
     async def call(self, pool: object, address: object, data: bytes, patience: int, purpose: int) -> tuple[int, bytes]:
         self.calls += 1
@@ -105,7 +106,7 @@
     def _come_back(self, now: int, down_at: int) -> None:
         was_long = now - down_at >= 2 * S
         self.down_at = None
-        for rev, reported in self.reported.items():  # what came due while it was silent could not be learned
+        for rev, reported in self.reported.items():  # changes that came due during the silence could not be received
             if reported + self.grace >= down_at and rev > max(self.applied, default=0):
                 self.reported[rev] = max(reported, now)
         if self.rev not in self.reported:
@@ -114,7 +115,7 @@
         self._wake()
 
     def play(self, what: str) -> None:
-        """One step of a script."""
+        """Run one step of a script."""
         now = self.loop.micros()
         match what:
             case "change":
@@ -190,7 +191,7 @@
         assert (
             received <= reported + grace
         ), f"version {rev} was reported at {reported}, received {(received - reported) / S:.3f} s later"
-    # Without this bound a program that polls every few milliseconds would pass too.
+    # Without this bound a watch that polls every few milliseconds would pass too.
     seconds = 15 + sum(wait for wait, _ in script) / 1000
     assert agent.calls <= 5 * seconds * S / min(grace, S // 2) + 2 * len(script) + 10
 
@@ -200,7 +201,7 @@
 
 @pytest.mark.parametrize("shared", [True, False])
 def test_a_list_that_is_nonsense_of_any_kind_ends_no_watch(shared: bool) -> None:
-    """The calls go on, and the next list is applied."""
+    """Calls continue, and the next valid list is applied."""
 
     async def day(loop: VirtualLoop) -> int:
         bodies = [*NONSENSE, json.dumps({"rev": 2, "all": True, "targets": [ENTRY]}).encode()]
@@ -234,7 +235,7 @@
 
 
 def test_an_agent_that_takes_almost_a_second_for_each_answer_is_heard() -> None:
-    """As on a machine that is too busy. Calls that go out meanwhile must not end those that wait for their answer."""
+    """This happens on an overloaded machine. Further calls must not end the ones that still wait for their answers."""
 
     async def day(loop: VirtualLoop) -> int:
         lists = list[bool]()
@@ -268,7 +269,7 @@
 @pytest.mark.parametrize("grace", [1_000, 250_000, 1_000_000])
 @pytest.mark.parametrize("latency_s", [0.02, 0.6, 1.5, 3.0])
 def test_a_slow_agent_that_was_silent_is_heard_within_three_times_its_latency(latency_s: float, grace: int) -> None:
-    """For 7 s it loses its calls; from then on it answers each new one after the same time."""
+    """For 7 s the agent loses all calls. From then on it answers each new call after the same latency."""
 
     async def day(loop: VirtualLoop) -> float:
         lists = list[float]()
@@ -308,8 +309,8 @@
 
 
 def test_new_configurations_in_a_row_put_no_call_off() -> None:
-    """Each names another discovery, and each draws the time of its first call anew. What has changed meanwhile counts
-    as reported after 6 s all the same."""
+    """Each configuration names another discovery, and the delay of the first call is drawn again each time. A change
+    still counts as reported after 6 s."""
 
     async def day(loop: VirtualLoop, seed: int, every_s: float) -> float:
         calls = [loop.now]
