--- a/pearhill/http1/client.py
+++ b/pearhill/http1/client.py
@@ -59,25 +59,25 @@
         self._headers: dict[str, str] = {}
         self._chunk: bytearray | None = None  # the received part of an incomplete chunk
         self._complete_chunks: list[bytes] = []
-        self._framing = 0  # bytes of this response outside its body
-        self._most_chunk = MAX_CHUNK
+        self._framing_bytes = 0  # bytes of this response outside its body
+        self._max_chunk = MAX_CHUNK
         self.awaiting = False
 
-    def expect(self, most_chunk: int = MAX_CHUNK) -> None:
-        """Open an exchange. `most_chunk`: the largest chunk in bytes, as chunks are buffered until complete."""
+    def expect(self, max_chunk: int = MAX_CHUNK) -> None:
+        """Open an exchange. `max_chunk`: the largest chunk in bytes, as chunks are buffered until complete."""
         self.awaiting = True
-        self._framing = 0
-        self._most_chunk = most_chunk
+        self._framing_bytes = 0
+        self._max_chunk = max_chunk
 
     def feed(self, data: bytes | memoryview) -> list[Event]:
         """Parse bytes that the server has sent. Returns the events that they complete."""
         if not self.awaiting:
             return [Lost("unasked")]
-        self._framing += len(data)
+        self._framing_bytes += len(data)
         try:
             self._parser.feed_data(data)
             # The parser buffers a header without reporting it until it ends, so an endless one is detected here.
-            if self.awaiting and self._framing > MAX_HEAD:
+            if self.awaiting and self._framing_bytes > MAX_HEAD:
                 raise ValueError(f"the head of the response is larger than {MAX_HEAD} bytes")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as e:
             if self.awaiting:
@@ -137,13 +137,13 @@
 
     def on_body(self, body: bytes) -> None:
         """Handle a part of the body. The size of a chunk is bounded: one of gigabytes would fill the memory."""
-        self._framing -= len(body)
+        self._framing_bytes -= len(body)
         if self._chunk is None:
             self._events.append(Data(body))
             return
         self._chunk += body
-        if len(self._chunk) > self._most_chunk:
-            raise ValueError(f"a chunk is larger than {self._most_chunk} bytes")
+        if len(self._chunk) > self._max_chunk:
+            raise ValueError(f"a chunk is larger than {self._max_chunk} bytes")
 
     def on_chunk_complete(self) -> None:
         """Queue a complete chunk. None of it is reported earlier: its size is verified only after its last byte."""
--- a/pearhill/http1/messages.py
+++ b/pearhill/http1/messages.py
@@ -50,7 +50,7 @@
     return head.encode("latin-1") + (body or b"")
 
 
-def _status(status: int) -> str:
+def _status_line(status: int) -> str:
     try:
         return f"HTTP/1.1 {status} {HTTPStatus(status).phrase}\r\n"
     except ValueError:
@@ -59,15 +59,17 @@
 
 def answer(status: int, headers: Headers = (), body: bytes = b"", close: bool = False) -> bytes:
     """Return a complete response in bytes. `close`: the connection is closed after it."""
-    framing = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
-    ending = "Connection: close\r\n" if close else ""
-    return f"{_status(status)}{_fields(headers)}{framing}{ending}\r\n".encode("latin-1") + body
+    length_header = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
+    connection_header = "Connection: close\r\n" if close else ""
+    return f"{_status_line(status)}{_fields(headers)}{length_header}{connection_header}\r\n".encode("latin-1") + body
 
 
 def stream_head(status: int, headers: Headers = (), close: bool = False) -> bytes:
     """Return the head of a response whose body follows in chunks."""
-    ending = "Connection: close\r\n" if close else ""
-    return f"{_status(status)}{_fields(headers)}Transfer-Encoding: chunked\r\n{ending}\r\n".encode("latin-1")
+    connection_header = "Connection: close\r\n" if close else ""
+    return f"{_status_line(status)}{_fields(headers)}Transfer-Encoding: chunked\r\n{connection_header}\r\n".encode(
+        "latin-1"
+    )
 
 
 def chunk(data: bytes) -> bytes:
--- a/pearhill/http1/server.py
+++ b/pearhill/http1/server.py
@@ -51,19 +51,19 @@
         self._message = RequestMessage("", "")
         self._body = bytearray()
         self._head_size = 0  # bytes of the head that the parser has reported so far
-        self._framing = 0  # bytes of this message outside its body
+        self._framing_bytes = 0  # bytes of this message outside its body
         self._head_complete = False
 
     def feed(self, data: bytes | memoryview) -> list[Event]:
         """Parse bytes that the client has sent. Returns the events that they complete."""
         if self.broken:
             return []
-        self._framing += len(data)
+        self._framing_bytes += len(data)
         try:
             self._parser.feed_data(data)
             # The parser buffers a header without reporting it until it ends, so an endless one is detected here. Chunk
             # extensions, trailers and blank lines before a request may be endless too.
-            if self._framing > MAX_HEAD:
+            if self._framing_bytes > MAX_HEAD:
                 self._reject(431, "the head of the request is too large")
         except (_RejectedError, httptools.HttpParserError) as e:
             self.broken = True
@@ -98,7 +98,7 @@
         self._message = RequestMessage("", "")
         self._body = bytearray()
         self._head_size = 0
-        self._framing = 0
+        self._framing_bytes = 0
         self._head_complete = False
         self.in_message = True
 
@@ -145,7 +145,7 @@
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body, within the allowed size."""
-        self._framing -= len(body)
+        self._framing_bytes -= len(body)
         if len(self._body) + len(body) > self.max_body:
             self._reject(413, "the body is too large")
         self._body += body
@@ -157,6 +157,6 @@
         message.keep_alive = self._parser.should_keep_alive()
         self._message = RequestMessage("", "")
         self._body = bytearray()
-        self._framing = 0
+        self._framing_bytes = 0
         self.in_message = False
         self._events.append(message)
--- a/pearhill/http1/sse.py
+++ b/pearhill/http1/sse.py
@@ -29,12 +29,12 @@
 class EventParser:
     """Parses the events of one stream. Lines end in CR LF, LF or CR.
 
-    A CR at the end of the input is kept until the next byte shows whether an LF belongs to it. `most`: the largest
+    A CR at the end of the input is kept until the next byte shows whether an LF belongs to it. `max_size`: the largest
     accepted event in bytes.
     """
 
-    def __init__(self, most: int = MAX_EVENT) -> None:
-        self.most = most
+    def __init__(self, max_size: int = MAX_EVENT) -> None:
+        self.max_size = max_size
         self._buffer = b""
         self._line_start = 0  # the position of the next line in the buffer
         self._data: list[bytes] = []
@@ -49,7 +49,7 @@
     def feed(self, data: bytes) -> list[ServerEvent]:
         """Parse bytes of the stream. Returns the events that they complete.
 
-        Raises EventStreamError if the bytes are not UTF-8, or an event is larger than `most` bytes.
+        Raises EventStreamError if the bytes are not UTF-8, or an event is larger than `max_size` bytes.
         """
         if not self._buffer:
             events = self._parse_plain(data)
@@ -62,7 +62,7 @@
 
         Returns None if the bytes have another form and must be parsed line by line.
         """
-        if not data.endswith(b"\n\n") or b"\r" in data or len(data) > self.most:
+        if not data.endswith(b"\n\n") or b"\r" in data or len(data) > self.max_size:
             return None
         blocks = data[:-2].split(b"\n\n")
         for block in blocks:
@@ -100,8 +100,8 @@
         return event
 
     def _check_size(self, event: bytes) -> None:
-        if len(event) > self.most:
-            raise EventStreamError(f"an event is larger than {self.most} bytes")
+        if len(event) > self.max_size:
+            raise EventStreamError(f"an event is larger than {self.max_size} bytes")
 
     def _parse_field(self, line: bytes) -> None:
         _check_utf8(line)
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -24,20 +24,20 @@
 SCHEDULE_SEED_MASK = 0x51
 
 
-async def serve(config: Config, read_anew: Callable[[Config], Config]) -> None:
+async def serve(config: Config, read_config: Callable[[Config], Config]) -> None:
     """Run one dispatcher until a signal ends the process.
 
-    `read_anew` reads the configuration again. Its argument is the configuration in force.
+    `read_config` reads the configuration again. Its argument is the configuration in force.
     """
-    await PlatformDaemon(config, read_anew).run()
+    await PlatformDaemon(config, read_config).run()
 
 
 class PlatformDaemon:
     """Runs the node, the watch of its discovery and the takeover from another process; decides when it may serve."""
 
-    def __init__(self, config: Config, read_anew: Callable[[Config], Config]) -> None:
+    def __init__(self, config: Config, read_config: Callable[[Config], Config]) -> None:
         self.config = config
-        self.read_anew = read_anew
+        self.read_config = read_config
         self.node = Node(
             config.deployment,
             ReplicaDialect(),
@@ -52,7 +52,7 @@
             self.schedule,
             config.known_endpoints,
         )
-        self.known_list_counts_from = self.node.deadlines.clock() + KNOWN_LIST_AFTER_US
+        self.known_list_usable_from = self.node.deadlines.clock() + KNOWN_LIST_AFTER_US
         self.takeover: TakeoverTask | None = None
         if config.passed_socket is not None and config.message_folder:
             self.takeover = TakeoverTask(self.node, config.message_folder, config.name)
@@ -82,7 +82,7 @@
         The list known at the start may be outdated. It is used only if discovery does not answer within
         `KNOWN_LIST_AFTER_US`.
         """
-        return self.watch.has_answered or self.node.deadlines.clock() > self.known_list_counts_from
+        return self.watch.has_answered or self.node.deadlines.clock() > self.known_list_usable_from
 
     def can_serve(self) -> bool:
         """Return whether there is a usable endpoint list with a replica that can answer."""
@@ -110,16 +110,16 @@
 
     def reload(self) -> str:
         """Read the configuration again and apply it. Returns a description of the result for the log."""
-        before = self.config
-        fresh = self.read_anew(before)
-        deployment = fresh.deployment
+        old = self.config
+        new = self.read_config(old)
+        deployment = new.deployment
         self.node.reconfigure(deployment)
         self.schedule.reconfigure(deployment.shared_discovery, deployment.router.instances, deployment.drain_grace)
         self.watch.deployment = deployment
-        self.config = fresh
-        if fresh.discovery != before.discovery:
-            self.watch.move(fresh.discovery)
-        return f"discovery at {fresh.discovery[0]}:{fresh.discovery[1]}{_left_for_next_start(before, fresh)}"
+        self.config = new
+        if new.discovery != old.discovery:
+            self.watch.move(new.discovery)
+        return f"discovery at {new.discovery[0]}:{new.discovery[1]}{_changes_for_next_start(old, new)}"
 
 
 def _schedule(config: Config) -> CallSchedule:
@@ -137,10 +137,10 @@
     )
 
 
-def _left_for_next_start(before: Config, fresh: Config) -> str:
+def _changes_for_next_start(old: Config, new: Config) -> str:
     return for_next_start(
-        ("name", before.name, fresh.name),
-        ("listen", before.listen, fresh.listen),
-        ("limits.sockets", before.sockets, fresh.sockets),
-        ("admin_addr", before.admin, fresh.admin),
+        ("name", old.name, new.name),
+        ("listen", old.listen, new.listen),
+        ("limits.sockets", old.sockets, new.sockets),
+        ("admin_addr", old.admin, new.admin),
     )
--- a/pearhill/platform/discovery.py
+++ b/pearhill/platform/discovery.py
@@ -22,7 +22,7 @@
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
 
-PATH = "/v1/endpoints"
+ENDPOINTS_PATH = "/v1/endpoints"
 
 # What a failed call may raise. Any other exception is a bug in this program and is logged with its traceback.
 EXPECTED_ERRORS = (OSError, TimeoutError, ValueError, KeyError, TypeError, ConnectError)
@@ -35,7 +35,7 @@
     """An unanswered call and when it began, in microseconds of the process's clock."""
 
     task: asyncio.Task[None]
-    began: int
+    started_at: int
 
 
 class Watch:
@@ -102,22 +102,22 @@
         Raises KeyError, TypeError or ValueError if the answer is neither. Then no part of it is applied.
         """
         revision = int(answer["rev"])
-        whole = bool(answer["all"])
+        complete = bool(answer["all"])
         endpoints, addresses = parse_endpoints(answer["targets"], self.deployment, self.endpoints)
-        if revision < self.revision and not whole:
+        if revision < self.revision and not complete:
             # Discovery has restarted its count. It would reach the revision that a watch names only after days.
             self._has_list = False
             raise ValueError(f"revision {revision} is older than the current revision {self.revision}")
         self.revision = revision
-        if not endpoints and not whole:
+        if not endpoints and not complete:
             return
-        if whole:
+        if complete:
             self.endpoints = {}
         self.endpoints.update((endpoint.replica, endpoint) for endpoint in endpoints)
         for endpoint in endpoints:
             if endpoint.phase == Phase.GONE:
                 self.endpoints.pop(endpoint.replica, None)
-        self.on_update(whole, endpoints, addresses)
+        self.on_update(complete, endpoints, addresses)
 
     def _call_after(self, delay: int) -> None:
         self.pool.deadlines.cancel(self._next_call)
@@ -130,7 +130,7 @@
         """Begin one more call. If discovery does not answer, the current list stays in force."""
         self.pool.deadlines.cancel(self._next_call)
         if len(self._calls) >= self.schedule.max_concurrent_calls:
-            self._end_one_call()
+            self._cancel_one_call()
         wait = self.schedule.watch_wait(self._has_list)
         self._calls.append(OpenCall(self.pool.spawn(self._poll(wait)), self.pool.deadlines.clock()))
         overlap_delay = self.schedule.overlap_delay(wait)
@@ -139,10 +139,10 @@
                 overlap_delay, partial(self._on_silence, overlap_delay)
             )
 
-    def _end_one_call(self) -> None:
+    def _cancel_one_call(self) -> None:
         """Cancel the open call that the next one replaces."""
-        begun = [open_call.began for open_call in self._calls]
-        index = self.schedule.call_to_replace(self.pool.deadlines.clock(), begun)
+        start_times = [open_call.started_at for open_call in self._calls]
+        index = self.schedule.call_to_replace(self.pool.deadlines.clock(), start_times)
         self._calls.pop(index).task.cancel()
 
     def _on_silence(self, elapsed: int) -> None:
@@ -154,14 +154,18 @@
 
     async def _poll(self, wait: int) -> None:
         """Make one call and schedule the next one."""
-        target = f"{PATH}?after={self.revision}&wait_ms={max(1, wait // 1000)}" if self._has_list else PATH
+        target = (
+            f"{ENDPOINTS_PATH}?after={self.revision}&wait_ms={max(1, wait // 1000)}"
+            if self._has_list
+            else ENDPOINTS_PATH
+        )
         task = asyncio.current_task()
         clock = self.pool.deadlines.clock
         revision = self.revision
         # Set here and not when the task is created: `move` may cancel the task before it runs.
-        began = self._last_call_at = clock()
+        started_at = self._last_call_at = clock()
         try:
-            await self._fetch(target, wait)
+            await self._request_update(target, wait)
         except Exception as e:
             # The next call has to be scheduled whatever the parser raises: no other code would schedule it.
             if not isinstance(e, EXPECTED_ERRORS):
@@ -170,16 +174,16 @@
             if len(still_open) < len(self._calls):
                 self._calls = still_open
                 self._record_failure(f"{target}: {e!r}")
-                self._call_after(self.schedule.delay_after_failure(clock() - began))
+                self._call_after(self.schedule.delay_after_failure(clock() - started_at))
             return
         self.stop()
         self.has_answered = True
         self._has_list = True
         self._record_recovery()
-        early = bool(wait) and self.revision == revision and clock() - began < wait // 2
+        early = bool(wait) and self.revision == revision and clock() - started_at < wait // 2
         self._call_after(self.schedule.delay_after_answer(early))
 
-    async def _fetch(self, target: str, wait: int) -> None:
+    async def _request_update(self, target: str, wait: int) -> None:
         """Call discovery and apply its answer. Raises one of `EXPECTED_ERRORS` if the call fails."""
         status, body = await call(
             self.pool,
--- a/pearhill/platform/endpoint_list.py
+++ b/pearhill/platform/endpoint_list.py
@@ -52,8 +52,8 @@
     zones = max(1, len(deployment.zone_names))
     return Endpoint(
         replica_id(str(target["uid"])),
-        _index(target["az"], deployment.zone_names, zones),
-        _index(target["model"], deployment.kind_names, len(kinds)),
+        _parse_position(target["az"], deployment.zone_names, zones),
+        _parse_position(target["model"], deployment.kind_names, len(kinds)),
         int(target["pod_group"]),
         PHASES[target["state"]],
         float(target.get("capacity_hint", 1.0)),
@@ -73,7 +73,7 @@
     return replace(last, phase=PHASES[target["state"]])
 
 
-def _index(value: Any, names: tuple[str, ...], bound: int) -> int:
+def _parse_position(value: Any, names: tuple[str, ...], bound: int) -> int:
     """Return the position of a name among the settings' names, or else the one that the name states.
 
     A letter or a number states a position from 0 on: "b" and "m1" are the second. Raises ValueError unless the position
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -101,18 +101,18 @@
 class PlatformFront:
     """Answers the platform's calls.
 
-    `is_refused`: whether a request that arrived at this time is rejected because the process is shutting down.
+    `rejects_arrival_at`: whether a request that arrived at this time is rejected because the process is shutting down.
     """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         is_ready: Callable[[], bool],
-        is_refused: Callable[[int], bool] = lambda arrived: False,
+        rejects_arrival_at: Callable[[int], bool] = lambda arrived: False,
     ) -> None:
         self.dispatcher = dispatcher
         self.is_ready = is_ready
-        self.is_refused = is_refused
+        self.rejects_arrival_at = rejects_arrival_at
         self.open_ids: set[str] = set()
         self._parser = RequestParser(dispatcher.deployment.class_names, dispatcher.deployment.tenant_names)
 
@@ -121,21 +121,21 @@
         path = message.path
         method = message.method
         if path == COMPLETIONS_PATH and method == "POST":
-            return self._begin(message, reply)
+            return self._begin_request(message, reply)
         if path == READY_PATH and method == "GET":
             ready = self.is_ready()
             reply.answer(200 if ready else 503, TEXT_HEADERS, b"ready\n" if ready else b"not ready\n")
         elif path == COUNTERS_PATH and method == "GET":
             reply.answer(200, JSON_HEADERS, json.dumps(self.dispatcher.counters.as_dict()).encode())
         else:
-            self._answer_unknown(path, reply)
+            self._answer_unknown_call(path, reply)
         return None
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
         """Return the headers and the body of the response to input that could not be parsed as a request."""
         return TEXT_HEADERS, f"{why}\n".encode()
 
-    def _answer_unknown(self, path: str, reply: Reply) -> None:
+    def _answer_unknown_call(self, path: str, reply: Reply) -> None:
         self.dispatcher.counters.rejected += 1
         allowed = ALLOWED_METHODS.get(path)
         if allowed:
@@ -143,7 +143,7 @@
         else:
             reply.answer(404, TEXT_HEADERS, b"no such call\n")
 
-    def _begin(self, message: RequestMessage, reply: Reply) -> Pending | None:
+    def _begin_request(self, message: RequestMessage, reply: Reply) -> Pending | None:
         """Pass a request to the core and return its client. Returns None if the request has been rejected."""
         try:
             spec = self._parser.parse(message)
@@ -151,7 +151,7 @@
             self.dispatcher.counters.rejected += 1
             reply.reject(400, TEXT_HEADERS, f"{e}\n".encode())
             return None
-        if self._rejected(spec, message.arrived, reply):
+        if self._reject_inadmissible(spec, message.arrived, reply):
             return None
         request_id = spec.id
         self.open_ids.add(request_id)
@@ -160,7 +160,7 @@
         client.request = None if request.answered else request
         return client
 
-    def _rejected(self, spec: RequestSpec, arrived: int | None, reply: Reply) -> bool:
+    def _reject_inadmissible(self, spec: RequestSpec, arrived: int | None, reply: Reply) -> bool:
         """Reject a request that may not be begun. Returns whether it has been rejected."""
         dispatcher = self.dispatcher
         if spec.id in self.open_ids:  # a replica could not distinguish two requests with the same id
@@ -172,7 +172,7 @@
             retry_after = retry_after_headers(dispatcher.deployment.router.max_retry_after)
             reply.answer(503, (*TEXT_HEADERS, *retry_after), b"too many open\n")
             return True
-        if arrived is not None and self.is_refused(arrived):
+        if arrived is not None and self.rejects_arrival_at(arrived):
             dispatcher.record_rejection(spec.request_class, "ending")
             reply.answer(503, TEXT_HEADERS, b"this process ends: trying again elsewhere is harmless\n")
             return True
--- a/pearhill/platform/replica.py
+++ b/pearhill/platform/replica.py
@@ -44,8 +44,8 @@
     @property
     def cached_tokens(self) -> int:
         """Return the number of cached prompt tokens that the stream has reported so far."""
-        found = _CACHED_TOKENS.findall(self._tail)
-        return int(found[-1]) if found else 0
+        matches = _CACHED_TOKENS.findall(self._tail)
+        return int(matches[-1]) if matches else 0
 
     @property
     def complete(self) -> bool:
@@ -61,11 +61,11 @@
         Raises MalformedResponseError if the bytes are not valid events.
         """
         try:
-            ready = b"".join(event.raw for event in self._parser.feed(data))
+            complete_events = b"".join(event.raw for event in self._parser.feed(data))
         except EventStreamError as e:
             raise MalformedResponseError(str(e)) from None
-        self._tail = (self._tail + ready)[-USAGE_TAIL_BYTES:]
-        return ready
+        self._tail = (self._tail + complete_events)[-USAGE_TAIL_BYTES:]
+        return complete_events
 
     def may_end(self) -> bool:
         """Return whether the stream may end here."""
--- a/pearhill/platform/request_parser.py
+++ b/pearhill/platform/request_parser.py
@@ -45,15 +45,15 @@
     def parse(self, message: RequestMessage) -> RequestSpec:
         """Return the specification of a request. Raises BadRequestError for the first fault found."""
         headers = message.headers
-        request_id = _request_id(headers)
+        request_id = _parse_request_id(headers)
         request_class = self._classes.get(headers["request-class"])
         if request_class is None:
             raise BadRequestError("Request-Class is unknown")
-        timeout = _timeout(headers)
+        timeout = _parse_timeout(headers)
         _check_body(message.body)
-        info = _request_info(headers.get("request-info", ""))
-        prompt = _number("prompt_len", info.get("prompt_len", str(len(message.body) // BYTES_PER_TOKEN)))
-        max_out = _number("max_out", info.get("max_out", "0"))
+        info = _parse_request_info(headers.get("request-info", ""))
+        prompt = _parse_number("prompt_len", info.get("prompt_len", str(len(message.body) // BYTES_PER_TOKEN)))
+        max_out = _parse_number("max_out", info.get("max_out", "0"))
         client_retry = headers.get("client-retry")
         return RequestSpec(
             request_class,
@@ -62,7 +62,7 @@
             max_out,
             session=affinity_key(headers.get("affinity-key", "")),
             prefix=affinity_key(info.get("prefix", "")),
-            prefix_tokens=_number("prefix_len", info.get("prefix_len", "0")),
+            prefix_tokens=_parse_number("prefix_len", info.get("prefix_len", "0")),
             tenant=self._tenants.get(headers.get("tenant", ""), 0),
             is_retry=client_retry == "1",
             resumed=client_retry == "again",
@@ -70,7 +70,7 @@
         )
 
 
-def _request_id(headers: Mapping[str, str]) -> str:
+def _parse_request_id(headers: Mapping[str, str]) -> str:
     """Return the request's id. Raises BadRequestError if the id is malformed or a required header is missing."""
     for name in REQUIRED_HEADERS:
         if not headers.get(name.lower()):
@@ -81,9 +81,9 @@
     return request_id
 
 
-def _timeout(headers: Mapping[str, str]) -> int:
+def _parse_timeout(headers: Mapping[str, str]) -> int:
     """Return the client's timeout in microseconds."""
-    timeout = _number("Request-Timeout-Ms", headers["request-timeout-ms"]) * 1000
+    timeout = _parse_number("Request-Timeout-Ms", headers["request-timeout-ms"]) * 1000
     if not 0 < timeout <= MAX_TIMEOUT_US:
         raise BadRequestError("Request-Timeout-Ms is out of range")
     return timeout
@@ -98,7 +98,7 @@
         raise BadRequestError("the body is no JSON object")
 
 
-def _request_info(text: str) -> dict[str, str]:
+def _parse_request_info(text: str) -> dict[str, str]:
     """Parse Request-Info: pairs `name=value`, separated by commas. Empty parts are ignored."""
     info: dict[str, str] = {}
     for part in text.split(","):
@@ -112,7 +112,7 @@
     return info
 
 
-def _number(name: str, text: str) -> int:
+def _parse_number(name: str, text: str) -> int:
     if not re.fullmatch(r"[0-9]{1,10}", text):
         raise BadRequestError(f"{name} must be a whole number")
     return int(text)
--- a/pearhill/platform/schedule.py
+++ b/pearhill/platform/schedule.py
@@ -102,16 +102,16 @@
             return 0
         return wait + SILENCE_TIMEOUT_US if wait else self.retry_interval
 
-    def call_to_replace(self, now: int, begun: Sequence[int]) -> int:
+    def call_to_replace(self, now: int, start_times: Sequence[int]) -> int:
         """Return the index of the open call that the next one replaces.
 
-        `begun`: when each call began, oldest first; not empty. An agent that was silent may answer only new calls, and
-        a slow agent answers only calls that stay open long enough. So the oldest call is kept, and of the others the
-        one is replaced whose two neighbours' ages have the smallest ratio: this way the ages of the open calls grow
-        geometrically up to the timeout of the oldest.
+        `start_times`: when each call began, oldest first; not empty. An agent that was silent may answer only new
+        calls, and a slow agent answers only calls that stay open long enough. So the oldest call is kept, and of the
+        others the one is replaced whose two neighbours' ages have the smallest ratio: this way the ages of the open
+        calls grow geometrically up to the timeout of the oldest.
         """
-        ages = [now - began + self.retry_interval for began in (*begun, now)]
-        replaceable = range(1, len(begun))
+        ages = [now - started_at + self.retry_interval for started_at in (*start_times, now)]
+        replaceable = range(1, len(start_times))
         return min(replaceable, key=lambda index: ages[index - 1] / ages[index + 1], default=0)
 
     def delay_after_answer(self, early: bool = False) -> int:
@@ -132,8 +132,8 @@
             return self._backoff(MAX_CALL_INTERVAL_US - elapsed)
         return 0 if self.failures == 1 else self.retry_interval
 
-    def _backoff(self, longest: int) -> int:
-        """Return an exponential backoff of at most `longest`, with jitter over its upper half."""
+    def _backoff(self, max_delay: int) -> int:
+        """Return an exponential backoff of at most `max_delay`, with jitter over its upper half."""
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
-        ceiling = max(0, min(longest, self.span * 2**doublings))
+        ceiling = max(0, min(max_delay, self.span * 2**doublings))
         return int(self.rng.uniform(ceiling / 2, ceiling))
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -28,7 +28,7 @@
     ("start", "more"),
     [(b"HTTP/1.1 200 OK\r\nA: ", BLOCK), (b"HTTP/1.1 200 ", BLOCK), (b"", INTERIM_ANSWERS)],
 )
-def test_an_endless_head_ends_the_answer_while_it_still_arrives(
+def test_an_endless_head_is_rejected_while_it_is_being_received(
     connection: ClientConnection, start: bytes, more: bytes
 ) -> None:
     events = feed_all(connection, [start] + [more] * 6)
@@ -47,13 +47,13 @@
     ],
     ids=["too-short", "too-long", "no-number", "negative", "endless"],
 )
-def test_a_chunk_counts_once_its_end_proves_its_size(connection: ClientConnection, bad_chunk: bytes) -> None:
+def test_a_chunk_is_reported_only_after_its_size_is_verified(connection: ClientConnection, bad_chunk: bytes) -> None:
     events = feed_all(connection, [CHUNKED + b"2\r\nhi\r\n", bad_chunk])
     assert [type(event) for event in events] == [Head, Data, Lost]
 
 
 @pytest.mark.parametrize(("more", "reusable"), [(b"", True), (ANSWER, False), (b"noise", False)])
-def test_bytes_after_an_answer_make_its_connection_unusable(
+def test_bytes_after_a_response_make_its_connection_unusable(
     connection: ClientConnection, more: bytes, reusable: bool
 ) -> None:
     events = connection.feed(b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n" + ANSWER + more)
@@ -64,7 +64,7 @@
     assert ClientConnection().feed(b"HTTP/1.1 200 OK\r\n") == [Lost("unasked")]
 
 
-def test_answers_in_pieces_one_after_another() -> None:
+def test_consecutive_responses_are_reported_in_pieces() -> None:
     connection = ClientConnection()
     for _ in range(2):
         connection.expect()
@@ -73,7 +73,7 @@
         assert connection.feed(b"0\r\n\r\n") == [End(True)]
 
 
-def test_a_connection_that_ends_loses_the_answer_once(connection: ClientConnection) -> None:
+def test_the_end_of_a_connection_is_reported_once(connection: ClientConnection) -> None:
     connection.feed(ANSWER)
     connection.expect()
     assert connection.eof() == [Lost("eof")]
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, len(REQUEST), 2 * len(REQUEST)])
-def test_requests_cut_anywhere_parse_the_same(size: int) -> None:
+def test_requests_parse_the_same_however_reads_split_them(size: int) -> None:
     stream = REQUEST * 2
     events = feed_all(ServerConnection(), [stream[at : at + size] for at in range(0, len(stream), size)])
     requests = [event for event in events if isinstance(event, RequestMessage)]
@@ -60,7 +60,7 @@
         b"Upgrade: h2c\r\nConnection: upgrade",
     ],
 )
-def test_a_request_whose_framing_is_in_doubt_is_rejected(header: bytes) -> None:
+def test_a_request_with_ambiguous_framing_is_rejected(header: bytes) -> None:
     (rejected,) = ServerConnection().feed(HEAD + header + b"\r\n\r\n")
     assert isinstance(rejected, Rejected)
     assert rejected.status == 400
@@ -77,18 +77,18 @@
         (b"", BLANK_LINES),
     ],
 )
-def test_endless_input_is_rejected_while_it_still_arrives(start: bytes, more: bytes) -> None:
+def test_endless_input_is_rejected_while_it_is_being_received(start: bytes, more: bytes) -> None:
     events: list[Any] = feed_all(ServerConnection(), [start] + [more] * 6)
     assert [event.status for event in events] == [431]
 
 
-def test_a_large_body_in_small_pieces_is_no_endless_head() -> None:
+def test_a_large_body_in_small_pieces_does_not_count_as_head() -> None:
     parts = [HEAD + b"Content-Length: 200000\r\n\r\n", *[b"x" * 1000] * 200] * 2
     requests: list[Any] = feed_all(ServerConnection(), parts)
     assert [len(request.body) for request in requests] == [200_000] * 2
 
 
-def test_a_header_that_comes_twice_is_a_list_and_a_trailer_is_no_header() -> None:
+def test_a_repeated_header_becomes_a_list_and_a_trailer_is_ignored() -> None:
     head = HEAD + b"Transfer-Encoding: chunked\r\nA: 1\r\na: 2\r\n\r\n"
     (request,) = ServerConnection().feed(head + b"0\r\nB: 3\r\n\r\n")
     assert isinstance(request, RequestMessage)
@@ -111,7 +111,7 @@
     assert read()() is None
 
 
-def test_nothing_is_kept_of_a_request_that_was_passed_on() -> None:
+def test_no_reference_to_a_reported_request_is_kept() -> None:
     connection = ServerConnection()
     (request,) = connection.feed(REQUEST)
     assert sys.getrefcount(request) == 2  # this name and the call's argument; the body is freed with the response
--- a/tests/http1/test_sse.py
+++ b/tests/http1/test_sse.py
@@ -44,18 +44,20 @@
 
 
 @given(EVENTS, st.lists(st.integers(0, 200), max_size=12), st.booleans())
-def test_reads_that_end_anywhere_change_nothing(events: EncodedEvents, cuts: list[int], marked: bool) -> None:
-    byte_order_mark = b"\xef\xbb\xbf" if marked else b""
+def test_events_do_not_depend_on_where_reads_end(
+    events: EncodedEvents, read_ends: list[int], with_byte_order_mark: bool
+) -> None:
+    byte_order_mark = b"\xef\xbb\xbf" if with_byte_order_mark else b""
     stream = byte_order_mark + encode(events) + b"data: end\n\n"
-    bounds = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
-    whole = parse([stream])
+    bounds = sorted({0, len(stream), *(read_end for read_end in read_ends if read_end < len(stream))})
+    in_one_read = parse([stream])
     in_parts = parse([stream[start:end] for start, end in zip(bounds, bounds[1:], strict=False)])
     in_bytes = parse([stream[at : at + 1] for at in range(len(stream))])
-    assert contents(whole) == contents(in_parts)
-    assert contents(whole) == contents(in_bytes)
-    for parsed in (whole, in_parts, in_bytes):
+    assert contents(in_one_read) == contents(in_parts)
+    assert contents(in_one_read) == contents(in_bytes)
+    for parsed in (in_one_read, in_parts, in_bytes):
         assert b"".join(event.raw for event in parsed) == stream
-    assert whole[-1].data == b"end"
+    assert in_one_read[-1].data == b"end"
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20).filter(lambda b: not set(b) & set(b"\r\n")), min_size=1))
@@ -75,13 +77,13 @@
 def test_an_event_past_the_bound_is_rejected_wherever_reads_end(size: int) -> None:
     stream = b"data: " + b"x" * 30 + b"\n\n"
     assert len(stream) == 38
-    parser = EventParser(most=20)
+    parser = EventParser(max_size=20)
     reads = [stream[at : at + size] for at in range(0, len(stream), size)]
     with pytest.raises(EventStreamError):
         feed_all(parser, reads)
 
 
-def test_events_cut_anywhere_keep_their_bytes() -> None:
+def test_raw_bytes_of_events_are_kept_however_reads_split_them() -> None:
     stream = b": hi\n\ndata: a\ndata: b\r\n\r\nevent: x\rdata:c\r\rid: 1\n\n"
     expected = [(None, "message"), (b"a\nb", "message"), (b"c", "x"), (None, "message")]
     for size in range(1, len(stream) + 1):
@@ -92,4 +94,4 @@
 
 def test_an_event_past_the_bound_is_rejected_before_its_end() -> None:
     with pytest.raises(EventStreamError):
-        EventParser(most=10).feed(b"data: " + b"x" * 10)
+        EventParser(max_size=10).feed(b"data: " + b"x" * 10)
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -21,17 +21,20 @@
 from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform_file
 
 HOUR_S = 3600
-ASKED = 24
-PATIENT = {**SETTINGS, "classes": [{**spec, "aim": 30_000_000, "deadline": 60_000_000} for spec in SETTINGS["classes"]]}
+REQUEST_COUNT = 24
+LONG_DEADLINES = {
+    **SETTINGS,
+    "classes": [{**spec, "aim": 30_000_000, "deadline": 60_000_000} for spec in SETTINGS["classes"]],
+}
 
 
-class Shimmed(Program):
+class ShimmedProgram(Program):
     """The program under the shim, which reads commands from a pipe."""
 
     LAUNCH = ("-m", "pearhill.lab.soak.shim")
 
 
-class Timed(Discovery):
+class DiscoveryWithStartTimes(Discovery):
     """Lists replicas with the times of their last starts, in Unix milliseconds."""
 
     def __init__(self, *targets: tuple[str, str, str]) -> None:
@@ -50,8 +53,8 @@
     read_end, write_end = os.pipe()
     monkeypatch.setattr("subprocess.Popen", _with_stdin(read_end))
     path = folder / "config.json"
-    path.write_text(platform_file(discovery.address, settings=PATIENT))
-    program = Shimmed(RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
+    path.write_text(platform_file(discovery.address, settings=LONG_DEADLINES))
+    program = ShimmedProgram(RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
     os.close(read_end)
     return program, lambda line: os.write(write_end, line.encode() + b"\n")
 
@@ -61,15 +64,15 @@
 
 
 @pytest.mark.parametrize("step_s", [-HOUR_S, -20])
-def test_a_replica_that_restarts_after_the_clock_was_set_back_is_started_slowly(
+def test_a_replica_that_restarts_after_the_clock_was_set_back_gets_a_slow_start(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, step_s: int
 ) -> None:
     """By the new clock its start is earlier than the last one. Taken for the last one, it would get no slow start."""
-    warm, cold, go = Standin(), Standin(), threading.Event()
-    discovery = Timed(("s-0", warm.address, "all-in-one"), ("s-1", cold.address, "all-in-one"))
+    warm, cold, release_answers = Standin(), Standin(), threading.Event()
+    discovery = DiscoveryWithStartTimes(("s-0", warm.address, "all-in-one"), ("s-1", cold.address, "all-in-one"))
     discovery.boot_ms = {"s-1": int((time.time() - 15) * 1000)}
     for server in (warm, cold):
-        server.respond = lambda handler, body: (go.wait(20), handler.chunks(*TOKENS, LAST))
+        server.respond = lambda handler, body: (release_answers.wait(20), handler.chunks(*TOKENS, LAST))
     program, command = start(tmp_path, discovery, monkeypatch)
     try:
         program.wait_ready()
@@ -81,16 +84,16 @@
         while program.counters()["lists"] == lists:
             assert time.monotonic() < end
         clients = []
-        for number in range(ASKED):
+        for number in range(REQUEST_COUNT):
             connection = program.connect()
             connection.request("POST", PATH, BODY, _headers(f"c{number}"))
             clients.append(connection)
-        while warm.runs + cold.runs + program.counters()["refused"] < ASKED:
+        while warm.runs + cold.runs + program.counters()["refused"] < REQUEST_COUNT:
             assert time.monotonic() < end, (warm.runs, cold.runs, program.counters())
         # At 0.28 of its capacity this dispatcher's bucket for the replica holds one request at a time.
         assert cold.runs <= 3 < warm.runs, (warm.runs, cold.runs)
     finally:
-        go.set()
+        release_answers.set()
         program.kill()
         for thing in (warm, cold, discovery):
             thing.close()
@@ -106,13 +109,13 @@
 
 
 class TakeoverAfterAClockStep(TakeoverCase):
-    def test_the_predecessor_yields_and_a_replica_that_is_down_stays_down(self) -> None:
+    def test_the_predecessor_yields_and_an_override_stays_in_force(self) -> None:
         for step_s in (-HOUR_S, HOUR_S):
             with self.subTest(step_s=step_s):
                 old = self.start_process()
                 old.wait_ready()
                 assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
-                with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
+                with unittest.mock.patch.object(Program, "LAUNCH", ShimmedProgram.LAUNCH):
                     new = self.start_process(SOAK_COMMANDS=f"wall {step_s}")
                 old.wait_line("another takes the clients")
                 self.wait_for(lambda new=new: self.is_ready(new))
@@ -123,14 +126,14 @@
 
 
 class TakeoverOnAFullDisk(TakeoverCase):
-    def test_a_successor_whose_message_nobody_can_read_leaves_its_predecessor_the_time(self) -> None:
+    def test_a_successor_that_cannot_write_its_message_waits_before_it_reports_ready(self) -> None:
         """The predecessor cannot read the message, and would be terminated while it still accepts clients.
 
         So the successor reports ready only after the time in which a predecessor normally yields."""
         old = self.start_process()
         old.wait_ready()
         began = time.monotonic()
-        with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
+        with unittest.mock.patch.object(Program, "LAUNCH", ShimmedProgram.LAUNCH):
             new = self.start_process(SOAK_COMMANDS="fail write-file ENOSPC 1")
         self.wait_for(lambda: self.is_ready(new))
         assert time.monotonic() - began > READY_WITHIN_US / 1e6
--- a/tests/platform/test_cut_answers.py
+++ b/tests/platform/test_cut_answers.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from tests.platform.test_owed import Day, day, request
+from tests.platform.test_owed import LoopbackDispatcher, loopback, request
 from tests.standins import TOKENS, Standin
 
-__all__ = ["day"]
+__all__ = ["loopback"]
 
 
-def half_an_answer(end: threading.Event) -> Standin:
+def partial_answer_replica(end: threading.Event) -> Standin:
     """Return a replica that writes one event and closes its connection when `end` is set."""
     server = Standin()
 
@@ -25,18 +25,18 @@
 
 
 @pytest.mark.parametrize(
-    ("client_leaves", "why", "counter", "reason"),
+    ("client_disconnects", "why", "counter", "reason"),
     [(True, "client-left", "left_in_answer", "called-off"), (False, "broken", "broken", "lost-eof")],
 )
-def test_an_answer_that_is_cut_is_logged_with_its_request_and_connection(
-    day: Day, client_leaves: bool, why: str, counter: str, reason: str
+def test_a_truncated_answer_is_logged_with_its_request_and_connection(
+    loopback: LoopbackDispatcher, client_disconnects: bool, why: str, counter: str, reason: str
 ) -> None:
     end = threading.Event()
-    program = day.start((half_an_answer(end), "all-in-one"))
-    client = day.connect()
+    program = loopback.start((partial_answer_replica(end), "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("cut-1"))
     assert TOKENS[0] in client.recv(65_536)
-    client.close() if client_leaves else end.set()
+    client.close() if client_disconnects else end.set()
     program.wait_line(rf"answer cut request=\d+ id=cut-1 replica=\d+ why={why} silent_us=\d+")
     program.wait_line(rf"side=server .* reason={reason} exchanges=1 cut=cut-1")
     assert program.counters()[counter] == 1
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -70,7 +70,7 @@
 
 
 class TestServing(PlatformCase):
-    def test_two_stages_pass_everything_on_unchanged(self) -> None:
+    def test_prefill_and_decode_replica_get_the_request_unchanged(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(202, b'{"cached_tokens":0}')
         status, _, body = self.program.ask("POST", PATH + "?q=1", BODY, headers("abc"))
@@ -82,7 +82,7 @@
         counters = self.program.counters()
         assert (counters["taken"], counters["sent"], counters["served"]) == (1, 2, 1)
 
-    def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self) -> None:
+    def test_an_idempotency_key_is_forwarded_with_every_attempt(self) -> None:
         """Replicas discard repeated requests by the key. A request without a key is forwarded without one."""
         keyed = [{**SETTINGS["classes"][0], "effect": "idempotency_key", "group": "all", "window": 5_000_000}]
         servers = self.start("all-in-one", "all-in-one", settings={**SETTINGS, "classes": keyed})
@@ -97,7 +97,7 @@
         assert got[0] & got[1] & {("k1", "f882f41b")} == {("k1", "f882f41b")}
         assert got[0] | got[1] == {("k1", "f882f41b"), ("k2", None)}
 
-    def test_a_booking_that_may_have_run_is_not_sent_again(self) -> None:
+    def test_a_booking_that_may_have_been_executed_is_not_retried(self) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(500)
@@ -106,14 +106,16 @@
         assert sum(s.runs for s in servers) == 1
 
     @pytest.mark.parametrize(("mark", "status", "again"), [({}, 500, False), ({"Not_Started": "1"}, 503, True)])
-    def test_a_503_proves_nothing_without_its_mark(self, mark: dict[str, str], status: int, again: bool) -> None:
+    def test_a_503_without_not_started_may_have_been_executed(
+        self, mark: dict[str, str], status: int, again: bool
+    ) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(503, **mark)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
         assert (sum(s.runs for s in servers) > 1) == again
 
-    def test_a_dead_replica_costs_one_attempt_and_a_refusal_tells_when_to_come_back(self) -> None:
+    def test_an_unreachable_replica_costs_one_attempt_and_the_request_is_rejected(self) -> None:
         (alive,) = self.start("all-in-one")
         self.discovery.update(("s-9", dead_address(), "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?", 2)
@@ -121,7 +123,7 @@
         assert (status, alive.runs) == (503, 0)
         assert self.program.counters()["outcomes"]["unreachable"] >= 1
 
-    def test_a_silent_replica_is_given_up_by_the_deadline(self) -> None:
+    def test_an_attempt_at_a_silent_replica_ends_at_the_deadline(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: server.go.wait(20)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
@@ -145,7 +147,7 @@
         assert not got.endswith(b"0\r\n\r\n")
         assert server.runs == 1
 
-    def test_what_a_reader_holds_is_released_when_no_writer_takes_it(self) -> None:
+    def test_held_state_is_released_if_no_decode_replica_fetches_it(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         writer.respond = lambda h, b: h.plain(204 if h.command == "DELETE" else 500)
@@ -153,7 +155,7 @@
         reader.wait_for("DELETE", "/state/b7")
         assert writer.runs == 1
 
-    def test_a_read_cut_off_in_flight_is_released_too(self) -> None:
+    def test_held_state_is_released_if_the_client_disconnects_during_prefill(self) -> None:
         reader, _ = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(204) if h.command == "DELETE" else reader.go.wait(20)
         connection = self.program.connect()
@@ -198,7 +200,7 @@
         assert self.program.counters()["rejected"] == len(cases) + len(raw) + 2
         assert server.calls == []
 
-    def test_nothing_behind_bad_input_is_served(self) -> None:
+    def test_requests_after_invalid_input_are_not_served(self) -> None:
         (server,) = self.start("all-in-one")
 
         def request(id: str, cls: str) -> bytes:
@@ -210,7 +212,7 @@
             got = b"".join(iter(lambda: s.recv(4096), b""))
         assert (got.count(b"HTTP/1.1"), got.split(b" ")[1], server.calls) == (1, b"400", [])
 
-    def test_who_trickles_or_says_nothing_is_cut_off_in_time(self) -> None:
+    def test_a_client_that_is_silent_or_sends_slowly_is_disconnected_in_time(self) -> None:
         self.start("all-in-one")
         address = self.program.host, self.program.port
         with socket.create_connection(address, 20) as silent, socket.create_connection(address, 20) as trickling:
@@ -241,7 +243,7 @@
             self.cleanup.callback(client.close)
         return made
 
-    def test_past_the_budget_the_longest_idle_client_makes_room(self) -> None:
+    def test_beyond_the_socket_limit_the_longest_idle_client_is_disconnected(self) -> None:
         self.start("all-in-one", limits={"sockets": 64})
         used = self.program.connect()
         used.request("GET", "/ready")
@@ -256,7 +258,7 @@
         assert used.getresponse().status == 200
         self.program.wait_line("side=client .* reason=room-needed")
 
-    def test_requests_leave_nothing_behind_in_memory(self) -> None:
+    def test_finished_requests_keep_no_memory(self) -> None:
         self.start("all-in-one")
         large = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
 
@@ -273,7 +275,7 @@
         before = resident(40)
         assert resident(160) - before < 8  # the request bodies alone are 24 MB
 
-    def test_out_of_descriptors_accepting_pauses_and_goes_on(self) -> None:
+    def test_accepting_pauses_without_free_descriptors_and_resumes(self) -> None:
         self.start("all-in-one", files=24)
         self.idle(40)
         self.program.wait_line("accepting pauses")
@@ -298,7 +300,7 @@
 
         return respond
 
-    def test_before_the_first_event_it_may_have_run_and_later_the_client_gets_good_events_alone(self) -> None:
+    def test_a_malformed_answer_is_not_retried_and_the_client_gets_valid_events_only(self) -> None:
         first = b"%x\r\n%b\r\n" % (len(TOKENS[0]), TOKENS[0])
         endless = self.HEAD[:-2] + b"A: " + b"x" * 100_000
         lying, huge = b"5\r\n" + TOKENS[1] + b"\r\n", b"BFFFFFFF\r\n" + b"x" * 300_000
@@ -319,7 +321,7 @@
             assert got + broken.value.partial == TOKENS[0]
         self.program.wait_line("side=server .* reason=lost-malformed")
 
-    def test_interim_answers_do_no_harm_and_a_second_answer_is_never_read_as_the_next(self) -> None:
+    def test_interim_answers_are_skipped_and_a_surplus_answer_is_not_used_for_the_next_request(self) -> None:
         whole = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
         (server,) = self.start("all-in-one")
         server.respond = self.raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + whole + whole)
@@ -327,7 +329,7 @@
             assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
         assert server.runs == 3
 
-    def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self) -> None:
+    def test_a_rejection_followed_by_more_bytes_is_not_trusted_and_a_booking_is_not_retried(self) -> None:
         """If two answers arrive, neither can be trusted: one may belong to another request."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
@@ -337,7 +339,7 @@
 
 
 class TestReload(PlatformCase):
-    def test_a_new_discovery_is_asked_for_the_whole_list_and_what_is_open_lives_on(self) -> None:
+    def test_a_new_discovery_is_polled_for_the_complete_list_and_open_requests_continue(self) -> None:
         old, new = self.start("all-in-one")[0], Standin()
         other = Discovery(("s-9", new.address, "all-in-one"))
         for thing in (new, other):
@@ -361,7 +363,7 @@
         assert response.read() == b"".join(TOKENS) + LAST
         assert (old.runs, new.runs) == (1, 1)
 
-    def test_settings_change_and_a_bad_file_keeps_the_old_ones(self) -> None:
+    def test_a_reload_applies_settings_and_an_invalid_file_keeps_the_old_ones(self) -> None:
         self.start()
         stay = {**SETTINGS["allowed"], "max-retry-after": 250000}
         self.program.reload(platform_file(self.discovery.address, settings={**SETTINGS, "allowed": stay}))
@@ -375,7 +377,7 @@
         status, answered, _ = self.program.ask("POST", PATH, BODY, headers())
         assert (status, answered["retry-after"]) == (503, "0.250")
 
-    def test_in_a_drain_it_does_no_harm(self) -> None:
+    def test_a_reload_does_not_disturb_a_drain(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: (server.go.wait(20), h.chunks(*TOKENS, LAST))
         connection = self.program.connect()
@@ -401,7 +403,7 @@
         "boot_ms": 1_764_600_000_000,
     }
 
-    def test_a_target_is_a_replica_that_started_on_the_programs_clock(self) -> None:
+    def test_a_target_becomes_an_endpoint_with_its_start_time(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = parse_endpoints([self.TARGET], deployment)
         assert entry == Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000)
@@ -409,7 +411,7 @@
         # The program's clock shows Unix time, so a start time of just now is neither in the future nor long past.
         assert abs(start_clock()() - time.time() * 1e6) < 60e6
 
-    def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self) -> None:
+    def test_letters_and_numbers_are_positions_and_invalid_targets_are_left_out(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
         assert (entry.zone, entry.kind) == (1, 2)
@@ -417,7 +419,7 @@
             bad = {k: v for k, v in {**self.TARGET, **change}.items() if v is not None}
             assert parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone == 1
 
-    def test_an_invalid_target_that_says_that_a_known_replica_leaves_counts_for_that(self) -> None:
+    def test_an_invalid_target_still_drains_a_known_replica(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([self.TARGET], deployment)
         known = {entry.replica: entry}
@@ -429,7 +431,7 @@
 
 
 class TestEnding(PlatformCase):
-    def test_sigterm_answers_what_was_taken_then_exits_well(self) -> None:
+    def test_sigterm_answers_accepted_requests_and_exits_with_0(self) -> None:
         (server,) = self.start("all-in-one")
 
         def waits(handler: StandinHandler, body: bytes) -> None:
@@ -450,7 +452,7 @@
         assert self.program.process.wait(20) == 0
         self.program.wait_line(r'counters .*"served": 1')
 
-    def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self) -> None:
+    def test_an_abandoned_fetch_stays_open_until_its_state_is_released(self) -> None:
         """Otherwise an unreachable prefill replica holds useless state too long. The client is answered at once."""
         reader, writer = self.start("reader", "writer")
         released, closed, held = threading.Event(), threading.Event(), list[socket.socket]()
@@ -497,7 +499,7 @@
         assert server.runs == 5
         self.program.wait_line("side=server .* reason=(server-eof|stale)")
 
-    def test_a_replica_that_is_leaving_gets_nothing_new(self) -> None:
+    def test_a_replica_that_is_no_longer_listed_gets_no_requests(self) -> None:
         first, second = self.start("all-in-one", "all-in-one")
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
@@ -505,7 +507,7 @@
             assert self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
         assert (first.runs, second.runs) == (0, 6)
 
-    def test_an_indented_list_of_a_thousand_servers_in_one_chunk_is_in_force(self) -> None:
+    def test_an_indented_list_of_a_thousand_replicas_in_one_chunk_is_applied(self) -> None:
         server = Standin()
         self.cleanup.callback(server.close)
         gone = dead_address()
@@ -518,7 +520,7 @@
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 3)
         assert self.program.counters()["lists"] < 20  # although the agent answers every call at once
 
-    def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self) -> None:
+    def test_an_attempt_waiting_for_a_connection_is_retried_when_its_replica_drains(self) -> None:
         """The first replica's accept queue is full until it is no longer listed, so connections to it open late."""
         second = Standin()
         self.cleanup.callback(second.close)
@@ -544,7 +546,7 @@
         counters = self.program.counters()
         assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
-    def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self) -> None:
+    def test_a_silent_watch_is_reopened_and_updates_after_its_return_are_received_at_once(self) -> None:
         """The open calls never end, and neither do calls on new connections for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
         silent, whole = threading.Event(), self.discovery.respond
@@ -563,7 +565,7 @@
         assert (first.runs, second.runs) == (1, 0)
         assert len(self.discovery.calls) - known < 20  # it watches again instead of polling every few milliseconds
 
-    def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self) -> None:
+    def test_a_request_before_the_first_list_is_not_forwarded_by_an_outdated_list(self) -> None:
         gone, server = Standin(), Standin()
         discovery = Discovery(("s-1", server.address, "all-in-one"))
         for thing in (gone, server, discovery):
@@ -600,7 +602,7 @@
             self.cleanup.callback(self.program.kill)
         assert (status, gone.runs, server.runs) == (200, 0, 1)
 
-    def test_a_list_known_at_the_start_must_do_while_discovery_is_silent(self) -> None:
+    def test_the_list_known_at_the_start_is_used_while_discovery_is_silent(self) -> None:
         server, silent = Standin(), Standin()
         silent.respond = lambda h, b: silent.go.wait(20)
         self.cleanup.callback(server.close)
--- a/tests/platform/test_held_states.py
+++ b/tests/platform/test_held_states.py
@@ -3,7 +3,7 @@
 import threading
 from typing import Any
 
-from tests.platform.test_owed import Day, close, day, request  # noqa: F401
+from tests.platform.test_owed import LoopbackDispatcher, close, loopback, request  # noqa: F401
 from tests.standins import Standin, StandinHandler
 
 READ = b'{"cached_tokens":0}'
@@ -13,7 +13,7 @@
     handler.plain(204) if handler.command == "DELETE" else handler.plain(202, READ)
 
 
-def test_a_state_is_released_in_time_though_the_fetch_on_an_open_connection_never_arrives(day: Day) -> None:  # noqa: F811
+def test_held_state_is_released_in_time_though_the_fetch_never_arrives(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """The decode replica's connection stops responding without an error, so the fetch written to it is never executed.
     A release does no harm while a fetch is in progress, so it is sent long before the attempt times out."""
     prefill, decode, over = Standin(), Standin(), threading.Event()
@@ -30,8 +30,8 @@
     decode.respond = lambda handler, body: (
         handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if nothing had arrived
     )
-    program = day.start((prefill, "reader"), (decode, "writer"))
-    client = day.connect()
+    program = loopback.start((prefill, "reader"), (decode, "writer"))
+    client = loopback.connect()
     client.sendall(request("h1", "advice", 20_000))
     assert released.wait(20)
     over.set()
@@ -39,7 +39,7 @@
     assert "cancelled" not in outcomes[0], outcomes
 
 
-def test_a_release_is_repeated_after_the_end_of_a_fetch_that_the_decode_replica_sees_late(day: Day) -> None:  # noqa: F811
+def test_a_release_is_repeated_after_a_fetch_whose_end_is_noticed_late(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """A release that overtakes the close of the fetch releases nothing while the decode replica waits for the state, so
     another one must follow the close."""
     prefill, decode = Standin(), Standin()
@@ -56,8 +56,8 @@
         handler.connection.recv(1)
 
     prefill.respond, decode.respond = read, write
-    day.start((prefill, "reader"), (decode, "writer"))
-    client = day.connect()
+    loopback.start((prefill, "reader"), (decode, "writer"))
+    client = loopback.connect()
     client.sendall(request("h2", "advice", 4000))
     decode.wait_for("POST")
     client.close()
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -65,7 +65,7 @@
         self.first.close()
 
 
-def ask(program: Program, id: str) -> tuple[int, bytes]:
+def send_booking(program: Program, id: str) -> tuple[int, bytes]:
     """Send a booking. Returns the status and the body; the status is 0 if the dispatcher was killed."""
     try:
         status, _, body = program.ask(
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
-def test_no_dispatcher_sends_to_a_replica_that_leaves_whatever_befalls_dispatcher_and_agent(grace: int) -> None:
+def test_no_dispatcher_sends_to_a_draining_replica_despite_a_silent_agent_or_a_restart(grace: int) -> None:
     """One dispatcher runs undisturbed, one has an agent that is silent while the list changes, and one is killed and
     restarted with the outdated list. Each booking waits for its connection when the list changes, and runs once, at
     another replica."""
@@ -108,22 +108,22 @@
                 program.wait_ready()
             silent.set()
             programs[1].wait_line("discovery: no answer to anything: silent")
-            asked = [pool.submit(ask, program, f"b{n}") for n, program in enumerate(programs)]
+            bookings = [pool.submit(send_booking, program, f"b{n}") for n, program in enumerate(programs)]
             for program in programs:
                 while not program.counters()["sent"]:
-                    assert not any(a.done() for a in asked)
+                    assert not any(a.done() for a in bookings)
             yesterday = agents[2].answer()["targets"]
             programs[2].process.kill()
             for agent in agents:
                 agent.leaving = {"s-0"}
                 agent.update(*agent.targets, ("s-1", good.address, "all-in-one"))
             programs.append(platform(agents[2].address, yesterday, **changes))
-            asked.append(pool.submit(ask, programs[3], "b3"))
+            bookings.append(pool.submit(send_booking, programs[3], "b3"))
             silent.clear()
             for agent in agents:
                 agent.wait_for("GET", "/v1/endpoints?after=2")  # the dispatcher has received the change
             late.accept_from_now_on()
-            answers = [a.result(20) for a in asked]
+            answers = [a.result(20) for a in bookings]
         served = (200, b"".join(TOKENS) + LAST)
         assert answers == [served, served, (0, b""), served]
         assert (late.bytes_received, good.runs) == (0, 3)
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -34,7 +34,7 @@
     ).encode() + BODY
 
 
-def answer(sock: socket.socket) -> tuple[int, bytes]:
+def read_answer(sock: socket.socket) -> tuple[int, bytes]:
     """Read one complete answer. Returns (0, b"") if the connection ends without one, or in the middle of its body."""
     response = http.client.HTTPResponse(sock)
     try:
@@ -44,7 +44,7 @@
         return 0, b""
 
 
-def stands(sock: socket.socket) -> bool:
+def is_open_and_silent(sock: socket.socket) -> bool:
     """Return whether nothing has arrived on the connection, neither data nor its end."""
     sock.setblocking(False)
     try:
@@ -58,7 +58,7 @@
     return False
 
 
-class Stopped:
+class StoppedProcess:
     """Stops the program within the block. Its input stays pending in the order in which it arrived."""
 
     def __init__(self, program: Program) -> None:
@@ -85,46 +85,46 @@
         assert time.monotonic() < end
 
 
-class Day:
+class LoopbackDispatcher:
     """One dispatcher, its agent and the replicas that the agent lists. All of them end with the test."""
 
     def __init__(self) -> None:
-        self.things: list[Any] = []
+        self.resources: list[Any] = []
 
     def start(self, *servers: tuple[Any, str], **changes: Any) -> Program:
         self.discovery = Discovery(*((f"s-{n}", server.address, kind) for n, (server, kind) in enumerate(servers)))
         self.program = platform(self.discovery.address, **changes)
-        self.things += [self.discovery, *(server for server, _ in servers)]
+        self.resources += [self.discovery, *(server for server, _ in servers)]
         self.program.wait_ready()
         return self.program
 
     def connect(self) -> socket.socket:
         sock = socket.create_connection((self.program.host, self.program.port), timeout=20)
-        self.things.append(sock)
+        self.resources.append(sock)
         return sock
 
-    def until(self, what: Callable[[dict[str, Any]], Any]) -> None:
+    def wait_for_counters(self, condition: Callable[[dict[str, Any]], Any]) -> None:
         """Wait until the program's counters meet a condition. One connection is used for all polls."""
         connection = self.program.connect()
         end = time.monotonic() + 20
         while True:
             connection.request("GET", "/counters")
             counters = json.loads(connection.getresponse().read())
-            if what(counters):
+            if condition(counters):
                 return connection.close()
             assert time.monotonic() < end, counters
 
     def end(self) -> None:
         self.program.kill()
-        for thing in self.things:
+        for thing in self.resources:
             thing.close()
 
 
 @pytest.fixture
-def day() -> Iterator[Day]:
-    made = Day()
-    yield made
-    made.end()
+def loopback() -> Iterator[LoopbackDispatcher]:
+    dispatcher = LoopbackDispatcher()
+    yield dispatcher
+    dispatcher.end()
 
 
 def close(sock: socket.socket) -> None:
@@ -140,23 +140,25 @@
     sock.close()
 
 
-ENDS = [close, half_close, reset]
+CONNECTION_ENDS = [close, half_close, reset]
 FLOOD = b"".join(request(f"f{n}") for n in range(40))
-HALF = request("big").partition(b"Content-Length")[0] + b"Content-Length: 200000\r\n\r\n" + b" " * 150_000
+PARTIAL_REQUEST = request("big").partition(b"Content-Length")[0] + b"Content-Length: 200000\r\n\r\n" + b" " * 150_000
 
 
-def test_nothing_is_begun_for_a_client_whose_end_stands_behind_its_request(day: Day) -> None:
+def test_no_attempt_begins_for_a_client_that_disconnects_right_after_its_request(loopback: LoopbackDispatcher) -> None:
     """When the program reads the request, the end of the connection has already arrived, with up to a flood of further
     requests between the two. An idle connection to the replica is ready to carry the request."""
     server = Standin()
-    program = day.start((server, "all-in-one"))
-    before = day.connect()
-    for n, (more, end) in enumerate((more, end) for more in (b"", request("p1"), FLOOD, HALF) for end in ENDS):
+    program = loopback.start((server, "all-in-one"))
+    before = loopback.connect()
+    for n, (more, end) in enumerate(
+        (more, end) for more in (b"", request("p1"), FLOOD, PARTIAL_REQUEST) for end in CONNECTION_ENDS
+    ):
         before.sendall(request(f"b{n}"))
-        assert answer(before) == (200, SERVED)
+        assert read_answer(before) == (200, SERVED)
         rested = time.monotonic() + 0.1  # the replica connection may carry another request by then
-        client = day.connect()
-        with Stopped(program):
+        client = loopback.connect()
+        with StoppedProcess(program):
             client.sendall(request(f"a{n}") + more)
             end(client)
             while time.monotonic() < rested:
@@ -165,50 +167,54 @@
         def has_left(counters: dict[str, Any], n: int = n) -> bool:
             return bool(counters["left"] > n)
 
-        day.until(has_left)
+        loopback.wait_for_counters(has_left)
         assert server.runs == n + 1, (end, more[:200])
     before.sendall(request("a0"))  # no trace of that request is left: its id may be used again
-    assert answer(before) == (200, SERVED)
+    assert read_answer(before) == (200, SERVED)
 
 
-@pytest.mark.parametrize("end", ENDS)
-def test_nothing_is_begun_for_a_client_that_has_gone_when_its_connection_to_the_server_comes_up(
-    day: Day, end: Callable[[socket.socket], None]
+@pytest.mark.parametrize("end", CONNECTION_ENDS)
+def test_no_request_is_sent_if_the_client_disconnects_while_the_replica_connection_opens(
+    loopback: LoopbackDispatcher, end: Callable[[socket.socket], None]
 ) -> None:
     """The connection to the replica opens before the client disconnects, so the event loop handles it first."""
     late = LateReplica()
-    program = day.start((late, "all-in-one"), settings=SLOW_CONNECT)
-    client = day.connect()
+    program = loopback.start((late, "all-in-one"), settings=SLOW_CONNECT)
+    client = loopback.connect()
     client.sendall(request("a1"))
     wait_connecting(late)
-    with Stopped(program):
+    with StoppedProcess(program):
         late.accept_from_now_on()
         assert late.accepted.acquire(timeout=20)
         end(client)
-    day.until(lambda counters: counters["left"])
+    loopback.wait_for_counters(lambda counters: counters["left"])
     assert (late.bytes_received, program.counters()["sent"]) == (0, 1)
 
 
-def test_a_client_that_goes_is_seen_though_it_has_sent_more_than_is_read_of_it(day: Day) -> None:
+def test_a_disconnect_behind_a_flood_of_requests_is_noticed(loopback: LoopbackDispatcher) -> None:
     """Its request is in flight. A flood of requests behind it used to stop the reading of the connection's end."""
     server = Standin()
     server.respond = lambda handler, body: handler.connection.recv(1)
-    program = day.start((server, "all-in-one"))
-    client = day.connect()
+    program = loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("a1") + FLOOD)
     server.wait_for("POST")
     client.close()
-    day.until(lambda counters: counters["outcomes"].get("cancelled") or counters["outcomes"].get("timeout"))
+    loopback.wait_for_counters(
+        lambda counters: counters["outcomes"].get("cancelled") or counters["outcomes"].get("timeout")
+    )
     counters = program.counters()
     assert (counters["outcomes"], counters["left"], server.runs) == ({"cancelled": 1}, 1, 1)
 
 
-def test_of_a_flood_on_one_connection_the_first_are_answered_and_then_it_ends(day: Day) -> None:
+def test_the_first_requests_of_a_flood_on_one_connection_are_answered_and_then_it_is_closed(
+    loopback: LoopbackDispatcher,
+) -> None:
     """The number of queued requests is bounded. The rest is read and discarded, so that the end is still seen."""
     server = Standin()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
-    day.start((server, "all-in-one"))
-    client = day.connect()
+    loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(FLOOD)
     server.go.set()
     got = b"".join(iter(lambda: client.recv(65_536), b""))
@@ -216,29 +222,29 @@
     assert server.runs == 5
 
 
-def test_a_request_on_the_connection_that_just_then_makes_room_is_answered(day: Day) -> None:
+def test_a_request_on_an_idle_connection_that_is_about_to_be_closed_is_answered(loopback: LoopbackDispatcher) -> None:
     """The request was read in the same iteration of the event loop in which another client connected and the longest
     idle connection was closed for it. The request was lost with that connection."""
     server = Standin()
-    program = day.start((server, "all-in-one"), limits={"sockets": 64})
+    program = loopback.start((server, "all-in-one"), limits={"sockets": 64})
     idle = list[socket.socket]()
     for n in range(16):  # twice as many as the limit allows
-        idle.append(day.connect())
+        idle.append(loopback.connect())
         idle[-1].sendall(request(f"i{n}"))
-        assert answer(idle[-1]) == (200, SERVED)
-    oldest = next(sock for sock in idle if stands(sock))
-    with Stopped(program):
+        assert read_answer(idle[-1]) == (200, SERVED)
+    oldest = next(sock for sock in idle if is_open_and_silent(sock))
+    with StoppedProcess(program):
         oldest.sendall(request("last"))
-        others = [day.connect() for _ in range(2)]
+        others = [loopback.connect() for _ in range(2)]
         for n, other in enumerate(others):  # otherwise one that has sent no request yet would be closed first
             other.sendall(request(f"o{n}"))
     for sock in (oldest, *others):
-        assert answer(sock) == (200, SERVED)
+        assert read_answer(sock) == (200, SERVED)
     assert server.runs == 19
-    assert sum(map(stands, idle)) < 8  # another connection was closed instead
+    assert sum(map(is_open_and_silent, idle)) < 8  # another connection was closed instead
 
 
-def test_a_keyed_request_is_not_begun_again_once_its_window_is_over(day: Day) -> None:
+def test_a_keyed_request_is_not_retried_after_its_window(loopback: LoopbackDispatcher) -> None:
     """The replica is chosen within the window, but its connection opens later. A rejection is harmless: all replicas
     discard repeated requests."""
     window = 2_500_000
@@ -248,29 +254,29 @@
     }
     first, late = Standin(), LateReplica()
     first.respond = lambda handler, body: (first.go.wait(20), handler.plain(500))
-    program = day.start((first, "all-in-one"), settings=keyed)
-    client = day.connect()
+    program = loopback.start((first, "all-in-one"), settings=keyed)
+    client = loopback.connect()
     client.sendall(request("k1"))
     first.wait_for("POST")
     since = time.monotonic()
-    day.discovery.update(("s-0", first.address, "all-in-one"), ("s-1", late.address, "all-in-one"))
-    day.discovery.wait_for("GET", "/v1/endpoints?after=2")
+    loopback.discovery.update(("s-0", first.address, "all-in-one"), ("s-1", late.address, "all-in-one"))
+    loopback.discovery.wait_for("GET", "/v1/endpoints?after=2")
     first.go.set()
     wait_connecting(late)
-    with Stopped(program):
+    with StoppedProcess(program):
         late.accept_from_now_on()
         assert late.accepted.acquire(timeout=20)
         while time.monotonic() < since + window / 1e6:
             pass
-    assert answer(client)[0] == 503
+    assert read_answer(client)[0] == 503
     assert late.bytes_received == 0
 
 
-def test_another_fetch_is_not_begun_while_the_prefill_replica_that_holds_the_state_answers_nothing(day: Day) -> None:
+def test_no_second_fetch_begins_while_the_prefill_replica_is_silent(loopback: LoopbackDispatcher) -> None:
     """If the other fetch found no state, no attempt would remain open, and the held state could not be released."""
-    silent, given_up = threading.Event(), threading.Event()
+    silent, fetch_closed = threading.Event(), threading.Event()
     prefill, decode_replicas = Standin(), [Standin(), Standin()]
-    asked: list[Standin] = []
+    fetches: list[Standin] = []
 
     def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
@@ -281,27 +287,27 @@
     def write(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             return handler.plain(204)
-        asked.append(handler.standin)
-        if len(asked) > 1:
+        fetches.append(handler.standin)
+        if len(fetches) > 1:
             return handler.plain(410, Not_Started="1")
         handler.connection.recv(1)
-        given_up.set()
+        fetch_closed.set()
 
     prefill.respond = read
     for decode in decode_replicas:
         decode.respond = write
-    day.start((prefill, "reader"), (decode_replicas[0], "writer"), (decode_replicas[1], "writer"))
-    client = day.connect()
+    loopback.start((prefill, "reader"), (decode_replicas[0], "writer"), (decode_replicas[1], "writer"))
+    client = loopback.connect()
     client.sendall(request("h1", "advice", 4000))
-    day.until(lambda counters: counters["outcomes"].get("timeout"))
-    assert answer(client)[0] == 503
-    assert len(asked) == 1
-    assert not given_up.is_set()
+    loopback.wait_for_counters(lambda counters: counters["outcomes"].get("timeout"))
+    assert read_answer(client)[0] == 503
+    assert len(fetches) == 1
+    assert not fetch_closed.is_set()
     silent.set()
-    assert given_up.wait(20)  # every holder of state now answers, so the state can be released
+    assert fetch_closed.wait(20)  # every holder of state now answers, so the state can be released
 
 
-def test_the_end_waits_for_releases_and_ends_whoever_rests_before_it_can_take_a_request_more(day: Day) -> None:
+def test_a_shutdown_waits_for_releases_and_closes_idle_clients_first(loopback: LoopbackDispatcher) -> None:
     """An idle client had connected while connections were still accepted. A request that it sent after that was read
     and lost when the process exited; the releases took another second."""
     answering, replica = threading.Event(), Standin()
@@ -313,30 +319,30 @@
         handler.rfile.read(1)  # until its dispatcher closes the connection
 
     replica.respond = read
-    program = day.start((replica, "all-in-one"))
-    gone = day.connect()
+    program = loopback.start((replica, "all-in-one"))
+    gone = loopback.connect()
     gone.sendall(request("g1"))
     replica.wait_for("POST")
     gone.close()
     replica.wait_for("DELETE")
     program.process.terminate()
     program.wait_line("draining")
-    first = day.connect()
+    first = loopback.connect()
     assert first.recv(1) == b""  # from here on idle connections are closed
-    rests = day.connect()
+    idle_client = loopback.connect()
     while True:
         try:
             socket.create_connection((program.host, program.port)).close()
         except ConnectionRefusedError:
             break
-    assert rests.recv(1) == b""
+    assert idle_client.recv(1) == b""
     deletes = sum(method == "DELETE" for method, _ in replica.calls)
     replica.wait_for("DELETE", count=deletes + 2)
     answering.set()
     assert program.process.wait(20) == 0
 
 
-def test_idle_clients_that_fill_the_descriptors_take_none_from_the_list_the_servers_or_new_requests(day: Day) -> None:
+def test_idle_clients_leave_descriptors_for_discovery_replicas_and_new_requests(loopback: LoopbackDispatcher) -> None:
     """Discovery is silent and called repeatedly meanwhile. A client with an open request keeps its connection."""
     server, over = Standin(), threading.Event()
     known = [
@@ -354,26 +360,26 @@
     agent = Discovery(("s-0", server.address, "all-in-one"))
     whole = agent.respond
     agent.respond = lambda handler, body: (over.wait(20), whole(handler, body))
-    day.program = program = platform(agent.address, known, files=256)
-    day.things += [agent, server]
+    loopback.program = program = platform(agent.address, known, files=256)
+    loopback.resources += [agent, server]
     program.wait_ready()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
-    owed = day.connect()
-    owed.sendall(request("o1"))
+    open_client = loopback.connect()
+    open_client.sendall(request("o1"))
     server.wait_for("POST")
-    crowd = [day.connect() for _ in range(400)]
+    idle_clients = [loopback.connect() for _ in range(400)]
     server.respond = lambda handler, body: handler.chunks(*TOKENS, LAST)
-    client = day.connect()
+    client = loopback.connect()
     client.sendall(request("n1"))
-    assert answer(client) == (200, SERVED)
-    assert any(map(stands, crowd))
-    assert not all(map(stands, crowd))
+    assert read_answer(client) == (200, SERVED)
+    assert any(map(is_open_and_silent, idle_clients))
+    assert not all(map(is_open_and_silent, idle_clients))
     lists = program.counters()["lists"]
     agent.update(*agent.targets)
     over.set()
-    day.until(lambda counters: counters["lists"] > lists)
+    loopback.wait_for_counters(lambda counters: counters["lists"] > lists)
     server.go.set()
-    assert answer(owed) == (200, SERVED)
+    assert read_answer(open_client) == (200, SERVED)
 
 
 def write_until(over: threading.Event, handler: Any) -> None:
@@ -401,7 +407,7 @@
         over.wait(20)  # the program has closed this connection
 
 
-def test_events_go_on_one_by_one_while_neighbours_flood_trickle_and_read_nothing(day: Day) -> None:
+def test_events_are_forwarded_one_by_one_while_other_clients_flood_or_do_not_read(loopback: LoopbackDispatcher) -> None:
     """The replica writes an event after the client has received the one before: none is delayed by a later event or a
     neighbour."""
     server, seen, over = Standin(), threading.Semaphore(0), threading.Event()
@@ -417,16 +423,16 @@
                 handler.chunks(*TOKENS, LAST)
 
     server.respond = respond
-    day.start((server, "all-in-one"))
+    loopback.start((server, "all-in-one"))
     floods = [
-        threading.Thread(target=flood_until, args=(over, day.connect(), data), daemon=True)
+        threading.Thread(target=flood_until, args=(over, loopback.connect(), data), daemon=True)
         for data in (request("f") * 50, b"x" * 60_000, b"P")
     ]
-    deaf = day.connect()
+    deaf = loopback.connect()
     deaf.sendall(request("deaf"))
     for flood in floods:
         flood.start()
-    client = day.connect()
+    client = loopback.connect()
     client.sendall(request("s1"))
     response = http.client.HTTPResponse(client)
     try:
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from tests.platform.test_owed import SERVED, Day, answer, day, request  # noqa: F401
+from tests.platform.test_owed import SERVED, LoopbackDispatcher, loopback, read_answer, request  # noqa: F401
 from tests.standins import LAST, TOKENS, Standin
 
 WAITED_S = 3.0
@@ -31,10 +31,10 @@
 
     def next(self) -> tuple[int, bytes]:
         """Return one answer, or (0, b"") if the connection ends without one."""
-        return answer(self)  # type: ignore[arg-type]
+        return read_answer(self)  # type: ignore[arg-type]
 
 
-def test_a_replica_is_given_no_more_time_than_the_client_has_left(day: Day) -> None:  # noqa: F811
+def test_a_replica_is_given_no_more_time_than_the_client_has_left(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """Queued requests wait for the answer to the first, and their timeouts run from their last byte. A request whose
     timeout passes in the queue is rejected without being forwarded."""
     server = Standin()
@@ -45,8 +45,8 @@
         handler.chunks(*TOKENS, LAST)
 
     server.respond = respond
-    day.start((server, "all-in-one"))
-    client = day.connect()
+    loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("p1", "advice", 20_000) + request("p2", "advice", TIMEOUT_MS) + request("p3", "advice", 500))
     server.wait_for("POST")
     began = time.monotonic()
@@ -59,12 +59,12 @@
     assert given <= TIMEOUT_MS - WAITED_S * 1000, given
 
 
-def test_what_was_read_before_a_drain_is_answered_in_it(day: Day) -> None:  # noqa: F811
+def test_requests_received_before_a_drain_are_answered(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """The first answer was sent during the drain and closed its connection, so that the other requests were lost."""
     server, ending = Standin(), threading.Event()
     server.respond = lambda handler, body: (ending.wait(20), handler.chunks(*TOKENS, LAST))
-    program = day.start((server, "all-in-one"))
-    client = day.connect()
+    program = loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("d1") + request("d2") + request("d3"))
     server.wait_for("POST")
     program.process.send_signal(signal.SIGTERM)
@@ -75,12 +75,12 @@
     assert program.process.wait(20) == 0
 
 
-def test_what_arrives_long_after_the_signal_to_end_is_refused(day: Day) -> None:  # noqa: F811
+def test_a_request_long_after_sigterm_is_rejected(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """If it were in flight when the platform kills the process, it would be lost; rejected, it is served elsewhere."""
     server, over = Standin(), threading.Event()
     server.respond = lambda handler, body: (over.wait(20), handler.chunks(*TOKENS, LAST))
-    program = day.start((server, "all-in-one"))
-    client = day.connect()
+    program = loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("e1"))
     server.wait_for("POST")
     program.process.send_signal(signal.SIGTERM)
--- a/tests/platform/test_reset_behind_bytes.py
+++ b/tests/platform/test_reset_behind_bytes.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.platform.test_clock_steps import start
-from tests.platform.test_owed import Day, Stopped, answer, day, request, reset
+from tests.platform.test_owed import LoopbackDispatcher, StoppedProcess, loopback, read_answer, request, reset
 from tests.standins import LAST, TOKENS, Discovery, Standin
 
-__all__ = ["day"]
+__all__ = ["loopback"]
 RESET_SEEN = "server lost-ConnectionResetError"
 
 
@@ -25,10 +25,10 @@
     reset(handler.connection)
 
 
-def ended_by(day: Any, *reasons: str) -> str:
+def end_reason(loopback: Any, *reasons: str) -> str:
     """Return the first of these reasons for which the program has ended a connection."""
-    day.until(lambda counters: any(counters["connections"].get(reason) for reason in reasons))
-    connections = day.program.counters()["connections"]
+    loopback.wait_for_counters(lambda counters: any(counters["connections"].get(reason) for reason in reasons))
+    connections = loopback.program.counters()["connections"]
     return next(reason for reason in reasons if connections.get(reason))
 
 
@@ -40,110 +40,112 @@
     return got
 
 
-@pytest.mark.parametrize("behind", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
-def test_a_reset_behind_an_event_ends_the_answer_of_its_client(day: Day, behind: bytes) -> None:
+@pytest.mark.parametrize("trailing", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
+def test_a_reset_after_an_event_truncates_the_answer(loopback: LoopbackDispatcher, trailing: bytes) -> None:
     """Incident 40: the reset was not noticed, and the client was left waiting for the rest."""
     server, stopped, gone = Standin(), threading.Event(), threading.Event()
 
     def respond(handler: Any, body: bytes) -> None:
         handler.chunks(TOKENS[0], last=False)
         stopped.wait(20)
-        handler.more(behind)
+        handler.more(trailing)
         reset_from(handler)
         gone.set()
 
     server.respond = respond
-    program = day.start((server, "all-in-one"))
-    client = day.connect()
+    program = loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("s1"))
     assert TOKENS[0] in client.recv(65_536)
-    with Stopped(program):
+    with StoppedProcess(program):
         stopped.set()
         assert gone.wait(20)
-    assert ended_by(day, "server stalled", RESET_SEEN) == RESET_SEEN
+    assert end_reason(loopback, "server stalled", RESET_SEEN) == RESET_SEEN
     rest = body_until_its_end(client)
-    assert (TOKENS[1] in rest) == (behind == TOKENS[1])
+    assert (TOKENS[1] in rest) == (trailing == TOKENS[1])
     assert not rest.endswith(b"0\r\n\r\n")  # the answer is not marked as complete
 
 
-def test_a_reset_behind_half_a_list_is_seen_and_the_list_asked_for_again(day: Day) -> None:
+def test_a_reset_in_the_middle_of_a_list_ends_the_call(loopback: LoopbackDispatcher) -> None:
     """A change counts as reported as soon as discovery has it, but the call ended only at its timeout."""
     server, called, stopped, gone = Standin(), threading.Event(), threading.Event(), threading.Event()
-    program = day.start((server, "all-in-one"))
-    list_as_usual = day.discovery.respond
+    program = loopback.start((server, "all-in-one"))
+    list_as_usual = loopback.discovery.respond
 
     def respond(handler: Any, body: bytes) -> None:
-        day.discovery.respond = list_as_usual
+        loopback.discovery.respond = list_as_usual
         called.set()
         stopped.wait(20)
         handler.wfile.write(b'HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{"rev":')
         reset_from(handler)
         gone.set()
 
-    day.discovery.respond = respond
-    day.discovery.update(*day.discovery.targets)
+    loopback.discovery.respond = respond
+    loopback.discovery.update(*loopback.discovery.targets)
     assert called.wait(20)
-    with Stopped(program):
+    with StoppedProcess(program):
         stopped.set()
         assert gone.wait(20)
-    assert ended_by(day, "server call-failed", RESET_SEEN) == RESET_SEEN
+    assert end_reason(loopback, "server call-failed", RESET_SEEN) == RESET_SEEN
 
 
-def test_a_client_that_resets_behind_more_bytes_is_seen_while_its_request_is_out(day: Day) -> None:
+def test_a_client_reset_after_more_bytes_cancels_the_open_request(loopback: LoopbackDispatcher) -> None:
     server = Standin()
     server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
-    program = day.start((server, "all-in-one"))
-    client = day.connect()
+    program = loopback.start((server, "all-in-one"))
+    client = loopback.connect()
     client.sendall(request("c1", "advice", 3000))
     server.wait_for("POST")
-    with Stopped(program):
+    with StoppedProcess(program):
         client.sendall(request("c2"))
         reset(client)
-    day.until(lambda counters: counters["outcomes"].get("cancelled") or counters["outcomes"].get("timeout"))
+    loopback.wait_for_counters(
+        lambda counters: counters["outcomes"].get("cancelled") or counters["outcomes"].get("timeout")
+    )
     assert program.counters()["outcomes"] == {"cancelled": 1}
-    other = day.connect()
+    other = loopback.connect()
     server.go.set()
     other.sendall(request("c1", "advice"))  # no trace of that request is left: its id may be used again
-    assert answer(other)[0] == 200
+    assert read_answer(other)[0] == 200
 
 
-class Unread:
+class NonReadingReplica:
     """A replica that accepts one connection and reads nothing."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.sock.getsockname())
-        self.taken: socket.socket | None = None
+        self.accepted: socket.socket | None = None
 
-    def take(self) -> socket.socket:
+    def accept(self) -> socket.socket:
         self.sock.settimeout(20)
-        self.taken = self.sock.accept()[0]
-        return self.taken
+        self.accepted = self.sock.accept()[0]
+        return self.accepted
 
     def close(self) -> None:
         self.sock.close()
-        if self.taken:
-            self.taken.close()
+        if self.accepted:
+            self.accepted.close()
 
 
 @pytest.mark.parametrize("early", [b"", b"HTTP/1.1 200 OK\r\n"], ids=["nothing", "half a head"])
 def test_a_reset_while_a_request_waits_to_be_written_ends_its_attempt(
-    day: Day, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, early: bytes
+    loopback: LoopbackDispatcher, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, early: bytes
 ) -> None:
     """The system accepts no byte of the request. Its last byte was never written, so it was never executed."""
-    stuck = Unread()
-    day.discovery = Discovery(("s-0", stuck.address, "all-in-one"))
-    day.things += [day.discovery, stuck]
-    day.program, command = start(tmp_path, day.discovery, monkeypatch)
-    day.program.wait_ready()
+    stuck = NonReadingReplica()
+    loopback.discovery = Discovery(("s-0", stuck.address, "all-in-one"))
+    loopback.resources += [loopback.discovery, stuck]
+    loopback.program, command = start(tmp_path, loopback.discovery, monkeypatch)
+    loopback.program.wait_ready()
     command("fail send-server EAGAIN 1")
-    day.until(lambda counters: counters["lists"] and not counters["connections"].get("server idle"))
-    client = day.connect()
+    loopback.wait_for_counters(lambda counters: counters["lists"] and not counters["connections"].get("server idle"))
+    client = loopback.connect()
     client.sendall(request("w1"))
-    connection = stuck.take()
-    with Stopped(day.program):
+    connection = stuck.accept()
+    with StoppedProcess(loopback.program):
         connection.sendall(early)
         reset(connection)
         stuck.sock.close()  # further connections are refused
-    assert answer(client)[0] == 503
-    assert set(day.program.counters()["outcomes"]) == {"unreachable"}
+    assert read_answer(client)[0] == 503
+    assert set(loopback.program.counters()["outcomes"]) == {"unreachable"}
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -21,11 +21,11 @@
     is `refused` at once, `silent` (never answered, even after the service is back), or answered with `nonsense`.
     `received`: when each process received the one change."""
 
-    def __init__(self, count: int, seed: int, how: str, down: tuple[int, int], change: int, cost: int) -> None:
+    def __init__(self, count: int, seed: int, outage: str, down: tuple[int, int], change: int, cost: int) -> None:
         self.schedules = [CallSchedule(True, count, GRACE, random.Random(seed * 1000 + n)) for n in range(count)]
-        self.how, self.down, self.change, self.cost = how, down, change, cost
+        self.outage, self.down, self.change, self.cost = outage, down, change, cost
         self.events: list[tuple[int, int, str, int, int]] = []
-        self.line: deque[tuple[int, int, int]] = deque()
+        self.queue: deque[tuple[int, int, int]] = deque()
         self.busy = False
         self.began = [0] * count
         self.numbers = [0] * count  # of each process's current call, so that events of cancelled calls are ignored
@@ -60,7 +60,7 @@
         wait = self.schedules[n].watch_wait(self.listed[n])
         self.at(now + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
         if self.is_down(now):
-            if self.how != "silent":
+            if self.outage != "silent":
                 self.at(now + 1_000, "fail", n, self.numbers[n])
         elif wait and (now < self.change or self.received[n]):
             self.watching[n] = self.numbers[n]
@@ -70,14 +70,14 @@
 
     def join(self, now: int, n: int) -> None:
         self.watching.pop(n, None)
-        self.line.append((now, n, self.numbers[n]))
+        self.queue.append((now, n, self.numbers[n]))
         if not self.busy:
             self.next(now)
 
     def next(self, now: int) -> None:
         self.busy = False
-        while self.line and not self.is_down(now):
-            came, n, number = self.line.popleft()
+        while self.queue and not self.is_down(now):
+            came, n, number = self.queue.popleft()
             if now > came + MAX_QUEUE_WAIT_US:
                 self.at(now, "fail", n, number)
             elif number == self.numbers[n]:
@@ -99,11 +99,11 @@
 
     def fall(self, now: int, n: int) -> None:
         """Reset the watches and the queued calls, or leave them without an answer."""
-        out = [*self.watching, *(n for _, n, number in self.line if number == self.numbers[n])]
+        out = [*self.watching, *(n for _, n, number in self.queue if number == self.numbers[n])]
         self.watching.clear()
-        self.line.clear()
+        self.queue.clear()
         for n in out:
-            if self.how == "silent":
+            if self.outage == "silent":
                 self.numbers[n] += 1  # the pending answer is lost
                 wait = self.schedules[n].watch_wait(True)
                 self.at(self.began[n] + self.schedules[n].answer_timeout(wait), "fail", n, self.numbers[n])
@@ -116,81 +116,87 @@
                 self.join(now, watcher)
 
 
-@pytest.mark.parametrize("how", ["refused", "silent", "nonsense"])
+@pytest.mark.parametrize("outage", ["refused", "silent", "nonsense"])
 @pytest.mark.parametrize("count", [1, 30, 230])
-def test_events_of_a_shared_discovery_are_never_six_seconds_old_and_its_calls_do_not_crowd_it(
-    count: int, how: str
+def test_events_of_a_shared_discovery_are_received_within_six_seconds_without_overloading_it(
+    count: int, outage: str
 ) -> None:
     """The service is down for 20 s, with a change before, during or after that. docs/design/owed.md states the oldest
     event and the most calls in a second that were measured."""
     back, oldest, most = 40 * S, 0, 0
     for seed in range(5):
         for change in (back - 20 * S - 1, back - 10 * S, back, back + S, back + 7 * S + seed * 100_000):
-            day = Service(count, seed, how, (back - 20 * S, back), change, cost=5_000)
-            day.run(back + 30 * S)
-            assert all(day.received)
-            oldest = max(oldest, *(received - max(change, back) for received in day.received))
-            calls = sorted(day.calls)
+            service = Service(count, seed, outage, (back - 20 * S, back), change, cost=5_000)
+            service.run(back + 30 * S)
+            assert all(service.received)
+            oldest = max(oldest, *(received - max(change, back) for received in service.received))
+            calls = sorted(service.calls)
             first = 0
             for last, at in enumerate(calls):
                 while calls[first] <= at - S:
                     first += 1
                 most = max(most, last - first + 1)
-    print(f"{count} processes, {how}: the oldest event {oldest / S:.2f} s, most calls in a second {most}")
+    print(f"{count} processes, {outage}: the oldest event {oldest / S:.2f} s, most calls in a second {most}")
     assert oldest < 5.9 * S
     assert most <= max(8, 0.9 * count)  # the service can answer 200 a second
 
 
 @pytest.mark.parametrize("count", [1, 30, 230])
-def test_a_call_begins_so_soon_after_the_last_one_that_its_turn_comes_before_its_events_count_as_reported(
+def test_a_shared_discovery_is_called_again_before_its_events_count_as_reported(
     count: int,
 ) -> None:
-    one = CallSchedule(True, count, GRACE, random.Random(4))
-    assert max(one.first_call_delay() for _ in range(100)) <= MAX_CALL_INTERVAL_US
-    for took in (0, 1_000, MAX_QUEUE_WAIT_US, one.answer_timeout(0), one.answer_timeout(one.watch_wait(True))):
-        waits = [one.delay_after_failure(took) for _ in range(40)]
+    schedule = CallSchedule(True, count, GRACE, random.Random(4))
+    assert max(schedule.first_call_delay() for _ in range(100)) <= MAX_CALL_INTERVAL_US
+    for took in (
+        0,
+        1_000,
+        MAX_QUEUE_WAIT_US,
+        schedule.answer_timeout(0),
+        schedule.answer_timeout(schedule.watch_wait(True)),
+    ):
+        waits = [schedule.delay_after_failure(took) for _ in range(40)]
         assert max(waits) + took <= MAX_CALL_INTERVAL_US
         assert max(waits) + took + MAX_QUEUE_WAIT_US < 5.9 * S
-    assert min(one.delay_after_failure(0) for _ in range(40)) > S  # the backoff has grown
-    assert one.delay_after_answer() == 0 < one.delay_after_answer(early=True) <= MAX_CALL_INTERVAL_US
+    assert min(schedule.delay_after_failure(0) for _ in range(40)) > S  # the backoff has grown
+    assert schedule.delay_after_answer() == 0 < schedule.delay_after_answer(early=True) <= MAX_CALL_INTERVAL_US
 
 
 @pytest.mark.parametrize("grace", [1_000, 250_000, 500_000, 1_000_000])
 @pytest.mark.parametrize("shared", [False, True])
-def test_what_a_silent_watch_misses_is_called_for_before_it_counts_as_reported(shared: bool, grace: int) -> None:
+def test_events_missed_by_a_silent_watch_are_polled_before_they_count_as_reported(shared: bool, grace: int) -> None:
     """STANDING.md: a change that a silent watch misses counts as reported 6 s after the silence began, or 2 s after the
     end of the call's wait, whichever is later. At a shared service the new call may be queued for 2 s."""
-    one = CallSchedule(shared, 200, grace, random.Random(5))
-    wait = one.watch_wait(True)
+    schedule = CallSchedule(shared, 200, grace, random.Random(5))
+    wait = schedule.watch_wait(True)
     reported = max(6 * S, wait + 2 * S)  # silent from the start of the call on
-    noticed = one.overlap_delay(wait) or one.answer_timeout(wait)
+    noticed = schedule.overlap_delay(wait) or schedule.answer_timeout(wait)
     assert wait + 300_000 <= noticed <= wait + S
-    answered = noticed + (one.delay_after_failure(noticed) + MAX_QUEUE_WAIT_US if shared else S // 10)
+    answered = noticed + (schedule.delay_after_failure(noticed) + MAX_QUEUE_WAIT_US if shared else S // 10)
     assert answered < reported - S // 4
 
 
 @pytest.mark.parametrize("grace", [250_000, 500_000, 1_000_000])
 def test_events_of_a_silent_agent_that_comes_back_are_received_well_within_the_grace(grace: int) -> None:
     """This holds whether the agent then answers the calls made while it was silent, or only calls made from then on."""
-    one = CallSchedule(False, 200, grace, random.Random(5))
-    assert one.watch_wait(True) == WATCH_WAIT_US
-    assert one.first_call_delay() == 0
+    schedule = CallSchedule(False, 200, grace, random.Random(5))
+    assert schedule.watch_wait(True) == WATCH_WAIT_US
+    assert schedule.first_call_delay() == 0
     # After a reset connection the agent is called again at once, since it may have events at any time.
-    assert one.delay_after_failure(100) == 0
+    assert schedule.delay_after_failure(100) == 0
     for _ in range(200):
-        assert one.watch_wait(True) == 0  # a call that may wait would not show early that the agent is back
-        assert one.overlap_delay(0) <= grace // 5
-        assert one.delay_after_failure(100) <= grace // 5
-        assert one.answer_timeout(0) > 500_000  # a slow answer is still awaited when the next call is made
-    one.delay_after_answer()
-    assert one.watch_wait(True) == WATCH_WAIT_US
+        assert schedule.watch_wait(True) == 0  # a call that may wait would not show early that the agent is back
+        assert schedule.overlap_delay(0) <= grace // 5
+        assert schedule.delay_after_failure(100) <= grace // 5
+        assert schedule.answer_timeout(0) > 500_000  # a slow answer is still awaited when the next call is made
+    schedule.delay_after_answer()
+    assert schedule.watch_wait(True) == WATCH_WAIT_US
 
 
 def test_a_reload_that_makes_discovery_shared_spreads_the_calls_from_then_on() -> None:
-    one = CallSchedule(False, 1, GRACE, random.Random(7))
-    one.reconfigure(True, 40, GRACE)
-    assert max(one.first_call_delay() for _ in range(50)) > 2 * S
-    assert max(one.delay_after_failure(0) for _ in range(20)) > 3 * S
+    schedule = CallSchedule(False, 1, GRACE, random.Random(7))
+    schedule.reconfigure(True, 40, GRACE)
+    assert max(schedule.first_call_delay() for _ in range(50)) > 2 * S
+    assert max(schedule.delay_after_failure(0) for _ in range(20)) > 3 * S
 
 
 KNOWN = {"az": "north", "model": "all-in-one", "pod_group": 1, "state": "active", "capacity_hint": 1.0, "boot_ms": 0}
@@ -204,7 +210,7 @@
     )
 
 
-def test_the_daemon_asks_a_shared_discovery_for_what_changed_since_the_list_it_knows() -> None:
+def test_a_shared_discovery_is_polled_for_changes_since_the_known_list() -> None:
     server, discovery = Standin(), Discovery(("s-0", "127.0.0.1:1", "all-in-one"))
     program = started(discovery, server)
     try:
@@ -216,7 +222,7 @@
             thing()
 
 
-def test_a_discovery_that_counts_anew_is_asked_for_its_whole_list() -> None:
+def test_a_discovery_with_restarted_revisions_is_polled_for_its_complete_list() -> None:
     """An older revision, a failure and an invalid answer are each logged in one line. The next good list is applied."""
     server, discovery = Standin(), Discovery()
     discovery.rev = 7
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -206,9 +206,7 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.25, 3.0, 10.0])
-def test_a_replica_that_hangs_keeps_no_connection_open_but_its_own_requests(
-    loop: VirtualLoop, deadline_s: float
-) -> None:
+def test_a_hanging_replica_keeps_only_its_own_request_open(loop: VirtualLoop, deadline_s: float) -> None:
     """The hung request is answered at its deadline. If that is after SIGKILL, the request is still open then, which is
     accepted: it had arrived long enough before."""
     shutdown, ended = loop.run_until_complete(run_shutdown(loop, deadline_s, hang=True))
