--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -260,13 +260,13 @@
 
     def test_finished_requests_keep_no_memory(self) -> None:
         self.start("all-in-one")
-        large = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
+        large_body = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
 
-        def resident(asked: int) -> int:
+        def resident(count: int) -> int:
             """Return the resident MB after so many requests, each on its own connection; every other one stays open."""
-            stay = [self.program.connect() for _ in range(asked)]
-            for n, connection in enumerate(stay):
-                connection.request("POST", PATH, large, headers(f"{asked}-{n}"))
+            connections = [self.program.connect() for _ in range(count)]
+            for n, connection in enumerate(connections):
+                connection.request("POST", PATH, large_body, headers(f"{count}-{n}"))
                 assert connection.getresponse().read() == b"".join(TOKENS) + LAST
                 connection.close() if n % 2 else self.cleanup.callback(connection.close)
             with open(f"/proc/{self.program.process.pid}/statm") as file:
@@ -322,9 +322,11 @@
         self.program.wait_line("side=server .* reason=lost-malformed")
 
     def test_interim_answers_are_skipped_and_a_surplus_answer_is_not_used_for_the_next_request(self) -> None:
-        whole = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
+        complete_answer = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
         (server,) = self.start("all-in-one")
-        server.respond = self.raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + whole + whole)
+        server.respond = self.raw(
+            b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + complete_answer + complete_answer
+        )
         for n in range(3):
             assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
         assert server.runs == 3
@@ -510,10 +512,10 @@
     def test_an_indented_list_of_a_thousand_replicas_in_one_chunk_is_applied(self) -> None:
         server = Standin()
         self.cleanup.callback(server.close)
-        gone = dead_address()
+        dead = dead_address()
         self.start(settings={**SETTINGS, "n-instances": 1024})
         self.discovery.respond = lambda h, b: h.chunks(json.dumps(self.discovery.answer(), indent=4).encode())
-        self.discovery.update(*((f"s-{n:08x}", gone, "writer") for n in range(1023)), ("s-9", server.address, "reader"))
+        self.discovery.update(*((f"s-{n:08x}", dead, "writer") for n in range(1023)), ("s-9", server.address, "reader"))
         self.program.wait_ready()
         assert len(json.dumps(self.discovery.answer(), indent=4)) > 256 * 1024
         calls = len(self.discovery.calls)
@@ -524,24 +526,24 @@
         """The first replica's accept queue is full until it is no longer listed, so connections to it open late."""
         second = Standin()
         self.cleanup.callback(second.close)
-        with socket.socket() as late, socket.socket() as before:
+        with socket.socket() as late, socket.socket() as queued:
             late.bind(("127.0.0.1", 0))
             late.listen(0)
-            before.connect(late.getsockname())
+            queued.connect(late.getsockname())
             self.start(settings={**SETTINGS, "allowed": {**SETTINGS["allowed"], "connect-timeout": 8_000_000}})
             self.discovery.update(("s-0", "{}:{}".format(*late.getsockname()), "all-in-one"))
             self.program.wait_ready()
             with ThreadPoolExecutor() as pool:
-                asked = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
+                pending = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
                 while not self.program.counters()["sent"]:
-                    assert not asked.done()
-                known = self.discovery.rev
+                    assert not pending.done()
+                revision = self.discovery.rev
                 self.discovery.leaving = {"s-0"}
                 self.discovery.update(*self.discovery.targets, ("s-1", second.address, "all-in-one"))
-                self.discovery.wait_for("GET", f"/v1/endpoints?after={known + 1}")
+                self.discovery.wait_for("GET", f"/v1/endpoints?after={revision + 1}")
                 late.settimeout(20)
                 with late.accept()[0]:  # this frees a place in the queue: the connection opens at the next try
-                    status, _, body = asked.result(20)
+                    status, _, body = pending.result(20)
         assert (status, body) == (200, b"".join(TOKENS) + LAST)
         counters = self.program.counters()
         assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
@@ -549,33 +551,35 @@
     def test_a_silent_watch_is_reopened_and_updates_after_its_return_are_received_at_once(self) -> None:
         """The open calls never end, and neither do calls on new connections for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
-        silent, whole = threading.Event(), self.discovery.respond
+        silent, answer_as_usual = threading.Event(), self.discovery.respond
         silent.set()
-        self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else whole(h, b)
+        self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else answer_as_usual(h, b)
         self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the open watch
         calls = len(self.discovery.calls)
         self.program.wait_line("discovery: no answer to anything: silent")
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 10)
         silent.clear()
-        known = len(self.discovery.calls)
+        calls_before = len(self.discovery.calls)
         self.program.wait_line("discovery: answers again")
         self.discovery.update(("s-0", first.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=3")
         assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
         assert (first.runs, second.runs) == (1, 0)
-        assert len(self.discovery.calls) - known < 20  # it watches again instead of polling every few milliseconds
+        assert (
+            len(self.discovery.calls) - calls_before < 20
+        )  # it watches again instead of polling every few milliseconds
 
     def test_a_request_before_the_first_list_is_not_forwarded_by_an_outdated_list(self) -> None:
-        gone, server = Standin(), Standin()
+        removed, server = Standin(), Standin()
         discovery = Discovery(("s-1", server.address, "all-in-one"))
-        for thing in (gone, server, discovery):
-            self.cleanup.callback(thing.close)
-        whole, asked = discovery.respond, threading.Event()
+        for standin in (removed, server, discovery):
+            self.cleanup.callback(standin.close)
+        answer_as_usual, polled = discovery.respond, threading.Event()
 
         def respond(handler: StandinHandler, body: bytes) -> None:
-            asked.set()
+            polled.set()
             discovery.go.wait(0.3)
-            whole(handler, body)
+            answer_as_usual(handler, body)
 
         discovery.respond = respond
         with socket.socket() as free:
@@ -584,8 +588,8 @@
         folder = tempfile.TemporaryDirectory()
         self.cleanup.callback(folder.cleanup)
         path = pathlib.Path(folder.name) / "config.json"
-        yesterday: Any = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", gone.address, "all-in-one")])
-        path.write_text(platform_file(discovery.address, Discovery.answer(yesterday)["targets"], listen=address))
+        outdated: Any = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", removed.address, "all-in-one")])
+        path.write_text(platform_file(discovery.address, Discovery.answer(outdated)["targets"], listen=address))
         with ThreadPoolExecutor() as pool:
             program = pool.submit(Program, RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
             status = 0
@@ -600,7 +604,7 @@
                     connection.close()
             self.program = program.result(20)
             self.cleanup.callback(self.program.kill)
-        assert (status, gone.runs, server.runs) == (200, 0, 1)
+        assert (status, removed.runs, server.runs) == (200, 0, 1)
 
     def test_the_list_known_at_the_start_is_used_while_discovery_is_silent(self) -> None:
         server, silent = Standin(), Standin()
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -112,12 +112,12 @@
             for program in programs:
                 while not program.counters()["sent"]:
                     assert not any(a.done() for a in bookings)
-            yesterday = agents[2].answer()["targets"]
+            outdated = agents[2].answer()["targets"]
             programs[2].process.kill()
             for agent in agents:
                 agent.leaving = {"s-0"}
                 agent.update(*agent.targets, ("s-1", good.address, "all-in-one"))
-            programs.append(platform(agents[2].address, yesterday, **changes))
+            programs.append(platform(agents[2].address, outdated, **changes))
             bookings.append(pool.submit(send_booking, programs[3], "b3"))
             silent.clear()
             for agent in agents:
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -320,10 +320,10 @@
 
     replica.respond = read
     program = loopback.start((replica, "all-in-one"))
-    gone = loopback.connect()
-    gone.sendall(request("g1"))
+    disconnected = loopback.connect()
+    disconnected.sendall(request("g1"))
     replica.wait_for("POST")
-    gone.close()
+    disconnected.close()
     replica.wait_for("DELETE")
     program.process.terminate()
     program.wait_line("draining")
@@ -344,7 +344,7 @@
 
 def test_idle_clients_leave_descriptors_for_discovery_replicas_and_new_requests(loopback: LoopbackDispatcher) -> None:
     """Discovery is silent and called repeatedly meanwhile. A client with an open request keeps its connection."""
-    server, over = Standin(), threading.Event()
+    server, answering = Standin(), threading.Event()
     known = [
         {
             "uid": "s-0",
@@ -358,8 +358,8 @@
         }
     ]
     agent = Discovery(("s-0", server.address, "all-in-one"))
-    whole = agent.respond
-    agent.respond = lambda handler, body: (over.wait(20), whole(handler, body))
+    answer_as_usual = agent.respond
+    agent.respond = lambda handler, body: (answering.wait(20), answer_as_usual(handler, body))
     loopback.program = program = platform(agent.address, known, files=256)
     loopback.resources += [agent, server]
     program.wait_ready()
@@ -376,7 +376,7 @@
     assert not all(map(is_open_and_silent, idle_clients))
     lists = program.counters()["lists"]
     agent.update(*agent.targets)
-    over.set()
+    answering.set()
     loopback.wait_for_counters(lambda counters: counters["lists"] > lists)
     server.go.set()
     assert read_answer(open_client) == (200, SERVED)
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -55,8 +55,8 @@
     server.go.set()
     answers = Answers(client)
     assert [answers.next()[0] for _ in range(3)] == [200, 200, 503]
-    given = next(int(h["Request-Timeout-Ms"]) for h in server.headers if h.get("Request-Id") == "p2")
-    assert given <= TIMEOUT_MS - WAITED_S * 1000, given
+    given_ms = next(int(h["Request-Timeout-Ms"]) for h in server.headers if h.get("Request-Id") == "p2")
+    assert given_ms <= TIMEOUT_MS - WAITED_S * 1000, given_ms
 
 
 def test_requests_received_before_a_drain_are_answered(loopback: LoopbackDispatcher) -> None:  # noqa: F811
--- a/tests/platform/test_reset_behind_bytes.py
+++ b/tests/platform/test_reset_behind_bytes.py
@@ -43,14 +43,14 @@
 @pytest.mark.parametrize("trailing", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
 def test_a_reset_after_an_event_truncates_the_answer(loopback: LoopbackDispatcher, trailing: bytes) -> None:
     """Incident 40: the reset was not noticed, and the client was left waiting for the rest."""
-    server, stopped, gone = Standin(), threading.Event(), threading.Event()
+    server, stopped, was_reset = Standin(), threading.Event(), threading.Event()
 
     def respond(handler: Any, body: bytes) -> None:
         handler.chunks(TOKENS[0], last=False)
         stopped.wait(20)
         handler.more(trailing)
         reset_from(handler)
-        gone.set()
+        was_reset.set()
 
     server.respond = respond
     program = loopback.start((server, "all-in-one"))
@@ -59,7 +59,7 @@
     assert TOKENS[0] in client.recv(65_536)
     with StoppedProcess(program):
         stopped.set()
-        assert gone.wait(20)
+        assert was_reset.wait(20)
     assert end_reason(loopback, "server stalled", RESET_SEEN) == RESET_SEEN
     rest = body_until_its_end(client)
     assert (TOKENS[1] in rest) == (trailing == TOKENS[1])
@@ -68,7 +68,7 @@
 
 def test_a_reset_in_the_middle_of_a_list_ends_the_call(loopback: LoopbackDispatcher) -> None:
     """A change counts as reported as soon as discovery has it, but the call ended only at its timeout."""
-    server, called, stopped, gone = Standin(), threading.Event(), threading.Event(), threading.Event()
+    server, called, stopped, was_reset = Standin(), threading.Event(), threading.Event(), threading.Event()
     program = loopback.start((server, "all-in-one"))
     list_as_usual = loopback.discovery.respond
 
@@ -78,14 +78,14 @@
         stopped.wait(20)
         handler.wfile.write(b'HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{"rev":')
         reset_from(handler)
-        gone.set()
+        was_reset.set()
 
     loopback.discovery.respond = respond
     loopback.discovery.update(*loopback.discovery.targets)
     assert called.wait(20)
     with StoppedProcess(program):
         stopped.set()
-        assert gone.wait(20)
+        assert was_reset.wait(20)
     assert end_reason(loopback, "server call-failed", RESET_SEEN) == RESET_SEEN
 
 
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -232,10 +232,10 @@
         (200, b'{"rev": 9, "all": false, "targets": []}'),
         (200, b'{"rev": 2, "all": false, "targets": []}'),
     ]
-    whole = Discovery.respond
+    answer_with_list = Discovery.respond
 
     def respond(handler: StandinHandler, body: bytes) -> None:
-        handler.plain(*answers.pop(0)) if answers else whole(discovery, handler, body)
+        handler.plain(*answers.pop(0)) if answers else answer_with_list(discovery, handler, body)
 
     discovery.respond = respond
     discovery.targets = [("s-1", server.address, "all-in-one")]
