--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -129,7 +129,7 @@
     def test_a_successor_that_cannot_write_its_message_waits_before_it_reports_ready(self) -> None:
         """The predecessor cannot read the message, and would be terminated while it still accepts clients.
 
-        So the successor reports ready only after the time in which a predecessor normally yields."""
+        So the successor accepts clients, but reports ready only at the age of `READY_WITHIN_US`."""
         old = self.start_process()
         old.wait_ready()
         began = time.monotonic()
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -523,7 +523,7 @@
         assert self.program.counters()["lists"] < 20  # although the agent answers every call at once
 
     def test_an_attempt_waiting_for_a_connection_is_retried_when_its_replica_drains(self) -> None:
-        """The first replica's accept queue is full until it is no longer listed, so connections to it open late."""
+        """The first replica's accept queue is full until it is listed as leaving, so connections to it open late."""
         second = Standin()
         self.cleanup.callback(second.close)
         with socket.socket() as late, socket.socket() as queued:
