--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -1,4 +1,4 @@
-"""The platform's front, replicas and discovery, over real sockets."""
+"""The platform's front end, replicas and discovery, over real sockets."""
 
 import contextlib
 import functools
@@ -70,7 +70,7 @@
 
 
 class TestServing(PlatformCase):
-    def test_two_stages_pass_everything_on_unchanged(self) -> None:
+    def test_prefill_and_decode_replica_get_the_request_unchanged(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(202, b'{"cached_tokens":0}')
         status, _, body = self.program.ask("POST", PATH + "?q=1", BODY, headers("abc"))
@@ -82,8 +82,8 @@
         counters = self.program.counters()
         assert (counters["taken"], counters["sent"], counters["served"]) == (1, 2, 1)
 
-    def test_a_keyed_requests_key_goes_to_every_server_that_it_is_sent_to(self) -> None:
-        """The replicas discard repeats by it; who has none sends none on."""
+    def test_an_idempotency_key_is_forwarded_with_every_attempt(self) -> None:
+        """Replicas discard repeated requests by the key. A request without a key is forwarded without one."""
         keyed = [{**SETTINGS["classes"][0], "effect": "idempotency_key", "group": "all", "window": 5_000_000}]
         servers = self.start("all-in-one", "all-in-one", settings={**SETTINGS, "classes": keyed})
         for server in servers:
@@ -97,7 +97,7 @@
         assert got[0] & got[1] & {("k1", "f882f41b")} == {("k1", "f882f41b")}
         assert got[0] | got[1] == {("k1", "f882f41b"), ("k2", None)}
 
-    def test_a_booking_that_may_have_run_is_not_sent_again(self) -> None:
+    def test_a_booking_that_may_have_been_executed_is_not_retried(self) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(500)
@@ -106,14 +106,16 @@
         assert sum(s.runs for s in servers) == 1
 
     @pytest.mark.parametrize(("mark", "status", "again"), [({}, 500, False), ({"Not_Started": "1"}, 503, True)])
-    def test_a_503_proves_nothing_without_its_mark(self, mark: dict[str, str], status: int, again: bool) -> None:
+    def test_a_503_without_not_started_may_have_been_executed(
+        self, mark: dict[str, str], status: int, again: bool
+    ) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = lambda h, b: h.plain(503, **mark)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
         assert (sum(s.runs for s in servers) > 1) == again
 
-    def test_a_dead_replica_costs_one_attempt_and_a_refusal_tells_when_to_come_back(self) -> None:
+    def test_an_unreachable_replica_costs_one_attempt_and_the_request_is_rejected(self) -> None:
         (alive,) = self.start("all-in-one")
         self.discovery.update(("s-9", dead_address(), "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?", 2)
@@ -121,7 +123,7 @@
         assert (status, alive.runs) == (503, 0)
         assert self.program.counters()["outcomes"]["unreachable"] >= 1
 
-    def test_a_silent_replica_is_given_up_by_the_deadline(self) -> None:
+    def test_an_attempt_at_a_silent_replica_ends_at_the_deadline(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: server.go.wait(20)
         assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
@@ -145,7 +147,7 @@
         assert not got.endswith(b"0\r\n\r\n")
         assert server.runs == 1
 
-    def test_what_a_reader_holds_is_released_when_no_writer_takes_it(self) -> None:
+    def test_held_state_is_released_if_no_decode_replica_fetches_it(self) -> None:
         reader, writer = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         writer.respond = lambda h, b: h.plain(204 if h.command == "DELETE" else 500)
@@ -153,13 +155,13 @@
         reader.wait_for("DELETE", "/state/b7")
         assert writer.runs == 1
 
-    def test_a_read_cut_off_in_flight_is_released_too(self) -> None:
+    def test_held_state_is_released_if_the_client_disconnects_during_prefill(self) -> None:
         reader, _ = self.start("reader", "writer")
         reader.respond = lambda h, b: h.plain(204) if h.command == "DELETE" else reader.go.wait(20)
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("c3"))
         reader.wait_for("POST")
-        connection.close()  # the client leaves
+        connection.close()  # the client disconnects
         reader.wait_for("DELETE", "/state/c3")
         assert self.program.counters()["left"] == 1
 
@@ -198,7 +200,7 @@
         assert self.program.counters()["rejected"] == len(cases) + len(raw) + 2
         assert server.calls == []
 
-    def test_nothing_behind_bad_input_is_served(self) -> None:
+    def test_requests_after_invalid_input_are_not_served(self) -> None:
         (server,) = self.start("all-in-one")
 
         def request(id: str, cls: str) -> bytes:
@@ -210,7 +212,7 @@
             got = b"".join(iter(lambda: s.recv(4096), b""))
         assert (got.count(b"HTTP/1.1"), got.split(b" ")[1], server.calls) == (1, b"400", [])
 
-    def test_who_trickles_or_says_nothing_is_cut_off_in_time(self) -> None:
+    def test_a_client_that_is_silent_or_sends_slowly_is_disconnected_in_time(self) -> None:
         self.start("all-in-one")
         address = self.program.host, self.program.port
         with socket.create_connection(address, 20) as silent, socket.create_connection(address, 20) as trickling:
@@ -235,45 +237,45 @@
 
 class TestLimits(PlatformCase):
     def idle(self, count: int) -> list[socket.socket]:
-        """So many clients that connect and say nothing."""
+        """Return this many clients that connect and send nothing."""
         made = [socket.create_connection((self.program.host, self.program.port), 20) for _ in range(count)]
         for client in made:
             self.cleanup.callback(client.close)
         return made
 
-    def test_past_the_budget_the_longest_idle_client_makes_room(self) -> None:
+    def test_beyond_the_socket_limit_the_longest_idle_client_is_disconnected(self) -> None:
         self.start("all-in-one", limits={"sockets": 64})
         used = self.program.connect()
         used.request("GET", "/ready")
         used.getresponse().read()
         half, first = self.idle(2)
-        half.sendall(b"GET / HT")  # its rest may be on its way: it is read, and closed over it would be lost
+        half.sendall(b"GET / HT")  # the rest may be in flight, and would be lost if the connection were closed
         self.idle(20)
         assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
         assert first.recv(1) == b""
         assert half.recv(12) == b"HTTP/1.1 408"
-        used.request("GET", "/ready")  # it has been of use: others make room first
+        used.request("GET", "/ready")  # it has carried a request: connections without one are closed first
         assert used.getresponse().status == 200
         self.program.wait_line("side=client .* reason=room-needed")
 
-    def test_requests_leave_nothing_behind_in_memory(self) -> None:
+    def test_finished_requests_keep_no_memory(self) -> None:
         self.start("all-in-one")
-        large = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
+        large_body = json.dumps({"messages": [{"role": "user", "content": "x" * 150_000}]}).encode()
 
-        def resident(asked: int) -> int:
-            """MB held after so many requests, each on a connection of its own that stays a while."""
-            stay = [self.program.connect() for _ in range(asked)]
-            for n, connection in enumerate(stay):
-                connection.request("POST", PATH, large, headers(f"{asked}-{n}"))
+        def resident(count: int) -> int:
+            """Return the resident MB after so many requests, each on its own connection; every other one stays open."""
+            connections = [self.program.connect() for _ in range(count)]
+            for n, connection in enumerate(connections):
+                connection.request("POST", PATH, large_body, headers(f"{count}-{n}"))
                 assert connection.getresponse().read() == b"".join(TOKENS) + LAST
                 connection.close() if n % 2 else self.cleanup.callback(connection.close)
             with open(f"/proc/{self.program.process.pid}/statm") as file:
                 return int(file.read().split()[1]) * resource.getpagesize() >> 20
 
         before = resident(40)
-        assert resident(160) - before < 8  # their bodies alone are 24
+        assert resident(160) - before < 8  # the request bodies alone are 24 MB
 
-    def test_out_of_descriptors_accepting_pauses_and_goes_on(self) -> None:
+    def test_accepting_pauses_without_free_descriptors_and_resumes(self) -> None:
         self.start("all-in-one", files=24)
         self.idle(40)
         self.program.wait_line("accepting pauses")
@@ -284,21 +286,21 @@
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def raw(self, *parts: bytes) -> Any:
-        """A server's answer to a POST, byte by byte as the test says; its connection stays open."""
+        """Return a responder that writes exactly these bytes as the answer to a POST and keeps the connection open."""
 
         def respond(handler: StandinHandler, body: bytes) -> None:
             try:
                 for part in parts:
                     handler.wfile.write(part)
                 handler.wfile.flush()
-                handler.rfile.read(1)  # the dispatcher's end of it
+                handler.rfile.read(1)  # until the dispatcher closes the connection
             except OSError:
                 pass
             handler.close_connection = True
 
         return respond
 
-    def test_before_the_first_event_it_may_have_run_and_later_the_client_gets_good_events_alone(self) -> None:
+    def test_a_malformed_answer_is_not_retried_and_the_client_gets_valid_events_only(self) -> None:
         first = b"%x\r\n%b\r\n" % (len(TOKENS[0]), TOKENS[0])
         endless = self.HEAD[:-2] + b"A: " + b"x" * 100_000
         lying, huge = b"5\r\n" + TOKENS[1] + b"\r\n", b"BFFFFFFF\r\n" + b"x" * 300_000
@@ -319,16 +321,18 @@
             assert got + broken.value.partial == TOKENS[0]
         self.program.wait_line("side=server .* reason=lost-malformed")
 
-    def test_interim_answers_do_no_harm_and_a_second_answer_is_never_read_as_the_next(self) -> None:
-        whole = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
+    def test_interim_answers_are_skipped_and_a_surplus_answer_is_not_used_for_the_next_request(self) -> None:
+        complete_answer = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
         (server,) = self.start("all-in-one")
-        server.respond = self.raw(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + whole + whole)
+        server.respond = self.raw(
+            b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + complete_answer + complete_answer
+        )
         for n in range(3):
             assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
         assert server.runs == 3
 
-    def test_a_refusal_that_more_follows_proves_nothing_and_a_booking_is_not_sent_again(self) -> None:
-        """Of two answers neither can be believed; the one may be another request's."""
+    def test_a_rejection_followed_by_more_bytes_is_not_trusted_and_a_booking_is_not_retried(self) -> None:
+        """If two answers arrive, neither can be trusted: one may belong to another request."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = self.raw(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + self.HEAD)
@@ -337,7 +341,7 @@
 
 
 class TestReload(PlatformCase):
-    def test_a_new_discovery_is_asked_for_the_whole_list_and_what_is_open_lives_on(self) -> None:
+    def test_a_new_discovery_is_polled_for_the_complete_list_and_open_requests_continue(self) -> None:
         old, new = self.start("all-in-one")[0], Standin()
         other = Discovery(("s-9", new.address, "all-in-one"))
         for thing in (new, other):
@@ -353,7 +357,7 @@
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("open"))
         response = connection.getresponse()
-        self.program.reload(platform_file(other.address))  # its environment still names the old one
+        self.program.reload(platform_file(other.address))  # RELAY_DISCOVERY still names the old discovery
         other.wait_for("GET", "/v1/endpoints?")
         assert other.calls[0] == ("GET", "/v1/endpoints")
         assert self.program.ask("POST", PATH, BODY, headers("next"))[0] == 200
@@ -361,7 +365,7 @@
         assert response.read() == b"".join(TOKENS) + LAST
         assert (old.runs, new.runs) == (1, 1)
 
-    def test_settings_change_and_a_bad_file_keeps_the_old_ones(self) -> None:
+    def test_a_reload_applies_settings_and_an_invalid_file_keeps_the_old_ones(self) -> None:
         self.start()
         stay = {**SETTINGS["allowed"], "max-retry-after": 250000}
         self.program.reload(platform_file(self.discovery.address, settings={**SETTINGS, "allowed": stay}))
@@ -375,7 +379,7 @@
         status, answered, _ = self.program.ask("POST", PATH, BODY, headers())
         assert (status, answered["retry-after"]) == (503, "0.250")
 
-    def test_in_a_drain_it_does_no_harm(self) -> None:
+    def test_a_reload_does_not_disturb_a_drain(self) -> None:
         (server,) = self.start("all-in-one")
         server.respond = lambda h, b: (server.go.wait(20), h.chunks(*TOKENS, LAST))
         connection = self.program.connect()
@@ -401,15 +405,15 @@
         "boot_ms": 1_764_600_000_000,
     }
 
-    def test_a_target_is_a_replica_that_started_on_the_programs_clock(self) -> None:
+    def test_a_target_becomes_an_endpoint_with_its_start_time(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), addresses = parse_endpoints([self.TARGET], deployment)
         assert entry == Endpoint(replica_id("s-1"), 1, 1, 3, Phase.READY, 1.5, 1_764_600_000_000_000)
         assert addresses == {entry.replica: ("127.0.0.1", 8080)}
-        # The clock reads as Unix time, so that a start of just now is neither ahead of it nor long past.
+        # The program's clock shows Unix time, so a start time of just now is neither in the future nor long past.
         assert abs(start_clock()() - time.time() * 1e6) < 60e6
 
-    def test_letters_and_numbers_stand_for_positions_and_nonsense_is_left_out(self) -> None:
+    def test_letters_and_numbers_are_positions_and_invalid_targets_are_left_out(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([{**self.TARGET, "az": "b", "model": "m2"}], deployment)
         assert (entry.zone, entry.kind) == (1, 2)
@@ -417,7 +421,7 @@
             bad = {k: v for k, v in {**self.TARGET, **change}.items() if v is not None}
             assert parse_endpoints([bad, 7, self.TARGET], deployment)[0][0].zone == 1
 
-    def test_an_invalid_target_that_says_that_a_known_replica_leaves_counts_for_that(self) -> None:
+    def test_an_invalid_target_still_drains_a_known_replica(self) -> None:
         deployment = settings.parse(SETTINGS)
         (entry,), _ = parse_endpoints([self.TARGET], deployment)
         known = {entry.replica: entry}
@@ -425,11 +429,11 @@
             for change in ({"az": "z"}, {"endpoint": "nowhere"}, {"pod_group": None}, {"boot_ms": "late"}):
                 target = {**self.TARGET, "state": state, **change}
                 assert parse_endpoints([target], deployment, known)[0] == (replace(entry, phase=phase),)
-                assert parse_endpoints([target], deployment)[0] == ()  # not listed before: nothing to end
+                assert parse_endpoints([target], deployment)[0] == ()  # not listed before, so there is nothing to drain
 
 
 class TestEnding(PlatformCase):
-    def test_sigterm_answers_what_was_taken_then_exits_well(self) -> None:
+    def test_sigterm_answers_accepted_requests_and_exits_with_0(self) -> None:
         (server,) = self.start("all-in-one")
 
         def waits(handler: StandinHandler, body: bytes) -> None:
@@ -450,8 +454,8 @@
         assert self.program.process.wait(20) == 0
         self.program.wait_line(r'counters .*"served": 1')
 
-    def test_a_fetch_that_was_given_up_stays_out_until_what_it_was_to_fetch_is_released(self) -> None:
-        """Else a prefill replica that is cut off holds useless state past its time. Its client is answered at once."""
+    def test_an_abandoned_fetch_stays_open_until_its_state_is_released(self) -> None:
+        """Otherwise an unreachable prefill replica holds useless state too long. The client is answered at once."""
         reader, writer = self.start("reader", "writer")
         released, closed, held = threading.Event(), threading.Event(), list[socket.socket]()
 
@@ -482,7 +486,7 @@
                 held[-1].recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             released.set()
             assert closed.wait(20)
-            reader.wait_for("DELETE", count=deletes + 2)  # sent before, it releases nothing that an attempt waits for
+            reader.wait_for("DELETE", count=deletes + 2)  # one sent earlier releases no state that an attempt waits for
 
     def test_an_idle_connection_that_the_replica_closed_is_not_used_again(self) -> None:
         (server,) = self.start("all-in-one")
@@ -497,7 +501,7 @@
         assert server.runs == 5
         self.program.wait_line("side=server .* reason=(server-eof|stale)")
 
-    def test_a_replica_that_is_leaving_gets_nothing_new(self) -> None:
+    def test_a_replica_that_is_no_longer_listed_gets_no_requests(self) -> None:
         first, second = self.start("all-in-one", "all-in-one")
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
@@ -505,75 +509,77 @@
             assert self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
         assert (first.runs, second.runs) == (0, 6)
 
-    def test_an_indented_list_of_a_thousand_servers_in_one_chunk_is_in_force(self) -> None:
+    def test_an_indented_list_of_a_thousand_replicas_in_one_chunk_is_applied(self) -> None:
         server = Standin()
         self.cleanup.callback(server.close)
-        gone = dead_address()
+        dead = dead_address()
         self.start(settings={**SETTINGS, "n-instances": 1024})
         self.discovery.respond = lambda h, b: h.chunks(json.dumps(self.discovery.answer(), indent=4).encode())
-        self.discovery.update(*((f"s-{n:08x}", gone, "writer") for n in range(1023)), ("s-9", server.address, "reader"))
+        self.discovery.update(*((f"s-{n:08x}", dead, "writer") for n in range(1023)), ("s-9", server.address, "reader"))
         self.program.wait_ready()
         assert len(json.dumps(self.discovery.answer(), indent=4)) > 256 * 1024
         calls = len(self.discovery.calls)
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 3)
-        assert self.program.counters()["lists"] < 20  # though none of its calls may wait there
+        assert self.program.counters()["lists"] < 20  # although the agent answers every call at once
 
-    def test_what_waits_for_a_connection_goes_elsewhere_when_the_list_takes_its_replica_away(self) -> None:
-        """The first replica's connections come up late: its queue of them is full until the list has taken it away."""
+    def test_an_attempt_waiting_for_a_connection_is_retried_when_its_replica_drains(self) -> None:
+        """The first replica's accept queue is full until it is listed as leaving, so connections to it open late."""
         second = Standin()
         self.cleanup.callback(second.close)
-        with socket.socket() as late, socket.socket() as before:
+        with socket.socket() as late, socket.socket() as queued:
             late.bind(("127.0.0.1", 0))
             late.listen(0)
-            before.connect(late.getsockname())
+            queued.connect(late.getsockname())
             self.start(settings={**SETTINGS, "allowed": {**SETTINGS["allowed"], "connect-timeout": 8_000_000}})
             self.discovery.update(("s-0", "{}:{}".format(*late.getsockname()), "all-in-one"))
             self.program.wait_ready()
             with ThreadPoolExecutor() as pool:
-                asked = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
+                pending = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
                 while not self.program.counters()["sent"]:
-                    assert not asked.done()
-                known = self.discovery.rev
+                    assert not pending.done()
+                revision = self.discovery.rev
                 self.discovery.leaving = {"s-0"}
                 self.discovery.update(*self.discovery.targets, ("s-1", second.address, "all-in-one"))
-                self.discovery.wait_for("GET", f"/v1/endpoints?after={known + 1}")
+                self.discovery.wait_for("GET", f"/v1/endpoints?after={revision + 1}")
                 late.settimeout(20)
-                with late.accept()[0]:  # room: from here on its connection comes up at the next try
-                    status, _, body = asked.result(20)
+                with late.accept()[0]:  # this frees a place in the queue: the connection opens at the next try
+                    status, _, body = pending.result(20)
         assert (status, body) == (200, b"".join(TOKENS) + LAST)
         counters = self.program.counters()
         assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
-    def test_a_watch_that_has_fallen_silent_is_opened_anew_and_news_of_its_return_is_heard_at_once(self) -> None:
-        """Its calls hang for good, those on new connections too for a while; then one is answered."""
+    def test_a_silent_watch_is_reopened_and_updates_after_its_return_are_received_at_once(self) -> None:
+        """The open calls never end, and neither do calls on new connections for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
-        silent, whole = threading.Event(), self.discovery.respond
+        silent, answer_as_usual = threading.Event(), self.discovery.respond
         silent.set()
-        self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else whole(h, b)
-        self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the watch that is open
+        self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else answer_as_usual(h, b)
+        self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the open watch
         calls = len(self.discovery.calls)
         self.program.wait_line("discovery: no answer to anything: silent")
         self.discovery.wait_for("GET", "/v1/endpoints?", calls + 10)
         silent.clear()
-        known = len(self.discovery.calls)
+        calls_before = len(self.discovery.calls)
         self.program.wait_line("discovery: answers again")
         self.discovery.update(("s-0", first.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=3")
         assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
         assert (first.runs, second.runs) == (1, 0)
-        assert len(self.discovery.calls) - known < 20  # watches again, and not a call every few milliseconds
+        assert (
+            len(self.discovery.calls) - calls_before < 20
+        )  # it watches again instead of polling every few milliseconds
 
-    def test_a_request_that_comes_before_the_first_list_is_not_sent_by_the_list_of_yesterday(self) -> None:
-        gone, server = Standin(), Standin()
+    def test_a_request_before_the_first_list_is_not_forwarded_by_an_outdated_list(self) -> None:
+        removed, server = Standin(), Standin()
         discovery = Discovery(("s-1", server.address, "all-in-one"))
-        for thing in (gone, server, discovery):
-            self.cleanup.callback(thing.close)
-        whole, asked = discovery.respond, threading.Event()
+        for standin in (removed, server, discovery):
+            self.cleanup.callback(standin.close)
+        answer_as_usual, polled = discovery.respond, threading.Event()
 
         def respond(handler: StandinHandler, body: bytes) -> None:
-            asked.set()
+            polled.set()
             discovery.go.wait(0.3)
-            whole(handler, body)
+            answer_as_usual(handler, body)
 
         discovery.respond = respond
         with socket.socket() as free:
@@ -582,12 +588,12 @@
         folder = tempfile.TemporaryDirectory()
         self.cleanup.callback(folder.cleanup)
         path = pathlib.Path(folder.name) / "config.json"
-        yesterday: Any = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", gone.address, "all-in-one")])
-        path.write_text(platform_file(discovery.address, Discovery.answer(yesterday)["targets"], listen=address))
+        outdated: Any = SimpleNamespace(rev=1, leaving=set(), targets=[("s-0", removed.address, "all-in-one")])
+        path.write_text(platform_file(discovery.address, Discovery.answer(outdated)["targets"], listen=address))
         with ThreadPoolExecutor() as pool:
             program = pool.submit(Program, RELAY_CONFIG=str(path), RELAY_DISCOVERY=discovery.address)
             status = 0
-            while not status:  # as clients do that come again at once
+            while not status:  # like clients that retry at once
                 try:
                     connection = http.client.HTTPConnection(address, timeout=20)
                     connection.request("POST", PATH, BODY, headers())
@@ -598,9 +604,9 @@
                     connection.close()
             self.program = program.result(20)
             self.cleanup.callback(self.program.kill)
-        assert (status, gone.runs, server.runs) == (200, 0, 1)
+        assert (status, removed.runs, server.runs) == (200, 0, 1)
 
-    def test_a_list_known_at_the_start_must_do_while_discovery_is_silent(self) -> None:
+    def test_the_list_known_at_the_start_is_used_while_discovery_is_silent(self) -> None:
         server, silent = Standin(), Standin()
         silent.respond = lambda h, b: silent.go.wait(20)
         self.cleanup.callback(server.close)
--- a/tests/platform/test_held_states.py
+++ b/tests/platform/test_held_states.py
@@ -1,9 +1,9 @@
-"""State on a prefill replica is released in time, though the fetch never arrives, or its end arrives late."""
+"""Held state on a prefill replica is released in time if the fetch never arrives, or if its end arrives late."""
 
 import threading
 from typing import Any
 
-from tests.platform.test_owed import Day, close, day, request  # noqa: F401
+from tests.platform.test_owed import LoopbackDispatcher, close, loopback, request  # noqa: F401
 from tests.standins import Standin, StandinHandler
 
 READ = b'{"cached_tokens":0}'
@@ -13,9 +13,9 @@
     handler.plain(204) if handler.command == "DELETE" else handler.plain(202, READ)
 
 
-def test_a_state_is_released_in_time_though_the_fetch_on_an_open_connection_never_arrives(day: Day) -> None:  # noqa: F811
-    """The decode replica's connection has fallen silent, with no error: what was written there is not out. A release
-    while it is out changes nothing, so it is sent long before the attempt times out."""
+def test_held_state_is_released_in_time_though_the_fetch_never_arrives(loopback: LoopbackDispatcher) -> None:  # noqa: F811
+    """The decode replica's connection stops responding without an error, so the fetch written to it is never executed.
+    A release does no harm while a fetch is in progress, so it is sent long before the attempt times out."""
     prefill, decode, over = Standin(), Standin(), threading.Event()
     outcomes: list[dict[str, int]] = []
     released = threading.Event()
@@ -28,10 +28,10 @@
 
     prefill.respond = read
     decode.respond = lambda handler, body: (
-        handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if it had got nothing
+        handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if nothing had arrived
     )
-    program = day.start((prefill, "reader"), (decode, "writer"))
-    client = day.connect()
+    program = loopback.start((prefill, "reader"), (decode, "writer"))
+    client = loopback.connect()
     client.sendall(request("h1", "advice", 20_000))
     assert released.wait(20)
     over.set()
@@ -39,9 +39,9 @@
     assert "cancelled" not in outcomes[0], outcomes
 
 
-def test_a_release_is_repeated_after_the_end_of_a_fetch_that_the_decode_replica_sees_late(day: Day) -> None:  # noqa: F811
-    """The release overtakes the close of the fetch, and releases nothing while the decode replica waits for the state:
-    one has to come after that."""
+def test_a_release_is_repeated_after_a_fetch_whose_end_is_noticed_late(loopback: LoopbackDispatcher) -> None:  # noqa: F811
+    """A release that overtakes the close of the fetch releases nothing while the decode replica waits for the state, so
+    another one must follow the close."""
     prefill, decode = Standin(), Standin()
     deletes = threading.Semaphore(0)
 
@@ -56,11 +56,11 @@
         handler.connection.recv(1)
 
     prefill.respond, decode.respond = read, write
-    day.start((prefill, "reader"), (decode, "writer"))
-    client = day.connect()
+    loopback.start((prefill, "reader"), (decode, "writer"))
+    client = loopback.connect()
     client.sendall(request("h2", "advice", 4000))
     decode.wait_for("POST")
     client.close()
-    for _ in range(2):  # one shows that the prefill can be reached, one follows the close at once
+    for _ in range(2):  # one shows that the prefill replica is reachable, one follows the close at once
         assert deletes.acquire(timeout=20)
     assert deletes.acquire(timeout=20), "no release came once the decode had seen the end of the fetch"
