--- a/pearhill/chat/__init__.py
+++ b/pearhill/chat/__init__.py
@@ -1,1 +1,1 @@
-"""The chat API: a front end with streamed events in OpenAI's format, before replicas that speak the same."""
+"""The chat API: a front end with streamed events in OpenAI's format, for replicas that serve the same API."""
--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -1,4 +1,4 @@
-"""How the core's answers look to a client of the chat API, on whichever endpoint."""
+"""Writes the core's answers to clients of the chat API, in the format of any endpoint."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 EVENT_STREAM_HEADERS: Headers = (("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"))
 HEARTBEAT = b": keep-alive\n\n"
-CLIENT_CLOSED_REQUEST = 499  # logged only: nobody is there to read a status
+CLIENT_CLOSED_REQUEST = 499  # only logged: a disconnected client cannot receive a status
 BUSY = ApiError(
     503, "The servers are busy; nothing was done. Please try again.", "server_overloaded", type=ErrorType.SERVER
 )
@@ -34,7 +34,7 @@
 
 
 class HeartbeatTimer:
-    """Sends a comment on a stream that has had no event for `interval` microseconds (0: never), and after each more."""
+    """Sends a comment on a stream whenever it has had no event for `interval` microseconds. 0 disables it."""
 
     def __init__(self, deadlines: Deadlines, spawn: Spawn, interval: int) -> None:
         self._deadlines = deadlines
@@ -43,10 +43,10 @@
         self._last_sent = 0
         self._key: TimerKey | None = None
         self._reply: Reply | None = None
-        self.write_pending = False  # an event waits for a slow client: a comment would only wait behind it
+        self.write_pending = False  # an event is buffered for a slow client: a comment would only queue behind it
 
     def event_sent(self, reply: Reply) -> None:
-        """Restart the interval. There is one deadline a stream, which is put off when it is due, not at every event."""
+        """Restart the interval. Each stream has one timer, which is rescheduled when it is due, not at every event."""
         if self._interval:
             self._last_sent = self._deadlines.clock()
             self._reply = reply
@@ -54,7 +54,7 @@
                 self._key = self._deadlines.schedule_at(self._last_sent + self._interval, self._due)
 
     def stop(self) -> None:
-        """Send nothing any more."""
+        """Cancel the timer: no further comments are sent."""
         self._deadlines.cancel(self._key)
         self._key = None
         self._reply = None
@@ -74,8 +74,8 @@
 class Answer:
     """The core's client for one client of the chat API.
 
-    `headers` go with every answer; `repeatable`: a failed request may be sent again; `on_over` is called once, with the
-    final status and its code for the log.
+    `headers` are part of every response. `repeatable` says whether the client may send the request again after a
+    failure. `on_over` is called once, with the final status and the code for the log.
     """
 
     def __init__(
@@ -97,26 +97,26 @@
         self._on_over = on_over
         self.started = False
         self.over = False
-        self.is_collectable = True  # the events so far could be put together
-        self.rejection_error = BUSY  # what a rejected request is answered
+        self.is_collectable = True  # all events so far could be merged into one answer
+        self.rejection_error = BUSY  # the response to a rejected request
 
     def reject(self, retry_after: int) -> None:
-        """No attempt was made; `retry_after`: microseconds."""
+        """Answer a request for which no attempt was made. `retry_after` is in microseconds."""
         may_retry = self.rejection_error.type != ErrorType.INSUFFICIENT_QUOTA
         self._answer_error(self.rejection_error, may_retry, retry_headers(retry_after))
 
     def fail(self) -> None:
-        """The request failed, or its time ran out."""
+        """Answer a request that failed or reached its deadline."""
         self._answer_error(FAILED, self.repeatable)
 
     def decline(self, response: ReplicaErrorResponse) -> None:
-        """The replica answered with an error that is the client's."""
+        """Forward a replica's error response that says that the request itself is at fault."""
         if self._end(response.status, "declined"):
             headers = (*JSON, *self.headers, ("X-Should-Retry", "false"))
             self.reply.answer(response.status, headers, response.body)
 
     async def forward(self, data: bytes) -> None:
-        """Send complete events of the replica's stream in the endpoint's format, or keep them for one answer."""
+        """Send complete events of the replica's stream in the endpoint's format, or collect them for one response."""
         if self.over:
             return
         try:
@@ -124,8 +124,8 @@
                 return self.format.collect(data) if self.is_collectable else None
             data = self.format.stream(data)
         except Exception:
-            # Whatever a replica has put into its events: without this the client would wait for what never comes.
-            logger.exception("an answer's events could not be put into words")
+            # Events of a replica may have any content. If this exception escaped, the client would get no response.
+            logger.exception("chat: the events of an answer could not be converted to the format of the endpoint")
             if self.stream:
                 return self.abort()
             self.is_collectable = False
@@ -142,7 +142,7 @@
             self.heartbeat.event_sent(self.reply)
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """End a complete answer."""
         if self.stream and self.started:
             last = self.format.end()
             if self._end(200, ""):
@@ -155,7 +155,7 @@
             self.reply.answer(200, (*JSON, *self.headers), self.format.complete())
 
     def abort(self) -> None:
-        """The answer broke off."""
+        """End an answer that was truncated."""
         if not self.started:
             self._answer_error(TRUNCATED, self.repeatable)
             return
@@ -163,11 +163,11 @@
             self.reply.abort(self.format.truncated(TRUNCATED))
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone."""
+        """Returns whether the client has disconnected."""
         return self.reply.has_disconnected()
 
     def handle_disconnect(self) -> None:
-        """The client has disconnected."""
+        """Record the disconnection of the client."""
         self._end(CLIENT_CLOSED_REQUEST, "client_left")
 
     def _answer_error(self, error: ApiError, may_retry: bool, retry_after: Headers = ()) -> None:
@@ -176,7 +176,7 @@
             self.reply.answer(error.status, (*JSON, *self.headers, should_retry, *retry_after), error.body())
 
     def _end(self, status: int, code: str) -> bool:
-        """Note the end of the answer. False: the client has been answered already, or has gone."""
+        """Record the end of the answer. Returns False if the client has been answered already or has disconnected."""
         if self.over:
             return False
         self.over = True
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -1,6 +1,6 @@
-"""Between the chat front and the budgets: what a request reserves, what it is seen to use, and its charge.
+"""Connects the chat front end to the budgets: reserves tokens for a request, measures its usage and charges for it.
 
-Times are microseconds of the dispatcher's clock, but for the calendar's (`wall`), which are seconds.
+Times are microseconds of the dispatcher's clock, except calendar times (`wall`), which are seconds since 1970.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.http1.messages import Headers
 
-REJECTIONS_INTERVAL_US = 1_000_000  # the rejections of an interval are one charge a tenant and key
+REJECTIONS_INTERVAL_US = 1_000_000  # a tenant and key get one charge for all rejections of an interval
 JOURNAL_RETRY_AFTER_US = 1_000_000  # sent to clients while the journal cannot be written
 
 
 @dataclass(frozen=True, slots=True)
 class AccountingSettings:
-    """How one process keeps its budgets.
+    """Settings of one process's budgets.
 
-    `folder`: where charges are kept; none: they last as long as the process. `uncounted_tokens`: tokens that are served
-    while the disk fails; 0: none, every request is rejected then.
+    `folder` holds the journal of charges; with None, charges last only as long as the process. `uncounted_tokens` is
+    the number of tokens that are served while the disk fails; with 0, every request is rejected during that time.
     """
 
     plan: Plan
@@ -43,9 +43,9 @@
 
 
 class SettlingClient:
-    """The core's client for one request with a reservation: settles it, then hands the outcome to the inner client.
+    """The core's client for one request with a reservation: settles it, then forwards the outcome to the inner client.
 
-    It settles once, however the request ends.
+    The reservation is settled exactly once, whatever the outcome.
     """
 
     def __init__(
@@ -69,40 +69,40 @@
         self._inner = inner
 
     def reject(self, retry_after: int) -> None:
-        """No attempt was made; `retry_after`: microseconds."""
+        """Settle a request for which no attempt was made. `retry_after` is in microseconds."""
         self._settle(c.REJECTED)
         self._inner.reject(retry_after)
 
     def fail(self) -> None:
-        """The request failed, or its time ran out."""
+        """Settle a request that failed or reached its deadline."""
         self._settle(c.FAILED)
         self._inner.fail()
 
     def decline(self, response: ReplicaErrorResponse) -> None:
-        """The replica answered with an error that is the client's."""
+        """Settle a request whose replica answered that the request itself is at fault."""
         self._settle(c.DECLINED)
         self._inner.decline(response)
 
     async def forward(self, data: bytes) -> None:
-        """Pass on one event of the replica's stream."""
+        """Forward events of the replica's stream."""
         await self._inner.forward(data)
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """Settle a request whose answer is complete."""
         self._settle(c.ANSWERED)
         self._inner.finish()
 
     def abort(self) -> None:
-        """The answer broke off."""
+        """Settle a request whose answer was truncated."""
         self._settle(c.TRUNCATED)
         self._inner.abort()
 
     def has_disconnected(self) -> bool:
-        """Whether nobody waits for the answer."""
+        """Returns whether the client has disconnected and no other client can request the answer."""
         return self._inner.has_disconnected()
 
     def handle_disconnect(self) -> None:
-        """The client has disconnected, and the request is not seen through without it."""
+        """Settle a request that ends because its client has disconnected."""
         self._settle(c.DISCONNECTED)
 
     def _settle(self, outcome: str) -> None:
@@ -110,18 +110,18 @@
         self._accounting.settle(self._reservation, usage, outcome, self._id, self._model, self._path)
 
     def _usage(self, outcome: str) -> Usage | None:
-        """The tokens to charge. None: the request was rejected and nothing of it has run."""
+        """Returns the tokens to charge, or None if the request was rejected before any part of it was executed."""
         meter = self._meter
         if meter.is_reported:
             return Usage(meter.prompt_tokens, meter.cached_tokens, meter.output_tokens)
         if meter.event_count:
-            # The stream ended before the replica reported its usage: an event counts as a token.
+            # The stream ended before the replica reported its usage, so that each event counts as one token.
             return Usage(self._prompt_tokens, 0, meter.event_count)
         return None if outcome == c.REJECTED else Usage()
 
 
 class BudgetAccounting:
-    """The budgets of one process, with their journal, clock and timers."""
+    """Keeps the budgets of one process, with their journal, clock and timers."""
 
     def __init__(
         self,
@@ -134,13 +134,13 @@
         self._wall = wall
         self._budgets = Budgets(settings.plan, deadlines.clock())
         self._journal = ChargeJournal(self._budgets, settings.uncounted_tokens)
-        self._rejections: Counter[tuple[str, str]] = Counter()  # by tenant and key, since the last charge for them
+        self._rejections: Counter[tuple[str, str]] = Counter()  # by tenant and key, not yet charged
         self._timers: dict[str, TimerKey] = {}
 
     def open(self) -> None:
         """Recover the balances and start the timers.
 
-        CorruptJournalError, OSError, ValueError: the balances cannot be had.
+        Raises CorruptJournalError, OSError or ValueError if the balances cannot be recovered.
         """
         if self._settings.folder:
             self._journal.open(self._settings.folder, self._deadlines.clock())
@@ -148,13 +148,13 @@
         self._charge_rejections_each_interval()
 
     def reconfigure(self, settings: AccountingSettings) -> None:
-        """Apply other limits; the folder stays until the next start."""
+        """Apply new limits. A change of the folder takes effect at the next start."""
         self._settings = AccountingSettings(settings.plan, self._settings.folder, settings.uncounted_tokens)
         self._journal.uncounted_tokens = settings.uncounted_tokens
         self._budgets.reconfigure(settings.plan, self._deadlines.clock())
 
     def close(self) -> None:
-        """Stop the timers, and write what is not yet in the journal."""
+        """Stop the timers, and write the charges that are not yet in the journal."""
         for key in self._timers.values():
             self._deadlines.cancel(key)
         self._timers = {}
@@ -164,7 +164,7 @@
     def admit(
         self, tenant: str, key: str, prompt_tokens: int, max_output_tokens: int, hint: int = 0
     ) -> AdmissionDecision:
-        """Decide on a request, and reserve its tokens; `hint`: output tokens its client expects, 0: unknown."""
+        """Admit or reject a request, and reserve its tokens. `hint`: output tokens the client expects, 0 if unknown."""
         if self._journal.rejects_requests:
             return AdmissionDecision(
                 AdmissionStatus.OVER_LIMIT, JOURNAL_RETRY_AFTER_US, "the journal cannot be written"
@@ -179,7 +179,7 @@
     def settle(
         self, reservation: Reservation, usage: Usage | None, outcome: str, id: str, model: str, path: str
     ) -> None:
-        """Charge what a request has used in place of its reservation. Only the first call for a reservation counts."""
+        """Replace a reservation by a charge for the tokens used. Further calls for the same reservation do nothing."""
         if reservation.settled:
             return
         now = self._deadlines.clock()
@@ -208,15 +208,15 @@
         self._journal.append(charge)
 
     def rate_limit_headers(self, tenant: str) -> Headers:
-        """The `x-ratelimit-*` headers of an answer to this tenant, by its budget as it is now."""
+        """Returns the `x-ratelimit-*` headers of an answer to this tenant, from its current budget."""
         return rate_limit_headers(self._balance(tenant))
 
     def usage_report(self, tenant: str) -> UsageReport:
-        """The answer to `GET /v1/usage`."""
+        """Returns the answer to `GET /v1/usage`."""
         return usage_report(tenant, self._balance(tenant))
 
     def log_top_tenants(self) -> None:
-        """Log the tenants that use most, for on-call."""
+        """Log the tenants with the highest usage, for the operators on call."""
         top = {hitter.key: hitter.weight // 1000 for hitter in self._budgets.top_tenants()}
         logger.bind(top=top).info("budgets: top tenants {}", top)
 
@@ -235,7 +235,7 @@
     def _charge_rejections(self) -> None:
         """Append one charge for all rejections of a tenant and key.
 
-        With a charge each, a tenant that sends without pause would fill the disk with its rejections.
+        With one charge for each rejection, a tenant that sends requests without pause would fill the disk.
         """
         for (tenant, key), count in self._rejections.items():
             self._journal.append(self._rejections_charge(tenant, key, count))
--- a/pearhill/chat/budget_answers.py
+++ b/pearhill/chat/budget_answers.py
@@ -1,4 +1,4 @@
-"""Budgets in answers to clients of the chat API: rate-limit headers, the usage report, and rejections."""
+"""What clients of the chat API see of budgets: rate-limit headers, the usage report, and rejections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def format_duration(micros: int) -> str:
-    """Microseconds in the form of the rate-limit headers: `12ms`, `1.5s`, `6m0s`."""
+    """Formats microseconds as in the rate-limit headers: `12ms`, `1.5s`, `6m0s`."""
     if micros < 1_000_000:
         return f"{-(-micros // 1000)}ms"
     minutes, rest = divmod(micros, 60_000_000)
@@ -18,7 +18,7 @@
 
 
 def rate_limit_headers(balance: dict[str, int]) -> Headers:
-    """The `x-ratelimit-*` headers of a balance (`Budgets.balance`); none for what has no limit."""
+    """Returns the `x-ratelimit-*` headers for a balance (`Budgets.balance`), without those that have no limit."""
     headers = []
     if balance["limit_requests"]:
         reset_us = 0 if balance["remaining_requests"] else 1_000_000
@@ -37,7 +37,7 @@
 
 
 def usage_report(tenant: str, balance: dict[str, int]) -> UsageReport:
-    """The answer to `GET /v1/usage`, from a tenant's balance (`Budgets.balance`)."""
+    """Returns the answer to `GET /v1/usage`, from a tenant's balance (`Budgets.balance`)."""
     tokens = TokensUsed(
         balance["day_tokens"],
         balance["month_tokens"],
@@ -51,7 +51,7 @@
 
 
 def rejection_error(decision: AdmissionDecision) -> ApiError:
-    """The answer to a request that its budget rejects."""
+    """Returns the error for a request that its budget rejects."""
     if decision.quota_exhausted:
         return ApiError(
             429,
--- a/pearhill/chat/budget_setup.py
+++ b/pearhill/chat/budget_setup.py
@@ -1,4 +1,4 @@
-"""The budgets of the operator's file as a plan for one instance."""
+"""Converts the budgets of the operator's file into the plan of one instance."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 
 
 def accounting_settings(table: f.BudgetsTable, deployment: Deployment) -> AccountingSettings:
-    """The settings of budget accounting. ConfigError: a name is double or not declared, or a burst is missing."""
+    """Returns the settings of budget accounting.
+
+    Raises ConfigError if a name is duplicated or not declared, or if a burst is missing.
+    """
     if table.capacity_tokens_per_min and not table.capacity_burst_tokens:
         raise typed.invalid_value(
-            "budgets.capacity_burst_tokens", 0, "a whole number above 0, where a capacity is given"
+            "budgets.capacity_burst_tokens", 0, "a whole number above 0, as capacity_tokens_per_min is set"
         )
     instances = table.instances
     accounts = _accounts(table)
     tenants = _tenants(table, accounts)
     default = _tenant_plan("budgets.default", table.default, instances, "", table.default.weight)
     for name, quota in zip(deployment.tenant_names, deployment.router.quotas, strict=True):
-        # A tenant of the settings that has no budget here gets the default one, with its quota as its weight.
+        # A tenant of the settings that has no budget in this table gets the default one, weighted by its quota.
         tenants.setdefault(name, TenantPlan(default.limit, "", quota, default.key_limit))
     prices = Prices(round(table.cached_price * MILLI_PER_TOKEN), round(table.answer_price * MILLI_PER_TOKEN))
     rate = table.capacity_tokens_per_min // instances
@@ -49,7 +52,7 @@
     for k, tenant in enumerate(table.tenant):
         path = f"budgets.tenant[{k}]"
         if tenant.name in tenants:
-            raise typed.invalid_value(f"{path}.name", tenant.name, "a name that no other budget has")
+            raise typed.invalid_value(f"{path}.name", tenant.name, "a name that no other tenant has")
         if tenant.account:
             number_of(f"{path}.account", tenant.account, list(accounts))
         tenants[tenant.name] = _tenant_plan(path, tenant, table.instances, tenant.account, tenant.weight)
@@ -63,10 +66,12 @@
 
 
 def _limit(path: str, limits: f.LimitsTable, instances: int, prefix: str = "") -> Limit:
-    """One instance's part, rounded up, of every rate and quota. `prefix`: `key_` for the limits of each key."""
+    """Returns one instance's part of each limit, rounded up. With `prefix` `key_`, these are the limits of each key."""
     totals = {name: getattr(limits, f"{prefix}{name}") for name in f.LimitsTable.__struct_fields__}
     if totals["tokens_per_min"] and not totals["burst_tokens"]:
-        raise typed.invalid_value(f"{path}.{prefix}burst_tokens", 0, "a whole number above 0, where a rate is given")
+        raise typed.invalid_value(
+            f"{path}.{prefix}burst_tokens", 0, f"a whole number above 0, as {prefix}tokens_per_min is set"
+        )
     parts = {name: -(-total // instances) for name, total in totals.items()}
     return Limit(
         parts["tokens_per_min"],
--- a/pearhill/chat/charge_journal.py
+++ b/pearhill/chat/charge_journal.py
@@ -1,4 +1,4 @@
-"""The journal of one process's charges: balances recovered from it, charges appended to it, and its disk's failures."""
+"""The journal of one process's charges: recovers balances, appends charges and handles failures of the disk."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 class ChargeJournal:
-    """Appends charges to the journal, if there is one, and counts what is served while its disk fails.
+    """Appends charges to the journal, if there is one, and limits the tokens that are served while its disk fails.
 
-    `uncounted_tokens`: tokens that are served while the disk fails; 0: none, every request is rejected then.
+    `uncounted_tokens` is the number of tokens that are served while the disk fails; with 0, every request is rejected
+    during that time.
     """
 
     def __init__(self, budgets: Budgets, uncounted_tokens: int) -> None:
@@ -31,18 +32,19 @@
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether the disk fails and the tokens that may be served meanwhile are used up."""
+        """Whether the disk fails and the tokens that may be served during that time are used up."""
         return self._failing and self._uncounted_milli >= self.uncounted_tokens * 1000
 
     def open(self, folder: pathlib.Path, now: int) -> None:
-        """Rebuild the balances from `folder` as of `now`, in microseconds of the dispatcher's clock, and append there.
+        """Rebuild the balances from `folder`, and open it for further charges.
 
-        CorruptJournalError, OSError, ValueError: the balances cannot be had.
+        `now` is in microseconds of the dispatcher's clock. Raises CorruptJournalError, OSError or ValueError if the
+        balances cannot be recovered.
         """
         recovered = recover(folder)
         count = c.rebuild(self._budgets, recovered.state, (frame.body for frame in recovered.frames), now)
         logger.info(
-            "budgets: {count} charges replayed behind snapshot {snapshot}, {cut} torn bytes cut",
+            "budgets: {count} charges replayed after snapshot {snapshot}, {cut} bytes of a torn write truncated",
             count=count,
             snapshot=recovered.state_seq,
             cut=recovered.torn_bytes,
@@ -50,25 +52,25 @@
         loop = asyncio.get_running_loop()
 
         def disk_changed(error: OSError | None) -> None:
-            """Called on the journal's thread."""
+            """Run `_disk_changed` in the event loop: the journal calls this on its own thread."""
             loop.call_soon_threadsafe(self._disk_changed, error)
 
         self._journal = Journal(folder, recovered.seq, lambda seq: None, disk_changed)
 
     def count(self, milli: int) -> None:
-        """Count thousandths of a token that have just been charged, if the disk fails."""
+        """While the disk fails, count thousandths of a token that have just been charged."""
         if self._failing:
             self._uncounted_milli += milli
 
     def append(self, charge: c.Charge) -> None:
-        """Append a charge, and a snapshot of the balances after every `CHARGES_PER_SNAPSHOT` of them."""
+        """Append a charge, and write a snapshot of the balances after every `CHARGES_PER_SNAPSHOT` charges."""
         if self._journal is None:
             return
         try:
             self._journal.append(c.encode_charge(charge))
         except BufferError:
-            # The journal's buffer is full. The log line is the only trace of this charge.
-            logger.error("budgets: a charge could not be kept: {charge}", charge=repr(charge))
+            # The journal's buffer is full. This log line is then the only record of the charge.
+            logger.error("budgets: the buffer of the journal is full, charge dropped: {charge}", charge=repr(charge))
             return
         self._charges_since_snapshot += 1
         if self._charges_since_snapshot >= CHARGES_PER_SNAPSHOT:
@@ -76,7 +78,7 @@
             self._snapshot(self._journal)
 
     def close(self) -> None:
-        """Write a last snapshot, if there are charges since the one before, and wait for the disk."""
+        """Write a snapshot if there are charges since the previous one, and wait until the disk has been written."""
         if self._journal is None:
             return
         if self._charges_since_snapshot:
@@ -84,30 +86,30 @@
         if not self._journal.close():
             charges, size = self._journal.unwritten
             logger.error(
-                "budgets: {charges} charges ({size} bytes) could not be written to {folder} before the end",
+                "budgets: {charges} charges ({size} bytes) could not be written to {folder} before the process ended",
                 charges=charges,
                 size=size,
                 folder=str(self._journal.folder),
             )
 
     def _snapshot(self, journal: Journal) -> None:
-        """Have the balances written. Without a snapshot the charges since the last one stay in the journal."""
+        """Write a snapshot of the balances. If this fails, the charges since the last snapshot stay in the journal."""
         try:
             journal.snapshot(c.encode_state(self._budgets))
         except ValueError as error:
-            logger.error("budgets: the balances could not be kept: {error}", error=str(error))
+            logger.error("budgets: the snapshot of the balances could not be written: {error}", error=str(error))
 
     def _disk_changed(self, error: OSError | None) -> None:
-        """The disk has begun to fail, or works again (no error)."""
+        """Handle a change of the disk's state: `error` is why it fails, None if it can be written again."""
         self._failing = error is not None
         if error is None:
             logger.warning(
-                "budgets: the journal works again; {milli} thousandths of a token waited for it",
+                "budgets: the journal can be written again; {milli} thousandths of a token were served uncounted",
                 milli=self._uncounted_milli,
             )
             self._uncounted_milli = 0
             return
-        mode = "requests are refused"
+        mode = "requests are rejected"
         if self.uncounted_tokens:
             mode = f"{self.uncounted_tokens} tokens are served uncounted"
         logger.error("budgets: the journal cannot be written: {error}; {mode}", error=str(error), mode=mode)
--- a/pearhill/chat/collected.py
+++ b/pearhill/chat/collected.py
@@ -1,4 +1,4 @@
-"""The chunks of a stream, put together as one chat completion.
+"""Merges the chunks of a stream into one chat completion.
 
 Source: OpenAI's API reference, "Chat Completions", "The chat completion object" and "The chat completion chunk object".
 """
@@ -15,25 +15,25 @@
 
 DONE = b"[DONE]"
 _TOP_LEVEL_FIELDS = ("id", "created", "model", "system_fingerprint", "service_tier", "usage")
-_WHOLE_FIELDS = ("id", "type", "role", "index")  # never sent in pieces
+_WHOLE_FIELDS = ("id", "type", "role", "index")  # replaced, not appended to: they are never split over chunks
 _chunk_decoder: msgspec.json.Decoder[dict[str, Any]] = msgspec.json.Decoder(dict[str, Any])
 
 
 class ChunkReader:
-    """Reads the chunks out of events that have been checked already; `[DONE]` and comments are left out."""
+    """Decodes the chunks of events that have been validated before. `[DONE]` and comments are skipped."""
 
     def __init__(self) -> None:
         self._parser = EventParser()
 
     def feed(self, data: bytes) -> Iterator[dict[str, Any]]:
-        """The chunks of these events, one at a time."""
+        """Yields the chunks of these events."""
         for event in self._parser.feed(data):
             if event.data is not None and event.data != DONE:
                 yield _chunk_decoder.decode(event.data)
 
 
 def merge(target: dict[str, Any], delta: dict[str, Any]) -> None:
-    """Add a delta to an object: strings are appended, objects merged, all other values replaced unless None is new."""
+    """Merge a delta into an object. Strings are appended, objects merged, other values replaced unless by None."""
     for name, value in delta.items():
         old = target.get(name)
         if isinstance(value, str) and isinstance(old, str) and name not in _WHOLE_FIELDS:
@@ -45,7 +45,10 @@
 
 
 def call_index(call: dict[str, Any]) -> int:
-    """The index of a tool call's delta. KeyError, ValueError: it is missing, or is not below `MAX_CALLS`."""
+    """Returns the index of a tool call's delta.
+
+    Raises KeyError if it is missing, and ValueError if it is no integer from 0 to below `MAX_CALLS`.
+    """
     index = call["index"]
     if not isinstance(index, int) or not 0 <= index < MAX_CALLS:
         raise ValueError("a tool call's index is out of range")
@@ -53,17 +56,17 @@
 
 
 class CollectedChoice:
-    """One choice, as far as its deltas have come."""
+    """One choice, made of the deltas received so far."""
 
     def __init__(self, index: int) -> None:
         self.index = index
         self.message: dict[str, Any] = {"role": "assistant", "content": None}
-        self.calls: dict[int, dict[str, Any]] = {}  # by the replica's index, which may leave gaps
+        self.calls: dict[int, dict[str, Any]] = {}  # by the replica's index; indexes may have gaps
         self.logprobs: dict[str, list[Any]] | None = None
         self.finish_reason: str | None = None
 
     def add(self, choice: dict[str, Any]) -> None:
-        """Add what a chunk has of this choice."""
+        """Add the delta of this choice in one chunk."""
         for name, value in choice["delta"].items():
             if name == "tool_calls":
                 for call in value or ():
@@ -75,7 +78,7 @@
         self.finish_reason = choice.get("finish_reason") or self.finish_reason
 
     def as_dict(self) -> dict[str, Any]:
-        """The choice as the API has it."""
+        """Returns the choice as in a chat completion object."""
         message = dict(self.message)
         if self.calls:
             message["tool_calls"] = [self.calls[index] for index in sorted(self.calls)]
@@ -93,9 +96,9 @@
 
 
 class CollectedCompletion:
-    """A chat completion, made of a stream's events.
+    """A chat completion that is built from a stream's events.
 
-    `fields`: those at the top level but for the choices; `choices`: by index.
+    `fields` has the fields at the top level except the choices; `choices` has the choices by index.
     """
 
     def __init__(self) -> None:
@@ -104,7 +107,10 @@
         self.choices: dict[int, CollectedChoice] = {}
 
     def feed(self, data: bytes) -> None:
-        """Add events. Malformed chunks raise ValueError, TypeError, KeyError, AttributeError or IndexError."""
+        """Add events.
+
+        Raises ValueError, TypeError, KeyError, AttributeError or IndexError if a chunk is malformed.
+        """
         for chunk in self._reader.feed(data):
             for name in _TOP_LEVEL_FIELDS:
                 if chunk.get(name) is not None:
@@ -113,7 +119,7 @@
                 self._add_choice(choice)
 
     def body(self) -> bytes:
-        """The chat completion as JSON."""
+        """Returns the chat completion as JSON."""
         choices = [self.choices[index].as_dict() for index in sorted(self.choices)]
         return msgspec.json.encode({"object": "chat.completion", **self.fields, "choices": choices})
 
--- a/pearhill/chat/errors.py
+++ b/pearhill/chat/errors.py
@@ -1,4 +1,4 @@
-"""Errors as clients of the chat API read them: `{"error": {message, type, param, code}}`.
+"""Errors as clients of the chat API receive them: `{"error": {message, type, param, code}}`.
 
 The form and the values of `type` are those of OpenAI's API reference, "Error codes".
 """
@@ -43,9 +43,10 @@
 
 @dataclass
 class ApiError(Exception):
-    """A request that is rejected, or a response that failed.
+    """An error response: the request is rejected, or its answer failed.
 
-    `status`: of HTTP; `code`: by which clients distinguish errors; `headers`: of the response, beside the usual ones.
+    `status` is the HTTP status. `code` is the field by which clients distinguish errors. `headers` are added to the
+    usual headers of the response.
     """
 
     status: int
@@ -56,27 +57,27 @@
     headers: Headers = ()
 
     def as_object(self) -> ErrorObject:
-        """The error object."""
+        """Returns the error object."""
         return ErrorObject(ErrorBody(self.message, self.type.value, self.param, self.code))
 
     def body(self) -> bytes:
-        """The error object as JSON."""
+        """Returns the error object as JSON."""
         return msgspec.json.encode(self.as_object())
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaErrorResponse:
-    """A replica's error about the request itself, which is the client's response. `body` is JSON."""
+    """A replica's error about the request itself, which is forwarded to the client. `body` is JSON."""
 
     status: int
     body: bytes
 
 
 def retry_headers(micros: int) -> Headers:
-    """The headers for a retry in `micros` microseconds; none for 0.
+    """Returns the headers that ask for a retry after `micros` microseconds, or no headers if it is 0.
 
-    `Retry-After` is in seconds with decimals (RFC 9110 has whole ones), `Retry-After-Ms` in milliseconds, as OpenAI's
-    clients read it.
+    `Retry-After` is in seconds with decimals (RFC 9110 has only whole seconds). `Retry-After-Ms` is in milliseconds, as
+    OpenAI's clients read it.
     """
     if micros <= 0:
         return ()
@@ -84,5 +85,5 @@
 
 
 def invalid_request(message: str, param: str | None = None, code: str = "invalid_value", status: int = 400) -> ApiError:
-    """An error that the client's request itself has caused; `param`: the path of the field at fault."""
+    """Returns an error that the client's request itself has caused. `param` is the path of the field at fault."""
     return ApiError(status, message, code, param)
--- a/pearhill/chat/file.py
+++ b/pearhill/chat/file.py
@@ -1,8 +1,8 @@
-"""The operator's file of the chat front, one record a table. `deploy/chat.toml` shows its keys with comments.
+"""The operator's file of the chat front end: each class describes one table. `deploy/chat.toml` explains its keys.
 
-Keys of `[settings]` have the platform's names and units (times in microseconds); in all other tables the unit is at the
-end of the key. Fields have their keys' names, but for `request_class`. `pearhill schema` prints these docstrings as
-descriptions.
+Keys of `[settings]` have the platform's names and units (times in microseconds). In all other tables the unit is the
+end of the key. Fields have the names of their keys, except `request_class`. `pearhill schema` prints these docstrings
+as descriptions.
 """
 
 from __future__ import annotations
@@ -20,9 +20,10 @@
 
 
 class RuleTable(Struct, forbid_unknown_fields=True):
-    """Requests for these models, or with this header, are of this class. The first rule that matches is used.
+    """Assigns a class to requests for these models, or with this header. The first rule that matches is used.
 
-    `model` and `value` are shell patterns; `deadline_s`: for the first token, 0: the class's.
+    `model` and `value` are shell patterns. `deadline_s` is the deadline for the first token; 0 means the deadline
+    of the class.
     """
 
     request_class: Text = field(name="class")
@@ -33,10 +34,11 @@
 
 
 class ModelTable(Struct, forbid_unknown_fields=True):
-    """One model that clients may name.
+    """One model that clients may request.
 
-    `served_as`: its name at replicas, empty: the same; `kinds`: the machine kinds that serve it, empty: all;
-    `max_out_tokens` and `max_prompt_tokens`: 0: no limit of its own; `created`: seconds since 1970.
+    `served_as` is its name at replicas; if empty, it is the same. `kinds` lists the machine kinds that serve it; if
+    empty, all do. `max_out_tokens` and `max_prompt_tokens` are limits of this model; 0 means none. `created` is in
+    seconds since 1970.
     """
 
     name: Text
@@ -51,7 +53,7 @@
 
 
 class TenantTable(Struct, forbid_unknown_fields=True):
-    """One tenant. `keys`: records as `pearhill key` prints them; `models`: those that it may use, empty: all."""
+    """One tenant. `keys` has records as `pearhill key` prints them. `models` lists those it may use; if empty, all."""
 
     name: Text
     keys: list[Text] = []
@@ -61,9 +63,9 @@
 class ChatTable(Struct, forbid_unknown_fields=True):
     """How the chat API is served, and how requests are read.
 
-    `sockets`: file descriptors that the process may hold; `max_out`: output tokens of a request that names no limit;
-    `max_answer_bytes`: of a replica's stream; `heartbeat_s`: without an event for so long, a stream gets a comment, 0:
-    never.
+    `sockets` is the number of file descriptors that the process may hold. `max_out` is the number of output tokens of a
+    request that sets no limit. `max_answer_bytes` limits a replica's stream. A stream without an event for
+    `heartbeat_s` gets a comment; 0 disables this.
     """
 
     listen: Address = "127.0.0.1:0"
@@ -90,14 +92,14 @@
 
 
 class IdempotencyTable(Struct, forbid_unknown_fields=True):
-    """How much is kept of answers, and for how long, for repeats under the same `Idempotency-Key`."""
+    """Size and retention time of the answers that are stored for repeats under the same `Idempotency-Key`."""
 
     max_bytes: PositiveInt = 8 << 20
     keep_s: PositiveInt = 600
 
 
 class ServerTable(Struct, forbid_unknown_fields=True):
-    """One replica. `zone`: empty: the first of the settings; `capacity`: relative to the other replicas."""
+    """One replica. An empty `zone` means the first of the settings. `capacity` is relative to the other replicas."""
 
     uid: Text
     address: Address
@@ -111,8 +113,9 @@
 class EurekaTable(Struct, forbid_unknown_fields=True):
     """The Eureka registry that lists the replicas.
 
-    `servers`: the application whose instances they are; `base`: the path before `/apps`; `register_as`: the application
-    as which this dispatcher registers, empty: it does not; `instance`: its id there, empty: made of its address.
+    `servers` is the application whose instances are the replicas. `base` is the path before `/apps`. `register_as` is
+    the application as which this dispatcher registers; if empty, it does not register. `instance` is the dispatcher's
+    id in the registry; if empty, it is made of its address.
     """
 
     address: Address
@@ -126,11 +129,11 @@
 
 
 class ClassTable(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A class of requests.
+    """A request class.
 
-    `aim` and `deadline`: for the first token; `effect`: whether a request may be executed again; `worth` and
-    `late_worth`: priority weights before and after `aim`; `group` and `window`: where and until when replicas discard a
-    repeat under the same idempotency key.
+    `aim` (the latency objective) and `deadline` are times to the first token. `effect` says whether a request may be
+    executed again. `worth` and `late_worth` are the priority weights before and after `aim`. Replicas of the same
+    `group` discard a repeat under the same idempotency key within `window`.
     """
 
     name: Text
@@ -144,7 +147,7 @@
 
 
 class AllowedTable(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """Limits and permissions. `most_held`: open requests; `second_copies`: whether requests may be hedged."""
+    """Limits and permissions. `most_held` limits open requests. `second_copies` permits hedged requests."""
 
     max_attempts: PositiveInt
     may_cancel: bool
@@ -159,8 +162,8 @@
 class RulesTable(Struct, forbid_unknown_fields=True, rename="kebab"):
     """The slow start of replicas.
 
-    `cold`: for how long a restarted replica warms up, from `cold_from` of its capacity; `fall` and `fall_multiple`: the
-    window and the multiple of its capacity beyond which it counts as overloaded meanwhile.
+    A restarted replica warms up for `cold`, beginning with the fraction `cold_from` of its capacity. During that time
+    it counts as overloaded if its load within the window `fall` exceeds `fall_multiple` times its capacity.
     """
 
     cold: Microseconds
@@ -172,8 +175,9 @@
 class ExtraTable(Struct, forbid_unknown_fields=True, rename="kebab"):
     """Prefill and decode replicas. Lists have one value for each machine kind, or for each class (`*aim*`).
 
-    `local_read`: whether decode replicas prefill; `release_within`: for how long a prefill replica holds a state;
-    `tokens_by_kind`: memory; `resume`: whether a client may come back for the rest of a stream.
+    `local_read` permits local prefill at decode replicas. `release_within` is the time for which a prefill replica
+    holds a state. `tokens_by_kind` is a replica's memory in tokens. `resume` permits a client to request the
+    rest of a stream after a disconnection.
     """
 
     local_read: bool
@@ -186,7 +190,7 @@
 
 
 class QuotaTable(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A tenant's quota, in requests a second over all dispatchers."""
+    """A tenant's quota, in requests per second over all dispatchers."""
 
     name: Text
     quota_rps: Annotated[float, Meta(ge=0)]
@@ -195,7 +199,7 @@
 class SettingsTable(Struct, forbid_unknown_fields=True, rename="kebab"):
     """The settings of the router, under the platform's names and in its units (`pearhill.settings`).
 
-    `models`: the names of the machine kinds; `zone`: this dispatcher's, as an index of `zones`.
+    `models` has the names of the machine kinds. `zone` is this dispatcher's zone, as an index into `zones`.
     """
 
     n_instances: PositiveInt
@@ -213,7 +217,7 @@
 
 
 class LimitsTable(Struct, forbid_unknown_fields=True):
-    """Limits of one level, over all instances. 0: no such limit."""
+    """Limits of one level, summed over all instances. 0 means no limit."""
 
     tokens_per_min: TokenCount = 0
     burst_tokens: TokenCount = 0
@@ -224,7 +228,7 @@
 
 
 class AccountTable(LimitsTable, forbid_unknown_fields=True, kw_only=True):
-    """Limits of several tenants together."""
+    """Limits that several tenants share."""
 
     name: Text
 
@@ -242,7 +246,7 @@
 
 
 class BudgetTable(DefaultTable, forbid_unknown_fields=True, kw_only=True):
-    """The budget of one tenant. `account`: which it belongs to, empty: none."""
+    """The budget of one tenant. `account` is the account that it belongs to; if empty, it belongs to none."""
 
     name: Text
     account: str = ""
@@ -251,9 +255,10 @@
 class BudgetsTable(Struct, forbid_unknown_fields=True):
     """Token budgets.
 
-    `cached_price` and `answer_price`: of a cached prompt token and an output token, in prices of a prompt token;
-    `instances`: dispatchers that share the limits; `folder`: of the charges' journal, empty: none; `uncounted_tokens`:
-    served while the journal cannot be written.
+    `cached_price` and `answer_price` are the prices of a cached prompt token and of an output token, as multiples of
+    the price of a prompt token. `instances` is the number of dispatchers that share the limits. `folder` holds the
+    journal of charges; if empty, there is no journal. `uncounted_tokens` is the number of tokens that are served while
+    the journal cannot be written.
     """
 
     capacity_tokens_per_min: TokenCount = 0
@@ -269,22 +274,23 @@
 
 
 class BudgetsFile(Struct, forbid_unknown_fields=True):
-    """A file with budgets only, which the key "chat.budgets_file" names."""
+    """A file that has only budgets. The key "chat.budgets_file" names it."""
 
     budgets: BudgetsTable
 
 
 class AggregatorTable(PeerTable, forbid_unknown_fields=True, kw_only=True):
-    """An aggregator of dispatchers' load. `region`: whose dispatchers report to it first."""
+    """An aggregator of dispatchers' load. Dispatchers of its `region` prefer it to other aggregators."""
 
     name: Name
     region: str = ""
 
 
 class FleetTable(Struct, forbid_unknown_fields=True):
-    """Dispatchers that share their load: by gossip among peers, through aggregators, or both.
+    """Dispatchers that exchange their load by gossip among peers, through aggregators, or both.
 
-    `peer` may name this dispatcher too, so that one list serves all. The first key signs messages; each is accepted.
+    `peer` may list this dispatcher too, so that all dispatchers can use the same list. The first key signs messages;
+    messages that are signed with any of the keys are accepted.
     """
 
     name: Text
@@ -296,7 +302,7 @@
 
 
 class OperatorFile(Struct, forbid_unknown_fields=True):
-    """The whole file. At least one of `server` and `eureka` is needed; `pearhill.chat.setup` checks that."""
+    """The complete file. At least one of `server` and `eureka` is required; `pearhill.chat.setup` checks this."""
 
     settings: SettingsTable
     chat: ChatTable
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -1,7 +1,8 @@
-"""The front of the chat API: reads requests by the operator's rules, and answers as OpenAI-style clients expect.
+"""The front end of the chat API: reads requests by the operator's rules, and answers in OpenAI's format.
 
-Nothing here needs the platform's headers. A request's steps: `identification` (tenant and model), `spec_reader` (what
-the core needs to know of it), `request_placement` (budget, idempotency key, core).
+It needs none of the platform's headers. A request passes three steps: `identification` finds its tenant and model,
+`spec_reader` derives what the core needs for routing, and `request_placement` applies the budget and the idempotency
+key and starts the request at the core.
 """
 
 from __future__ import annotations
@@ -45,12 +46,12 @@
 
 
 def owns(path: str) -> bool:
-    """Whether a path is the API's: an embedding application leaves those to it."""
+    """Returns whether a path belongs to the chat API. An embedding application must not serve these paths itself."""
     return path in ENDPOINTS or path in (MODELS_PATH, USAGE_PATH) or path.startswith(f"{MODELS_PATH}/")
 
 
 class ChatFront:
-    """The handler of all connections to the chat API. `reading` and `keyring` are replaced at a reload."""
+    """Handles the requests of all connections to the chat API. `reading` and `keyring` are replaced at a reload."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         self._classes = {name: number for number, name in enumerate(dispatcher.deployment.class_names)}
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
-        """Answer a request, now or later. None: it has been answered."""
+        """Start a request. Returns the pending answer, or None if the request has been answered already."""
         request = IncomingRequest(self._dispatcher, self._accounting, self.reading, message, reply)
         try:
             if message.path in ENDPOINTS and message.method == "POST":
@@ -83,11 +84,11 @@
         return None
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
-        """Headers and body for input that was rejected before it became a request."""
+        """Returns headers and body of the response to input that is rejected before it is a complete request."""
         return (*JSON, ("x-request-id", secrets.token_hex(12))), invalid_request(why, code="bad_http").body()
 
     def _accept(self, request: IncomingRequest) -> Pending | None:
-        """Read a request for an answer of a model, and place it. ApiError: it is rejected."""
+        """Read a request for a model's answer, and start it. Raises ApiError if it is rejected."""
         message = request.message
         identify(request, self.keyring)
         if message.headers.get("content-encoding", "identity").lower() != "identity":
@@ -119,7 +120,10 @@
         )
 
     def _answer_query(self, request: IncomingRequest) -> None:
-        """Answer what needs no model. ApiError: there is no such path or method, or the client may not read it."""
+        """Answer a request that needs no model.
+
+        Raises ApiError if path or method do not exist, or if the client is not permitted to read the answer.
+        """
         path = request.message.path
         _check_method(path, request.message.method)
         status = 200
@@ -141,7 +145,7 @@
         return self._accounting.usage_report(tenant.name)
 
     def _models(self, tenant: Tenant, path: str) -> ModelCard | ModelList:
-        """The model that the path names, else all that the tenant may use, each once whatever its aliases."""
+        """Returns the model that the path names, else a list of all models that the tenant may use, without aliases."""
         name = unquote(path.removeprefix(MODELS_PATH).removeprefix("/"))
         if name:
             return _card(find_model(self.reading, name, tenant))
--- a/pearhill/chat/identification.py
+++ b/pearhill/chat/identification.py
@@ -1,4 +1,4 @@
-"""Who sends a request, by its API key, and which of the declared models it may use."""
+"""Finds the tenant of a request by its API key, and the declared model that it asks for."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def identify(request: IncomingRequest, keyring: Keyring) -> None:
-    """Find the request's tenant; without tenants in the operator's file, anyone may ask. ApiError: no valid key."""
+    """Find the request's tenant. Raises ApiError if the request has no valid key.
+
+    Without tenants in the operator's file, no key is required.
+    """
     if not keyring:
         request.update_rate_limits()
         return
@@ -26,7 +29,10 @@
 
 
 def find_model(reading: Reading, name: str, tenant: Tenant) -> Model:
-    """The declared model of this name or alias. ApiError: there is none, or the tenant may not use it."""
+    """Returns the declared model of this name or alias.
+
+    Raises ApiError if there is no such model, or if the tenant may not use it.
+    """
     model = reading.model(name)
     if model is None:
         raise ApiError(404, f"The model {name[:200]!r} does not exist.", "model_not_found", "model")
--- a/pearhill/chat/incoming_request.py
+++ b/pearhill/chat/incoming_request.py
@@ -1,4 +1,4 @@
-"""One request of a chat client on its way through the front: who sent it, how it is answered, and its log line."""
+"""One request of a chat client within the front end: its tenant, its reply, and its log line."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class IncomingRequest:
-    """One request with its reply, and what has been found of it so far.
+    """One request with its reply, and what the front end has found out about it so far.
 
-    `reading`: the operator's rules in force when it came; `key_number`: the number of the API key that it came with;
-    `is_authenticated`: its tenant is known by that key.
+    `reading` has the operator's rules at the time of the request's arrival. `key_number` is the number of the request's
+    API key. `is_authenticated` says whether the tenant was found by that key.
     """
 
     __slots__ = (
@@ -64,22 +64,25 @@
 
     @property
     def headers(self) -> Headers:
-        """The headers that go with every answer to this request."""
+        """Returns the headers that are part of every answer to this request."""
         return (("x-request-id", self.id), *self._limits)
 
     def update_rate_limits(self) -> None:
-        """Give the answer's headers the tenant's budget as it is now."""
+        """Update the rate-limit headers of the answer from the tenant's current budget."""
         if self._accounting:
             self._limits = self._accounting.rate_limit_headers(self.tenant.name)
 
     def reject(self, error: ApiError) -> None:
-        """Answer a request that was not accepted. Its end has been read, so that its connection stays open."""
+        """Answer a request that is rejected. It has been read to its end, so that its connection can stay open."""
         self._dispatcher.counters.rejected += 1
         self.log_answer(error.status, error.code)
         self.reply.answer(error.status, (*JSON, *self.headers, *error.headers), error.body())
 
     def log_answer(self, status: int, code: str) -> None:
-        """Log one line for this request: plain successes for debugging only, unless the client has given it an id."""
+        """Log one line for this request.
+
+        The level is INFO if the request did not succeed or the client has given it an id, else DEBUG.
+        """
         client = self.message.headers.get("x-client-request-id", "")
         if not _CLIENT_ID.fullmatch(client):
             client = ""
--- a/pearhill/chat/keys.py
+++ b/pearhill/chat/keys.py
@@ -1,9 +1,9 @@
 """API keys: stored as salted hashes, looked up by a short public number, compared in constant time.
 
-A key is a secret of at least 24 characters; `pearhill key` makes them with 256 random bits, so that one round of a
-keyed hash is enough (stretching protects weak secrets, and would cost each request as much as an attacker). A record is
-`NUMBER$SALT$HASH` in hexadecimal: NUMBER is an unsalted 4-byte hash of the key, by which its record is looked up; SALT
-has 16 bytes, HASH (BLAKE2b, RFC 7693) 32.
+A key is a secret of at least 24 characters. `pearhill key` generates keys with 256 random bits, so that one round of a
+salted hash is sufficient: key stretching protects weak secrets, and would cost each request as much as an attacker. A
+record is `NUMBER$SALT$HASH` in hexadecimal. NUMBER is an unsalted 4-byte hash of the key, by which its record is looked
+up. SALT has 16 bytes, and HASH (BLAKE2b, RFC 7693) has 32 bytes.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 
 class InvalidKeyError(Exception):
-    """A key, or the record of one, that cannot be used; the text contains no secret."""
+    """Raised for an invalid key or key record. The text contains no secret."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     """The owner of keys.
 
-    `number`: the tenant's in the Router's settings and events; `models`: the declared models that it may use; empty:
-    all of them.
+    `number` identifies the tenant in the Router's settings and events. `models` has the declared models that it may
+    use; if empty, it may use all of them.
     """
 
     name: str
@@ -41,7 +41,7 @@
     models: frozenset[str] = frozenset()
 
     def may_use(self, model: str) -> bool:
-        """Whether the tenant's keys allow requests for this declared model."""
+        """Returns whether the tenant's keys permit requests for this declared model."""
         return not self.models or model in self.models
 
 
@@ -50,24 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _KeyRecord:
-    """One key of a tenant, as its record has it."""
+    """The decoded record of one key of a tenant."""
 
     salt: bytes
     digest: bytes
     tenant: Tenant
 
     def matches(self, key: str) -> bool:
-        """Whether the record is of this key. The time that this takes does not depend on how much of `key` is right."""
+        """Returns whether the record is of this key, in a time that does not depend on how much of `key` matches."""
         return hmac.compare_digest(_hash(key, self.salt), self.digest)
 
 
 def new_key() -> str:
-    """A new random key of 256 bits."""
+    """Returns a new key with 256 random bits."""
     return f"ph-{secrets.token_urlsafe(32)}"
 
 
 def key_number(key: str) -> str:
-    """The public number of a key, 8 hexadecimal digits: its name where the key itself must not be shown."""
+    """Returns the public number of a key, 8 hexadecimal digits, which stands for it in logs and charges."""
     return hashlib.blake2b(key.encode(errors="replace"), digest_size=4, person=b"pearhill-number").hexdigest()
 
 
@@ -77,20 +77,20 @@
 
 
 def record_of(key: str, salt: bytes | None = None) -> str:
-    """The record of a key for the operator's file; without `salt` with a random one.
+    """Returns the record of a key for the operator's file, with a random salt unless `salt` is given.
 
-    InvalidKeyError: the key is too short to be a secret, too long, or not printable ASCII without spaces.
+    Raises InvalidKeyError if the key is too short to be a secret, too long, or not printable ASCII without spaces.
     """
     if not MIN_KEY_CHARS <= len(key) <= MAX_KEY_CHARS or not _PRINTABLE.fullmatch(key):
-        raise InvalidKeyError(f"a key is {MIN_KEY_CHARS} to {MAX_KEY_CHARS} printable characters without spaces")
+        raise InvalidKeyError(f"a key must have {MIN_KEY_CHARS} to {MAX_KEY_CHARS} printable characters without spaces")
     salt = secrets.token_bytes(SALT_BYTES) if salt is None else salt
     return f"{key_number(key)}${salt.hex()}${_hash(key, salt).hex()}"
 
 
 class Keyring:
-    """All valid keys, given as each tenant's records. InvalidKeyError: one of them is no record.
+    """All valid keys, built from the records of each tenant. Raises InvalidKeyError if a record is malformed.
 
-    `tenants`: by name.
+    `tenants` has the tenants by name.
     """
 
     def __init__(self, tenants: Iterable[tuple[Tenant, Iterable[str]]]) -> None:
@@ -106,10 +106,10 @@
         return bool(self.tenants)
 
     def owner(self, key: str) -> Tenant | None:
-        """The tenant whose key this is; None: the key is not valid.
+        """Returns the tenant that owns the key, or None if the key is invalid.
 
-        A number without records is compared with a random one: otherwise the time of the answer would show an attacker
-        which numbers exist.
+        If there is no record of the key's number, the key is compared with a random record: otherwise an attacker could
+        find out by the response time which numbers exist.
         """
         owner: Tenant | None = None
         number = key_number(key)
@@ -121,16 +121,16 @@
     def _add(self, tenant: Tenant, record: str) -> None:
         parts = _RECORD.fullmatch(record)
         if not parts:
-            raise InvalidKeyError(f"a key of tenant {tenant.name!r} is no record as `pearhill key` prints it")
+            raise InvalidKeyError(f"a key of tenant {tenant.name!r} is not a record as `pearhill key` prints it")
         number, salt, digest = parts.groups()
         stored = _KeyRecord(bytes.fromhex(salt), bytes.fromhex(digest), tenant)
         self._records.setdefault(number, []).append(stored)
 
 
 def key_in_headers(headers: Mapping[str, str]) -> str:
-    """The key that a request carries; "": none.
+    """Returns the key in a request's headers, or "" if there is none.
 
-    It comes as `Authorization: Bearer KEY` (RFC 6750), or as `api-key: KEY`, which some clients send.
+    Clients send it as `Authorization: Bearer KEY` (RFC 6750) or as `api-key: KEY`.
     """
     bearer = _BEARER.fullmatch(headers.get("authorization", ""))
     return bearer[1] if bearer else headers.get("api-key", "")
--- a/pearhill/chat/prompt.py
+++ b/pearhill/chat/prompt.py
@@ -1,4 +1,4 @@
-"""A request in the one form that the front works with, whichever endpoint it came to."""
+"""The form of a request within the front end, which is the same for all endpoints."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 # Tokens of content that is not text. Sources: OpenAI's guides on image and audio input, rounded up.
 LOW_DETAIL_IMAGE_TOKENS = 85
 IMAGE_TOKENS = 765
-STORED_FILE_TOKENS = 2_000  # of a file that is only named by its id
+STORED_FILE_TOKENS = 2_000  # of a file that is given only by its id
 AUDIO_TOKENS_PER_SECOND = 10
 WAV_BYTES_PER_SECOND = 32_000
 MP3_BYTES_PER_SECOND = 16_000
@@ -22,29 +22,29 @@
 class ResponseFormat(Protocol):
     """The format of one answer at an endpoint.
 
-    It is fed the replica's events, complete and checked, with `stream` for a client that streams and with `collect` for
-    one that does not.
+    The replica's events, complete and validated, are passed to `stream` if the client has requested a stream, and to
+    `collect` otherwise.
     """
 
     def stream(self, data: bytes) -> bytes:
-        """These events in the endpoint's format."""
+        """Returns these events in the endpoint's format."""
 
     def end(self) -> bytes:
-        """The last events of a complete stream."""
+        """Returns the last events of a complete stream."""
 
     def truncated(self, error: ApiError) -> bytes:
-        """The last event of a stream that broke off after its start."""
+        """Returns the last event of a stream that was truncated after its start."""
 
     def collect(self, data: bytes) -> None:
-        """Keep these events for `complete`. Whatever it raises: they are no chunks of one answer."""
+        """Store these events for `complete`. Any exception means that they are not chunks of one answer."""
 
     def complete(self) -> bytes:
-        """The body of the response, made of all collected events."""
+        """Returns the body of the response, made of all collected events."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseIdentity:
-    """The fields that identify an answer. `created`: seconds since 1970."""
+    """The fields that identify an answer. `created` is in seconds since 1970."""
 
     id: str
     model: str
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Turn:
-    """One message, as far as routing looks at it. `extra_tokens`: of content that is not text."""
+    """The parts of one message that routing uses. `extra_tokens` is the length of content that is not text."""
 
     role: str
     text: str
@@ -62,11 +62,11 @@
 
 @dataclass(slots=True)
 class Prompt:
-    """A request after its endpoint has read it.
+    """A request that has been parsed by its endpoint.
 
-    `wants_usage`: whether the format needs the replica's usage event; `max_output_tokens`: of each choice, None: the
-    request names no limit; `fields`: the chat request that replicas get, but for what the front sets (`model` and
-    `stream`); `choice_count`: answers asked for (`n`).
+    `wants_usage` says whether the format needs the replica's usage event. `max_output_tokens` is the limit of each
+    choice, or None if the request sets none. `fields` are those of the chat request to replicas, except `model` and
+    `stream`, which the front end sets. `choice_count` is the number of requested answers (`n`).
     """
 
     model: str
@@ -80,13 +80,13 @@
     choice_count: int = 1
 
     def estimated_tokens(self, chars_per_token: float) -> int:
-        """The prompt's length in tokens, estimated from its characters."""
+        """Returns the prompt's length in tokens, estimated from its characters."""
         text = sum(len(turn.text) for turn in self.turns)
         return int(text / chars_per_token) + sum(turn.extra_tokens for turn in self.turns)
 
 
 def turn_of_message(message: messages.Message) -> Turn:
-    """The text of a message, its tool calls included, and the tokens of its other content."""
+    """Returns the text of a message, including its tool calls, and the tokens of its other content."""
     turn = Turn(str(message.__struct_config__.tag), "")
     content = message.content
     if isinstance(content, str):
@@ -103,9 +103,9 @@
 
 
 def _read_part(part: object) -> tuple[str, int]:
-    """The text that stands for a content part, and its tokens if it is not text.
+    """Returns the text of a content part, and its length in tokens if it is not text.
 
-    Other content is represented by its digest: prompts that begin with the same image have the same prefix.
+    Other content is represented by its digest, so that prompts that begin with the same image have the same prefix.
     """
     match part:
         case messages.TextPart(text):
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -1,9 +1,9 @@
-"""Requests that must end in one outcome, whoever waits for it.
+"""Requests that are executed at most once and end in one outcome, which all repeats of the request get.
 
-The run goes on when its client leaves, its answer is kept for a while, and a repeat under the same idempotency key gets
-that one answer. The store belongs to this process alone and is bounded in bytes and in time. When bytes run short the
-oldest answers are released first and only their outcome is kept: a repeat is then rejected, and still nothing runs
-twice.
+A run continues when its client disconnects, its answer is stored for a limited time, and a repeat under the same
+idempotency key gets that answer. The store belongs to this process alone and is bounded in bytes and in time. When it
+is full, the oldest answers are dropped first and only their outcomes are kept: a repeat is then rejected, so that the
+request is still not executed twice.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from pearhill.chat.errors import ReplicaErrorResponse
 from pearhill.core.deadlines import Deadlines, TimerKey
 
-RECORD_OVERHEAD_BYTES = 512  # what a record costs beside its answer
+RECORD_OVERHEAD_BYTES = 512  # memory of a record without its answer
 
 
 class RecordState(StrEnum):
-    """How a run has ended, if it has. The values are in log lines and error texts."""
+    """The outcome of a run, or that it is still open. The values appear in log lines and error texts."""
 
     OPEN = "open"
     ANSWERED = "answered"
@@ -33,9 +33,10 @@
 
 
 class Record:
-    """The core's client for one run, and the source for all who want its answer.
+    """The core's client for one run, which replays the run's answer to any number of clients.
 
-    `id`: the request's, for the log; `digest`: of the request, to distinguish it from another under the same key.
+    `id` is the request's id for the log. `digest` is a hash of the request, by which another request under the same key
+    is detected.
     """
 
     def __init__(self, id: str, digest: bytes, spawn: Spawn) -> None:
@@ -43,7 +44,7 @@
         self.digest = digest
         self.state = RecordState.OPEN
         self.size = 0  # bytes of the answer
-        self.dropped = False  # the answer is not kept any more, only its outcome
+        self.dropped = False  # the answer has been removed, and only its outcome is kept
         self.followers = 0
         self.store: Store | None = None
         self.key = b""
@@ -55,52 +56,52 @@
         self._changed = asyncio.Event()
 
     def reject(self, retry_after: int) -> None:
-        """No attempt was made; `retry_after`: microseconds."""
+        """End a run for which no attempt was made. `retry_after` is in microseconds."""
         self._retry_after = retry_after
         self._end(RecordState.REJECTED)
 
     def fail(self) -> None:
-        """The request failed, or its time ran out."""
+        """End a run that failed or reached its deadline."""
         self._end(RecordState.FAILED)
 
     def decline(self, response: ReplicaErrorResponse) -> None:
-        """The replica answered with an error that is the client's."""
+        """End a run whose replica answered that the request itself is at fault."""
         self._replica_error = response
         self._end(RecordState.DECLINED)
 
     async def forward(self, data: bytes) -> None:
-        """Keep an event of the replica's stream for those who follow."""
+        """Store events of the replica's stream for the followers."""
         if self.store:
             self.store.grow(len(data))
         elif not self.followers:
-            return  # nobody can request it any more: only the outcome counts
+            return  # no client can request the answer any more: only the outcome is needed
         self.size += len(data)
         self._parts.append(data)
         self._wake_followers()
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """End a run whose answer is complete."""
         self._end(RecordState.ANSWERED)
 
     def abort(self) -> None:
-        """The answer broke off."""
+        """End a run whose answer was truncated."""
         self._end(RecordState.TRUNCATED)
 
     def has_disconnected(self) -> bool:
-        """Never: the run is completed for whoever requests its answer again."""
+        """Returns False: the run is completed even without clients, because its answer may be requested again."""
         return False
 
     def follow(self, answer: Answer) -> Follower:
-        """Answer one more client from this record."""
+        """Start to answer one more client from this record."""
         return Follower(self, answer, self._spawn)
 
     async def replay(self, answer: Answer) -> None:
-        """Forward the answer from its beginning, as far as it is there, then as it comes."""
+        """Forward the answer from its beginning: first the stored part, then new events as they arrive."""
         position = 0
         while True:
             while position < len(self._parts):
                 data = self._parts[position]
-                if self.store is None and not self.key:  # nobody else can request what this client has read
+                if self.store is None and not self.key:  # no other client can request it
                     self._parts[position] = b""
                 position += 1
                 await answer.forward(data)
@@ -110,7 +111,7 @@
         self._end_answer(answer)
 
     def drop(self) -> int:
-        """Keep only the outcome. Returns the bytes that this sets free."""
+        """Remove the answer and keep only the outcome. Returns the number of freed bytes."""
         freed = self.size
         self._parts = []
         self.size = 0
@@ -148,7 +149,7 @@
 
 
 class Follower:
-    """One client that waits for a record. When it disconnects, only its own answer stops."""
+    """One client that receives the answer of a record. When it disconnects, only its own answer ends."""
 
     def __init__(self, record: Record, answer: Answer, spawn: Spawn) -> None:
         self._record = record
@@ -158,7 +159,7 @@
         self._task.add_done_callback(self._done)
 
     def handle_disconnect(self) -> None:
-        """The client has disconnected."""
+        """Stop the answer to a client that has disconnected."""
         self._answer.handle_disconnect()
         self._task.cancel()
 
@@ -169,7 +170,8 @@
 class Store:
     """The records of this process by idempotency key.
 
-    `max_bytes`: of answers and records together; `keep`: microseconds that an outcome is kept after its end.
+    `max_bytes` limits answers and records together. `keep` is the time in microseconds for which an outcome is kept
+    after the end of the run.
     """
 
     def __init__(self, deadlines: Deadlines, max_bytes: int, keep: int) -> None:
@@ -177,24 +179,24 @@
         self._max_bytes = max_bytes
         self._keep = keep
         self._records: dict[bytes, Record] = {}
-        self._complete: OrderedDict[bytes, Record] = OrderedDict()  # ended, with their answers; the oldest first
+        self._complete: OrderedDict[bytes, Record] = OrderedDict()  # ended, with their answers, in order of their end
         self._size = 0
 
     def __len__(self) -> int:
         return len(self._records)
 
     def reconfigure(self, max_bytes: int, keep: int) -> None:
-        """Apply `max_bytes` at once, and `keep` from the next answer on."""
+        """Apply `max_bytes` immediately, and `keep` to runs that end from now on."""
         self._max_bytes = max_bytes
         self._keep = keep
         self._free(0)
 
     def get(self, key: bytes) -> Record | None:
-        """The record of a key, if it is kept."""
+        """Returns the record of a key, or None if there is none."""
         return self._records.get(key)
 
     def add(self, key: bytes, record: Record) -> bool:
-        """Keep a new record. False: even without the answers that nobody reads, there is no capacity for it."""
+        """Add a new record. Returns False if it does not fit even after dropping all answers without readers."""
         if not self._free(RECORD_OVERHEAD_BYTES):
             return False
         self._size += RECORD_OVERHEAD_BYTES
@@ -204,12 +206,15 @@
         return True
 
     def grow(self, size: int) -> None:
-        """Count bytes of an answer under way. It is kept complete past `max_bytes` too: someone may be reading it."""
+        """Count bytes of an open run's answer. It is stored beyond `max_bytes` too: a client may be reading it."""
         self._free(size)
         self._size += size
 
     def ended(self, record: Record) -> None:
-        """Keep an ended record for its time. A rejected request has not run: its key may be used again at once."""
+        """Schedule the removal of an ended record.
+
+        The record of a rejected request is removed immediately: the request was not executed and may be repeated.
+        """
         if record.state == RecordState.REJECTED:
             self._forget(record)
             return
@@ -224,9 +229,9 @@
         record.store = None
 
     def _free(self, wanted: int) -> bool:
-        """Release the oldest answers that nobody is reading, until `wanted` bytes fit. False: they do not fit.
+        """Drop the oldest answers without readers until `wanted` bytes fit. Returns whether they fit.
 
-        Outcomes go only when their own time has come: a request that is forgotten altogether may run again.
+        Outcomes are kept until they expire: without its outcome, a repeated request would be executed again.
         """
         being_read: list[Record] = []
         while self._complete and self._size + wanted > self._max_bytes:
--- a/pearhill/chat/replica_stream.py
+++ b/pearhill/chat/replica_stream.py
@@ -1,4 +1,4 @@
-"""The event stream of a replica that speaks the chat API: which events are forwarded, and when it can be trusted."""
+"""Validates the event stream of a replica that serves the chat API, and selects the events to forward."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class ChatStream:
-    """Forwards events that are well-formed chunks, unchanged; it is complete with `[DONE]`.
+    """Forwards events that are well-formed chunks, unchanged, until `[DONE]` completes the stream.
 
-    `wants_usage`: whether the usage event is forwarded; `max_bytes`: of all events that are; `meter` counts tokens.
+    `wants_usage` says whether the usage event is forwarded. `max_bytes` limits the total size of forwarded events.
+    `meter` counts tokens.
     """
 
     def __init__(self, wants_usage: bool, max_bytes: int, meter: UsageMeter | None = None) -> None:
@@ -32,33 +33,36 @@
 
     @property
     def complete(self) -> bool:
-        """Whether `[DONE]` has come."""
+        """Whether `[DONE]` has been received."""
         return self._is_complete
 
     def feed(self, data: bytes) -> bytes:
-        """The complete events to forward. MalformedResponseError: the stream is no answer in chunks, or too large."""
+        """Returns the complete events to forward.
+
+        Raises MalformedResponseError if the stream has an invalid event or is too large.
+        """
         if self._is_complete:
-            raise MalformedResponseError("events after the last one")
+            raise MalformedResponseError("event stream: data after [DONE]")
         try:
             forwarded = self._forwarded_events(data)
         except EventStreamError as e:
             raise MalformedResponseError(str(e)) from None
         except msgspec.ValidationError as e:
-            raise MalformedResponseError(f"an event is no chunk of an answer: {e}") from None
+            raise MalformedResponseError(f"event stream: an event is not a valid chunk: {e}") from None
         except (msgspec.DecodeError, RecursionError):
-            raise MalformedResponseError("an event is no JSON") from None
+            raise MalformedResponseError("event stream: an event is not valid JSON") from None
         self._bytes_left -= len(forwarded)
         if self._bytes_left < 0:
-            # Without this, an answer that is kept for repeats would take as much memory as a replica sends.
-            raise MalformedResponseError("the answer is too large")
+            # Without this limit, an answer that is stored for repeats could take any amount of memory.
+            raise MalformedResponseError("event stream: the answer exceeds max_answer_bytes")
         return forwarded
 
     def may_end(self) -> bool:
-        """Whether the response may end here."""
+        """Returns whether the response may end at this point."""
         return self._is_complete
 
     def _forwarded_events(self, data: bytes) -> bytes:
-        """The raw events to forward, up to `[DONE]`: what follows it belongs to no answer."""
+        """Returns the raw events to forward, up to and including `[DONE]`. Later events are not part of the answer."""
         forwarded = []
         for event in self._parser.feed(data):
             if self._is_forwarded(event):
@@ -69,18 +73,18 @@
 
     def _is_forwarded(self, event: ServerEvent) -> bool:
         if event.data is None:
-            return False  # a comment, which only keeps the connection open
+            return False  # a comment, sent to keep the connection open
         if event.data != DONE:
             return self._read_chunk(_chunk_decoder.decode(event.data))
         if not self._chunk_count:
-            raise MalformedResponseError("an end without an answer")
+            raise MalformedResponseError("event stream: [DONE] without any chunk of an answer")
         self._is_complete = True
         return True
 
     def _read_chunk(self, chunk: Chunk) -> bool:
-        """Count a chunk. Returns whether it is forwarded."""
+        """Count a chunk. Returns whether it is to be forwarded."""
         if chunk.error is not msgspec.UNSET and chunk.error is not None:
-            raise MalformedResponseError("the server reports an error in its stream")
+            raise MalformedResponseError("event stream: the replica reported an error")
         if chunk.usage is not None:
             self._read_usage(chunk.usage)
         if not chunk.choices:
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -1,4 +1,4 @@
-"""Gives a request that has been read to the core, or to the run that its idempotency key stands for."""
+"""Starts a parsed request at the core, or attaches it to the existing run of its idempotency key."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from pearhill.core.request import Request, RequestSpec
 from pearhill.http1.handler import Pending
 
-EXPECTED_TOKENS_HEADER = "x-expected-answer-tokens"  # how long a client thinks that its answer will be
+EXPECTED_TOKENS_HEADER = "x-expected-answer-tokens"  # the length of the answer that the client expects
 
 
 @dataclass(slots=True)
 class ReadRequest:
-    """A request whose body has been read, its place in the core, and its answer."""
+    """A request whose body has been parsed, its spec for the core, and its answer."""
 
     incoming: IncomingRequest
     prompt: Prompt
@@ -37,7 +37,7 @@
 
 
 class DirectRequest:
-    """A request that ends with its client: the replica's events are forwarded to it and kept nowhere."""
+    """A request that is cancelled when its client disconnects. Its answer is forwarded but not stored."""
 
     def __init__(self, dispatcher: Dispatcher, answer: Answer) -> None:
         self._dispatcher = dispatcher
@@ -46,7 +46,7 @@
         self.settling: SettlingClient | None = None
 
     def handle_disconnect(self) -> None:
-        """The client has disconnected."""
+        """Cancel the request of a client that has disconnected."""
         self._answer.handle_disconnect()
         if self.settling:
             self.settling.handle_disconnect()
@@ -55,7 +55,7 @@
 
 
 class RequestPlacement:
-    """Reserves a request's budget and gives it to the core, once for each idempotency key."""
+    """Reserves a request's budget and starts it at the core, once for each idempotency key."""
 
     def __init__(self, dispatcher: Dispatcher, store: Store, spawn: Spawn, accounting: BudgetAccounting | None) -> None:
         self._dispatcher = dispatcher
@@ -64,9 +64,10 @@
         self._accounting = accounting
 
     def place(self, request: ReadRequest, idempotency_key: str) -> Pending | None:
-        """Start the request, or follow the run of its key ("": none). None: it has been answered already.
+        """Start the request, or attach it to the run of its idempotency key. An empty key means none.
 
-        ApiError: the key cannot be used for this request.
+        Returns the pending answer, or None if the request has been answered already. Raises ApiError if the key cannot
+        be used for this request.
         """
         if idempotency_key:
             return self._place_once(request, idempotency_key)
@@ -106,7 +107,10 @@
         return record.follow(answer)
 
     def _has_capacity(self, request: ReadRequest) -> bool:
-        """Whether one more request may be open. If not, the client is answered: the core's memory is bounded."""
+        """Returns whether one more request may be open. If not, the client is answered with an error.
+
+        The limit bounds the memory of the core.
+        """
         dispatcher = self._dispatcher
         if len(dispatcher.requests) < dispatcher.deployment.max_open_requests:
             return True
@@ -126,7 +130,10 @@
         return direct
 
     def _run(self, request: ReadRequest, record: Record) -> Pending:
-        """Run a request to its one outcome, also without its client: what was cut in mid-stream may have run."""
+        """Run a request to its outcome, even if its client disconnects.
+
+        A request that is cancelled in mid-stream may have been executed, and its outcome would be unknown.
+        """
         follower = record.follow(request.answer)
         spec, client, payload = self._reserve(request, record)
         self._dispatcher.accept(spec, client, payload, request.incoming.message.arrived)
@@ -135,7 +142,7 @@
     def _reserve(
         self, request: ReadRequest, inner: Answer | Record
     ) -> tuple[RequestSpec, Answer | Record | SettlingClient, ChatPayload]:
-        """The spec with the budget's decision, on which the Router acts; the core's client; and the payload."""
+        """Reserve tokens. Returns the spec with the decision of the budget, the core's client and the payload."""
         accounting = self._accounting
         if accounting is None:
             return request.spec, inner, _payload(request, None)
@@ -161,13 +168,16 @@
 
 
 def _expected_tokens(incoming: IncomingRequest) -> int:
-    """The output tokens that the client expects; 0: unknown."""
+    """Returns the number of output tokens that the client expects, or 0 if it is unknown."""
     header = incoming.message.headers.get(EXPECTED_TOKENS_HEADER, "")
     return int(header) if re.fullmatch("[0-9]{1,7}", header) else 0
 
 
 def _record_name(incoming: IncomingRequest, idempotency_key: str) -> bytes:
-    """The store's name for a client's key: two clients that pick the same key must not read each other's answers."""
+    """Returns the store's key of a record, from the client's idempotency key and its identity.
+
+    Without the identity, two clients that use the same key would receive each other's answers.
+    """
     if incoming.is_authenticated:
         owner = f"tenant {incoming.tenant.name}"
     else:
@@ -176,13 +186,16 @@
 
 
 def _request_digest(incoming: IncomingRequest) -> bytes:
-    """A digest of path and body: the same body at another endpoint has an answer in another format."""
+    """Returns a digest of path and body.
+
+    The path is included because the answer to the same body has another format at another endpoint.
+    """
     message = incoming.message
     return hashlib.blake2b(b"%b\n%b" % (message.path.encode(), message.body), digest_size=16).digest()
 
 
 def _payload(request: ReadRequest, meter: UsageMeter | None) -> ChatPayload:
-    """What replicas get: the client's fields as they came, but for those that this dispatcher sets."""
+    """Returns the payload for replicas: the client's fields, except those that this dispatcher sets."""
     prompt = request.prompt
     model = request.model
     reading = request.incoming.reading
@@ -196,7 +209,7 @@
         "stream_options": {**(options or {}), "include_usage": True},
     }
     if meter and prompt.max_output_tokens is None:
-        # An answer without a limit could overdraw its tenant's budget without a limit.
+        # Without a limit, the answer could overdraw its tenant's budget by any amount.
         fields["max_completion_tokens"] = model.max_output_tokens or reading.max_output_tokens
     body = msgspec.json.encode(fields)
     return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer_bytes, meter)
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -1,4 +1,4 @@
-"""The chat front with all that it stands on: for the daemon and for the ASGI middleware alike."""
+"""The chat front end with all components that it needs, as used by the daemon and by the ASGI middleware."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from pearhill.node.node import Node
 from pearhill.node.operations import Operations
 
-SEND_BUFFER_BYTES = 64 * 1024  # a stream is some KB a second: a client with more to come does not read
+SEND_BUFFER_BYTES = 64 * 1024  # streams have a few KB/s: a client with more unsent data is not reading
 
 
 class ChatService:
-    """A chat front and its node, budgets, fleet and registry, in the running event loop.
+    """A chat front end and its node, budgets, fleet and registry, in the running event loop.
 
-    Call `open` before the front is used, and `close` at the end.
+    Call `open` before the front end is used, and `close` at the end.
     """
 
     def __init__(self, setup: ChatSetup) -> None:
@@ -55,13 +55,13 @@
         self._registering: asyncio.Task[None] | None = None
 
     def is_ready(self) -> bool:
-        """Whether load balancers should send requests here."""
+        """Returns whether load balancers should send requests to this dispatcher."""
         return not self.node.drain.out_of_rotation and self.node.dispatcher.has_ready_decoder
 
     async def open(self) -> None:
-        """Recover the budgets, join the fleet and take the first endpoint list.
+        """Recover the budgets, join the fleet and apply the first endpoint list.
 
-        OSError: the journal of the budgets or the fleet's address cannot be used.
+        Raises OSError if the journal of the budgets or the fleet's address cannot be used.
         """
         if self.accounting:
             self._open_accounting(self.accounting)
@@ -73,20 +73,20 @@
             self._fetching = self.node.pool.spawn(self._eureka.follow())
 
     def register(self, address: Address) -> None:
-        """Register the address at which this dispatcher listens, and keep it registered."""
+        """Register the address at which this dispatcher listens, and renew the registration until it is cancelled."""
         self._address = address
         if self._eureka and self._eureka.setup.register_as:
             self._registering = self.node.pool.spawn(self._eureka.keep_registered(address))
 
     async def deregister(self) -> None:
-        """Take this dispatcher off the registry, if it is there."""
+        """Remove this dispatcher from the registry, if it is registered."""
         if self._eureka and self._registering:
             self._registering.cancel()
             self._registering = None
             await self._eureka.cancel()
 
     def reload(self, fresh: ChatSetup) -> str:
-        """Apply another operator's file to all requests from now on. Returns what to log of it."""
+        """Apply a new operator's file to all requests from now on. Returns a summary for the log."""
         before = self.setup
         self.node.reconfigure(fresh.deployment)
         self.setup = fresh
@@ -109,7 +109,7 @@
         return applied + _changes_for_next_start(before, fresh)
 
     async def close(self) -> None:
-        """Finish the requests that were accepted, then end."""
+        """Wait until all accepted requests have been answered, then close everything."""
         self.node.end_process()
         await self.deregister()
         await self.node.wait_until_finished()
@@ -146,7 +146,7 @@
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self.node.update_endpoints)
 
     def _change_registry(self, fresh: ChatSetup) -> None:
-        """Leave the old registry, and take the endpoint list from the new one, if there is one."""
+        """Deregister from the old registry, and fetch the endpoint list from the new one, if there is one."""
         self._cancel_registry_tasks()
         if self._eureka:
             self.node.pool.spawn(self._eureka.cancel())
@@ -165,7 +165,7 @@
 
 
 def _changes_for_next_start(before: ChatSetup, fresh: ChatSetup) -> str:
-    """The keys that have changed and are not applied before the next start, for the log."""
+    """Returns the changed keys that take effect only at the next start, for the log."""
     return for_next_start(
         ("chat.listen", before.listen, fresh.listen),
         ("chat.admin_addr", before.admin, fresh.admin),
@@ -186,7 +186,7 @@
 
 
 async def serve(setup: ChatSetup, read_anew: Callable[[], ChatSetup]) -> None:
-    """Run the chat front as a daemon until its end. `read_anew` reads the operator's file once more."""
+    """Run the chat front end as a daemon until its shutdown. `read_anew` reads the operator's file again."""
     service = ChatService(setup)
     await service.open()
     node = service.node
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -1,4 +1,4 @@
-"""What the chat front runs with: the operator's file, its names resolved and its keys read."""
+"""The setup of the chat front end: the operator's file with its names resolved and its API keys read."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Requests for these models, and with this header if one is named, are of this class.
+    """Assigns a class to requests for these models that have this header, if one is named.
 
-    `model` and `value` are patterns as of a shell; `deadline`: microseconds, 0: the class's.
+    `model` and `value` are shell patterns. `deadline` is in microseconds; 0 means the deadline of the class.
     """
 
     request_class: int
@@ -37,7 +37,7 @@
     deadline: int = 0
 
     def fits(self, model: str, headers: Mapping[str, str]) -> bool:
-        """Whether the rule is for a request for `model` with these headers."""
+        """Returns whether the rule applies to a request for `model` with these headers."""
         if not fnmatchcase(model, self.model):
             return False
         if not self.header:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """One declared model. `request_class` -1: by the rules; sizes in tokens, 0: no limit of its own."""
+    """One declared model. A `request_class` of -1 means none. Limits are in tokens; 0 means no limit of this model."""
 
     name: str
     served_as: str
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Where the front finds what the core needs to know. Header names are in lower case."""
+    """The operator's rules for reading requests: classes, names of headers and fields, limits and models.
+
+    Header names are in lower case.
+    """
 
     rules: tuple[Rule, ...]
     default_class: int
@@ -73,21 +76,22 @@
     timeout_header: str
     max_output_tokens: int
     chars_per_token: float
-    models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the replicas
+    models: Mapping[str, Model]  # by name and by alias; if empty, any name is forwarded to the replicas
     heartbeat: int = 0  # microseconds
     max_answer_bytes: int = 4 << 20
 
     def model(self, name: str) -> Model | None:
-        """The model of this name or alias; None: models are declared, and it is none of them."""
+        """Returns the model of this name or alias, or None if models are declared but not this one."""
         return self.models.get(name) if self.models else Model(name, name)
 
 
 @dataclass(frozen=True, slots=True)
 class ChatSetup:
-    """The operator's file, resolved.
+    """The resolved operator's file.
 
-    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `replica_keys`: by replica;
-    `default_replica_key`: for replicas without a key of their own; `admin`: where operators call.
+    `store_bytes` and `max_body` are in bytes, `store_keep` in microseconds. `addresses` and `replica_keys` are by
+    replica. `default_replica_key` is for replicas without a key of their own. `admin` is the address of the operators'
+    endpoint.
     """
 
     listen: Address
@@ -113,7 +117,7 @@
     models: dict[str, Model] = {}
 
     def declare(path: str, name: str, model: Model) -> None:
-        """Add a model under a name or alias. ConfigError at `path`: the name is taken."""
+        """Add a model under a name or alias. Raises ConfigError for `path` if the name is already used."""
         if name in models:
             raise typed.invalid_value(path, name, "a name that no other model or alias has")
         models[name] = model
@@ -142,7 +146,7 @@
 
 
 def _keyring(chat: f.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
-    """Tenants that the settings name have their number there; the others follow, in the file's order."""
+    """Returns the keyring. Tenants of the settings have their number there; others follow in the file's order."""
     tenants: list[tuple[Tenant, list[str]]] = []
     seen: set[str] = set()
     numbers = {name: k for k, name in enumerate(deployment.tenant_names)}
@@ -163,9 +167,9 @@
             try:
                 Keyring([(tenant, [record])])
             except InvalidKeyError:
-                # What stands there may be the key itself, which must not be shown: the error's text leaves it out.
+                # The value may be the key itself, which must not be shown: it is left out of the error's text.
                 raise ConfigError(
-                    f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` prints it"
+                    f"{path}.keys[{n}]: found another text (not shown); allowed: a record as `pearhill key` prints it"
                 ) from None
     return Keyring(tenants)
 
@@ -203,14 +207,16 @@
     peers = values.addresses("fleet.peer", table.peer, table.name)
     aggregators = values.addresses("fleet.aggregator", table.aggregator, "", "aggregator")
     if not table.peer and not aggregators:
-        raise typed.invalid_value("fleet.peer", None, "a list of one or more, where fleet.aggregator names none")
+        raise typed.invalid_value("fleet.peer", None, "a list of one or more, as there is no fleet.aggregator")
     if aggregators and len(table.name) > values.MAX_NAME_LENGTH:
         raise typed.invalid_value(
-            "fleet.name", table.name, f"{values.MAX_NAME_LENGTH} characters at most, before aggregators"
+            "fleet.name", table.name, f"{values.MAX_NAME_LENGTH} characters at most, as there are aggregators"
         )
     for k, aggregator in enumerate(table.aggregator):
         if aggregator.name == table.name or aggregator.name in peers:
-            raise typed.invalid_value(f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher has")
+            raise typed.invalid_value(
+                f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher of the fleet has"
+            )
     return FleetSetup(
         table.name,
         values.address("fleet.listen", table.listen),
@@ -236,19 +242,19 @@
 
 
 def _budgets(file: f.OperatorFile) -> f.BudgetsTable | None:
-    """The budgets of the file itself, or of the file that it names."""
+    """Returns the budgets of the file itself or of the file that it names, or None."""
     path = file.chat.budgets_file
     if not path:
         return file.budgets
     if file.budgets:
-        raise typed.invalid_value("chat.budgets_file", path, "none, where the file has [budgets] itself")
+        raise typed.invalid_value("chat.budgets_file", path, "no value, as the file has a [budgets] table")
     return typed.load(path, f.BudgetsFile)[0].budgets
 
 
 def _endpoints(
     file: f.OperatorFile, deployment: settings.Deployment
 ) -> tuple[list[Endpoint], dict[int, Address], dict[int, str]]:
-    """The file's own replicas; their addresses, and the keys of those that have one, by replica."""
+    """Returns the replicas of the file, and by replica their addresses and the keys of those that have one."""
     zones = deployment.zone_names
     endpoints: list[Endpoint] = []
     addresses: dict[int, Address] = {}
@@ -276,10 +282,10 @@
     chat = file.chat
     endpoints, addresses, replica_keys = _endpoints(file, deployment)
     if not endpoints and not file.eureka:
-        raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
+        raise ConfigError("server: found neither a [[server]] nor an [eureka] table; allowed: at least one of them")
     models = _models(chat, deployment)
     budgets = _budgets(file)
-    # The order of the arguments is the order in which faults of the file are found.
+    # The arguments are evaluated in this order, which decides which fault of the file is reported first.
     return ChatSetup(
         listen=values.address("chat.listen", chat.listen),
         sockets=chat.sockets,
@@ -302,7 +308,10 @@
 
 
 def load(path: str) -> ChatSetup:
-    """Read the operator's file. ConfigError names it, the key, what was found and what is allowed."""
+    """Read the operator's file.
+
+    Raises ConfigError, whose text names the file, the key, the value found and the allowed values.
+    """
     file, raw = typed.load(path, f.OperatorFile)
     try:
         return _build(file, raw)
@@ -311,10 +320,10 @@
 
 
 def read(tables: Mapping[str, Any]) -> ChatSetup:
-    """Read what the operator's TOML file would hold."""
+    """Read the setup from the parsed tables of an operator's file."""
     return _build(typed.convert(dict(tables), f.OperatorFile), tables)
 
 
 def loads(text: str) -> ChatSetup:
-    """Read the text of an operator's file."""
+    """Read the setup from the text of an operator's file."""
     return read(tomllib.loads(text))
--- a/pearhill/chat/setup_names.py
+++ b/pearhill/chat/setup_names.py
@@ -1,4 +1,4 @@
-"""Names in the operator's file that refer to something declared elsewhere."""
+"""Resolves names in the operator's file that are declared in another place."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def number_of(path: str, name: str, names: Sequence[str]) -> int:
-    """The place of `name` among the declared `names`. ConfigError, with the key's `path`: it is none of them."""
+    """Returns the index of `name` in the declared `names`. Raises ConfigError for the key at `path` if it is absent."""
     if name not in names:
         raise typed.invalid_value(path, name, ", ".join(names) or "none is declared")
     return names.index(name)
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -1,10 +1,11 @@
-"""What the core needs to know of a chat request, found by the operator's rules, in this order.
-
-class          a header, a field of the body's `metadata`, the first rule that fits, the model's own, the default
-conversation   a header, a field of `metadata`, else the messages up to the first user's
-opening        the leading system and developer messages
-lengths        characters over `chars_per_token`; the request's own limit, else the model's or `max_out`
-deadline       a header in milliseconds, else the rule's, at most the class's
+"""Derives the core's spec of a chat request by the operator's rules. The first source that has a value is used.
+
+class          a header, a field of the body's `metadata`, the first matching rule, the class of the model, the default
+conversation   a header, a field of `metadata`, the messages up to the first user message
+prefix         the leading system and developer messages
+prompt length  the number of characters, divided by `chars_per_token`
+output length  the limit of the request, the limit of the model, `max_out`
+deadline       a header in milliseconds or the rule's deadline; at most the deadline of the class
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
 def read_spec(
     request: IncomingRequest, prompt: Prompt, model: Model, classes: Mapping[str, int], deployment: Deployment
 ) -> RequestSpec:
-    """The core's form of a request; `classes`: their numbers by name. ApiError: it requests more than there is."""
+    """Returns the core's spec of a request. `classes` has their numbers by name.
+
+    Raises ApiError if the class is unknown, a length exceeds the model's limit, or the timeout header is invalid.
+    """
     reading = request.reading
     headers = request.message.headers
     rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
@@ -67,7 +71,10 @@
 
 
 def _leading_text(prompt: Prompt) -> tuple[str, str]:
-    """The text of the leading system and developer messages; and with roles, all up to the first other message."""
+    """Returns the text of the leading system and developer messages, and all messages up to the first other one.
+
+    The latter includes that message and the roles.
+    """
     opening = ""
     start = ""
     for turn in prompt.turns:
@@ -90,7 +97,7 @@
 
 
 def _timeout(reading: Reading, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
-    """Microseconds that the request may take."""
+    """Returns the time until the request's deadline, in microseconds."""
     header = headers.get(reading.timeout_header)
     if header is None:
         return min(class_deadline, rule.deadline) if rule and rule.deadline > 0 else class_deadline
@@ -100,5 +107,5 @@
 
 
 def _number_of(text: str) -> int:
-    """A number for a text, the same in every process; never 0, which stands for none."""
+    """Returns a hash of a text that is the same in every process. It is never 0, which means that there is no text."""
     return int.from_bytes(hashlib.blake2b(text.encode(errors="replace"), digest_size=8).digest()) or 1
--- a/pearhill/chat/translate.py
+++ b/pearhill/chat/translate.py
@@ -1,6 +1,6 @@
-"""Between the formats of the endpoints and chat's, which is the only one that replicas speak.
+"""Converts between the formats of the endpoints and that of chat completions, the only one that replicas serve.
 
-Requests of all endpoints become chat requests; their answers' parts take the names that the endpoints have for them.
+Requests of all endpoints are converted to chat requests, and parts of the answers to the format of the endpoint.
 Sources: OpenAI's API reference, "Chat Completions", "Completions" and "Responses".
 """
 
@@ -13,7 +13,7 @@
 from pearhill.chat.schema.completions import CompletionRequest
 from pearhill.chat.schema.responses import FunctionChoice, FunctionTool, ResponseRequest, SchemaFormat
 
-# Fields that have another name, another form or no meaning in a chat request. All others go on unchanged.
+# Fields with another name, another form or no meaning in a chat request. All other fields are forwarded unchanged.
 _COMPLETION_FIELDS = ("prompt", "echo", "suffix", "best_of", "logprobs")
 _RESPONSE_FIELDS = (
     "input",
@@ -36,7 +36,7 @@
 
 
 def completion_to_chat(request: CompletionRequest, fields: dict[str, Any]) -> dict[str, Any]:
-    """The chat request for a text completion; `fields`: all of its body's."""
+    """Returns the chat request for a text completion. `fields` has all fields of its body."""
     chat = {name: value for name, value in fields.items() if name not in _COMPLETION_FIELDS}
     chat["messages"] = [{"role": "user", "content": request.text}]
     if request.logprobs is not None:
@@ -45,9 +45,9 @@
 
 
 def completion_logprobs(logprobs: dict[str, Any] | None, offset: int) -> dict[str, list[Any]] | None:
-    """Chat's log probabilities in the form of completions (`CompletionLogprobs`); None: there are none.
+    """Converts chat's log probabilities to the form of completions (`CompletionLogprobs`), or None if there are none.
 
-    `offset`: where the first token begins, in characters of the choice's text.
+    `offset` is the position of the first token, in characters of the choice's text.
     """
     entries = (logprobs or {}).get("content") or []
     if not entries:
@@ -69,10 +69,10 @@
 
 
 def items_to_messages(request: ResponseRequest) -> list[dict[str, Any]]:
-    """The input as messages of a chat request.
+    """Returns the input as messages of a chat request.
 
-    Function calls that follow one another, or a message of the assistant, become tool calls of one message. Reasoning
-    items have no counterpart in chat and are left out.
+    Consecutive function calls become tool calls of one message, together with a preceding message of the assistant.
+    Reasoning items have no counterpart in chat and are left out.
     """
     messages: list[dict[str, Any]] = []
     if request.instructions is not None:
@@ -120,7 +120,10 @@
 def response_to_chat(
     request: ResponseRequest, messages: list[dict[str, Any]], fields: dict[str, Any]
 ) -> dict[str, Any]:
-    """The chat request for a response; `messages`: its input (`items_to_messages`), `fields`: all of its body's."""
+    """Returns the chat request for a response.
+
+    `messages` is its input (`items_to_messages`), and `fields` has all fields of its body.
+    """
     chat = {name: value for name, value in fields.items() if name not in _RESPONSE_FIELDS}
     chat["messages"] = messages
     if request.max_output_tokens is not None:
@@ -177,12 +180,12 @@
 
 
 def _present(fields: dict[str, Any]) -> dict[str, Any]:
-    """The fields that are not None."""
+    """Returns the fields that are not None."""
     return {name: value for name, value in fields.items() if value is not None}
 
 
 def response_usage(usage: dict[str, Any] | None) -> dict[str, Any] | None:
-    """Chat's usage, in tokens, under the names of responses; None: there is none."""
+    """Returns chat's usage, in tokens, under the names of the responses endpoint, or None if there is none."""
     if not usage:
         return None
     input_tokens = usage.get("prompt_tokens") or 0
--- a/tests/chat/test_admin_endpoint.py
+++ b/tests/chat/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' endpoint of the chat API's daemon, set in the operator's file."""
+"""The operators' endpoint of the chat API's daemon, which the operator's file enables."""
 
 from tests.admin.test_endpoint import call
 from tests.chat.test_front import ChatCase, body
@@ -6,7 +6,7 @@
 
 class ChatAdminEndpoint(ChatCase):
     def operate(self, method: str, path: str) -> tuple[int, bytes]:
-        """Status and body of an operator's call."""
+        """Returns status and body of an operator's call."""
         status, _, text = call(self.program.wait_line(r"operators are heard on (\S+)")[1], method, path)
         return status, text
 
@@ -23,7 +23,7 @@
         assert b'"hosts_listed": 2, "hosts_down": 1' in text
         assert self.operate("POST", "/ops/replicas/down?target=s1")[0] == 200
         assert self.ask(body())[0] == 503
-        self.program.reload(self.program.config.read_text())  # the list is set anew, and both stay down
+        self.program.reload(self.program.config.read_text())  # the endpoint list is applied again, both overrides stay
         assert self.ask(body())[0] == 503
         assert self.operate("POST", "/ops/replicas/up?target=s1")[0] == 200
         assert self.operate("POST", "/ops/drain/start")[0] == 200
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets through the real daemon: rejections, headers, streams past their reservation, kills, reloads and the bill."""
+"""Budgets in the real daemon: rejections, headers, answers beyond their reservation, kills, reloads and the bill."""
 
 import csv
 import json
@@ -33,13 +33,13 @@
 
 
 def table(**limits: object) -> str:
-    """The table of all budgets in the operator's file."""
+    """Returns the [budgets] table of the operator's file."""
     rows = "".join(f"{name} = {json.dumps(value)}\n" for name, value in limits.items())
     return f"\n[budgets]\n{rows}"
 
 
 def tenant(name: str, **limits: object) -> str:
-    """The table of one tenant's budget."""
+    """Returns the table of one tenant's budget."""
     rows = "".join(f"{key} = {json.dumps(value)}\n" for key, value in limits.items())
     return f"\n[[budgets.tenant]]\nname = {json.dumps(name)}\nweight = 0\n{rows}"
 
@@ -48,7 +48,10 @@
     """A test of a dispatcher with budgets: tenant north has the key A, south has B."""
 
     def begin(self, *budgets: str, folder: bool = False, count: int = 1, **limits: object) -> None:
-        """Start replicas and a dispatcher with these tenants' budgets; `limits`: of all; `folder`: with a journal."""
+        """Start replicas and a dispatcher with these tenants' budgets.
+
+        `limits` are keys of the [budgets] table. `folder` enables the journal.
+        """
         if folder:
             parent = tempfile.TemporaryDirectory()
             self.addCleanup(parent.cleanup)
@@ -84,7 +87,7 @@
         assert (answer[0], self.error(answer)["code"]) == (429, "rate_limit_exceeded")
         assert 0 < float(answer[1]["retry-after"]) <= 1.2, answer[1]
         assert (answer[1]["x-should-retry"], self.replica.runs) == ("true", 1)
-        assert self.call(body(max_tokens=800), B)[0] == 200  # another's use does not count for south
+        assert self.call(body(max_tokens=800), B)[0] == 200  # the usage of north does not count for south
         counters = self.program.counters()
         assert (counters["refused"], counters["taken"], counters["faults"]) == (1, 3, 0)
         assert self.usage()["tokens"]["this_month"] == 11
@@ -97,12 +100,12 @@
             answers.append(self.call(body("booking", max_tokens=795), Idempotency_Key="k"))
         assert (answers[-1][0], self.replica.runs) == (200, 2)
         assert self.call(body("booking", max_tokens=795), Idempotency_Key="k")[0] == 200
-        assert self.replica.runs == 2  # a repeat costs nothing and runs nothing
+        assert self.replica.runs == 2  # a repeat is neither charged nor executed
         assert self.usage()["tokens"]["this_month"] == 22
 
     def test_the_output_that_a_client_expects_is_reserved(self):
         self.begin(tenant("north", tokens_per_min=60, burst_tokens=100, debt_tokens=800))
-        assert self.call(body())[0] == 200  # as far as the debt allows, the limit is not reserved
+        assert self.call(body())[0] == 200  # the output limit need not be reserved as long as debt_tokens covers it
         self.begin(tenant("north", tokens_per_min=60, burst_tokens=100, debt_tokens=700))
         assert self.call(body())[0] == 429
         assert self.call(body(max_tokens=700), X_Expected_Answer_Tokens="50")[0] == 200
@@ -128,7 +131,7 @@
             "rate_limit_exceeded",
             "0",
         )
-        connection.close()  # its request is not open any more
+        connection.close()  # its request is then no longer open
         self.program.wait_line("side=server .* reason=called-off")
         del self.replica.respond
         assert self.call(body(), B)[0] == 200
@@ -143,7 +146,7 @@
     def test_an_answer_three_times_as_long_as_reserved_is_served_in_full_and_owed(self):
         self.begin(tenant("north", tokens_per_min=60, burst_tokens=1_000, debt_tokens=1_000))
         self.replica.respond = lambda h, b: h.chunks(LONG, USAGE_AND_END % 30)
-        for _ in range(8):  # what its answers have been
+        for _ in range(8):  # the estimate of the output length is learnt from these answers
             assert self.call(body(stream=True, max_tokens=30))[0] == 200
         remaining = self.usage()["tokens"]["remaining"]
         self.replica.respond = lambda h, b: h.chunks(LONG * 30, USAGE_AND_END % 900)
@@ -151,7 +154,7 @@
         assert (status, got.endswith(b"data: [DONE]\n\n")) == (200, True)
         assert remaining < 900
         debt = 909 - remaining
-        assert self.usage()["tokens"]["debt"] in range(debt - 60, debt + 1)  # it is being paid off
+        assert self.usage()["tokens"]["debt"] in range(debt - 60, debt + 1)  # the debt shrinks with time
         answer = self.call(body("booking", max_tokens=1))
         assert (answer[0], "debt" in self.error(answer)["message"]) == (429, True)
         assert float(answer[1]["retry-after"]) > 100
@@ -164,7 +167,7 @@
         prompt = first - 7
         assert 0 < prompt < 20, first
         self.replica.respond = lambda h, b: h.plain(500)
-        assert self.call(body("booking"))[0] == 500  # nothing was received of it
+        assert self.call(body("booking"))[0] == 500  # nothing of the answer was received
         assert self.usage()["tokens"]["today"] == first
         self.replica.respond = lambda h, b: h.plain(400, b'{"error": {"message": "no"}}')
         assert self.call(body("booking"))[0] == 400
@@ -226,22 +229,22 @@
         connection.request("POST", PATH, body(), {"api-key": A})
         self.replica.wait_for("POST", count=6)
         assert self.usage()["requests"]["open"] == 1
-        while len(read_folder(self.folder)) < 5:  # a batch is synced in its own time
+        while len(read_folder(self.folder)) < 5:  # batches are synced asynchronously
             pass
         self.program.process.send_signal(signal.SIGKILL)
         self.program.stop()
         with open(max(self.folder.glob("*.log")), "ab") as torn:
             torn.write(b"half a frame")
         self.restart()
-        self.program.wait_line("budgets: 5 charges replayed behind snapshot 0, 12 torn bytes cut")
+        self.program.wait_line("budgets: 5 charges replayed after snapshot 0, 12 bytes of a torn write truncated")
         usage = self.usage()
         assert (usage["tokens"]["today"], usage["requests"]["open"]) == (55, 0)
         assert 9_945 <= usage["tokens"]["remaining"] <= 9_950
         del self.replica.respond
         self.call(body())
         assert self.program.stop() == 0
-        self.restart()  # an orderly end leaves a snapshot
-        self.program.wait_line("budgets: 0 charges replayed behind snapshot 6, 0 torn bytes cut")
+        self.restart()  # a graceful shutdown writes a snapshot
+        self.program.wait_line("budgets: 0 charges replayed after snapshot 6, 0 bytes of a torn write truncated")
         assert self.usage()["tokens"]["today"] == 66
 
     def test_a_damaged_journal_ends_the_start_with_a_line_that_names_it(self):
@@ -260,7 +263,7 @@
         assert f"pearhill: budgets.folder: {self.folder}: no snapshot is whole" in done.stderr
 
     def test_while_the_disk_cannot_be_written_requests_are_served_uncounted_or_rejected(self):
-        """The folder goes away under the running process: the next segment cannot be made."""
+        """The folder is deleted while the process runs, so that the next segment cannot be created."""
         self.begin(tenant("north", day_tokens=10**6), folder=True, uncounted_tokens=12)
         shutil.rmtree(self.folder)
         assert self.call(body())[0] == 200
@@ -268,7 +271,7 @@
         statuses = [self.call(body())[0] for _ in range(4)]
         assert statuses == [200, 200, 429, 429]
         self.folder.mkdir()
-        self.program.wait_line("budgets: the journal works again")
+        self.program.wait_line("budgets: the journal can be written again")
         assert self.call(body())[0] == 200
         assert self.program.stop() == 0
         assert sum(c.milli for c in read_folder(self.folder) if c.outcome == "answered") == 4 * 11_000
@@ -345,7 +348,7 @@
 
 
 def settings_of(tmp_path: pathlib.Path, text: str) -> AccountingSettings:
-    """The settings of budget accounting that an operator's file gives."""
+    """Returns the settings of budget accounting from an operator's file."""
     path = tmp_path / "chat.toml"
     path.write_text(text)
     accounting = load(str(path)).accounting
--- a/tests/chat/test_front.py
+++ b/tests/chat/test_front.py
@@ -1,4 +1,4 @@
-"""The chat API's front and replicas, over real sockets: one core, one outcome, no second run."""
+"""The chat front end and its replicas over real sockets: each request has one outcome and is not executed twice."""
 
 import http.client
 import json
@@ -19,7 +19,7 @@
 
 
 def toml(value: Any) -> str:
-    """A value of JSON in TOML, objects as inline tables."""
+    """Converts a JSON value to TOML, with objects as inline tables."""
     if isinstance(value, dict):
         return "{" + ", ".join(f"{json.dumps(k)} = {toml(v)}" for k, v in value.items()) + "}"
     if isinstance(value, list):
@@ -28,7 +28,10 @@
 
 
 def operator_file(addresses: list[str], extra: str = "", **changes: Any) -> str:
-    """An operator's file with a replica at each address; `changes`: of its settings, `extra`: tables at its end."""
+    """Returns an operator's file with a replica at each address.
+
+    `changes` replace its settings, and `extra` is appended.
+    """
     servers = "".join(
         f'[[server]]\nuid = "s{n}"\naddress = "{a}"\nkind = "all-in-one"\n' for n, a in enumerate(addresses)
     )
@@ -41,7 +44,7 @@
 
 
 def write_file(case: unittest.TestCase, text: str) -> str:
-    """Write an operator's file, until the test ends. Returns its path."""
+    """Write an operator's file that is removed when the test ends. Returns its path."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     path = pathlib.Path(folder.name) / "chat.toml"
@@ -50,7 +53,7 @@
 
 
 def body(model: str = "help", stream: bool = False, **fields: Any) -> bytes:
-    """The body of a chat request with these further fields."""
+    """Returns the body of a chat request with these additional fields."""
     return json.dumps(
         {
             "model": model,
@@ -62,7 +65,7 @@
 
 
 class ChatCase(unittest.TestCase):
-    """A test that starts a dispatcher of the chat API, and replicas that the test speaks for."""
+    """A test that starts a dispatcher of the chat API, and replicas whose responses the test sets."""
 
     def start(
         self,
@@ -71,7 +74,10 @@
         addresses: tuple[str, ...] = (),
         admin: bool = False,
     ) -> list[Standin]:
-        """Start `count` replicas and a dispatcher (`self.program`) for them; `admin`: with the operators' endpoint."""
+        """Start `count` replicas and a dispatcher (`self.program`) for them.
+
+        `admin` enables the operators' endpoint.
+        """
         replicas = [Standin() for _ in range(count)]
         for replica in replicas:
             self.addCleanup(replica.close)
@@ -88,7 +94,7 @@
         return self.program.ask("POST", PATH, body, {k.replace("_", "-"): v for k, v in headers.items()})
 
     def error(self, answer: tuple[int, dict[str, str], bytes]) -> dict[str, Any]:
-        """The error of an answer, which must have all of its fields."""
+        """Returns the error object of an answer, which must have all fields."""
         error = json.loads(answer[2])["error"]
         assert set(error) == {"message", "type", "param", "code"}
         return error
@@ -172,7 +178,7 @@
 
 
 class Events(ChatCase):
-    """What a replica may send instead of an answer."""
+    """Invalid and incomplete streams of a replica."""
 
     BAD = (
         b"data: {broken\n\n",
@@ -238,7 +244,7 @@
 
 class OneOutcome(ChatCase):
     def drop(self, replica: Standin, **headers: str) -> None:
-        """A booking's client takes the first event and leaves; then the replica sends the rest."""
+        """A booking's client reads the first event and disconnects; then the replica sends the rest."""
 
         def slow(handler, body):
             handler.chunks(TOKENS[0], last=False)
@@ -265,7 +271,7 @@
         self.program.wait_line("outcome request=.* state=answered")
         assert self.error(self.ask(body("booking"), Idempotency_Key="k1"))["code"] == "idempotency_key_reused"
         self.ask(body("booking", stream=True), Idempotency_Key="k1", Authorization="Bearer someone-else")
-        assert replica.runs == 2  # another client's key is another key
+        assert replica.runs == 2  # the same key of another client has a record of its own
 
     def test_without_a_key_the_run_is_still_seen_through_to_its_outcome(self):
         (replica,) = self.start()
--- a/tests/chat/test_keys.py
+++ b/tests/chat/test_keys.py
@@ -1,4 +1,4 @@
-"""API keys: the keyring by itself, and the daemon that uses it."""
+"""API keys: the keyring alone, and the daemon that uses it."""
 
 import json
 import re
@@ -18,7 +18,7 @@
 
 
 def tenants(**keys: list[str]) -> str:
-    """Tables of the operator's file: a tenant of each name with the records of its keys."""
+    """Returns tables of the operator's file: a tenant of each name with the records of its keys."""
     return "".join(
         f'[[chat.tenant]]\nname = "{name}"\nkeys = {json.dumps([record_of(key) for key in tenant_keys])}\n'
         for name, tenant_keys in keys.items()
--- a/tests/chat/test_under_load.py
+++ b/tests/chat/test_under_load.py
@@ -1,4 +1,4 @@
-"""Streams by the hundred, floods of bad input, repeats at once, and signals in mid-stream."""
+"""Hundreds of streams, floods of invalid requests, concurrent repeats, and signals in mid-stream."""
 
 import asyncio
 import json
@@ -32,17 +32,17 @@
 
 
 def resident(pid: int) -> int:
-    """Bytes that a process holds in memory."""
+    """Returns the resident memory of a process, in bytes."""
     fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
     return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class Streams(unittest.IsolatedAsyncioTestCase):
     OPEN = 1_000  # streams
-    READ = 100  # of them, by clients that read
+    READ = 100  # of these, streams whose clients read them
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # its checks cost more than the streams
+        asyncio.get_running_loop().set_debug(False)  # the checks of debug mode cost more time than the streams
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if soft < 8_192:
             resource.setrlimit(resource.RLIMIT_NOFILE, (min(8_192, hard), hard))
@@ -57,7 +57,7 @@
         return program
 
     async def ask(self, program: Program, sent: bytes) -> ClientConnection:
-        """A stream that has begun."""
+        """Open a stream. Returns its connection when the answer has begun."""
         wire = ClientConnection(program.host, program.port)
         await wire.open()
         self.addCleanup(wire.close)
@@ -66,7 +66,7 @@
         return wire
 
     async def test_streams_that_nobody_reads_stay_small_and_harm_nobody(self):
-        """900 clients take the first event and read no more; their replicas would send 1.2 MB each."""
+        """900 clients read the first event and stop reading; their replicas would send 1.2 MB each."""
         program = self.begin("sockets = 4096\nmax_answer_bytes = 16777216")
         self.server.load((event_stream(*[sse_event(BIG)] * 150, *ANSWER_EVENTS[1:]),))
         before = resident(program.process.pid)
@@ -84,7 +84,7 @@
             stalled.append(sock)
 
         async def read_completely() -> int:
-            """The length of a stream that is read to its end."""
+            """Reads a stream to its end. Returns its length."""
             wire = ClientConnection(program.host, program.port)
             await wire.open()
             try:
@@ -125,7 +125,7 @@
         assert wire._reader
         assert wire._writer
         wire._writer.write(request("POST", PATH, "a", (), body(stream=True)))
-        with pytest.raises(TimeoutError):  # nothing is sent yet, so that a rejection would keep its status
+        with pytest.raises(TimeoutError):  # nothing is sent yet, so that a rejection could still have its own status
             await asyncio.wait_for(wire._reader.readexactly(1), 0.2)
         self.server.resume()
         got = b""
@@ -221,7 +221,7 @@
 
 class Signals(ChatCase):
     def midway(self, sent: bytes):
-        """A stream whose first event has come; the replica waits for the test."""
+        """Start a stream whose first event has been received; the replica waits for the test before the rest."""
         (self.replica,) = self.start()
 
         def slow(handler, got):
