--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -75,7 +75,7 @@
     """The core's client for one client of the chat API.
 
     `headers` are part of every response. `repeatable` says whether the client may send the request again after a
-    failure. `on_over` is called once, with the final status and the code for the log.
+    failure. `on_end` is called once, with the final status and the code for the log.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         repeatable: bool,
         headers: Headers,
         heartbeat: HeartbeatTimer,
-        on_over: Callable[[int, str], None],
+        on_end: Callable[[int, str], None],
     ) -> None:
         self.reply = reply
         self.format = response_format
@@ -94,9 +94,9 @@
         self.repeatable = repeatable
         self.headers = tuple(headers)
         self.heartbeat = heartbeat
-        self._on_over = on_over
+        self._on_over = on_end
         self.started = False
-        self.over = False
+        self.ended = False
         self.is_collectable = True  # all events so far could be merged into one answer
         self.rejection_error = BUSY  # the response to a rejected request
 
@@ -117,7 +117,7 @@
 
     async def forward(self, data: bytes) -> None:
         """Send complete events of the replica's stream in the endpoint's format, or collect them for one response."""
-        if self.over:
+        if self.ended:
             return
         try:
             if not self.stream:
@@ -138,7 +138,7 @@
         self.heartbeat.write_pending = True
         await self.reply.write(data)
         self.heartbeat.write_pending = False
-        if not self.over:
+        if not self.ended:
             self.heartbeat.event_sent(self.reply)
 
     def finish(self) -> None:
@@ -177,9 +177,9 @@
 
     def _end(self, status: int, code: str) -> bool:
         """Record the end of the answer. Returns False if the client has been answered already or has disconnected."""
-        if self.over:
+        if self.ended:
             return False
-        self.over = True
+        self.ended = True
         self.heartbeat.stop()
         self._on_over(status, code)
         return True
--- a/pearhill/chat/budget_accounting.py
+++ b/pearhill/chat/budget_accounting.py
@@ -13,14 +13,13 @@
 
 from loguru import logger
 
-from pearhill.budgets import AdmissionDecision, AdmissionStatus, Budgets, Plan, Reservation, Usage
-from pearhill.budgets import charges as c
+from pearhill.budgets import AdmissionDecision, AdmissionStatus, Budgets, Plan, Reservation, Usage, charges
 from pearhill.chat.answers import Answer
 from pearhill.chat.budget_answers import rate_limit_headers, usage_report
 from pearhill.chat.charge_journal import ChargeJournal
 from pearhill.chat.errors import ReplicaErrorResponse
 from pearhill.chat.meter import UsageMeter
-from pearhill.chat.records import Record
+from pearhill.chat.records import RunRecord
 from pearhill.chat.schema.answers import UsageReport
 from pearhill.core.deadlines import Deadlines, TimerKey
 from pearhill.http1.messages import Headers
@@ -57,7 +56,7 @@
         id: str,
         model: str,
         path: str,
-        inner: Answer | Record,
+        inner: Answer | RunRecord,
     ) -> None:
         self._accounting = accounting
         self._reservation = reservation
@@ -70,17 +69,17 @@
 
     def reject(self, retry_after: int) -> None:
         """Settle a request for which no attempt was made. `retry_after` is in microseconds."""
-        self._settle(c.REJECTED)
+        self._settle(charges.REJECTED)
         self._inner.reject(retry_after)
 
     def fail(self) -> None:
         """Settle a request that failed or reached its deadline."""
-        self._settle(c.FAILED)
+        self._settle(charges.FAILED)
         self._inner.fail()
 
     def decline(self, response: ReplicaErrorResponse) -> None:
         """Settle a request whose replica answered that the request itself is at fault."""
-        self._settle(c.DECLINED)
+        self._settle(charges.DECLINED)
         self._inner.decline(response)
 
     async def forward(self, data: bytes) -> None:
@@ -89,12 +88,12 @@
 
     def finish(self) -> None:
         """Settle a request whose answer is complete."""
-        self._settle(c.ANSWERED)
+        self._settle(charges.ANSWERED)
         self._inner.finish()
 
     def abort(self) -> None:
         """Settle a request whose answer was truncated."""
-        self._settle(c.TRUNCATED)
+        self._settle(charges.TRUNCATED)
         self._inner.abort()
 
     def has_disconnected(self) -> bool:
@@ -103,7 +102,7 @@
 
     def handle_disconnect(self) -> None:
         """Settle a request that ends because its client has disconnected."""
-        self._settle(c.DISCONNECTED)
+        self._settle(charges.DISCONNECTED)
 
     def _settle(self, outcome: str) -> None:
         usage = self._usage(outcome)
@@ -117,7 +116,7 @@
         if meter.event_count:
             # The stream ended before the replica reported its usage, so that each event counts as one token.
             return Usage(self._prompt_tokens, 0, meter.event_count)
-        return None if outcome == c.REJECTED else Usage()
+        return None if outcome == charges.REJECTED else Usage()
 
 
 class BudgetAccounting:
@@ -162,15 +161,18 @@
         self._journal.close()
 
     def admit(
-        self, tenant: str, key: str, prompt_tokens: int, max_output_tokens: int, hint: int = 0
+        self, tenant: str, key: str, prompt_tokens: int, max_output_tokens: int, expected_tokens: int = 0
     ) -> AdmissionDecision:
-        """Admit or reject a request, and reserve its tokens. `hint`: output tokens the client expects, 0 if unknown."""
+        """Admit or reject a request, and reserve its tokens.
+
+        `expected_tokens` is the number of output tokens that the client expects, or 0 if it is unknown.
+        """
         if self._journal.rejects_requests:
             return AdmissionDecision(
                 AdmissionStatus.OVER_LIMIT, JOURNAL_RETRY_AFTER_US, "the journal cannot be written"
             )
         now = self._deadlines.clock()
-        return self._budgets.admit(now, self._wall(), tenant, key, prompt_tokens, max_output_tokens, hint)
+        return self._budgets.admit(now, self._wall(), tenant, key, prompt_tokens, max_output_tokens, expected_tokens)
 
     def record_rejection(self, tenant: str, key: str) -> None:
         """Count a request that was not admitted."""
@@ -185,8 +187,8 @@
         now = self._deadlines.clock()
         milli = self._budgets.settle(now, reservation, usage)
         usage = usage or Usage()
-        self._journal.count(milli)
-        charge = c.Charge(
+        self._journal.count_if_failing(milli)
+        charge = charges.Charge(
             at=now,
             wall=self._wall(),
             id=id,
@@ -241,11 +243,11 @@
             self._journal.append(self._rejections_charge(tenant, key, count))
         self._rejections.clear()
 
-    def _rejections_charge(self, tenant: str, key: str, count: int) -> c.Charge:
+    def _rejections_charge(self, tenant: str, key: str, count: int) -> charges.Charge:
         now = self._deadlines.clock()
         wall = self._wall()
         day, month = self._budgets.current_period(wall)
-        return c.Charge(
+        return charges.Charge(
             at=now,
             wall=wall,
             id="",
@@ -254,7 +256,7 @@
             account=self._settings.plan.tenant(tenant).account,
             model="",
             path="",
-            outcome=c.REJECTED,
+            outcome=charges.REJECTED,
             prompt=0,
             cached=0,
             answer=0,
--- a/pearhill/chat/budget_setup.py
+++ b/pearhill/chat/budget_setup.py
@@ -5,16 +5,16 @@
 import pathlib
 
 from pearhill.budgets import Limit, Plan, Prices, TenantPlan
-from pearhill.chat import file as f
+from pearhill.chat import file as tables
 from pearhill.chat.budget_accounting import AccountingSettings
-from pearhill.chat.setup_names import number_of
+from pearhill.chat.setup_names import index_of
 from pearhill.config import typed
 from pearhill.settings import Deployment
 
 MILLI_PER_TOKEN = 1000
 
 
-def accounting_settings(table: f.BudgetsTable, deployment: Deployment) -> AccountingSettings:
+def accounting_settings(table: tables.BudgetsTable, deployment: Deployment) -> AccountingSettings:
     """Returns the settings of budget accounting.
 
     Raises ConfigError if a name is duplicated or not declared, or if a burst is missing.
@@ -37,7 +37,7 @@
     return AccountingSettings(plan, pathlib.Path(table.folder) if table.folder else None, table.uncounted_tokens)
 
 
-def _accounts(table: f.BudgetsTable) -> dict[str, Limit]:
+def _accounts(table: tables.BudgetsTable) -> dict[str, Limit]:
     accounts: dict[str, Limit] = {}
     for k, account in enumerate(table.account):
         path = f"budgets.account[{k}]"
@@ -47,27 +47,27 @@
     return accounts
 
 
-def _tenants(table: f.BudgetsTable, accounts: dict[str, Limit]) -> dict[str, TenantPlan]:
+def _tenants(table: tables.BudgetsTable, accounts: dict[str, Limit]) -> dict[str, TenantPlan]:
     tenants: dict[str, TenantPlan] = {}
     for k, tenant in enumerate(table.tenant):
         path = f"budgets.tenant[{k}]"
         if tenant.name in tenants:
             raise typed.invalid_value(f"{path}.name", tenant.name, "a name that no other tenant has")
         if tenant.account:
-            number_of(f"{path}.account", tenant.account, list(accounts))
+            index_of(f"{path}.account", tenant.account, list(accounts))
         tenants[tenant.name] = _tenant_plan(path, tenant, table.instances, tenant.account, tenant.weight)
     return tenants
 
 
-def _tenant_plan(path: str, limits: f.LimitsTable, instances: int, account: str, weight: float) -> TenantPlan:
+def _tenant_plan(path: str, limits: tables.LimitsTable, instances: int, account: str, weight: float) -> TenantPlan:
     limit = _limit(path, limits, instances)
     key_limit = _limit(path, limits, instances, "key_")
     return TenantPlan(limit, account, weight, key_limit)
 
 
-def _limit(path: str, limits: f.LimitsTable, instances: int, prefix: str = "") -> Limit:
+def _limit(path: str, limits: tables.LimitsTable, instances: int, prefix: str = "") -> Limit:
     """Returns one instance's part of each limit, rounded up. With `prefix` `key_`, these are the limits of each key."""
-    totals = {name: getattr(limits, f"{prefix}{name}") for name in f.LimitsTable.__struct_fields__}
+    totals = {name: getattr(limits, f"{prefix}{name}") for name in tables.LimitsTable.__struct_fields__}
     if totals["tokens_per_min"] and not totals["burst_tokens"]:
         raise typed.invalid_value(
             f"{path}.{prefix}burst_tokens", 0, f"a whole number above 0, as {prefix}tokens_per_min is set"
--- a/pearhill/chat/charge_journal.py
+++ b/pearhill/chat/charge_journal.py
@@ -7,8 +7,7 @@
 
 from loguru import logger
 
-from pearhill.budgets import Budgets
-from pearhill.budgets import charges as c
+from pearhill.budgets import Budgets, charges
 from pearhill.durable.journal import Journal
 from pearhill.durable.recovery import recover
 
@@ -42,7 +41,7 @@
         balances cannot be recovered.
         """
         recovered = recover(folder)
-        count = c.rebuild(self._budgets, recovered.state, (frame.body for frame in recovered.frames), now)
+        count = charges.rebuild(self._budgets, recovered.state, (frame.body for frame in recovered.frames), now)
         logger.info(
             "budgets: {count} charges replayed after snapshot {snapshot}, {cut} bytes of a torn write truncated",
             count=count,
@@ -51,23 +50,23 @@
         )
         loop = asyncio.get_running_loop()
 
-        def disk_changed(error: OSError | None) -> None:
-            """Run `_disk_changed` in the event loop: the journal calls this on its own thread."""
-            loop.call_soon_threadsafe(self._disk_changed, error)
+        def notify_disk_state(error: OSError | None) -> None:
+            """Run `_handle_disk_state` in the event loop: the journal calls this on its own thread."""
+            loop.call_soon_threadsafe(self._handle_disk_state, error)
 
-        self._journal = Journal(folder, recovered.seq, lambda seq: None, disk_changed)
+        self._journal = Journal(folder, recovered.seq, lambda seq: None, notify_disk_state)
 
-    def count(self, milli: int) -> None:
+    def count_if_failing(self, milli: int) -> None:
         """While the disk fails, count thousandths of a token that have just been charged."""
         if self._failing:
             self._uncounted_milli += milli
 
-    def append(self, charge: c.Charge) -> None:
+    def append(self, charge: charges.Charge) -> None:
         """Append a charge, and write a snapshot of the balances after every `CHARGES_PER_SNAPSHOT` charges."""
         if self._journal is None:
             return
         try:
-            self._journal.append(c.encode_charge(charge))
+            self._journal.append(charges.encode_charge(charge))
         except BufferError:
             # The journal's buffer is full. This log line is then the only record of the charge.
             logger.error("budgets: the buffer of the journal is full, charge dropped: {charge}", charge=repr(charge))
@@ -84,10 +83,10 @@
         if self._charges_since_snapshot:
             self._snapshot(self._journal)
         if not self._journal.close():
-            charges, size = self._journal.unwritten
+            charge_count, size = self._journal.unwritten
             logger.error(
                 "budgets: {charges} charges ({size} bytes) could not be written to {folder} before the process ended",
-                charges=charges,
+                charges=charge_count,
                 size=size,
                 folder=str(self._journal.folder),
             )
@@ -95,11 +94,11 @@
     def _snapshot(self, journal: Journal) -> None:
         """Write a snapshot of the balances. If this fails, the charges since the last snapshot stay in the journal."""
         try:
-            journal.snapshot(c.encode_state(self._budgets))
+            journal.snapshot(charges.encode_state(self._budgets))
         except ValueError as error:
             logger.error("budgets: the snapshot of the balances could not be written: {error}", error=str(error))
 
-    def _disk_changed(self, error: OSError | None) -> None:
+    def _handle_disk_state(self, error: OSError | None) -> None:
         """Handle a change of the disk's state: `error` is why it fails, None if it can be written again."""
         self._failing = error is not None
         if error is None:
--- a/pearhill/chat/collected.py
+++ b/pearhill/chat/collected.py
@@ -15,7 +15,7 @@
 
 DONE = b"[DONE]"
 _TOP_LEVEL_FIELDS = ("id", "created", "model", "system_fingerprint", "service_tier", "usage")
-_WHOLE_FIELDS = ("id", "type", "role", "index")  # replaced, not appended to: they are never split over chunks
+_ATOMIC_FIELDS = ("id", "type", "role", "index")  # replaced, not appended to: they are never split over chunks
 _chunk_decoder: msgspec.json.Decoder[dict[str, Any]] = msgspec.json.Decoder(dict[str, Any])
 
 
@@ -36,7 +36,7 @@
     """Merge a delta into an object. Strings are appended, objects merged, other values replaced unless by None."""
     for name, value in delta.items():
         old = target.get(name)
-        if isinstance(value, str) and isinstance(old, str) and name not in _WHOLE_FIELDS:
+        if isinstance(value, str) and isinstance(old, str) and name not in _ATOMIC_FIELDS:
             target[name] = old + value
         elif isinstance(value, dict) and isinstance(old, dict):
             merge(old, value)
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -23,10 +23,10 @@
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.keys import Keyring, Tenant
 from pearhill.chat.prompt import Prompt, ResponseIdentity
-from pearhill.chat.records import Store
-from pearhill.chat.request_placement import ReadRequest, RequestPlacement
+from pearhill.chat.records import RecordStore
+from pearhill.chat.request_placement import ParsedRequest, RequestPlacement
 from pearhill.chat.schema.answers import ModelCard, ModelList, UsageReport
-from pearhill.chat.setup import Model, Reading
+from pearhill.chat.setup import Model, RequestRules
 from pearhill.chat.spec_reader import read_spec
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.http1.handler import Pending, Reply
@@ -56,9 +56,9 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        reading: Reading,
+        reading: RequestRules,
         keyring: Keyring,
-        store: Store,
+        store: RecordStore,
         spawn: Spawn,
         is_ready: Callable[[], bool],
         accounting: BudgetAccounting | None = None,
@@ -103,7 +103,7 @@
         if len(idempotency_key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise invalid_request(f"Idempotency-Key is longer than {MAX_IDEMPOTENCY_KEY_CHARS} characters.")
         answer = self._new_answer(request, prompt, model, spec.request_class)
-        return self._placement.place(ReadRequest(request, prompt, model, spec, answer), idempotency_key)
+        return self._placement.place(ParsedRequest(request, prompt, model, spec, answer), idempotency_key)
 
     def _new_answer(self, request: IncomingRequest, prompt: Prompt, model: Model, request_class: int) -> Answer:
         idempotency = self._dispatcher.deployment.router.classes[request_class].idempotency
@@ -148,9 +148,9 @@
         """Returns the model that the path names, else a list of all models that the tenant may use, without aliases."""
         name = unquote(path.removeprefix(MODELS_PATH).removeprefix("/"))
         if name:
-            return _card(find_model(self.reading, name, tenant))
+            return _model_card(find_model(self.reading, name, tenant))
         models = {model.name: model for model in self.reading.models.values() if tenant.may_use(model.name)}
-        return ModelList([_card(model) for model in models.values()])
+        return ModelList([_model_card(model) for model in models.values()])
 
 
 def _check_method(path: str, method: str) -> None:
@@ -161,5 +161,5 @@
         raise ApiError(405, f"There is no {method} {path[:200]}", "unknown_url", headers=(("Allow", allowed),))
 
 
-def _card(model: Model) -> ModelCard:
+def _model_card(model: Model) -> ModelCard:
     return ModelCard(model.name, model.created, model.owned_by)
--- a/pearhill/chat/identification.py
+++ b/pearhill/chat/identification.py
@@ -5,7 +5,7 @@
 from pearhill.chat.errors import ApiError, ErrorType
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.keys import Keyring, Tenant, key_in_headers, key_number
-from pearhill.chat.setup import Model, Reading
+from pearhill.chat.setup import Model, RequestRules
 
 
 def identify(request: IncomingRequest, keyring: Keyring) -> None:
@@ -28,7 +28,7 @@
     request.update_rate_limits()
 
 
-def find_model(reading: Reading, name: str, tenant: Tenant) -> Model:
+def find_model(reading: RequestRules, name: str, tenant: Tenant) -> Model:
     """Returns the declared model of this name or alias.
 
     Raises ApiError if there is no such model, or if the tenant may not use it.
--- a/pearhill/chat/incoming_request.py
+++ b/pearhill/chat/incoming_request.py
@@ -10,7 +10,7 @@
 from pearhill.chat.budget_accounting import BudgetAccounting
 from pearhill.chat.errors import JSON, ApiError
 from pearhill.chat.keys import ANONYMOUS, Tenant
-from pearhill.chat.setup import Model, Reading
+from pearhill.chat.setup import Model, RequestRules
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.http1.handler import Reply
 from pearhill.http1.messages import Headers, RequestMessage
@@ -45,7 +45,7 @@
         self,
         dispatcher: Dispatcher,
         accounting: BudgetAccounting | None,
-        reading: Reading,
+        reading: RequestRules,
         message: RequestMessage,
         reply: Reply,
     ) -> None:
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -32,7 +32,7 @@
     DECLINED = "declined"
 
 
-class Record:
+class RunRecord:
     """The core's client for one run, which replays the run's answer to any number of clients.
 
     `id` is the request's id for the log. `digest` is a hash of the request, by which another request under the same key
@@ -44,9 +44,9 @@
         self.digest = digest
         self.state = RecordState.OPEN
         self.size = 0  # bytes of the answer
-        self.dropped = False  # the answer has been removed, and only its outcome is kept
+        self.answer_dropped = False  # the answer has been removed, and only its outcome is kept
         self.followers = 0
-        self.store: Store | None = None
+        self.store: RecordStore | None = None
         self.key = b""
         self.expiry: TimerKey | None = None
         self._parts: list[bytes] = []
@@ -72,7 +72,7 @@
     async def forward(self, data: bytes) -> None:
         """Store events of the replica's stream for the followers."""
         if self.store:
-            self.store.grow(len(data))
+            self.store.count_answer_bytes(len(data))
         elif not self.followers:
             return  # no client can request the answer any more: only the outcome is needed
         self.size += len(data)
@@ -91,7 +91,7 @@
         """Returns False: the run is completed even without clients, because its answer may be requested again."""
         return False
 
-    def follow(self, answer: Answer) -> Follower:
+    def add_follower(self, answer: Answer) -> Follower:
         """Start to answer one more client from this record."""
         return Follower(self, answer, self._spawn)
 
@@ -110,12 +110,12 @@
             await self._changed.wait()
         self._end_answer(answer)
 
-    def drop(self) -> int:
+    def drop_answer(self) -> int:
         """Remove the answer and keep only the outcome. Returns the number of freed bytes."""
         freed = self.size
         self._parts = []
         self.size = 0
-        self.dropped = True
+        self.answer_dropped = True
         return freed
 
     def _end_answer(self, answer: Answer) -> None:
@@ -140,7 +140,7 @@
             followers=self.followers,
         )
         if self.store:
-            self.store.ended(self)
+            self.store.record_ended(self)
         self._wake_followers()
 
     def _wake_followers(self) -> None:
@@ -151,7 +151,7 @@
 class Follower:
     """One client that receives the answer of a record. When it disconnects, only its own answer ends."""
 
-    def __init__(self, record: Record, answer: Answer, spawn: Spawn) -> None:
+    def __init__(self, record: RunRecord, answer: Answer, spawn: Spawn) -> None:
         self._record = record
         record.followers += 1
         self._answer = answer
@@ -167,37 +167,37 @@
         self._record.followers -= 1
 
 
-class Store:
+class RecordStore:
     """The records of this process by idempotency key.
 
-    `max_bytes` limits answers and records together. `keep` is the time in microseconds for which an outcome is kept
-    after the end of the run.
+    `max_bytes` limits answers and records together. `retention` is the time in microseconds for which an outcome is
+    kept after the end of the run.
     """
 
-    def __init__(self, deadlines: Deadlines, max_bytes: int, keep: int) -> None:
+    def __init__(self, deadlines: Deadlines, max_bytes: int, retention: int) -> None:
         self._deadlines = deadlines
         self._max_bytes = max_bytes
-        self._keep = keep
-        self._records: dict[bytes, Record] = {}
-        self._complete: OrderedDict[bytes, Record] = OrderedDict()  # ended, with their answers, in order of their end
+        self._retention = retention
+        self._records: dict[bytes, RunRecord] = {}
+        self._ended: OrderedDict[bytes, RunRecord] = OrderedDict()  # ended, with their answers, in order of their end
         self._size = 0
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def reconfigure(self, max_bytes: int, keep: int) -> None:
-        """Apply `max_bytes` immediately, and `keep` to runs that end from now on."""
+    def reconfigure(self, max_bytes: int, retention: int) -> None:
+        """Apply `max_bytes` immediately, and `retention` to runs that end from now on."""
         self._max_bytes = max_bytes
-        self._keep = keep
-        self._free(0)
+        self._retention = retention
+        self._drop_answers(0)
 
-    def get(self, key: bytes) -> Record | None:
+    def get(self, key: bytes) -> RunRecord | None:
         """Returns the record of a key, or None if there is none."""
         return self._records.get(key)
 
-    def add(self, key: bytes, record: Record) -> bool:
+    def add(self, key: bytes, record: RunRecord) -> bool:
         """Add a new record. Returns False if it does not fit even after dropping all answers without readers."""
-        if not self._free(RECORD_OVERHEAD_BYTES):
+        if not self._drop_answers(RECORD_OVERHEAD_BYTES):
             return False
         self._size += RECORD_OVERHEAD_BYTES
         record.store = self
@@ -205,40 +205,40 @@
         self._records[key] = record
         return True
 
-    def grow(self, size: int) -> None:
+    def count_answer_bytes(self, size: int) -> None:
         """Count bytes of an open run's answer. It is stored beyond `max_bytes` too: a client may be reading it."""
-        self._free(size)
+        self._drop_answers(size)
         self._size += size
 
-    def ended(self, record: Record) -> None:
+    def record_ended(self, record: RunRecord) -> None:
         """Schedule the removal of an ended record.
 
         The record of a rejected request is removed immediately: the request was not executed and may be repeated.
         """
         if record.state == RecordState.REJECTED:
-            self._forget(record)
+            self._remove(record)
             return
-        record.expiry = self._deadlines.schedule_after(self._keep, lambda: self._forget(record))
-        self._complete[record.key] = record
-        self._free(0)
+        record.expiry = self._deadlines.schedule_after(self._retention, lambda: self._remove(record))
+        self._ended[record.key] = record
+        self._drop_answers(0)
 
-    def _forget(self, record: Record) -> None:
+    def _remove(self, record: RunRecord) -> None:
         del self._records[record.key]
-        self._complete.pop(record.key, None)
+        self._ended.pop(record.key, None)
         self._size -= record.size + RECORD_OVERHEAD_BYTES
         record.store = None
 
-    def _free(self, wanted: int) -> bool:
-        """Drop the oldest answers without readers until `wanted` bytes fit. Returns whether they fit.
+    def _drop_answers(self, needed: int) -> bool:
+        """Drop the oldest answers without readers until `needed` bytes fit. Returns whether they fit.
 
         Outcomes are kept until they expire: without its outcome, a repeated request would be executed again.
         """
-        being_read: list[Record] = []
-        while self._complete and self._size + wanted > self._max_bytes:
-            _, record = self._complete.popitem(last=False)
+        being_read: list[RunRecord] = []
+        while self._ended and self._size + needed > self._max_bytes:
+            _, record = self._ended.popitem(last=False)
             if record.followers:
                 being_read.append(record)
             else:
-                self._size -= record.drop()
-        self._complete.update((record.key, record) for record in being_read)
-        return self._size + wanted <= self._max_bytes
+                self._size -= record.drop_answer()
+        self._ended.update((record.key, record) for record in being_read)
+        return self._size + needed <= self._max_bytes
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -16,7 +16,7 @@
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.meter import UsageMeter
 from pearhill.chat.prompt import Prompt
-from pearhill.chat.records import Record, Store
+from pearhill.chat.records import RecordStore, RunRecord
 from pearhill.chat.setup import Model
 from pearhill.core.dispatcher import Dispatcher
 from pearhill.core.request import Request, RequestSpec
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class ReadRequest:
+class ParsedRequest:
     """A request whose body has been parsed, its spec for the core, and its answer."""
 
     incoming: IncomingRequest
@@ -57,56 +57,58 @@
 class RequestPlacement:
     """Reserves a request's budget and starts it at the core, once for each idempotency key."""
 
-    def __init__(self, dispatcher: Dispatcher, store: Store, spawn: Spawn, accounting: BudgetAccounting | None) -> None:
+    def __init__(
+        self, dispatcher: Dispatcher, store: RecordStore, spawn: Spawn, accounting: BudgetAccounting | None
+    ) -> None:
         self._dispatcher = dispatcher
         self._store = store
         self._spawn = spawn
         self._accounting = accounting
 
-    def place(self, request: ReadRequest, idempotency_key: str) -> Pending | None:
+    def place(self, request: ParsedRequest, idempotency_key: str) -> Pending | None:
         """Start the request, or attach it to the run of its idempotency key. An empty key means none.
 
         Returns the pending answer, or None if the request has been answered already. Raises ApiError if the key cannot
         be used for this request.
         """
         if idempotency_key:
-            return self._place_once(request, idempotency_key)
+            return self._place_with_key(request, idempotency_key)
         if not self._has_capacity(request):
             return None
         if request.answer.repeatable:
             return self._run_directly(request)
-        return self._run(request, Record(request.incoming.id, b"", self._spawn))
+        return self._run(request, RunRecord(request.incoming.id, b"", self._spawn))
 
-    def _place_once(self, request: ReadRequest, idempotency_key: str) -> Pending | None:
-        name = _record_name(request.incoming, idempotency_key)
+    def _place_with_key(self, request: ParsedRequest, idempotency_key: str) -> Pending | None:
+        name = _record_key(request.incoming, idempotency_key)
         digest = _request_digest(request.incoming)
         record = self._store.get(name)
         if record:
             return self._follow(record, digest, request.answer)
         if not self._has_capacity(request):
             return None
-        record = Record(request.incoming.id, digest, self._spawn)
+        record = RunRecord(request.incoming.id, digest, self._spawn)
         if not self._store.add(name, record):
             self._dispatcher.record_rejection(request.spec.request_class)
             request.answer.reject(self._dispatcher.deployment.router.max_retry_after)
             return None
         return self._run(request, record)
 
-    def _follow(self, record: Record, digest: bytes, answer: Answer) -> Pending:
+    def _follow(self, record: RunRecord, digest: bytes, answer: Answer) -> Pending:
         if record.digest != digest:
             raise invalid_request(
                 "This Idempotency-Key was used with another request.", code="idempotency_key_reused", status=422
             )
-        if record.dropped:
+        if record.answer_dropped:
             raise invalid_request(
                 f"The request has ended ({record.state}) and is not run again; its answer is not kept any more.",
                 code="answer_not_kept",
                 status=409,
             )
         self._dispatcher.counters.replayed += 1
-        return record.follow(answer)
+        return record.add_follower(answer)
 
-    def _has_capacity(self, request: ReadRequest) -> bool:
+    def _has_capacity(self, request: ParsedRequest) -> bool:
         """Returns whether one more request may be open. If not, the client is answered with an error.
 
         The limit bounds the memory of the core.
@@ -122,26 +124,26 @@
         incoming.reply.answer(429, (*JSON, *incoming.headers, *retry_after), error.body())
         return False
 
-    def _run_directly(self, request: ReadRequest) -> Pending:
+    def _run_directly(self, request: ParsedRequest) -> Pending:
         direct = DirectRequest(self._dispatcher, request.answer)
         spec, client, payload = self._reserve(request, request.answer)
         direct.settling = client if isinstance(client, SettlingClient) else None
         direct.request = self._dispatcher.accept(spec, client, payload, request.incoming.message.arrived)
         return direct
 
-    def _run(self, request: ReadRequest, record: Record) -> Pending:
+    def _run(self, request: ParsedRequest, record: RunRecord) -> Pending:
         """Run a request to its outcome, even if its client disconnects.
 
         A request that is cancelled in mid-stream may have been executed, and its outcome would be unknown.
         """
-        follower = record.follow(request.answer)
+        follower = record.add_follower(request.answer)
         spec, client, payload = self._reserve(request, record)
         self._dispatcher.accept(spec, client, payload, request.incoming.message.arrived)
         return follower
 
     def _reserve(
-        self, request: ReadRequest, inner: Answer | Record
-    ) -> tuple[RequestSpec, Answer | Record | SettlingClient, ChatPayload]:
+        self, request: ParsedRequest, inner: Answer | RunRecord
+    ) -> tuple[RequestSpec, Answer | RunRecord | SettlingClient, ChatPayload]:
         """Reserve tokens. Returns the spec with the decision of the budget, the core's client and the payload."""
         accounting = self._accounting
         if accounting is None:
@@ -150,8 +152,8 @@
         spec = request.spec
         tenant = incoming.tenant.name
         key = incoming.key_number
-        hint = _expected_tokens(incoming)
-        decision = accounting.admit(tenant, key, spec.prompt_tokens, spec.max_output_tokens, hint)
+        expected_tokens = _expected_tokens(incoming)
+        decision = accounting.admit(tenant, key, spec.prompt_tokens, spec.max_output_tokens, expected_tokens)
         spec = replace(spec, admission=decision.status, retry_after=decision.retry_after)
         if decision.reservation is None:
             accounting.record_rejection(tenant, key)
@@ -173,7 +175,7 @@
     return int(header) if re.fullmatch("[0-9]{1,7}", header) else 0
 
 
-def _record_name(incoming: IncomingRequest, idempotency_key: str) -> bytes:
+def _record_key(incoming: IncomingRequest, idempotency_key: str) -> bytes:
     """Returns the store's key of a record, from the client's idempotency key and its identity.
 
     Without the identity, two clients that use the same key would receive each other's answers.
@@ -194,7 +196,7 @@
     return hashlib.blake2b(b"%b\n%b" % (message.path.encode(), message.body), digest_size=16).digest()
 
 
-def _payload(request: ReadRequest, meter: UsageMeter | None) -> ChatPayload:
+def _payload(request: ParsedRequest, meter: UsageMeter | None) -> ChatPayload:
     """Returns the payload for replicas: the client's fields, except those that this dispatcher sets."""
     prompt = request.prompt
     model = request.model
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -11,7 +11,7 @@
 from pearhill.chat.budget_accounting import BudgetAccounting
 from pearhill.chat.dialect import ChatDialect
 from pearhill.chat.front import ChatFront
-from pearhill.chat.records import Store
+from pearhill.chat.records import RecordStore
 from pearhill.chat.setup import ChatSetup
 from pearhill.config import for_next_start
 from pearhill.durable.recovery import CorruptJournalError
@@ -39,20 +39,20 @@
             setup.sockets, setup.seed, setup.max_body, SEND_BUFFER_BYTES, has_admin_endpoint=setup.admin is not None
         )
         self.node = node = Node(setup.deployment, self.dialect, limits)
-        self.store = Store(node.deadlines, setup.store_bytes, setup.store_keep)
+        self.store = RecordStore(node.deadlines, setup.store_max_bytes, setup.store_retention)
         self.accounting = BudgetAccounting(setup.accounting, node.deadlines) if setup.accounting else None
         self.front = ChatFront(
             node.dispatcher, setup.reading, setup.keyring, self.store, node.pool.spawn, self.is_ready, self.accounting
         )
         if self.accounting:
             node.on_report = self.accounting.log_top_tenants
-        self.fleet = Fleet(setup.fleet, setup.seed, node.deadlines, self._own_load) if setup.fleet else None
+        self.fleet = Fleet(setup.fleet, setup.seed, node.deadlines, self._own_loads) if setup.fleet else None
         if self.fleet:
             self.fleet.on_count_change = node.share_work
         self._eureka = self._new_eureka(setup)
         self._address: Address | None = None
-        self._fetching: asyncio.Task[None] | None = None
-        self._registering: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
+        self._registration_task: asyncio.Task[None] | None = None
 
     def is_ready(self) -> bool:
         """Returns whether load balancers should send requests to this dispatcher."""
@@ -70,43 +70,43 @@
         if self.setup.endpoints:
             self.node.update_endpoints(True, self.setup.endpoints, self.setup.addresses)
         if self._eureka:
-            self._fetching = self.node.pool.spawn(self._eureka.follow())
+            self._fetch_task = self.node.pool.spawn(self._eureka.follow())
 
     def register(self, address: Address) -> None:
         """Register the address at which this dispatcher listens, and renew the registration until it is cancelled."""
         self._address = address
         if self._eureka and self._eureka.setup.register_as:
-            self._registering = self.node.pool.spawn(self._eureka.keep_registered(address))
+            self._registration_task = self.node.pool.spawn(self._eureka.keep_registered(address))
 
     async def deregister(self) -> None:
         """Remove this dispatcher from the registry, if it is registered."""
-        if self._eureka and self._registering:
-            self._registering.cancel()
-            self._registering = None
+        if self._eureka and self._registration_task:
+            self._registration_task.cancel()
+            self._registration_task = None
             await self._eureka.cancel()
 
-    def reload(self, fresh: ChatSetup) -> str:
+    def reload(self, new: ChatSetup) -> str:
         """Apply a new operator's file to all requests from now on. Returns a summary for the log."""
-        before = self.setup
-        self.node.reconfigure(fresh.deployment)
-        self.setup = fresh
-        self.front.reading = fresh.reading
-        self.front.keyring = fresh.keyring
-        self.dialect.replica_keys = fresh.replica_keys
-        self.dialect.default_key = fresh.default_replica_key
-        if self.fleet and fresh.fleet:
-            self.fleet.reconfigure(fresh.fleet)
-        if self.accounting and fresh.accounting:
-            self.accounting.reconfigure(fresh.accounting)
-        self.store.reconfigure(fresh.store_bytes, fresh.store_keep)
-        if fresh.eureka != before.eureka:
-            self._change_registry(fresh)
+        old = self.setup
+        self.node.reconfigure(new.deployment)
+        self.setup = new
+        self.front.reading = new.reading
+        self.front.keyring = new.keyring
+        self.dialect.replica_keys = new.replica_keys
+        self.dialect.default_key = new.default_replica_key
+        if self.fleet and new.fleet:
+            self.fleet.reconfigure(new.fleet)
+        if self.accounting and new.accounting:
+            self.accounting.reconfigure(new.accounting)
+        self.store.reconfigure(new.store_max_bytes, new.store_retention)
+        if new.eureka != old.eureka:
+            self._change_registry(new)
         elif self._eureka:
-            self._eureka.deployment = fresh.deployment
-        if not fresh.eureka:
-            self.node.update_endpoints(True, fresh.endpoints, fresh.addresses)
-        applied = f"{len(fresh.reading.rules)} rules, {len(fresh.keyring.tenants)} tenants"
-        return applied + _changes_for_next_start(before, fresh)
+            self._eureka.deployment = new.deployment
+        if not new.eureka:
+            self.node.update_endpoints(True, new.endpoints, new.addresses)
+        applied = f"{len(new.reading.rules)} rules, {len(new.keyring.tenants)} tenants"
+        return applied + _changes_for_next_start(old, new)
 
     async def close(self) -> None:
         """Wait until all accepted requests have been answered, then close everything."""
@@ -120,7 +120,7 @@
             self.accounting.close()
         self.node.close()
 
-    def _own_load(self) -> list[ReplicaLoad]:
+    def _own_loads(self) -> list[ReplicaLoad]:
         return [ReplicaLoad(*row) for row in self.node.dispatcher.router.own_loads()]
 
     def _open_accounting(self, accounting: BudgetAccounting) -> None:
@@ -145,48 +145,48 @@
             return None
         return Eureka(self.node.pool, setup.eureka, setup.deployment, self.node.update_endpoints)
 
-    def _change_registry(self, fresh: ChatSetup) -> None:
+    def _change_registry(self, new: ChatSetup) -> None:
         """Deregister from the old registry, and fetch the endpoint list from the new one, if there is one."""
         self._cancel_registry_tasks()
         if self._eureka:
             self.node.pool.spawn(self._eureka.cancel())
-        self._eureka = self._new_eureka(fresh)
+        self._eureka = self._new_eureka(new)
         if self._eureka:
-            self._fetching = self.node.pool.spawn(self._eureka.follow())
+            self._fetch_task = self.node.pool.spawn(self._eureka.follow())
         if self._address and not self.node.draining:
             self.register(self._address)
 
     def _cancel_registry_tasks(self) -> None:
-        for task in (self._fetching, self._registering):
+        for task in (self._fetch_task, self._registration_task):
             if task:
                 task.cancel()
-        self._fetching = None
-        self._registering = None
+        self._fetch_task = None
+        self._registration_task = None
 
 
-def _changes_for_next_start(before: ChatSetup, fresh: ChatSetup) -> str:
+def _changes_for_next_start(old: ChatSetup, new: ChatSetup) -> str:
     """Returns the changed keys that take effect only at the next start, for the log."""
     return for_next_start(
-        ("chat.listen", before.listen, fresh.listen),
-        ("chat.admin_addr", before.admin, fresh.admin),
-        ("chat.sockets", before.sockets, fresh.sockets),
-        ("fleet", before.fleet is None, fresh.fleet is None),
-        ("fleet.name", before.fleet and before.fleet.name, fresh.fleet and fresh.fleet.name),
-        ("fleet.region", before.fleet and before.fleet.region, fresh.fleet and fresh.fleet.region),
-        ("fleet.listen", before.fleet and before.fleet.listen, fresh.fleet and fresh.fleet.listen),
-        ("chat.seed", before.seed, fresh.seed),
-        ("chat.max_body_bytes", before.max_body, fresh.max_body),
-        ("budgets", before.accounting is None, fresh.accounting is None),
+        ("chat.listen", old.listen, new.listen),
+        ("chat.admin_addr", old.admin, new.admin),
+        ("chat.sockets", old.sockets, new.sockets),
+        ("fleet", old.fleet is None, new.fleet is None),
+        ("fleet.name", old.fleet and old.fleet.name, new.fleet and new.fleet.name),
+        ("fleet.region", old.fleet and old.fleet.region, new.fleet and new.fleet.region),
+        ("fleet.listen", old.fleet and old.fleet.listen, new.fleet and new.fleet.listen),
+        ("chat.seed", old.seed, new.seed),
+        ("chat.max_body_bytes", old.max_body, new.max_body),
+        ("budgets", old.accounting is None, new.accounting is None),
         (
             "budgets.folder",
-            before.accounting and before.accounting.folder,
-            fresh.accounting and fresh.accounting.folder,
+            old.accounting and old.accounting.folder,
+            new.accounting and new.accounting.folder,
         ),
     )
 
 
-async def serve(setup: ChatSetup, read_anew: Callable[[], ChatSetup]) -> None:
-    """Run the chat front end as a daemon until its shutdown. `read_anew` reads the operator's file again."""
+async def serve(setup: ChatSetup, read_setup: Callable[[], ChatSetup]) -> None:
+    """Run the chat front end as a daemon until its shutdown. `read_setup` reads the operator's file again."""
     service = ChatService(setup)
     await service.open()
     node = service.node
@@ -199,7 +199,7 @@
         setup.listen,
         service.front,
         "chat front",
-        lambda: service.reload(read_anew()),
+        lambda: service.reload(read_setup()),
         service.register,
         service.deregister,
         admin=(setup.admin, AdminEndpoint(operations)) if setup.admin else None,
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from pearhill import settings
-from pearhill.chat import file as f
+from pearhill.chat import file as tables
 from pearhill.chat.budget_accounting import AccountingSettings
 from pearhill.chat.budget_setup import accounting_settings
 from pearhill.chat.keys import InvalidKeyError, Keyring, Tenant
-from pearhill.chat.setup_names import number_of
+from pearhill.chat.setup_names import index_of
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.setup import EurekaSetup
@@ -36,7 +36,7 @@
     value: str = "*"
     deadline: int = 0
 
-    def fits(self, model: str, headers: Mapping[str, str]) -> bool:
+    def matches(self, model: str, headers: Mapping[str, str]) -> bool:
         """Returns whether the rule applies to a request for `model` with these headers."""
         if not fnmatchcase(model, self.model):
             return False
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class RequestRules:
     """The operator's rules for reading requests: classes, names of headers and fields, limits and models.
 
     Header names are in lower case.
@@ -89,19 +89,19 @@
 class ChatSetup:
     """The resolved operator's file.
 
-    `store_bytes` and `max_body` are in bytes, `store_keep` in microseconds. `addresses` and `replica_keys` are by
-    replica. `default_replica_key` is for replicas without a key of their own. `admin` is the address of the operators'
-    endpoint.
+    `store_max_bytes` and `max_body` are in bytes, `store_retention` in microseconds. `addresses` and `replica_keys` are
+    by replica. `default_replica_key` is for replicas without a key of their own. `admin` is the address of the
+    operators' endpoint.
     """
 
     listen: Address
     sockets: int
     seed: int
     deployment: settings.Deployment
-    reading: Reading
+    reading: RequestRules
     keyring: Keyring
-    store_bytes: int
-    store_keep: int
+    store_max_bytes: int
+    store_retention: int
     endpoints: tuple[Endpoint, ...]
     addresses: dict[int, Address]
     replica_keys: dict[int, str]
@@ -113,7 +113,7 @@
     fleet: FleetSetup | None = None
 
 
-def _models(chat: f.ChatTable, deployment: settings.Deployment) -> dict[str, Model]:
+def _models(chat: tables.ChatTable, deployment: settings.Deployment) -> dict[str, Model]:
     models: dict[str, Model] = {}
 
     def declare(path: str, name: str, model: Model) -> None:
@@ -129,8 +129,8 @@
         model = Model(
             table.name,
             table.served_as or table.name,
-            number_of(f"{path}.class", table.request_class, deployment.class_names) if table.request_class else -1,
-            tuple(number_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
+            index_of(f"{path}.class", table.request_class, deployment.class_names) if table.request_class else -1,
+            tuple(index_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
             table.max_out_tokens,
             table.max_prompt_tokens,
             table.owned_by,
@@ -145,7 +145,7 @@
     return models
 
 
-def _keyring(chat: f.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
+def _keyring(chat: tables.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
     """Returns the keyring. Tenants of the settings have their number there; others follow in the file's order."""
     tenants: list[tuple[Tenant, list[str]]] = []
     seen: set[str] = set()
@@ -156,7 +156,7 @@
             raise typed.invalid_value(f"{path}.name", table.name, "a name that no other tenant has")
         seen.add(table.name)
         for n, name in enumerate(table.models):
-            number_of(f"{path}.models[{n}]", name, list(models))
+            index_of(f"{path}.models[{n}]", name, list(models))
         tenant = Tenant(
             table.name,
             numbers.setdefault(table.name, len(numbers)),
@@ -174,11 +174,11 @@
     return Keyring(tenants)
 
 
-def _reading(chat: f.ChatTable, models: Mapping[str, Model], deployment: settings.Deployment) -> Reading:
+def _reading(chat: tables.ChatTable, models: Mapping[str, Model], deployment: settings.Deployment) -> RequestRules:
     names = deployment.class_names
     rules = tuple(
         Rule(
-            number_of(f"chat.rule[{k}].class", rule.request_class, names),
+            index_of(f"chat.rule[{k}].class", rule.request_class, names),
             rule.model,
             rule.header.lower(),
             rule.value,
@@ -186,8 +186,8 @@
         )
         for k, rule in enumerate(chat.rule)
     )
-    default = number_of("chat.default_class", chat.default_class, names) if chat.default_class else 0
-    return Reading(
+    default = index_of("chat.default_class", chat.default_class, names) if chat.default_class else 0
+    return RequestRules(
         rules,
         default,
         chat.class_header.lower(),
@@ -203,7 +203,7 @@
     )
 
 
-def _fleet(table: f.FleetTable) -> FleetSetup:
+def _fleet(table: tables.FleetTable) -> FleetSetup:
     peers = values.addresses("fleet.peer", table.peer, table.name)
     aggregators = values.addresses("fleet.aggregator", table.aggregator, "", "aggregator")
     if not table.peer and not aggregators:
@@ -228,7 +228,7 @@
     )
 
 
-def _eureka(table: f.EurekaTable) -> EurekaSetup:
+def _eureka(table: tables.EurekaTable) -> EurekaSetup:
     return EurekaSetup(
         values.address("eureka.address", table.address),
         table.base.rstrip("/"),
@@ -241,18 +241,18 @@
     )
 
 
-def _budgets(file: f.OperatorFile) -> f.BudgetsTable | None:
+def _budgets(file: tables.OperatorFile) -> tables.BudgetsTable | None:
     """Returns the budgets of the file itself or of the file that it names, or None."""
     path = file.chat.budgets_file
     if not path:
         return file.budgets
     if file.budgets:
         raise typed.invalid_value("chat.budgets_file", path, "no value, as the file has a [budgets] table")
-    return typed.load(path, f.BudgetsFile)[0].budgets
+    return typed.load(path, tables.BudgetsFile)[0].budgets
 
 
 def _endpoints(
-    file: f.OperatorFile, deployment: settings.Deployment
+    file: tables.OperatorFile, deployment: settings.Deployment
 ) -> tuple[list[Endpoint], dict[int, Address], dict[int, str]]:
     """Returns the replicas of the file, and by replica their addresses and the keys of those that have one."""
     zones = deployment.zone_names
@@ -264,8 +264,8 @@
         replica = replica_id(server.uid)
         if replica in addresses:
             raise typed.invalid_value(f"{path}.uid", server.uid, "a uid that no other server has")
-        zone = number_of(f"{path}.zone", server.zone or zones[0], zones)
-        kind = number_of(f"{path}.kind", server.kind, deployment.kind_names)
+        zone = index_of(f"{path}.zone", server.zone or zones[0], zones)
+        kind = index_of(f"{path}.kind", server.kind, deployment.kind_names)
         endpoints.append(Endpoint(replica, zone, kind, server.cell, Phase.READY, server.capacity, 0))
         addresses[replica] = values.address(f"{path}.address", server.address)
         key = values.read_secret(f"{path}.key_file", server.key_file)
@@ -274,7 +274,7 @@
     return endpoints, addresses, keys
 
 
-def _build(file: f.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
+def _resolve(file: tables.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
     try:
         deployment = settings.parse(raw["settings"])
     except settings.SettingsError as e:
@@ -293,8 +293,8 @@
         deployment=deployment,
         reading=_reading(chat, models, deployment),
         keyring=_keyring(chat, deployment, models),
-        store_bytes=file.idempotency.max_bytes,
-        store_keep=file.idempotency.keep_s * 1_000_000,
+        store_max_bytes=file.idempotency.max_bytes,
+        store_retention=file.idempotency.keep_s * 1_000_000,
         endpoints=tuple(endpoints),
         addresses=addresses,
         replica_keys=replica_keys,
@@ -312,16 +312,16 @@
 
     Raises ConfigError, whose text names the file, the key, the value found and the allowed values.
     """
-    file, raw = typed.load(path, f.OperatorFile)
+    file, raw = typed.load(path, tables.OperatorFile)
     try:
-        return _build(file, raw)
+        return _resolve(file, raw)
     except ConfigError as e:
         raise ConfigError(f"{path}: {e}") from None
 
 
-def read(tables: Mapping[str, Any]) -> ChatSetup:
+def read(contents: Mapping[str, Any]) -> ChatSetup:
     """Read the setup from the parsed tables of an operator's file."""
-    return _build(typed.convert(dict(tables), f.OperatorFile), tables)
+    return _resolve(typed.convert(dict(contents), tables.OperatorFile), contents)
 
 
 def loads(text: str) -> ChatSetup:
--- a/pearhill/chat/setup_names.py
+++ b/pearhill/chat/setup_names.py
@@ -7,7 +7,7 @@
 from pearhill.config import typed
 
 
-def number_of(path: str, name: str, names: Sequence[str]) -> int:
+def index_of(path: str, name: str, names: Sequence[str]) -> int:
     """Returns the index of `name` in the declared `names`. Raises ConfigError for the key at `path` if it is absent."""
     if name not in names:
         raise typed.invalid_value(path, name, ", ".join(names) or "none is declared")
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -17,7 +17,7 @@
 from pearhill.chat.errors import invalid_request
 from pearhill.chat.incoming_request import IncomingRequest
 from pearhill.chat.prompt import Prompt
-from pearhill.chat.setup import Model, Reading, Rule
+from pearhill.chat.setup import Model, RequestRules, Rule
 from pearhill.core.request import RequestSpec
 from pearhill.settings import Deployment
 
@@ -31,27 +31,31 @@
     """
     reading = request.reading
     headers = request.message.headers
-    rule = next((rule for rule in reading.rules if rule.fits(model.name, headers)), None)
+    rule = next((rule for rule in reading.rules if rule.matches(model.name, headers)), None)
     request_class = _request_class(reading, headers, prompt, model, rule, classes)
-    opening, start = _leading_text(prompt)
+    prefix_text, conversation_start = _leading_text(prompt)
     tokens = prompt.estimated_tokens(reading.chars_per_token)
     _check_lengths(prompt, model, tokens)
-    conversation = headers.get(reading.conversation_header) or prompt.metadata.get(reading.conversation_field) or start
+    conversation = (
+        headers.get(reading.conversation_header)
+        or prompt.metadata.get(reading.conversation_field)
+        or conversation_start
+    )
     return RequestSpec(
         request_class,
         _timeout(reading, headers, deployment.router.classes[request_class].deadline, rule),
         tokens,
         prompt.choice_count * (prompt.max_output_tokens or model.max_output_tokens or reading.max_output_tokens),
-        session=_number_of(conversation),
-        prefix=_number_of(opening) if opening else 0,
-        prefix_tokens=int(len(opening) / reading.chars_per_token),
+        session=_stable_hash(conversation),
+        prefix=_stable_hash(prefix_text) if prefix_text else 0,
+        prefix_tokens=int(len(prefix_text) / reading.chars_per_token),
         tenant=request.tenant.number,
         allowed_kinds=model.kinds,
     )
 
 
 def _request_class(
-    reading: Reading,
+    reading: RequestRules,
     headers: Mapping[str, str],
     prompt: Prompt,
     model: Model,
@@ -75,14 +79,14 @@
 
     The latter includes that message and the roles.
     """
-    opening = ""
-    start = ""
+    prefix_text = ""
+    conversation_start = ""
     for turn in prompt.turns:
-        start += f"{turn.role}\n{turn.text}\n"
+        conversation_start += f"{turn.role}\n{turn.text}\n"
         if turn.role not in ("system", "developer"):
             break
-        opening += turn.text
-    return opening, start
+        prefix_text += turn.text
+    return prefix_text, conversation_start
 
 
 def _check_lengths(prompt: Prompt, model: Model, tokens: int) -> None:
@@ -96,7 +100,7 @@
         raise invalid_request(f"{model.name} writes {model.max_output_tokens} tokens at most.", "max_tokens")
 
 
-def _timeout(reading: Reading, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
+def _timeout(reading: RequestRules, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
     """Returns the time until the request's deadline, in microseconds."""
     header = headers.get(reading.timeout_header)
     if header is None:
@@ -106,6 +110,6 @@
     return min(class_deadline, int(header) * 1000)
 
 
-def _number_of(text: str) -> int:
+def _stable_hash(text: str) -> int:
     """Returns a hash of a text that is the same in every process. It is never 0, which means that there is no text."""
     return int.from_bytes(hashlib.blake2b(text.encode(errors="replace"), digest_size=8).digest()) or 1
--- a/pearhill/lab/scale/hollow_dispatcher.py
+++ b/pearhill/lab/scale/hollow_dispatcher.py
@@ -42,11 +42,11 @@
         self.read_at: list[int] | None = None
         super().__init__(setup)
 
-    def _own_load(self) -> list[ReplicaLoad]:
+    def _own_loads(self) -> list[ReplicaLoad]:
         if self.read_at is not None:
             observe.leave_mark(self, len(self.read_at))
             self.read_at.append(_monotonic_us())
-        return super()._own_load()
+        return super()._own_loads()
 
     def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
         if not setup.eureka:
--- a/tests/chat/test_admin_endpoint.py
+++ b/tests/chat/test_admin_endpoint.py
@@ -10,7 +10,7 @@
         status, _, text = call(self.program.wait_line(r"operators are heard on (\S+)")[1], method, path)
         return status, text
 
-    def test_statistics_overrides_of_replicas_and_the_drain(self):
+    def test_operators_can_read_statistics_override_replicas_and_drain(self):
         first, second = self.start(2, admin=True)
         assert self.operate("GET", "/ops/readiness")[0] == 200
         assert self.operate("POST", "/ops/replicas/down?target=s0")[0] == 200
@@ -31,7 +31,7 @@
         assert self.operate("POST", "/ops/drain/stop")[0] == 200
         assert self.program.ask("GET", "/ready")[0] == 200
 
-    def test_there_is_none_unless_the_file_names_it(self):
+    def test_the_endpoint_exists_only_if_the_file_names_its_address(self):
         self.start()
         assert not [line for line in self.program.lines if "operators" in line]
         self.program.reload(
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -44,7 +44,7 @@
     return f"\n[[budgets.tenant]]\nname = {json.dumps(name)}\nweight = 0\n{rows}"
 
 
-class Budgeted(ChatCase):
+class BudgetCase(ChatCase):
     """A test of a dispatcher with budgets: tenant north has the key A, south has B."""
 
     def begin(self, *budgets: str, folder: bool = False, count: int = 1, **limits: object) -> None:
@@ -76,7 +76,7 @@
         self.program.config = config
 
 
-class Rejections(Budgeted):
+class Rejections(BudgetCase):
     def test_beyond_its_rate_a_tenant_is_rejected_with_retry_after_and_nothing_is_sent(self):
         self.begin(tenant("north", tokens_per_min=600, burst_tokens=900))
         status, headers, _ = self.call(body(max_tokens=800))
@@ -110,7 +110,7 @@
         assert self.call(body())[0] == 429
         assert self.call(body(max_tokens=700), X_Expected_Answer_Tokens="50")[0] == 200
 
-    def test_quotas_and_open_requests(self):
+    def test_requests_beyond_a_quota_or_the_limit_of_open_requests_are_rejected(self):
         self.begin(tenant("north", day_tokens=850), tenant("south", open_requests=1))
         assert self.call(body(max_tokens=800))[0] == 200
         answer = self.call(body(max_tokens=8_400))
@@ -136,14 +136,14 @@
         del self.replica.respond
         assert self.call(body(), B)[0] == 200
 
-    def test_without_budgets_there_is_no_usage(self):
+    def test_without_budgets_the_usage_report_is_not_found(self):
         self.start(extra=tenants(north=[A]))
         assert self.program.ask("GET", "/v1/usage", headers={"api-key": A})[0] == 404
         assert "x-ratelimit-limit-tokens" not in self.call(body())[1]
 
 
-class Streams(Budgeted):
-    def test_an_answer_three_times_as_long_as_reserved_is_served_in_full_and_owed(self):
+class Streams(BudgetCase):
+    def test_an_answer_three_times_as_long_as_reserved_is_complete_and_leaves_a_debt(self):
         self.begin(tenant("north", tokens_per_min=60, burst_tokens=1_000, debt_tokens=1_000))
         self.replica.respond = lambda h, b: h.chunks(LONG, USAGE_AND_END % 30)
         for _ in range(8):  # the estimate of the output length is learnt from these answers
@@ -218,7 +218,7 @@
             assert json.loads(replica.bodies[0])["max_completion_tokens"] == 800
 
 
-class Persistence(Budgeted):
+class Persistence(BudgetCase):
     def test_after_a_kill_every_synced_charge_counts_once_and_reservations_are_released(self):
         self.begin(tenant("north", day_tokens=10**6, tokens_per_min=1, burst_tokens=10_000), folder=True)
         for _ in range(5):
@@ -247,7 +247,7 @@
         self.program.wait_line("budgets: 0 charges replayed after snapshot 6, 0 bytes of a torn write truncated")
         assert self.usage()["tokens"]["today"] == 66
 
-    def test_a_damaged_journal_ends_the_start_with_a_line_that_names_it(self):
+    def test_a_damaged_journal_prevents_the_start_with_an_error_that_names_it(self):
         self.begin(tenant("north", day_tokens=10**6), folder=True)
         self.call(body())
         self.program.stop()
@@ -276,7 +276,7 @@
         assert self.program.stop() == 0
         assert sum(c.milli for c in read_folder(self.folder) if c.outcome == "answered") == 4 * 11_000
 
-    def test_a_reload_changes_limits_and_keeps_what_is_used(self):
+    def test_a_reload_changes_limits_and_keeps_the_usage(self):
         self.begin(tenant("north", day_tokens=10**6))
         self.call(body())
         text = self.program.config.read_text()
@@ -291,8 +291,8 @@
         assert self.usage()["tokens"]["today"] == 22
 
 
-class Bills(Budgeted):
-    def test_totals_equal_the_journal_to_the_token(self):
+class Bills(BudgetCase):
+    def test_totals_of_the_bill_equal_the_charges_of_the_journal(self):
         import pyarrow.parquet
 
         self.begin(tenant("north", tokens_per_min=1, burst_tokens=830), folder=True, cached_price=0.5)
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize(
     ("folder", "period", "fault"), [(".", "2026-13", "is no month"), ("none", "2026-12", "is no folder")]
 )
-def test_the_error_about_what_cannot_be_billed_is_one_line(folder, period, fault, tmp_path):
+def test_the_error_about_an_invalid_bill_request_is_one_line(folder, period, fault, tmp_path):
     command = [*BILL_COMMAND, str(tmp_path / folder), "--period", period]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert (done.returncode, done.stderr.count("\n"), fault in done.stderr) == (2, 1, True)
@@ -356,7 +356,7 @@
     return accounting
 
 
-def test_the_file_in_deploy_is_good_and_can_be_named(tmp_path):
+def test_the_budgets_file_in_deploy_is_valid_and_lists_every_key(tmp_path):
     text = operator_file(["127.0.0.1:1"]).replace("[chat]\n", "[chat]\nbudgets_file = 'deploy/budgets.toml'\n")
     plan = settings_of(tmp_path, text).plan
     assert (plan.tenants["lycee-tiznit"].account, plan.prices.cached) == ("delegation-tiznit", 100)
@@ -367,7 +367,7 @@
             assert re.search(rf"(?m)^(# )?{name} = |\[+budgets\.{name}\]", shown), name
 
 
-def test_the_settings_tenants_have_their_quota_as_their_weight(tmp_path):
+def test_tenants_of_the_settings_have_their_quota_as_weight(tmp_path):
     text = operator_file(
         ["127.0.0.1:1"],
         table() + tenant("north", day_tokens=5),
@@ -388,5 +388,5 @@
         (361_250_000, "6m1.25s"),
     ],
 )
-def test_durations(micros, text):
+def test_durations_have_the_form_of_rate_limit_headers(micros, text):
     assert format_duration(micros) == text
--- a/tests/chat/test_front.py
+++ b/tests/chat/test_front.py
@@ -111,7 +111,7 @@
         assert (sent["stream"], sent["stream_options"]) == (True, {"include_usage": True})
         assert self.ask(body(stream=True, stream_options={"include_usage": True}))[2] == b"".join(TOKENS) + LAST
 
-    def test_an_answer_in_one_piece(self):
+    def test_a_client_that_does_not_stream_gets_one_chat_completion(self):
         self.start()
         status, _, got = self.ask(body())
         answer = json.loads(got)
@@ -120,7 +120,7 @@
         assert answer["choices"][0]["finish_reason"] == "stop"
         assert json.loads(self.program.ask("GET", "/v1/models")[2])["data"][0]["id"] == "help"
 
-    def test_bad_requests_are_error_objects_and_counted(self):
+    def test_invalid_requests_get_error_objects_and_are_counted(self):
         (replica,) = self.start()
         bad = [
             b"{",
@@ -148,14 +148,14 @@
         assert 0 < float(answer[1]["retry-after"]) <= 0.5
         assert answer[1]["x-should-retry"] == "true"
 
-    def test_a_deadline_of_the_client_ends_a_silent_attempt(self):
+    def test_an_attempt_without_an_answer_ends_at_the_clients_deadline(self):
         (replica,) = self.start()
         replica.respond = lambda h, b: replica.go.wait(20)
         answer = self.ask(body("booking"), X_Request_Timeout_Ms="300")
         assert (answer[0], self.error(answer)["code"], replica.runs) == (500, "request_failed", 1)
         assert answer[1]["x-should-retry"] == "false"
 
-    def test_errors_are_retried_only_where_the_class_allows(self):
+    def test_errors_are_retried_only_if_the_class_permits(self):
         replicas = self.start(2)
         for replica in replicas:
             replica.respond = lambda h, b: h.plain(500)
@@ -177,21 +177,21 @@
         assert self.ask(body())[0] == 200
 
 
-class Events(ChatCase):
+class InvalidStreams(ChatCase):
     """Invalid and incomplete streams of a replica."""
 
-    BAD = (
+    INVALID_EVENTS = (
         b"data: {broken\n\n",
         b"data: 7\n\n",
         b'data: {"error":{"message":"no"}}\n\n',
         b'data: {"choices":[{"index":0}]}\n\n',
         b"data: \xff\n\n",
     )
-    EMPTY = b"data: [DONE]\n\n"
+    DONE_ONLY = b"data: [DONE]\n\n"
 
-    def test_malformed_events_end_as_failed_and_bookings_are_not_run_again(self):
+    def test_malformed_events_fail_the_request_and_bookings_are_not_retried(self):
         (replica,) = self.start()
-        for bad in self.BAD:
+        for bad in self.INVALID_EVENTS:
             for before in (b"", TOKENS[0]):
                 with self.subTest(bad=bad, before=before):
                     runs = replica.runs
@@ -200,9 +200,9 @@
                     assert (answer[0], self.error(answer)["code"]) in [(500, "request_failed"), (502, "stream_broken")]
                     assert replica.runs == runs + 1
 
-    def test_an_end_without_an_answer_is_no_answer(self):
+    def test_done_without_a_chunk_is_answered_with_an_error(self):
         (replica,) = self.start()
-        replica.respond = lambda h, b: h.chunks(self.EMPTY)
+        replica.respond = lambda h, b: h.chunks(self.DONE_ONLY)
         assert (self.ask(body("booking"))[0], replica.runs) == (500, 1)
 
     def test_a_truncated_stream_is_never_taken_for_complete(self):
@@ -217,7 +217,7 @@
                 connection.getresponse().read()
         assert replica.runs == 4
 
-    def test_a_stalled_stream_ends(self):
+    def test_a_stalled_stream_is_answered_with_an_error(self):
         (replica,) = self.start()
 
         def stall(handler, body):
@@ -243,7 +243,7 @@
 
 
 class OneOutcome(ChatCase):
-    def drop(self, replica: Standin, **headers: str) -> None:
+    def disconnect_in_mid_stream(self, replica: Standin, **headers: str) -> None:
         """A booking's client reads the first event and disconnects; then the replica sends the rest."""
 
         def slow(handler, body):
@@ -260,9 +260,9 @@
         self.program.wait_line("side=client .* reason=client-")
         replica.go.set()
 
-    def test_a_booking_dropped_in_mid_stream_has_one_run_and_one_answer_for_repeats(self):
+    def test_a_booking_whose_client_disconnects_runs_once_and_repeats_get_its_answer(self):
         (replica,) = self.start()
-        self.drop(replica, **{"Idempotency-Key": "k1"})
+        self.disconnect_in_mid_stream(replica, **{"Idempotency-Key": "k1"})
         for _ in range(2):
             status, _, got = self.ask(body("booking", stream=True), Idempotency_Key="k1")
             assert (status, got.count(b"data: "), got[-14:]) == (200, 4, b"data: [DONE]\n\n")
@@ -273,13 +273,13 @@
         self.ask(body("booking", stream=True), Idempotency_Key="k1", Authorization="Bearer someone-else")
         assert replica.runs == 2  # the same key of another client has a record of its own
 
-    def test_without_a_key_the_run_is_still_seen_through_to_its_outcome(self):
+    def test_without_a_key_the_run_still_completes_after_a_disconnection(self):
         (replica,) = self.start()
-        self.drop(replica)
+        self.disconnect_in_mid_stream(replica)
         self.program.wait_line("outcome request=.* state=answered")
         assert (replica.runs, self.program.counters()["served"]) == (1, 1)
 
-    def test_a_failed_run_is_repeated_as_failed_and_a_rejected_one_runs(self):
+    def test_repeats_of_a_failed_run_fail_and_of_a_rejected_one_run(self):
         (replica,) = self.start()
         replica.respond = lambda h, b: h.plain(500)
         for _ in range(2):
@@ -290,14 +290,14 @@
         del replica.respond
         assert self.ask(body("booking"), Idempotency_Key="k3")[0] == 200
 
-    def test_the_store_is_bounded_and_forgets_answers_before_outcomes(self):
+    def test_the_store_is_bounded_and_drops_answers_before_outcomes(self):
         (replica,) = self.start(extra="[idempotency]\nmax_bytes = 1200\n")
         for key, status in (("a", 200), ("b", 200), ("a", 409), ("c", 503)):
             with self.subTest(key=key):
                 assert self.ask(body("booking"), Idempotency_Key=key)[0] == status
         assert replica.runs == 2
 
-    def test_an_idempotent_request_ends_with_its_client(self):
+    def test_an_idempotent_request_is_cancelled_when_its_client_disconnects(self):
         (replica,) = self.start()
         replica.respond = lambda h, b: replica.go.wait(20)
         connection = self.program.connect()
@@ -308,19 +308,19 @@
         assert self.program.counters()["left"] == 1
 
 
-GOOD_FILE = operator_file(["127.0.0.1:1"])
-BAD_FILES = {
-    "chat.listen": GOOD_FILE.replace("'127.0.0.1:0'", "'nowhere'"),
-    "chat.lisen": GOOD_FILE.replace("listen", "lisen"),
-    "chat.rule[0].class": GOOD_FILE.replace('"job-booking"\n[', '"no-class"\n['),
-    "server[0].address": GOOD_FILE.replace('127.0.0.1:1"', 'x"'),
+VALID_FILE = operator_file(["127.0.0.1:1"])
+INVALID_FILES = {
+    "chat.listen": VALID_FILE.replace("'127.0.0.1:0'", "'nowhere'"),
+    "chat.lisen": VALID_FILE.replace("listen", "lisen"),
+    "chat.rule[0].class": VALID_FILE.replace('"job-booking"\n[', '"no-class"\n['),
+    "server[0].address": VALID_FILE.replace('127.0.0.1:1"', 'x"'),
     "server": operator_file([]),
-    "settings.rulers": GOOD_FILE.replace('"rules" =', '"rulers" ='),
-    "idempotency.keep_s": GOOD_FILE + "[idempotency]\nkeep_s = 0\n",
+    "settings.rulers": VALID_FILE.replace('"rules" =', '"rulers" ='),
+    "idempotency.keep_s": VALID_FILE + "[idempotency]\nkeep_s = 0\n",
 }
 
 
-@pytest.mark.parametrize(("key", "text"), BAD_FILES.items(), ids=list(BAD_FILES))
+@pytest.mark.parametrize(("key", "text"), INVALID_FILES.items(), ids=list(INVALID_FILES))
 def test_the_error_about_a_bad_file_is_one_line_that_names_the_key(key, text, tmp_path):
     path = tmp_path / "chat.toml"
     path.write_text(text)
@@ -331,5 +331,5 @@
     assert re.search(f"^pearhill: [^ ]*chat.toml: {re.escape(key)}: ", done.stderr)
 
 
-def test_the_file_in_deploy_is_good():
+def test_the_file_in_deploy_is_valid():
     assert load(str(ROOT / "deploy" / "chat.toml")).deployment.class_names == ("advice", "job-booking")
--- a/tests/chat/test_keys.py
+++ b/tests/chat/test_keys.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_several_keys_of_a_tenant_and_none_of_others():
+def test_a_tenant_may_have_several_keys_and_unknown_keys_have_no_owner():
     north = Tenant("north", 0)
     south = Tenant("south", 1)
     keyring = Keyring([(north, [record_of(A), record_of(B)]), (south, [record_of(C)])])
@@ -64,7 +64,7 @@
 
 
 @given(st.text(), st.text())
-def test_any_header_gives_a_key_or_none(value, other):
+def test_any_header_value_is_read_without_an_error(value, other):
     assert isinstance(key_in_headers({"authorization": value, "api-key": other}), str)
     assert key_in_headers({"authorization": f"Bearer {A}", "api-key": other}) == A
     assert key_in_headers({"authorization": "Basic x", "api-key": other}) == other
@@ -84,7 +84,7 @@
         self.south = record_of(C)
         (self.replica,) = self.start(extra=tenants(north=[A]) + self.EXTRA % self.south)
 
-    def test_who_may_ask_and_for_what(self):
+    def test_requests_without_a_valid_key_or_permission_are_rejected(self):
         self.begin()
         cases = [
             ({}, "help", 401, "invalid_api_key"),
@@ -112,14 +112,14 @@
             r"request id=\w+ client_id='' tenant='south' path=/v1/chat/completions model='' status=403", log
         )
 
-    def test_one_tenants_idempotency_keys_are_not_anothers(self):
+    def test_idempotency_keys_are_separate_for_each_tenant(self):
         self.begin()
         for key in (A, C):
             self.ask(body(), Authorization=f"Bearer {key}", Idempotency_Key="same")
         self.ask(body(), api_key=A, Idempotency_Key="same")
         assert self.replica.runs == 2
 
-    def test_a_key_removed_in_mid_stream_ends_nothing_and_opens_nothing(self):
+    def test_a_key_removed_in_mid_stream_is_rejected_but_the_stream_completes(self):
         self.begin()
 
         def slow(handler, sent):
@@ -142,7 +142,7 @@
         del self.replica.respond
         assert self.program.ask("POST", PATH, body(), {"api-key": B})[0] == 200
 
-    def test_replicas_have_keys_of_their_own(self):
+    def test_replicas_are_sent_the_key_of_the_operators_file(self):
         with tempfile.NamedTemporaryFile("w", suffix=".key") as file:
             file.write("server-secret\n")
             file.flush()
--- a/tests/chat/test_under_load.py
+++ b/tests/chat/test_under_load.py
@@ -31,7 +31,7 @@
 BIG = chat_chunk(content="x" * 8_000)
 
 
-def resident(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Returns the resident memory of a process, in bytes."""
     fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
     return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
@@ -58,18 +58,18 @@
 
     async def ask(self, program: Program, sent: bytes) -> ClientConnection:
         """Open a stream. Returns its connection when the answer has begun."""
-        wire = ClientConnection(program.host, program.port)
-        await wire.open()
-        self.addCleanup(wire.close)
-        got = await wire.exchange("POST", PATH, {}, sent, 20, lambda: True)
+        connection = ClientConnection(program.host, program.port)
+        await connection.open()
+        self.addCleanup(connection.close)
+        got = await connection.exchange("POST", PATH, {}, sent, 20, lambda: True)
         assert got.status == 200, got.body
-        return wire
+        return connection
 
-    async def test_streams_that_nobody_reads_stay_small_and_harm_nobody(self):
+    async def test_unread_streams_use_little_memory_and_do_not_block_others(self):
         """900 clients read the first event and stop reading; their replicas would send 1.2 MB each."""
         program = self.begin("sockets = 4096\nmax_answer_bytes = 16777216")
         self.server.load((event_stream(*[sse_event(BIG)] * 150, *ANSWER_EVENTS[1:]),))
-        before = resident(program.process.pid)
+        before = resident_bytes(program.process.pid)
         stalled = []
         sent = request("POST", PATH, "a", (), body(stream=True))
         loop = asyncio.get_running_loop()
@@ -85,12 +85,12 @@
 
         async def read_completely() -> int:
             """Reads a stream to its end. Returns its length."""
-            wire = ClientConnection(program.host, program.port)
-            await wire.open()
+            connection = ClientConnection(program.host, program.port)
+            await connection.open()
             try:
-                got = await wire.exchange("POST", PATH, {}, body(stream=True), 60)
+                got = await connection.exchange("POST", PATH, {}, body(stream=True), 60)
             finally:
-                wire.close()
+                connection.close()
             assert got.complete
             assert got.body.endswith(b"data: [DONE]\n\n")
             return len(got.body)
@@ -100,7 +100,7 @@
             assert set(lengths) == {150 * len(sse_event(BIG)) + sum(map(len, (*ANSWER_EVENTS[1:3], ANSWER_EVENTS[4])))}
         counters = await asyncio.to_thread(program.counters)
         assert (counters["served"], counters["taken"]) == (self.READ, self.OPEN), "the others must still be open"
-        bytes_per_stream = (resident(program.process.pid) - before) / len(stalled)
+        bytes_per_stream = (resident_bytes(program.process.pid) - before) / len(stalled)
         assert bytes_per_stream < 400_000, "bytes that a stalled stream holds"
         for sock in stalled:
             sock.close()
@@ -119,26 +119,26 @@
                 ),
             )
         )
-        wire = ClientConnection(program.host, program.port)
-        await wire.open()
-        self.addCleanup(wire.close)
-        assert wire._reader
-        assert wire._writer
-        wire._writer.write(request("POST", PATH, "a", (), body(stream=True)))
+        connection = ClientConnection(program.host, program.port)
+        await connection.open()
+        self.addCleanup(connection.close)
+        assert connection._reader
+        assert connection._writer
+        connection._writer.write(request("POST", PATH, "a", (), body(stream=True)))
         with pytest.raises(TimeoutError):  # nothing is sent yet, so that a rejection could still have its own status
-            await asyncio.wait_for(wire._reader.readexactly(1), 0.2)
+            await asyncio.wait_for(connection._reader.readexactly(1), 0.2)
         self.server.resume()
         got = b""
         while got.count(b": keep-alive\n\n") < 3:
-            got += await asyncio.wait_for(wire._reader.read(65_536), 20)
+            got += await asyncio.wait_for(connection._reader.read(65_536), 20)
         self.server.client_received()
         while b"0\r\n\r\n" not in got:
-            got += await asyncio.wait_for(wire._reader.read(65_536), 20)
+            got += await asyncio.wait_for(connection._reader.read(65_536), 20)
         events = b"".join(part for part in got.partition(b"\r\n\r\n")[2].split(b"\r\n")[1::2])
         assert events.replace(b": keep-alive\n\n", b"") == b"".join((*ANSWER_EVENTS[:3], ANSWER_EVENTS[4]))
         assert events.startswith(ANSWER_EVENTS[0] + b": keep-alive\n\n")
 
-    async def test_the_same_key_at_once_on_many_connections_and_endpoints_is_one_run(self):
+    async def test_concurrent_requests_with_the_same_key_are_one_run(self):
         program = self.begin("")
         self.server.load(
             (
@@ -153,12 +153,12 @@
         )
 
         async def repeat(path: str, sent: bytes) -> tuple[int, bytes]:
-            wire = ClientConnection(program.host, program.port)
-            await wire.open()
+            connection = ClientConnection(program.host, program.port)
+            await connection.open()
             try:
-                got = await wire.exchange("POST", path, {"Idempotency-Key": "one"}, sent, 20)
+                got = await connection.exchange("POST", path, {"Idempotency-Key": "one"}, sent, 20)
             finally:
-                wire.close()
+                connection.close()
             return got.status, got.body
 
         booking = body("booking", stream=True)
@@ -174,45 +174,45 @@
         assert {got for _, got in answers} == {b"".join((*ANSWER_EVENTS[:3], ANSWER_EVENTS[4]))}
         assert len(self.server.requests) == 1
 
-    async def test_a_flood_of_bad_requests_beside_good_ones(self):
+    async def test_valid_requests_succeed_during_a_flood_of_invalid_ones(self):
         program = self.begin("")
         self.server.load((event_stream(*ANSWER_EVENTS),))
         bad = [b"{", body(temperature=9), body("nobody"), b'{"x": ' + b"[" * 9_000, body(messages=[])]
-        over = asyncio.Event()
+        flood_ended = asyncio.Event()
         bad_requests = 0
 
         async def flood(sent: bytes) -> None:
             nonlocal bad_requests
-            wire = ClientConnection(program.host, program.port)
-            await wire.open()
+            connection = ClientConnection(program.host, program.port)
+            await connection.open()
             try:
-                while not over.is_set():
-                    got = await wire.exchange("POST", PATH, {}, sent, 20)
+                while not flood_ended.is_set():
+                    got = await connection.exchange("POST", PATH, {}, sent, 20)
                     assert got.status in (400, 404)
                     bad_requests += 1
             finally:
-                wire.close()
+                connection.close()
 
         floods = [asyncio.create_task(flood(sent)) for sent in bad * 4]
-        wire = ClientConnection(program.host, program.port)
-        await wire.open()
-        self.addCleanup(wire.close)
+        connection = ClientConnection(program.host, program.port)
+        await connection.open()
+        self.addCleanup(connection.close)
         for _ in range(50):
-            got = await wire.exchange("POST", PATH, {}, body(stream=True), 20)
+            got = await connection.exchange("POST", PATH, {}, body(stream=True), 20)
             assert got.complete, got.body
             assert got.status == 200, got.body
-        over.set()
+        flood_ended.set()
         await asyncio.gather(*floods)
         assert bad_requests > 50
         counters = program.counters()
         assert (counters["rejected"], counters["taken"], counters["faults"]) == (bad_requests, 50, 0)
 
-    async def test_a_client_that_goes_in_a_heartbeat_leaves_nothing_behind(self):
+    async def test_requests_end_when_clients_disconnect_during_heartbeats(self):
         program = self.begin("heartbeat_s = 0.02")
         self.server.load(((response_head(), http_chunk(ANSWER_EVENTS[0]), WAIT_FOR_RELEASE),))
         for _ in range(20):
-            wire = await self.ask(program, body(stream=True))
-            wire.close()
+            connection = await self.ask(program, body(stream=True))
+            connection.close()
         end = time.monotonic() + 20
         while (await asyncio.to_thread(program.counters))["left"] < 20:
             assert time.monotonic() < end
@@ -220,7 +220,7 @@
 
 
 class Signals(ChatCase):
-    def midway(self, sent: bytes):
+    def start_stream(self, sent: bytes):
         """Start a stream whose first event has been received; the replica waits for the test before the rest."""
         (self.replica,) = self.start()
 
@@ -238,16 +238,16 @@
         assert response.read(len(TOKENS[0])) == TOKENS[0]
         return response
 
-    def test_sigterm_in_mid_stream_lets_it_complete(self):
-        response = self.midway(body("booking", stream=True))
+    def test_sigterm_in_mid_stream_lets_the_stream_complete(self):
+        response = self.start_stream(body("booking", stream=True))
         self.program.process.send_signal(signal.SIGTERM)
         self.program.wait_line("draining: 1 requests open")
         self.replica.go.set()
         assert response.read().endswith(b"data: [DONE]\n\n")
         assert (self.program.stop(), self.replica.runs) == (0, 1)
 
-    def test_sighup_in_mid_stream_changes_nothing_of_it(self):
-        response = self.midway(body(stream=True))
+    def test_sighup_in_mid_stream_does_not_affect_the_stream(self):
+        response = self.start_stream(body(stream=True))
         self.program.reload(self.program.config.read_text().replace("'booking']", "'other']"))
         self.replica.go.set()
         assert response.read().endswith(b"data: [DONE]\n\n")
