--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -97,7 +97,7 @@
         self._on_over = on_end
         self.started = False
         self.ended = False
-        self.is_collectable = True  # all events so far could be merged into one answer
+        self.is_collectable = True  # whether all events so far could be merged into one answer
         self.rejection_error = BUSY  # the response to a rejected request
 
     def reject(self, retry_after: int) -> None:
--- a/pearhill/chat/records.py
+++ b/pearhill/chat/records.py
@@ -1,4 +1,4 @@
-"""Requests that are executed at most once and end in one outcome, which all repeats of the request get.
+"""Runs of requests: each ends in exactly one outcome, which all repeats of the request get.
 
 A run continues when its client disconnects, its answer is stored for a limited time, and a repeat under the same
 idempotency key gets that answer. The store belongs to this process alone and is bounded in bytes and in time. When it
@@ -101,7 +101,7 @@
         while True:
             while position < len(self._parts):
                 data = self._parts[position]
-                if self.store is None and not self.key:  # no other client can request it
+                if self.store is None and not self.key:  # no other client can request the answer
                     self._parts[position] = b""
                 position += 1
                 await answer.forward(data)
