--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -1,4 +1,4 @@
-"""What the chat front runs with: the operator's file, its names resolved and its keys read."""
+"""The setup of the chat front end: the operator's file with its names resolved and its API keys read."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from typing import Any
 
 from pearhill import settings
-from pearhill.chat import file as f
+from pearhill.chat import file as tables
 from pearhill.chat.budget_accounting import AccountingSettings
 from pearhill.chat.budget_setup import accounting_settings
 from pearhill.chat.keys import InvalidKeyError, Keyring, Tenant
-from pearhill.chat.setup_names import number_of
+from pearhill.chat.setup_names import index_of
 from pearhill.config import ConfigError, typed, values
 from pearhill.core.replica_ids import replica_id
 from pearhill.eureka.setup import EurekaSetup
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Requests for these models, and with this header if one is named, are of this class.
+    """Assigns a class to requests for these models that have this header, if one is named.
 
-    `model` and `value` are patterns as of a shell; `deadline`: microseconds, 0: the class's.
+    `model` and `value` are shell patterns. `deadline` is in microseconds; 0 means the deadline of the class.
     """
 
     request_class: int
@@ -36,8 +36,8 @@
     value: str = "*"
     deadline: int = 0
 
-    def fits(self, model: str, headers: Mapping[str, str]) -> bool:
-        """Whether the rule is for a request for `model` with these headers."""
+    def matches(self, model: str, headers: Mapping[str, str]) -> bool:
+        """Returns whether the rule applies to a request for `model` with these headers."""
         if not fnmatchcase(model, self.model):
             return False
         if not self.header:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """One declared model. `request_class` -1: by the rules; sizes in tokens, 0: no limit of its own."""
+    """One declared model. A `request_class` of -1 means none. Limits are in tokens; 0 means no limit of this model."""
 
     name: str
     served_as: str
@@ -61,8 +61,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """Where the front finds what the core needs to know. Header names are in lower case."""
+class RequestRules:
+    """The operator's rules for reading requests: classes, names of headers and fields, limits and models.
+
+    Header names are in lower case.
+    """
 
     rules: tuple[Rule, ...]
     default_class: int
@@ -73,31 +76,32 @@
     timeout_header: str
     max_output_tokens: int
     chars_per_token: float
-    models: Mapping[str, Model]  # by name and by alias; empty: any name goes on to the replicas
+    models: Mapping[str, Model]  # by name and by alias; if empty, any name is forwarded to the replicas
     heartbeat: int = 0  # microseconds
     max_answer_bytes: int = 4 << 20
 
     def model(self, name: str) -> Model | None:
-        """The model of this name or alias; None: models are declared, and it is none of them."""
+        """Returns the model of this name or alias, or None if models are declared but not this one."""
         return self.models.get(name) if self.models else Model(name, name)
 
 
 @dataclass(frozen=True, slots=True)
 class ChatSetup:
-    """The operator's file, resolved.
+    """The resolved operator's file.
 
-    `store_bytes` and `max_body` are bytes; `store_keep`: microseconds; `addresses` and `replica_keys`: by replica;
-    `default_replica_key`: for replicas without a key of their own; `admin`: where operators call.
+    `store_max_bytes` and `max_body` are in bytes, `store_retention` in microseconds. `addresses` and `replica_keys` are
+    by replica. `default_replica_key` is for replicas without a key of their own. `admin` is the address of the
+    operators' endpoint.
     """
 
     listen: Address
     sockets: int
     seed: int
     deployment: settings.Deployment
-    reading: Reading
+    reading: RequestRules
     keyring: Keyring
-    store_bytes: int
-    store_keep: int
+    store_max_bytes: int
+    store_retention: int
     endpoints: tuple[Endpoint, ...]
     addresses: dict[int, Address]
     replica_keys: dict[int, str]
@@ -109,11 +113,11 @@
     fleet: FleetSetup | None = None
 
 
-def _models(chat: f.ChatTable, deployment: settings.Deployment) -> dict[str, Model]:
+def _models(chat: tables.ChatTable, deployment: settings.Deployment) -> dict[str, Model]:
     models: dict[str, Model] = {}
 
     def declare(path: str, name: str, model: Model) -> None:
-        """Add a model under a name or alias. ConfigError at `path`: the name is taken."""
+        """Add a model under a name or alias. Raises ConfigError for `path` if the name is already used."""
         if name in models:
             raise typed.invalid_value(path, name, "a name that no other model or alias has")
         models[name] = model
@@ -125,8 +129,8 @@
         model = Model(
             table.name,
             table.served_as or table.name,
-            number_of(f"{path}.class", table.request_class, deployment.class_names) if table.request_class else -1,
-            tuple(number_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
+            index_of(f"{path}.class", table.request_class, deployment.class_names) if table.request_class else -1,
+            tuple(index_of(f"{path}.kinds[{n}]", kind, deployment.kind_names) for n, kind in enumerate(table.kinds)),
             table.max_out_tokens,
             table.max_prompt_tokens,
             table.owned_by,
@@ -141,8 +145,8 @@
     return models
 
 
-def _keyring(chat: f.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
-    """Tenants that the settings name have their number there; the others follow, in the file's order."""
+def _keyring(chat: tables.ChatTable, deployment: settings.Deployment, models: Mapping[str, Model]) -> Keyring:
+    """Returns the keyring. Tenants of the settings have their number there; others follow in the file's order."""
     tenants: list[tuple[Tenant, list[str]]] = []
     seen: set[str] = set()
     numbers = {name: k for k, name in enumerate(deployment.tenant_names)}
@@ -152,7 +156,7 @@
             raise typed.invalid_value(f"{path}.name", table.name, "a name that no other tenant has")
         seen.add(table.name)
         for n, name in enumerate(table.models):
-            number_of(f"{path}.models[{n}]", name, list(models))
+            index_of(f"{path}.models[{n}]", name, list(models))
         tenant = Tenant(
             table.name,
             numbers.setdefault(table.name, len(numbers)),
@@ -163,18 +167,18 @@
             try:
                 Keyring([(tenant, [record])])
             except InvalidKeyError:
-                # What stands there may be the key itself, which must not be shown: the error's text leaves it out.
+                # The value may be the key itself, which must not be shown: it is left out of the error's text.
                 raise ConfigError(
-                    f"{path}.keys[{n}]: found something else; allowed: a record as `pearhill key` prints it"
+                    f"{path}.keys[{n}]: found another text (not shown); allowed: a record as `pearhill key` prints it"
                 ) from None
     return Keyring(tenants)
 
 
-def _reading(chat: f.ChatTable, models: Mapping[str, Model], deployment: settings.Deployment) -> Reading:
+def _reading(chat: tables.ChatTable, models: Mapping[str, Model], deployment: settings.Deployment) -> RequestRules:
     names = deployment.class_names
     rules = tuple(
         Rule(
-            number_of(f"chat.rule[{k}].class", rule.request_class, names),
+            index_of(f"chat.rule[{k}].class", rule.request_class, names),
             rule.model,
             rule.header.lower(),
             rule.value,
@@ -182,8 +186,8 @@
         )
         for k, rule in enumerate(chat.rule)
     )
-    default = number_of("chat.default_class", chat.default_class, names) if chat.default_class else 0
-    return Reading(
+    default = index_of("chat.default_class", chat.default_class, names) if chat.default_class else 0
+    return RequestRules(
         rules,
         default,
         chat.class_header.lower(),
@@ -199,18 +203,20 @@
     )
 
 
-def _fleet(table: f.FleetTable) -> FleetSetup:
+def _fleet(table: tables.FleetTable) -> FleetSetup:
     peers = values.addresses("fleet.peer", table.peer, table.name)
     aggregators = values.addresses("fleet.aggregator", table.aggregator, "", "aggregator")
     if not table.peer and not aggregators:
-        raise typed.invalid_value("fleet.peer", None, "a list of one or more, where fleet.aggregator names none")
+        raise typed.invalid_value("fleet.peer", None, "a list of one or more, as there is no fleet.aggregator")
     if aggregators and len(table.name) > values.MAX_NAME_LENGTH:
         raise typed.invalid_value(
-            "fleet.name", table.name, f"{values.MAX_NAME_LENGTH} characters at most, before aggregators"
+            "fleet.name", table.name, f"{values.MAX_NAME_LENGTH} characters at most, as there are aggregators"
         )
     for k, aggregator in enumerate(table.aggregator):
         if aggregator.name == table.name or aggregator.name in peers:
-            raise typed.invalid_value(f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher has")
+            raise typed.invalid_value(
+                f"fleet.aggregator[{k}].name", aggregator.name, "a name that no dispatcher of the fleet has"
+            )
     return FleetSetup(
         table.name,
         values.address("fleet.listen", table.listen),
@@ -222,7 +228,7 @@
     )
 
 
-def _eureka(table: f.EurekaTable) -> EurekaSetup:
+def _eureka(table: tables.EurekaTable) -> EurekaSetup:
     return EurekaSetup(
         values.address("eureka.address", table.address),
         table.base.rstrip("/"),
@@ -235,20 +241,20 @@
     )
 
 
-def _budgets(file: f.OperatorFile) -> f.BudgetsTable | None:
-    """The budgets of the file itself, or of the file that it names."""
+def _budgets(file: tables.OperatorFile) -> tables.BudgetsTable | None:
+    """Returns the budgets of the file itself or of the file that it names, or None."""
     path = file.chat.budgets_file
     if not path:
         return file.budgets
     if file.budgets:
-        raise typed.invalid_value("chat.budgets_file", path, "none, where the file has [budgets] itself")
-    return typed.load(path, f.BudgetsFile)[0].budgets
+        raise typed.invalid_value("chat.budgets_file", path, "no value, as the file has a [budgets] table")
+    return typed.load(path, tables.BudgetsFile)[0].budgets
 
 
 def _endpoints(
-    file: f.OperatorFile, deployment: settings.Deployment
+    file: tables.OperatorFile, deployment: settings.Deployment
 ) -> tuple[list[Endpoint], dict[int, Address], dict[int, str]]:
-    """The file's own replicas; their addresses, and the keys of those that have one, by replica."""
+    """Returns the replicas of the file, and by replica their addresses and the keys of those that have one."""
     zones = deployment.zone_names
     endpoints: list[Endpoint] = []
     addresses: dict[int, Address] = {}
@@ -258,8 +264,8 @@
         replica = replica_id(server.uid)
         if replica in addresses:
             raise typed.invalid_value(f"{path}.uid", server.uid, "a uid that no other server has")
-        zone = number_of(f"{path}.zone", server.zone or zones[0], zones)
-        kind = number_of(f"{path}.kind", server.kind, deployment.kind_names)
+        zone = index_of(f"{path}.zone", server.zone or zones[0], zones)
+        kind = index_of(f"{path}.kind", server.kind, deployment.kind_names)
         endpoints.append(Endpoint(replica, zone, kind, server.cell, Phase.READY, server.capacity, 0))
         addresses[replica] = values.address(f"{path}.address", server.address)
         key = values.read_secret(f"{path}.key_file", server.key_file)
@@ -268,7 +274,7 @@
     return endpoints, addresses, keys
 
 
-def _build(file: f.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
+def _resolve(file: tables.OperatorFile, raw: Mapping[str, Any]) -> ChatSetup:
     try:
         deployment = settings.parse(raw["settings"])
     except settings.SettingsError as e:
@@ -276,10 +282,10 @@
     chat = file.chat
     endpoints, addresses, replica_keys = _endpoints(file, deployment)
     if not endpoints and not file.eureka:
-        raise ConfigError("server: found no servers, and no [eureka] to ask for them; allowed: either, or both")
+        raise ConfigError("server: found neither a [[server]] nor an [eureka] table; allowed: at least one of them")
     models = _models(chat, deployment)
     budgets = _budgets(file)
-    # The order of the arguments is the order in which faults of the file are found.
+    # The arguments are evaluated in this order, which decides which fault of the file is reported first.
     return ChatSetup(
         listen=values.address("chat.listen", chat.listen),
         sockets=chat.sockets,
@@ -287,8 +293,8 @@
         deployment=deployment,
         reading=_reading(chat, models, deployment),
         keyring=_keyring(chat, deployment, models),
-        store_bytes=file.idempotency.max_bytes,
-        store_keep=file.idempotency.keep_s * 1_000_000,
+        store_max_bytes=file.idempotency.max_bytes,
+        store_retention=file.idempotency.keep_s * 1_000_000,
         endpoints=tuple(endpoints),
         addresses=addresses,
         replica_keys=replica_keys,
@@ -302,19 +308,22 @@
 
 
 def load(path: str) -> ChatSetup:
-    """Read the operator's file. ConfigError names it, the key, what was found and what is allowed."""
-    file, raw = typed.load(path, f.OperatorFile)
+    """Read the operator's file.
+
+    Raises ConfigError, whose text names the file, the key, the value found and the allowed values.
+    """
+    file, raw = typed.load(path, tables.OperatorFile)
     try:
-        return _build(file, raw)
+        return _resolve(file, raw)
     except ConfigError as e:
         raise ConfigError(f"{path}: {e}") from None
 
 
-def read(tables: Mapping[str, Any]) -> ChatSetup:
-    """Read what the operator's TOML file would hold."""
-    return _build(typed.convert(dict(tables), f.OperatorFile), tables)
+def read(contents: Mapping[str, Any]) -> ChatSetup:
+    """Read the setup from the parsed tables of an operator's file."""
+    return _resolve(typed.convert(dict(contents), tables.OperatorFile), contents)
 
 
 def loads(text: str) -> ChatSetup:
-    """Read the text of an operator's file."""
+    """Read the setup from the text of an operator's file."""
     return read(tomllib.loads(text))
