--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -1,4 +1,4 @@
-"""`/v1/chat/completions`: the format that replicas speak, so that their events are forwarded byte for byte."""
+"""`/v1/chat/completions`: the replicas use the same format, so their events are forwarded byte for byte."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class ChatFormat:
-    """Answers as chat completions. The replica's own `id` and `model` stay."""
+    """Writes answers as chat completions. The `id` and `model` of the replica are kept."""
 
     def __init__(self, identity: ResponseIdentity) -> None:
         self._collected = CollectedCompletion()
 
     def stream(self, data: bytes) -> bytes:
-        """These events, unchanged."""
+        """Returns the events unchanged."""
         return data
 
     def end(self) -> bytes:
-        """Nothing: the replica's `[DONE]` has been forwarded."""
+        """Returns nothing, as the replica's `[DONE]` has already been forwarded."""
         return b""
 
     def truncated(self, error: ApiError) -> bytes:
-        """An event that has the error object."""
+        """Returns an event with the error object."""
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
-        """Keep these events for `complete`."""
+        """Collect the events for `complete`."""
         self._collected.feed(data)
 
     def complete(self) -> bytes:
-        """A chat completion, made of all collected events."""
+        """Returns a chat completion that is made of all collected events."""
         return self._collected.body()
 
 
 def read(body: bytes) -> Prompt:
-    """Read a request's body. ApiError: it is no chat request."""
+    """Read a request's body. Raises ApiError if it is not a valid chat request."""
     request, fields = _reader.read(body)
     request.check()
     stream = request.stream is True
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -1,4 +1,4 @@
-"""`/v1/completions`: the prompt becomes a message of the user, and the answer's text comes back as text.
+"""`/v1/completions`: the prompt becomes a user message of a chat request; the answer becomes a text completion.
 
 Source: OpenAI's API reference, "Completions".
 """
@@ -23,10 +23,10 @@
 
 
 class CompletionFormat:
-    """Answers as text completions.
+    """Writes answers as text completions.
 
-    `echo`: text that each choice begins with, the prompt's where the client requests it; `with_usage`: whether events
-    have the field `usage`.
+    `echo`: the text that each choice begins with, which is the prompt if the client requests it and empty otherwise;
+    `with_usage`: whether events have the field `usage`.
     """
 
     def __init__(self, echo: str, with_usage: bool, identity: ResponseIdentity) -> None:
@@ -34,11 +34,11 @@
         self._echo = echo
         self._with_usage = with_usage
         self._parser = EventParser()
-        self._offsets: dict[int, int] = {}  # by choice: where in its text the next token begins
+        self._offsets: dict[int, int] = {}  # by choice: the offset of the next token in its text, in characters
         self._collected = CollectedCompletion()
 
     def stream(self, data: bytes) -> bytes:
-        """One event for each chunk, and `[DONE]`."""
+        """Returns one event for each chunk, and the replica's `[DONE]`."""
         events = []
         for event in self._parser.feed(data):
             if event.data == DONE:
@@ -49,19 +49,19 @@
         return b"".join(events)
 
     def end(self) -> bytes:
-        """Nothing: the replica's `[DONE]` has been forwarded."""
+        """Returns nothing, as the replica's `[DONE]` has already been forwarded."""
         return b""
 
     def truncated(self, error: ApiError) -> bytes:
-        """An event that has the error object."""
+        """Returns an event with the error object."""
         return b"data: %b\n\n" % error.body()
 
     def collect(self, data: bytes) -> None:
-        """Keep these events for `complete`."""
+        """Collect the events for `complete`."""
         self._collected.feed(data)
 
     def complete(self) -> bytes:
-        """A text completion, made of all collected events."""
+        """Returns a text completion that is made of all collected events."""
         choices = []
         for index in sorted(self._collected.choices):
             choice = self._collected.choices[index]
@@ -93,7 +93,7 @@
         return completion
 
     def _choice(self, index: int, text: str, chat_logprobs: Any, finish_reason: str | None) -> dict[str, Any]:
-        """A choice, or what an event adds to it: the first time with the echo before it."""
+        """Returns a choice, or a fragment of it. The first fragment of each choice begins with the echo."""
         if index not in self._offsets:
             self._offsets[index] = len(self._echo)
             text = self._echo + text
@@ -104,12 +104,15 @@
 
 
 def _text(message: dict[str, Any]) -> str:
-    """The text of a message or a delta. A refusal counts as text."""
+    """Returns the text of a message or a delta. A refusal counts as text."""
     return message.get("content") or message.get("refusal") or ""
 
 
 def read(body: bytes) -> Prompt:
-    """Read a request's body. ApiError: it is no request for a text completion, or for one that is not offered."""
+    """Read a request's body.
+
+    Raises ApiError if it is not a valid request for a text completion, or if it requests an unsupported feature.
+    """
     request, fields = _reader.read(body)
     request.check()
     stream = request.stream is True
--- a/pearhill/chat/endpoints/output_items.py
+++ b/pearhill/chat/endpoints/output_items.py
@@ -1,7 +1,7 @@
-"""The output items of a response of `/v1/responses`, and the events that announce what is added to them.
+"""The output items of a response of `/v1/responses`, and the stream events for each addition to them.
 
-Source: OpenAI's API reference, "Responses", "Streaming events". A message is closed by the item that follows it;
-function calls may be streamed alternately, so that they stay open until the end.
+Source: OpenAI's API reference, "Responses", "Streaming events". A message is closed when the next item begins. Function
+calls stay open until the end of the stream, because a replica may interleave the deltas of several calls.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class TextKind(StrEnum):
-    """The kinds of content of a message. Values as in the part's `type` and in the events' names."""
+    """The kinds of content of a message. The values are those of the part's `type` and occur in the names of events."""
 
     OUTPUT_TEXT = "output_text"
     REFUSAL = "refusal"
 
     @property
     def field(self) -> str:
-        """The part's field that has the text."""
+        """The name of the part's field that contains the text."""
         return "text" if self is TextKind.OUTPUT_TEXT else "refusal"
 
 
@@ -33,27 +33,30 @@
         self._next_number = 0
 
     def encode(self, event_type: str, **fields: Any) -> bytes:
-        """The next event, as it is sent."""
+        """Returns the next event in the form in which it is sent."""
         data = msgspec.json.encode({"type": event_type, "sequence_number": self._next_number, **fields})
         self._next_number += 1
         return b"event: %b\ndata: %b\n\n" % (event_type.encode(), data)
 
 
 class OutputItems:
-    """The items in their order. Each method returns the events for what it has changed.
+    """The items in the order in which they were opened. Methods that change items return the events for the change.
 
-    `items`: as the API has them; `response_id`: which the items' ids contain.
+    `items`: the items in the API's format; `response_id`: the id that is part of each item's id.
     """
 
     def __init__(self, response_id: str, events: EventSequence) -> None:
         self.items: list[dict[str, Any]] = []
         self._response_id = response_id
         self._events = events
-        self._open_text: TextKind | None = None  # of the last item, while that is an open message
-        self._calls: dict[int, int] = {}  # by the replica's index of a call: its place in `items`
+        self._open_text: TextKind | None = None  # kind of the last item if that is an open message
+        self._calls: dict[int, int] = {}  # position in `items`, by the replica's index of the call
 
     def add_text(self, kind: TextKind, text: str, logprobs: list[Any]) -> bytes:
-        """Add text to the open message of this kind, or to a new one. `logprobs`: chat's entries for the text."""
+        """Add text to the open message of this kind, or to a new message if none is open.
+
+        `logprobs`: the entries for this text, in the format of chat completions.
+        """
         events = b""
         if self._open_text != kind:
             events += self._open_message(kind)
@@ -66,7 +69,10 @@
         return events + self._events.encode(f"response.{kind}.delta", **self._last_place(), **fields)
 
     def add_call(self, delta: dict[str, Any]) -> bytes:
-        """Add a tool call's delta. ValueError, KeyError: its index is missing or out of range."""
+        """Add a delta of a tool call.
+
+        Raises KeyError or ValueError if the index of the call is missing or out of range.
+        """
         events = b""
         function = delta.get("function") or {}
         index = call_index(delta)
@@ -82,14 +88,14 @@
         return events
 
     def close(self, status: str) -> bytes:
-        """Close all open items with this status, as the stream has ended."""
+        """Close all open items with this status at the end of the stream."""
         events = self._close_message(status)
         for position in self._calls.values():
             events += self._close_call(position, status)
         return events
 
     def mark_truncated(self) -> None:
-        """Give the items that are not complete the status of such, as the stream has broken off."""
+        """Set the status of all items that are not completed to `incomplete`, after the stream was cut short."""
         for item in self.items:
             if item["status"] != "completed":
                 item["status"] = "incomplete"
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -1,4 +1,4 @@
-"""`/v1/responses` without stored state: chat's chunks become output items, and a stream of numbered events.
+"""`/v1/responses` without stored state: chat chunks are converted to output items and a stream of numbered events.
 
 Source: OpenAI's API reference, "Responses" and "Streaming events".
 """
@@ -19,10 +19,10 @@
 from pearhill.chat.translate import items_to_messages, response_to_chat, response_usage
 
 _reader = Reader(ResponseRequest)
-# Chat's `finish_reason` of an answer that was cut short, and the reason that responses give for it.
+# The `reason` in `incomplete_details` of a response, by the `finish_reason` of a chat answer that was cut short.
 INCOMPLETE_REASONS = {"length": "max_output_tokens", "content_filter": "content_filter"}
-TEXT_KINDS = {"content": TextKind.OUTPUT_TEXT, "refusal": TextKind.REFUSAL}  # by the field of chat's delta
-# Fields of the request that a response repeats, and their values where the request has none.
+TEXT_KINDS = {"content": TextKind.OUTPUT_TEXT, "refusal": TextKind.REFUSAL}  # by the field of a chat delta
+# Fields of the request that a response repeats.
 ECHOED_FIELDS = (
     "instructions",
     "max_output_tokens",
@@ -37,6 +37,7 @@
     "reasoning",
     "truncation",
 )
+# Values of a response for fields that the request omits or that are not supported.
 DEFAULT_FIELDS: dict[str, Any] = {
     "instructions": None,
     "max_output_tokens": None,
@@ -57,7 +58,7 @@
 
 
 class ResponsesFormat:
-    """Answers as responses."""
+    """Writes answers as responses."""
 
     def __init__(self, request: ResponseRequest, identity: ResponseIdentity) -> None:
         self._request = request
@@ -70,33 +71,33 @@
         self._finish_reason: str | None = None
 
     def stream(self, data: bytes) -> bytes:
-        """The events for these chunks."""
+        """Returns the events for these chunks."""
         return b"".join(self._add_chunk(chunk) for chunk in self._reader.feed(data))
 
     def end(self) -> bytes:
-        """The events that close the open items, and the one that has the final response."""
+        """Returns the events that close the open items, and the event with the final response."""
         events = self._close_items()
         event_type = "response.incomplete" if self._finish_reason in INCOMPLETE_REASONS else "response.completed"
         return events + self._events.encode(event_type, response=self._final_response())
 
     def truncated(self, error: ApiError) -> bytes:
-        """An event that has the failed response."""
+        """Returns an event with the failed response."""
         self._output.mark_truncated()
         response = self._response("failed", error={"code": error.code, "message": error.message})
         return self._events.encode("response.failed", response=response)
 
     def collect(self, data: bytes) -> None:
-        """Keep what these chunks add for `complete`."""
+        """Collect the contents of these chunks for `complete`."""
         for chunk in self._reader.feed(data):
             self._add_chunk(chunk)
 
     def complete(self) -> bytes:
-        """The final response, made of all collected chunks."""
+        """Returns the final response, made of all collected chunks."""
         self._close_items()
         return msgspec.json.encode(self._final_response())
 
     def _add_chunk(self, chunk: dict[str, Any]) -> bytes:
-        """Add a chunk. Whatever this raises: it is no chunk of one answer."""
+        """Add a chunk. Any exception from here means that the chunk is malformed."""
         events = b""
         if not self._has_begun:
             self._has_begun = True
@@ -130,7 +131,7 @@
         return self._response("completed")
 
     def _response(self, status: str, **fields: Any) -> dict[str, Any]:
-        """The response object; `fields`: those that have no usual value."""
+        """Returns the response object. `fields` override the defaults and the fields of the request."""
         request = msgspec.to_builtins(self._request)
         echoed = {name: request[name] for name in ECHOED_FIELDS if request.get(name) is not None}
         return {
@@ -150,7 +151,10 @@
 
 
 def read(body: bytes) -> Prompt:
-    """Read a request's body. ApiError: it is no request for a response, or needs state, which is not kept here."""
+    """Read a request's body.
+
+    Raises ApiError if it is not a valid request for a response, or if it needs stored state, which is not supported.
+    """
     request, fields = _reader.read(body)
     request.check()
     messages = items_to_messages(request)
@@ -169,7 +173,7 @@
 
 
 def _turn(message: dict[str, Any]) -> Turn:
-    """The text of a chat message, as `items_to_messages` makes them."""
+    """Returns the role and the text of a chat message that `items_to_messages` has made."""
     content = message.get("content") or ""
     texts = [content] if isinstance(content, str) else [_part_text(part) for part in content]
     calls = [call["function"] for call in message.get("tool_calls", ())]
@@ -178,5 +182,5 @@
 
 
 def _part_text(part: dict[str, Any]) -> str:
-    """The text that stands for a content part; content that is not text is represented by its JSON."""
+    """Returns the text of a content part. A part without text is represented by its JSON."""
     return part.get("text") or part.get("refusal") or msgspec.json.encode(part).decode()
--- a/pearhill/chat/schema/__init__.py
+++ b/pearhill/chat/schema/__init__.py
@@ -1,5 +1,5 @@
-"""Records of the API's JSON: every request, response and stream event, typed.
+"""Typed records of the API's JSON: every request, response and stream event.
 
-Fields follow OpenAI's published API reference (chat completions, completions, responses, models). Known fields are
-checked for type and range; unknown ones go on to the replicas as they came.
+The fields follow OpenAI's published API reference (chat completions, completions, responses, models). Known fields are
+checked for type and range; unknown fields of a request are forwarded to the replicas unchanged.
 """
--- a/pearhill/chat/schema/answers.py
+++ b/pearhill/chat/schema/answers.py
@@ -1,7 +1,8 @@
-"""Responses to clients, and their streamed events. The conformance suite checks every successful one against these.
+"""Responses to clients, and their streamed events. The conformance suite checks every successful response against them.
 
-Only what the API promises is named; a replica's further fields stay beside it. Source: OpenAI's API reference, "Chat
-Completions", "Completions", "Responses" and "Models". `UsageReport` is pearhill's own.
+The records declare only the fields that the API documents; further fields of a replica are allowed. Source:
+OpenAI's API reference, "Chat Completions", "Completions", "Responses" and "Models". `UsageReport` is an extension of
+pearhill.
 """
 
 from __future__ import annotations
@@ -52,9 +53,9 @@
 
 
 class CompletionLogprobs(Struct):
-    """Log probabilities as `/v1/completions` has them: four lists of the same length, one entry a token.
+    """Log probabilities in the form of `/v1/completions`: four lists of the same length, with one entry for each token.
 
-    `text_offset`: where the token begins, in characters of the choice's text.
+    `text_offset`: the position at which the token begins, in characters of the choice's text.
     """
 
     tokens: list[str]
@@ -64,7 +65,7 @@
 
 
 class TextChoice(Struct):
-    """One choice of a text completion, or what an event adds to it."""
+    """One choice of a text completion, or the part of it that a stream event carries."""
 
     index: int
     text: str
@@ -84,7 +85,10 @@
 
 
 class OutputItem(Struct):
-    """One item of a response's output: a message (`role`, `content`) or a function call (`call_id` and after)."""
+    """One item of a response's output.
+
+    A message has `role` and `content`; a function call has `call_id`, `name` and `arguments`.
+    """
 
     id: str
     type: Literal["message", "function_call"]
@@ -97,7 +101,7 @@
 
 
 class ResponseError(Struct):
-    """Why a response failed."""
+    """The error of a failed response."""
 
     code: str
     message: str
@@ -130,7 +134,7 @@
 
 
 class ModelCard(Struct):
-    """A declared model. `created`: seconds since 1970, as the operator's file has it."""
+    """A model that the operator's file declares. `created`: seconds since 1970, as given in that file."""
 
     id: str
     created: int
@@ -146,16 +150,18 @@
 
 
 class RequestsUsed(Struct):
-    """Open requests of a tenant; `limit` None: there is none."""
+    """The open requests of a tenant, and their limit. `limit` is None if the tenant has no limit."""
 
     open: int
     limit: int | None
 
 
 class TokensUsed(Struct):
-    """Tokens of a tenant.
+    """The tokens of a tenant.
 
-    `today` and `this_month`: used in the current day and month; `debt`: owed; `remaining`: of its rate. None: no limit.
+    `today` and `this_month` are the tokens used in the current day and month. `debt` is the amount by which the balance
+    is overdrawn, and `remaining` is what is left of the tenant's rate limit. A limit, or `remaining`, is None if the
+    tenant has no such limit.
     """
 
     today: int
--- a/pearhill/chat/schema/chat.py
+++ b/pearhill/chat/schema/chat.py
@@ -30,7 +30,7 @@
 
 
 class JsonFormat(Struct, tag_field="type", tag="json_object"):
-    """The answer is some JSON object."""
+    """The answer is a JSON object of any schema."""
 
 
 class SchemaSpec(Struct):
@@ -43,13 +43,13 @@
 
 
 class SchemaFormat(Struct, tag_field="type", tag="json_schema"):
-    """The answer is JSON of a schema."""
+    """The answer is JSON that follows a schema."""
 
     json_schema: SchemaSpec
 
 
 class StreamOptions(Struct):
-    """Options of a streamed answer. `include_usage`: with a last event that has the usage."""
+    """Options of a streamed answer. `include_usage`: whether a last event reports the usage."""
 
     include_usage: bool | None = None
     include_obfuscation: bool | None = None
@@ -63,7 +63,10 @@
 
 
 class ChatRequest(Struct):
-    """A request for a chat completion. Fields as in the reference; those that are not here go on to replicas unread."""
+    """A request for a chat completion.
+
+    The fields are those of the API reference. Fields that are not declared here are forwarded to replicas unchecked.
+    """
 
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     messages: Annotated[list[Message], Meta(min_length=1, max_length=4096)]
@@ -97,7 +100,10 @@
     store: bool | None = None
 
     def check(self) -> None:
-        """Check what involves several fields. ApiError: they do not go together, or are not offered here."""
+        """Check the rules that involve several fields.
+
+        Raises ApiError if fields contradict each other, or request something that this server does not offer.
+        """
         self._check_options()
         for number, message in enumerate(self.messages):
             if isinstance(message, AssistantMessage):
--- a/pearhill/chat/schema/chunks.py
+++ b/pearhill/chat/schema/chunks.py
@@ -1,4 +1,6 @@
-"""Events of a replica's stream. Only what is looked at is typed: events are forwarded, or put together, as they are.
+"""Events of a replica's stream.
+
+Only the fields that the dispatcher reads are declared; it forwards or merges events with all their fields.
 
 Source: OpenAI's API reference, "Chat Completions", "The chat completion chunk object".
 """
@@ -15,14 +17,14 @@
 
 
 class FunctionDelta(Struct):
-    """A piece of a function call."""
+    """A fragment of a function call."""
 
     name: str | None = None
     arguments: str | None = None
 
 
 class CallDelta(Struct):
-    """A piece of the tool call with this index."""
+    """A fragment of the tool call with this index."""
 
     index: Annotated[int, Meta(ge=0, lt=MAX_CALLS)]
     id: str | None = None
@@ -38,7 +40,7 @@
 
 
 class LogprobEntry(TokenLogprob):
-    """A token of the answer, and the likeliest tokens at its place."""
+    """A token of the answer, and the most likely tokens at its position."""
 
     top_logprobs: list[TokenLogprob] | None = None
 
@@ -51,7 +53,7 @@
 
 
 class Delta(Struct):
-    """What an event adds to a choice."""
+    """The part of a choice that one event carries."""
 
     role: str | None = None
     content: str | None = None
@@ -69,13 +71,13 @@
 
 
 class PromptDetails(Struct):
-    """How many of the prompt's tokens were cached."""
+    """The number of the prompt's tokens that were cached."""
 
     cached_tokens: Annotated[int, Meta(ge=0)] | None = None
 
 
 class Usage(Struct):
-    """A request's usage in tokens, in the last event before `[DONE]`."""
+    """A request's usage in tokens. The last event before `[DONE]` contains it."""
 
     prompt_tokens: Annotated[int, Meta(ge=0)] = 0
     completion_tokens: Annotated[int, Meta(ge=0)] = 0
@@ -84,7 +86,7 @@
 
 
 class Chunk(Struct):
-    """One event of a stream. `error` is no part of the API; some servers report faults so."""
+    """One event of a stream. `error` is not part of the API, but some servers report faults in it."""
 
     choices: list[ChunkChoice]
     usage: Usage | None = None
@@ -92,6 +94,6 @@
 
 
 class ServerError(Struct):
-    """The body of a replica's error response, as far as it is looked at."""
+    """The body of a replica's error response. Only the field that the dispatcher reads is declared."""
 
     error: dict[str, Any]
--- a/pearhill/chat/schema/completions.py
+++ b/pearhill/chat/schema/completions.py
@@ -12,7 +12,7 @@
 
 
 class CompletionRequest(Struct):
-    """A request for a text completion. Prompts are text: lists of token numbers are not taken."""
+    """A request for a text completion. Prompts are text; lists of token ids are rejected."""
 
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     prompt: str | Annotated[list[str], Meta(min_length=1)]
@@ -35,11 +35,14 @@
 
     @property
     def text(self) -> str:
-        """The prompt's text, also where it came as a list of one."""
+        """The prompt's text. A list with one prompt yields that prompt."""
         return self.prompt if isinstance(self.prompt, str) else self.prompt[0]
 
     def check(self) -> None:
-        """Check what involves several fields. ApiError: no single chat request to a replica can answer this."""
+        """Check the rules that involve several fields.
+
+        Raises ApiError if a single chat request to a replica cannot answer the request.
+        """
         require(
             self.stream_options is None or self.stream is True,
             "stream_options is only allowed when stream is true.",
--- a/pearhill/chat/schema/items.py
+++ b/pearhill/chat/schema/items.py
@@ -11,7 +11,7 @@
 
 from pearhill.chat.schema.reading import require
 
-# The fields that an item of each type needs. Reasoning items are accepted and not forwarded.
+# The required fields of an item, by its type. Reasoning items are accepted and not forwarded.
 REQUIRED_FIELDS: dict[str, tuple[str, ...]] = {
     "message": ("role", "content"),
     "function_call": ("call_id", "name", "arguments"),
@@ -21,7 +21,7 @@
 
 
 class InputText(Struct, tag_field="type", tag="input_text"):
-    """Text."""
+    """Text of an input message."""
 
     text: str
 
@@ -44,7 +44,7 @@
 
 
 class InputAudio(Struct, tag_field="type", tag="input_audio"):
-    """Audio, in the form that chat requests have."""
+    """Audio, in the format of chat requests."""
 
     input_audio: dict[str, Any]
 
@@ -65,7 +65,7 @@
 
 
 class Item(Struct):
-    """One item of the input. Messages may leave `type` out, so that it cannot be the tag of separate records."""
+    """One item of the input. Messages may omit `type`, which is why it cannot be the tag of separate records."""
 
     type: str = "message"
     role: Literal["user", "assistant", "system", "developer"] | None = None
@@ -76,7 +76,10 @@
     output: str | list[InputText] | None = None
 
     def check(self, path: str) -> None:
-        """Check the item at this path. ApiError: it lacks a field, or its content does not suit its type or role."""
+        """Check the item at this path.
+
+        Raises ApiError if a required field is missing, or if the content is invalid for the item's type or role.
+        """
         require(
             self.type in REQUIRED_FIELDS,
             f"Items of type {self.type!r} are not supported here; allowed: {', '.join(REQUIRED_FIELDS)}.",
@@ -98,7 +101,7 @@
             _check_source(part, part_path)
 
     def _check_kind(self, part: Part, path: str) -> None:
-        """Check that the part is of a kind that the message's role takes."""
+        """Check that the message's role allows content parts of this kind."""
         is_output = isinstance(part, OutputText | OutputRefusal)
         if self.role == "assistant":
             require(is_output, "An assistant's message takes output_text and refusal parts.", path)
@@ -109,7 +112,7 @@
 
 
 def _check_source(part: Part, path: str) -> None:
-    """Check that an image or a file comes in a form that needs nothing stored here."""
+    """Check that an image or a file is given in a form that does not refer to data stored by the dispatcher."""
     if isinstance(part, InputImage):
         require(
             bool(part.image_url),
--- a/pearhill/chat/schema/messages.py
+++ b/pearhill/chat/schema/messages.py
@@ -13,7 +13,7 @@
 
 
 class TextPart(Struct, tag_field="type", tag="text"):
-    """Text."""
+    """Text in a message."""
 
     text: str
 
@@ -65,7 +65,7 @@
 
 
 class FunctionCall(Struct):
-    """A function that the model calls. `arguments`: JSON, as the model has written it."""
+    """A function that the model calls. `arguments`: JSON text as the model produced it, unchecked."""
 
     name: str
     arguments: str
@@ -104,7 +104,7 @@
 
 
 class DeveloperMessage(Struct, tag_field="role", tag="developer"):
-    """Instructions of the application, as newer models take them."""
+    """Instructions of the application, in the form for newer models."""
 
     content: TextContent
     name: str | None = None
@@ -118,7 +118,7 @@
 
 
 class AudioId(Struct):
-    """An earlier answer in audio, by its id."""
+    """The id of an earlier answer in audio."""
 
     id: str
 
@@ -134,7 +134,7 @@
     function_call: FunctionCall | None = None
 
     def is_empty(self) -> bool:
-        """Whether the message has nothing that an answer may consist of."""
+        """Whether the message has no content, refusal, tool call, function call or audio."""
         has_text = self.content is not None or self.refusal is not None
         return not (has_text or self.tool_calls or self.function_call or self.audio)
 
--- a/pearhill/chat/schema/reading.py
+++ b/pearhill/chat/schema/reading.py
@@ -1,4 +1,4 @@
-"""Reads a request's body as a typed record. Errors name the field by its path in the body."""
+"""Decodes a request's body into a typed record. Errors name the field by its path in the body."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from pearhill.chat.errors import ApiError, invalid_request
 
 T = TypeVar("T")
-# The form of msgspec's messages: what is wrong, then where, from the document's root `$`.
+# The format of msgspec's messages: the fault, then its path from the document's root `$`.
 _MESSAGE = re.compile(r"^(?P<fault>.*?)(?: - at (?P<key>key in )?`\$(?P<path>.*)`)?$", re.DOTALL)
 _MISSING = re.compile(r"missing required field `(?P<name>[^`]*)`")
 _fields_decoder: msgspec.json.Decoder[dict[str, msgspec.Raw]] = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
 class Fault(NamedTuple):
-    """What is wrong with a body: a message, the path of the field (None: the whole body) and an error code."""
+    """A fault of a body. `path` is that of the field, or None if the fault concerns the body as a whole."""
 
     message: str
     path: str | None
@@ -25,7 +25,7 @@
 
 
 def fault_of(error: msgspec.ValidationError) -> Fault:
-    """The fault that msgspec's message describes."""
+    """Returns the fault that msgspec's message describes."""
     match = _MESSAGE.match(str(error))
     message = match["fault"] if match else str(error)
     path = (match["path"] or "").lstrip(".") if match else ""
@@ -38,18 +38,19 @@
 
 
 class Reader(Generic[T]):
-    """Reads bodies as one type of record. It keeps no state and can be shared."""
+    """Decodes bodies into one type of record. It keeps no state and can be shared."""
 
     def __init__(self, record: type[T]) -> None:
         self._decoder: msgspec.json.Decoder[T] = msgspec.json.Decoder(record)
 
     def read(self, body: bytes) -> tuple[T, dict[str, Any]]:
-        """The record, and all fields of the body, each as the bytes that came, for replicas.
+        """Returns the record, and all fields of the body as received, which are forwarded to replicas.
 
-        ApiError: the body is no JSON (400 `invalid_json`), or not of this form (400, with the field's path).
+        Raises ApiError if the body is not JSON (400 `invalid_json`), or does not match the record's type (400, with the
+        field's path).
         """
         try:
-            # msgspec does not check the encoding of text in fields that the record does not have.
+            # msgspec does not check the encoding of text in fields that the record does not declare.
             body.decode()
             return self._decoder.decode(body), dict(_fields_decoder.decode(body))
         except UnicodeDecodeError as e:
@@ -72,6 +73,9 @@
 
 
 def require(condition: bool, message: str, param: str, code: str = "invalid_value") -> None:
-    """Check a rule that the type of a single field cannot express. ApiError: the condition does not hold."""
+    """Check a rule that the type of a single field cannot express.
+
+    Raises ApiError (status 400) if the condition is false.
+    """
     if not condition:
         raise ApiError(400, message, code, param)
--- a/pearhill/chat/schema/responses.py
+++ b/pearhill/chat/schema/responses.py
@@ -11,7 +11,7 @@
 from pearhill.chat.schema.reading import require
 from pearhill.chat.schema.tools import Name
 
-# Fields that stand for state that a server has stored, and what to do without them.
+# Fields that refer to state stored by a server, and the alternative that the error message suggests for each.
 STATE_FIELDS = {
     "previous_response_id": "send the whole conversation as input",
     "conversation": "send the whole conversation as input",
@@ -35,7 +35,7 @@
 
 
 class SchemaFormat(Struct, tag_field="type", tag="json_schema"):
-    """The answer is JSON of this schema."""
+    """The answer is JSON that follows this schema."""
 
     name: Name
     schema: dict[str, Any]
@@ -44,21 +44,24 @@
 
 
 class TextOptions(Struct):
-    """The form and the length of the answer's text."""
+    """The format and the length of the answer's text."""
 
     format: TextFormat | JsonFormat | SchemaFormat | None = None
     verbosity: Literal["low", "medium", "high"] | None = None
 
 
 class Reasoning(Struct):
-    """How much the model reasons before it answers. `summary` is only echoed."""
+    """How much the model reasons before it answers. `summary` is only repeated in the response."""
 
     effort: Effort | None = None
     summary: str | None = None
 
 
 class ResponseRequest(Struct):
-    """A request for a response. Fields as in the reference; those that are not here go on to replicas unread."""
+    """A request for a response.
+
+    The fields are those of the API reference. Fields that are not declared here are forwarded to replicas unchecked.
+    """
 
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     input: str | Annotated[list[Item], Meta(min_length=1, max_length=4096)]
@@ -85,7 +88,10 @@
     prompt: Any = None
 
     def check(self) -> None:
-        """Check what involves several fields. ApiError: they do not go together, or need stored state."""
+        """Check the rules that involve several fields.
+
+        Raises ApiError if fields contradict each other, or require state that is not stored here.
+        """
         self._check_state()
         require(self.truncation != "auto", "truncation is not done here.", "truncation", "unsupported_value")
         require(
--- a/pearhill/chat/schema/tools.py
+++ b/pearhill/chat/schema/tools.py
@@ -1,4 +1,4 @@
-"""Tools of a chat request, and the choice among them.
+"""Tools of a chat request, and the client's choice among them.
 
 Source: OpenAI's API reference, "Chat Completions", `tools` and `tool_choice`.
 """
@@ -30,7 +30,7 @@
 
 
 class CustomSpec(Struct):
-    """A tool whose input is free text. `format`: a grammar for it."""
+    """A tool whose input is free text. `format`: a grammar for that text."""
 
     name: Name
     description: str | None = None
@@ -47,7 +47,7 @@
 
 
 class ToolName(Struct):
-    """A tool, named in a choice."""
+    """The name of a chosen tool."""
 
     name: str
 
@@ -81,7 +81,7 @@
 
 
 def check_tool_choice(choice: ToolChoice | None, tools: list[Tool]) -> None:
-    """ApiError: the chosen tool is not among those given."""
+    """Raises ApiError if the chosen tool is not in `tools`."""
     if isinstance(choice, FunctionChoice):
         functions = {tool.function.name for tool in tools if isinstance(tool, FunctionTool)}
         require(
--- a/pearhill/eureka/__init__.py
+++ b/pearhill/eureka/__init__.py
@@ -1,1 +1,1 @@
-"""Eureka's registry API, from its public REST description."""
+"""A client of Eureka's registry API, written from its public REST description."""
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -1,4 +1,4 @@
-"""A client of a Eureka registry: follows its list of replicas, and keeps this dispatcher registered there."""
+"""A client of a Eureka registry: it polls the list of replicas and keeps this dispatcher registered."""
 
 from __future__ import annotations
 
@@ -23,15 +23,18 @@
 
 CALL_TIMEOUT_US = 5_000_000
 CANCEL_TIMEOUT_US = 1_000_000
-MAX_RETRY_INTERVAL_US = 1_000_000  # after a call that failed, or the usual period where that is shorter
+MAX_RETRY_INTERVAL_US = 1_000_000  # upper limit of the pause after a failed call
 FAILURES = (OSError, TimeoutError, ValueError, ConnectError)
 
 OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
 
 class Eureka:
-    """`follow` and `keep_registered` are tasks that run until they are cancelled. `on_list` gets every list: that it
-    replaces the last one, the endpoints, and their addresses."""
+    """A client of one Eureka registry.
+
+    `follow` and `keep_registered` run as tasks until they are cancelled. `on_list` is called with each list: True, as
+    the list replaces the previous one, then the endpoints, and their addresses.
+    """
 
     def __init__(self, pool: Pool, setup: EurekaSetup, deployment: Deployment, on_list: OnList) -> None:
         self.pool = pool
@@ -42,10 +45,10 @@
         self._host = f"{setup.address[0]}:{setup.address[1]}"
         self._instance_id = setup.instance
         self._registered = False  # the registry has accepted the registration
-        self._may_be_registered = False  # a registration was sent, and may have arrived
+        self._may_be_registered = False  # a registration was sent and may have reached the registry
 
     async def follow(self) -> None:
-        """Fetch the full list, then deltas. While the registry is down the last list stays in force."""
+        """Fetch the full list, then deltas. While the registry is unavailable, the previous list remains in use."""
         period = self.setup.fetch_s * 1_000_000
         needs_full_list = True
         while True:
@@ -55,13 +58,15 @@
                 needs_full_list = False
                 self.on_list(True, *self.registry.endpoints(self.setup.replica_app, self.deployment))
             except FAILURES as e:
-                logger.warning("eureka: the list cannot be had, the last one stays: {error}", error=repr(e))
-                needs_full_list = True  # deltas reach back only so far
+                logger.warning(
+                    "eureka: fetching the instance list failed, the previous list stays in use: {error}", error=repr(e)
+                )
+                needs_full_list = True  # deltas cover a limited time only
                 wait = min(period, MAX_RETRY_INTERVAL_US)
             await pause(self.pool.deadlines, wait)
 
     async def keep_registered(self, address: Address) -> None:
-        """Register this dispatcher, at this address, and renew its lease."""
+        """Register this dispatcher with this address, and renew its lease periodically."""
         self._instance_id = self._instance_id or f"{address[0]}:{self.setup.register_as.lower()}:{address[1]}"
         period = self.setup.renew_s * 1_000_000
         while True:
@@ -72,13 +77,16 @@
                 elif not await self._renew():
                     wait = 0
             except FAILURES as e:
-                logger.warning("eureka: {error}", error=repr(e))
+                logger.warning("eureka: registration or lease renewal failed: {error}", error=repr(e))
                 wait = min(period, MAX_RETRY_INTERVAL_US)
             await pause(self.pool.deadlines, wait)
 
     async def cancel(self) -> None:
-        """End the registration, so that no client is sent here any more. One that was not confirmed yet is cancelled
-        too: otherwise the dispatcher would stay registered for the length of its lease."""
+        """Cancel the registration, so that the registry directs no more clients to this dispatcher.
+
+        A registration that the registry has not confirmed yet is cancelled too: otherwise the dispatcher could remain
+        registered until its lease expires.
+        """
         if not self._may_be_registered:
             return
         self._registered = False
@@ -86,13 +94,13 @@
         try:
             await self._call("DELETE", self._instance_path, timeout=CANCEL_TIMEOUT_US)
         except FAILURES as e:
-            logger.warning("eureka: the registration could not be cancelled: {error}", error=repr(e))
+            logger.warning("eureka: cancelling the registration failed: {error}", error=repr(e))
 
     async def _update_registry(self, full: bool) -> None:
         if not full:
             if self.registry.apply(await self._fetch("/apps/delta")):
                 return
-            logger.warning("eureka: the delta does not add up, the whole list is fetched")
+            logger.warning("eureka: the hash code after the delta does not match, fetching the full list")
         self.registry.replace(await self._fetch("/apps"))
 
     async def _register(self, address: Address) -> None:
@@ -100,18 +108,21 @@
         body = registration(self.setup, self._instance_id, address)
         status, _ = await self._call("POST", f"/apps/{quote(self.setup.register_as)}", body)
         if status not in (200, 204):
-            raise RegistryError(f"registration: status {status}")
+            raise RegistryError(f"the registration was answered with status {status}")
         self._registered = True
         logger.info("eureka: registered as {instance}", instance=self._instance_id)
 
     async def _renew(self) -> bool:
-        """False: the registry has lost the lease, and this dispatcher has to register again."""
+        """Renew the lease.
+
+        Returns False if the registry does not have the lease any more, so that this dispatcher must register again.
+        """
         status, _ = await self._call("PUT", self._instance_path + "?status=UP")
         if status == 404:
             self._registered = False
             return False
         if status != 200:
-            raise RegistryError(f"renewal: status {status}")
+            raise RegistryError(f"the lease renewal was answered with status {status}")
         return True
 
     @property
@@ -121,7 +132,7 @@
     async def _fetch(self, path: str) -> Any:
         status, body = await self._call("GET", path)
         if status != 200:
-            raise RegistryError(f"{path}: status {status}")
+            raise RegistryError(f"GET {path} was answered with status {status}")
         return json.loads(body)
 
     async def _call(
--- a/pearhill/eureka/registration.py
+++ b/pearhill/eureka/registration.py
@@ -10,7 +10,7 @@
 
 
 def registration(setup: EurekaSetup, instance_id: str, address: Address) -> dict[str, Any]:
-    """The body of a registration, by Eureka's REST description."""
+    """Returns the body of a registration, as Eureka's REST description defines it."""
     host, port = address
     now_ms = int(time.time() * 1000)
     return {
--- a/pearhill/eureka/registry.py
+++ b/pearhill/eureka/registry.py
@@ -1,4 +1,4 @@
-"""What a Eureka registry reports, kept up to date: full lists, deltas, and the hash code that checks them."""
+"""A local copy of a Eureka registry's instances, updated by full lists and deltas and verified by their hash code."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RegistryError(ValueError):
-    """An answer that does not follow the registry's form."""
+    """Raised for a response of the registry that has an error status or an invalid format."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,25 +41,31 @@
 
 
 class _Answer(NamedTuple):
-    """A full list, or a delta: what was done to each instance."""
+    """A full list, or a delta. `rows`: each instance with the action that was applied to it."""
 
     hash_code: str
     rows: list[tuple[str, Instance]]
 
 
 class Registry:
-    """Every application's instances: the hash code is taken over all of them."""
+    """The instances of all applications, not only of the replicas, because the hash code covers all of them."""
 
     def __init__(self) -> None:
         self.instances: dict[tuple[str, str], Instance] = {}  # by application and id
 
     def replace(self, answer: Any) -> None:
-        """Take over a full list. RegistryError: it is none, and nothing has changed."""
+        """Replace all instances by those of a full list.
+
+        Raises RegistryError if the response is not a valid list; the instances then stay unchanged.
+        """
         self.instances = {(instance.app, instance.id): instance for _, instance in _parse(answer).rows}
 
     def apply(self, answer: Any) -> bool:
-        """Apply a delta. False: the hash code shows that something was missed, and the full list is needed.
-        RegistryError: it is no delta, and nothing has changed."""
+        """Apply a delta.
+
+        Returns False if the hash code shows that an earlier change was missed, so that the full list must be fetched.
+        Raises RegistryError if the response is not a valid delta; the instances then stay unchanged.
+        """
         hash_code, rows = _parse(answer)
         for action, instance in rows:
             if action == "DELETED":
@@ -70,13 +76,16 @@
 
     @property
     def hash_code(self) -> str:
-        """Eureka's `apps__hashcode`: each status with the number of its instances."""
+        """The value of Eureka's `apps__hashcode` for these instances: each status with the number of its instances."""
         counts = Counter(instance.status for instance in self.instances.values())
         return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
     def endpoints(self, app: str, deployment: Deployment) -> tuple[tuple[Endpoint, ...], dict[int, Address]]:
-        """One application's instances as replicas, and their addresses. Only instances that are UP get requests. One
-        that makes no sense is left out."""
+        """Returns one application's instances as endpoints, and their addresses by replica.
+
+        An instance that is not UP is marked as draining, so that it receives no new requests. An instance with invalid
+        data is skipped with a warning.
+        """
         entries = []
         addresses = {}
         for instance in self.instances.values():
@@ -87,7 +96,7 @@
                 addresses[replica] = parse_address(instance.endpoint)
                 entries.append(_endpoint(replica, instance, deployment))
             except ValueError as e:
-                logger.warning("eureka: instance {instance} is left out: {error}", instance=instance.id, error=str(e))
+                logger.warning("eureka: instance {instance} is skipped: {error}", instance=instance.id, error=str(e))
         return tuple(entries), addresses
 
 
@@ -101,16 +110,19 @@
         ]
         return _Answer(str(applications.get("apps__hashcode", "")), rows)
     except (KeyError, TypeError, AttributeError, ValueError) as e:
-        raise RegistryError(f"no list of applications: {e!r}") from None
+        raise RegistryError(f"the response is not a valid list of applications: {e!r}") from None
 
 
 def _rows(value: Any) -> list[dict[str, Any]]:
-    """The registry's JSON is made from XML, and a list of one may come as the one alone."""
+    """Returns a value as a list of rows.
+
+    The registry generates its JSON from XML, where a list with one element may appear as that element alone.
+    """
     if value is None:
         return []
     rows = value if isinstance(value, list) else [value]
     if not all(isinstance(row, dict) for row in rows):
-        raise RegistryError("a row is no object")
+        raise RegistryError("a list entry is not a JSON object")
     return rows
 
 
@@ -130,7 +142,7 @@
 
 
 def _endpoint(replica: int, instance: Instance, deployment: Deployment) -> Endpoint:
-    """ValueError: the metadata do not fit the settings."""
+    """Returns an instance as an endpoint. Raises ValueError if its metadata are invalid or contradict the settings."""
     metadata = instance.metadata
     kind = _kind(metadata, deployment)
     zone = metadata.get("zone", deployment.zone_names[0])
@@ -148,7 +160,10 @@
 
 
 def _kind(metadata: dict[str, str], deployment: Deployment) -> int:
-    """The kind of replica that the metadata name, or else the first one that has their role."""
+    """Returns the replica kind that the metadata name, or otherwise the first kind with the role in the metadata.
+
+    Raises ValueError if the settings have no such kind.
+    """
     name = metadata.get("kind")
     if name in deployment.kind_names:
         return deployment.kind_names.index(name)
@@ -157,4 +172,4 @@
     for kind, spec in enumerate(deployment.router.kinds):
         if spec.role == role:
             return kind
-    raise ValueError(f"no kind of server has the role {role_name!r}")
+    raise ValueError(f"the settings have no kind of replica with the role {role_name!r}")
--- a/pearhill/simulator/__init__.py
+++ b/pearhill/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's side: the decisions on its binary frames, on standard input and output."""
+"""Runs the routing code for a simulator, which exchanges binary frames on standard input and output."""
--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""The loop on standard input and output: one router for each instance, translation only."""
+"""Answers the simulator's frames on standard input and output, with one router for each simulated dispatcher.
+
+The adapter only translates frames and runs the routers; all decisions are made by the routers.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,14 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.simulator import wire
 
-MALFORMED_INPUT_STATUS = 2  # of the process
+MALFORMED_INPUT_STATUS = 2  # exit status of the process
 
 
 def settings_of(raw: bytes) -> tuple[RouterSettings, wire.LoadPositions]:
-    """The router's settings, and where the two load values stand in a report. WireError: they cannot be read."""
+    """Returns the router's settings, and the positions of the two load values in a report.
+
+    Raises WireError if the settings are invalid.
+    """
     try:
         deployment = settings.parse(json.loads(raw))
     except ValueError as e:
@@ -36,7 +42,10 @@
         return self.load_positions.get(instance, (wire.NOT_REPORTED, wire.NOT_REPORTED))
 
     def answer(self, frame: wire.Frame) -> bytes:
-        """Handle a frame's events; returns the reply. WireError: the frame makes no sense."""
+        """Handle a frame's events. Returns the reply.
+
+        Raises WireError if the frame has invalid settings or an event for an instance that was never started.
+        """
         actions: list[tuple[int, Action | wire.Fault]] = []
         for instance, event in frame.events:
             if isinstance(event, wire.Start):
@@ -51,21 +60,24 @@
         return wire.encode_reply(frame.seq, actions)
 
     def _handle(self, instance: int, clock: int, event: Event) -> list[Action | wire.Fault]:
-        """What an instance's router does upon an event: its actions, or the fault in which it ended."""
+        """Returns the actions of an instance's router for an event, or a `Fault` if the router raises an exception."""
         try:
             return list(self.routers[instance].handle(clock, event))
         except Exception as e:
             return [wire.Fault(f"{type(e).__name__}: {e}")]
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
-        """Answer frames until the end of input."""
+        """Answer frames until the end of input. Raises WireError if a frame is malformed."""
         while (frame := wire.read_frame(source, self._load_positions)) is not None:
             sink.write(self.answer(frame))
             sink.flush()
 
 
 def main() -> int:
-    """The process: 0 at the end of input, 2 with one line on standard error if the input is malformed."""
+    """Run the process. Returns its exit status: 0 at the end of input, 2 if the input is malformed.
+
+    Malformed input is reported in one line on standard error.
+    """
     try:
         Adapter().run(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as e:
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's frames and the router's events and actions. It decides nothing."""
+"""Decodes the simulator's frames into the router's events, and encodes the router's actions as replies."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     499: Outcome.CANCELLED,
     410: Outcome.NOT_SENT,
 }
-HEALTH_CHECK_REJECTED = 503  # of a health check: the replica lives
-NO_STATE_DETAIL = 1  # of a verdict 503: the replica has lost the request's state
-VERDICTS_WITH_CACHED_TOKENS = (102, 200)  # their detail is that count
+HEALTH_CHECK_REJECTED = 503  # status of a health check; a replica that rejects the check is alive
+NO_STATE_DETAIL = 1  # detail of an attempt with status 503: the replica has lost the request's state
+VERDICTS_WITH_CACHED_TOKENS = (102, 200)  # statuses of an attempt whose detail is the number of cached tokens
 OPTION_IS_RETRY = 2
 OPTION_RESUMED = 16
 MAX_TEXT_BYTES = 1000
-MAX_TOKENS = 1e9  # a token count from there on is none
+MAX_TOKENS = 1e9  # values from this one on are not valid token counts
 NOT_REPORTED = -1
 
 _HEAD = struct.Struct("<IQII")
@@ -67,11 +67,11 @@
 _START = struct.Struct("<QI")
 _U32 = struct.Struct("<I")
 
-LoadPositions = tuple[int, int]  # where the two load values stand in a report; NOT_REPORTED: nowhere
+LoadPositions = tuple[int, int]  # indexes of the two load values in a report; NOT_REPORTED if it has none
 
 
 class ListMode(enum.IntEnum):
-    """How a list of endpoints came about."""
+    """How the simulated dispatcher has obtained a list of endpoints."""
 
     FULL = 0
     CACHED = 3
@@ -79,14 +79,14 @@
 
 
 class EventCode(enum.IntEnum):
-    """The records of a frame."""
+    """The codes of a frame's records."""
 
     HEALTH_CHECK_ENDED = 0
     TIMER_FIRED = 1
     CLIENT_DISCONNECTED = 2
     ENDPOINTS_UPDATED = 3
     START = 4
-    INSTANCE = 5  # the records behind it are for this instance
+    INSTANCE = 5  # the records after it are for this instance
     NOTE = 6
     RESPONSE_STARTED = 7
     ATTEMPT_ENDED = 8
@@ -96,7 +96,7 @@
 
 
 class ActionCode(enum.IntEnum):
-    """The records of a reply."""
+    """The codes of a reply's records."""
 
     SEND_ATTEMPT = 64
     REJECT_REQUEST = 65
@@ -108,16 +108,16 @@
     FAULT = 73
     MIGRATE_STREAM = 76
     RELEASE_STATE = 78
-    INSTANCE = 79  # the records behind it are of this instance
+    INSTANCE = 79  # the records after it are from this instance
 
 
 class WireError(Exception):
-    """A frame that does not follow the wire; the text says what and where."""
+    """Raised for a frame that violates the wire format. The text names the fault and its position."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance begins, with these settings as JSON."""
+    """The start of an instance. `settings`: JSON."""
 
     seed: int
     settings: bytes
@@ -125,19 +125,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """An instance ends."""
+    """The end of an instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """The decision code has failed with this text."""
+    """The text of an exception that a router has raised."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame: its events, each with its instance, at one time of the simulator's clock (microseconds)."""
+    """One frame: events with their instances. `clock`: the time of these events in the simulator, in microseconds."""
 
     seq: int
     clock: int
@@ -145,7 +145,7 @@
 
 
 def _token_count(value: float) -> int:
-    """A token count sent as a float; what is no count at all reads as 0."""
+    """Returns a token count that was sent as a float, or 0 if the value is not a valid count."""
     return int(value) if 0 <= value < MAX_TOKENS else 0
 
 
@@ -195,7 +195,7 @@
 
 
 def _load(body: bytes, offset: int, count: int, positions: LoadPositions) -> ReportedLoad | None:
-    """The two load values of a report of so many. None: it has not both."""
+    """Returns the two load values of a report with `count` values, or None if the report lacks one of them."""
     report = struct.unpack_from(f"<{count}f", body, offset)
     if min(positions) < 0 or max(positions) >= count:
         return None
@@ -214,7 +214,7 @@
     request, detail, verdict, settled, elapsed, replica, attempt, count = _ENDED.unpack_from(body)
     load = _load(body, _ENDED.size, count, positions)
     if verdict not in OUTCOMES:
-        raise WireError(f"ENDED has the unknown verdict {verdict}")
+        raise WireError(f"ATTEMPT_ENDED has the unknown status {verdict}")
     outcome = OUTCOMES[verdict]
     if outcome == Outcome.FULL and detail == NO_STATE_DETAIL:
         outcome = Outcome.STATE_LOST
@@ -230,12 +230,12 @@
 def _start(body: bytes) -> Start:
     seed, size = _START.unpack_from(body)
     if len(body) < _START.size + size:
-        raise WireError("START is shorter than its settings")
+        raise WireError("START is shorter than the stated length of its settings")
     return Start(seed, body[_START.size : _START.size + size])
 
 
 def _skip(body: bytes) -> None:
-    """NOTE and DATAGRAM answer what is never asked for here."""
+    """Ignore a NOTE or DATAGRAM record: both are responses to actions that this program never takes."""
 
 
 _EVENTS: dict[int, Callable[[bytes], Event | Start | Halt | None]] = {
@@ -257,9 +257,9 @@
 
 
 def read_frame(stream: BinaryIO, load_positions: Callable[[int], LoadPositions]) -> Frame | None:
-    """The next frame, or None at the end of input. `load_positions`: by instance.
+    """Returns the next frame, or None at the end of input.
 
-    WireError: the bytes make no frame.
+    `load_positions` returns the positions of an instance's load values. Raises WireError if the frame is malformed.
     """
     head = stream.read(_HEAD.size)
     if not head:
@@ -286,7 +286,7 @@
     for number in range(count):
         where = f"frame {seq}, record {number} at byte {offset}"
         if offset + _RECORD.size > len(body):
-            raise WireError(f"{where}: no room for a record")
+            raise WireError(f"{where}: the frame ends before the record's header is complete")
         code, size = _RECORD.unpack_from(body, offset)
         offset += _RECORD.size
         fields = body[offset : offset + size]
@@ -309,9 +309,9 @@
 def _event(
     code: int, fields: bytes, instance: int, load_positions: Callable[[int], LoadPositions]
 ) -> Event | Start | Halt | None:
-    """The event of one record. None: it is of no use here."""
+    """Returns the event of one record, or None if the record is ignored."""
     if instance < 0:
-        raise WireError("no instance was named before it")
+        raise WireError("no instance record precedes this record")
     decode_with_load = _EVENTS_WITH_LOAD.get(code)
     if decode_with_load:
         return decode_with_load(fields, load_positions(instance))
@@ -326,7 +326,7 @@
     return _RECORD.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
 
 
-# Each record's layout: its code, the size of its fields, its fields.
+# The layout of each record: its code, the size of its fields in bytes, its fields.
 _ENCODERS: dict[type[Action | Fault], Callable[[Any], bytes]] = {
     SendAttempt: lambda a: struct.pack("<BIIIi", ActionCode.SEND_ATTEMPT, 12, a.request, a.replica, a.attempt_timeout),
     SetTimer: lambda a: struct.pack("<BIII", ActionCode.SET_TIMER, 8, a.timer, a.delay),
@@ -342,14 +342,17 @@
 
 
 def encode_action(action: Action | Fault) -> bytes:
-    """One action as one record. WireError: it has none."""
+    """Returns the record of an action. Raises WireError if the action has no record."""
     if isinstance(action, QueryLoad):
-        raise WireError("a Look is answered inside, and has no record")
+        raise WireError("QueryLoad is answered within the process and has no record")
     return _ENCODERS[type(action)](action)
 
 
 def encode_reply(seq: int, actions: list[tuple[int, Action | Fault]]) -> bytes:
-    """The reply to one frame: the actions in order, each run of them behind a record that names their instance."""
+    """Returns the reply to one frame: the actions in order.
+
+    A record with the instance precedes each run of actions of the same instance.
+    """
     parts = []
     instance = -1
     for owner, action in actions:
--- a/tests/chat/test_asgi.py
+++ b/tests/chat/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware: the example application under an ASGI server, and the protocol's corners by hand."""
+"""The ASGI middleware: the example application under a server, and edge cases of the protocol without a server."""
 
 import asyncio
 import http.client
@@ -19,7 +19,7 @@
 
 
 class Example(Program):
-    """The example application; its server listens on a socket that the test made."""
+    """The example application. Its server uses a listening socket that is opened here."""
 
     def __init__(self, path: str) -> None:
         with socket.socket() as listening:
@@ -52,7 +52,7 @@
         replica.respond = lambda h, b: h.chunks(TOKENS[0])  # no [DONE]
         with pytest.raises((http.client.HTTPException, OSError)):
             program.ask("POST", PATH, body(stream=True))
-        assert program.stop() in (0, -signal.SIGTERM)  # some servers end themselves by the signal they got
+        assert program.stop() in (0, -signal.SIGTERM)  # some servers exit by the signal that they received
         program.wait_line(r'counters .*"served": 2')
 
 
@@ -75,7 +75,7 @@
         assert self.middleware.service is None
 
     async def app(self, scope, receive, send) -> None:
-        """An application with a lifespan and nothing else."""
+        """An application that handles only lifespan events."""
         assert scope["type"] == "lifespan"
         for step in ("startup", "shutdown"):
             assert (await receive())["type"] == f"lifespan.{step}"
@@ -99,7 +99,7 @@
         self.replica.respond = pieces
         task, _, send = self.call(body(stream=True))
         assert (await send.get())["status"] == 200
-        assert (await send.get())["body"] == TOKENS[0]  # while the replica still holds the rest back
+        assert (await send.get())["body"] == TOKENS[0]  # before the replica has sent the rest
         self.replica.go.set()
         await task
         assert "more_body" not in [*send._queue][-1]
--- a/tests/chat/test_conformance.py
+++ b/tests/chat/test_conformance.py
@@ -1,4 +1,4 @@
-"""The conformance suite against the daemon and against the middleware, over real sockets."""
+"""Runs the conformance suite against the daemon and against the middleware, over real sockets."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 from tests.chat.test_asgi import Example
 from tests.standins import ROOT
 
-MIN_CASES = 250  # that must hold: a suite that has lost cases is no proof
+MIN_CASES = 250  # least number of cases that hold; a suite that has lost cases would pass without checking them
 
 
 def assert_holds(report: Report) -> None:
@@ -47,7 +47,7 @@
 
 
 def test_a_run_without_a_front_or_without_cases_is_an_error():
-    """Without this, a runner that runs no case, or a front that is not there, would pass."""
+    """Guards against a run that passes because no case was run or because no server answered."""
     with pytest.raises(ConformanceRunError):
         asyncio.run(run_cases("http://127.0.0.1:1", ScriptedReplica()))
     with pytest.raises(ConformanceRunError):
@@ -55,7 +55,7 @@
 
 
 def test_a_front_that_does_wrong_is_found_out():
-    """The same suite against a server that is no front: what it answers itself must not hold."""
+    """Runs the suite against a replica instead of a front end: no case about answers may hold."""
 
     async def run() -> Report:
         server = ScriptedReplica()
--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -1,4 +1,4 @@
-"""The official client against the real daemon: what it sends, what it makes of answers, and its own retries."""
+"""The official OpenAI client against the daemon: its requests, its parsing of answers, and its own retries."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 def call_events(*pieces: str) -> list[bytes]:
-    """Events of a tool call whose arguments come in these pieces."""
+    """Returns the events of a tool call whose arguments are streamed in these pieces."""
     first = {"index": 0, "id": "c1", "type": "function", "function": {"name": "book", "arguments": pieces[0]}}
     parts = [first] + [{"index": 0, "function": {"arguments": piece}} for piece in pieces[1:]]
     chunks = [
@@ -34,7 +34,7 @@
 
 class OfficialClient(ChatCase):
     def begin(self, **options) -> openai.OpenAI:
-        """Start a replica and a dispatcher. Returns a client of that, without retries unless `options` say so."""
+        """Start a replica and a dispatcher. Returns a client that retries only if `options` say so."""
         (self.replica,) = self.start()
         client = openai.OpenAI(
             base_url=f"http://{self.program.host}:{self.program.port}/v1",
--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -1,4 +1,4 @@
-"""The registry client against a stand-in registry, through the program and by itself."""
+"""The Eureka client against a stand-in registry, in the running daemon, and the parsing of lists on its own."""
 
 import json
 import pathlib
@@ -50,7 +50,7 @@
 
 
 class RegistryStandin(Standin):
-    """Answers with what a test has put into `full_list` and `delta`; leases are by path."""
+    """A registry that answers with the `full_list` and `delta` of a test. `leases` holds the paths of instances."""
 
     def __init__(self) -> None:
         self.full_list = answer()
@@ -98,7 +98,7 @@
     def test_replicas_of_the_registry_serve_and_stay_when_it_is_down(self) -> None:
         assert self.program.ask("POST", PATH, body())[0] == 200
         self.eureka.down = True
-        self.program.wait_line("the last one stays")
+        self.program.wait_line("the previous list stays in use")
         assert self.program.ask("POST", PATH, body())[0] == 200
 
     def test_a_replica_that_is_not_up_gets_nothing_new(self) -> None:
@@ -109,7 +109,7 @@
 
     def test_a_delta_that_does_not_add_up_fetches_the_full_list(self) -> None:
         self.eureka.delta = answer(code="UP_2_")
-        self.program.wait_line("does not add up")
+        self.program.wait_line("does not match, fetching the full list")
         self.eureka.wait_for("GET", "/eureka/apps", 3)
 
     def test_a_reload_leaves_the_old_registry_and_registers_with_the_new_one(self) -> None:
@@ -131,7 +131,7 @@
             next(b for (m, _), b in zip(self.eureka.calls, self.eureka.bodies, strict=True) if m == "POST")
         )["instance"]
         assert (own["status"], own["port"]["$"]) == ("UP", self.program.port)
-        self.eureka.leases.clear()  # the registry forgets: the next renewal is a 404
+        self.eureka.leases.clear()  # the registry loses the lease, so that the next renewal is answered with 404
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL", 2)
         assert self.program.stop() == 0
         self.eureka.wait_for("DELETE", "/eureka/apps/PEARHILL")
@@ -153,7 +153,7 @@
         self.registry.replace(
             answer(instance("a", zone="nowhere"), instance("b", role="cook"), instance("c", cell="x"), instance("d"))
         )
-        assert len(self.entries()) == 1  # what makes no sense is left out
+        assert len(self.entries()) == 1  # the three invalid instances are skipped
 
     def test_deltas_and_the_hash_code(self) -> None:
         self.registry.replace(answer(instance("a"), instance("b", status="DOWN")))
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, with the worked bytes of the wire's description."""
+"""The codec of the simulator's frames, against the example bytes in the description of the wire format."""
 
 import io
 import json
@@ -96,7 +96,8 @@
     assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
     (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
-    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, ReportedLoad(0.25, 3.5))  # rejected: the replica lives
+    # A replica that rejects a health check is alive.
+    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, ReportedLoad(0.25, 3.5))
     silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
     timed_out = read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1]
     assert isinstance(timed_out, HealthCheckEnded)
@@ -155,7 +156,7 @@
     assert list(struct.unpack(fields, raw[5:])) == [
         getattr(action, name)
         for name in action.__slots__
-        if name != "reason"  # for the log alone, on no wire
+        if name != "reason"  # only logged, not sent
     ]
 
 
