--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -65,7 +65,7 @@
         choices = []
         for index in sorted(self._collected.choices):
             choice = self._collected.choices[index]
-            choices.append(self._choice(index, _text(choice.message), choice.logprobs, choice.finish_reason))
+            choices.append(self._choice(index, _message_text(choice.message), choice.logprobs, choice.finish_reason))
         completion = {**self._top_level_fields(), "choices": choices}
         if "usage" in self._collected.fields:
             completion["usage"] = self._collected.fields["usage"]
@@ -83,7 +83,10 @@
     def _completion_chunk(self, chunk: dict[str, Any]) -> dict[str, Any]:
         choices = [
             self._choice(
-                choice.get("index", 0), _text(choice["delta"]), choice.get("logprobs"), choice.get("finish_reason")
+                choice.get("index", 0),
+                _message_text(choice["delta"]),
+                choice.get("logprobs"),
+                choice.get("finish_reason"),
             )
             for choice in chunk["choices"]
         ]
@@ -103,7 +106,7 @@
         return {"index": index, "text": text, "logprobs": logprobs, "finish_reason": finish_reason}
 
 
-def _text(message: dict[str, Any]) -> str:
+def _message_text(message: dict[str, Any]) -> str:
     """Returns the text of a message or a delta. A refusal counts as text."""
     return message.get("content") or message.get("refusal") or ""
 
--- a/pearhill/chat/endpoints/output_items.py
+++ b/pearhill/chat/endpoints/output_items.py
@@ -49,8 +49,8 @@
         self.items: list[dict[str, Any]] = []
         self._response_id = response_id
         self._events = events
-        self._open_text: TextKind | None = None  # kind of the last item if that is an open message
-        self._calls: dict[int, int] = {}  # position in `items`, by the replica's index of the call
+        self._open_message_kind: TextKind | None = None  # kind of the last item if that is an open message
+        self._call_positions: dict[int, int] = {}  # position in `items`, by the replica's index of the call
 
     def add_text(self, kind: TextKind, text: str, logprobs: list[Any]) -> bytes:
         """Add text to the open message of this kind, or to a new message if none is open.
@@ -58,7 +58,7 @@
         `logprobs`: the entries for this text, in the format of chat completions.
         """
         events = b""
-        if self._open_text != kind:
+        if self._open_message_kind != kind:
             events += self._open_message(kind)
         part = self.items[-1]["content"][0]
         part[kind.field] += text
@@ -66,7 +66,7 @@
         if kind == TextKind.OUTPUT_TEXT:
             part["logprobs"] += logprobs
             fields["logprobs"] = logprobs
-        return events + self._events.encode(f"response.{kind}.delta", **self._last_place(), **fields)
+        return events + self._events.encode(f"response.{kind}.delta", **self._last_position_fields(), **fields)
 
     def add_call(self, delta: dict[str, Any]) -> bytes:
         """Add a delta of a tool call.
@@ -76,21 +76,21 @@
         events = b""
         function = delta.get("function") or {}
         index = call_index(delta)
-        if index not in self._calls:
-            self._calls[index] = len(self.items)
+        if index not in self._call_positions:
+            self._call_positions[index] = len(self.items)
             events += self._open_call(index, delta.get("id"), function)
-        position = self._calls[index]
+        position = self._call_positions[index]
         arguments = function.get("arguments")
         if arguments:
             self.items[position]["arguments"] += arguments
-            place = self._place(position)
-            events += self._events.encode("response.function_call_arguments.delta", **place, delta=arguments)
+            position_fields = self._position_fields(position)
+            events += self._events.encode("response.function_call_arguments.delta", **position_fields, delta=arguments)
         return events
 
     def close(self, status: str) -> bytes:
         """Close all open items with this status at the end of the stream."""
         events = self._close_message(status)
-        for position in self._calls.values():
+        for position in self._call_positions.values():
             events += self._close_call(position, status)
         return events
 
@@ -100,11 +100,11 @@
             if item["status"] != "completed":
                 item["status"] = "incomplete"
 
-    def _place(self, position: int) -> dict[str, Any]:
+    def _position_fields(self, position: int) -> dict[str, Any]:
         return {"item_id": self.items[position]["id"], "output_index": position}
 
-    def _last_place(self) -> dict[str, Any]:
-        return self._place(len(self.items) - 1)
+    def _last_position_fields(self) -> dict[str, Any]:
+        return self._position_fields(len(self.items) - 1)
 
     def _open_item(self, id_prefix: str, fields: dict[str, Any]) -> bytes:
         events = self._close_message("completed")
@@ -118,9 +118,9 @@
         part: dict[str, Any] = {"type": kind.value, kind.field: ""}
         if kind == TextKind.OUTPUT_TEXT:
             part |= {"annotations": [], "logprobs": []}
-        self._open_text = kind
-        place = self._last_place()
-        events += self._events.encode("response.content_part.added", **place, content_index=0, part=part)
+        self._open_message_kind = kind
+        position_fields = self._last_position_fields()
+        events += self._events.encode("response.content_part.added", **position_fields, content_index=0, part=part)
         self.items[-1]["content"].append(part)
         return events
 
@@ -134,31 +134,31 @@
         return self._open_item("fc", fields)
 
     def _close_message(self, status: str) -> bytes:
-        kind = self._open_text
+        kind = self._open_message_kind
         if kind is None:
             return b""
-        self._open_text = None
+        self._open_message_kind = None
         item = self.items[-1]
         item["status"] = status
         part = item["content"][0]
         text = {kind.field: part[kind.field]}
         if kind == TextKind.OUTPUT_TEXT:
             text["logprobs"] = part["logprobs"]
-        place = self._last_place()
-        events = self._events.encode(f"response.{kind}.done", **place, content_index=0, **text)
-        events += self._events.encode("response.content_part.done", **place, content_index=0, part=part)
-        return events + self._item_done(len(self.items) - 1)
+        position_fields = self._last_position_fields()
+        events = self._events.encode(f"response.{kind}.done", **position_fields, content_index=0, **text)
+        events += self._events.encode("response.content_part.done", **position_fields, content_index=0, part=part)
+        return events + self._encode_item_done(len(self.items) - 1)
 
     def _close_call(self, position: int, status: str) -> bytes:
         item = self.items[position]
         item["status"] = status
         events = self._events.encode(
             "response.function_call_arguments.done",
-            **self._place(position),
+            **self._position_fields(position),
             name=item["name"],
             arguments=item["arguments"],
         )
-        return events + self._item_done(position)
+        return events + self._encode_item_done(position)
 
-    def _item_done(self, position: int) -> bytes:
+    def _encode_item_done(self, position: int) -> bytes:
         return self._events.encode("response.output_item.done", output_index=position, item=self.items[position])
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -66,7 +66,7 @@
         self._reader = ChunkReader()
         self._events = EventSequence()
         self._output = OutputItems(identity.id, self._events)
-        self._has_begun = False
+        self._has_started = False
         self._usage: dict[str, Any] | None = None
         self._finish_reason: str | None = None
 
@@ -99,8 +99,8 @@
     def _add_chunk(self, chunk: dict[str, Any]) -> bytes:
         """Add a chunk. Any exception from here means that the chunk is malformed."""
         events = b""
-        if not self._has_begun:
-            self._has_begun = True
+        if not self._has_started:
+            self._has_started = True
             events += self._events.encode("response.created", response=self._response("in_progress"))
             events += self._events.encode("response.in_progress", response=self._response("in_progress"))
         if chunk.get("usage"):
--- a/pearhill/chat/schema/chat.py
+++ b/pearhill/chat/schema/chat.py
@@ -12,7 +12,7 @@
 from pearhill.chat.schema.chunks import MAX_CHOICES
 from pearhill.chat.schema.messages import AssistantMessage, FilePart, Message, UserMessage
 from pearhill.chat.schema.reading import require
-from pearhill.chat.schema.tools import FunctionSpec, Name, Tool, ToolChoice, ToolName, check_tool_choice
+from pearhill.chat.schema.tools import FunctionSpec, Identifier, Tool, ToolChoice, ToolName, check_tool_choice
 
 MAX_TOKENS = 1_000_000
 Tokens = Annotated[int, Meta(ge=1, le=MAX_TOKENS)]
@@ -36,7 +36,7 @@
 class SchemaSpec(Struct):
     """A JSON Schema with its name."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     schema: dict[str, Any] | None = None
     strict: bool | None = None
@@ -55,7 +55,7 @@
     include_obfuscation: bool | None = None
 
 
-class AudioOut(Struct):
+class AudioOutput(Struct):
     """The voice and the encoding of an answer in audio."""
 
     voice: str | dict[str, Any]
@@ -91,7 +91,7 @@
     function_call: Literal["none", "auto"] | ToolName | None = None
     response_format: TextFormat | JsonFormat | SchemaFormat | None = None
     modalities: Annotated[list[Literal["text", "audio"]], Meta(min_length=1)] | None = None
-    audio: AudioOut | None = None
+    audio: AudioOutput | None = None
     reasoning_effort: Effort | None = None
     verbosity: Literal["low", "medium", "high"] | None = None
     service_tier: str | None = None
--- a/pearhill/chat/schema/reading.py
+++ b/pearhill/chat/schema/reading.py
@@ -11,12 +11,12 @@
 
 T = TypeVar("T")
 # The format of msgspec's messages: the fault, then its path from the document's root `$`.
-_MESSAGE = re.compile(r"^(?P<fault>.*?)(?: - at (?P<key>key in )?`\$(?P<path>.*)`)?$", re.DOTALL)
-_MISSING = re.compile(r"missing required field `(?P<name>[^`]*)`")
+_FAULT_AND_PATH = re.compile(r"^(?P<fault>.*?)(?: - at (?P<key>key in )?`\$(?P<path>.*)`)?$", re.DOTALL)
+_MISSING_FIELD = re.compile(r"missing required field `(?P<name>[^`]*)`")
 _fields_decoder: msgspec.json.Decoder[dict[str, msgspec.Raw]] = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
-class Fault(NamedTuple):
+class BodyFault(NamedTuple):
     """A fault of a body. `path` is that of the field, or None if the fault concerns the body as a whole."""
 
     message: str
@@ -24,17 +24,17 @@
     code: str
 
 
-def fault_of(error: msgspec.ValidationError) -> Fault:
+def parse_validation_error(error: msgspec.ValidationError) -> BodyFault:
     """Returns the fault that msgspec's message describes."""
-    match = _MESSAGE.match(str(error))
+    match = _FAULT_AND_PATH.match(str(error))
     message = match["fault"] if match else str(error)
     path = (match["path"] or "").lstrip(".") if match else ""
-    missing = _MISSING.search(message)
+    missing = _MISSING_FIELD.search(message)
     if missing:
         path = f"{path}.{missing['name']}" if path else missing["name"]
-        return Fault(f"Missing required parameter: '{path}'.", path or None, "missing_required_parameter")
+        return BodyFault(f"Missing required parameter: '{path}'.", path or None, "missing_required_parameter")
     is_type_fault = "got `" in message or re.fullmatch(r"Expected `\w+`", message)
-    return Fault(message, path or None, "invalid_type" if is_type_fault else "invalid_value")
+    return BodyFault(message, path or None, "invalid_type" if is_type_fault else "invalid_value")
 
 
 class Reader(Generic[T]):
@@ -56,14 +56,14 @@
         except UnicodeDecodeError as e:
             raise invalid_request(f"The body is no UTF-8: byte {e.start}.", code="invalid_json") from None
         except msgspec.ValidationError as e:
-            raise _form_error(fault_of(e)) from None
+            raise _to_api_error(parse_validation_error(e)) from None
         except msgspec.DecodeError as e:
             raise invalid_request(f"The body is no JSON: {e}.", code="invalid_json") from None
         except RecursionError:
             raise invalid_request("The body is nested too deeply.", code="invalid_json") from None
 
 
-def _form_error(fault: Fault) -> ApiError:
+def _to_api_error(fault: BodyFault) -> ApiError:
     message = fault.message
     if fault.path and f"'{fault.path}'" not in message:
         message += f" at '{fault.path}'"
--- a/pearhill/chat/schema/responses.py
+++ b/pearhill/chat/schema/responses.py
@@ -9,7 +9,7 @@
 from pearhill.chat.schema.chat import Effort, JsonFormat, Metadata, TextFormat, Tokens
 from pearhill.chat.schema.items import Item
 from pearhill.chat.schema.reading import require
-from pearhill.chat.schema.tools import Name
+from pearhill.chat.schema.tools import Identifier
 
 # Fields that refer to state stored by a server, and the alternative that the error message suggests for each.
 STATE_FIELDS = {
@@ -22,7 +22,7 @@
 class FunctionTool(Struct, tag_field="type", tag="function"):
     """A function that the model may call. `parameters`: a JSON Schema."""
 
-    name: Name
+    name: Identifier
     parameters: dict[str, Any] | None = None
     description: str | None = None
     strict: bool | None = None
@@ -37,7 +37,7 @@
 class SchemaFormat(Struct, tag_field="type", tag="json_schema"):
     """The answer is JSON that follows this schema."""
 
-    name: Name
+    name: Identifier
     schema: dict[str, Any]
     description: str | None = None
     strict: bool | None = None
--- a/pearhill/chat/schema/tools.py
+++ b/pearhill/chat/schema/tools.py
@@ -11,13 +11,13 @@
 
 from pearhill.chat.schema.reading import require
 
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-zA-Z0-9_.-]+$")]
+Identifier = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-zA-Z0-9_.-]+$")]
 
 
 class FunctionSpec(Struct):
     """A function that the model may call. `parameters`: a JSON Schema."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     parameters: dict[str, Any] | None = None
     strict: bool | None = None
@@ -32,7 +32,7 @@
 class CustomSpec(Struct):
     """A tool whose input is free text. `format`: a grammar for that text."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     format: dict[str, Any] | None = None
 
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -26,7 +26,7 @@
 MAX_RETRY_INTERVAL_US = 1_000_000  # upper limit of the pause after a failed call
 FAILURES = (OSError, TimeoutError, ValueError, ConnectError)
 
-OnList = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
+ListCallback = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
 
 class Eureka:
@@ -36,7 +36,7 @@
     the list replaces the previous one, then the endpoints, and their addresses.
     """
 
-    def __init__(self, pool: Pool, setup: EurekaSetup, deployment: Deployment, on_list: OnList) -> None:
+    def __init__(self, pool: Pool, setup: EurekaSetup, deployment: Deployment, on_list: ListCallback) -> None:
         self.pool = pool
         self.setup = setup
         self.deployment = deployment
--- a/pearhill/eureka/registry.py
+++ b/pearhill/eureka/registry.py
@@ -13,7 +13,7 @@
 from pearhill.routing.topology import Endpoint, Phase, Role
 from pearhill.settings import Deployment
 
-_ROLES = {
+_ROLES_BY_NAME = {
     "reader": Role.PREFILL,
     "read": Role.PREFILL,
     "writer": Role.DECODE,
@@ -40,7 +40,7 @@
     metadata: dict[str, str]
 
 
-class _Answer(NamedTuple):
+class _InstanceList(NamedTuple):
     """A full list, or a delta. `rows`: each instance with the action that was applied to it."""
 
     hash_code: str
@@ -53,20 +53,20 @@
     def __init__(self) -> None:
         self.instances: dict[tuple[str, str], Instance] = {}  # by application and id
 
-    def replace(self, answer: Any) -> None:
+    def replace(self, response: Any) -> None:
         """Replace all instances by those of a full list.
 
         Raises RegistryError if the response is not a valid list; the instances then stay unchanged.
         """
-        self.instances = {(instance.app, instance.id): instance for _, instance in _parse(answer).rows}
+        self.instances = {(instance.app, instance.id): instance for _, instance in _parse_response(response).rows}
 
-    def apply(self, answer: Any) -> bool:
+    def apply(self, response: Any) -> bool:
         """Apply a delta.
 
         Returns False if the hash code shows that an earlier change was missed, so that the full list must be fetched.
         Raises RegistryError if the response is not a valid delta; the instances then stay unchanged.
         """
-        hash_code, rows = _parse(answer)
+        hash_code, rows = _parse_response(response)
         for action, instance in rows:
             if action == "DELETED":
                 self.instances.pop((instance.app, instance.id), None)
@@ -94,26 +94,26 @@
             try:
                 replica = replica_id(instance.id)
                 addresses[replica] = parse_address(instance.endpoint)
-                entries.append(_endpoint(replica, instance, deployment))
+                entries.append(_to_endpoint(replica, instance, deployment))
             except ValueError as e:
                 logger.warning("eureka: instance {instance} is skipped: {error}", instance=instance.id, error=str(e))
         return tuple(entries), addresses
 
 
-def _parse(answer: Any) -> _Answer:
+def _parse_response(response: Any) -> _InstanceList:
     try:
-        applications = answer["applications"]
+        applications = response["applications"]
         rows = [
-            (str(row.get("actionType", "ADDED")), _instance(row, str(app["name"]).upper()))
-            for app in _rows(applications.get("application"))
-            for row in _rows(app.get("instance"))
+            (str(row.get("actionType", "ADDED")), _parse_instance(row, str(app["name"]).upper()))
+            for app in _as_rows(applications.get("application"))
+            for row in _as_rows(app.get("instance"))
         ]
-        return _Answer(str(applications.get("apps__hashcode", "")), rows)
+        return _InstanceList(str(applications.get("apps__hashcode", "")), rows)
     except (KeyError, TypeError, AttributeError, ValueError) as e:
         raise RegistryError(f"the response is not a valid list of applications: {e!r}") from None
 
 
-def _rows(value: Any) -> list[dict[str, Any]]:
+def _as_rows(value: Any) -> list[dict[str, Any]]:
     """Returns a value as a list of rows.
 
     The registry generates its JSON from XML, where a list with one element may appear as that element alone.
@@ -126,7 +126,7 @@
     return rows
 
 
-def _instance(row: dict[str, Any], app: str) -> Instance:
+def _parse_instance(row: dict[str, Any], app: str) -> Instance:
     port = row.get("port")
     number = port.get("$") if isinstance(port, dict) else port
     lease = row.get("leaseInfo") or {}
@@ -141,10 +141,10 @@
     )
 
 
-def _endpoint(replica: int, instance: Instance, deployment: Deployment) -> Endpoint:
+def _to_endpoint(replica: int, instance: Instance, deployment: Deployment) -> Endpoint:
     """Returns an instance as an endpoint. Raises ValueError if its metadata are invalid or contradict the settings."""
     metadata = instance.metadata
-    kind = _kind(metadata, deployment)
+    kind = _find_kind(metadata, deployment)
     zone = metadata.get("zone", deployment.zone_names[0])
     if zone not in deployment.zone_names:
         raise ValueError(f"the zone {zone!r} is not in the settings")
@@ -159,7 +159,7 @@
     )
 
 
-def _kind(metadata: dict[str, str], deployment: Deployment) -> int:
+def _find_kind(metadata: dict[str, str], deployment: Deployment) -> int:
     """Returns the replica kind that the metadata name, or otherwise the first kind with the role in the metadata.
 
     Raises ValueError if the settings have no such kind.
@@ -168,7 +168,7 @@
     if name in deployment.kind_names:
         return deployment.kind_names.index(name)
     role_name = metadata.get("role", _DEFAULT_ROLE)
-    role = _ROLES.get(role_name)
+    role = _ROLES_BY_NAME.get(role_name)
     for kind, spec in enumerate(deployment.router.kinds):
         if spec.role == role:
             return kind
--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -16,10 +16,10 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.simulator import wire
 
-MALFORMED_INPUT_STATUS = 2  # exit status of the process
+MALFORMED_INPUT_EXIT_STATUS = 2  # exit status of the process
 
 
-def settings_of(raw: bytes) -> tuple[RouterSettings, wire.LoadPositions]:
+def parse_settings(raw: bytes) -> tuple[RouterSettings, wire.LoadPositions]:
     """Returns the router's settings, and the positions of the two load values in a report.
 
     Raises WireError if the settings are invalid.
@@ -38,10 +38,10 @@
         self.routers: dict[int, LoadAwareRouter] = {}
         self.load_positions: dict[int, wire.LoadPositions] = {}
 
-    def _load_positions(self, instance: int) -> wire.LoadPositions:
+    def _get_load_positions(self, instance: int) -> wire.LoadPositions:
         return self.load_positions.get(instance, (wire.NOT_REPORTED, wire.NOT_REPORTED))
 
-    def answer(self, frame: wire.Frame) -> bytes:
+    def process_frame(self, frame: wire.Frame) -> bytes:
         """Handle a frame's events. Returns the reply.
 
         Raises WireError if the frame has invalid settings or an event for an instance that was never started.
@@ -49,7 +49,7 @@
         actions: list[tuple[int, Action | wire.Fault]] = []
         for instance, event in frame.events:
             if isinstance(event, wire.Start):
-                router_settings, self.load_positions[instance] = settings_of(event.settings)
+                router_settings, self.load_positions[instance] = parse_settings(event.settings)
                 self.routers[instance] = LoadAwareRouter(router_settings, event.seed)
             elif isinstance(event, wire.Halt):
                 self.routers.pop(instance, None)
@@ -68,8 +68,8 @@
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
         """Answer frames until the end of input. Raises WireError if a frame is malformed."""
-        while (frame := wire.read_frame(source, self._load_positions)) is not None:
-            sink.write(self.answer(frame))
+        while (frame := wire.read_frame(source, self._get_load_positions)) is not None:
+            sink.write(self.process_frame(frame))
             sink.flush()
 
 
@@ -82,7 +82,7 @@
         Adapter().run(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as e:
         print(f"pearhill: {e}", file=sys.stderr)
-        return MALFORMED_INPUT_STATUS
+        return MALFORMED_INPUT_EXIT_STATUS
     return 0
 
 
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -49,19 +49,19 @@
 }
 HEALTH_CHECK_REJECTED = 503  # status of a health check; a replica that rejects the check is alive
 NO_STATE_DETAIL = 1  # detail of an attempt with status 503: the replica has lost the request's state
-VERDICTS_WITH_CACHED_TOKENS = (102, 200)  # statuses of an attempt whose detail is the number of cached tokens
+STATUSES_WITH_CACHED_TOKENS = (102, 200)  # statuses of an attempt whose detail is the number of cached tokens
 OPTION_IS_RETRY = 2
 OPTION_RESUMED = 16
 MAX_TEXT_BYTES = 1000
 MAX_TOKENS = 1e9  # values from this one on are not valid token counts
 NOT_REPORTED = -1
 
-_HEAD = struct.Struct("<IQII")
-_RECORD = struct.Struct("<BI")
-_LIST_HEAD = struct.Struct("<QBI")
-_ENDPOINT = struct.Struct("<IBHHBfQ")
-_REQUEST = struct.Struct("<IIfQfBQIHfB")
-_ENDED = struct.Struct("<IIHBIIHB")
+_FRAME_HEADER = struct.Struct("<IQII")
+_RECORD_HEADER = struct.Struct("<BI")
+_LIST_HEADER = struct.Struct("<QBI")
+_LIST_ENTRY = struct.Struct("<IBHHBfQ")
+_REQUEST_ARRIVED = struct.Struct("<IIfQfBQIHfB")
+_ATTEMPT_ENDED = struct.Struct("<IIHBIIHB")
 _HEALTH_CHECK_ENDED = struct.Struct("<IIHB")
 _RESPONSE_STARTED = struct.Struct("<IHII")
 _START = struct.Struct("<QI")
@@ -150,7 +150,7 @@
 
 
 def _endpoints_updated(body: bytes) -> EndpointsUpdated | None:
-    _, mode, count = _LIST_HEAD.unpack_from(body)
+    _, mode, count = _LIST_HEADER.unpack_from(body)
     if mode == ListMode.FAILED:
         return None
     endpoints = tuple(_endpoint(body, number) for number in range(count))
@@ -158,8 +158,8 @@
 
 
 def _endpoint(body: bytes, number: int) -> Endpoint:
-    offset = _LIST_HEAD.size + _ENDPOINT.size * number
-    replica, zone, kind, cell, phase, weight, started = _ENDPOINT.unpack_from(body, offset)
+    offset = _LIST_HEADER.size + _LIST_ENTRY.size * number
+    replica, zone, kind, cell, phase, weight, started = _LIST_ENTRY.unpack_from(body, offset)
     if phase not in PHASES:
         raise WireError(f"list entry {number} has the unknown phase {phase}")
     return Endpoint(replica, zone, kind, cell, PHASES[phase], weight, started)
@@ -178,7 +178,7 @@
         tenant,
         max_output_tokens,
         options,
-    ) = _REQUEST.unpack_from(body)
+    ) = _REQUEST_ARRIVED.unpack_from(body)
     return RequestArrived(
         request,
         request_class,
@@ -194,7 +194,7 @@
     )
 
 
-def _load(body: bytes, offset: int, count: int, positions: LoadPositions) -> ReportedLoad | None:
+def _decode_load(body: bytes, offset: int, count: int, positions: LoadPositions) -> ReportedLoad | None:
     """Returns the two load values of a report with `count` values, or None if the report lacks one of them."""
     report = struct.unpack_from(f"<{count}f", body, offset)
     if min(positions) < 0 or max(positions) >= count:
@@ -204,21 +204,21 @@
 
 
 def _health_check_ended(body: bytes, positions: LoadPositions) -> HealthCheckEnded:
-    elapsed, replica, verdict, count = _HEALTH_CHECK_ENDED.unpack_from(body)
-    rejected = verdict == HEALTH_CHECK_REJECTED
-    outcome = Outcome.ANSWERED if rejected else OUTCOMES.get(verdict, Outcome.UNREACHABLE)
-    return HealthCheckEnded(replica, outcome, elapsed, _load(body, _HEALTH_CHECK_ENDED.size, count, positions))
+    elapsed, replica, status, count = _HEALTH_CHECK_ENDED.unpack_from(body)
+    rejected = status == HEALTH_CHECK_REJECTED
+    outcome = Outcome.ANSWERED if rejected else OUTCOMES.get(status, Outcome.UNREACHABLE)
+    return HealthCheckEnded(replica, outcome, elapsed, _decode_load(body, _HEALTH_CHECK_ENDED.size, count, positions))
 
 
 def _attempt_ended(body: bytes, positions: LoadPositions) -> AttemptEnded:
-    request, detail, verdict, settled, elapsed, replica, attempt, count = _ENDED.unpack_from(body)
-    load = _load(body, _ENDED.size, count, positions)
-    if verdict not in OUTCOMES:
-        raise WireError(f"ATTEMPT_ENDED has the unknown status {verdict}")
-    outcome = OUTCOMES[verdict]
+    request, detail, status, settled, elapsed, replica, attempt, count = _ATTEMPT_ENDED.unpack_from(body)
+    load = _decode_load(body, _ATTEMPT_ENDED.size, count, positions)
+    if status not in OUTCOMES:
+        raise WireError(f"ATTEMPT_ENDED has the unknown status {status}")
+    outcome = OUTCOMES[status]
     if outcome == Outcome.FULL and detail == NO_STATE_DETAIL:
         outcome = Outcome.STATE_LOST
-    cached_tokens = detail if verdict in VERDICTS_WITH_CACHED_TOKENS else 0
+    cached_tokens = detail if status in STATUSES_WITH_CACHED_TOKENS else 0
     return AttemptEnded(request, attempt, replica, outcome, bool(settled), cached_tokens, elapsed, load)
 
 
@@ -234,13 +234,13 @@
     return Start(seed, body[_START.size : _START.size + size])
 
 
-def _skip(body: bytes) -> None:
+def _ignore_record(body: bytes) -> None:
     """Ignore a NOTE or DATAGRAM record: both are responses to actions that this program never takes."""
 
 
-_EVENTS: dict[int, Callable[[bytes], Event | Start | Halt | None]] = {
-    EventCode.NOTE: _skip,
-    EventCode.DATAGRAM: _skip,
+_DECODERS: dict[int, Callable[[bytes], Event | Start | Halt | None]] = {
+    EventCode.NOTE: _ignore_record,
+    EventCode.DATAGRAM: _ignore_record,
     EventCode.ENDPOINTS_UPDATED: _endpoints_updated,
     EventCode.START: _start,
     EventCode.REQUEST_ARRIVED: _request_arrived,
@@ -250,7 +250,7 @@
     EventCode.CLIENT_DISCONNECTED: lambda body: ClientDisconnected(_U32.unpack_from(body)[0]),
 }
 
-_EVENTS_WITH_LOAD: dict[int, Callable[[bytes, LoadPositions], Event]] = {
+_LOAD_DECODERS: dict[int, Callable[[bytes, LoadPositions], Event]] = {
     EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
     EventCode.ATTEMPT_ENDED: _attempt_ended,
 }
@@ -261,21 +261,21 @@
 
     `load_positions` returns the positions of an instance's load values. Raises WireError if the frame is malformed.
     """
-    head = stream.read(_HEAD.size)
-    if not head:
+    header = stream.read(_FRAME_HEADER.size)
+    if not header:
         return None
-    if len(head) < _HEAD.size:
-        raise WireError(f"the frame header ends after {len(head)} of {_HEAD.size} bytes")
-    seq, clock, length, count = _HEAD.unpack(head)
+    if len(header) < _FRAME_HEADER.size:
+        raise WireError(f"the frame header ends after {len(header)} of {_FRAME_HEADER.size} bytes")
+    seq, clock, length, count = _FRAME_HEADER.unpack(header)
     if length < 4:
         raise WireError(f"frame {seq}: the length {length} is too small")
     body = stream.read(length - 4)
     if len(body) < length - 4:
         raise WireError(f"frame {seq} ends after {len(body)} of {length - 4} bytes")
-    return Frame(seq, clock, tuple(_records(seq, body, count, load_positions)))
+    return Frame(seq, clock, tuple(_decode_records(seq, body, count, load_positions)))
 
 
-def _records(
+def _decode_records(
     seq: int,
     body: bytes,
     count: int,
@@ -285,10 +285,10 @@
     instance = -1
     for number in range(count):
         where = f"frame {seq}, record {number} at byte {offset}"
-        if offset + _RECORD.size > len(body):
+        if offset + _RECORD_HEADER.size > len(body):
             raise WireError(f"{where}: the frame ends before the record's header is complete")
-        code, size = _RECORD.unpack_from(body, offset)
-        offset += _RECORD.size
+        code, size = _RECORD_HEADER.unpack_from(body, offset)
+        offset += _RECORD_HEADER.size
         fields = body[offset : offset + size]
         offset += size
         if len(fields) < size:
@@ -297,7 +297,7 @@
             if code == EventCode.INSTANCE:
                 instance = _U32.unpack_from(fields)[0]
                 continue
-            event = _event(code, fields, instance, load_positions)
+            event = _decode_event(code, fields, instance, load_positions)
         except (WireError, struct.error) as e:
             raise WireError(f"{where}: {e}") from None
         if event is not None:
@@ -306,24 +306,24 @@
         raise WireError(f"frame {seq}: {len(body) - offset} bytes after its last record")
 
 
-def _event(
+def _decode_event(
     code: int, fields: bytes, instance: int, load_positions: Callable[[int], LoadPositions]
 ) -> Event | Start | Halt | None:
     """Returns the event of one record, or None if the record is ignored."""
     if instance < 0:
         raise WireError("no instance record precedes this record")
-    decode_with_load = _EVENTS_WITH_LOAD.get(code)
+    decode_with_load = _LOAD_DECODERS.get(code)
     if decode_with_load:
         return decode_with_load(fields, load_positions(instance))
-    decode = _EVENTS.get(code)
+    decode = _DECODERS.get(code)
     if decode is None:
         raise WireError(f"unknown event code {code}")
     return decode(fields)
 
 
-def _text(code: ActionCode, text: str) -> bytes:
+def _encode_text(code: ActionCode, text: str) -> bytes:
     raw = text.encode()[:MAX_TEXT_BYTES]
-    return _RECORD.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
+    return _RECORD_HEADER.pack(code, 2 + len(raw)) + struct.pack("<H", len(raw)) + raw
 
 
 # The layout of each record: its code, the size of its fields in bytes, its fields.
@@ -336,8 +336,8 @@
     SendHealthCheck: lambda a: struct.pack("<BII", ActionCode.SEND_HEALTH_CHECK, 4, a.replica),
     ReleaseState: lambda a: struct.pack("<BII", ActionCode.RELEASE_STATE, 4, a.request),
     MigrateStream: lambda a: struct.pack("<BII", ActionCode.MIGRATE_STREAM, 4, a.request),
-    LogMessage: lambda a: _text(ActionCode.LOG_MESSAGE, a.text),
-    Fault: lambda a: _text(ActionCode.FAULT, a.text),
+    LogMessage: lambda a: _encode_text(ActionCode.LOG_MESSAGE, a.text),
+    Fault: lambda a: _encode_text(ActionCode.FAULT, a.text),
 }
 
 
--- a/tests/chat/test_asgi.py
+++ b/tests/chat/test_asgi.py
@@ -18,7 +18,7 @@
 from tests.standins import LAST, ROOT, TOKENS, Program, Standin
 
 
-class Example(Program):
+class ExampleApp(Program):
     """The example application. Its server uses a listening socket that is opened here."""
 
     def __init__(self, path: str) -> None:
@@ -26,11 +26,11 @@
             listening.bind(("127.0.0.1", 0))
             listening.listen()
             self.host, self.port = listening.getsockname()
-            number = listening.fileno()
+            fd = listening.fileno()
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "uvicorn", "examples.starlette_app:app", "--fd", str(number)],
+                [sys.executable, "-m", "uvicorn", "examples.starlette_app:app", "--fd", str(fd)],
                 cwd=ROOT,
-                pass_fds=[number],
+                pass_fds=[fd],
                 stderr=subprocess.PIPE,
                 text=True,
                 env={**os.environ, "PEARHILL_CHAT": path},
@@ -42,11 +42,11 @@
     def test_the_example_serves_its_own_pages_and_the_chat_api(self):
         replica = Standin()
         self.addCleanup(replica.close)
-        program = Example(write_file(self, operator_file([replica.address])))
+        program = ExampleApp(write_file(self, operator_file([replica.address])))
         self.addCleanup(program.kill)
         assert json.loads(program.ask("GET", "/hours")[2])["open"] == "09:00"
-        status, _, got = program.ask("POST", PATH, body(stream=True))
-        assert (status, got[: len(TOKENS[0])], got[-14:]) == (200, TOKENS[0], b"data: [DONE]\n\n")
+        status, _, received = program.ask("POST", PATH, body(stream=True))
+        assert (status, received[: len(TOKENS[0])], received[-14:]) == (200, TOKENS[0], b"data: [DONE]\n\n")
         assert json.loads(program.ask("POST", PATH, body())[2])["object"] == "chat.completion"
         assert program.ask("POST", PATH, b"{")[0] == 400
         replica.respond = lambda h, b: h.chunks(TOKENS[0])  # no [DONE]
@@ -89,14 +89,14 @@
         scope = {"type": "http", "method": "POST", "path": PATH, "headers": [(b"host", b"a")], "query_string": b""}
         return asyncio.create_task(self.middleware(scope, receive.get, send.put)), receive, send
 
-    async def test_a_stream_comes_piece_by_piece(self):
-        def pieces(handler, body):
+    async def test_a_stream_is_forwarded_chunk_by_chunk(self):
+        def respond_in_chunks(handler, body):
             handler.chunks(TOKENS[0], last=False)
             self.replica.go.wait(20)
             handler.more(TOKENS[1] + LAST)
             handler.wfile.write(b"0\r\n\r\n")
 
-        self.replica.respond = pieces
+        self.replica.respond = respond_in_chunks
         task, _, send = self.call(body(stream=True))
         assert (await send.get())["status"] == 200
         assert (await send.get())["body"] == TOKENS[0]  # before the replica has sent the rest
@@ -104,7 +104,7 @@
         await task
         assert "more_body" not in [*send._queue][-1]
 
-    async def test_a_client_that_disconnects_ends_its_attempt(self):
+    async def test_a_disconnected_client_cancels_its_attempt(self):
         self.replica.respond = lambda h, b: self.replica.go.wait(20)
         task, receive, _ = self.call(body())
         await asyncio.to_thread(self.replica.wait_for, "POST")
@@ -113,7 +113,7 @@
         counters = self.middleware.service.node.counters
         assert (counters.left, counters.outcomes["cancelled"]) == (1, 1)
 
-    async def test_a_broken_answer_is_raised_and_an_oversized_body_refused(self):
+    async def test_a_truncated_answer_raises_and_an_oversized_body_is_rejected(self):
         self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
         task, _, _ = self.call(body(stream=True))
         with pytest.raises(AnswerTruncatedError):
--- a/tests/chat/test_conformance.py
+++ b/tests/chat/test_conformance.py
@@ -10,32 +10,32 @@
 from pearhill.conformance.report import Report
 from pearhill.conformance.runner import conform_own, run_cases
 from pearhill.conformance.suite import CASES
-from tests.chat.test_asgi import Example
+from tests.chat.test_asgi import ExampleApp
 from tests.standins import ROOT
 
 MIN_CASES = 250  # least number of cases that hold; a suite that has lost cases would pass without checking them
 
 
-def assert_holds(report: Report) -> None:
+def assert_all_hold(report: Report) -> None:
     assert [f"{result.case.name}: {result.failure}" for result in report.failed] == []
     assert len(report.held) >= MIN_CASES
 
 
-def test_the_daemon():
+def test_the_daemon_conforms():
     report = asyncio.run(conform_own())
-    assert_holds(report)
+    assert_all_hold(report)
     page = (ROOT / "docs" / "CONFORMANCE.md").read_text()
     assert page == report.markdown(), "write it anew: pearhill conform --write docs/CONFORMANCE.md"
 
 
-def test_the_middleware(tmp_path):
+def test_the_middleware_conforms(tmp_path):
     async def run() -> Report:
         server = ScriptedReplica()
         await server.start()
         path = tmp_path / "chat.toml"
         path.write_text(front_file(server.address))
         try:
-            program = Example(str(path))
+            program = ExampleApp(str(path))
             try:
                 return await run_cases(f"http://{program.host}:{program.port}", server, embedded=True)
             finally:
@@ -43,10 +43,10 @@
         finally:
             await server.close()
 
-    assert_holds(asyncio.run(run()))
+    assert_all_hold(asyncio.run(run()))
 
 
-def test_a_run_without_a_front_or_without_cases_is_an_error():
+def test_a_run_without_a_server_or_without_cases_raises():
     """Guards against a run that passes because no case was run or because no server answered."""
     with pytest.raises(ConformanceRunError):
         asyncio.run(run_cases("http://127.0.0.1:1", ScriptedReplica()))
@@ -54,19 +54,19 @@
         asyncio.run(run_cases("http://127.0.0.1:1", ScriptedReplica(), only="no such case"))
 
 
-def test_a_front_that_does_wrong_is_found_out():
+def test_a_server_that_is_not_a_front_end_fails_the_answer_cases():
     """Runs the suite against a replica instead of a front end: no case about answers may hold."""
 
     async def run() -> Report:
         server = ScriptedReplica()
-        other = ScriptedReplica()
+        wrong_server = ScriptedReplica()
         await server.start()
-        await other.start()
-        other.load((CASES[-1].scripts or ((),))[:1])
+        await wrong_server.start()
+        wrong_server.load((CASES[-1].scripts or ((),))[:1])
         try:
-            return await run_cases(f"http://{other.address}", server, only="answers/")
+            return await run_cases(f"http://{wrong_server.address}", server, only="answers/")
         finally:
             await server.close()
-            await other.close()
+            await wrong_server.close()
 
     assert asyncio.run(run()).held == []
--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -11,7 +11,7 @@
 from tests.chat.test_front import ChatCase
 from tests.standins import LAST, TOKENS
 
-HI = [{"role": "user", "content": "Hi"}]
+MESSAGES = [{"role": "user", "content": "Hi"}]
 TOOL = {"type": "function", "function": {"name": "book", "parameters": {"type": "object", "properties": {}}}}
 
 
@@ -33,7 +33,7 @@
 
 
 class OfficialClient(ChatCase):
-    def begin(self, **options) -> openai.OpenAI:
+    def start_client(self, **options) -> openai.OpenAI:
         """Start a replica and a dispatcher. Returns a client that retries only if `options` say so."""
         (self.replica,) = self.start()
         client = openai.OpenAI(
@@ -44,26 +44,26 @@
         self.addCleanup(client.close)
         return client
 
-    def test_complete_and_streamed(self):
-        client = self.begin()
-        completion = client.chat.completions.create(model="help", messages=HI)
+    def test_chat_completions_are_parsed_complete_and_streamed(self):
+        client = self.start_client()
+        completion = client.chat.completions.create(model="help", messages=MESSAGES)
         assert (completion.choices[0].message.content, completion.usage.total_tokens) == ("one two", 11)
         assert completion._request_id
         stream = client.chat.completions.create(
-            model="help", messages=HI, stream=True, stream_options={"include_usage": True}
+            model="help", messages=MESSAGES, stream=True, stream_options={"include_usage": True}
         )
         chunks = list(stream)
         assert "".join(c.choices[0].delta.content or "" for c in chunks if c.choices) == "one two"
         assert chunks[-1].usage.total_tokens == 11
         self.replica.respond = lambda h, b: h.chunks(*ANSWER_EVENTS)  # the client's helper checks `object`
-        with client.chat.completions.stream(model="help", messages=HI) as events:
+        with client.chat.completions.stream(model="help", messages=MESSAGES) as events:
             events.until_done()
             assert events.get_final_completion().choices[0].message.content == "one two"
 
-    def test_tools(self):
-        client = self.begin()
+    def test_tool_calls_are_parsed_in_chat_and_in_responses(self):
+        client = self.start_client()
         self.replica.respond = lambda h, b: h.chunks(*call_events('{"da', 'y":1}'), LAST)
-        answer = client.chat.completions.create(model="help", messages=HI, tools=[TOOL])
+        answer = client.chat.completions.create(model="help", messages=MESSAGES, tools=[TOOL])
         call = answer.choices[0].message.tool_calls[0]
         assert (call.id, call.function.name, call.function.arguments) == ("c1", "book", '{"day":1}')
         answer = client.responses.create(
@@ -71,8 +71,8 @@
         )
         assert (answer.output[0].type, answer.output[0].arguments) == ("function_call", '{"day":1}')
 
-    def test_responses_and_completions(self):
-        client = self.begin()
+    def test_responses_and_text_completions_are_parsed_complete_and_streamed(self):
+        client = self.start_client()
         answer = client.responses.create(model="help", input="Hi", instructions="Be kind.")
         assert (answer.output_text, answer.status, answer.usage.total_tokens) == ("one two", "completed", 11)
         with client.responses.stream(model="help", input="Hi") as events:
@@ -84,76 +84,78 @@
         pieces = client.completions.create(model="help", prompt="Hi", stream=True)
         assert "".join(piece.choices[0].text for piece in pieces) == "one two"
 
-    def test_models(self):
-        client = self.begin()
+    def test_models_are_listed_and_an_unknown_model_is_not_found(self):
+        client = self.start_client()
         assert [model.id for model in client.models.list()] == ["help", "booking"]
         assert client.models.retrieve("help").id == "help"
         with pytest.raises(openai.NotFoundError):
             client.models.retrieve("nobody")
 
-    def test_typed_errors(self):
-        client = self.begin()
+    def test_errors_raise_the_exception_of_their_status(self):
+        client = self.start_client()
         with pytest.raises(openai.BadRequestError) as caught:
-            client.chat.completions.create(model="help", messages=HI, temperature=9)
+            client.chat.completions.create(model="help", messages=MESSAGES, temperature=9)
         assert (caught.value.param, caught.value.code) == ("temperature", "invalid_value")
         self.replica.respond = lambda h, b: h.plain(422, b'{"error": {"message": "no", "code": "odd"}}')
         with pytest.raises(openai.UnprocessableEntityError):
-            client.chat.completions.create(model="booking", messages=HI)
+            client.chat.completions.create(model="booking", messages=MESSAGES)
         self.replica.respond = lambda h, b: h.plain(500)
         with pytest.raises(openai.InternalServerError) as caught:
-            client.chat.completions.create(model="booking", messages=HI)
+            client.chat.completions.create(model="booking", messages=MESSAGES)
         assert caught.value.status_code == 500
 
-    def test_a_truncated_stream_is_an_error_and_not_an_end(self):
-        client = self.begin()
+    def test_a_truncated_stream_raises_an_error(self):
+        client = self.start_client()
         self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
         received = []
 
         def read_stream() -> None:
-            for chunk in client.chat.completions.create(model="booking", messages=HI, stream=True):
+            for chunk in client.chat.completions.create(model="booking", messages=MESSAGES, stream=True):
                 received.append(chunk.choices[0].delta.content)
 
         with pytest.raises((openai.APIError, httpx2.RemoteProtocolError)):
             read_stream()
         assert (received, self.replica.runs) == (["one "], 1)
 
-    def test_its_own_retries_come_only_where_nothing_was_executed(self):
-        client = self.begin(max_retries=2)
+    def test_the_client_retries_only_requests_that_were_not_executed(self):
+        client = self.start_client(max_retries=2)
         self.replica.respond = lambda h, b: h.plain(500)
         with pytest.raises(openai.InternalServerError):
-            client.chat.completions.create(model="booking", messages=HI)
+            client.chat.completions.create(model="booking", messages=MESSAGES)
         assert self.replica.runs == 1  # X-Should-Retry: false
         rejections = iter([True])
         self.replica.respond = lambda h, b: (
             h.plain(503, Not_Started="1") if next(rejections, False) else h.chunks(*TOKENS, LAST)
         )
-        answer = client.chat.completions.create(model="booking", messages=HI)
+        answer = client.chat.completions.create(model="booking", messages=MESSAGES)
         assert answer.choices[0].message.content == "one two"
 
-    def test_its_timeout_leaves_a_booking_to_its_one_outcome(self):
-        client = self.begin(timeout=0.5)
+    def test_a_booking_is_executed_once_if_the_client_times_out(self):
+        client = self.start_client(timeout=0.5)
 
-        def late(handler, sent):
+        def respond_late(handler, sent):
             self.replica.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        self.replica.respond = late
+        self.replica.respond = respond_late
         with pytest.raises(openai.APITimeoutError):
-            client.chat.completions.create(model="booking", messages=HI)
+            client.chat.completions.create(model="booking", messages=MESSAGES)
         self.replica.go.set()
         self.program.wait_line("outcome request=.* state=answered")
         assert self.replica.runs == 1
 
-    def test_async(self):
-        client = self.begin()
+    def test_concurrent_streams_of_the_async_client_are_complete(self):
+        client = self.start_client()
 
-        async def ask() -> list[str]:
-            async with openai.AsyncOpenAI(base_url=str(client.base_url), api_key="k" * 30, max_retries=0) as other:
+        async def stream_concurrently() -> list[str]:
+            async with openai.AsyncOpenAI(
+                base_url=str(client.base_url), api_key="k" * 30, max_retries=0
+            ) as async_client:
 
-                async def one() -> str:
-                    stream = await other.chat.completions.create(model="help", messages=HI, stream=True)
+                async def stream_answer() -> str:
+                    stream = await async_client.chat.completions.create(model="help", messages=MESSAGES, stream=True)
                     return "".join([c.choices[0].delta.content or "" async for c in stream if c.choices])
 
-                return await asyncio.gather(*(one() for _ in range(8)))
+                return await asyncio.gather(*(stream_answer() for _ in range(8)))
 
-        assert asyncio.run(ask()) == ["one two"] * 8
+        assert asyncio.run(stream_concurrently()) == ["one two"] * 8
--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -37,7 +37,7 @@
     }
 
 
-def answer(*instances: dict[str, Any], code: str | None = None) -> dict[str, Any]:
+def registry_response(*instances: dict[str, Any], code: str | None = None) -> dict[str, Any]:
     counts = Counter(row["status"] for row in instances)
     code = "".join(f"{s}_{counts[s]}_" for s in sorted(counts)) if code is None else code
     return {
@@ -53,8 +53,8 @@
     """A registry that answers with the `full_list` and `delta` of a test. `leases` holds the paths of instances."""
 
     def __init__(self) -> None:
-        self.full_list = answer()
-        self.delta = answer()
+        self.full_list = registry_response()
+        self.delta = registry_response()
         self.leases = set[str]()
         self.down = False
         super().__init__()
@@ -68,69 +68,71 @@
         if handler.command == "POST":
             self.leases.add(f"{path}/{json.loads(body)['instance']['instanceId']}")
             return handler.plain(204)
-        known = path.replace("%3A", ":") in self.leases
+        has_lease = path.replace("%3A", ":") in self.leases
         if handler.command == "DELETE":
             self.leases.discard(path.replace("%3A", ":"))
-        handler.plain(200 if known else 404)
+        handler.plain(200 if has_lease else 404)
 
 
-class RealProgram(unittest.TestCase):
+class DaemonWithRegistry(unittest.TestCase):
     def setUp(self) -> None:
         self.replica = Standin()
         self.eureka = RegistryStandin()
         self.addCleanup(self.replica.close)
         self.addCleanup(self.eureka.close)
-        self.eureka.full_list = answer(instance("m1", self.replica.address))
-        self.eureka.delta = answer(code="UP_1_")
-        path = write_file(self, self.file(self.eureka))
+        self.eureka.full_list = registry_response(instance("m1", self.replica.address))
+        self.eureka.delta = registry_response(code="UP_1_")
+        path = write_file(self, self.config_text(self.eureka))
         self.program = Program("--chat", path)
         self.addCleanup(self.program.kill)
         self.program.config = pathlib.Path(path)
         self.program.wait_ready()
 
-    def file(self, eureka: RegistryStandin) -> str:
+    def config_text(self, eureka: RegistryStandin) -> str:
         return operator_file(
             [],
             f'[eureka]\naddress = "{eureka.address}"\nservers = "helpdesk"\n'
             'register_as = "pearhill"\nrenew_s = 1\nfetch_s = 1\n',
         )
 
-    def test_replicas_of_the_registry_serve_and_stay_when_it_is_down(self) -> None:
+    def test_replicas_of_the_registry_serve_requests_while_it_is_down(self) -> None:
         assert self.program.ask("POST", PATH, body())[0] == 200
         self.eureka.down = True
         self.program.wait_line("the previous list stays in use")
         assert self.program.ask("POST", PATH, body())[0] == 200
 
-    def test_a_replica_that_is_not_up_gets_nothing_new(self) -> None:
-        self.eureka.delta = answer(instance("m1", self.replica.address, status="OUT_OF_SERVICE", action="MODIFIED"))
+    def test_a_replica_that_is_not_up_receives_no_new_requests(self) -> None:
+        self.eureka.delta = registry_response(
+            instance("m1", self.replica.address, status="OUT_OF_SERVICE", action="MODIFIED")
+        )
         self.eureka.wait_for("GET", "/eureka/apps/delta")
         self.program.wait_ready(503)
         assert (self.program.ask("POST", PATH, body())[0], self.replica.runs) == (503, 0)
 
-    def test_a_delta_that_does_not_add_up_fetches_the_full_list(self) -> None:
-        self.eureka.delta = answer(code="UP_2_")
+    def test_a_delta_with_a_wrong_hash_code_causes_a_fetch_of_the_full_list(self) -> None:
+        self.eureka.delta = registry_response(code="UP_2_")
         self.program.wait_line("does not match, fetching the full list")
         self.eureka.wait_for("GET", "/eureka/apps", 3)
 
-    def test_a_reload_leaves_the_old_registry_and_registers_with_the_new_one(self) -> None:
+    def test_a_reload_cancels_the_registration_and_registers_with_the_new_registry(self) -> None:
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
-        other = RegistryStandin()
-        self.addCleanup(other.close)
-        other.full_list = answer(instance("m2", self.replica.address))
-        other.delta = answer(code="UP_1_")
-        self.program.reload(self.file(other))
+        new_registry = RegistryStandin()
+        self.addCleanup(new_registry.close)
+        new_registry.full_list = registry_response(instance("m2", self.replica.address))
+        new_registry.delta = registry_response(code="UP_1_")
+        self.program.reload(self.config_text(new_registry))
         self.eureka.wait_for("DELETE", "/eureka/apps/PEARHILL")
-        other.wait_for("POST", "/eureka/apps/PEARHILL")
-        other.wait_for("GET", "/eureka/apps")
+        new_registry.wait_for("POST", "/eureka/apps/PEARHILL")
+        new_registry.wait_for("GET", "/eureka/apps")
         assert self.program.ask("POST", PATH, body())[0] == 200
 
-    def test_registered_renewed_registered_anew_and_cancelled(self) -> None:
+    def test_a_registration_is_renewed_repeated_after_a_lost_lease_and_cancelled_at_exit(self) -> None:
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
         self.eureka.wait_for("PUT", "/eureka/apps/PEARHILL")
-        own = json.loads(
+        registered = json.loads(
             next(b for (m, _), b in zip(self.eureka.calls, self.eureka.bodies, strict=True) if m == "POST")
         )["instance"]
-        assert (own["status"], own["port"]["$"]) == ("UP", self.program.port)
+        assert (registered["status"], registered["port"]["$"]) == ("UP", self.program.port)
         self.eureka.leases.clear()  # the registry loses the lease, so that the next renewal is answered with 404
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL", 2)
         assert self.program.stop() == 0
@@ -145,40 +147,44 @@
     def entries(self) -> list[Endpoint]:
         return list(self.registry.endpoints(APP, self.deployment)[0])
 
-    def test_metadata_gives_role_zone_and_cell(self) -> None:
+    def test_metadata_set_kind_zone_and_cell_and_invalid_entries_are_skipped(self) -> None:
         self.registry.replace(
-            answer(instance("a", role="reader", zone="south", cell="4"), instance("b", kind="writer"))
+            registry_response(instance("a", role="reader", zone="south", cell="4"), instance("b", kind="writer"))
         )
         assert [(e.kind, e.zone, e.cell) for e in self.entries()] == [(0, 1, 4), (1, 0, 0)]
         self.registry.replace(
-            answer(instance("a", zone="nowhere"), instance("b", role="cook"), instance("c", cell="x"), instance("d"))
+            registry_response(
+                instance("a", zone="nowhere"), instance("b", role="cook"), instance("c", cell="x"), instance("d")
+            )
         )
         assert len(self.entries()) == 1  # the three invalid instances are skipped
 
-    def test_deltas_and_the_hash_code(self) -> None:
-        self.registry.replace(answer(instance("a"), instance("b", status="DOWN")))
+    def test_deltas_are_applied_and_verified_by_the_hash_code(self) -> None:
+        self.registry.replace(registry_response(instance("a"), instance("b", status="DOWN")))
         assert self.registry.hash_code == "DOWN_1_UP_1_"
-        assert self.registry.apply(answer(instance("b", action="DELETED"), instance("c"), code="UP_2_"))
-        assert not self.registry.apply(answer(code="UP_3_"))
-        assert self.registry.apply(answer(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_"))
+        assert self.registry.apply(registry_response(instance("b", action="DELETED"), instance("c"), code="UP_2_"))
+        assert not self.registry.apply(registry_response(code="UP_3_"))
+        assert self.registry.apply(
+            registry_response(instance("a", status="STARTING", action="MODIFIED"), code="STARTING_1_UP_1_")
+        )
         assert sorted(e.phase for e in self.entries()) == [Phase.DRAINING, Phase.READY]
 
-    def test_a_list_of_one_may_come_as_the_one_alone(self) -> None:
-        contents = answer(instance("a"))
+    def test_a_list_with_one_element_may_be_given_as_that_element(self) -> None:
+        contents = registry_response(instance("a"))
         contents["applications"]["application"] = {"name": APP, "instance": instance("a")}
         self.registry.replace(contents)
         assert len(self.entries()) == 1
 
-    def test_nonsense_is_an_error_and_changes_nothing(self) -> None:
-        self.registry.replace(answer(instance("a")))
-        nonsense: tuple[Any, ...] = (
+    def test_an_invalid_list_raises_and_leaves_the_registry_unchanged(self) -> None:
+        self.registry.replace(registry_response(instance("a")))
+        invalid_responses: tuple[Any, ...] = (
             None,
             [],
             {},
             {"applications": {"application": [7]}},
             {"applications": {"application": [{"instance": {}}]}},
         )
-        for contents in nonsense:
+        for contents in invalid_responses:
             with self.subTest(contents=contents), pytest.raises(RegistryError):
                 self.registry.replace(contents)
         assert len(self.entries()) == 1
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -36,7 +36,7 @@
 from pearhill.routing.router import Router
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.simulator import wire
-from pearhill.simulator.adapter import Adapter, settings_of
+from pearhill.simulator.adapter import Adapter, parse_settings
 
 EXAMPLE = bytes.fromhex(
     "0c0000005a5c8000000000005900000005000000 05 04000000 03000000"
@@ -80,32 +80,34 @@
     return got
 
 
-def test_worked_events() -> None:
+def test_the_example_events_are_decoded() -> None:
     got = read(EXAMPLE)
     assert (got.seq, got.clock) == (12, 0x805C5A)
-    (a, arrived), (b, due), (c, left) = got.events
+    (a, arrived), (b, timer_fired), (c, disconnected) = got.events
     assert (a, b, c) == (3, 3, 5)
     assert arrived == RequestArrived(
         0x5D3A91C4, 0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 1200, 1800, 256, 240000, False, False
     )
-    assert (due, left) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
+    assert (timer_fired, disconnected) == (TimerFired(77), ClientDisconnected(0x0E6F2B19))
 
 
-def test_a_health_check_and_its_answer() -> None:
-    ((who, done),) = read(frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)).events
-    assert (who, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
+def test_a_health_check_is_encoded_and_its_result_decoded() -> None:
+    ((instance, done),) = read(
+        frame(bytes.fromhex("05 04000000 03000000 00 0b000000 78050000 f211902c c800 00"), 2)
+    ).events
+    assert (instance, done) == (3, HealthCheckEnded(0x2C9011F2, Outcome.ANSWERED, 1400, None))
     report = record(0, struct.pack("<IIHB2f", 9, 7, 503, 2, 0.25, 3.5))
-    (away,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
+    (rejected,) = read(frame(record(5, b"\x03\0\0\0") + report, 2)).events
     # A replica that rejects a health check is alive.
-    assert away[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, ReportedLoad(0.25, 3.5))
-    silent = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
-    timed_out = read(frame(record(5, b"\x03\0\0\0") + silent, 2)).events[0][1]
+    assert rejected[1] == HealthCheckEnded(7, Outcome.ANSWERED, 9, ReportedLoad(0.25, 3.5))
+    timeout_record = record(0, struct.pack("<IIHB", 9, 7, 504, 0))
+    timed_out = read(frame(record(5, b"\x03\0\0\0") + timeout_record, 2)).events[0][1]
     assert isinstance(timed_out, HealthCheckEnded)
     assert timed_out.outcome == Outcome.TIMEOUT
     assert wire.encode_action(SendHealthCheck(0x2C9011F2)) == bytes.fromhex("45 04000000 f211902c")
 
 
-def test_worked_outcome_and_list() -> None:
+def test_the_example_outcome_and_endpoint_list_are_decoded() -> None:
     ended = bytes.fromhex("1e000000 c4913a5d 00000000 c800 01 44480000 074a1203 0000 02 cdcccc3e0000a03f")
     listed = bytes.fromhex(
         "39000000 2900000000000000 03 02000000 074a1203 00 0000 0000 01 0000803f 0000000000000000"
@@ -124,7 +126,7 @@
     )
 
 
-def test_worked_actions() -> None:
+def test_the_example_actions_are_encoded() -> None:
     got = wire.encode_reply(
         12,
         [
@@ -150,7 +152,7 @@
         (MigrateStream(7), 76, "<I"),
     ],
 )
-def test_every_other_action_reads_back(action: Action, code: int, fields: str) -> None:
+def test_every_other_action_is_encoded_with_its_fields(action: Action, code: int, fields: str) -> None:
     raw = wire.encode_action(action)
     assert struct.unpack("<BI", raw[:5]) == (code, struct.calcsize(fields))
     assert list(struct.unpack(fields, raw[5:])) == [
@@ -160,12 +162,12 @@
     ]
 
 
-def test_fault_carries_its_text() -> None:
+def test_a_fault_is_encoded_with_its_text() -> None:
     assert wire.encode_action(wire.Fault("KeyError: 3")) == record(73, b"\x0b\0KeyError: 3")
 
 
 @pytest.mark.parametrize(
-    ("verdict", "detail", "outcome"),
+    ("status", "detail", "outcome"),
     [
         (102, 40, Outcome.PREFILLED),
         (503, 0, Outcome.FULL),
@@ -178,21 +180,21 @@
         (500, 0, Outcome.ERROR),
     ],
 )
-def test_outcomes(verdict: int, detail: int, outcome: Outcome) -> None:
-    body = struct.pack("<IIHBIIHB", 1, detail, verdict, 0, 9, 4, 0, 0)
+def test_statuses_are_decoded_to_outcomes(status: int, detail: int, outcome: Outcome) -> None:
+    body = struct.pack("<IIHBIIHB", 1, detail, status, 0, 9, 4, 0, 0)
     event = read(frame(record(5, b"\0\0\0\0") + record(8, body), 2)).events[0][1]
     assert isinstance(event, AttemptEnded)
     assert event.outcome == outcome
     assert event.load is None
-    assert event.cached_tokens == (40 if verdict == 102 else 0)
+    assert event.cached_tokens == (40 if status == 102 else 0)
 
 
-def test_first_token_reads_back() -> None:
+def test_a_response_start_is_decoded() -> None:
     event = read(frame(record(5, b"\0\0\0\0") + record(7, struct.pack("<IHII", 1, 2, 3, 4)), 2)).events[0][1]
     assert event == ResponseStarted(1, 2, 3, 4)
 
 
-def test_end_of_input_between_frames_is_the_end() -> None:
+def test_end_of_input_between_frames_returns_none() -> None:
     assert wire.read_frame(io.BytesIO(b""), lambda _: (0, 1)) is None
 
 
@@ -202,14 +204,14 @@
     )
 
 
-def test_adapter_answers_every_frame_and_exits_in_order() -> None:
+def test_the_adapter_replies_to_every_frame_and_exits_with_status_0() -> None:
     done = run(frame(b"", 0) + frame(start(), 2) + frame(b"", 0))
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout == struct.pack("<III", 1, 0, 0) * 3
 
 
 @pytest.mark.parametrize(
-    ("raw", "says"),
+    ("raw", "expected_text"),
     [
         (frame(start(), 2)[:-3], "ends after"),
         (frame(start(), 2)[:9], "header"),
@@ -225,11 +227,11 @@
         (struct.pack("<IQII", 1, 5, 2, 0), "too small"),
     ],
 )
-def test_malformed_input_is_one_plain_line_and_a_failure(raw: bytes, says: str) -> None:
+def test_malformed_input_prints_one_line_and_exits_with_an_error(raw: bytes, expected_text: str) -> None:
     done = run(raw)
     text = done.stderr.decode()
     assert done.returncode not in (0, 1)
-    assert says in text
+    assert expected_text in text
     assert text.count("\n") == 1
     assert "Traceback" not in text
 
@@ -237,16 +239,18 @@
 @pytest.mark.parametrize(
     ("change", "field"), [({"role-by-kind": ["read", "juggle"]}, "role"), ({"release-within": 0}, "release_within")]
 )
-def test_settings_without_sense_name_the_field(change: dict[str, Any], field: str) -> None:
+def test_an_error_in_the_settings_names_the_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(wire.WireError, match=field):
-        settings_of(json.dumps({**SETTINGS, "extra": {**SETTINGS["extra"], **change}}).encode())
+        parse_settings(json.dumps({**SETTINGS, "extra": {**SETTINGS["extra"], **change}}).encode())
 
 
-def test_an_exception_in_the_router_is_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_router_is_encoded_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: Router, now: int, event: Event) -> None:
         raise KeyError("gone wrong")
 
     monkeypatch.setattr("pearhill.routing.router.Router.handle", broken)
-    adapter, due = Adapter(), record(5, b"\x03\0\0\0") + record(1, b"\x01\0\0\0")
-    adapter.answer(read(frame(start(), 2)))
-    assert wire.encode_action(wire.Fault("KeyError: 'gone wrong'")) in adapter.answer(read(frame(due, 2)))
+    adapter, timer_fired = Adapter(), record(5, b"\x03\0\0\0") + record(1, b"\x01\0\0\0")
+    adapter.process_frame(read(frame(start(), 2)))
+    assert wire.encode_action(wire.Fault("KeyError: 'gone wrong'")) in adapter.process_frame(
+        read(frame(timer_fired, 2))
+    )
