--- a/pearhill/chat/schema/chat.py
+++ b/pearhill/chat/schema/chat.py
@@ -1,6 +1,6 @@
 """The request of `POST /v1/chat/completions`.
 
-Source: OpenAI's API reference, "Chat Completions". Sizes are tokens, ranges as published.
+Source: OpenAI's API reference, "Chat Completions". Sizes are in tokens; the ranges are those of the reference.
 """
 
 from __future__ import annotations
--- a/pearhill/simulator/adapter.py
+++ b/pearhill/simulator/adapter.py
@@ -16,7 +16,7 @@
 from pearhill.routing.settings import RouterSettings
 from pearhill.simulator import wire
 
-MALFORMED_INPUT_EXIT_STATUS = 2  # exit status of the process
+MALFORMED_INPUT_EXIT_STATUS = 2
 
 
 def parse_settings(raw: bytes) -> tuple[RouterSettings, wire.LoadPositions]:
--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -122,7 +122,7 @@
         self.replica.respond = lambda h, b: h.plain(500)
         with pytest.raises(openai.InternalServerError):
             client.chat.completions.create(model="booking", messages=MESSAGES)
-        assert self.replica.runs == 1  # X-Should-Retry: false
+        assert self.replica.runs == 1  # the answer has the header `X-Should-Retry: false`
         rejections = iter([True])
         self.replica.respond = lambda h, b: (
             h.plain(503, Not_Started="1") if next(rejections, False) else h.chunks(*TOKENS, LAST)
--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -1,4 +1,4 @@
-"""The Eureka client against a stand-in registry, in the running daemon, and the parsing of lists on its own."""
+"""The Eureka client of a running daemon against a stand-in registry, and the registry's lists in unit tests."""
 
 import json
 import pathlib
