--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from pearhill.eureka.registration import registration
+from pearhill.eureka.registration import registration_body
 from pearhill.eureka.registry import Registry, RegistryError
 from pearhill.eureka.setup import EurekaSetup
 from pearhill.http1 import messages
@@ -24,7 +24,7 @@
 CALL_TIMEOUT_US = 5_000_000
 CANCEL_TIMEOUT_US = 1_000_000
 MAX_RETRY_INTERVAL_US = 1_000_000  # upper limit of the pause after a failed call
-FAILURES = (OSError, TimeoutError, ValueError, ConnectError)
+CALL_ERRORS = (OSError, TimeoutError, ValueError, ConnectError)
 
 ListCallback = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
@@ -57,7 +57,7 @@
                 await self._update_registry(needs_full_list)
                 needs_full_list = False
                 self.on_list(True, *self.registry.endpoints(self.setup.replica_app, self.deployment))
-            except FAILURES as e:
+            except CALL_ERRORS as e:
                 logger.warning(
                     "eureka: fetching the instance list failed, the previous list stays in use: {error}", error=repr(e)
                 )
@@ -76,7 +76,7 @@
                     await self._register(address)
                 elif not await self._renew():
                     wait = 0
-            except FAILURES as e:
+            except CALL_ERRORS as e:
                 logger.warning("eureka: registration or lease renewal failed: {error}", error=repr(e))
                 wait = min(period, MAX_RETRY_INTERVAL_US)
             await pause(self.pool.deadlines, wait)
@@ -93,7 +93,7 @@
         self._may_be_registered = False
         try:
             await self._call("DELETE", self._instance_path, timeout=CANCEL_TIMEOUT_US)
-        except FAILURES as e:
+        except CALL_ERRORS as e:
             logger.warning("eureka: cancelling the registration failed: {error}", error=repr(e))
 
     async def _update_registry(self, full: bool) -> None:
@@ -105,7 +105,7 @@
 
     async def _register(self, address: Address) -> None:
         self._may_be_registered = True
-        body = registration(self.setup, self._instance_id, address)
+        body = registration_body(self.setup, self._instance_id, address)
         status, _ = await self._call("POST", f"/apps/{quote(self.setup.register_as)}", body)
         if status not in (200, 204):
             raise RegistryError(f"the registration was answered with status {status}")
--- a/pearhill/eureka/registration.py
+++ b/pearhill/eureka/registration.py
@@ -9,7 +9,7 @@
 from pearhill.net.address import Address
 
 
-def registration(setup: EurekaSetup, instance_id: str, address: Address) -> dict[str, Any]:
+def registration_body(setup: EurekaSetup, instance_id: str, address: Address) -> dict[str, Any]:
     """Returns the body of a registration, as Eureka's REST description defines it."""
     host, port = address
     now_ms = int(time.time() * 1000)
--- a/pearhill/simulator/wire.py
+++ b/pearhill/simulator/wire.py
@@ -35,8 +35,8 @@
 from pearhill.routing.outcomes import Outcome
 from pearhill.routing.topology import Endpoint, Phase
 
-PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
-OUTCOMES = {
+PHASES_BY_CODE = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
+OUTCOMES_BY_STATUS = {
     200: Outcome.ANSWERED,
     102: Outcome.PREFILLED,
     500: Outcome.ERROR,
@@ -47,8 +47,8 @@
     499: Outcome.CANCELLED,
     410: Outcome.NOT_SENT,
 }
-HEALTH_CHECK_REJECTED = 503  # status of a health check; a replica that rejects the check is alive
-NO_STATE_DETAIL = 1  # detail of an attempt with status 503: the replica has lost the request's state
+HEALTH_CHECK_REJECTED_STATUS = 503  # status of a health check; a replica that rejects the check is alive
+STATE_LOST_DETAIL = 1  # detail of an attempt with status 503: the replica has lost the request's state
 STATUSES_WITH_CACHED_TOKENS = (102, 200)  # statuses of an attempt whose detail is the number of cached tokens
 OPTION_IS_RETRY = 2
 OPTION_RESUMED = 16
@@ -160,9 +160,9 @@
 def _endpoint(body: bytes, number: int) -> Endpoint:
     offset = _LIST_HEADER.size + _LIST_ENTRY.size * number
     replica, zone, kind, cell, phase, weight, started = _LIST_ENTRY.unpack_from(body, offset)
-    if phase not in PHASES:
+    if phase not in PHASES_BY_CODE:
         raise WireError(f"list entry {number} has the unknown phase {phase}")
-    return Endpoint(replica, zone, kind, cell, PHASES[phase], weight, started)
+    return Endpoint(replica, zone, kind, cell, PHASES_BY_CODE[phase], weight, started)
 
 
 def _request_arrived(body: bytes) -> RequestArrived:
@@ -205,18 +205,18 @@
 
 def _health_check_ended(body: bytes, positions: LoadPositions) -> HealthCheckEnded:
     elapsed, replica, status, count = _HEALTH_CHECK_ENDED.unpack_from(body)
-    rejected = status == HEALTH_CHECK_REJECTED
-    outcome = Outcome.ANSWERED if rejected else OUTCOMES.get(status, Outcome.UNREACHABLE)
+    rejected = status == HEALTH_CHECK_REJECTED_STATUS
+    outcome = Outcome.ANSWERED if rejected else OUTCOMES_BY_STATUS.get(status, Outcome.UNREACHABLE)
     return HealthCheckEnded(replica, outcome, elapsed, _decode_load(body, _HEALTH_CHECK_ENDED.size, count, positions))
 
 
 def _attempt_ended(body: bytes, positions: LoadPositions) -> AttemptEnded:
     request, detail, status, settled, elapsed, replica, attempt, count = _ATTEMPT_ENDED.unpack_from(body)
     load = _decode_load(body, _ATTEMPT_ENDED.size, count, positions)
-    if status not in OUTCOMES:
+    if status not in OUTCOMES_BY_STATUS:
         raise WireError(f"ATTEMPT_ENDED has the unknown status {status}")
-    outcome = OUTCOMES[status]
-    if outcome == Outcome.FULL and detail == NO_STATE_DETAIL:
+    outcome = OUTCOMES_BY_STATUS[status]
+    if outcome == Outcome.FULL and detail == STATE_LOST_DETAIL:
         outcome = Outcome.STATE_LOST
     cached_tokens = detail if status in STATUSES_WITH_CACHED_TOKENS else 0
     return AttemptEnded(request, attempt, replica, outcome, bool(settled), cached_tokens, elapsed, load)
@@ -284,22 +284,22 @@
     offset = 0
     instance = -1
     for number in range(count):
-        where = f"frame {seq}, record {number} at byte {offset}"
+        location = f"frame {seq}, record {number} at byte {offset}"
         if offset + _RECORD_HEADER.size > len(body):
-            raise WireError(f"{where}: the frame ends before the record's header is complete")
+            raise WireError(f"{location}: the frame ends before the record's header is complete")
         code, size = _RECORD_HEADER.unpack_from(body, offset)
         offset += _RECORD_HEADER.size
         fields = body[offset : offset + size]
         offset += size
         if len(fields) < size:
-            raise WireError(f"{where}: {size} bytes stated, {len(fields)} present")
+            raise WireError(f"{location}: {size} bytes stated, {len(fields)} present")
         try:
             if code == EventCode.INSTANCE:
                 instance = _U32.unpack_from(fields)[0]
                 continue
             event = _decode_event(code, fields, instance, load_positions)
         except (WireError, struct.error) as e:
-            raise WireError(f"{where}: {e}") from None
+            raise WireError(f"{location}: {e}") from None
         if event is not None:
             yield instance, event
     if offset != len(body):
