--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -1,9 +1,9 @@
-"""The process's deadlines, by a clock that the test moves."""
+"""Deadlines with a clock that the test advances."""
 
 from pearhill.core.deadlines import Deadlines
 
 
-def test_callbacks_run_in_order_of_time_and_what_they_add_waits_for_the_next_sweep() -> None:
+def test_callbacks_run_in_order_of_due_time_and_those_they_add_wait_for_the_next_run() -> None:
     now = 0
     ran: list[str] = []
     deadlines = Deadlines(lambda: now)
--- a/tests/net/test_unread_input.py
+++ b/tests/net/test_unread_input.py
@@ -1,4 +1,4 @@
-"""A look at a socket takes nothing from it, and says when it has shown nothing."""
+"""A check for unread input consumes nothing, and reports when it could not determine the result."""
 
 import errno
 import os
@@ -12,7 +12,7 @@
 
 
 class FailingSocket:
-    """A socket on which every read fails with this error number."""
+    """A socket on which every read fails with the error `number`."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -29,17 +29,17 @@
             yield ours, theirs
 
 
-def test_a_look_shows_bytes_and_leaves_them(pair: tuple[socket.socket, socket.socket]) -> None:
+def test_a_check_finds_bytes_and_does_not_consume_them(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     assert peek_unread_input(ours) == UnreadInput.NONE
     theirs.sendall(b"two")
-    ours.recv(1, socket.MSG_PEEK)  # they are here
+    ours.recv(1, socket.MSG_PEEK)  # waits until they have arrived
     assert peek_unread_input(ours) == UnreadInput.SOME
     assert ours.recv(10) == b"two"
     assert peek_unread_input(ours) == UnreadInput.NONE
 
 
-def test_the_end_of_a_connection_is_no_input(pair: tuple[socket.socket, socket.socket]) -> None:
+def test_the_end_of_a_connection_is_not_unread_input(pair: tuple[socket.socket, socket.socket]) -> None:
     ours, theirs = pair
     theirs.shutdown(socket.SHUT_WR)
     assert ours.recv(1) == b""
@@ -55,6 +55,6 @@
         (errno.ECONNRESET, UnreadInput.NONE),
     ],
 )
-def test_a_look_that_fails_for_want_of_memory_or_by_a_signal_shows_nothing(number: int, found: UnreadInput) -> None:
+def test_a_failed_check_is_unknown_unless_the_connection_is_broken(number: int, found: UnreadInput) -> None:
     sock: Any = FailingSocket(number)
     assert peek_unread_input(sock) == found
