--- a/pearhill/chat/schema/chat.py
+++ b/pearhill/chat/schema/chat.py
@@ -1,6 +1,6 @@
 """The request of `POST /v1/chat/completions`.
 
-Source: OpenAI's API reference, "Chat Completions". Sizes are tokens, ranges as published.
+Source: OpenAI's API reference, "Chat Completions". Sizes are in tokens; the ranges are those of the reference.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pearhill.chat.schema.chunks import MAX_CHOICES
 from pearhill.chat.schema.messages import AssistantMessage, FilePart, Message, UserMessage
 from pearhill.chat.schema.reading import require
-from pearhill.chat.schema.tools import FunctionSpec, Name, Tool, ToolChoice, ToolName, check_tool_choice
+from pearhill.chat.schema.tools import FunctionSpec, Identifier, Tool, ToolChoice, ToolName, check_tool_choice
 
 MAX_TOKENS = 1_000_000
 Tokens = Annotated[int, Meta(ge=1, le=MAX_TOKENS)]
@@ -30,32 +30,32 @@
 
 
 class JsonFormat(Struct, tag_field="type", tag="json_object"):
-    """The answer is some JSON object."""
+    """The answer is a JSON object of any schema."""
 
 
 class SchemaSpec(Struct):
     """A JSON Schema with its name."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     schema: dict[str, Any] | None = None
     strict: bool | None = None
 
 
 class SchemaFormat(Struct, tag_field="type", tag="json_schema"):
-    """The answer is JSON of a schema."""
+    """The answer is JSON that follows a schema."""
 
     json_schema: SchemaSpec
 
 
 class StreamOptions(Struct):
-    """Options of a streamed answer. `include_usage`: with a last event that has the usage."""
+    """Options of a streamed answer. `include_usage`: whether a last event reports the usage."""
 
     include_usage: bool | None = None
     include_obfuscation: bool | None = None
 
 
-class AudioOut(Struct):
+class AudioOutput(Struct):
     """The voice and the encoding of an answer in audio."""
 
     voice: str | dict[str, Any]
@@ -63,7 +63,10 @@
 
 
 class ChatRequest(Struct):
-    """A request for a chat completion. Fields as in the reference; those that are not here go on to replicas unread."""
+    """A request for a chat completion.
+
+    The fields are those of the API reference. Fields that are not declared here are forwarded to replicas unchecked.
+    """
 
     model: Annotated[str, Meta(min_length=1, max_length=256)]
     messages: Annotated[list[Message], Meta(min_length=1, max_length=4096)]
@@ -88,7 +91,7 @@
     function_call: Literal["none", "auto"] | ToolName | None = None
     response_format: TextFormat | JsonFormat | SchemaFormat | None = None
     modalities: Annotated[list[Literal["text", "audio"]], Meta(min_length=1)] | None = None
-    audio: AudioOut | None = None
+    audio: AudioOutput | None = None
     reasoning_effort: Effort | None = None
     verbosity: Literal["low", "medium", "high"] | None = None
     service_tier: str | None = None
@@ -97,7 +100,10 @@
     store: bool | None = None
 
     def check(self) -> None:
-        """Check what involves several fields. ApiError: they do not go together, or are not offered here."""
+        """Check the rules that involve several fields.
+
+        Raises ApiError if fields contradict each other, or request something that this server does not offer.
+        """
         self._check_options()
         for number, message in enumerate(self.messages):
             if isinstance(message, AssistantMessage):
--- a/pearhill/chat/schema/tools.py
+++ b/pearhill/chat/schema/tools.py
@@ -1,4 +1,4 @@
-"""Tools of a chat request, and the choice among them.
+"""Tools of a chat request, and the client's choice among them.
 
 Source: OpenAI's API reference, "Chat Completions", `tools` and `tool_choice`.
 """
@@ -11,13 +11,13 @@
 
 from pearhill.chat.schema.reading import require
 
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-zA-Z0-9_.-]+$")]
+Identifier = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-zA-Z0-9_.-]+$")]
 
 
 class FunctionSpec(Struct):
     """A function that the model may call. `parameters`: a JSON Schema."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     parameters: dict[str, Any] | None = None
     strict: bool | None = None
@@ -30,9 +30,9 @@
 
 
 class CustomSpec(Struct):
-    """A tool whose input is free text. `format`: a grammar for it."""
+    """A tool whose input is free text. `format`: a grammar for that text."""
 
-    name: Name
+    name: Identifier
     description: str | None = None
     format: dict[str, Any] | None = None
 
@@ -47,7 +47,7 @@
 
 
 class ToolName(Struct):
-    """A tool, named in a choice."""
+    """The name of a chosen tool."""
 
     name: str
 
@@ -81,7 +81,7 @@
 
 
 def check_tool_choice(choice: ToolChoice | None, tools: list[Tool]) -> None:
-    """ApiError: the chosen tool is not among those given."""
+    """Raises ApiError if the chosen tool is not in `tools`."""
     if isinstance(choice, FunctionChoice):
         functions = {tool.function.name for tool in tools if isinstance(tool, FunctionTool)}
         require(
