--- a/pearhill/bill/__init__.py
+++ b/pearhill/bill/__init__.py
@@ -1,1 +1,1 @@
-"""The bill of a period: every charge as Parquet, and statements as HTML and CSV. Reads a journal, changes nothing."""
+"""The bill of a month: every charge as Parquet, and statements as HTML and CSV. Only reads the journal."""
--- a/pearhill/bill/files.py
+++ b/pearhill/bill/files.py
@@ -1,4 +1,4 @@
-"""The bill's files. pyarrow and jinja2 come with the extra `[lab]`."""
+"""Writes the files of a bill. Needs pyarrow and jinja2, which the extra `[lab]` installs."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def table(bill: Bill) -> pyarrow.Table:
-    """All charges of a bill, a column for each field of `Charge`."""
+    """Returns all charges of a bill as a table with a column for each field of `Charge`."""
     columns = {name: [getattr(charge, name) for charge in bill.charges] for name in SCHEMA.names}
     return pyarrow.table(columns, schema=SCHEMA)
 
 
 def html(bill: Bill) -> str:
-    """The statement as a page: a row for each tenant, and the total."""
+    """Renders the statement as an HTML page with a row for each tenant and the total."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.bill", "."),
         autoescape=True,
@@ -46,7 +46,7 @@
 
 
 def write(bill: Bill, folder: pathlib.Path) -> list[pathlib.Path]:
-    """Write the three files of a bill, and return their paths; the same bill makes the same files."""
+    """Write the Parquet, CSV and HTML files of a bill; returns their paths. The same bill produces the same files."""
     folder.mkdir(parents=True, exist_ok=True)
     base = folder / f"bill-{bill.period}"
     pyarrow.parquet.write_table(table(bill), f"{base}.parquet", compression="zstd")
--- a/pearhill/bill/statement.py
+++ b/pearhill/bill/statement.py
@@ -1,4 +1,4 @@
-"""From a journal's charges to what a tenant pays. Totals are sums of whole numbers: they equal the journal's."""
+"""Sums the charges of a journal by tenant. The totals are integer sums, so that they equal those of the journal."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True)
 class Line:
-    """What one tenant used in one period.
+    """The use of one tenant in one period.
 
-    `prompt`, `cached`, `answer` and `debt` are tokens, `milli` is thousandths of a token at the prices in force. The
-    names are the columns of the CSV file.
+    `prompt`, `cached`, `answer` and `debt` are in tokens; `milli` is the cost in thousandths of a token at the
+    prices in force. The names are the columns of the CSV file.
     """
 
     tenant: str
@@ -32,7 +32,7 @@
     milli: int = 0
 
     def add(self, charge: c.Charge) -> None:
-        """Count one charge."""
+        """Add one charge, or the rejections of one record."""
         if charge.outcome == c.REJECTED:
             self.refused += charge.count
             return
@@ -50,15 +50,15 @@
 
 @dataclass(slots=True)
 class Bill:
-    """The charges of one month, and a line for each tenant, in the order of their names."""
+    """The charges of one month, and a line for each tenant, sorted by name."""
 
-    period: str  # as in 2026-12
+    period: str  # YYYY-MM
     charges: list[c.Charge]
     lines: list[Line]
 
     @property
     def total(self) -> Line:
-        """The sum of all lines."""
+        """Returns the sum of all lines."""
         total = Line("total")
         for line in self.lines:
             for name in COLUMNS[1:]:
@@ -66,7 +66,7 @@
         return total
 
     def csv(self) -> str:
-        """The lines and the total as CSV, headed by the columns' names."""
+        """Formats the lines and the total as CSV with a header row."""
         out = io.StringIO()
         writer = csv.writer(out, lineterminator="\n")
         writer.writerow(("period", *COLUMNS))
@@ -76,7 +76,7 @@
 
 
 def sum_up(charges: Iterable[c.Charge], period: str, tenant: str = "") -> Bill:
-    """The bill of a month (`2026-12`), of one tenant or all. ValueError: the period is no month."""
+    """Returns the bill of a month such as `2026-12`, of one tenant or all. Raises ValueError for an invalid month."""
     month = month_of(period)
     lines: dict[str, Line] = {}
     kept: list[c.Charge] = []
@@ -89,5 +89,8 @@
 
 
 def read_folder(folder: pathlib.Path) -> list[c.Charge]:
-    """Every charge of a journal, once each. CorruptJournalError, OSError, ValueError: it cannot be read."""
+    """Returns every charge of a journal once.
+
+    Raises CorruptJournalError, OSError or ValueError if the journal cannot be read.
+    """
     return [c.decode_charge(one.body) for one in read_frames(folder)]
--- a/pearhill/budgets/__init__.py
+++ b/pearhill/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Token budgets: who may spend how much, counted and enforced. No I/O; every call is given the time."""
+"""Token budgets: counts and limits what each tenant may use. Performs no I/O; every call is given the time."""
 
 from pearhill.budgets.budgets import Budgets
 from pearhill.budgets.limits import Limit, Plan, Prices, TenantPlan
--- a/pearhill/budgets/admission.py
+++ b/pearhill/budgets/admission.py
@@ -1,4 +1,7 @@
-"""The rules of admission: what is reserved for a request, and which limit rejects it. Nothing is taken here."""
+"""The rules of admission: how much is reserved for a request, and which limit rejects it.
+
+The functions refill the levels but subtract nothing from them; `Budgets` makes the reservation.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,17 @@
 from pearhill.budgets.reservation import AdmissionDecision
 from pearhill.routing.events import AdmissionStatus
 
-OPEN_REQUEST_RETRY_US = 1_000_000  # after which an open request may have ended
+OPEN_REQUEST_RETRY_US = 1_000_000  # retry hint where only the end of an open request makes capacity available
 
-Path = tuple[BudgetLevel, ...]  # all levels that bound a request: the tenant's first
+Path = tuple[BudgetLevel, ...]  # all levels that limit a request; the tenant's is the first
 
 
 def refill_and_bound(path: Path, now: int, day: int, month: int, amount: int, worst: int) -> int:
-    """Bring the levels up to date, and return the amount to reserve.
+    """Refill the levels, enter the current period, and return the amount to reserve, in milli.
 
-    That is `amount`, or as much more as keeps what open requests may cost beyond their reservations within each debt.
-    The refill is written out: each arrival comes here, where a call costs as much as what it does.
+    The result is `amount`, increased where needed so that the exposure (the cost of open requests beyond their
+    reservations) stays within the maximum debt of each level. The refill is inlined because each arriving request
+    runs this function, and a method call costs as much as the refill itself.
     """
     for level in path:
         if now > level.refilled_at:
@@ -33,7 +37,11 @@
 
 
 def rejection(path: Path, amount: int, worst: int, wall: int, day: int) -> AdmissionDecision | None:
-    """Why a request is rejected whatever burst capacity there is. None: at most the tenant's own bucket is short."""
+    """Returns the rejection of a request that burst capacity cannot admit.
+
+    Returns None if the request can be admitted, or if only the balance of the tenant's own bucket is too low, in which
+    case the request may still borrow burst capacity.
+    """
     grains = amount * GRAINS_PER_MILLI
     own = path[0]
     for level in path:
@@ -55,12 +63,12 @@
 
 
 def over_rate(level: BudgetLevel, wait: int, reason: str = "tokens a minute") -> AdmissionDecision:
-    """A rejection by the rate of a level; `wait` is microseconds."""
+    """Returns a rejection by the rate limit of a level; `wait` is in microseconds."""
     return AdmissionDecision(AdmissionStatus.OVER_LIMIT, wait, f"{level.name}: {reason}")
 
 
 def _exhausted(level: BudgetLevel, amount: int, worst: int, wall: int, day: int) -> AdmissionDecision | None:
-    """Why a level admits nothing more, whatever burst capacity there is."""
+    """Returns the rejection by a limit of this level that burst capacity does not lift, or None if there is none."""
     limit = level.limit
     if limit.open and level.open_requests >= limit.open:
         reason = f"{level.name}: requests open at once"
@@ -78,13 +86,17 @@
 
 
 def _quota_used_up(reason: str, wall: int, day: int) -> AdmissionDecision:
-    """It may be asked for again the next day."""
+    """Returns a rejection by a daily or monthly quota, with the start of the next day in UTC as the time to retry."""
     until_next_day = max(1, (day + 1) * DAY_S - wall) * 1_000_000
     return AdmissionDecision(AdmissionStatus.OVER_LIMIT, until_next_day, reason, True)
 
 
 def _beyond_burst(level: BudgetLevel, worst: int) -> AdmissionDecision | None:
-    """What is larger than the burst is admitted on a full bucket, as far as the debt allows."""
+    """Returns the rejection of a request larger than the burst, or None if burst and debt together cover it.
+
+    Such a request is admitted once the bucket is full. The rejection carries no retry hint where the request exceeds
+    burst and debt on its own, because waiting does not help.
+    """
     if worst + level.exposure <= level.limit.burst * MILLI_PER_TOKEN + level.max_debt:
         return None
     reason = f"{level.name}: more than the burst and the debt allow"
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -1,4 +1,4 @@
-"""Admission and settlement: reserve before, settle after."""
+"""Admission and settlement: reserves tokens when a request is admitted, and charges the tokens used when it ends."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from pearhill.routing.events import AdmissionStatus
 from pearhill.structures.heavy_hitters import HeavyHitter, HeavyHitters
 
-TICK_INTERVAL_US = 10_000_000  # between looks for what may be forgotten, once one index has been looked through
-BUSY_TICK_INTERVAL_US = 100_000  # while it has not
+TICK_INTERVAL_US = 10_000_000  # pause between two sweeps for unused levels; one sweep covers one index
+BUSY_TICK_INTERVAL_US = 100_000  # interval of ticks during a sweep
 MAX_LEVELS_PER_TICK = 500  # bounds the work of one tick, whatever the number of levels
 MAX_CACHED_PATHS = 4_096
-SKETCH_SIZE = 64  # keys of the heavy-hitter sketch
-MAX_TOP_TENANTS = 10  # that the log names
-SAMPLE_MASK = 7  # the sketch is shown one arrival in eight
+SKETCH_SIZE = 64  # number of keys in the heavy-hitter sketch
+MAX_TOP_TENANTS = 10  # number of tenants in the log line of the heaviest users
+SAMPLE_MASK = 7  # the sketch counts one arrival in eight, with eight times its amount
 STATE_VERSION = 1
 GRAINS_PER_TOKEN = MILLI_PER_TOKEN * GRAINS_PER_MILLI
 
@@ -30,29 +30,29 @@
 
 
 class Budgets:
-    """All balances of one instance.
+    """All balances of one dispatcher.
 
-    Times: `now` in microseconds that never go back by much, `wall` in seconds of the calendar. Every call does a
-    bounded amount of work, but for `reconfigure`, `state` and `restore`, which go through all levels.
+    `now` is a time in microseconds that never goes back by much; `wall` is calendar time in seconds since 1970. Every
+    call does a bounded amount of work, except `reconfigure`, `state` and `restore`, which iterate over all levels.
     """
 
     def __init__(self, plan: Plan, now: int) -> None:
         self.plan = plan
         self.accounts: Index = {}
         self.tenants: Index = {}
-        self.keys: Index = {}  # by (tenant, key): a key that moves to another tenant begins anew there
+        self.keys: Index = {}  # by (tenant, key), so that a key that moves to another tenant starts with a new level
         self.answer_lengths: dict[str, AnswerLengths] = {}
         self.reservations: dict[int, Reservation] = {}
         self.burst_capacity = BurstCapacity(plan.capacity, plan.capacity_burst, now)
         self.heavy_hitters: HeavyHitters[str] = HeavyHitters(SKETCH_SIZE)
-        self._paths: dict[tuple[str, str], tuple[TenantPlan, Path]] = {}  # cached, by tenant and key
+        self._paths: dict[tuple[str, str], tuple[TenantPlan, Path]] = {}  # cache by tenant and key
         self._next_number = 1
         self._arrivals = 0
         self._tick_due = now + TICK_INTERVAL_US
-        self._sweep_keys: list[Any] = []  # keys of the index that is being looked through
-        self._swept_index = 0  # which of the three that is
-        self._period = (0, 0)  # the latest day and month seen
-        self._period_wall = -1  # the time for which that was looked up
+        self._sweep_keys: list[Any] = []  # keys that are still to be visited in the current sweep
+        self._swept_index = 0  # the index that is swept: 0 tenants, 1 accounts, 2 keys
+        self._period = (0, 0)  # the latest day and month that was in force
+        self._period_wall = -1  # the calendar time for which `_period` was computed
 
     # Levels.
 
@@ -63,7 +63,7 @@
         return level
 
     def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, Path]:
-        """The plan and the levels of a key, cached from now on."""
+        """Look up the plan and the levels of a key, and cache them."""
         plan = self.plan.tenants.get(tenant) or self.plan.default
         if len(self._paths) >= MAX_CACHED_PATHS:
             self._paths.clear()
@@ -71,7 +71,7 @@
         return found
 
     def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> Path:
-        """The tenant's level first, then whatever else bounds it."""
+        """Returns the levels that limit a request: the tenant's, then those of its account and its key if limited."""
         levels = [self._level(self.tenants, tenant, plan.limit, now)]
         if plan.account:
             levels.append(self._level(self.accounts, plan.account, self.plan.accounts[plan.account], now))
@@ -80,7 +80,7 @@
         return tuple(levels)
 
     def _indexes(self, plan: Plan) -> tuple[tuple[str, Index, Callable[[Any], Limit]], ...]:
-        """All levels by sort: the sort's name in the state, its index, and the limit that a plan has for a key."""
+        """For each kind of level: its name in the state, its index, and the function from a key to its limit."""
         return (
             ("tenants", self.tenants, lambda name: plan.tenant(name).limit),
             ("accounts", self.accounts, lambda name: plan.accounts.get(name, NO_LIMIT)),
@@ -92,10 +92,10 @@
     def admit(
         self, now: int, wall: int, tenant: str, key: str, prompt: int, most: int, hint: int = 0
     ) -> AdmissionDecision:
-        """Whether a request may be sent, and its reservation if so.
+        """Decide whether a request is admitted, and reserve its tokens if so.
 
-        `prompt` and `most` (its longest answer) are tokens; `hint` is how long its answer is likely to be, where that
-        is known.
+        `prompt` and `most` (the limit of the answer) are in tokens; `hint` is the expected length of the answer in
+        tokens, 0 if unknown.
         """
         plan, path = self._paths.get((tenant, key)) or self._find(tenant, key, now)
         answer_price = self.plan.prices.answer
@@ -124,7 +124,7 @@
         return AdmissionDecision(status, reservation=made)
 
     def _expected_answer(self, tenant: str, most: int, hint: int) -> int:
-        """Tokens to reserve for the answer: by the hint, else by the tenant's history, else the most."""
+        """Returns the tokens to reserve for the answer: the hint, else an estimate from the history, else `most`."""
         if hint:
             return hint if hint < most else most
         history = self.answer_lengths.get(tenant)
@@ -133,7 +133,10 @@
     def _borrow(
         self, now: int, tenant: str, weight: float, amount: int, own: BudgetLevel, wait: int
     ) -> AdmissionDecision | None:
-        """Take out of burst capacity what the tenant's own bucket has only after `wait`. None: it is taken."""
+        """Borrow `amount` from burst capacity, since the tenant's own bucket will hold it only after `wait`.
+
+        Returns the rejection, or None if the amount has been borrowed.
+        """
         if not (weight and self.burst_capacity.rate):
             return over_rate(own, wait)
         self.burst_capacity.refill(now)
@@ -145,7 +148,7 @@
     def _reserve(
         self, tenant: str, key: str, account: str, amount: int, worst: int, is_burst: bool, path: Path
     ) -> Reservation:
-        """Take an amount out of all levels, in the period in force."""
+        """Subtract an amount from all levels, in the current period, and record the reservation."""
         number = self._next_number
         self._next_number = number + 1
         day, month = self._period
@@ -155,7 +158,7 @@
         beyond = worst - amount
         own = path[0]
         for level in path:
-            if level.rate and not (is_burst and level is own):  # burst capacity is not out of the tenant's own bucket
+            if level.rate and not (is_burst and level is own):  # borrowed tokens do not come from the tenant's bucket
                 level.balance -= grains
             level.exposure += beyond
             level.open_requests += 1
@@ -166,9 +169,10 @@
     # Settlement.
 
     def settle(self, now: int, held: Reservation, used: Usage | None) -> int:
-        """A request is over; returns what it is charged, in milli. `used` None: it never ran.
+        """Replace a reservation by what its request used; returns the charge in milli.
 
-        A reservation settles once: further calls change nothing and return 0.
+        `used` is None if the request never ran, which costs nothing. A reservation settles once: further calls change
+        nothing and return 0.
         """
         if held.settled:
             return 0
@@ -179,7 +183,7 @@
             level.refill(now)
             balance = level.balance
             level.settle(held.amount, held.worst, charge, held.day, held.month)
-            if held.is_burst and not position:  # nothing was taken out of the tenant's own bucket
+            if held.is_burst and not position:  # nothing was subtracted from the tenant's own bucket
                 level.balance = balance
         if self.burst_capacity.rate:
             weight = self.plan.tenant(held.tenant).weight or 1.0
@@ -192,10 +196,10 @@
     # Queries.
 
     def balance(self, now: int, wall: int, tenant: str) -> dict[str, int]:
-        """The state of a tenant's budget, as its own clients may see it.
+        """Returns the state of a tenant's budget, as its own clients may see it.
 
-        Limit and what remains of tokens and requests, microseconds until the bucket is full, and what it has used in
-        the day and the month, in tokens.
+        The keys give the limits and remaining amounts of tokens and open requests, the microseconds until the bucket is
+        full, and the tokens used in the current day and month.
         """
         plan = self.plan.tenant(tenant)
         level = self.tenants.get(tenant)
@@ -219,20 +223,20 @@
         }
 
     def top_tenants(self) -> list[HeavyHitter[str]]:
-        """The tenants that have asked for most of late, in milli."""
+        """Returns the tenants whose recent requests had the highest expected cost, in milli."""
         return self.heavy_hitters.top(MAX_TOP_TENANTS)
 
     # Time and change.
 
     def tick(self, now: int) -> int:
-        """Forget levels that are as good as new; returns when to be called next.
+        """Remove levels whose state equals that of a new one; returns the time of the next call.
 
-        Without it each of hundreds of thousands of tenants would leave its levels behind for ever.
+        Without it the levels of hundreds of thousands of inactive tenants would stay in memory for ever.
         """
         if now < self._tick_due:
             return self._tick_due
         indexes = (self.tenants, self.accounts, self.keys)
-        if not self._sweep_keys:  # one index after the other: a list of its keys is all that is copied
+        if not self._sweep_keys:  # each sweep covers one index, so that only that index's keys are copied
             self._swept_index = (self._swept_index + 1) % len(indexes)
             self._sweep_keys = list(indexes[self._swept_index])
             if not self._swept_index:
@@ -252,13 +256,13 @@
         if not level.is_unused:
             return
         del index[key]
-        # A level that is found in a cached path would be charged and never looked at again.
+        # A cached path could still refer to the removed level: charges to it would have no effect on the new level.
         self._paths.clear()
         if index is self.tenants:
             self.answer_lengths.pop(key, None)
 
     def reconfigure(self, plan: Plan, now: int) -> None:
-        """Take other limits. A reservation stays with the levels that it was taken from, and settles there."""
+        """Apply the limits of a new plan. A reservation settles with the levels that it was subtracted from."""
         for _, index, limit_of in self._indexes(plan):
             for key, level in index.items():
                 level.refill(now)
@@ -269,21 +273,21 @@
         self._paths.clear()
 
     def current_period(self, wall: int) -> tuple[int, int]:
-        """The day and the month in force: never before one that was in force already."""
+        """Returns the current day and month, which never go back when the calendar clock does."""
         if wall != self._period_wall:
             self._period = max(self._period, periods(wall))
             self._period_wall = wall
         return self._period
 
     def _observe_period(self, day: int, month: int) -> None:
-        """A period was in force before this process began."""
+        """Enter a period that was in force before this process started, so that the clock cannot go behind it."""
         self._period = max(self._period, (day, month))
         self._period_wall = -1
 
     # Snapshots.
 
     def state(self) -> dict[str, Any]:
-        """All balances in plain values. Reservations are not among them: what they hold counts as given back."""
+        """Returns all balances as plain values, with the amounts of open reservations added back."""
         held = self._held_by_level()
         rows = {
             name: [_row(key, level, held.get(id(level), (0, 0, 0))) for key, level in index.items()]
@@ -293,7 +297,7 @@
         return {"version": STATE_VERSION, **rows, "answers": lengths}
 
     def _held_by_level(self) -> dict[int, tuple[int, int, int]]:
-        """What reservations hold of each level (by its `id`): of its bucket, its day and its month, in milli."""
+        """Returns the amounts reserved at each level (by `id`) of its bucket, its day and its month, in milli."""
         held: dict[int, tuple[int, int, int]] = {}
         for one in self.reservations.values():
             for position, level in enumerate(one.levels):
@@ -307,7 +311,7 @@
         return held
 
     def restore(self, state: dict[str, Any], now: int) -> None:
-        """Take balances that `state` returned, in a new object. ValueError: they are not of this version."""
+        """Load balances that `state` returned, into a new object. Raises ValueError if they are of another version."""
         if state.get("version") != STATE_VERSION:
             raise ValueError(f"balances of version {state.get('version')!r} cannot be read")
         for name, index, limit_of in self._indexes(self.plan):
@@ -340,7 +344,7 @@
         month: int,
         answer: int,
     ) -> None:
-        """Take a charge of the journal, made before a crash, as if it had been reserved and settled at its time."""
+        """Apply a charge of the journal, made before a crash, as if it had been reserved and settled at its time."""
         plan = replace(self.plan.tenant(tenant), account=account if account in self.plan.accounts else "")
         for position, level in enumerate(self._path(tenant, key, plan, now)):
             level.refill(now)
@@ -357,7 +361,7 @@
 
 
 def _row(key: Any, level: BudgetLevel, held: tuple[int, int, int]) -> list[Any]:
-    """A level in plain values, what reservations hold given back."""
+    """Returns a level as plain values, with the amounts of open reservations added back."""
     own, of_day, of_month = held
     balance = level.balance
     if level.rate:
--- a/pearhill/budgets/burst.py
+++ b/pearhill/budgets/burst.py
@@ -1,9 +1,10 @@
-"""What the fleet bears beyond what is guaranteed, given out by weight.
+"""Burst capacity: shares the fleet's capacity beyond the guaranteed rates among tenants by weight.
 
-Start-time fair queueing without the queue. Source: Goyal, Vin, Cheng, "Start-time fair queuing" (1996). Each borrower
-has a virtual time that grows by what it gets over its weight; the fleet's is that of the borrower that has had least
-among those rejected of late. While capacity is short only those that are not ahead of it get any; when they ask for
-less, the balance rises and the others get the rest, so that nothing idles while anyone asks.
+The method is start-time fair queueing without the queue. Source: Goyal, Vin, Cheng, "Start-time fair queuing" (1996).
+Each borrower has a virtual time that grows by the amount it receives divided by its weight. The fleet's virtual time
+is the lowest one among the recently rejected borrowers. During a shortage only borrowers that are at most one lead
+ahead of the fleet's virtual time receive capacity. When those request less than the rate, the balance rises above the
+shortage level and the others receive the rest, so that no capacity stays unused while a tenant requests it.
 """
 
 from __future__ import annotations
@@ -12,16 +13,18 @@
 
 from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN
 
-SHORTAGE_LEVEL = 0.5  # of the burst: below it, capacity is short
-MAX_LEAD = 0.05  # of the burst, over its weight: how far a borrower may be ahead of the last one during a shortage
-REJECTION_MEMORY_US = 1_000_000
+SHORTAGE_LEVEL = 0.5  # fraction of the burst; a balance below it is a shortage
+# How far a borrower may be ahead of the fleet's virtual time during a shortage: this fraction of the burst, divided by
+# the borrower's weight.
+MAX_LEAD = 0.05
+REJECTION_MEMORY_US = 1_000_000  # a rejected borrower that has not asked for so long no longer counts as rejected
 
 
 class BurstBorrower:
-    """One tenant that has asked for burst capacity.
+    """One tenant that has requested burst capacity.
 
-    `virtual_time`: grains over weight. `asked_at`: when it last did, in microseconds. `was_rejected`: it has been, of
-    late.
+    `virtual_time` is grains divided by weight. `asked_at` is the time of its latest request in microseconds.
+    `was_rejected` is true while a recent request of it was rejected.
     """
 
     __slots__ = ("tenant", "virtual_time", "asked_at", "was_rejected")
@@ -38,7 +41,7 @@
 
 
 class BurstCapacity:
-    """The fleet's bucket, in grains. Guaranteed work takes whatever it needs, down to minus one burst."""
+    """The fleet's token bucket, in grains. Guaranteed requests may lower its balance to minus one burst."""
 
     __slots__ = ("rate", "max_balance", "balance", "refilled_at", "virtual_time", "borrowers", "_rejected")
 
@@ -52,31 +55,31 @@
         self.balance = self.max_balance
 
     def set_capacity(self, capacity: int, burst: int) -> None:
-        """Take another capacity: `capacity` is tokens a minute, `burst` is tokens."""
+        """Set the capacity: `capacity` is in tokens a minute, `burst` in tokens."""
         self.rate = capacity * MILLI_PER_TOKEN
         self.max_balance = burst * MILLI_PER_TOKEN * GRAINS_PER_MILLI
         self.balance = min(self.balance, self.max_balance)
 
     def refill(self, now: int) -> None:
-        """Add what the capacity has given since the last time; a `now` that went back changes nothing."""
+        """Add the tokens accrued since the last refill; a `now` before it changes nothing."""
         if now > self.refilled_at:
             self.balance = min(self.max_balance, self.balance + self.rate * (now - self.refilled_at))
             self.refilled_at = now
 
     def take_guaranteed(self, amount: int) -> None:
-        """Guaranteed work takes so many milli, whether they are there or not."""
+        """Subtract `amount` milli for a guaranteed request, also where the balance does not cover them."""
         self.balance = max(-self.max_balance, self.balance - amount * GRAINS_PER_MILLI)
 
     def borrow(self, now: int, tenant: str, weight: float, amount: int) -> int:
-        """Take so many milli for a tenant. 0: it has got them; else the microseconds after which it may ask again."""
-        # What is larger than the burst is given once the bucket is full.
+        """Borrow `amount` milli for a tenant. Returns 0 on success, else the microseconds after which to retry."""
+        # An amount larger than the burst is granted once the bucket is full.
         wanted = min(amount * GRAINS_PER_MILLI, self.max_balance)
         lead = self.max_balance * MAX_LEAD / weight
         borrower = self.borrowers.get(tenant) or BurstBorrower(tenant)
         self.borrowers[tenant] = borrower
         self._advance_virtual_time(now)
         if not borrower.was_rejected:
-            # A tenant that stayed away, or asked for little, saves up no more than one lead.
+            # A tenant that requested nothing, or little, accumulates a claim of at most one lead.
             borrower.virtual_time = max(borrower.virtual_time, self.virtual_time - lead)
         borrower.asked_at = now
         wait = self._wait(wanted, borrower.virtual_time > self.virtual_time + lead)
@@ -90,14 +93,14 @@
         return wait
 
     def _advance_virtual_time(self, now: int) -> None:
-        """The fleet's virtual time is that of the last borrower among those rejected that have asked of late."""
+        """Advance the fleet's virtual time to the lowest one among borrowers that were rejected recently."""
         while self._rejected and self._rejected[0].asked_at < now - REJECTION_MEMORY_US:
             self._rejected.pop(0).was_rejected = False
         if self._rejected:
             self.virtual_time = max(self.virtual_time, self._rejected[0].virtual_time)
 
     def _wait(self, wanted: int, is_ahead: bool) -> int | None:
-        """Microseconds after which so many grains may be there for a borrower. None: they are there now."""
+        """Returns the microseconds until `wanted` grains may be available to a borrower, or None if they are now."""
         if self.balance < wanted:
             return -(-(wanted - self.balance) // self.rate)
         shortage = int(self.max_balance * SHORTAGE_LEVEL)
@@ -106,7 +109,7 @@
         return None
 
     def _charge(self, borrower: BurstBorrower, virtual_time: float) -> None:
-        """Move a borrower in virtual time, and keep the order of those that were rejected."""
+        """Add to a borrower's virtual time, and keep the rejected borrowers sorted."""
         if borrower.was_rejected:
             self._rejected.remove(borrower)
         borrower.virtual_time += virtual_time
@@ -114,7 +117,10 @@
             self._rejected.add(borrower)
 
     def settle(self, tenant: str, weight: float, amount: int, used: int) -> None:
-        """A reservation becomes what was used, both in milli. `tenant`: it was borrowed; empty: it was guaranteed."""
+        """Replace a reservation by what was used, both in milli.
+
+        `tenant` is the borrower; it is empty if the reservation was guaranteed.
+        """
         balance = self.balance + (amount - used) * GRAINS_PER_MILLI
         self.balance = max(-self.max_balance, min(self.max_balance, balance))
         borrower = self.borrowers.get(tenant)
@@ -122,7 +128,7 @@
             self._charge(borrower, (used - amount) * GRAINS_PER_MILLI / weight)
 
     def forget_idle(self) -> None:
-        """Borrowers that stay away and that virtual time has passed are as good as new ones."""
+        """Remove borrowers that do not differ from new ones: not rejected, and not ahead of the virtual time."""
         self.borrowers = {
             tenant: borrower
             for tenant, borrower in self.borrowers.items()
--- a/pearhill/budgets/charges.py
+++ b/pearhill/budgets/charges.py
@@ -1,4 +1,4 @@
-"""What the journal keeps of a charge, and how a folder of them becomes balances again. Bytes in, bytes out; no I/O."""
+"""The journal's records of charges, and the rebuilding of balances from them. Works on bytes and performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pearhill.budgets.budgets import Budgets
 
-# Outcomes, as the journal and the bill have them.
+# Outcomes, as written in the journal and the bill.
 ANSWERED = "answered"
 TRUNCATED = "broken"
 FAILED = "failed"
@@ -19,11 +19,12 @@
 
 
 class Charge(msgspec.Struct, array_like=True, frozen=True):
-    """One request that was settled, or `count` rejections of a tenant.
+    """One settled request, or `count` rejections of a tenant.
 
-    `at`: microseconds of the dispatcher's clock; `wall`: seconds of the calendar; `prompt`, `cached` and `answer`:
-    tokens; `milli`: what it costs; `spare`: it was out of burst capacity; `day` and `month`: its period. The names are
-    columns of the bill, and their order is the form in the journal.
+    `at` is in microseconds of the dispatcher's clock and `wall` in seconds of calendar time. `prompt`, `cached` and
+    `answer` are tokens; `milli` is the cost in thousandths of a token. `spare` is true if the request used burst
+    capacity. `day` and `month` are its period, both counted since 1970. The names are columns of the bill, and the
+    order of the fields is the format of the journal.
     """
 
     at: int
@@ -42,7 +43,7 @@
     spare: bool
     day: int
     month: int
-    debt: int = 0  # tokens by which it outgrew its reservation
+    debt: int = 0  # tokens used beyond the reservation
     count: int = 1
 
 
@@ -51,24 +52,24 @@
 
 
 def encode_charge(charge: Charge) -> bytes:
-    """A charge as the journal keeps it."""
+    """Encode a charge as a record of the journal."""
     return msgspec.msgpack.encode(charge)
 
 
 def decode_charge(body: bytes) -> Charge:
-    """The charge in a journal's record. ValueError: it is none."""
+    """Decode a record of the journal. Raises ValueError if it is not a charge."""
     return _charge_decoder.decode(body)
 
 
 def encode_state(budgets: Budgets) -> bytes:
-    """All balances, for a snapshot of the journal."""
+    """Encode all balances, for a snapshot of the journal."""
     return msgspec.msgpack.encode(budgets.state())
 
 
 def rebuild(budgets: Budgets, state: bytes | None, bodies: Iterable[bytes], now: int) -> int:
-    """Restore balances as they were when the last of the charges was made; returns how many charges were replayed.
+    """Restore the balances after the last of the charges; returns the number of records read, rejections included.
 
-    ValueError: the state or a charge cannot be read.
+    Raises ValueError if the state or a charge cannot be decoded.
     """
     if state is not None:
         budgets.restore(_state_decoder.decode(state), now)
--- a/pearhill/budgets/estimate.py
+++ b/pearhill/budgets/estimate.py
@@ -1,15 +1,16 @@
-"""How long a tenant's answers are likely to be: mean and deviation of its latest ones."""
+"""Estimates the length of a tenant's answers from the mean and mean deviation of its recent ones."""
 
 from __future__ import annotations
 
-MIN_MEAN_WEIGHT = 1 / 16  # of each new answer in the moving averages; the first ones weigh more
-MIN_HISTORY = 8  # answers until a tenant's own history counts alone
+MIN_MEAN_WEIGHT = 1 / 16  # weight of a new answer in the moving averages; answer n of the first 16 has weight 1/n
+MIN_HISTORY = 8  # number of answers from which the estimate alone counts, without the limit of the answer
 
 
 class AnswerLengths:
-    """Exponentially weighted mean and mean deviation of answers, in tokens.
+    """Exponentially weighted mean and mean deviation of the lengths of answers, in tokens.
 
-    Without a history the limit of the answer counts; with one, the mean and two deviations, up to the limit.
+    Without a history the expected length is the limit of the answer; with one, it is the mean plus two mean deviations,
+    at most the limit. With few answers it is interpolated between the two.
     """
 
     __slots__ = ("count", "mean", "spread", "estimate")
@@ -18,10 +19,10 @@
         self.count = 0
         self.mean = 0.0
         self.spread = 0.0
-        self.estimate = 0  # by the history alone; kept up to date, since it is asked for far more often
+        self.estimate = 0  # from the history alone; cached because it is read far more often than updated
 
     def add(self, answer: int) -> None:
-        """Take in the length of one more answer."""
+        """Update the averages with the length of one answer."""
         self.count += 1
         weight = max(MIN_MEAN_WEIGHT, 1 / self.count)
         if self.count > 1:
@@ -30,11 +31,11 @@
         self.update_estimate()
 
     def update_estimate(self) -> None:
-        """Work the estimate out anew, after a change of the averages."""
+        """Recompute the estimate after a change of the averages."""
         self.estimate = max(1, round(self.mean + 2 * self.spread))
 
     def expected(self, limit: int) -> int:
-        """The length to expect of an answer that may have `limit` tokens."""
+        """Returns the expected length of an answer that is limited to `limit` tokens."""
         if not self.count:
             return limit
         if self.count < MIN_HISTORY:
--- a/pearhill/budgets/level.py
+++ b/pearhill/budgets/level.py
@@ -1,20 +1,20 @@
 """One level of a budget: an account, a tenant or a key.
 
-It is brought up to date only when it is asked for (a lazily refilled token bucket), so a silent one costs nothing.
+Its token bucket is refilled lazily, on access, so an inactive level costs no computation.
 """
 
 from __future__ import annotations
 
 from pearhill.budgets.limits import GRAINS_PER_MILLI, MILLI_PER_TOKEN, Limit
 
-UNLIMITED = 1 << 62  # stands where there is no limit, so that each arrival compares figures alone
+UNLIMITED = 1 << 62  # replaces an absent limit, so that the check of an arrival needs no special case
 
 
 class BudgetLevel:
-    """A bucket, the counts of the day and the month, and what is open.
+    """A token bucket, the use in the current day and month, and the open requests.
 
-    Amounts are milli; `balance` and `max_balance` are grains. `exposure`: what open requests could cost beyond their
-    reservations.
+    Amounts are in milli; `balance` and `max_balance` are in grains. `exposure` is the cost that open requests could
+    reach beyond their reservations.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         self.balance = self.max_balance
 
     def set_limit(self, limit: Limit) -> None:
-        """Other limits from now on. What is reserved, owed and used stays."""
+        """Apply other limits. Reservations, debts and use so far remain."""
         self.limit = limit
         self.rate = limit.tokens_per_min * MILLI_PER_TOKEN
         self.max_balance = limit.burst * MILLI_PER_TOKEN * GRAINS_PER_MILLI
@@ -61,9 +61,9 @@
         self.max_month_used = limit.month * MILLI_PER_TOKEN or UNLIMITED
 
     def refill(self, now: int) -> None:
-        """Add what the rate has given since the last time.
+        """Add the tokens accrued since the last refill.
 
-        A `now` that went back changes nothing: it would take away what was given, or give it twice.
+        A `now` before the last refill changes nothing: it would remove tokens that were added, or add them twice.
         """
         if now <= self.refilled_at:
             return
@@ -72,7 +72,7 @@
         self.refilled_at = now
 
     def enter_period(self, day: int, month: int) -> None:
-        """Count for this day and month from now on. A clock that steps back does not open a closed period again."""
+        """Start the counts of a later day or month. A clock that steps back does not reopen an earlier period."""
         if day > self.day:
             self.day = day
             self.day_used = 0
@@ -82,11 +82,14 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether it is as good as new, and may be forgotten."""
+        """Whether the level equals a new one, so that it may be removed from memory."""
         return self.balance >= self.max_balance and not (self.open_requests or self.day_used or self.month_used)
 
     def settle(self, amount: int, worst: int, used: int, day: int, month: int) -> None:
-        """A reservation becomes what was used. A period that has ended meanwhile keeps it: it was counted there."""
+        """Replace a reservation by what was used.
+
+        The count of a day or month that has ended meanwhile is not corrected: the reservation was counted there.
+        """
         if self.rate:
             balance = self.balance + (amount - used) * GRAINS_PER_MILLI
             self.balance = balance if balance < self.max_balance else self.max_balance
@@ -98,6 +101,6 @@
             self.month_used += used - amount
 
     def time_until(self, amount: int) -> int:
-        """Microseconds until the bucket holds so many milli, or all that it can hold."""
+        """Returns the microseconds until the bucket holds `amount` milli, or is full if `amount` exceeds its size."""
         lacking = min(amount * GRAINS_PER_MILLI, self.max_balance) - self.balance
         return -(-lacking // self.rate) if lacking > 0 else 0
--- a/pearhill/budgets/limits.py
+++ b/pearhill/budgets/limits.py
@@ -1,7 +1,8 @@
-"""The limits in force and the prices, as the configuration has them.
+"""The limits and prices of the configuration.
 
-Amounts are thousandths of a token ("milli"), so that a cached token may cost a tenth. Balances are kept in grains: a
-rate in milli a minute times microseconds is a whole number of them, so that nothing is lost by rounding.
+Amounts are in thousandths of a token ("milli"), so that a cached token may cost a tenth. Balances are in grains:
+a milli is 60,000,000 grains, one for each microsecond of a minute, so that a rate in milli a minute times microseconds
+is a whole number of grains and no refill is rounded.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """The limits of one level, in tokens and requests; 0: no limit of that sort.
+    """The limits of one level, in tokens and requests; 0 means no limit of that kind.
 
-    `debt` bounds what answers may outgrow their reservations by, those of all open requests together.
+    `debt` limits the tokens that the answers of all open requests together may use beyond their reservations.
     """
 
     tokens_per_min: int = 0
@@ -30,9 +31,9 @@
     def __post_init__(self) -> None:
         for name in ("tokens_per_min", "burst", "day", "month", "open", "debt"):
             if getattr(self, name) < 0:
-                raise ValueError(f"{name}: must not be below 0")
+                raise ValueError(f"{name}: must be 0 or more")
         if self.tokens_per_min and not self.burst:
-            raise ValueError("burst: a rate needs one")
+            raise ValueError("burst: must be above 0 where tokens_per_min is set")
 
 
 NO_LIMIT = Limit()
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantPlan:
-    """A tenant's guarantee, its weight in sharing burst capacity (0: it gets none), and the limits of each key."""
+    """A tenant's guaranteed limits, its weight for burst capacity (0 excludes it), and the limits of each key."""
 
     limit: Limit = NO_LIMIT
     account: str = ""
@@ -50,20 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What tokens cost, in thousandths of the price of a prompt's token."""
+    """The prices of tokens, in thousandths of the price of a prompt token."""
 
     cached: int = MILLI_PER_TOKEN
     answer: int = MILLI_PER_TOKEN
 
     def cost(self, prompt: int, cached: int, answer: int) -> int:
-        """What a run costs, in milli. `cached` tokens are among the prompt's."""
+        """Returns the cost of a request in milli. The `cached` tokens are part of the `prompt` tokens."""
         cached = min(cached, prompt)
         return (prompt - cached) * MILLI_PER_TOKEN + cached * self.cached + answer * self.answer
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All limits in force. `capacity`: tokens a minute that the fleet bears; 0: there is no burst capacity."""
+    """All limits in force. `capacity` is what the fleet can serve in tokens a minute; 0 disables burst capacity."""
 
     tenants: Mapping[str, TenantPlan] = field(default_factory=dict)
     accounts: Mapping[str, Limit] = field(default_factory=dict)
@@ -75,10 +76,10 @@
     def __post_init__(self) -> None:
         for name, tenant in self.tenants.items():
             if tenant.account and tenant.account not in self.accounts:
-                raise ValueError(f"tenant {name!r}: there is no account {tenant.account!r}")
+                raise ValueError(f"tenant {name!r}: account {tenant.account!r} is not declared")
         if self.capacity and not self.capacity_burst:
-            raise ValueError("capacity_burst: a capacity needs one")
+            raise ValueError("capacity_burst: must be above 0 where capacity is set")
 
     def tenant(self, name: str) -> TenantPlan:
-        """A tenant's plan, or the default one."""
+        """Returns the plan of a tenant, or the default plan."""
         return self.tenants.get(name, self.default)
--- a/pearhill/budgets/periods.py
+++ b/pearhill/budgets/periods.py
@@ -1,4 +1,4 @@
-"""The days and months by which quotas are counted, in UTC."""
+"""The days and months of quotas, in UTC."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def periods(wall: int) -> tuple[int, int]:
-    """The day and the month (both counted since 1970, in UTC) of a time in seconds.
+    """Returns the day and the month of a time in seconds, both counted since 1970 in UTC.
 
-    Source: H. Hinnant, "chrono-compatible low-level date algorithms", civil_from_days, whose names the locals have.
+    Source: H. Hinnant, "chrono-compatible low-level date algorithms", civil_from_days. The local variables have the
+    names of that article.
     """
     day = wall // DAY_S
     z = day + 719_468
@@ -25,12 +26,12 @@
 
 
 def month_name(month: int) -> str:
-    """A month counted since 1970, as YYYY-MM."""
+    """Formats a month, counted since 1970, as YYYY-MM."""
     return f"{EPOCH_YEAR + month // MONTHS_A_YEAR}-{month % MONTHS_A_YEAR + 1:02}"
 
 
 def month_of(name: str) -> int:
-    """The number of a month given as YYYY-MM. ValueError: it is none."""
+    """Parses a month YYYY-MM to its number since 1970. Raises ValueError if the text is not such a month."""
     year, dash, month = name.partition("-")
     if not (
         dash
--- a/pearhill/budgets/reservation.py
+++ b/pearhill/budgets/reservation.py
@@ -1,4 +1,4 @@
-"""The records of a request's way through the budgets: decision, reservation, usage."""
+"""The records of a request in the budgets: the admission decision, the reservation and the usage."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True)
 class AdmissionDecision:
-    """Whether an arrival is admitted.
+    """Whether an arriving request is admitted.
 
-    `retry_after`: microseconds until it would be, as far as is known. `reason`: the level and the limit that speak
-    against it. `quota_exhausted`: a quota is used up, and coming back soon is of no use.
-    `reservation`: None where it is not admitted.
+    `retry_after` is the time in microseconds after which it may be admitted, 0 if none is known. `reason` names the
+    level and the limit that reject it. `quota_exhausted` is true where a retry soon would be rejected too: a quota of
+    the day or month is used up, or the request exceeds burst and debt. `reservation` is None for a rejected request.
     """
 
     status: AdmissionStatus
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a run has used, in tokens. `cached` are among the prompt's."""
+    """The tokens that a request used. `cached` tokens are part of `prompt`."""
 
     prompt: int = 0
     cached: int = 0
@@ -35,10 +35,11 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """What is held for one request until it is settled.
+    """The amount reserved for one request until it is settled.
 
-    `amount` and `worst` (what it could cost) are milli; `day` and `month` are the period that it belongs to, whenever
-    it ends. `is_burst`: it is out of burst capacity, not out of the tenant's own bucket. `levels`: the tenant's first.
+    `amount` and `worst` (the highest possible cost) are in milli. `day` and `month` are the period in which the request
+    was admitted; its charge counts there, whenever it ends. `is_burst` is true if the amount was borrowed from burst
+    capacity, not subtracted from the tenant's own bucket. The first of `levels` is the tenant's.
     """
 
     number: int
--- a/pearhill/cli/__init__.py
+++ b/pearhill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, on typer. The platform's daemon (`python -m pearhill`) needs none of it."""
+"""The command line, built on typer. The platform's daemon (`python -m pearhill`) does not import it."""
--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`pearhill fleet`: the status of many dispatchers and aggregators from their operators' addresses, summed up."""
+"""`pearhill fleet`: queries the admin endpoints of dispatchers and aggregators, and sums up their status."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 MAX_ANSWER_BYTES = 4 << 20
 MAX_CONCURRENT_QUERIES = 32
 
-Status = dict[str, Any]  # an answer to GET /ops/fleet
+Status = dict[str, Any]  # the response to GET /ops/fleet
 
 
 def fleet_status(addresses: list[str], timeout_s: float) -> dict[str, Any]:
-    """Query all addresses at once, `timeout_s` seconds for each answer; the sum of their answers."""
+    """Query all addresses concurrently, with a timeout in seconds for each, and return the sum of their responses."""
     with ThreadPoolExecutor(min(MAX_CONCURRENT_QUERIES, max(1, len(addresses)))) as pool:
         answers = pool.map(lambda address: query_status(address, timeout_s), addresses)
         return sum_up(zip(addresses, answers, strict=True))
 
 
 def query_status(address: str, timeout_s: float) -> Status | str:
-    """One address's answer, or the reason why there is none."""
+    """Returns the status that one address responds with, or as a string the reason why it has none."""
     try:
         with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as answer:
             status = json.loads(answer.read(MAX_ANSWER_BYTES))
     except urllib.error.HTTPError as e:
-        return f"answers {e.code}: it does not talk" if e.code == 404 else f"answers {e.code}"
+        return f"HTTP status {e.code}: belongs to no fleet" if e.code == 404 else f"HTTP status {e.code}"
     except (OSError, ValueError) as e:
         return str(getattr(e, "reason", e)) or type(e).__name__
-    return status if _is_status(status) else "answers something else"
+    return status if _is_status(status) else "response is not a fleet status"
 
 
 def _is_status(status: object) -> bool:
-    """Whether it has the parts of a dispatcher's or of an aggregator's status that are summed up."""
+    """Whether the value has the keys of a dispatcher's or an aggregator's status that are summed up."""
     if not isinstance(status, dict):
         return False
     of_aggregator = isinstance(status.get("aggregator"), str) and isinstance(status.get("peers"), dict)
@@ -46,8 +46,11 @@
 
 
 def sum_up(answers: Iterable[tuple[str, Status | str]]) -> dict[str, Any]:
-    """The dispatchers' own work added up by replica; what they report of each other is left out, so that nothing counts
-    twice. The keys are read by programs (`pearhill fleet --json`)."""
+    """Sum the dispatchers' own load by replica.
+
+    The load that dispatchers report of each other is left out, because it would count twice. Programs read the keys
+    from the output of `pearhill fleet --json`.
+    """
     dispatchers: dict[str, Any] = {}
     aggregators: dict[str, Any] = {}
     silent: dict[str, str] = {}
@@ -102,7 +105,7 @@
 
 
 def status_lines(status: dict[str, Any]) -> Iterator[str]:
-    """The sum as lines for the terminal: replicas, evenness, dispatchers, aggregators."""
+    """Formats the sum as lines for the terminal: replicas, evenness, dispatchers, aggregators."""
     yield f"{'engine':24} {'waiting':>10} {'under way':>10} {'dispatchers':>11} {'avoided by':>10}"
     for name, row in status["engines"].items():
         yield f"{name:24} {row['waiting']:>10} {row['load']:>10} {row['dispatchers']:>11} {row['avoided_by']:>10}"
@@ -129,5 +132,5 @@
 
 
 def age_text(age_s: float | None) -> str:
-    """How long ago something was received last, in seconds; None: never."""
+    """Formats the age in seconds of what was received last; None means that nothing was received."""
     return "never heard" if age_s is None else f"{age_s:.1f} s old"
--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -1,4 +1,4 @@
-"""`pearhill lab`: run a scenario, compare two runs, measure the fleet's control."""
+"""`pearhill lab`: run scenarios, compare two runs, measure the overhead of fleet membership and load exchange, soak."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import typer
 
-app = typer.Typer(no_args_is_help=True, help="The laboratory: scenarios on loopback stand-ins.")
+app = typer.Typer(no_args_is_help=True, help="Load tests and simulations with stand-in replicas on loopback.")
 
 
 def _fail(why: object) -> NoReturn:
@@ -24,17 +24,17 @@
 
 
 def _require_extra() -> None:
-    """End with one line if the packages of the extra `[lab]` are missing. Commands import the laboratory after it."""
+    """Exit with one line if the packages of the extra `[lab]` are missing. Commands call it before such imports."""
     try:
         from pearhill.lab import report, run, scenario  # noqa: F401
     except ImportError as e:
-        _fail(f"{e.name} is needed for the laboratory: pip install 'pearhill[lab]'")
+        _fail(f"{e.name} is required by `pearhill lab`: pip install 'pearhill[lab]'")
 
 
 @app.command("run")
 def run_scenario(
-    file: Annotated[Path, typer.Argument(help="the scenario (TOML)", show_default=False)],
-    out: Annotated[Path, typer.Option(help="where the results go, as Parquet and HTML")] = Path("."),
+    file: Annotated[Path, typer.Argument(help="scenario file (TOML)", show_default=False)],
+    out: Annotated[Path, typer.Option(help="folder for the results (Parquet and HTML)")] = Path("."),
 ) -> None:
     """Run a scenario and write its results: FILE.parquet and FILE.html."""
     from pearhill.config import ConfigError
@@ -59,17 +59,17 @@
 
 
 def _result_file(folder: Path, scenario_file: Path) -> Path:
-    """Where a scenario's rows are written; the folder is made if it is missing."""
+    """Returns the path of a scenario's Parquet file; creates the folder if it is missing."""
     folder.mkdir(parents=True, exist_ok=True)
     return folder / f"{scenario_file.stem}.parquet"
 
 
 @app.command("fleet")
 def run_fleet(
-    file: Annotated[Path, typer.Argument(help="the scenario (TOML), with [fleet]", show_default=False)],
-    out: Annotated[Path, typer.Option(help="where the results go, as Parquet and HTML")] = Path("."),
+    file: Annotated[Path, typer.Argument(help="scenario file (TOML) with a [fleet] table", show_default=False)],
+    out: Annotated[Path, typer.Option(help="folder for the results (Parquet and HTML)")] = Path("."),
 ) -> None:
-    """Run many dispatchers before the same engines, with faults, and say how even the work was."""
+    """Run many dispatchers with the same replicas and with faults, and print how evenly the load was spread."""
     from pearhill.config import ConfigError
 
     _require_extra()
@@ -91,24 +91,25 @@
 
 @app.command("scale")
 def run_scale(
-    file: Annotated[Path | None, typer.Argument(help="the plan (TOML)", show_default=False)] = None,
+    file: Annotated[Path | None, typer.Argument(help="scale plan (TOML)", show_default=False)] = None,
     json_file: Annotated[Path | None, typer.Option("--json", help="write the results to this file")] = None,
-    report_file: Annotated[Path | None, typer.Option("--report", help="write the page to this file")] = None,
+    report_file: Annotated[Path | None, typer.Option("--report", help="write the HTML report to this file")] = None,
     page: Annotated[
         bool,
         typer.Option(
-            "--page", help="no run: make docs/CAPACITY.md anew from docs/capacity/*.json, " "in the project's folder"
+            "--page",
+            help="run nothing: write docs/CAPACITY.md from docs/capacity/*.json, " "in the root of the repository",
         ),
     ] = False,
 ) -> None:
-    """Measure what the fleet's control costs over a grid of sizes, with hollow dispatchers beside real ones."""
+    """Measure the cost of gossip and aggregation over a grid of fleet sizes, with simulated and real dispatchers."""
     _require_extra()
     if page:
         if file or json_file or report_file:
-            _fail("--page: found a plan or a file to write beside it; allowed: --page alone")
+            _fail("--page: found a plan or an output file with it; allowed: --page alone")
         return _write_capacity_pages()
     if file is None:
-        _fail("FILE: found none; allowed: a plan, or --page")
+        _fail("FILE: missing; allowed: a plan, or --page")
     _run_plan(file, json_file, report_file)
 
 
@@ -123,7 +124,7 @@
 
 
 def _run_plan(file: Path, json_file: Path | None, report_file: Path | None) -> None:
-    """Run a scale plan, write its results also if it was stopped, and print its slopes."""
+    """Run a scale plan, write its results (also those of a run that stopped early), and print its slopes."""
     from pearhill.config import ConfigError
     from pearhill.lab.scale import plan, report, run
 
@@ -159,7 +160,7 @@
 def bring_up(
     file: Annotated[Path, typer.Argument(help="the operator's file (TOML)", show_default=False)],
 ) -> None:
-    """Serve an operator's file before stand-in engines, where it says that servers are, until Ctrl-C."""
+    """Serve an operator's file, with stand-in replicas at the server addresses that it lists, until Ctrl-C."""
     from pearhill.chat import setup
     from pearhill.config import ConfigError
 
@@ -175,11 +176,11 @@
 
 @app.command()
 def compare(
-    before: Annotated[Path, typer.Argument(help="a run's Parquet file", show_default=False)],
-    after: Annotated[Path, typer.Argument(help="another's", show_default=False)],
-    out: Annotated[Path, typer.Option(help="the page")] = Path("compare.html"),
+    before: Annotated[Path, typer.Argument(help="Parquet file of the first run", show_default=False)],
+    after: Annotated[Path, typer.Argument(help="Parquet file of the second run", show_default=False)],
+    out: Annotated[Path, typer.Option(help="HTML report to write")] = Path("compare.html"),
 ) -> None:
-    """Put two runs side by side."""
+    """Compare the results of two runs."""
     _require_extra()
     from pearhill.lab import report, run
 
@@ -195,13 +196,13 @@
 
 @app.command("soak")
 def run_soak(
-    seeds: Annotated[int, typer.Option(help="how many seeds to play")] = 10,
+    seeds: Annotated[int, typer.Option(help="number of seeds to run")] = 10,
     first: Annotated[int, typer.Option(help="the first seed")] = 1,
-    seconds: Annotated[float, typer.Option(help="of load for each seed")] = 12.0,
-    dispatchers: Annotated[int, typer.Option(help="real processes, 10 to 40", min=10, max=40)] = 10,
-    logs: Annotated[Path | None, typer.Option(help="a folder for the log lines behind each violation")] = None,
+    seconds: Annotated[float, typer.Option(help="seconds of load for each seed")] = 12.0,
+    dispatchers: Annotated[int, typer.Option(help="number of dispatcher processes, 10 to 40", min=10, max=40)] = 10,
+    logs: Annotated[Path | None, typer.Option(help="folder for the log lines around each violation")] = None,
 ) -> None:
-    """Randomized fault soak: real dispatchers, overlapping faults, the rules as oracle. Exit code 1: a violation."""
+    """Soak test: real dispatchers under random overlapping faults, checked by rules. Exits with 1 on a violation."""
     from pearhill.lab.soak import run
 
     broken = 0
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -1,4 +1,4 @@
-"""`pearhill`: serve, aggregator, check, schema, key, conform, bill, lab, fleet, version."""
+"""The command `pearhill`: serve, aggregator, check, schema, key, conform, bill, lab, fleet, version."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    help="A dispatcher for language-model servers.",
+    help="A dispatcher for language-model replicas.",
 )
 app.add_typer(lab.app, name="lab")
 File = Annotated[Path, typer.Argument(help="the operator's file (TOML)", show_default=False)]
 
 
 class LogFormat(str, Enum):
-    """The forms of the log: the values of `--log-format`."""
+    """The formats of the log: the values of `--log-format`."""
 
     text = "text"
     json = "json"
@@ -51,7 +51,7 @@
     log_level: Annotated[str, typer.Option(help="least level that is logged", envvar="PEARHILL_LOG")] = "INFO",
     log_format: Annotated[LogFormat, typer.Option(help="text, or one JSON object a line")] = LogFormat.text,
 ) -> None:
-    """Serve the chat API as the operator's file says, until SIGTERM."""
+    """Serve the chat API with the settings of the operator's file, until SIGTERM."""
     path = str(file)
 
     def work() -> Coroutine[Any, Any, None]:
@@ -62,12 +62,12 @@
 
 @app.command()
 def aggregator(
-    file: Annotated[Path, typer.Argument(help="the control machine's file (TOML)", show_default=False)],
-    check_only: Annotated[bool, typer.Option("--check", help="read the file, say what is in it, and end")] = False,
+    file: Annotated[Path, typer.Argument(help="the aggregator's file (TOML)", show_default=False)],
+    check_only: Annotated[bool, typer.Option("--check", help="check the file, print a summary, and exit")] = False,
     log_level: Annotated[str, typer.Option(help="least level that is logged", envvar="PEARHILL_LOG")] = "INFO",
     log_format: Annotated[LogFormat, typer.Option(help="text, or one JSON object a line")] = LogFormat.text,
 ) -> None:
-    """Sum up what dispatchers report, as the control machine's file says, until SIGTERM. Exit code 2: bad file."""
+    """Sum up the loads of dispatchers, with the settings of FILE, until SIGTERM. Exits with 2 if FILE is invalid."""
     path = str(file)
 
     def work() -> Coroutine[Any, Any, None]:
@@ -87,7 +87,7 @@
 
 @app.command()
 def check(file: File) -> None:
-    """Read the operator's file and say what is in it, or what is wrong. Exit code 2: it cannot be used."""
+    """Check the operator's file, and print a summary or the error. Exits with 2 if the file is invalid."""
     try:
         found = setup.load(str(file))
     except ConfigError as e:
@@ -95,13 +95,13 @@
     models = {model.name for model in found.reading.models.values()}
     print(f"{file}: good. {_contents(found, len(models))}")
     if not found.keyring:
-        print("  note: no tenants are declared, so everyone who reaches the port may ask")
+        print("  note: no tenants are declared, so every client that can connect is served")
     if not models:
-        print("  note: no models are declared, so any name goes on to the servers")
+        print("  note: no models are declared, so requests for any model name are forwarded")
 
 
 def _contents(found: setup.ChatSetup, models: int) -> str:
-    """What an operator's file holds, in one line."""
+    """Summarizes an operator's file in one line."""
     parts = [
         f"{len(found.endpoints)} servers{', eureka' if found.eureka else ''}",
         f"{models} models",
@@ -130,9 +130,9 @@
 
 @app.command()
 def key(
-    known: Annotated[bool, typer.Option("--known", help="read a key that exists from standard input")] = False,
+    known: Annotated[bool, typer.Option("--known", help="read an existing key from standard input")] = False,
 ) -> None:
-    """Make an API key and the record that the operator's file keeps of it."""
+    """Generate an API key, and print it with its record for the operator's file."""
     made = sys.stdin.readline().strip() if known else keys.new_key()
     try:
         record = keys.record_of(made)
@@ -146,15 +146,16 @@
 
 @app.command()
 def conform(
-    url: Annotated[str, typer.Argument(help="the front's base URL; none: this version's own daemon")] = "",
+    url: Annotated[str, typer.Argument(help="base URL of the front end; without it, the daemon of this version")] = "",
     listen: Annotated[
-        str, typer.Option(help="where the scripted server listens; the front must have it as its only " "server")
+        str,
+        typer.Option(help="address of the scripted replica, which must be the only replica of the " "front end"),
     ] = "127.0.0.1:0",
-    key: Annotated[str, typer.Option(help="an API key for the front", envvar="PEARHILL_KEY")] = "",
-    only: Annotated[str, typer.Option(help="only cases whose name contains this")] = "",
+    key: Annotated[str, typer.Option(help="an API key for the front end", envvar="PEARHILL_KEY")] = "",
+    only: Annotated[str, typer.Option(help="run only cases whose name contains this text")] = "",
     write: Annotated[str, typer.Option(help="write the report to this Markdown file")] = "",
 ) -> None:
-    """Run the conformance suite. Exit code 1: some case does not hold."""
+    """Run the conformance suite. Exits with 1 if a case fails."""
     from pearhill.conformance.errors import ConformanceRunError
     from pearhill.conformance.runner import conform_own, conform_url
 
@@ -172,10 +173,10 @@
 
 @app.command()
 def bill(
-    folder: Annotated[Path, typer.Argument(help="the budgets' folder", show_default=False)],
-    period: Annotated[str, typer.Option(help="the month, as in 2026-12")],
-    tenant: Annotated[str, typer.Option(help="this tenant alone")] = "",
-    out: Annotated[Path, typer.Option(help="where the files go")] = Path("."),
+    folder: Annotated[Path, typer.Argument(help="folder of the journal of budgets", show_default=False)],
+    period: Annotated[str, typer.Option(help="the month, for example 2026-12")],
+    tenant: Annotated[str, typer.Option(help="only this tenant")] = "",
+    out: Annotated[Path, typer.Option(help="folder for the files")] = Path("."),
 ) -> None:
     """Write the bill of a month: every charge as Parquet, statements as HTML and CSV."""
     from pearhill.bill import statement
@@ -190,7 +191,7 @@
     try:
         from pearhill.bill import files
     except ImportError as e:
-        _fail(f"{e.name} is needed for the files: pip install 'pearhill[lab]'")
+        _fail(f"{e.name} is required to write the files: pip install 'pearhill[lab]'")
     for path in files.write(made, out):
         print(path)
     total = made.total
@@ -201,12 +202,12 @@
 def fleet(
     doors: Annotated[
         list[str],
-        typer.Argument(help="operators' addresses of dispatchers and aggregators, HOST:PORT", show_default=False),
+        typer.Argument(help="admin addresses of dispatchers and aggregators, HOST:PORT", show_default=False),
     ],
-    as_json: Annotated[bool, typer.Option("--json", help="one JSON object")] = False,
-    wait_s: Annotated[float, typer.Option(help="for each answer, in seconds", min=0.1, max=60)] = 2.0,
+    as_json: Annotated[bool, typer.Option("--json", help="print one JSON object")] = False,
+    wait_s: Annotated[float, typer.Option(help="time-out of each query in seconds", min=0.1, max=60)] = 2.0,
 ) -> None:
-    """Ask many dispatchers what work they have, and add it up. Exit code 1: some did not answer."""
+    """Query dispatchers and aggregators for their load, and sum it up. Exits with 1 if a query fails."""
     from pearhill.cli.fleet import fleet_status, status_lines
 
     status = fleet_status(doors, wait_s)
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,4 +1,4 @@
-"""The budgets by themselves: a virtual clock, tables of cases, and a state machine against a plain model."""
+"""The budgets without a dispatcher: cases on a virtual clock, and a state machine against a model in fractions."""
 
 import datetime
 import random
@@ -16,7 +16,7 @@
 from pearhill.budgets.reservation import AdmissionDecision, Reservation
 
 S = 1_000_000
-T0, WALL = 10**15, 1_796_083_200  # in seconds: the first of December 2026
+T0, WALL = 10**15, 1_796_083_200  # WALL is 2026-12-01 00:00 UTC in seconds
 
 
 def budgets(now: int = T0, **tenants: TenantPlan) -> Budgets:
@@ -27,7 +27,7 @@
 
 
 def reservation(decision: AdmissionDecision) -> Reservation:
-    """What is reserved for a request, which must have been admitted."""
+    """Returns the reservation of a request, which must have been admitted."""
     assert decision.reservation is not None
     return decision.reservation
 
@@ -70,7 +70,7 @@
         assert b.balance(T0, WALL, "a")["remaining_tokens"] == 890
         held = reservation(b.admit(T0, WALL, "a", "", 90, 2_400, hint=800))
         assert held.amount == 890 * MILLI_PER_TOKEN
-        b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved: served whole
+        b.settle(T0, held, Usage(90, 0, 2_400))  # three times as long as reserved, and not cut off
         assert b.balance(T0, WALL, "a")["debt_tokens"] == 1_600
         decision = b.admit(T0, WALL, "a", "", 1, 1)
         assert (decision.status, decision.retry_after) == (AdmissionStatus.OVERDRAWN, 1_602 * S)
@@ -128,7 +128,7 @@
         held = reservation(b.admit(T0, end - 1, "a", "", 900, 100))
         after = b.admit(T0 + S, end, "a", "", 800, 100)
         assert after.reservation is not None
-        b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # of yesterday: today's count is not touched
+        b.settle(T0 + 2 * S, held, Usage(900, 0, 100))  # the charge belongs to yesterday: today's count does not change
         assert b.balance(T0, end, "a")["day_tokens"] == 900
         assert (held.day, reservation(after).day) == (end // DAY_S - 1, end // DAY_S)
         stepped = b.admit(T0 + 3 * S, end - 5, "a", "", 50, 10)  # the calendar steps back over midnight
@@ -170,8 +170,11 @@
         capacity: int,
         seconds: int = 120,
     ) -> tuple[dict[str, float], float, dict[str, int]]:
-        """Tokens a minute served to each tenant that asks for `rates`; the share of capacity used while anyone was
-        rejected; refusals."""
+        """Offer `rates` tokens a minute of each tenant.
+
+        Returns the tokens a minute served to each tenant and the fraction of capacity used, both without the first
+        30 s, and the number of rejections of each tenant.
+        """
         rng, b = random.Random(7), Budgets(Plan(plans, capacity=capacity, capacity_burst=capacity // 6), T0)
         events = sorted(
             (T0 + int(rng.random() * seconds * S), name)
@@ -235,11 +238,11 @@
             b.settle(T0 + k * 100, reservation(decision), Usage(90, 0, 10))
         assert (
             b.admit(T0 + S, WALL, "t1", "", 190, 10).status == AdmissionStatus.OVER_LIMIT
-        )  # guaranteed work has taken all
+        )  # guaranteed requests have used all capacity
         now = T0 + 30 * S
         for _ in range(1_000):
             now = b.tick(now)
-        assert len(b.tenants) == 10_000  # what was used in a period is not forgotten before its end
+        assert len(b.tenants) == 10_000  # a level keeps the use of a period until its end
 
     def test_tenants_that_have_used_nothing_are_forgotten(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100))
@@ -298,7 +301,7 @@
                             )
                         )
                     )
-            left_open = live.admit(now, WALL, "a", "k", 10, 10)  # open at the crash: let go
+            left_open = live.admit(now, WALL, "a", "k", 10, 10)  # open at the crash: its reservation is dropped
             again = Budgets(made, T0)
             rebuild(again, state, journal, now)
             live.settle(now, left_open.reservation, None) if left_open.reservation else None
@@ -315,7 +318,7 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Any interleaving of arrivals, ends, reloads, crashes and time against exact fractions."""
+    """Compares balances with exact fractions over random sequences of arrivals, settlements, ticks and restarts."""
 
     LIMIT = Limit(tokens_per_min=600, burst=300, debt=120, day=100_000)
 
@@ -368,7 +371,7 @@
 
     @rule(micros=st.integers(-5 * S, 20 * S))
     def wait(self, micros: int) -> None:
-        self.budgets.balance(self.now + min(0, micros), WALL, "a")  # a look from the past changes nothing
+        self.budgets.balance(self.now + min(0, micros), WALL, "a")  # a read at an earlier time changes nothing
         self.now += max(0, micros)
 
     @rule()
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a process."""
+"""The command line, run as a process."""
 
 import json
 import re
@@ -25,7 +25,7 @@
 
 
 class Served(Program):
-    """`pearhill serve` in place of `python -m pearhill`."""
+    """Starts `pearhill` instead of `python -m pearhill`."""
 
     LAUNCH = ("-c", "from pearhill.cli.main import main; main()")
 
