--- a/pearhill/bill/statement.py
+++ b/pearhill/bill/statement.py
@@ -79,13 +79,13 @@
     """Returns the bill of a month such as `2026-12`, of one tenant or all. Raises ValueError for an invalid month."""
     month = month_of(period)
     lines: dict[str, Line] = {}
-    kept: list[c.Charge] = []
+    selected: list[c.Charge] = []
     for charge in charges:
         if charge.month != month or (tenant and charge.tenant != tenant):
             continue
-        kept.append(charge)
+        selected.append(charge)
         lines.setdefault(charge.tenant, Line(charge.tenant)).add(charge)
-    return Bill(month_name(month), kept, [lines[name] for name in sorted(lines)])
+    return Bill(month_name(month), selected, [lines[name] for name in sorted(lines)])
 
 
 def read_folder(folder: pathlib.Path) -> list[c.Charge]:
@@ -93,4 +93,4 @@
 
     Raises CorruptJournalError, OSError or ValueError if the journal cannot be read.
     """
-    return [c.decode_charge(one.body) for one in read_frames(folder)]
+    return [c.decode_charge(frame.body) for frame in read_frames(folder)]
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from pearhill.budgets.admission import Path, over_rate, refill_and_bound, rejection
+from pearhill.budgets.admission import LevelPath, find_rejection, rate_rejection, refill_and_size
 from pearhill.budgets.burst import BurstCapacity
 from pearhill.budgets.estimate import AnswerLengths
 from pearhill.budgets.level import BudgetLevel
@@ -19,7 +19,7 @@
 TICK_INTERVAL_US = 10_000_000  # pause between two sweeps for unused levels; one sweep covers one index
 BUSY_TICK_INTERVAL_US = 100_000  # interval of ticks during a sweep
 MAX_LEVELS_PER_TICK = 500  # bounds the work of one tick, whatever the number of levels
-MAX_CACHED_PATHS = 4_096
+MAX_CACHE_ENTRIES = 4_096
 SKETCH_SIZE = 64  # number of keys in the heavy-hitter sketch
 MAX_TOP_TENANTS = 10  # number of tenants in the log line of the heaviest users
 SAMPLE_MASK = 7  # the sketch counts one arrival in eight, with eight times its amount
@@ -45,7 +45,7 @@
         self.reservations: dict[int, Reservation] = {}
         self.burst_capacity = BurstCapacity(plan.capacity, plan.capacity_burst, now)
         self.heavy_hitters: HeavyHitters[str] = HeavyHitters(SKETCH_SIZE)
-        self._paths: dict[tuple[str, str], tuple[TenantPlan, Path]] = {}  # cache by tenant and key
+        self._paths: dict[tuple[str, str], tuple[TenantPlan, LevelPath]] = {}  # cache by tenant and key
         self._next_number = 1
         self._arrivals = 0
         self._tick_due = now + TICK_INTERVAL_US
@@ -62,15 +62,15 @@
             level = index[key] = BudgetLevel(key if isinstance(key, str) else key[1], limit, now)
         return level
 
-    def _find(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, Path]:
+    def _look_up(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, LevelPath]:
         """Look up the plan and the levels of a key, and cache them."""
         plan = self.plan.tenants.get(tenant) or self.plan.default
-        if len(self._paths) >= MAX_CACHED_PATHS:
+        if len(self._paths) >= MAX_CACHE_ENTRIES:
             self._paths.clear()
-        found = self._paths[tenant, key] = plan, self._path(tenant, key, plan, now)
-        return found
+        entry = self._paths[tenant, key] = plan, self._path(tenant, key, plan, now)
+        return entry
 
-    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> Path:
+    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> LevelPath:
         """Returns the levels that limit a request: the tenant's, then those of its account and its key if limited."""
         levels = [self._level(self.tenants, tenant, plan.limit, now)]
         if plan.account:
@@ -90,45 +90,45 @@
     # Admission.
 
     def admit(
-        self, now: int, wall: int, tenant: str, key: str, prompt: int, most: int, hint: int = 0
+        self, now: int, wall: int, tenant: str, key: str, prompt: int, max_answer: int, hint: int = 0
     ) -> AdmissionDecision:
         """Decide whether a request is admitted, and reserve its tokens if so.
 
-        `prompt` and `most` (the limit of the answer) are in tokens; `hint` is the expected length of the answer in
-        tokens, 0 if unknown.
+        `prompt` and `max_answer` (the limit of the answer) are in tokens; `hint` is the expected length of the answer
+        in tokens, 0 if unknown.
         """
-        plan, path = self._paths.get((tenant, key)) or self._find(tenant, key, now)
+        plan, path = self._paths.get((tenant, key)) or self._look_up(tenant, key, now)
         answer_price = self.plan.prices.answer
         prompt_cost = prompt * MILLI_PER_TOKEN
-        worst = prompt_cost + most * answer_price
+        max_cost = prompt_cost + max_answer * answer_price
         day, month = self._period if wall == self._period_wall else self.current_period(wall)
-        expected = prompt_cost + self._expected_answer(tenant, most, hint) * answer_price
-        amount = refill_and_bound(path, now, day, month, expected, worst)
+        expected = prompt_cost + self._expected_answer(tenant, max_answer, hint) * answer_price
+        amount = refill_and_size(path, now, day, month, expected, max_cost)
         self._arrivals += 1
         if self._arrivals & SAMPLE_MASK == 0:
             self.heavy_hitters.add(tenant, amount * (SAMPLE_MASK + 1))
-        rejected = rejection(path, amount, worst, wall, day)
-        if rejected:
-            return rejected
+        rejection = find_rejection(path, amount, max_cost, wall, day)
+        if rejection:
+            return rejection
         own = path[0]
-        wait = own.time_until(amount) if own.rate and own.balance < amount * GRAINS_PER_MILLI else 0
+        wait = own.time_until_available(amount) if own.rate and own.balance < amount * GRAINS_PER_MILLI else 0
         if wait:
-            rejected = self._borrow(now, tenant, plan.weight, amount, own, wait)
-            if rejected:
-                return rejected
+            rejection = self._borrow(now, tenant, plan.weight, amount, own, wait)
+            if rejection:
+                return rejection
         elif self.burst_capacity.rate:
             self.burst_capacity.refill(now)
-            self.burst_capacity.take_guaranteed(amount)
+            self.burst_capacity.consume_guaranteed(amount)
         status = AdmissionStatus.BURST if wait else AdmissionStatus.WITHIN_LIMIT
-        made = self._reserve(tenant, key, plan.account, amount, worst, wait > 0, path)
-        return AdmissionDecision(status, reservation=made)
+        reservation = self._reserve(tenant, key, plan.account, amount, max_cost, wait > 0, path)
+        return AdmissionDecision(status, reservation=reservation)
 
-    def _expected_answer(self, tenant: str, most: int, hint: int) -> int:
-        """Returns the tokens to reserve for the answer: the hint, else an estimate from the history, else `most`."""
+    def _expected_answer(self, tenant: str, max_answer: int, hint: int) -> int:
+        """Returns the tokens to reserve for the answer: the hint, an estimate from the history, or `max_answer`."""
         if hint:
-            return hint if hint < most else most
+            return hint if hint < max_answer else max_answer
         history = self.answer_lengths.get(tenant)
-        return history.expected(most) if history else most
+        return history.expected_length(max_answer) if history else max_answer
 
     def _borrow(
         self, now: int, tenant: str, weight: float, amount: int, own: BudgetLevel, wait: int
@@ -138,59 +138,61 @@
         Returns the rejection, or None if the amount has been borrowed.
         """
         if not (weight and self.burst_capacity.rate):
-            return over_rate(own, wait)
+            return rate_rejection(own, wait)
         self.burst_capacity.refill(now)
         burst_wait = self.burst_capacity.borrow(now, tenant, weight, amount)
         if burst_wait:
-            return over_rate(own, min(wait, burst_wait), "tokens a minute, and nothing is spare")
+            return rate_rejection(own, min(wait, burst_wait), "tokens a minute, and nothing is spare")
         return None
 
     def _reserve(
-        self, tenant: str, key: str, account: str, amount: int, worst: int, is_burst: bool, path: Path
+        self, tenant: str, key: str, account: str, amount: int, max_cost: int, is_burst: bool, path: LevelPath
     ) -> Reservation:
         """Subtract an amount from all levels, in the current period, and record the reservation."""
         number = self._next_number
         self._next_number = number + 1
         day, month = self._period
-        made = Reservation(number, tenant, key, account, amount, worst, is_burst, day, month, path)
-        self.reservations[number] = made
+        reservation = Reservation(number, tenant, key, account, amount, max_cost, is_burst, day, month, path)
+        self.reservations[number] = reservation
         grains = amount * GRAINS_PER_MILLI
-        beyond = worst - amount
+        excess = max_cost - amount
         own = path[0]
         for level in path:
             if level.rate and not (is_burst and level is own):  # borrowed tokens do not come from the tenant's bucket
                 level.balance -= grains
-            level.exposure += beyond
+            level.exposure += excess
             level.open_requests += 1
             level.day_used += amount
             level.month_used += amount
-        return made
+        return reservation
 
     # Settlement.
 
-    def settle(self, now: int, held: Reservation, used: Usage | None) -> int:
+    def settle(self, now: int, reservation: Reservation, used: Usage | None) -> int:
         """Replace a reservation by what its request used; returns the charge in milli.
 
         `used` is None if the request never ran, which costs nothing. A reservation settles once: further calls change
         nothing and return 0.
         """
-        if held.settled:
+        if reservation.settled:
             return 0
-        held.settled = True
-        del self.reservations[held.number]
+        reservation.settled = True
+        del self.reservations[reservation.number]
         charge = self.plan.prices.cost(used.prompt, used.cached, used.answer) if used else 0
-        for position, level in enumerate(held.levels):
+        for position, level in enumerate(reservation.levels):
             level.refill(now)
             balance = level.balance
-            level.settle(held.amount, held.worst, charge, held.day, held.month)
-            if held.is_burst and not position:  # nothing was subtracted from the tenant's own bucket
+            level.settle(reservation.amount, reservation.max_cost, charge, reservation.day, reservation.month)
+            if reservation.is_burst and not position:  # nothing was subtracted from the tenant's own bucket
                 level.balance = balance
         if self.burst_capacity.rate:
-            weight = self.plan.tenant(held.tenant).weight or 1.0
+            weight = self.plan.tenant(reservation.tenant).weight or 1.0
             self.burst_capacity.refill(now)
-            self.burst_capacity.settle(held.tenant if held.is_burst else "", weight, held.amount, charge)
+            self.burst_capacity.settle(
+                reservation.tenant if reservation.is_burst else "", weight, reservation.amount, charge
+            )
         if used and used.answer:
-            self.answer_lengths.setdefault(held.tenant, AnswerLengths()).add(used.answer)
+            self.answer_lengths.setdefault(reservation.tenant, AnswerLengths()).add(used.answer)
         return charge
 
     # Queries.
@@ -288,27 +290,27 @@
 
     def state(self) -> dict[str, Any]:
         """Returns all balances as plain values, with the amounts of open reservations added back."""
-        held = self._held_by_level()
+        reserved = self._reserved_by_level()
         rows = {
-            name: [_row(key, level, held.get(id(level), (0, 0, 0))) for key, level in index.items()]
+            name: [_level_row(key, level, reserved.get(id(level), (0, 0, 0))) for key, level in index.items()]
             for name, index, _ in self._indexes(self.plan)
         }
-        lengths = {name: [each.count, each.mean, each.spread] for name, each in self.answer_lengths.items()}
+        lengths = {name: [each.count, each.mean, each.mean_deviation] for name, each in self.answer_lengths.items()}
         return {"version": STATE_VERSION, **rows, "answers": lengths}
 
-    def _held_by_level(self) -> dict[int, tuple[int, int, int]]:
+    def _reserved_by_level(self) -> dict[int, tuple[int, int, int]]:
         """Returns the amounts reserved at each level (by `id`) of its bucket, its day and its month, in milli."""
-        held: dict[int, tuple[int, int, int]] = {}
-        for one in self.reservations.values():
-            for position, level in enumerate(one.levels):
-                own, of_day, of_month = held.get(id(level), (0, 0, 0))
-                is_borrowed = one.is_burst and not position
-                held[id(level)] = (
-                    own + (0 if is_borrowed else one.amount),
-                    of_day + (one.amount if one.day == level.day else 0),
-                    of_month + (one.amount if one.month == level.month else 0),
+        reserved: dict[int, tuple[int, int, int]] = {}
+        for reservation in self.reservations.values():
+            for position, level in enumerate(reservation.levels):
+                in_bucket, in_day, in_month = reserved.get(id(level), (0, 0, 0))
+                is_borrowed = reservation.is_burst and not position
+                reserved[id(level)] = (
+                    in_bucket + (0 if is_borrowed else reservation.amount),
+                    in_day + (reservation.amount if reservation.day == level.day else 0),
+                    in_month + (reservation.amount if reservation.month == level.month else 0),
                 )
-        return held
+        return reserved
 
     def restore(self, state: dict[str, Any], now: int) -> None:
         """Load balances that `state` returned, into a new object. Raises ValueError if they are of another version."""
@@ -325,11 +327,11 @@
                 level.month = month
                 level.month_used = month_used
                 self._observe_period(day, month)
-        for name, (count, mean, spread) in state["answers"].items():
+        for name, (count, mean, mean_deviation) in state["answers"].items():
             lengths = self.answer_lengths[name] = AnswerLengths()
             lengths.count = count
             lengths.mean = mean
-            lengths.spread = spread
+            lengths.mean_deviation = mean_deviation
             lengths.update_estimate()
 
     def replay(
@@ -360,18 +362,18 @@
             self.answer_lengths.setdefault(tenant, AnswerLengths()).add(answer)
 
 
-def _row(key: Any, level: BudgetLevel, held: tuple[int, int, int]) -> list[Any]:
+def _level_row(key: Any, level: BudgetLevel, reserved: tuple[int, int, int]) -> list[Any]:
     """Returns a level as plain values, with the amounts of open reservations added back."""
-    own, of_day, of_month = held
+    in_bucket, in_day, in_month = reserved
     balance = level.balance
     if level.rate:
-        balance = min(level.max_balance, balance + own * GRAINS_PER_MILLI)
+        balance = min(level.max_balance, balance + in_bucket * GRAINS_PER_MILLI)
     return [
         list(key) if isinstance(key, tuple) else key,
         balance,
         level.refilled_at,
         level.day,
-        level.day_used - of_day,
+        level.day_used - in_day,
         level.month,
-        level.month_used - of_month,
+        level.month_used - in_month,
     ]
--- a/pearhill/budgets/burst.py
+++ b/pearhill/budgets/burst.py
@@ -23,16 +23,16 @@
 class BurstBorrower:
     """One tenant that has requested burst capacity.
 
-    `virtual_time` is grains divided by weight. `asked_at` is the time of its latest request in microseconds.
+    `virtual_time` is grains divided by weight. `requested_at` is the time of its latest request in microseconds.
     `was_rejected` is true while a recent request of it was rejected.
     """
 
-    __slots__ = ("tenant", "virtual_time", "asked_at", "was_rejected")
+    __slots__ = ("tenant", "virtual_time", "requested_at", "was_rejected")
 
     def __init__(self, tenant: str) -> None:
         self.tenant = tenant
         self.virtual_time = 0.0
-        self.asked_at = 0
+        self.requested_at = 0
         self.was_rejected = False
 
 
@@ -66,23 +66,23 @@
             self.balance = min(self.max_balance, self.balance + self.rate * (now - self.refilled_at))
             self.refilled_at = now
 
-    def take_guaranteed(self, amount: int) -> None:
+    def consume_guaranteed(self, amount: int) -> None:
         """Subtract `amount` milli for a guaranteed request, also where the balance does not cover them."""
         self.balance = max(-self.max_balance, self.balance - amount * GRAINS_PER_MILLI)
 
     def borrow(self, now: int, tenant: str, weight: float, amount: int) -> int:
         """Borrow `amount` milli for a tenant. Returns 0 on success, else the microseconds after which to retry."""
         # An amount larger than the burst is granted once the bucket is full.
-        wanted = min(amount * GRAINS_PER_MILLI, self.max_balance)
-        lead = self.max_balance * MAX_LEAD / weight
+        grains = min(amount * GRAINS_PER_MILLI, self.max_balance)
+        max_lead = self.max_balance * MAX_LEAD / weight
         borrower = self.borrowers.get(tenant) or BurstBorrower(tenant)
         self.borrowers[tenant] = borrower
         self._advance_virtual_time(now)
         if not borrower.was_rejected:
-            # A tenant that requested nothing, or little, accumulates a claim of at most one lead.
-            borrower.virtual_time = max(borrower.virtual_time, self.virtual_time - lead)
-        borrower.asked_at = now
-        wait = self._wait(wanted, borrower.virtual_time > self.virtual_time + lead)
+            # A tenant that requested nothing, or little, accumulates a claim of at most `max_lead`.
+            borrower.virtual_time = max(borrower.virtual_time, self.virtual_time - max_lead)
+        borrower.requested_at = now
+        wait = self._wait_time(grains, borrower.virtual_time > self.virtual_time + max_lead)
         if wait is None:
             self._charge(borrower, amount * GRAINS_PER_MILLI / weight)
             self.balance -= amount * GRAINS_PER_MILLI
@@ -94,15 +94,15 @@
 
     def _advance_virtual_time(self, now: int) -> None:
         """Advance the fleet's virtual time to the lowest one among borrowers that were rejected recently."""
-        while self._rejected and self._rejected[0].asked_at < now - REJECTION_MEMORY_US:
+        while self._rejected and self._rejected[0].requested_at < now - REJECTION_MEMORY_US:
             self._rejected.pop(0).was_rejected = False
         if self._rejected:
             self.virtual_time = max(self.virtual_time, self._rejected[0].virtual_time)
 
-    def _wait(self, wanted: int, is_ahead: bool) -> int | None:
-        """Returns the microseconds until `wanted` grains may be available to a borrower, or None if they are now."""
-        if self.balance < wanted:
-            return -(-(wanted - self.balance) // self.rate)
+    def _wait_time(self, grains: int, is_ahead: bool) -> int | None:
+        """Returns the microseconds until `grains` may be available to a borrower, or None if they are now."""
+        if self.balance < grains:
+            return -(-(grains - self.balance) // self.rate)
         shortage = int(self.max_balance * SHORTAGE_LEVEL)
         if self.balance < shortage and is_ahead:
             return max(1, (shortage - self.balance) // self.rate)
--- a/pearhill/budgets/estimate.py
+++ b/pearhill/budgets/estimate.py
@@ -13,12 +13,12 @@
     at most the limit. With few answers it is interpolated between the two.
     """
 
-    __slots__ = ("count", "mean", "spread", "estimate")
+    __slots__ = ("count", "mean", "mean_deviation", "estimate")
 
     def __init__(self) -> None:
         self.count = 0
         self.mean = 0.0
-        self.spread = 0.0
+        self.mean_deviation = 0.0
         self.estimate = 0  # from the history alone; cached because it is read far more often than updated
 
     def add(self, answer: int) -> None:
@@ -26,15 +26,15 @@
         self.count += 1
         weight = max(MIN_MEAN_WEIGHT, 1 / self.count)
         if self.count > 1:
-            self.spread += (abs(answer - self.mean) - self.spread) * weight
+            self.mean_deviation += (abs(answer - self.mean) - self.mean_deviation) * weight
         self.mean += (answer - self.mean) * weight
         self.update_estimate()
 
     def update_estimate(self) -> None:
         """Recompute the estimate after a change of the averages."""
-        self.estimate = max(1, round(self.mean + 2 * self.spread))
+        self.estimate = max(1, round(self.mean + 2 * self.mean_deviation))
 
-    def expected(self, limit: int) -> int:
+    def expected_length(self, limit: int) -> int:
         """Returns the expected length of an answer that is limited to `limit` tokens."""
         if not self.count:
             return limit
--- a/pearhill/budgets/level.py
+++ b/pearhill/budgets/level.py
@@ -85,7 +85,7 @@
         """Whether the level equals a new one, so that it may be removed from memory."""
         return self.balance >= self.max_balance and not (self.open_requests or self.day_used or self.month_used)
 
-    def settle(self, amount: int, worst: int, used: int, day: int, month: int) -> None:
+    def settle(self, amount: int, max_cost: int, used: int, day: int, month: int) -> None:
         """Replace a reservation by what was used.
 
         The count of a day or month that has ended meanwhile is not corrected: the reservation was counted there.
@@ -93,14 +93,14 @@
         if self.rate:
             balance = self.balance + (amount - used) * GRAINS_PER_MILLI
             self.balance = balance if balance < self.max_balance else self.max_balance
-        self.exposure -= worst - amount
+        self.exposure -= max_cost - amount
         self.open_requests -= 1
         if day == self.day:
             self.day_used += used - amount
         if month == self.month:
             self.month_used += used - amount
 
-    def time_until(self, amount: int) -> int:
+    def time_until_available(self, amount: int) -> int:
         """Returns the microseconds until the bucket holds `amount` milli, or is full if `amount` exceeds its size."""
-        lacking = min(amount * GRAINS_PER_MILLI, self.max_balance) - self.balance
-        return -(-lacking // self.rate) if lacking > 0 else 0
+        missing = min(amount * GRAINS_PER_MILLI, self.max_balance) - self.balance
+        return -(-missing // self.rate) if missing > 0 else 0
--- a/pearhill/budgets/reservation.py
+++ b/pearhill/budgets/reservation.py
@@ -37,9 +37,9 @@
 class Reservation:
     """The amount reserved for one request until it is settled.
 
-    `amount` and `worst` (the highest possible cost) are in milli. `day` and `month` are the period in which the request
-    was admitted; its charge counts there, whenever it ends. `is_burst` is true if the amount was borrowed from burst
-    capacity, not subtracted from the tenant's own bucket. The first of `levels` is the tenant's.
+    `amount` and `max_cost` (the highest possible cost) are in milli. `day` and `month` are the period in which the
+    request was admitted; its charge counts there, whenever it ends. `is_burst` is true if the amount was borrowed from
+    burst capacity, not subtracted from the tenant's own bucket. The first of `levels` is the tenant's.
     """
 
     number: int
@@ -47,7 +47,7 @@
     key: str
     account: str
     amount: int
-    worst: int
+    max_cost: int
     is_burst: bool
     day: int
     month: int
--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -11,7 +11,7 @@
 
 from pearhill.load_reports.evenness import evenness
 
-MAX_ANSWER_BYTES = 4 << 20
+MAX_RESPONSE_BYTES = 4 << 20
 MAX_CONCURRENT_QUERIES = 32
 
 Status = dict[str, Any]  # the response to GET /ops/fleet
@@ -20,15 +20,15 @@
 def fleet_status(addresses: list[str], timeout_s: float) -> dict[str, Any]:
     """Query all addresses concurrently, with a timeout in seconds for each, and return the sum of their responses."""
     with ThreadPoolExecutor(min(MAX_CONCURRENT_QUERIES, max(1, len(addresses)))) as pool:
-        answers = pool.map(lambda address: query_status(address, timeout_s), addresses)
-        return sum_up(zip(addresses, answers, strict=True))
+        responses = pool.map(lambda address: query_status(address, timeout_s), addresses)
+        return sum_up(zip(addresses, responses, strict=True))
 
 
 def query_status(address: str, timeout_s: float) -> Status | str:
     """Returns the status that one address responds with, or as a string the reason why it has none."""
     try:
-        with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as answer:
-            status = json.loads(answer.read(MAX_ANSWER_BYTES))
+        with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as response:
+            status = json.loads(response.read(MAX_RESPONSE_BYTES))
     except urllib.error.HTTPError as e:
         return f"HTTP status {e.code}: belongs to no fleet" if e.code == 404 else f"HTTP status {e.code}"
     except (OSError, ValueError) as e:
@@ -40,12 +40,12 @@
     """Whether the value has the keys of a dispatcher's or an aggregator's status that are summed up."""
     if not isinstance(status, dict):
         return False
-    of_aggregator = isinstance(status.get("aggregator"), str) and isinstance(status.get("peers"), dict)
-    of_dispatcher = isinstance(status.get("engines"), list) and isinstance(status.get("members"), dict)
-    return of_dispatcher or of_aggregator
+    is_aggregator = isinstance(status.get("aggregator"), str) and isinstance(status.get("peers"), dict)
+    is_dispatcher = isinstance(status.get("engines"), list) and isinstance(status.get("members"), dict)
+    return is_dispatcher or is_aggregator
 
 
-def sum_up(answers: Iterable[tuple[str, Status | str]]) -> dict[str, Any]:
+def sum_up(responses: Iterable[tuple[str, Status | str]]) -> dict[str, Any]:
     """Sum the dispatchers' own load by replica.
 
     The load that dispatchers report of each other is left out, because it would count twice. Programs read the keys
@@ -53,21 +53,21 @@
     """
     dispatchers: dict[str, Any] = {}
     aggregators: dict[str, Any] = {}
-    silent: dict[str, str] = {}
+    unreachable: dict[str, str] = {}
     replicas: dict[str, dict[str, int]] = {}
-    for address, status in sorted(answers, key=lambda pair: pair[0]):
+    for address, status in sorted(responses, key=lambda pair: pair[0]):
         if isinstance(status, str):
-            silent[address] = status
+            unreachable[address] = status
         elif "aggregator" in status:
             aggregators[status["aggregator"]] = _aggregator_row(address, status)
         else:
             dispatchers[status["name"]] = _dispatcher_row(address, status)
-            _add_own_work(replicas, status["engines"])
+            _add_own_load(replicas, status["engines"])
     even = evenness({name: row["load"] for name, row in replicas.items()})
     return {
         "dispatchers": dispatchers,
         "aggregators": aggregators,
-        "silent": silent,
+        "silent": unreachable,
         "engines": dict(sorted(replicas.items())),
         "evenness": {"peak_over_mean": round(even.peak, 3), "gini": round(even.gini, 3), "idle": list(even.idle)},
     }
@@ -94,7 +94,7 @@
     }
 
 
-def _add_own_work(replicas: dict[str, dict[str, int]], engines: list[dict[str, Any]]) -> None:
+def _add_own_load(replicas: dict[str, dict[str, int]], engines: list[dict[str, Any]]) -> None:
     for engine in engines:
         row = replicas.setdefault(engine["address"], {"waiting": 0, "load": 0, "dispatchers": 0, "avoided_by": 0})
         own = engine["mine"]
--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -14,8 +14,8 @@
 app = typer.Typer(no_args_is_help=True, help="Load tests and simulations with stand-in replicas on loopback.")
 
 
-def _fail(why: object) -> NoReturn:
-    print(f"pearhill: {why}", file=sys.stderr)
+def _fail(reason: object) -> NoReturn:
+    print(f"pearhill: {reason}", file=sys.stderr)
     raise typer.Exit(2)
 
 
@@ -44,13 +44,13 @@
     from pearhill.lab import report, run, scenario
 
     try:
-        made = scenario.load(str(file))
+        loaded = scenario.load(str(file))
         with typer.progressbar(length=1000, label=file.stem, file=sys.stderr) as bar:
-            rows = asyncio.run(run.run(made, lambda done, total: bar.update(1000 * done // total - bar.pos)))
+            rows = asyncio.run(run.run(loaded, lambda done, total: bar.update(1000 * done // total - bar.pos)))
     except (ConfigError, ConformanceRunError, OSError) as e:
         _fail(e)
     target = _result_file(out, file)
-    run.write_rows(rows, made, target)
+    run.write_rows(rows, loaded, target)
     rows, parameters = run.read_rows(target)
     page = target.with_suffix(".html")
     page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}), encoding="utf-8")
@@ -76,16 +76,16 @@
     from pearhill.lab import fleet, report, run, scenario
 
     try:
-        made = scenario.load(str(file))
-        result = asyncio.run(fleet.run(made, _print_progress))
+        loaded = scenario.load(str(file))
+        result = asyncio.run(fleet.run(loaded, _print_progress))
     except (ConfigError, fleet.NotStartedError, OSError, ValueError) as e:
         _fail(e)
     target = _result_file(out, file)
-    run.write_rows(result.rows, made, target)
+    run.write_rows(result.rows, loaded, target)
     rows, parameters = run.read_rows(target)
     page = target.with_suffix(".html")
     page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}, result), encoding="utf-8")
-    print(result.summary(made.lab.warm_s))
+    print(result.summary(loaded.lab.warm_s))
     print(f"{target}\n{page}")
 
 
@@ -130,14 +130,14 @@
 
     stopped: Exception | None = None
     try:
-        made = plan.load(str(file))
-        results = asyncio.run(run.run(made, file.name, _print_progress))
+        loaded = plan.load(str(file))
+        results = asyncio.run(run.run(loaded, file.name, _print_progress))
     except ConfigError as e:
         _fail(e)
     except run.RunStoppedError as e:
         results, stopped = e.results, e
-    written = (json_file, json.dumps(results, indent=1) + "\n"), (report_file, report.page(file.stem, results))
-    for path, text in written:
+    outputs = (json_file, json.dumps(results, indent=1) + "\n"), (report_file, report.page(file.stem, results))
+    for path, text in outputs:
         if path:
             path.parent.mkdir(parents=True, exist_ok=True)
             path.write_text(text, encoding="utf-8")
@@ -205,17 +205,17 @@
     """Soak test: real dispatchers under random overlapping faults, checked by rules. Exits with 1 on a violation."""
     from pearhill.lab.soak import run
 
-    broken = 0
+    seeds_with_violations = 0
     exposure = Counter[str]()
     for seed in range(first, first + seeds):
         report = run.play(seed, seconds, dispatchers)
         print(report.text(), flush=True)
-        broken += bool(report.violations)
+        seeds_with_violations += bool(report.violations)
         exposure += report.exposure
         if logs and report.violations:
             logs.mkdir(parents=True, exist_ok=True)
             for name, lines in report.logs.items():
                 (logs / f"{seed}-{name}.log").write_text("\n".join(lines) + "\n", encoding="utf-8")
     print(f"could have been broken, in all: {dict(sorted(exposure.items()))}")
-    print(f"{seeds} seeds from {first}, {broken} with violations")
-    raise typer.Exit(1 if broken else 0)
+    print(f"{seeds} seeds from {first}, {seeds_with_violations} with violations")
+    raise typer.Exit(1 if seeds_with_violations else 0)
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -40,8 +40,8 @@
     json = "json"
 
 
-def _fail(why: str, code: int = 2) -> NoReturn:
-    print(f"pearhill: {why}", file=sys.stderr)
+def _fail(reason: str, code: int = 2) -> NoReturn:
+    print(f"pearhill: {reason}", file=sys.stderr)
     raise typer.Exit(code)
 
 
@@ -54,10 +54,10 @@
     """Serve the chat API with the settings of the operator's file, until SIGTERM."""
     path = str(file)
 
-    def work() -> Coroutine[Any, Any, None]:
+    def start() -> Coroutine[Any, Any, None]:
         return service.serve(setup.load(path), lambda: setup.load(path))
 
-    raise typer.Exit(run(work, log_level, log_format.value))
+    raise typer.Exit(run(start, log_level, log_format.value))
 
 
 @app.command()
@@ -70,18 +70,18 @@
     """Sum up the loads of dispatchers, with the settings of FILE, until SIGTERM. Exits with 2 if FILE is invalid."""
     path = str(file)
 
-    def work() -> Coroutine[Any, Any, None]:
+    def start() -> Coroutine[Any, Any, None]:
         return aggregator_daemon.serve(aggregator_setup.load(path), lambda: aggregator_setup.load(path))
 
     if not check_only:
-        raise typer.Exit(run(work, log_level, log_format.value))
+        raise typer.Exit(run(start, log_level, log_format.value))
     try:
-        found = aggregator_setup.load(path)
+        loaded = aggregator_setup.load(path)
     except ConfigError as e:
         _fail(str(e))
     print(
-        f"{file}: good. {found.name} listens on {found.listen[0]}:{found.listen[1]}, "
-        f"{len(found.peers)} other aggregators"
+        f"{file}: good. {loaded.name} listens on {loaded.listen[0]}:{loaded.listen[1]}, "
+        f"{len(loaded.peers)} other aggregators"
     )
 
 
@@ -89,27 +89,27 @@
 def check(file: File) -> None:
     """Check the operator's file, and print a summary or the error. Exits with 2 if the file is invalid."""
     try:
-        found = setup.load(str(file))
+        loaded = setup.load(str(file))
     except ConfigError as e:
         _fail(str(e))
-    models = {model.name for model in found.reading.models.values()}
-    print(f"{file}: good. {_contents(found, len(models))}")
-    if not found.keyring:
+    models = {model.name for model in loaded.reading.models.values()}
+    print(f"{file}: good. {_summary(loaded, len(models))}")
+    if not loaded.keyring:
         print("  note: no tenants are declared, so every client that can connect is served")
     if not models:
         print("  note: no models are declared, so requests for any model name are forwarded")
 
 
-def _contents(found: setup.ChatSetup, models: int) -> str:
+def _summary(loaded: setup.ChatSetup, models: int) -> str:
     """Summarizes an operator's file in one line."""
     parts = [
-        f"{len(found.endpoints)} servers{', eureka' if found.eureka else ''}",
+        f"{len(loaded.endpoints)} servers{', eureka' if loaded.eureka else ''}",
         f"{models} models",
-        f"{len(found.keyring.tenants)} tenants",
-        f"{len(found.reading.rules)} rules",
-        f"classes {', '.join(found.deployment.class_names)}",
+        f"{len(loaded.keyring.tenants)} tenants",
+        f"{len(loaded.reading.rules)} rules",
+        f"classes {', '.join(loaded.deployment.class_names)}",
     ]
-    if fleet_setup := found.fleet:
+    if fleet_setup := loaded.fleet:
         parts.append(
             f"talks to {len(fleet_setup.peers)} dispatchers and {len(fleet_setup.sites)} aggregators as "
             f"{fleet_setup.name}"
@@ -120,10 +120,10 @@
 @app.command()
 def schema() -> None:
     """Print the JSON Schema of the operator's file."""
-    made = msgspec.json.schema(OperatorFile)
+    file_schema = msgspec.json.schema(OperatorFile)
     print(
         msgspec.json.format(
-            msgspec.json.encode({"$schema": "https://json-schema.org/draft/2020-12/schema", **made}), indent=2
+            msgspec.json.encode({"$schema": "https://json-schema.org/draft/2020-12/schema", **file_schema}), indent=2
         ).decode()
     )
 
@@ -133,13 +133,13 @@
     known: Annotated[bool, typer.Option("--known", help="read an existing key from standard input")] = False,
 ) -> None:
     """Generate an API key, and print it with its record for the operator's file."""
-    made = sys.stdin.readline().strip() if known else keys.new_key()
+    api_key = sys.stdin.readline().strip() if known else keys.new_key()
     try:
-        record = keys.record_of(made)
+        record = keys.record_of(api_key)
     except keys.InvalidKeyError as e:
         _fail(str(e))
     if not known:
-        print(f"key     {made}")
+        print(f"key     {api_key}")
         print("        (shown once; give it to its tenant)", file=sys.stderr)
     print(f"record  {record}")
 
@@ -185,17 +185,17 @@
     if not folder.is_dir():
         _fail(f"{folder}: is no folder")
     try:
-        made = statement.sum_up(statement.read_folder(folder), period, tenant)
+        period_bill = statement.sum_up(statement.read_folder(folder), period, tenant)
     except (CorruptJournalError, OSError, ValueError) as e:
         _fail(str(e))
     try:
         from pearhill.bill import files
     except ImportError as e:
         _fail(f"{e.name} is required to write the files: pip install 'pearhill[lab]'")
-    for path in files.write(made, out):
+    for path in files.write(period_bill, out):
         print(path)
-    total = made.total
-    print(f"{len(made.lines)} tenants, {total.requests} requests, {total.milli / 1000:,.3f} tokens charged")
+    total = period_bill.total
+    print(f"{len(period_bill.lines)} tenants, {total.requests} requests, {total.milli / 1000:,.3f} tokens charged")
 
 
 @app.command()
@@ -216,8 +216,8 @@
     else:
         for line in status_lines(status):
             print(line)
-        for door, why in status["silent"].items():
-            print(f"NO ANSWER from {door}: {why}", file=sys.stderr)
+        for address, reason in status["silent"].items():
+            print(f"NO ANSWER from {address}: {reason}", file=sys.stderr)
     raise typer.Exit(1 if status["silent"] else 0)
 
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -5,7 +5,7 @@
 from fractions import Fraction
 
 import pytest
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
@@ -46,14 +46,14 @@
     assert month_of(month_name(month)) == month
 
 
-@pytest.mark.parametrize("bad", ["2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"])
-def test_what_is_no_month_is_rejected(bad: str) -> None:
-    with pytest.raises(ValueError, match=f"'{bad}' is no month as in 2026-12"):
-        month_of(bad)
+@pytest.mark.parametrize("invalid", ["2026", "2026-13", "2026-00", "26-12", "2026-1", "x-12", "1969-01"])
+def test_an_invalid_month_raises_value_error(invalid: str) -> None:
+    with pytest.raises(ValueError, match=f"'{invalid}' is no month as in 2026-12"):
+        month_of(invalid)
 
 
 class TestAdmission:
-    def test_a_bucket_gives_its_burst_and_then_its_rate(self) -> None:
+    def test_a_bucket_admits_its_burst_and_then_its_rate(self) -> None:
         b = budgets(a=plan(tokens_per_min=600, burst=1_000))
         first = b.admit(T0, WALL, "a", "", 500, 500)
         assert first.status == AdmissionStatus.WITHIN_LIMIT
@@ -62,7 +62,7 @@
         assert b.admit(T0 + 10 * S - 1, WALL, "a", "", 50, 50).retry_after == 1
         assert b.admit(T0 + 10 * S, WALL, "a", "", 50, 50).status == AdmissionStatus.WITHIN_LIMIT
 
-    def test_what_was_not_used_comes_back_and_what_was_more_is_a_debt(self) -> None:
+    def test_settling_returns_unused_tokens_and_books_excess_as_debt(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, debt=2_000))
         b.answer_lengths.clear()
         held = reservation(b.admit(T0, WALL, "a", "", 100, 100, hint=50))
@@ -76,7 +76,7 @@
         assert (decision.status, decision.retry_after) == (AdmissionStatus.OVERDRAWN, 1_602 * S)
         assert b.admit(T0 + 1_602 * S, WALL, "a", "", 1, 1).status == AdmissionStatus.WITHIN_LIMIT
 
-    def test_a_run_that_never_was_costs_nothing_and_settles_once(self) -> None:
+    def test_a_request_that_never_ran_costs_nothing_and_settles_once(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000, day=5_000, open=1))
         held = reservation(b.admit(T0, WALL, "a", "", 500, 100))
         assert b.admit(T0, WALL, "a", "", 1, 1).reason == "a: requests open at once"
@@ -91,7 +91,7 @@
         assert b.settle(T0, held, Usage(1_000, 800, 5)) == (200 + 80 + 20) * MILLI_PER_TOKEN
 
     @pytest.mark.parametrize(
-        ("name", "made", "why"),
+        ("name", "limits", "reason"),
         [
             ("account", Plan({"a": plan(account="x")}, {"x": Limit(tokens_per_min=60, burst=100)}), "x: tokens a"),
             ("key", Plan({"a": plan(key=Limit(tokens_per_min=60, burst=100))}), "k1: tokens a minute"),
@@ -100,21 +100,21 @@
             ("month", Plan({"a": plan(month=100)}), "a: tokens a month"),
         ],
     )
-    def test_levels_nest(self, name: str, made: Plan, why: str) -> None:
-        b = Budgets(made, T0)
+    def test_a_request_is_rejected_by_the_limit_of_any_level(self, name: str, limits: Plan, reason: str) -> None:
+        b = Budgets(limits, T0)
         assert b.admit(T0, WALL, "a", "k1", 50, 30).reservation is not None
         decision = b.admit(T0, WALL, "a", "k1", 50, 30)
-        assert (decision.status, decision.reason[: len(why)]) == (AdmissionStatus.OVER_LIMIT, why)
+        assert (decision.status, decision.reason[: len(reason)]) == (AdmissionStatus.OVER_LIMIT, reason)
         assert decision.quota_exhausted == (name in ("day", "month"))
 
-    def test_what_is_larger_than_the_burst_waits_for_a_full_bucket(self) -> None:
+    def test_a_request_larger_than_the_burst_needs_a_full_bucket_and_debt(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         assert b.admit(T0, WALL, "a", "", 100, 50).reservation is not None
         assert b.admit(T0, WALL, "a", "", 1, 1).status == AdmissionStatus.OVERDRAWN
         b = budgets(a=plan(tokens_per_min=60, burst=100, debt=50))
         assert b.admit(T0, WALL, "a", "", 100, 51).quota_exhausted
 
-    def test_answers_are_reserved_by_what_they_have_been(self) -> None:
+    def test_the_reserved_answer_length_follows_the_history(self) -> None:
         b = budgets(a=plan(tokens_per_min=10**6, burst=10**6, debt=10**6))
         for _ in range(20):
             held = reservation(b.admit(T0, WALL, "a", "", 10, 1_000))
@@ -122,7 +122,7 @@
         assert reservation(b.admit(T0, WALL, "a", "", 10, 1_000)).amount == 110 * MILLI_PER_TOKEN
         assert reservation(b.admit(T0, WALL, "a", "", 10, 50)).amount == 60 * MILLI_PER_TOKEN
 
-    def test_a_period_ends_under_load_and_each_charge_is_in_one(self) -> None:
+    def test_a_charge_counts_in_the_period_of_its_admission(self) -> None:
         b = budgets(a=plan(day=1_000))
         end = (WALL // DAY_S + 1) * DAY_S
         held = reservation(b.admit(T0, end - 1, "a", "", 900, 100))
@@ -135,14 +135,14 @@
         assert reservation(stepped).day == end // DAY_S
         assert b.admit(T0 + 3 * S, end, "a", "", 90, 10).reason == "a: tokens a day"
 
-    def test_a_clock_that_goes_back_gives_and_takes_nothing(self) -> None:
+    def test_a_clock_that_goes_back_changes_no_balance(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100))
         b.admit(T0, WALL, "a", "", 90, 10)
         for now in (T0 - 50 * S, T0, T0 - 1, T0):
             assert b.balance(now, WALL, "a")["remaining_tokens"] == 0
         assert b.balance(T0 + S, WALL, "a")["remaining_tokens"] == 1
 
-    def test_a_lower_budget_keeps_what_is_reserved(self) -> None:
+    def test_reservations_survive_a_reload_with_lower_limits(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=1_000))
         held = reservation(b.admit(T0, WALL, "a", "", 600, 100))
         b.reconfigure(Plan({"a": plan(tokens_per_min=60, burst=100)}), T0)
@@ -150,7 +150,7 @@
         b.settle(T0, held, Usage(600, 0, 350))
         assert b.balance(T0, WALL, "a")["debt_tokens"] == 150
 
-    def test_a_key_that_moves_settles_where_it_was_taken(self) -> None:
+    def test_a_reservation_of_a_moved_key_settles_at_its_original_tenant(self) -> None:
         limit = Limit(tokens_per_min=60, burst=1_000)
         b = budgets(a=plan(key=limit), b=plan(key=limit))
         held = reservation(b.admit(T0, WALL, "a", "k", 500, 100))
@@ -158,7 +158,7 @@
         assert moved.reservation is not None
         b.settle(T0, held, Usage(100))
         assert [
-            node.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for node in (b.keys["a", "k"], b.keys["b", "k"])
+            level.balance // (MILLI_PER_TOKEN * GRAINS_PER_MILLI) for level in (b.keys["a", "k"], b.keys["b", "k"])
         ] == [900, 0]
 
 
@@ -192,7 +192,7 @@
         minutes = (seconds - 30) / 60
         return ({name: n / minutes for name, n in served.items()}, sum(served.values()) / minutes / capacity, rejected)
 
-    def test_three_overspend_fivefold_and_the_fourth_is_never_rejected(self) -> None:
+    def test_three_tenants_at_five_times_their_rate_cause_no_rejection_of_a_fourth(self) -> None:
         own = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
         served, used, rejected = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
         assert rejected["d"] == 0
@@ -213,7 +213,7 @@
             ),
         ],
     )
-    def test_burst_capacity_is_shared_by_weight_and_what_one_leaves_the_others_get(
+    def test_burst_capacity_is_shared_by_weight_and_unused_shares_go_to_others(
         self, weights: dict[str, float], rates: dict[str, float], wanted: dict[str, int]
     ) -> None:
         own = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
@@ -222,13 +222,13 @@
         for name, share in wanted.items():
             assert served[name] == pytest.approx(share, abs=0.12 * share)
 
-    def test_without_weight_there_is_no_burst_capacity(self) -> None:
+    def test_a_tenant_of_weight_zero_gets_no_burst_capacity(self) -> None:
         own = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
         served, _, rejected = self.run_load({"a": 60_000}, own, 600_000)
         assert served["a"] == pytest.approx(6_000, abs=700)
         assert rejected["a"] > 500
 
-    def test_ten_thousand_tenants_wake_in_one_second(self) -> None:
+    def test_ten_thousand_new_tenants_in_one_second_are_admitted(self) -> None:
         b = Budgets(
             Plan(default=plan(weight=1, tokens_per_min=600, burst=200), capacity=600_000, capacity_burst=100_000), T0
         )
@@ -244,7 +244,7 @@
             now = b.tick(now)
         assert len(b.tenants) == 10_000  # a level keeps the use of a period until its end
 
-    def test_tenants_that_have_used_nothing_are_forgotten(self) -> None:
+    def test_levels_of_tenants_without_use_are_removed(self) -> None:
         b = budgets(a=plan(tokens_per_min=60, burst=100))
         for k in range(5_000):
             b.settle(T0, reservation(b.admit(T0, WALL, f"t{k}", "", 90, 10)), None)
@@ -255,9 +255,9 @@
 
 
 class TestRebuiltFromTheJournal:
-    def test_a_snapshot_and_the_charges_behind_it_make_the_same_balances(self) -> None:
+    def test_a_snapshot_and_later_charges_rebuild_the_same_balances(self) -> None:
         rng = random.Random(3)
-        made = Plan(
+        plans = Plan(
             {
                 "a": plan(tokens_per_min=600, burst=5_000, debt=500, day=10**6, month=10**7, account="x"),
                 "b": plan(tokens_per_min=60, burst=500, weight=2.0, key=Limit(tokens_per_min=6_000, burst=900)),
@@ -267,7 +267,7 @@
             capacity_burst=10_000,
         )
         for cut in range(0, 60, 7):
-            live = Budgets(made, T0)
+            live = Budgets(plans, T0)
             journal: list[bytes] = []
             state: bytes | None = None
             now = T0
@@ -302,12 +302,12 @@
                         )
                     )
             left_open = live.admit(now, WALL, "a", "k", 10, 10)  # open at the crash: its reservation is dropped
-            again = Budgets(made, T0)
-            rebuild(again, state, journal, now)
+            rebuilt = Budgets(plans, T0)
+            rebuild(rebuilt, state, journal, now)
             live.settle(now, left_open.reservation, None) if left_open.reservation else None
             for tenant in "ab":
-                assert again.balance(now + S, WALL, tenant) == live.balance(now + S, WALL, tenant)
-                assert (again.admit(now, WALL, tenant, "k", 1, 50).reservation is None) == (
+                assert rebuilt.balance(now + S, WALL, tenant) == live.balance(now + S, WALL, tenant)
+                assert (rebuilt.admit(now, WALL, tenant, "k", 1, 50).reservation is None) == (
                     live.admit(now, WALL, tenant, "k", 1, 50).reservation is None
                 )
 
@@ -325,27 +325,29 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.start = T0, T0
-        self.made = Plan({"a": TenantPlan(self.LIMIT, weight=0.0)})
-        self.budgets = Budgets(self.made, T0)
+        self.plan = Plan({"a": TenantPlan(self.LIMIT, weight=0.0)})
+        self.budgets = Budgets(self.plan, T0)
         self.held: list[tuple[Reservation, int, int]] = []
-        self.level, self.at = Fraction(300), T0
+        self.model_balance, self.model_refilled_at = Fraction(300), T0
         self.charged = Fraction(0)
         self.used = 0
 
-    def model(self) -> Fraction:
-        self.level = min(Fraction(300), self.level + Fraction(10 * (self.now - self.at), S))
-        self.at = self.now
-        return self.level
+    def refill_model(self) -> Fraction:
+        self.model_balance = min(
+            Fraction(300), self.model_balance + Fraction(10 * (self.now - self.model_refilled_at), S)
+        )
+        self.model_refilled_at = self.now
+        return self.model_balance
 
-    @rule(prompt=st.integers(0, 150), most=st.integers(1, 120), hint=st.integers(0, 120))
-    def arrive(self, prompt: int, most: int, hint: int) -> None:
-        decision = self.budgets.admit(self.now, WALL, "a", "", prompt, most, hint)
-        level = self.model()
+    @rule(prompt=st.integers(0, 150), max_answer=st.integers(1, 120), hint=st.integers(0, 120))
+    def arrive(self, prompt: int, max_answer: int, hint: int) -> None:
+        decision = self.budgets.admit(self.now, WALL, "a", "", prompt, max_answer, hint)
+        level = self.refill_model()
         if decision.reservation:
             amount = Fraction(decision.reservation.amount, MILLI_PER_TOKEN)
             assert level >= min(amount, Fraction(300)), (level, amount)
-            self.level -= amount
-            self.held.append((decision.reservation, prompt, most))
+            self.model_balance -= amount
+            self.held.append((decision.reservation, prompt, max_answer))
         else:
             assert decision.retry_after >= 0
             assert decision.status in (
@@ -359,13 +361,13 @@
     @precondition(lambda self: self.held)
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
-        held, prompt, most = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
+        held, prompt, max_answer = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
         ran = data.draw(st.booleans())
-        answer = data.draw(st.integers(0, most))
+        answer = data.draw(st.integers(0, max_answer))
         charge = self.budgets.settle(self.now, held, Usage(prompt, 0, answer) if ran else None)
         assert charge == ((prompt + answer) * MILLI_PER_TOKEN if ran else 0)
-        self.model()
-        self.level = min(Fraction(300), self.level + Fraction(held.amount - charge, MILLI_PER_TOKEN))
+        self.refill_model()
+        self.model_balance = min(Fraction(300), self.model_balance + Fraction(held.amount - charge, MILLI_PER_TOKEN))
         self.charged += Fraction(charge, MILLI_PER_TOKEN)
         assert self.budgets.settle(self.now, held, Usage(1, 0, 1)) == 0
 
@@ -381,26 +383,26 @@
     @precondition(lambda self: not self.held)
     @rule()
     def crash(self) -> None:
-        fresh = Budgets(self.made, self.now)
+        fresh = Budgets(self.plan, self.now)
         rebuild(fresh, encode_state(self.budgets), [], self.now)
         self.budgets = fresh
 
     @invariant()
-    def balances_agree_to_the_grain(self) -> None:
-        node = self.budgets.tenants.get("a")
-        if node:
-            node.refill(self.now)
-            assert Fraction(node.balance, MILLI_PER_TOKEN * GRAINS_PER_MILLI) == self.model()
-            assert node.open_requests == len(self.held)
-            assert node.exposure == sum(h.worst - h.amount for h, _, _ in self.held) <= 120 * MILLI_PER_TOKEN
+    def balances_equal_the_model(self) -> None:
+        level = self.budgets.tenants.get("a")
+        if level:
+            level.refill(self.now)
+            assert Fraction(level.balance, MILLI_PER_TOKEN * GRAINS_PER_MILLI) == self.refill_model()
+            assert level.open_requests == len(self.held)
+            assert level.exposure == sum(h.max_cost - h.amount for h, _, _ in self.held) <= 120 * MILLI_PER_TOKEN
         else:
-            assert self.model() == 300
+            assert self.refill_model() == 300
             assert not self.held
 
     @invariant()
-    def nobody_spends_more_than_burst_and_rate_and_one_debt(self) -> None:
+    def charges_stay_within_burst_rate_and_one_debt(self) -> None:
         assert self.charged <= 300 + Fraction(10 * (self.now - self.start), S) + 120
 
 
 TestMachine = BudgetMachine.TestCase
-TestMachine.settings = how(max_examples=60, stateful_step_count=40, deadline=None)
+TestMachine.settings = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -13,15 +13,15 @@
 from tests.standins import ROOT, Program, Standin
 
 
-def run(*arguments: str, told: str = "") -> tuple[int, str, str]:
-    done = subprocess.run(
+def run(*arguments: str, stdin: str = "") -> tuple[int, str, str]:
+    completed = subprocess.run(
         [sys.executable, "-c", "from pearhill.cli.main import main; main()", *arguments],
         cwd=ROOT,
-        input=told,
+        input=stdin,
         capture_output=True,
         text=True,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 class Served(Program):
@@ -39,7 +39,7 @@
         commands = ("serve", "aggregator", "check", "schema", "key", "conform", "version")
         assert [c for c in commands if c not in out] == []
 
-    def test_check(self) -> None:
+    def test_check_prints_a_summary_or_one_error_line(self) -> None:
         code, out, _ = run("check", "deploy/chat.toml")
         assert code == 0
         assert "2 servers, 2 models, 0 tenants, 2 rules" in out
@@ -47,34 +47,34 @@
         assert (code, err.count("\n")) == (2, 1)
         assert re.search("^pearhill: .*chat.toml: server.*address: found 'nowhere'; allowed: ", err)
 
-    def test_schema_knows_every_table_of_the_commented_file(self) -> None:
+    def test_schema_has_every_table_of_the_commented_file(self) -> None:
         code, out, _ = run("schema")
         schema = json.loads(out)
-        told = tomllib.loads((ROOT / "deploy" / "chat.toml").read_text())
+        commented_file = tomllib.loads((ROOT / "deploy" / "chat.toml").read_text())
         tables = schema["$defs"]
         assert code == 0
-        assert set(told) <= set(tables["OperatorFile"]["properties"])
-        assert set(told["chat"]) <= set(tables["ChatTable"]["properties"])
+        assert set(commented_file) <= set(tables["OperatorFile"]["properties"])
+        assert set(commented_file["chat"]) <= set(tables["ChatTable"]["properties"])
         assert tables["ChatTable"]["properties"]["sockets"]["minimum"] == 64
 
-    def test_key(self) -> None:
+    def test_key_prints_a_key_and_its_record(self) -> None:
         code, out, _ = run("key")
         key, record = out.split()[1], out.split()[3]
         assert (code, Keyring([(Tenant("t", 3), [record])]).owner(key).number) == (0, 3)
-        code, out, _ = run("key", "--known", told=f"{key}\n")
+        code, out, _ = run("key", "--known", stdin=f"{key}\n")
         assert (code, key in out) == (0, False)
-        assert run("key", "--known", told="short\n")[0] == 2
+        assert run("key", "--known", stdin="short\n")[0] == 2
 
-    def test_conform_says_what_it_cannot_do(self) -> None:
-        for arguments, why in (
+    def test_conform_prints_one_error_line_for_an_unusable_address(self) -> None:
+        for arguments, reason in (
             (("http://127.0.0.1:1",), "no front at"),
             (("ftp://x",), "is no http"),
             (("http://127.0.0.1:1", "--listen", "x"), "x"),
         ):
             code, _, err = run("conform", *arguments)
-            assert (code, err.count("\n"), why in err) == (2, 1, True), err
+            assert (code, err.count("\n"), reason in err) == (2, 1, True), err
 
-    def test_serve_logs_one_object_a_line_with_bound_fields(self) -> None:
+    def test_serve_logs_one_json_object_a_line_with_bound_fields(self) -> None:
         server = Standin()
         self.addCleanup(server.close)
         path = write_file(self, operator_file([server.address]))
@@ -92,7 +92,7 @@
         ended = [line for line in lines if line["message"].startswith("connection ")]
         assert {line["side"] for line in ended} == {"client", "server"}
 
-    def test_serve_turns_bad_levels_and_files_down(self) -> None:
+    def test_serve_rejects_invalid_log_options_and_files(self) -> None:
         path = write_file(self, operator_file(["127.0.0.1:1"]))
         for arguments in ((path, "--log-level", "LOUD"), (path + "x",), (path, "--log-format", "xml")):
             code, _, err = run("serve", *arguments)
