--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -45,7 +45,7 @@
         self.reservations: dict[int, Reservation] = {}
         self.burst_capacity = BurstCapacity(plan.capacity, plan.capacity_burst, now)
         self.heavy_hitters: HeavyHitters[str] = HeavyHitters(SKETCH_SIZE)
-        self._paths: dict[tuple[str, str], tuple[TenantPlan, LevelPath]] = {}  # cache by tenant and key
+        self._level_cache: dict[tuple[str, str], tuple[TenantPlan, LevelPath]] = {}  # cache by tenant and key
         self._next_number = 1
         self._arrivals = 0
         self._tick_due = now + TICK_INTERVAL_US
@@ -65,12 +65,12 @@
     def _look_up(self, tenant: str, key: str, now: int) -> tuple[TenantPlan, LevelPath]:
         """Look up the plan and the levels of a key, and cache them."""
         plan = self.plan.tenants.get(tenant) or self.plan.default
-        if len(self._paths) >= MAX_CACHE_ENTRIES:
-            self._paths.clear()
-        entry = self._paths[tenant, key] = plan, self._path(tenant, key, plan, now)
+        if len(self._level_cache) >= MAX_CACHE_ENTRIES:
+            self._level_cache.clear()
+        entry = self._level_cache[tenant, key] = plan, self._levels_of(tenant, key, plan, now)
         return entry
 
-    def _path(self, tenant: str, key: str, plan: TenantPlan, now: int) -> LevelPath:
+    def _levels_of(self, tenant: str, key: str, plan: TenantPlan, now: int) -> LevelPath:
         """Returns the levels that limit a request: the tenant's, then those of its account and its key if limited."""
         levels = [self._level(self.tenants, tenant, plan.limit, now)]
         if plan.account:
@@ -97,7 +97,7 @@
         `prompt` and `max_answer` (the limit of the answer) are in tokens; `hint` is the expected length of the answer
         in tokens, 0 if unknown.
         """
-        plan, path = self._paths.get((tenant, key)) or self._look_up(tenant, key, now)
+        plan, path = self._level_cache.get((tenant, key)) or self._look_up(tenant, key, now)
         answer_price = self.plan.prices.answer
         prompt_cost = prompt * MILLI_PER_TOKEN
         max_cost = prompt_cost + max_answer * answer_price
@@ -259,7 +259,7 @@
             return
         del index[key]
         # A cached path could still refer to the removed level: charges to it would have no effect on the new level.
-        self._paths.clear()
+        self._level_cache.clear()
         if index is self.tenants:
             self.answer_lengths.pop(key, None)
 
@@ -272,7 +272,7 @@
         self.burst_capacity.refill(now)
         self.burst_capacity.set_capacity(plan.capacity, plan.capacity_burst)
         self.plan = plan
-        self._paths.clear()
+        self._level_cache.clear()
 
     def current_period(self, wall: int) -> tuple[int, int]:
         """Returns the current day and month, which never go back when the calendar clock does."""
@@ -348,7 +348,7 @@
     ) -> None:
         """Apply a charge of the journal, made before a crash, as if it had been reserved and settled at its time."""
         plan = replace(self.plan.tenant(tenant), account=account if account in self.plan.accounts else "")
-        for position, level in enumerate(self._path(tenant, key, plan, now)):
+        for position, level in enumerate(self._levels_of(tenant, key, plan, now)):
             level.refill(now)
             level.enter_period(day, month)
             if level.rate and not (is_burst and not position):
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -181,28 +181,30 @@
             for name, rate in rates.items()
             for _ in range(int(rate * seconds / 60 / 100))
         )
-        served, rejected, warm = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0), T0 + 30 * S
+        served, rejected, warm_up_end = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0), T0 + 30 * S
         for now, name in events:
             decision = b.admit(now, WALL, name, "", 90, 10)
             if decision.reservation:
                 b.settle(now, decision.reservation, Usage(90, 0, 10))
-                served[name] += 100 if now > warm else 0
+                served[name] += 100 if now > warm_up_end else 0
             else:
                 rejected[name] += 1
         minutes = (seconds - 30) / 60
         return ({name: n / minutes for name, n in served.items()}, sum(served.values()) / minutes / capacity, rejected)
 
     def test_three_tenants_at_five_times_their_rate_cause_no_rejection_of_a_fourth(self) -> None:
-        own = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
-        served, used, rejected = self.run_load({"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, own, 300_000)
+        plans = {name: plan(weight=1, tokens_per_min=60_000, burst=20_000) for name in "abcd"}
+        served, utilization, rejected = self.run_load(
+            {"a": 300_000, "b": 300_000, "c": 300_000, "d": 50_000}, plans, 300_000
+        )
         assert rejected["d"] == 0
         assert served["d"] == pytest.approx(50_000, abs=5_000)
         for name in "abc":
             assert served[name] == pytest.approx(250_000 / 3, abs=5_000)
-        assert used > 0.95
+        assert utilization > 0.95
 
     @pytest.mark.parametrize(
-        ("weights", "rates", "wanted"),
+        ("weights", "rates", "expected"),
         [
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 400_000}, {"a": 50_000, "b": 150_000}),
             ({"a": 1.0, "b": 3.0}, {"a": 400_000, "b": 60_000}, {"a": 140_000, "b": 60_000}),
@@ -214,17 +216,17 @@
         ],
     )
     def test_burst_capacity_is_shared_by_weight_and_unused_shares_go_to_others(
-        self, weights: dict[str, float], rates: dict[str, float], wanted: dict[str, int]
+        self, weights: dict[str, float], rates: dict[str, float], expected: dict[str, int]
     ) -> None:
-        own = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
-        served, used, _ = self.run_load(rates, own, 200_000)
-        assert used > 0.95
-        for name, share in wanted.items():
+        plans = {name: plan(weight=w, tokens_per_min=1, burst=100) for name, w in weights.items()}
+        served, utilization, _ = self.run_load(rates, plans, 200_000)
+        assert utilization > 0.95
+        for name, share in expected.items():
             assert served[name] == pytest.approx(share, abs=0.12 * share)
 
     def test_a_tenant_of_weight_zero_gets_no_burst_capacity(self) -> None:
-        own = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
-        served, _, rejected = self.run_load({"a": 60_000}, own, 600_000)
+        plans = {"a": plan(weight=0, tokens_per_min=6_000, burst=1_000)}
+        served, _, rejected = self.run_load({"a": 60_000}, plans, 600_000)
         assert served["a"] == pytest.approx(6_000, abs=700)
         assert rejected["a"] > 500
 
