--- a/pearhill/__main__.py
+++ b/pearhill/__main__.py
@@ -13,9 +13,9 @@
 
 
 def _work(arguments: argparse.Namespace) -> Coroutine[Any, Any, None]:
-    """The daemon that the arguments ask for. ConfigError: its configuration cannot be used."""
+    """Returns the coroutine of the selected daemon. Raises ConfigError if its configuration is invalid."""
     if arguments.chat:
-        # Imported here, so that the platform's daemon loads nothing that only the chat front end needs.
+        # Imported here so that the platform's daemon does not load modules that only the chat front end needs.
         from pearhill.chat import service, setup
 
         return service.serve(setup.load(arguments.chat), lambda: setup.load(arguments.chat))
@@ -25,7 +25,7 @@
 
 
 def main() -> int:
-    """Run the daemon. The exit code is that of `node.process.run`."""
+    """Run the daemon, and return the exit code of `node.process.run`."""
     parser = argparse.ArgumentParser(prog="python -m pearhill", description="A dispatcher for language-model servers.")
     parser.add_argument("--chat", metavar="FILE", help="serve the chat API as this operator's file says")
     arguments = parser.parse_args()
--- a/pearhill/admin/__init__.py
+++ b/pearhill/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' calls and the figures, over HTTP."""
+"""The admin endpoint: operators' calls and figures over HTTP."""
--- a/pearhill/admin/call_table.py
+++ b/pearhill/admin/call_table.py
@@ -1,4 +1,4 @@
-"""A table of operators' calls by path, one call a connection: 2xx means yes, 4xx and 5xx mean no."""
+"""A table of the admin endpoint's calls by path. A 2xx status means yes; 4xx and 5xx mean no."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 TEXT: Headers = (("Content-Type", "text/plain"),)
 JSON: Headers = (("Content-Type", "application/json"), ("Cache-Control", "no-store"))
 
-Call = Callable[[str, Reply], None]  # gets the query
-Route = tuple[str, Call]  # the method, and what answers the call
+Call = Callable[[str, Reply], None]  # takes the query string
+Route = tuple[str, Call]  # the method, and the function that answers the call
 
 
 class InvalidCallError(Exception):
-    """A call that cannot be read; the text is for its caller."""
+    """The parameters of a call are invalid; the text is returned to the caller."""
 
 
 class CallTable:
-    """Answers calls by their path: 404 for an unknown one, 405 for another method, 400 for an InvalidCallError."""
+    """Dispatches calls by path. Answers 404 to an unknown path, 405 to a wrong method, 400 to an InvalidCallError."""
 
     def __init__(self, routes: Mapping[str, Route]) -> None:
         self._routes = routes
@@ -38,5 +38,5 @@
             reply.answer(400, TEXT, f"{e}\n".encode())
 
     def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
-        """Headers and body of an answer to what is no HTTP request."""
+        """Returns the headers and the body of an answer to an invalid HTTP request."""
         return TEXT, f"{why}\n".encode()
--- a/pearhill/admin/endpoint.py
+++ b/pearhill/admin/endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' calls on a dispatcher: readiness, figures, replicas down and up, the drain, the fleet."""
+"""The admin endpoint of a dispatcher: readiness, figures, overrides of replicas, the drain and the fleet."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from pearhill.counters import Figures
 from pearhill.http1.handler import Reply
 
-MAX_PARAMETERS = 16  # of a query that is parsed at all
+MAX_PARAMETERS = 16  # limit on the parameters of a query
 
 
 class AdminTarget(Protocol):
-    """What the calls work on."""
+    """The operations that the calls need."""
 
     def can_serve(self) -> bool:
         """Whether the dispatcher is ready."""
 
     def figures(self) -> Figures:
-        """What was done so far, and what is known of the replicas."""
+        """Returns the request counts and the state of the replicas."""
 
     def set_replica_down(self, uid: str, down: bool) -> bool:
-        """Take a replica down, or use it again. False: no replica has this id."""
+        """Take a replica administratively down, or restore it. Returns False if no replica has this id."""
 
     def drain(self, on: bool) -> None:
         """Begin or end the drain."""
 
     def fleet(self) -> dict[str, Any] | None:
-        """What is known of the other dispatchers and of the work of all. None: there is no fleet."""
+        """Returns the state of the other dispatchers and the load of all, or None if there is no fleet."""
 
 
 class AdminEndpoint(CallTable):
-    """Answers the calls from what `operations` does or knows."""
+    """Answers the calls by means of `operations`."""
 
     def __init__(self, operations: AdminTarget) -> None:
         self.operations = operations
@@ -76,7 +76,7 @@
 
 
 def _replica_uid(query: str) -> str:
-    """The query's `target`. InvalidCallError: there is none, more than one, or an empty one."""
+    """Returns the query's `target`. Raises InvalidCallError if it is absent, repeated or empty."""
     try:
         parameters = parse_qsl(query, keep_blank_values=True, max_num_fields=MAX_PARAMETERS)
     except ValueError:
--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -1,8 +1,8 @@
 """The chat front end as pure ASGI middleware, for Starlette, FastAPI and every other ASGI framework.
 
-It answers the API's paths (`/v1/chat/completions`, `/v1/completions`, `/v1/responses`, `/v1/models`) by the same core
-as the daemon, and passes all else on to the application.
-The dispatcher starts and ends with the application's lifespan.
+It answers the API's paths (`/v1/chat/completions`, `/v1/completions`, `/v1/responses`, `/v1/models`) with the same core
+as the daemon, and forwards all other requests to the application. The dispatcher starts and stops with the
+application's lifespan.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-MAX_BUFFERED_WRITES = 8  # pieces of an answer that may wait for the ASGI server before the replica is paused
+MAX_BUFFERED_WRITES = 8  # chunks of an answer that may wait for the ASGI server before reading from the replica pauses
 
 
 class AnswerTruncatedError(Exception):
-    """Raised out of the application once an answer cannot be completed: the ASGI server then closes the connection."""
+    """An answer cannot be completed. The application raises it so that the ASGI server closes the connection."""
 
 
 class _Reply:
-    """Turns the front end's answer into ASGI messages. In the queue None is the end, an exception a truncation."""
+    """Converts the front end's answer to ASGI messages. In the queue, None marks the end, an exception a truncation."""
 
     def __init__(self) -> None:
         self.messages: asyncio.Queue[Message | Exception | None] = asyncio.Queue()
-        self.disconnected = False  # the client has gone
+        self.disconnected = False  # whether the client has disconnected
         self._free_writes = asyncio.Semaphore(MAX_BUFFERED_WRITES)
 
     def answer(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        """The whole answer at once."""
+        """Send a complete answer."""
         self.start(status, (*headers, ("Content-Length", str(len(body)))))
         self.finish(body)
 
     def reject(self, status: int, headers: Headers, body: bytes) -> None:
-        """An answer that ends the connection."""
+        """Send a complete answer and have the connection closed."""
         self.answer(status, (*headers, ("Connection", "close")), body)
 
     def start(self, status: int, headers: Headers = ()) -> None:
-        """Status and headers of an answer in pieces."""
+        """Send the status and the headers of an answer whose body follows in chunks."""
         self.messages.put_nowait(
             {
                 "type": "http.response.start",
@@ -60,32 +60,32 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """A piece of the answer. Waits while MAX_BUFFERED_WRITES pieces wait for the ASGI server."""
+        """Send a chunk of the answer. Waits while MAX_BUFFERED_WRITES chunks wait for the ASGI server."""
         self.messages.put_nowait({"type": "http.response.body", "body": data, "more_body": True})
         await self._free_writes.acquire()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone."""
+        """Whether the client has disconnected."""
         return self.disconnected
 
     def sent(self) -> None:
-        """The ASGI server has taken a piece."""
+        """Record that the ASGI server has accepted a chunk."""
         self._free_writes.release()
 
     def finish(self, last: bytes = b"") -> None:
-        """The answer is complete with this piece."""
+        """Send the last chunk, which completes the answer."""
         self.messages.put_nowait({"type": "http.response.body", "body": last})
         self.messages.put_nowait(None)
 
     def abort(self, last: bytes = b"") -> None:
-        """The answer ends before it is complete."""
+        """Truncate the answer, after a last chunk if one is given."""
         if last:
             self.messages.put_nowait({"type": "http.response.body", "body": last, "more_body": True})
-        self.messages.put_nowait(AnswerTruncatedError("the model server's answer broke off"))
+        self.messages.put_nowait(AnswerTruncatedError("the model server's answer was truncated"))
 
 
 class PearhillMiddleware:
-    """`setup` is an operator's file read by `pearhill.chat.setup.load`, or the like from `read`."""
+    """ASGI middleware for the chat API. `setup` comes from `load` or `read` in `pearhill.chat.setup`."""
 
     def __init__(self, app: App, setup: ChatSetup) -> None:
         self.app = app
@@ -93,7 +93,7 @@
         self.service: ChatService | None = None
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """One connection of the ASGI server: the API's paths are answered here, all else by the application."""
+        """Answer the API's paths here, and forward everything else to the application."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
         elif scope["type"] == "http" and owns(scope["path"]):
@@ -114,11 +114,10 @@
             await service.close()
 
     async def _lifespan(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """The application's own lifespan runs inside; the dispatcher is up before the start is reported as
-        complete."""
+        """Run the application's own lifespan, and start the dispatcher before the start is reported as complete."""
 
         async def observe_and_send(message: Message) -> None:
-            """Start or stop the dispatcher before the server learns that the application has started or stopped."""
+            """Start or stop the dispatcher before the server is notified of the application's start or shutdown."""
             if message["type"] == "lifespan.startup.complete":
                 await self._start()
             elif message["type"].startswith("lifespan.shutdown."):
@@ -131,7 +130,7 @@
             await self._stop()
 
     async def _chat(self, scope: Scope, receive: Receive, send: Send) -> None:
-        service = await self._start()  # where the server or the application knows no lifespan
+        service = await self._start()  # if the server or the application does not support lifespan
         reply = _Reply()
         body = await self._body(receive, self.setup.max_body)
         if body is None:
@@ -155,7 +154,7 @@
 
     @staticmethod
     async def _body(receive: Receive, max_bytes: int) -> bytes | None:
-        """The whole body, cut one byte past the limit; None if the client has gone before its end."""
+        """Returns the body, cut off one byte past the limit, or None if the client disconnected before its end."""
         body = b""
         while True:
             message = await receive()
@@ -167,20 +166,20 @@
 
     @staticmethod
     async def _watch(receive: Receive, pending: Pending | None, reply: _Reply) -> None:
-        """Wait until the client has gone, then end its request."""
+        """Wait until the client disconnects, and cancel its request."""
         while (await receive())["type"] != "http.disconnect":
             pass
         reply.disconnected = True
         if pending:
             pending.handle_disconnect()
-        reply.messages.put_nowait(None)  # there is no client to write to
+        reply.messages.put_nowait(None)  # ends `_pump`: there is no client to write to
 
     @staticmethod
     async def _pump(reply: _Reply, send: Send) -> None:
-        """Send the answer's messages to its end. AnswerTruncatedError: it cannot be completed."""
+        """Send the messages of the answer. Raises AnswerTruncatedError if the answer cannot be completed."""
         while (message := await reply.messages.get()) is not None:
             if isinstance(message, Exception):
-                logger.info("asgi: an answer has broken off")
+                logger.info("asgi: an answer was truncated")
                 raise message
             await send(message)
             if message.get("more_body"):
--- a/pearhill/config/__init__.py
+++ b/pearhill/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: the platform's (`platform`, nothing but the standard library), and operators' files (`typed`)."""
+"""Configuration: the platform's (`platform`, which needs only the standard library) and operators' files (`typed`)."""
 
 from pearhill.config.platform import Config, ConfigError, for_next_start, load
 
--- a/pearhill/config/platform.py
+++ b/pearhill/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment's variables, and the JSON file that one of them names."""
+"""The platform's configuration: environment variables, and the JSON file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
-STANDARD_DESCRIPTORS = 3  # 0 to 2: input, output, errors
+STANDARD_DESCRIPTORS = 3  # 0 to 2: standard input, output and error
 MAX_DESCRIPTOR = 1 << 20
 
 
 class ConfigError(Exception):
-    """One line that names the key at fault."""
+    """The configuration is invalid; the text is one line that names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a daemon is given at its start or at a reload."""
+    """The configuration of a daemon at its start or at a reload."""
 
     name: str
     listen: Address
     discovery: Address
-    discovery_in_file: Any  # as the file has it, whatever the environment says
+    discovery_in_file: Any  # the value in the file, which RELAY_DISCOVERY may override
     seed: int
     sockets: int
     known_endpoints: Mapping[str, Any]
     deployment: settings.Deployment
-    admin: Address | None = None  # the operators' address
-    passed_socket: int | None = None  # the descriptor of a socket that listens already, for clients
-    message_folder: str | None = None  # in which processes of one dispatcher leave messages for each other
+    admin: Address | None = None  # the address of the admin endpoint
+    passed_socket: int | None = None  # the descriptor of a client socket that is already listening
+    message_folder: str | None = None  # for messages between processes of one dispatcher
 
 
 def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """The configuration at a start, or at a reload that follows `before`. ConfigError: it cannot be used."""
+    """Returns the configuration at a start, or at a reload after `before`. Raises ConfigError if it is invalid."""
     contents = _read_file(environ.get("RELAY_CONFIG"))
     deployment = _deployment(contents)
     seed, sockets = _limits(contents)
@@ -63,21 +63,21 @@
 
 
 def for_next_start(*changes: tuple[str, object, object]) -> str:
-    """Of (key, value in force, new value): what a reload leaves for the next start, in words."""
+    """Returns a description of the keys that a reload cannot apply, from (key, value in force, new value) tuples."""
     keys = ", ".join(key for key, old, new in changes if old != new)
     return f"; for the next start: {keys}" if keys else ""
 
 
 def _read_file(path: str | None) -> dict[str, Any]:
     if not path:
-        raise ConfigError("RELAY_CONFIG: is not set; it names the configuration file")
+        raise ConfigError("RELAY_CONFIG: must be set to the path of the configuration file")
     try:
         with open(path, encoding="utf-8") as file:
             contents = json.load(file)
     except (OSError, ValueError) as e:
         raise ConfigError(f"RELAY_CONFIG: {path}: {e}") from None
     if not isinstance(contents, dict):
-        raise ConfigError(f"RELAY_CONFIG: {path}: holds no JSON object")
+        raise ConfigError(f"RELAY_CONFIG: {path}: must contain a JSON object")
     if not isinstance(contents.get("settings"), dict):
         raise ConfigError("settings: must be an object")
     if not isinstance(contents.get("known", {}), dict):
@@ -93,7 +93,7 @@
 
 
 def _limits(contents: dict[str, Any]) -> tuple[int, int]:
-    """The seed, and the number of descriptors."""
+    """Returns the seed and the number of descriptors."""
     limits = contents.get("limits") or {}
     try:
         seed = int(str(contents.get("seed", "0")), 16)
@@ -106,8 +106,11 @@
 
 
 def _discovery(environ: Mapping[str, str], in_file: Any, before: Config | None) -> Address:
-    """At a reload the file alone counts: the environment is as old as the process, and would undo what the file now
-    says."""
+    """Returns the address of discovery.
+
+    At a reload only the file counts: the environment dates from the start of the process, and would override a changed
+    file.
+    """
     if before is None:
         return _address("discovery", environ.get("RELAY_DISCOVERY") or in_file)
     if in_file == before.discovery_in_file:
@@ -123,7 +126,10 @@
 
 
 def _passed_socket(environ: Mapping[str, str]) -> int | None:
-    """The descriptor is left as it is, open and this process's; whoever accepts clients from it asks for it again."""
+    """Returns the descriptor of the inherited socket, or None if there is none.
+
+    The socket is checked here and left open; the listener opens the descriptor again to accept clients.
+    """
     text = environ.get("RELAY_PASSED_SOCKET")
     if not text:
         return None
--- a/pearhill/config/typed.py
+++ b/pearhill/config/typed.py
@@ -1,5 +1,7 @@
-"""Operators' files: TOML, read into typed records. Every error names the file, the key's path, what was found there
-and what is allowed."""
+"""Reads operators' TOML files into typed records.
+
+Every error names the file, the path of the key, the value found there and what is allowed.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +17,9 @@
 
 T = TypeVar("T")
 
-MAX_SHOWN_CHARACTERS = 60  # of a value in an error
+MAX_SHOWN_CHARACTERS = 60  # limit on the length of a value in an error
 
-# Parts of msgspec's error messages.
+# Patterns and type names in msgspec's error messages.
 _PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
 _MISSING_FIELD = re.compile(r"missing required field `([^`]*)`")
@@ -41,7 +43,7 @@
 
 
 class Place(msgspec.Struct):
-    """A place in a file: its path, what stands there, and the type that it should have."""
+    """A place in a file: its path, the value found there, and the expected type."""
 
     path: str
     found: Any
@@ -49,16 +51,16 @@
 
     @property
     def keys(self) -> list[str]:
-        """The keys of a table that stands here; none, if it should be something else."""
+        """The allowed keys if a table is expected here, else an empty list."""
         return [field.encode_name for field in _fields(self.type)]
 
     def key(self, name: str) -> str:
-        """The path of a key in a table that stands here."""
+        """Returns the path of a key in the table at this place."""
         return f"{self.path}.{name}" if self.path else name
 
 
 def load(path: str, record: type[T]) -> tuple[T, dict[str, Any]]:
-    """A TOML file as a record, and as it was read. ConfigError names the file."""
+    """Returns a TOML file as a record and as a plain dictionary. Raises ConfigError, which names the file."""
     try:
         with open(path, "rb") as file:
             contents = tomllib.load(file)
@@ -71,7 +73,7 @@
 
 
 def convert(contents: Any, record: type[T]) -> T:
-    """The record that a file's contents make. ConfigError, without the file's name."""
+    """Converts the contents of a file to a record. Raises ConfigError, which does not name the file."""
     try:
         return msgspec.convert(contents, record, strict=True)
     except msgspec.ValidationError as e:
@@ -79,12 +81,12 @@
 
 
 def invalid_value(path: str, found: Any, allowed: str) -> ConfigError:
-    """The error for a value that is not allowed at this path."""
+    """Returns the error for a value that is not allowed at this path."""
     return ConfigError(f"{path}: found {shown(found)}; allowed: {allowed}")
 
 
 def shown(found: Any) -> str:
-    """A value as the file has it, shortened."""
+    """Returns a value as it is written in the file, shortened to MAX_SHOWN_CHARACTERS."""
     text = _as_in_file(found)
     if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
@@ -102,7 +104,7 @@
 
 
 def _explain(message: str, contents: Any, record: Any) -> ConfigError:
-    """What msgspec says of the contents, with the place, what was found there and what is allowed."""
+    """Converts an error of msgspec to one that names the place, the value found there and what is allowed."""
     what, _, at = message.partition(" - at `$")
     path = at.rstrip("`")
     place = _place(record, contents, path)
@@ -121,11 +123,11 @@
     keys = place.keys
     similar = difflib.get_close_matches(name, keys, 1)
     hint = f" (did you mean {similar[0]}?)" if similar else ""
-    return ConfigError(f"{place.key(name)}: found a key that is not known{hint}; allowed: {', '.join(keys)}")
+    return ConfigError(f"{place.key(name)}: found an unknown key{hint}; allowed: {', '.join(keys)}")
 
 
 def _place(record: Any, contents: Any, path: str) -> Place:
-    """Follow a path of msgspec's through the contents and the record's type."""
+    """Follow a path from an error of msgspec through the contents and the record's type."""
     place = Place("", contents, inspect.type_info(record))
     for name, index in _PATH_STEP.findall(path):
         if name:
@@ -144,7 +146,7 @@
 
 
 def _enter_list(place: Place, index: str) -> None:
-    """`index` may be "...": any of the list's items, of which the first is shown."""
+    """Move the place to a list item. The index "..." stands for any item; the first is shown then."""
     position = int(index) if index.isdigit() else 0
     place.path += f"[{index}]"
     place.type = getattr(_member(place.type, inspect.ListType), "item_type", None)
@@ -153,19 +155,19 @@
 
 
 def _member(kind: Any, wanted: type) -> Any:
-    """The member of a union that is of this sort; the type itself, if it is no union or has none."""
+    """Returns the member of a union that has the wanted type, or `kind` itself if there is no such member."""
     if isinstance(kind, inspect.UnionType):
         return next((member for member in kind.types if isinstance(member, wanted)), kind)
     return kind
 
 
 def _fields(kind: Any) -> tuple[Any, ...]:
-    """The fields of a table's type."""
+    """Returns the fields of a table's type."""
     return tuple(getattr(_member(kind, inspect.StructType), "fields", ()))
 
 
 def _allowed(kind: Any, what: str) -> str:
-    """What msgspec expected, in an operator's words."""
+    """Returns what msgspec expected, in terms that operators understand."""
     literal = _member(kind, inspect.LiteralType)
     if isinstance(literal, inspect.LiteralType):
         return ", ".join(map(str, literal.values))
--- a/pearhill/config/values.py
+++ b/pearhill/config/values.py
@@ -1,4 +1,4 @@
-"""Values that stand in more than one operators' file: addresses, lists of peers, and keys in files of their own."""
+"""Value types that several kinds of operators' files share: addresses, lists of peers, and keys in separate files."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 Text = Annotated[str, Meta(min_length=1)]
 Address = Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT")]
-MAX_NAME_LENGTH = 96  # characters of a reporter's name; a message to an aggregator has no room for more
+MAX_NAME_LENGTH = 96  # characters of a reporter's name; the limit of a message to an aggregator
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 MAX_LIST_LENGTH = 4096  # peers in one list
 
@@ -26,7 +26,7 @@
 
 
 def address(path: str, text: str) -> net.Address:
-    """The address that stands at this path. ConfigError: it is none."""
+    """Returns the address at this path. Raises ConfigError if it is invalid."""
     try:
         return net.parse_address(text)
     except ValueError:
@@ -34,8 +34,10 @@
 
 
 def addresses(path: str, peers: Iterable[PeerTable], own_name: str, kind: str = "peer") -> dict[str, net.Address]:
-    """Addresses by name, without this process's own: one list may serve all. ConfigError: a name stands twice, or an
-    address is none."""
+    """Returns the peers' addresses by name, without this process's own, so that all processes can share one list.
+
+    Raises ConfigError if a name is repeated or an address is invalid.
+    """
     found: dict[str, net.Address] = {}
     for k, peer in enumerate(peers):
         if peer.name in found:
@@ -46,8 +48,11 @@
 
 
 def read_secret(path: str, file_name: str) -> str:
-    """A key from a file of its own, as an operators' file gets copied, shown and committed. Empty without a file name.
-    ConfigError: the file cannot be read, or holds no single key."""
+    """Returns a key from a separate file, or an empty string without a file name.
+
+    Keys are not stored in the operators' file because that file is copied, shown and committed. Raises ConfigError if
+    the key file cannot be read or does not contain exactly one key.
+    """
     if not file_name:
         return ""
     try:
@@ -65,7 +70,10 @@
 
 
 def gossip_keys(path: str, file_names: Sequence[str]) -> tuple[bytes, ...]:
-    """What authenticates datagrams: the first key signs, each is accepted. ConfigError: a key is too short or none."""
+    """Returns the keys that authenticate datagrams: the first one signs, and all are accepted.
+
+    Raises ConfigError if a key is too short or absent.
+    """
     keys = tuple(read_secret(f"{path}[{k}]", name).encode() for k, name in enumerate(file_names))
     for k, key in enumerate(keys):
         if len(key) < MIN_KEY_BYTES:
--- a/pearhill/durable/__init__.py
+++ b/pearhill/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept on disk: the only code that writes files. It knows bytes and numbers, and not what they mean."""
+"""Storage on disk. Only this package writes files; it does not interpret the bytes that it stores."""
--- a/pearhill/durable/frames.py
+++ b/pearhill/durable/frames.py
@@ -1,7 +1,7 @@
-"""Frames of an append-only file: length, checksum, sequence number, body. A file may end anywhere.
+"""Frames of an append-only file: length, checksum, sequence number, body. A file may be cut off at any byte.
 
 A frame is `<IQQ`: the body's length, xxh3-64 of the sequence number and the body, the sequence number; then the body.
-Source of the idea that a file cut at any byte must read as what was whole before: SQLite's write-ahead log.
+As in SQLite's write-ahead log, a file that is cut off at any byte reads as the complete frames before that byte.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class TornFrameError(Exception):
-    """The bytes from `offset` on are no frame."""
+    """The bytes from `offset` on are not a valid frame."""
 
     def __init__(self, offset: int, why: str) -> None:
         super().__init__(f"at byte {offset}: {why}")
@@ -33,27 +33,27 @@
 
 
 def encode_frame(seq: int, body: bytes, max_body_bytes: int = MAX_BODY_BYTES) -> bytes:
-    """The bytes of a frame. ValueError: the body is too large."""
+    """Returns the bytes of a frame. Raises ValueError if the body is too large."""
     if len(body) > max_body_bytes:
-        raise ValueError(f"a body of {len(body)} bytes; {max_body_bytes} are allowed")
+        raise ValueError(f"a frame body of {len(body)} bytes is too large; {max_body_bytes} are allowed")
     return FRAME_HEAD.pack(len(body), _digest(seq, body), seq) + body
 
 
 def decode_frames(data: bytes, max_body_bytes: int = MAX_BODY_BYTES) -> Iterator[Frame]:
-    """Every whole frame in order.
+    """Yields every complete frame in order.
 
-    TornFrameError: after the last of them, where bytes are left that make none.
+    Raises TornFrameError after the last of them if the remaining bytes are not a valid frame.
     """
     offset = 0
     while offset < len(data):
         if len(data) - offset < FRAME_HEAD.size:
-            raise TornFrameError(offset, "the head of a frame is not whole")
+            raise TornFrameError(offset, "incomplete frame header")
         length, digest, seq = FRAME_HEAD.unpack_from(data, offset)
         body = data[offset + FRAME_HEAD.size : offset + FRAME_HEAD.size + length]
         if length > max_body_bytes or len(body) < length:
-            raise TornFrameError(offset, "a frame is not whole")
+            raise TornFrameError(offset, "incomplete or oversized frame body")
         if _digest(seq, body) != digest:
-            raise TornFrameError(offset, "a checksum does not fit")
+            raise TornFrameError(offset, "checksum mismatch")
         yield Frame(seq, body)
         offset += FRAME_HEAD.size + length
 
--- a/pearhill/durable/journal.py
+++ b/pearhill/durable/journal.py
@@ -1,9 +1,9 @@
-"""An append-only journal in a folder: written and synced in batches by a thread, so that the loop waits for no disk.
+"""An append-only journal in a folder. A thread writes and syncs in batches, so that the event loop never waits for it.
 
 `NNNNNNNNNN.log` are segments, named by their first sequence number; `NNNNNNNNNN.state` are snapshots, named by the
-last number that they hold. A frame counts once by its number, however often it was written: after a failed sync the
-system may have dropped what it took, so everything that was not acknowledged is written again, to a new segment.
-Source: the PostgreSQL project's account of fsync errors (2018).
+last sequence number that they include. After a failed sync the system may have dropped written data, so every
+unacknowledged frame is written again, to a new segment. Readers use each sequence number once, however often it was
+written. Source: the PostgreSQL project's account of fsync errors (2018).
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from pearhill.durable.frames import encode_frame
 from pearhill.durable.recovery import MAX_STATE_BYTES, snapshots
 
-SEGMENT_BYTES = 64 << 20  # after which a new segment begins
-RETRY_INTERVAL_S = 1.0  # between tries of a disk that fails
+SEGMENT_BYTES = 64 << 20  # size at which a new segment begins
+RETRY_INTERVAL_S = 1.0  # between two attempts while the disk fails
 CLOSING_RETRY_INTERVAL_S = 0.05  # the same while the journal is being closed
-MAX_WAITING_BYTES = 8 << 20  # that may wait for a disk
+MAX_WAITING_BYTES = 8 << 20  # limit on the bytes that wait for the disk
 CLOSE_TIMEOUT_S = 5.0
-KEPT_SNAPSHOTS = 2  # the one before the latest stays, in case the latest is damaged
+KEPT_SNAPSHOTS = 2  # the second latest is retained in case the latest is damaged
 FILE_MODE = 0o640
 
 
 class Journal:
-    """Appends frames to a folder that `recover` has made fit; `seq` is the last number in it.
+    """Appends frames to a folder that `recover` has prepared; `seq` is the last sequence number in it.
 
-    `append` never waits. `on_synced(seq)` and `on_failure(error)` are called on the writing thread; None as the
-    error: it works again.
+    `append` never waits for the disk. `on_synced(seq)` and `on_failure(error)` are called on the writing thread;
+    `on_failure(None)` means that the disk works again.
     """
 
     def __init__(
@@ -54,8 +54,8 @@
         self._waiting: deque[tuple[int, bytes]] = deque()  # not written yet
         self._unsynced: deque[tuple[int, bytes]] = deque()  # written, not synced
         self._bytes = 0  # of both
-        self._snapshot: tuple[int, bytes] | None = None  # that waits for the disk
-        self._close_by: float | None = None  # of the monotonic clock, in seconds; None: nobody has closed it
+        self._snapshot: tuple[int, bytes] | None = None  # waits for the disk
+        self._close_by: float | None = None  # monotonic time in seconds, or None while the journal is open
         self._file: int | None = None
         self._size = 0
         self._failed = False
@@ -65,14 +65,17 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether nothing more fits: the disk has failed for too long."""
+        """Whether the buffer is full because the disk has failed for too long."""
         return self._bytes >= self._max_waiting_bytes
 
     def append(self, body: bytes) -> int:
-        """The frame's number. BufferError: too much waits for the disk; ValueError: the body is too large. Nothing was
-        taken then."""
+        """Append a frame and return its sequence number.
+
+        Raises BufferError if too many bytes wait for the disk, or ValueError if the body is too large. Nothing is
+        appended in either case.
+        """
         if self.is_full:
-            raise BufferError("too much waits for the disk")
+            raise BufferError("too many bytes wait for the disk")
         with self._changed:
             data = encode_frame(self.seq + 1, body)
             self.seq += 1
@@ -82,18 +85,21 @@
             return self.seq
 
     def snapshot(self, state: bytes) -> None:
-        """Keep the state as it is after the last frame appended. It replaces an older one that still waits.
+        """Store the state after the last appended frame. It replaces an older snapshot that still waits for the disk.
 
-        ValueError: it is too large. Then the older ones and all frames after them stay.
+        Raises ValueError if the state is too large. The older snapshots and all frames after them remain in that case.
         """
         if len(state) > MAX_STATE_BYTES:
-            raise ValueError(f"a snapshot of {len(state)} bytes; {MAX_STATE_BYTES} are allowed")
+            raise ValueError(f"a snapshot of {len(state)} bytes is too large; {MAX_STATE_BYTES} are allowed")
         with self._changed:
             self._snapshot = (self.seq, state)
             self._changed.notify()
 
     def close(self, timeout: float = CLOSE_TIMEOUT_S) -> bool:
-        """Write and sync what waits, trying for so many seconds while the disk fails. False: it could not be done."""
+        """Write and sync all pending data, retrying for `timeout` seconds while the disk fails.
+
+        Returns whether everything has been written and synced.
+        """
         with self._changed:
             self._close_by = time.monotonic() + timeout
             self._changed.notify()
@@ -103,7 +109,7 @@
 
     @property
     def unwritten(self) -> tuple[int, int]:
-        """How many frames are not written and synced, and their bytes."""
+        """The number of frames that are not written and synced yet, and their size in bytes."""
         with self._changed:
             return len(self._waiting) + len(self._unsynced), self._bytes
 
@@ -123,14 +129,14 @@
         self._close_file()
 
     def _wait_for_work(self) -> bool:
-        """Wait until something is to be written. False: nothing is, and the journal is closed."""
+        """Wait until there is data to write. Returns False if there is none and the journal is closed."""
         with self._changed:
             while not self._has_work() and self._close_by is None:
                 self._changed.wait()
             return self._has_work()
 
     def _wait_for_retry(self) -> bool:
-        """Wait until the disk is to be tried again. False: the journal is being closed, and its time is over."""
+        """Wait until the next attempt to write. Returns False if the time for closing the journal is over."""
         if self._close_by is None:
             self._retry_at_once.wait(RETRY_INTERVAL_S)
             return True
@@ -151,7 +157,7 @@
             self._on_failure(error)
 
     def _write(self) -> None:
-        """Write and sync all that waits."""
+        """Write and sync all pending frames."""
         with self._changed:
             batch = list(self._waiting)
         if not batch and not self._unsynced:
@@ -179,14 +185,15 @@
     def _open_segment(self, first: int) -> None:
         if self._file is not None:
             return
-        # A file of that name holds nothing that was acknowledged: it begins with a frame that was given up.
+        # An existing file of this name contains no acknowledged frame: its first frame is written again here, after an
+        # earlier attempt failed.
         path = self.folder / f"{first:020}.log"
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, FILE_MODE)
         self._size = 0
         _sync_folder(self.folder)
 
     def _write_snapshot(self) -> None:
-        """Put the snapshot that waits in its place, whole or not at all, and remove those before the last two."""
+        """Write the pending snapshot and move it into place atomically, and remove all but the latest snapshots."""
         with self._changed:
             wanted = self._snapshot
         if wanted is None:
@@ -204,10 +211,10 @@
                 self._snapshot = None
 
     def _give_up_segment(self) -> None:
-        """After a failed write or sync it is unknown what the file holds.
+        """Close the segment after a failed write or sync, when its contents are unknown.
 
-        What was not acknowledged goes to a new segment, whole; the old one may hold some of it too, under the same
-        numbers.
+        All unacknowledged frames are written to a new segment; the old one may contain some of them too, under the same
+        sequence numbers.
         """
         with self._changed:
             self._waiting.extendleft(reversed(self._unsynced))
@@ -222,7 +229,7 @@
 
 
 def _write_all(file: int, data: bytes) -> int:
-    """Write all of the data; returns its size."""
+    """Write all of the data, and return its size in bytes."""
     left = memoryview(data)
     while left:
         left = left[os.write(file, left) :]
@@ -240,7 +247,7 @@
 
 
 def _sync_folder(folder: pathlib.Path) -> None:
-    """Make what was created or renamed in a folder durable."""
+    """Make files that were created or renamed in the folder durable."""
     file = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(file)
--- a/pearhill/durable/message_folder.py
+++ b/pearhill/durable/message_folder.py
@@ -1,4 +1,4 @@
-"""Small files that processes of one name leave for each other in one folder, each written by one process alone."""
+"""Messages between processes of one name: small files in a folder, each written by a single process."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import pathlib
 from collections.abc import Iterator
 
-MAX_MESSAGE_BYTES = 1 << 20  # what a larger file holds beyond it is not read
-MAX_MESSAGES = 16  # the latest by name are read
+MAX_MESSAGE_BYTES = 1 << 20  # the rest of a larger file is not read
+MAX_MESSAGES = 16  # only the latest by name are read
 
 
 class MessageFolder:
     """The messages of the processes of one name.
 
-    `name` may be any text, and several names may share the folder. `start` is a part of this process's file name.
-    OSError of any method: the folder cannot be used.
+    `name` may be any text, and several names may share the folder. `start` is part of this process's file name.
+    Methods raise OSError if the folder cannot be used.
     """
 
     def __init__(self, folder: str, name: str, start: int) -> None:
@@ -25,13 +25,13 @@
         self.own = self.folder / f"{self._prefix}{start:x}-{os.getpid()}.note"
 
     def write(self, data: bytes) -> None:
-        """Put this process's message in its place at once: no process may read half of one."""
+        """Write this process's message atomically, so that no process reads a partial one."""
         part = self.own.with_suffix(".part")
         part.write_bytes(data)
         part.replace(self.own)
 
     def others(self) -> Iterator[tuple[pathlib.Path, bytes]]:
-        """The messages of other processes. One that is removed meanwhile is left out."""
+        """Yields the paths and contents of other processes' messages, without those that are removed meanwhile."""
         with os.scandir(self.folder) as entries:
             names = sorted(entry.name for entry in entries if self._is_message(entry.name))
         names = [name for name in names if name != self.own.name]
@@ -44,7 +44,7 @@
         return name.startswith(self._prefix) and name.endswith(".note")
 
     def remove(self, path: pathlib.Path) -> None:
-        """Remove a message, and one that its process had not put in its place yet."""
+        """Remove a message, and the temporary file that its process may have left behind while writing."""
         for each in (path, path.with_suffix(".part")):
             with contextlib.suppress(OSError):
                 each.unlink()
--- a/pearhill/durable/recovery.py
+++ b/pearhill/durable/recovery.py
@@ -1,4 +1,4 @@
-"""Reading a journal's folder: its frames, its latest good snapshot, and the repair of a torn end."""
+"""Recovery of a journal: reads its frames and its latest valid snapshot, and repairs a torn tail."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 
 
 class CorruptJournalError(Exception):
-    """The folder holds what this journal did not write, or a file is damaged in its middle."""
+    """The folder contains data that the journal did not write, or a file is damaged in its middle."""
 
 
 class RecoveredJournal(NamedTuple):
-    """What a folder held. `frames`: those after the snapshot. `torn_bytes`: of a torn tail, which was moved aside."""
+    """The contents of a folder.
+
+    `frames` are those after the snapshot. `torn_bytes` is the size of a torn tail, which was moved to another file.
+    """
 
     seq: int
     state: bytes | None
@@ -30,19 +33,19 @@
 
 
 def segments(folder: pathlib.Path) -> list[pathlib.Path]:
-    """The segments of a folder, the oldest first."""
+    """Returns the segments of a folder, oldest first."""
     return sorted(folder.glob(SEGMENT_PATTERN))
 
 
 def snapshots(folder: pathlib.Path) -> list[pathlib.Path]:
-    """The snapshots of a folder, the oldest first."""
+    """Returns the snapshots of a folder, oldest first."""
     return sorted(folder.glob(SNAPSHOT_PATTERN))
 
 
 def read_frames(folder: pathlib.Path) -> list[Frame]:
-    """Every frame of a folder, each number once, in order; nothing is changed.
+    """Returns every frame of a folder in order, each sequence number once, without changing any file.
 
-    CorruptJournalError: one is damaged in its middle.
+    Raises CorruptJournalError if a segment is damaged in its middle.
     """
     found: dict[int, bytes] = {}
     paths = segments(folder)
@@ -51,8 +54,8 @@
             for one in decode_frames(path.read_bytes()):
                 found.setdefault(one.seq, one.body)
         except TornFrameError as e:
-            # A torn end is what a crash leaves: of the last segment, or of one that was given up after an error, whose
-            # frames then stand again in the next.
+            # A crash leaves a torn tail in the last segment. A write error leaves one in a segment that was abandoned,
+            # whose unacknowledged frames are repeated in the next segment.
             is_last = position == len(paths) - 1
             if not is_last and not _continues(found, paths[position + 1]):
                 raise CorruptJournalError(f"{path.name}: {e}") from None
@@ -60,21 +63,21 @@
 
 
 def _continues(found: dict[int, bytes], following: pathlib.Path) -> bool:
-    """Whether the next segment begins no later than right behind what has been read."""
+    """Whether the next segment starts at or before the sequence number that follows those already read."""
     return int(following.stem) <= max(found, default=0) + 1
 
 
 def recover(folder: pathlib.Path) -> RecoveredJournal:
-    """Make a folder fit for writing on: cut a torn tail (kept beside it as `.torn`), find the latest good snapshot.
+    """Prepare a folder for appending: move a torn tail to a `.torn` file, and find the latest valid snapshot.
 
-    CorruptJournalError: it is damaged in its middle. OSError: it cannot be read or written.
+    Raises CorruptJournalError if a segment is damaged in its middle, or OSError if the folder is inaccessible.
     """
     folder.mkdir(parents=True, exist_ok=True)
     frames = read_frames(folder)
     torn_bytes = _cut_torn_tail(folder)
     snapshot = _latest_snapshot(folder)
     if snapshot is None and not frames and snapshots(folder):
-        raise CorruptJournalError("no snapshot is whole, and there are no segments")
+        raise CorruptJournalError("no snapshot is valid, and there are no segments")
     state_seq = 0 if snapshot is None else snapshot.seq
     _check_nothing_missing(frames, state_seq)
     last = frames[-1].seq if frames else 0
@@ -88,7 +91,7 @@
 
 
 def _cut_torn_tail(folder: pathlib.Path) -> int:
-    """Move what is no frame at the end of the last segment aside; returns its bytes."""
+    """Move the torn tail of the last segment to a `.torn` file, and return the number of bytes moved."""
     paths = segments(folder)
     if not paths:
         return 0
@@ -110,17 +113,17 @@
         try:
             (snapshot,) = decode_frames(path.read_bytes(), MAX_STATE_BYTES)
         except (TornFrameError, ValueError):
-            logger.warning("journal: snapshot {name} is not whole and is passed over", name=path.name)
+            logger.warning("journal: snapshot {name} is damaged and is skipped", name=path.name)
             continue
         return snapshot
     return None
 
 
 def _check_nothing_missing(frames: list[Frame], state_seq: int) -> None:
-    """CorruptJournalError: numbers are missing that the snapshot does not hold."""
+    """Raises CorruptJournalError if sequence numbers are missing that the snapshot does not include."""
     for before, after in zip(frames, frames[1:], strict=False):
         if after.seq != before.seq + 1 and after.seq > state_seq + 1:
-            raise CorruptJournalError(f"charges {before.seq + 1} to {after.seq - 1} are missing")
+            raise CorruptJournalError(f"frames {before.seq + 1} to {after.seq - 1} are missing")
     first = frames[0].seq if frames else 1
     if first > state_seq + 1:
-        raise CorruptJournalError(f"charges {state_seq + 1} to {first - 1} are missing, and no snapshot holds them")
+        raise CorruptJournalError(f"frames {state_seq + 1} to {first - 1} are missing, and no snapshot includes them")
--- a/pearhill/lab/scale/daemon.py
+++ b/pearhill/lab/scale/daemon.py
@@ -24,7 +24,7 @@
 LOG_POLL_S = 0.05
 QUERY_TIMEOUT_S = 10
 # The log lines that say where a process listens.
-_ADMIN_ADDRESS = re.compile(r"operators are heard on ([\d.]+:\d+)")
+_ADMIN_ADDRESS = re.compile(r"admin endpoint: listening on ([\d.]+:\d+)")
 _FRONT_ADDRESS = re.compile(r"front listens on ([\d.]+:\d+)")
 _TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
--- a/pearhill/lifecycle/__init__.py
+++ b/pearhill/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""What operators set while the dispatcher serves, the drain, the shutdown's times, and the takeover. Free of I/O."""
+"""Operators' overrides, the drain, the stages of the shutdown, and the takeover. This package does no I/O."""
--- a/pearhill/lifecycle/drain.py
+++ b/pearhill/lifecycle/drain.py
@@ -1,5 +1,8 @@
-"""One drain, whatever began it: operators, who may end it again, the signal that ends the process, or another process
-that has come to take this one's clients."""
+"""The drain of a process and its stages.
+
+A drain is begun by operators, who may also end it, by the signal that ends the process, or by a successor that accepts
+this process's clients.
+"""
 
 from __future__ import annotations
 
@@ -9,32 +12,35 @@
 
 
 class DrainStage(Enum):
-    """What a drain does to clients' connections."""
+    """What is done to clients' connections."""
 
-    OPEN = auto()  # nothing: there is no drain
-    CLOSE_AFTER_ANSWER = auto()  # each answer ends its connection
+    OPEN = auto()  # nothing: no drain is in progress
+    CLOSE_AFTER_ANSWER = auto()  # each connection is closed after its answer
     CLOSE_IDLE = auto()  # idle connections are closed too
 
 
 class Drain:
-    """The state of the drain. Times are the dispatcher's clock, in microseconds; None: this did not begin a drain."""
+    """The state of the drain. Times are microseconds of the dispatcher's clock; None: this has not begun a drain."""
 
     def __init__(self) -> None:
-        self.requested_at: int | None = None  # by operators
+        self.requested_at: int | None = None  # when operators requested a drain
         self.ending_since: int | None = None  # when the shutdown of the process was requested
-        self.yielding_since: int | None = None  # another process takes the clients
+        self.yielding_since: int | None = None  # when a successor began to accept the clients
         self.times = ShutdownTimes.for_deadline(MAX_KILL_DEADLINE_US)  # of the shutdown, once it has begun
 
     def request(self, now: int, on: bool) -> None:
-        """Operators' call. Requested twice, it is one drain; ended without a beginning, it is none."""
+        """Begin or end the drain that operators request. Repeated calls have no effect."""
         if not on:
             self.requested_at = None
         elif self.requested_at is None:
             self.requested_at = now
 
     def end_process(self, now: int, longest_deadline: int) -> None:
-        """Record that the process shuts down. Requested again, or with other settings later, it ends as early as
-        any of them requires; an end of the operators' drain does not keep it."""
+        """Record that the process shuts down.
+
+        If this is called again, possibly with other settings, the shutdown ends at the earliest of the required times.
+        The end of the operators' drain does not cancel the shutdown.
+        """
         times = ShutdownTimes.for_deadline(longest_deadline)
         if self.ending_since is None:
             self.ending_since = now
@@ -43,7 +49,7 @@
             self.times = times
 
     def yield_to_successor(self, now: int, on: bool) -> None:
-        """Another process takes the clients, or, having gone, no longer does."""
+        """Record that a successor accepts the clients (`on`), or that it has exited and no longer does."""
         if not on:
             self.yielding_since = None
         elif self.yielding_since is None:
@@ -51,24 +57,29 @@
 
     @property
     def out_of_rotation(self) -> bool:
-        """Whether clients are to go to other dispatchers. A process with a successor is still this dispatcher: if it
-        reported itself out of rotation, the load balancer would leave its successor too."""
+        """Whether load balancers should send clients to other dispatchers.
+
+        A process with a successor stays in rotation: both are the same dispatcher to the load balancer, which would
+        otherwise stop sending clients to the successor too.
+        """
         if self.requested_at is not None:
             return True
         return self.ending_since is not None and self.yielding_since is None
 
     def rejects(self, arrived: int) -> bool:
-        """Whether a request that was read then comes too late: the process is shutting down, and the platform kills it
-        before a long answer would be complete."""
+        """Whether a request that was read at `arrived` is rejected.
+
+        Late in a shutdown, the platform would kill the process before a long answer is complete.
+        """
         return self.ending_since is not None and arrived >= self.ending_since + self.times.reject_after
 
     @property
     def active(self) -> bool:
-        """Whether there is a drain."""
+        """Whether a drain is in progress."""
         return self._close_idle_at is not None
 
     def stage(self, now: int) -> DrainStage:
-        """What is to be done to clients' connections at this time."""
+        """Returns the stage of the drain at this time."""
         close_idle_at = self._close_idle_at
         if close_idle_at is None:
             return DrainStage.OPEN
@@ -77,18 +88,18 @@
         return DrainStage.CLOSE_AFTER_ANSWER
 
     def tick(self, now: int) -> int | None:
-        """When the next stage begins; None: no time will change it."""
+        """Returns when the next stage begins, or None if no further stage is scheduled."""
         if self.stage(now) is DrainStage.CLOSE_AFTER_ANSWER:
             return self._close_idle_at
         return None
 
     def closes_all(self, now: int) -> bool:
-        """Whether what is still connected, and waits for no answer, is to be closed now."""
+        """Whether every connection that waits for no answer is closed now, even after a partly received request."""
         return self.ending_since is not None and now >= self.ending_since + self.times.end_by
 
     @property
     def _close_idle_at(self) -> int | None:
-        """When idle connections are closed; None: there is no drain."""
+        """When idle connections are closed, or None if no drain is in progress."""
         spans = (
             (self.requested_at, IDLE_GRACE_US),
             (self.yielding_since, IDLE_GRACE_US),
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -1,38 +1,44 @@
-"""The operators' overrides, each with its time: of two on one matter the later holds."""
+"""The operators' overrides, each with a timestamp. Of two overrides of the same state the later one applies."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# For a replica that is in use again: until then an older message may still have it administratively down.
+# How long the override of a restored replica is kept: an older message may still say that the replica is down.
 RETENTION_US = 600_000_000
-MAX_OVERRIDES = 10_000  # that are kept; far more than there are replicas
+MAX_OVERRIDES = 10_000  # limit on the overrides in one message; far more than there are replicas
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """Whether something is on by an operators' call. Times are microseconds of Unix time."""
+    """A state that operators have set. Times are microseconds of Unix time."""
 
-    set_at: int  # when the call came
+    set_at: int  # when operators set it
     on: bool
-    since: int  # when what it ends or continues began
+    since: int  # when the state that it continues or ends began
 
     def shifted(self, by: int) -> Override:
-        """The same by a clock that is so far ahead."""
+        """Returns the override with its times by a clock that is `by` microseconds ahead."""
         return Override(self.set_at + by, self.on, self.since + by)
 
 
 class OperatorOverrides:
-    """`down`: by replica, whether it is administratively down. `drain`: whether this dispatcher is to drain; None: no
-    operator has requested or ended a drain."""
+    """The overrides that are in force.
+
+    `down` maps replicas to whether they are administratively down. `drain` is whether this dispatcher drains, or None
+    if operators have neither requested nor ended a drain.
+    """
 
     def __init__(self) -> None:
         self.down: dict[int, Override] = {}
         self.drain: Override | None = None
 
     def set_down(self, replica: int, now: int, down: bool) -> None:
-        """Two calls that take it down need one that restores it; it is down from the first of them on. A call that
-        restores a replica that was not down is none: the replica would be taken for one that was restarted."""
+        """Take a replica down, or restore it.
+
+        Repeated calls that take it down count as one that began with the first, and a single call restores it. A call
+        that restores a replica that is not down is ignored: it would mark the replica as restarted.
+        """
         before = self.down.get(replica)
         was_down = before is not None and before.on
         if not down and not was_down:
@@ -41,7 +47,7 @@
         self.down[replica] = self._after(before, now, down, since)
 
     def set_drain(self, now: int, on: bool) -> None:
-        """Begin or end the operators' drain; two calls that begin it are one drain."""
+        """Begin or end the operators' drain. A repeated call does not change the time at which the drain began."""
         before = self.drain
         since = before.since if before and before.on and on else now
         self.drain = self._after(before, now, on, since)
@@ -51,13 +57,15 @@
         return replica in self.down and self.down[replica].on
 
     def restored(self, replica: int) -> Override | None:
-        """The override that restored it, where it has been down."""
+        """Returns the override that restored the replica, or None if it is down or was never down."""
         override = self.down.get(replica)
         return override if override and not override.on else None
 
     def merge(self, down: dict[int, Override], drain: Override | None) -> tuple[set[int], bool]:
-        """Take over the overrides that another process received later. Returns the replicas concerned, and
-        whether the drain is."""
+        """Apply those overrides of another process that are later than this one's.
+
+        Returns the replicas whose overrides have changed, and whether the drain's has.
+        """
         changed = {replica for replica, override in down.items() if self._is_later(override, self.down.get(replica))}
         self.down.update((replica, down[replica]) for replica in changed)
         drain_changed = drain is not None and self._is_later(drain, self.drain)
@@ -66,8 +74,10 @@
         return changed, drain_changed
 
     def forget(self, now: int) -> None:
-        """Drop what is long over: replicas come and go under new ids, and whatever was once restored would fill the
-        memory."""
+        """Delete the overrides of replicas that were restored more than RETENTION_US ago.
+
+        Replicas are replaced under new ids, so that the overrides would accumulate without a limit.
+        """
         expired = [
             replica
             for replica, override in self.down.items()
@@ -78,7 +88,7 @@
 
     @staticmethod
     def _after(before: Override | None, now: int, on: bool, since: int) -> Override:
-        """An override that wins over the one before at every process, though their clocks may differ by a little."""
+        """Returns an override that is later than `before` at every process, even if clocks differ slightly."""
         set_at = max(now, before.set_at + 1) if before else now
         return Override(set_at, on, since)
 
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -1,6 +1,8 @@
-"""Two processes of one dispatcher, one taking the other's place: what follows from their messages.
+"""The takeover between two processes of one dispatcher: the successor replaces the predecessor.
 
-Each keeps a message of its own and reads the other's. Times are microseconds of Unix time."""
+Each process maintains a message of its own and reads the other's; this module decides what follows from them. Times are
+microseconds of Unix time.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +12,17 @@
 from pearhill.lifecycle.overrides import OperatorOverrides
 from pearhill.lifecycle.takeover_message import TakeoverMessage
 
-ALIVE_WITHIN_US = 1_500_000  # a message that was not written anew for so long: its process has gone
-MESSAGE_RETENTION_US = 600_000_000  # left behind for longer than this it is ignored
-REWRITE_INTERVAL_US = 300_000  # between two writings of a message that contains nothing new
-# A successor has 6 s from its start until it reports ready, and soon after that the predecessor is ended with all that
-# it still answers. Until this age the successor accepts the clients, but leaves the predecessor the time.
+ALIVE_WITHIN_US = 1_500_000  # a process whose message is older than this has exited
+MESSAGE_RETENTION_US = 600_000_000  # an older message is ignored
+REWRITE_INTERVAL_US = 300_000  # between two writes of an unchanged message
+# The platform gives a successor 6 s from its start to report ready, and ends the predecessor soon after the report,
+# even if that process still answers requests. Up to this age, a successor that already accepts the clients delays its
+# report until the predecessor has answered all of its requests.
 READY_WITHIN_US = 5_200_000
 
 
 class Takeover:
-    """One process's side, as the others' messages last showed it."""
+    """One process's view of the takeover, according to the latest messages of the others."""
 
     def __init__(
         self, name: str, started_at: int, overrides: OperatorOverrides, origin: int = 0, boot: str = ""
@@ -30,25 +33,29 @@
         self.origin = origin
         self.boot = boot
         self.process_count = 1  # processes that share the limits now
-        self.succeeded = False  # another process that started later accepts the clients: this one need not
-        self.predecessor_alive = False  # a process that started earlier still lives
-        self.predecessor_serving = False  # and still answers
+        self.succeeded = False  # a process that started later accepts the clients, so this one need not
+        self.predecessor_alive = False  # a process that started earlier is still running
+        self.predecessor_serving = False  # and still answers clients
         self._written: TakeoverMessage | None = None
 
     def alive(self, message: TakeoverMessage, now: int) -> bool:
-        """Whether the process that wrote it still runs."""
+        """Whether the process that wrote the message is still running."""
         return not message.ended and abs(now - message.written_at) < ALIVE_WITHIN_US
 
     def expired(self, message: TakeoverMessage, now: int) -> bool:
-        """Whether nobody needs it any more: it is too old, or of an earlier process that has ended and whose overrides
-        are taken over here."""
+        """Whether the message can be deleted.
+
+        It can if it is too old, or if its process started earlier and has exited: its overrides are merged here.
+        """
         if self._too_old(message, now):
             return True
         return message.started_at < self.started_at and not self.alive(message, now)
 
     def receive(self, now: int, messages: Iterable[TakeoverMessage]) -> tuple[set[int], bool]:
-        """The messages as they stand, this process's own may be among them. Returns the replicas whose overrides have
-        changed, and whether the drain's has."""
+        """Process the current messages, which may include this process's own.
+
+        Returns the replicas whose overrides have changed, and whether the drain's has.
+        """
         messages = list(messages)
         living = [m for m in messages if m.started_at != self.started_at and self.alive(m, now)]
         earlier = [m for m in living if m.started_at < self.started_at]
@@ -61,15 +68,15 @@
         return changed
 
     def reports_ready(self, age: int) -> bool:
-        """Whether a process of this age, which serves, lets the platform go on: that ends the predecessor."""
+        """Whether a serving process of this age may report ready, after which the platform ends the predecessor."""
         return not self.predecessor_serving or age >= READY_WITHIN_US
 
     def write_failed(self) -> None:
-        """The last message did not reach the folder: the next one has to be written, even if it is the same."""
+        """Record that the last message could not be written: the next one is written even if it is the same."""
         self._written = None
 
     def message(self, now: int, serving: bool, quiet: bool, ended: bool = False) -> TakeoverMessage | None:
-        """What to write now; None: what was last written will do."""
+        """Returns the message to write now, or None if the last one is still up to date."""
         message = TakeoverMessage(
             name=self.name,
             started_at=self.started_at,
@@ -90,9 +97,11 @@
     def _merge_overrides(
         self, now: int, messages: list[TakeoverMessage], living: list[TakeoverMessage]
     ) -> tuple[set[int], bool]:
-        """Take over the overrides. What is down stays down over any restart, but a drain holds only while its process
-        lives: one that outlived it would keep the next process from ever being ready, long after whoever
-        requested it has gone."""
+        """Merge the overrides of other processes.
+
+        A replica that is down stays down across restarts, but a drain ends with its process: if it persisted, the next
+        process would never be ready, even long after the operator who requested the drain has left.
+        """
         replicas = set[int]()
         drain = False
         for message in messages:
--- a/pearhill/lifecycle/takeover_message.py
+++ b/pearhill/lifecycle/takeover_message.py
@@ -1,5 +1,8 @@
-"""The state that two processes of one dispatcher exchange, and how it is stored: a line with a mark, the version and a
-CRC-32 of the rest, then JSON. Other versions read it: its keys stay."""
+"""The message that two processes of one dispatcher exchange, and its stored form.
+
+A stored message is a line with a marker, the version and a CRC-32 of the rest, followed by JSON. Processes of other
+versions read it, so its keys must not change.
+"""
 
 from __future__ import annotations
 
@@ -9,32 +12,35 @@
 
 from pearhill.lifecycle.overrides import MAX_OVERRIDES, Override
 
-FAMILY_MARK = b"pearhill-note "  # begins the messages of every version
+FAMILY_MARK = b"pearhill-note "  # the first bytes of a message of any version
 MESSAGE_VERSION = 1
 MESSAGE_MARK = FAMILY_MARK + b"%d " % MESSAGE_VERSION
 
 
 class TakeoverMessageError(ValueError):
-    """Not a message, or none that can be believed; the text says why."""
+    """The data is not a valid message of this dispatcher; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverMessage:
-    """One process's state for the other. Times are microseconds of Unix time, by the writer's clock."""
+    """The state of one process, for the other. Times are microseconds of Unix time, by the writer's clock."""
 
-    name: str  # the dispatcher's
-    started_at: int  # of the process, which distinguishes the two
+    name: str  # of the dispatcher
+    started_at: int  # start of the process, which distinguishes the two
     written_at: int
-    serving: bool  # it accepts clients' connections
-    quiet: bool  # it answers no client any more
+    serving: bool  # whether the process accepts clients' connections
+    quiet: bool  # whether the process has answered all its clients
     ended: bool  # no further message will be written
     down: dict[int, Override]
     drain: Override | None
-    origin: int = 0  # how far its writer's clock is ahead of the monotonic clock that all processes of a boot share
-    boot: str = ""  # which boot; empty: the writer did not know
+    origin: int = 0  # how far the writer's clock is ahead of the monotonic clock that all processes of a boot share
+    boot: str = ""  # the id of the writer's boot, or empty if unknown
 
     def aligned(self, origin: int, boot: str) -> TakeoverMessage:
-        """Its times by the reader's clock. The wall clock may have been stepped between the starts of the two."""
+        """Returns the message with its times by the reader's clock.
+
+        The two clocks differ if the wall clock was stepped between the starts of the two processes.
+        """
         by = origin - self.origin
         if not boot or boot != self.boot or not by:
             return self
@@ -48,7 +54,7 @@
         )
 
     def encode(self) -> bytes:
-        """The bytes to store."""
+        """Returns the bytes to store."""
         fields = {
             "name": self.name,
             "start": self.started_at,
@@ -66,21 +72,23 @@
 
 
 def decode(data: bytes, name: str) -> TakeoverMessage:
-    """The message of another process of the dispatcher `name`. TakeoverMessageError: torn, of another version, of
-    another dispatcher, or nonsense; nothing of it is used then."""
+    """Returns the message of another process of the dispatcher `name`.
+
+    Raises TakeoverMessageError if the data is torn, of another version or dispatcher, or malformed.
+    """
     message = _decode_body(_checked_body(data))
     if message.name != name:
         raise TakeoverMessageError("of another dispatcher")
     if len(message.down) > MAX_OVERRIDES:
-        raise TakeoverMessageError("too many wishes")
+        raise TakeoverMessageError("too many overrides")
     return message
 
 
 def _checked_body(data: bytes) -> bytes:
-    """What follows the first line, if that fits it."""
+    """Returns the data after the first line, whose version and checksum are verified."""
     head, newline, body = data.partition(b"\n")
     if not head.startswith(MESSAGE_MARK):
-        raise TakeoverMessageError("of another version" if head.startswith(FAMILY_MARK) else "no note")
+        raise TakeoverMessageError("of another version" if head.startswith(FAMILY_MARK) else "not a takeover message")
     if not newline or head[len(MESSAGE_MARK) :] != b"%08x" % zlib.crc32(body):
         raise TakeoverMessageError("torn")
     return body
@@ -115,4 +123,4 @@
     match fields:
         case [int(set_at), bool(on), int(since)] if set_at >= 0 and since >= 0:
             return Override(set_at, on, since)
-    raise TakeoverMessageError("a wish that is none")
+    raise TakeoverMessageError("malformed override")
--- a/pearhill/net/admin_listener.py
+++ b/pearhill/net/admin_listener.py
@@ -33,5 +33,5 @@
         host, port = listener.listen(address)
     except OSError as e:
         raise OSError(f"{setting}: {address[0]}:{address[1]}: {e.strerror or e}") from None
-    logger.info("operators are heard on {host}:{port}", host=host, port=port)
+    logger.info("admin endpoint: listening on {host}:{port}", host=host, port=port)
     return listener
--- a/pearhill/node/__init__.py
+++ b/pearhill/node/__init__.py
@@ -1,1 +1,1 @@
-"""What every running dispatcher is made of: start, reload, graceful shutdown, takeover, and one process around it."""
+"""The parts that every running dispatcher needs: start, reload, graceful shutdown, takeover and the process itself."""
--- a/pearhill/node/drain_control.py
+++ b/pearhill/node/drain_control.py
@@ -1,4 +1,4 @@
-"""The drain's stages, carried out on the clients' connections."""
+"""Applies the stages of a drain to the clients' connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DrainControl:
-    """Does to the listener what the drain's stage requires, now and when the next stage begins."""
+    """Applies the current stage of the drain to the listener, and sets a timer for the next stage."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.drain = Drain()
@@ -17,12 +17,12 @@
         self._next_stage_timer: TimerKey | None = None
 
     def request(self, on: bool) -> None:
-        """Begin or end the operators' drain."""
+        """Begin or end the drain that operators have requested."""
         self.drain.request(self._deadlines.clock(), on)
         self.apply()
 
     def yield_to_successor(self, on: bool) -> None:
-        """Another process takes this dispatcher's clients, or has gone before this one did."""
+        """Record that a successor accepts the clients (`on`), or that it has exited before this process."""
         if on == (self.drain.yielding_since is not None):
             return
         self.drain.yield_to_successor(self._deadlines.clock(), on)
@@ -31,7 +31,7 @@
         self.apply()
 
     def apply(self) -> None:
-        """Bring the clients' connections into the present stage, and set the timer of the next one."""
+        """Apply the present stage to the clients' connections, and set the timer of the next stage."""
         listener = self.listener
         now = self._deadlines.clock()
         self._deadlines.cancel(self._next_stage_timer)
--- a/pearhill/node/limits.py
+++ b/pearhill/node/limits.py
@@ -1,4 +1,4 @@
-"""What one process may use: descriptors for clients, replicas, operators and upkeep, and sizes of requests."""
+"""Resource limits of a process: descriptors for clients, replicas, operators and maintenance, and request sizes."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from pearhill.http1.server import MAX_BODY
 from pearhill.net.admin_listener import MAX_ADMIN_CONNECTIONS
 
-RESERVED_DESCRIPTORS = 48  # for the log, the event loop, the listener, and upkeep
-UPKEEP_DESCRIPTORS = 24  # of the reserved ones: for releases and the endpoint list
-MIN_CONNECTIONS = 8  # to clients, and as many to replicas, however few descriptors there are
+RESERVED_DESCRIPTORS = 48  # for the log, the event loop, the listener and maintenance calls
+UPKEEP_DESCRIPTORS = 24  # part of the reserved ones: for releases and endpoint list requests
+MIN_CONNECTIONS = 8  # minimum for clients, and as many for replicas, even if descriptors are scarce
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The limits of a process, and the seed of its random choices."""
+    """The resource limits of a process, and the seed of its random number generator."""
 
-    sockets: int  # descriptors of the dispatcher, which all its processes share
+    sockets: int  # descriptors of the dispatcher, shared by all its processes
     seed: int
-    max_body: int = MAX_BODY  # bytes of a request
-    send_buffer: int = 0  # bytes that the system may hold for one client; 0: as it likes
-    has_admin_endpoint: bool = False  # operators have an address of their own
+    max_body: int = MAX_BODY  # maximum size of a request body, in bytes
+    send_buffer: int = 0  # size of a client's socket send buffer, in bytes; 0: the system's default
+    has_admin_endpoint: bool = False  # the admin endpoint has an address of its own
 
     def connections(self, process_count: int) -> int:
-        """Descriptors for clients, and as many for requests to replicas, for each of so many processes."""
+        """Returns the descriptors for clients, and as many for replicas, of each of `process_count` processes."""
         available = self.sockets // process_count - RESERVED_DESCRIPTORS
         if self.has_admin_endpoint:
             available -= MAX_ADMIN_CONNECTIONS
--- a/pearhill/node/listeners.py
+++ b/pearhill/node/listeners.py
@@ -1,4 +1,4 @@
-"""Opening the address of a dispatcher's clients."""
+"""Opens the socket on which a dispatcher accepts its clients."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 from pearhill.net.listener import EXHAUSTION_ERRNOS, Listener
 from pearhill.net.ticks import pause
 
-LISTEN_TIMEOUT_US = 20_000_000  # a start that takes longer counts as failed
+LISTEN_TIMEOUT_US = 20_000_000  # if no socket is available for longer, the start fails
 RETRY_INTERVAL_US = 20_000
 
 
 async def listen_for_clients(
     listener: Listener, address: Address | socket.socket, deadlines: Deadlines, counters: Counters
 ) -> Address:
-    """Open the address, or adopt a socket that listens already. OSError: the address cannot be used, or the system
-    has had no socket for LISTEN_TIMEOUT_US."""
+    """Open the address, or adopt a socket that is already listening. Returns the address.
+
+    Raises OSError if the address cannot be used, or if the system has had no socket for LISTEN_TIMEOUT_US.
+    """
     if not isinstance(address, tuple):
         return listener.adopt(address)
     give_up_at = deadlines.clock() + LISTEN_TIMEOUT_US
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -1,4 +1,4 @@
-"""What every running dispatcher is made of, whatever its front ends and replicas are: its start, reload and end."""
+"""A running dispatcher, independent of its front ends and replicas: its start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -34,19 +34,24 @@
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import Deployment
 
-RECHECK_INTERVAL_US = 20_000  # between two questions whether clients may be accepted yet
+RECHECK_INTERVAL_US = 20_000  # between two checks whether clients may be accepted yet
 
 
 def _idle_timeout(deployment: Deployment) -> int:
-    """Microseconds for which a connection may stand unused: well under what the replicas allow."""
+    """Returns for how many microseconds a connection may stay idle.
+
+    The time is two thirds of the replicas' own timeout, so that the dispatcher closes an idle connection before a
+    replica does.
+    """
     return deployment.connection_idle_timeout * 2 // 3
 
 
 class Node:
-    """A dispatcher with its connection pool and backend. Belongs to the running event loop.
+    """A dispatcher with its connection pool and backend. It belongs to the running event loop.
 
-    Set by others: `succeeded`, whether another process takes the clients; `on_report`, called when the counters are
-    logged."""
+    Its owner may set two callbacks: `succeeded` returns whether a successor accepts the clients, and `on_report` is
+    called when the counters are logged.
+    """
 
     def __init__(self, deployment: Deployment, dialect: Dialect, limits: Limits) -> None:
         loop = asyncio.get_running_loop()
@@ -56,8 +61,8 @@
         self.ticks = EventLoopTicks(loop, self.deadlines)
         self._wall_clock = WallClockObserver(self.deadlines, self.counters)
         self.limits = limits
-        self.dispatcher_count = 0  # that share the work, where they are counted; 0: as the settings say
-        self.process_count = 1  # processes that share the limits and this dispatcher's part of all else
+        self.dispatcher_count = 0  # dispatchers that share the work; 0: not counted, the settings' number is used
+        self.process_count = 1  # processes that share this dispatcher's limits and its part of the work
         self.settings = deployment
         self.pool = Pool(
             loop,
@@ -83,22 +88,22 @@
 
     @property
     def connection_limit(self) -> int:
-        """Connections to clients, and as many to replicas, that this process may have."""
+        """The maximum number of connections to clients, and also to replicas, for this process."""
         return self.limits.connections(self.process_count)
 
     @property
     def drain(self) -> Drain:
-        """The drain, whether operators, a successor or SIGTERM began it."""
+        """The state of the drain, which operators, a successor or SIGTERM may have begun."""
         return self._drain_control.drain
 
     @property
     def draining(self) -> bool:
-        """Whether there is a drain."""
+        """Whether a drain is in progress."""
         return self.drain.active
 
     @property
     def listener(self) -> Listener | None:
-        """The clients' listener; None before `serve`."""
+        """The clients' listener, or None before `serve`."""
         return self._drain_control.listener
 
     @property
@@ -108,12 +113,15 @@
 
     @property
     def all_answered(self) -> bool:
-        """Whether no client is being answered."""
+        """Whether every accepted request has been answered."""
         return not self.dispatcher.requests and (self.listener is None or self.listener.all_answered)
 
     def share_limits(self, process_count: int) -> None:
-        """So many processes are this dispatcher now. Otherwise each would open the connections of all of them, and send
-        a replica that warms up the requests of all of them."""
+        """Divide the limits among the `process_count` processes that this dispatcher now consists of.
+
+        Undivided limits would let each process open as many connections as all of them together may, and send a
+        replica that is warming up as many requests as all of them together may.
+        """
         if process_count == self.process_count:
             return
         self.process_count = process_count
@@ -123,17 +131,17 @@
         self._reconfigure_dispatcher()
 
     def share_work(self, dispatcher_count: int) -> None:
-        """So many dispatchers share the work now, whatever the settings say."""
+        """Set the number of dispatchers that share the work, which overrides the number in the settings."""
         if dispatcher_count != self.dispatcher_count:
             self.dispatcher_count = dispatcher_count
             self._reconfigure_dispatcher()
 
     def yield_to_successor(self, on: bool) -> None:
-        """Another process takes this dispatcher's clients, or has gone before this one did."""
+        """Record that a successor accepts the clients (`on`), or that it has exited before this process."""
         self._drain_control.yield_to_successor(on)
 
     def update_endpoints(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
-        """New endpoints, in force before the next attempt. `full`: they replace all earlier ones."""
+        """Apply endpoints, in force before the next attempt. With `full`, they replace all earlier ones."""
         self.counters.lists += 1
         entries = self._wall_clock.translate_start_times(full, entries)
         gone = [entry.replica for entry in entries if entry.phase == Phase.GONE]
@@ -141,7 +149,7 @@
         self.override_control.update_endpoints(full, entries)
 
     def figures(self) -> Figures:
-        """The operators' figures."""
+        """Returns the figures that the admin endpoint reports."""
         core = self.dispatcher
         return Figures(
             dict(zip(core.deployment.class_names, core.calls_by_class, strict=True)),
@@ -152,14 +160,14 @@
         )
 
     def reconfigure(self, deployment: Deployment) -> None:
-        """Other settings for a running dispatcher. ConfigError: they change what only a restart can change."""
+        """Apply other settings while running. Raises ConfigError if they change a value that needs a restart."""
         old = self.dispatcher.deployment.fixed_at_start()
         new = deployment.fixed_at_start()
         changed = [key for key in old if old[key] != new[key]]
         if changed:
             raise ConfigError(f"settings.{changed[0]}: cannot change while running")
         self.settings = deployment
-        if self.drain.ending_since is not None:  # the platform may go by the new deadlines, and kill sooner
+        if self.drain.ending_since is not None:  # the platform may apply the new deadlines, and send SIGKILL sooner
             self.end_process()
         self._reconfigure_dispatcher()
         self.pool.reconfigure(deployment.connect_timeout, _idle_timeout(deployment))
@@ -175,20 +183,24 @@
         admin: tuple[Address, Handler] | None = None,
         may_accept: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Accept requests until SIGTERM or SIGINT, then answer all that was accepted. `reload` reads the configuration
-        anew at each SIGHUP and returns what came of it, in words. `admin`: the operators' address, and what answers
-        their calls. `address` may be a socket that listens already: its clients are accepted once `may_accept` says
-        so, and left to another process that accepts them too."""
+        """Accept requests until SIGTERM or SIGINT, then answer every accepted request.
+
+        `reload` reads the configuration again at each SIGHUP and returns a description of the result. `admin` is the
+        address of the admin endpoint and the handler of its calls. `address` may be a socket that is already
+        listening: its clients are accepted once `may_accept` returns True, and until then are left to the other
+        process that accepts from the same socket.
+        """
         stopped = asyncio.Event()
         with handled_signals(self.loop, stopped.set, self.report, reload):
             admin_listener = (
                 open_admin_listener(self.loop, self.deadlines, self.counters, *admin) if admin is not None else None
             )
             listener = self._drain_control.listener = self._make_listener(handler)
-            # A process that is to end before it could serve would accept another's clients to reject them.
+            # A process that is stopped before it can serve must not accept: it would reject clients that the
+            # predecessor can answer.
             if await self._waits_until_it_may_accept(may_accept, stopped):
                 host, port = await listen_for_clients(listener, address, self.deadlines, self.counters)
-                self._drain_control.apply()  # a drain that was asked for before, maybe at another process
+                self._drain_control.apply()  # a drain may have been requested before, possibly at another process
                 logger.info("{name} listens on {host}:{port}", name=name, host=host, port=port)
                 on_listening((host, port))
             await stopped.wait()
@@ -200,16 +212,16 @@
                 await admin_listener.close()
 
     def end_process(self) -> None:
-        """The process is to end, in the time that the platform leaves it."""
+        """Begin the shutdown, which has to finish before the platform sends SIGKILL."""
         longest = max((spec.deadline for spec in self.settings.router.classes), default=0)
         self.drain.end_process(self.deadlines.clock(), longest)
 
     async def wait_until_finished(self) -> None:
-        """After `end_process`: wait for the end of every request and of the releases, as long as there is time."""
+        """After `end_process`, wait until every request and release has ended, or until the time for it is over."""
         await self._shutdown.wait_until_finished()
 
     def close(self) -> None:
-        """Close the connections to replicas, and log the counters a last time."""
+        """Close the connections to replicas, and log the counters for the last time."""
         self.pool.close()
         self.ticks.close()
         self.report()
@@ -221,7 +233,7 @@
         self.on_report()
 
     async def _waits_until_it_may_accept(self, may_accept: Callable[[], bool], stopped: asyncio.Event) -> bool:
-        """False: the process is to end before it may accept clients."""
+        """Wait until clients may be accepted. Returns False if the process is stopped before that."""
         while not may_accept():
             if stopped.is_set():
                 return False
@@ -240,7 +252,7 @@
         )
 
     def _reconfigure_dispatcher(self) -> None:
-        """Give the dispatcher the settings, with the number of processes that share the work in them."""
+        """Apply the settings to the dispatcher, with the number of processes that share the work filled in."""
         router = self.settings.router
         instances = (self.dispatcher_count or router.instances) * self.process_count
         self.dispatcher.reconfigure(replace(self.settings, router=replace(router, instances=instances)))
--- a/pearhill/node/operations.py
+++ b/pearhill/node/operations.py
@@ -1,4 +1,4 @@
-"""What operators' calls work on, whatever front ends and replicas the dispatcher has."""
+"""The operations behind the admin endpoint, independent of the dispatcher's front ends and replicas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Operations:
-    """The operators' calls on one node. `can_serve` and `fleet` answer the calls of these names."""
+    """Carries out the admin endpoint's calls on one node. `can_serve` and `fleet` answer the calls of these names."""
 
     def __init__(
         self, node: Node, can_serve: Callable[[], bool], fleet: Callable[[], dict[str, Any] | None] = lambda: None
@@ -23,11 +23,11 @@
         self.fleet = fleet
 
     def figures(self) -> Figures:
-        """What was done so far, and what is known of the replicas."""
+        """Returns the request counts and the state of the replicas."""
         return self._node.figures()
 
     def set_replica_down(self, uid: str, down: bool) -> bool:
-        """Take a replica down, or use it again, until the opposite is requested. False: no replica has this id."""
+        """Take a replica administratively down, or restore it. Returns False if no replica has this id."""
         known = self._node.override_control.set_replica_down(replica_id(uid), down)
         if known:
             logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if down else "in use again")
@@ -36,6 +36,6 @@
         return known
 
     def drain(self, on: bool) -> None:
-        """Begin or end the operators' drain."""
+        """Begin or end the drain that operators have requested."""
         logger.info("operators: the drain {what}", what="begins" if on else "is over")
         self._node.override_control.request_drain(on)
--- a/pearhill/node/override_control.py
+++ b/pearhill/node/override_control.py
@@ -1,4 +1,4 @@
-"""What operators set, carried out: replicas administratively down, and the drain that they request."""
+"""Applies the operators' overrides: replicas that are administratively down, and the drain that they request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class OverrideControl:
-    """Keeps the operators' overrides, and applies them to the dispatcher, the connections and the drain."""
+    """Stores the operators' overrides, and applies them to the dispatcher, the connection pool and the drain."""
 
     def __init__(
         self,
@@ -32,11 +32,14 @@
         self._drain_control = drain_control
 
     def update_endpoints(self, full: bool, entries: tuple[Endpoint, ...]) -> None:
-        """Give the dispatcher discovery's endpoints with the overrides in force. `full`: they replace all others."""
+        """Apply the overrides to endpoints from discovery and pass them on to the dispatcher.
+
+        With `full`, they replace all others.
+        """
         self._dispatcher.update_endpoints(full, self._endpoints.update(full, entries))
 
     def set_replica_down(self, replica: int, down: bool) -> bool:
-        """Take a replica down, or use it again, until the opposite is requested. False: no replica has this id."""
+        """Take a replica administratively down, or restore it. Returns False if no replica has this id."""
         if not self._endpoints.knows(replica):
             return False
         self.overrides.set_down(replica, self._deadlines.clock(), down)
@@ -44,17 +47,19 @@
         return True
 
     def request_drain(self, on: bool) -> None:
-        """Begin or end the operators' drain."""
+        """Begin or end the drain that operators have requested."""
         self.overrides.set_drain(self._deadlines.clock(), on)
         self.apply(set(), True)
 
     def apply(self, replicas: set[int], drain: bool) -> None:
-        """The overrides of these replicas have changed, and where `drain` is set the drain's, here or at another
-        process."""
+        """Apply the changed overrides of these replicas and, if `drain` is set, the changed drain.
+
+        An override may have been set at this process or at another process of the dispatcher.
+        """
         if drain and self.overrides.drain:
             self._drain_control.request(self.overrides.drain.on)
         for replica in replicas:
-            # It is restarted while it is down: a request on a connection from before would end as a reset.
+            # Operators restart a replica while it is down: a request on an older connection would be reset.
             address = self._backend.addresses.get(replica)
             if address:
                 self._pool.drop_idle(address)
--- a/pearhill/node/process.py
+++ b/pearhill/node/process.py
@@ -1,4 +1,4 @@
-"""One daemon's process: its signals, its log, its loop and its exit code, whatever it serves."""
+"""The process of a daemon of any kind: its signals, log, event loop and exit code."""
 
 from __future__ import annotations
 
@@ -16,16 +16,21 @@
 
 
 def run(work: Callable[[], Coroutine[Any, Any, None]], log_level: str, log_format: str = "text") -> int:
-    """Make the coroutine and run it to its end. The exit code: 0; 1 where the system refused something; 2 for a bad
-    configuration, which is printed in one line."""
-    # Until there are handlers these signals would end the process. They wait; threads started here never get them.
+    """Create the coroutine and run it until it ends.
+
+    Returns the exit code: 0; 1 if a system call failed (OSError); 2 if the configuration is invalid. The error is
+    printed in one line.
+    """
+    # Without handlers these signals would end the process, so they stay pending until the handlers are installed.
+    # Threads that are started here inherit the mask and never receive them.
     block_requests()
     try:
         coroutine = work()
     except ConfigError as e:
         print(f"pearhill: {e}", file=sys.stderr)
         return 2
-    # What is there at the start stays: the collector looks only at what comes later, and so takes little time.
+    # Objects that exist at the start live as long as the process. Frozen, they are not scanned by the garbage
+    # collector, which shortens its pauses.
     gc.collect()
     gc.freeze()
     try:
--- a/pearhill/node/process_info.py
+++ b/pearhill/node/process_info.py
@@ -1,4 +1,4 @@
-"""What the system knows of this process: its age, and which boot of the machine it runs in (`man 5 proc`)."""
+"""Reads from the system this process's age and the id of the machine's current boot (`man 5 proc`)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 
 
 def process_age() -> int:
-    """Microseconds since the platform started this process, which an interpreter on a part of a core takes seconds to
-    load. The system counts in ticks of 10 ms, rounded down: the process started in the course of that tick, and is
-    taken for as young as it may be. Where the system does not report it, the age is the greatest there is."""
+    """Returns the microseconds since the platform started this process.
+
+    The time includes the start of the interpreter, which takes seconds on a fraction of a core. The system gives the
+    start in ticks of 10 ms, rounded down. The process may have started at any time in that tick, so the age is
+    counted from the end of the tick and is never too high. Returns `sys.maxsize` if the system does not report it.
+    """
     try:
         with open("/proc/self/stat", "rb") as file:
             fields = file.read().rpartition(b")")[2].split()
@@ -25,7 +28,7 @@
 
 
 def boot_id() -> str:
-    """Which boot of the machine this is; empty where the system does not report it."""
+    """Returns the id of the machine's current boot, or an empty string if the system does not report it."""
     try:
         return pathlib.Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -1,8 +1,9 @@
-"""The graceful shutdown: everything that was accepted is answered before the platform's SIGKILL.
+"""The graceful shutdown: every accepted request is answered before the platform sends SIGKILL.
 
-In the first phase clients are still accepted, unless a successor accepts them; in the second, which begins once
-`_accept_last` is over, nothing is accepted and all that was read is answered. How long each lasts is
-`lifecycle.shutdown_times.ShutdownTimes`."""
+In the first phase clients are still accepted, unless a successor accepts them. The second phase begins when
+`_accept_last` returns: no client is accepted, and every request that was read is answered.
+`lifecycle.shutdown_times.ShutdownTimes` has the duration of each phase.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +17,11 @@
 from pearhill.net.ticks import pause
 
 RECHECK_INTERVAL_US = 20_000
-RELEASE_GRACE_US = 1_000_000  # after the last request, for releases that may begin yet
+RELEASE_GRACE_US = 1_000_000  # after the last request, for releases that have not begun yet
 
 
 class GracefulShutdown:
-    """The end of a process after `drain.end_process`. `has_successor`: whether another process takes the clients."""
+    """Shuts a process down after `drain.end_process`. `has_successor`: whether a successor accepts the clients."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         self._has_successor = has_successor
 
     async def run(self, listener: Listener, on_shutdown: Callable[[], Awaitable[None]] | None) -> None:
-        """Accept what clients still send, answer all of it, and close the listener."""
+        """Accept the last clients, answer every request, and close the listener."""
         if self._has_successor():
             listener.stop_accepting(leave_queue=True)
         if on_shutdown:
@@ -48,9 +49,12 @@
         await listener.close()
 
     async def wait_until_finished(self, listener: Listener | None = None) -> None:
-        """Wait for the end of every request, of every connection of the listener, and of the releases, as long as the
-        system surely lets this process live: a replica that is gone never answers a release. What is checked before
-        a pause may be untrue after it, so that all of it has to hold in the same tick of the event loop."""
+        """Wait until every request, every connection of the listener and every release has ended.
+
+        A replica that has exited never answers a release, so releases are abandoned once the platform may send
+        SIGKILL. All conditions are checked in one tick of the event loop, because any of them may change during a
+        pause.
+        """
         wait_until = self._deadlines.clock()
         while True:
             if listener:
@@ -62,7 +66,7 @@
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
     async def _accept_last(self, listener: Listener) -> None:
-        """Go on accepting while new connections may come, and until the accept queue is empty or the time is up."""
+        """Accept connections while new ones may arrive, then until the accept queue is empty or the time is over."""
         while not self._has_elapsed_since_sigterm(self._drain.times.accept_for):
             await pause(self._deadlines, RECHECK_INTERVAL_US)
         while (
@@ -76,12 +80,12 @@
         return self._deadlines.clock() >= wait_until and self._has_elapsed_since_sigterm(self._drain.times.kill_after)
 
     def _has_elapsed_since_sigterm(self, span: int) -> bool:
-        """Whether so many microseconds have gone by since SIGTERM."""
+        """Whether `span` microseconds have passed since the process noticed SIGTERM."""
         assert self._drain.ending_since is not None
         return self._deadlines.clock() >= self._drain.ending_since + span
 
     def _close_idle_connections(self, listener: Listener) -> None:
-        """No client is accepted any more: close idle connections, and towards the end half-sent requests too."""
+        """Close idle connections, and shortly before SIGKILL also those with partly received requests."""
         listener.close_idle()
         if self._drain.closes_all(self._deadlines.clock()):
             listener.reject_partial_requests()
--- a/pearhill/node/signals.py
+++ b/pearhill/node/signals.py
@@ -1,4 +1,4 @@
-"""The signals of a daemon that serves: SIGTERM and SIGINT end it, SIGHUP reloads, SIGUSR1 logs the counters."""
+"""The signals of a daemon: SIGTERM and SIGINT end it, SIGHUP reloads its configuration, SIGUSR1 logs its counters."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def block_requests() -> None:
-    """Let these signals wait. Without a handler each would end the process that is starting."""
+    """Block SIGHUP and SIGUSR1 during the start, when no handler exists and each of them would end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, REQUESTS_BY_SIGNAL)
 
 
@@ -25,12 +25,14 @@
 def handled_signals(
     loop: asyncio.AbstractEventLoop, stop: Callable[[], None], report: Callable[[], None], reload: Callable[[], str]
 ) -> Iterator[None]:
-    """Handle the four signals, those that waited first; afterwards ignore them, since a late one must not end a process
-    that has done what it had to. `reload` returns what came of it, in words.
+    """Handle the four signals, pending ones first, and ignore them on exit from the context.
 
-    The handlers are not the loop's own: as a loop closes it gives its signals back to the system, which ends the
-    process. Blocking them then would not do. It holds for one thread, and the system gives a signal to any that lets it
-    in.
+    They are ignored so that a late signal does not end a process that is finishing its shutdown. `reload` returns a
+    description of the result.
+
+    The handlers are not installed with `loop.add_signal_handler`: a loop that closes restores the default action,
+    which ends the process. Blocking the signals at that point does not help, because a mask holds for one thread
+    and the system delivers a signal to any thread that does not block it.
     """
     for number in SHUTDOWN_SIGNALS:
         _install(loop, number, stop)
@@ -45,7 +47,7 @@
 
 
 def _install(loop: asyncio.AbstractEventLoop, number: signal.Signals, callback: Callable[[], None]) -> None:
-    """Have the loop call back once for all signals of this number that come before it does."""
+    """Install a handler that schedules `callback` on the loop. Signals that arrive before it runs share one call."""
     is_scheduled = False
 
     def handle(number: int, frame: FrameType | None) -> None:
@@ -63,7 +65,7 @@
 
 
 def _reload(reload: Callable[[], str]) -> None:
-    """Whatever a file holds, and whenever it is read, the process and all that it has accepted live on."""
+    """Reload the configuration. If it is invalid, the old one stays in force and accepted requests are not affected."""
     try:
         logger.info("reload: done, {result}", result=reload())
     except ConfigError as e:
--- a/pearhill/node/wall_clock.py
+++ b/pearhill/node/wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock: noticed within half a second, so that replicas' start times stay right."""
+"""Detects steps of the wall clock within half a second, so that replicas' start times stay correct."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WallClockObserver:
-    """Compares the wall clock with the dispatcher's steady clock, and translates start times from one to the other."""
+    """Compares the wall clock with the dispatcher's monotonic clock, and translates start times to the latter."""
 
     def __init__(self, deadlines: Deadlines, counters: Counters) -> None:
         self._deadlines = deadlines
@@ -23,7 +23,7 @@
         self._check_periodically()
 
     def translate_start_times(self, full: bool, entries: tuple[Endpoint, ...]) -> tuple[Endpoint, ...]:
-        """The endpoints with their start times by the dispatcher's clock. `full`: they replace all earlier ones."""
+        """Returns endpoints with start times by the dispatcher's clock. With `full`, they replace all earlier ones."""
         self._check()
         return self._start_times.translate(self._deadlines.clock(), full, entries)
 
--- a/pearhill/settings.py
+++ b/pearhill/settings.py
@@ -1,4 +1,4 @@
-"""One parse of a deployment's settings: the object that the simulator's START and a daemon's configuration share."""
+"""Parses a deployment's settings, which the simulator's START message and a daemon's configuration share."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 DEFAULT_CONNECTION_IDLE_US = 15_000_000
 DEFAULT_MAX_OPEN_REQUESTS = 10_000
 DEFAULT_DRAIN_GRACE_US = 250_000
-LOAD_COLUMNS = ("x0", "x1")  # of a load report: memory utilization, thousands of tokens that wait
+LOAD_COLUMNS = ("x0", "x1")  # of a load report: memory utilization, thousands of queued tokens
 NOT_REPORTED = -1
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used; the text names the key."""
+    """The settings are invalid; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The router's settings, with what only the node round it needs. Times are microseconds.
+    """The router's settings, and those that only the node needs. Times are microseconds.
 
-    `load_positions`: where the two load values stand in a report (-1: not reported). `connection_idle_timeout`: for
+    `load_positions`: the indices of the two load values in a report (-1: not reported). `connection_idle_timeout`: for
     how long replicas keep an idle connection. `shared_discovery`: discovery is one service that all dispatchers poll;
-    else what it has is pushed to each. `drain_grace`: so long after the endpoint list says that a replica drains, a
-    dispatcher must have stopped sending there.
+    otherwise updates are pushed to each. `drain_grace`: the time after the endpoint list reports a replica as draining
+    within which a dispatcher must stop sending requests to it.
     """
 
     router: RouterSettings
@@ -51,7 +51,7 @@
     drain_grace: int
 
     def fixed_at_start(self) -> dict[str, tuple[object, ...]]:
-        """What a running process has numbered or sized its tables by, by the settings' keys: a reload keeps it."""
+        """Returns, by key, the settings that a reload cannot change: they number or size the tables of a process."""
         return {
             "classes": self.class_names,
             "zones": self.zone_names,
@@ -62,9 +62,9 @@
 
 
 def parse(settings: Mapping[str, Any]) -> Deployment:
-    """Read the settings object, as nested JSON was decoded.
+    """Parse the settings object, decoded from JSON.
 
-    SettingsError: the first of its faults, which names the key.
+    Raises SettingsError for the first invalid key, which it names.
     """
     try:
         return _deployment(settings)
@@ -74,7 +74,7 @@
         raise SettingsError(str(e)) from None
 
 
-# The order in which keys are read decides which fault of several is reported.
+# If several keys are invalid, the order in which they are read decides which one is reported.
 
 
 def _deployment(settings: Mapping[str, Any]) -> Deployment:
@@ -134,7 +134,7 @@
 
 
 def _classes(rows: Any, extra: Mapping[str, Any]) -> tuple[RequestClass, ...]:
-    """The classes of requests; two figures of each stand in lists of their own."""
+    """Returns the request classes. Two values of each class are in separate lists of `extra`."""
     count = len(rows)
     per_1000_tokens = extra.get("aim-us-per-1000-prompt-tokens") or [0.0] * count
     token_objectives = extra.get("token-aim") or [0.0] * count
@@ -168,12 +168,12 @@
 
 
 def _has_health_checks(settings: Mapping[str, Any], load_positions: tuple[int, int]) -> bool:
-    """Whether replicas may be asked for their load, and report both values of it."""
+    """Whether load queries are allowed and replicas report both load values."""
     if not bool(settings["allowed"].get("probing", False)) or min(load_positions) < 0:
         return False
     return bool(settings["report"].get("via", "off") != "off")
 
 
 def _names(rows: Any) -> tuple[str, ...]:
-    """The names in a list of names, or of objects with names."""
+    """Returns the names in a list of names or of objects with names."""
     return tuple(str(row["name"]) if isinstance(row, Mapping) and "name" in row else str(row) for row in rows)
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' calls on the real program: figures, replicas administratively down, the drain."""
+"""The admin endpoint of the real program: figures, replicas that are administratively down, and the drain."""
 
 import http.client
 import json
@@ -34,7 +34,7 @@
         for stand_in in (*replicas, self.discovery):
             self.addCleanup(stand_in.close)
         self.addCleanup(self.program.kill)
-        self.admin_address = self.program.wait_line(r"operators are heard on (\S+)")[1]
+        self.admin_address = self.program.wait_line(r"admin endpoint: listening on (\S+)")[1]
         if kinds:
             self.program.wait_ready()
         return replicas
@@ -89,7 +89,7 @@
     def test_silent_callers_and_half_calls_keep_no_other_caller_out(self) -> None:
         self.start("all-in-one")
         host, _, port = self.admin_address.rpartition(":")
-        for n in range(60):  # more connections than operators may have
+        for n in range(60):  # more connections than the admin endpoint allows
             silent = socket.create_connection((host, int(port)), 20)
             self.addCleanup(silent.close)
             if n % 2:
@@ -118,7 +118,7 @@
         self.addCleanup(plain.kill)
         plain.wait_ready()
         assert plain.ask("GET", "/ops/stats")[0] == 404
-        assert not [line for line in plain.lines if "operators" in line]
+        assert not [line for line in plain.lines if "operators" in line or "admin endpoint" in line]
 
     def test_a_bad_address_is_one_line_that_names_the_key(self) -> None:
         self.start("all-in-one")
@@ -197,13 +197,13 @@
             return replicas[0].runs - before[0], replicas[1].runs - before[1]
 
         assert asked("a") == (0, 8)
-        for rev, listed in ((2, targets[1:]), (3, targets)):  # gone, and back
+        for rev, listed in ((2, targets[1:]), (3, targets)):  # unlisted, and listed again
             self.discovery.update(*listed)
             self.discovery.wait_for("GET", f"/v1/endpoints?after={rev}")
             assert asked(f"b{rev}") == (0, 8)
         assert self.call_admin("POST", "/ops/replicas/up?target=s-0") == 200
         end, n = time.monotonic() + 15, 0
-        while not asked(f"c{n}-")[0]:  # it counts as cold, and gets its first requests within seconds
+        while not asked(f"c{n}-")[0]:  # it is warming up, and receives its first requests within seconds
             assert time.monotonic() < end
             n += 1
 
@@ -243,14 +243,14 @@
             connection.getresponse().read()
         assert [self.call_admin("POST", "/ops/drain/start") for _ in range(2)] == [200, 200]
         assert self.program.ask("GET", "/ready")[0] == 503
-        assert self.call_admin("GET", "/ops/readiness") == 200  # it can serve, and does
-        used.request("POST", PATH, BODY, headers("b1"))  # clients go on using what stays open
+        assert self.call_admin("GET", "/ops/readiness") == 200  # it still serves during the drain
+        used.request("POST", PATH, BODY, headers("b1"))  # clients use connections that stay open
         response = used.getresponse()
         assert (response.status, response.getheader("Connection")) == (200, "close")
         response.read()
         assert idle.sock.recv(1) == b""
         self.program.wait_line("side=client .* reason=drained")
-        assert self.ask("b2") == 200  # the front sends new ones for a while
+        assert self.ask("b2") == 200  # clients open new connections for a while
         assert [self.call_admin("POST", "/ops/drain/stop") for _ in range(2)] == [200, 200]
         assert self.program.ask("GET", "/ready")[0] == 200
         kept = self.program.connect()
--- a/tests/chat/test_admin_endpoint.py
+++ b/tests/chat/test_admin_endpoint.py
@@ -7,7 +7,7 @@
 class ChatAdminEndpoint(ChatCase):
     def operate(self, method: str, path: str) -> tuple[int, bytes]:
         """Status and body of an operator's call."""
-        status, _, text = call(self.program.wait_line(r"operators are heard on (\S+)")[1], method, path)
+        status, _, text = call(self.program.wait_line(r"admin endpoint: listening on (\S+)")[1], method, path)
         return status, text
 
     def test_statistics_overrides_of_replicas_and_the_drain(self):
--- a/tests/config/test_typed.py
+++ b/tests/config/test_typed.py
@@ -1,4 +1,4 @@
-"""Operators' files: what is wrong in them is reported with its place, what was found, and what is allowed."""
+"""Errors in operators' files name the place, the value found there and what is allowed."""
 
 import re
 import tomllib
@@ -13,12 +13,12 @@
 
 GOOD = operator_file(["127.0.0.1:1"])
 SERVER_TABLE = 'uid = "s0"\naddress = "127.0.0.1:1"\nkind = "all-in-one"\n'
-# What is replaced, by what, and the beginning of the whole error
+# The text that is replaced, its replacement, and the beginning of the error
 CASES = (
     ("listen = '127.0.0.1:0'", "listen = 8090", "chat.listen: found 8090; allowed: text"),
     ("listen = '127.0.0.1:0'", "listen = 'here'", "chat.listen: found 'here'; allowed: "),
     ("listen = '127.0.0.1:0'", "listen = 'here:99999'", "chat.listen: found 'here:99999'; allowed: HOST:PORT"),
-    ("listen = ", "lisen = ", "chat.lisen: found a key that is not known (did you mean listen?); allowed: listen, "),
+    ("listen = ", "lisen = ", "chat.lisen: found an unknown key (did you mean listen?); allowed: listen, "),
     ("['help', 'booking']", "['help', 7]", "chat.models[1]: found 7; allowed: text"),
     ("['help', 'booking']", "['help', 'help']", "chat.models[1]: found 'help'; allowed: a name that no other"),
     ("['help', 'booking']", "['help']\nsockets = 10", "chat.sockets: found 10; allowed: a whole number >= 64"),
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: cut at every byte, failing disks, and processes killed as they write."""
+"""The journal with files cut off at every byte, failing disks, and processes that are killed while writing."""
 
 import errno
 import os
@@ -82,7 +82,7 @@
             assert [f.body for f in found.frames] == wanted[:whole]
             assert (found.seq, found.torn_bytes) == (whole, cut - ends[whole])
             assert path.stat().st_size == ends[whole]
-            if found.torn_bytes:  # nothing is thrown away
+            if found.torn_bytes:  # the torn bytes are retained
                 assert path.with_suffix(".torn").read_bytes() == data[ends[whole] : cut]
             again = Journal(self.folder, found.seq, self.on_synced, self.on_failure)
             again.append(b"after")
@@ -125,7 +125,7 @@
         assert found.state is not None
         assert (len(found.state), found.state_seq, [f.body for f in found.frames]) == (2 << 20, 5, [b"after"])
         newest = max(self.folder.glob("*.state"))
-        newest.write_bytes(newest.read_bytes()[:-1])  # it is not whole: all that it stood for is there still
+        newest.write_bytes(newest.read_bytes()[:-1])  # damaged: the frames that it covers are still in the segments
         found = recover(self.folder)
         assert (found.state, len(found.frames)) == (None, 6)
         for lost in (0, -1):
@@ -140,11 +140,11 @@
 
 class TestTooLarge(JournalCase):
     def test_a_snapshot_that_is_too_large_ends_no_journal(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """The writing thread ended at it, and all that was appended later was lost."""
+        """The error ended the writing thread, so that later frames were lost."""
         monkeypatch.setattr("pearhill.durable.journal.MAX_STATE_BYTES", 10)
         journal = self.open()
         journal.append(b"before")
-        with pytest.raises(ValueError, match="a snapshot of 11 bytes; 10 are allowed"):
+        with pytest.raises(ValueError, match="a snapshot of 11 bytes is too large; 10 are allowed"):
             journal.snapshot(b"x" * 11)
         journal.append(b"after")
         assert journal.close()
@@ -203,7 +203,7 @@
     def test_a_close_while_the_disk_fails_for_a_moment_loses_nothing(
         self, name: str, partly: bool, number: int
     ) -> None:
-        """It gave up at the first failure, and what waited was lost."""
+        """Close stopped at the first failure, so that pending frames were lost."""
         journal = self.open()
         for k in range(50):
             journal.append(b"%d" % k)
@@ -226,7 +226,7 @@
     def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self) -> None:
         self.fail("write", -1, OSError(5, "Input/output error"))
         journal = self.open(max_waiting_bytes=300)
-        with pytest.raises(BufferError, match="too much waits for the disk"):
+        with pytest.raises(BufferError, match="too many bytes wait for the disk"):
             append_often(journal)
         with self.changed:
             assert self.changed.wait_for(lambda: self.failures, 20)
@@ -251,7 +251,7 @@
 
 class TestKilledProcess(JournalCase):
     def test_whatever_was_acknowledged_before_a_kill_is_there_once(self) -> None:
-        """200 points in the measurement; here a few, seeded."""
+        """Kills a writer 8 times with a fixed seed. The measurement had 200 kills, set by PEARHILL_KILLS."""
         rounds = int(os.environ.get("PEARHILL_KILLS", "8"))
         rng, acked = random.Random(SEED), 0
         print("seed", SEED)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -76,7 +76,7 @@
             ("[scale]\nseconds = 31.0\nfetch_s = 30\n" + GRID, "scale.seconds: found 31.0; allowed: a multiple "),
             (GRID.replace("[4]", "[]"), r"grid\[0\].dispatchers: found \[\]"),
             (GRID.replace("talk", "shout"), r"grid\[0\].way: found 'shout'; allowed: aggregators, talk"),
-            (GRID + "machines = 3\n", r"grid\[0\].machines: found a key that is not known"),
+            (GRID + "machines = 3\n", r"grid\[0\].machines: found an unknown key"),
             (fault_plan('kind = "flood"\nfrom_s = 1'), r"event\[0\].kind: found 'flood'; allowed: aggregator_lost, "),
             (
                 fault_plan('kind = "rack"\nfrom_s = 1', 'kind = "zone"\nfrom_s = 9'),
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -1,4 +1,4 @@
-"""The drain's stages, whatever began it."""
+"""The stages of a drain that operators, a signal or a successor began."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
     assert drain.tick(S) is None
     drain.request(S, True)
     assert (drain.stage(S), drain.tick(S)) == (DrainStage.CLOSE_AFTER_ANSWER, S + IDLE_GRACE_US)
-    drain.request(S + IDLE_GRACE_US - 1, True)  # asked for twice, it does not begin anew
+    drain.request(S + IDLE_GRACE_US - 1, True)  # a repeated request does not restart it
     assert (drain.stage(S + IDLE_GRACE_US), drain.tick(S + IDLE_GRACE_US)) == (DrainStage.CLOSE_IDLE, None)
     drain.request(9 * S, False)
     drain.request(9 * S, False)
@@ -32,7 +32,7 @@
     assert drain.active
     assert drain.stage(2 * S + IDLE_GRACE_US) is DrainStage.CLOSE_IDLE
     drain.end_process(9 * S, 6 * S)
-    assert drain.stage(3 * S) is DrainStage.CLOSE_IDLE  # a second signal does not begin it anew
+    assert drain.stage(3 * S) is DrainStage.CLOSE_IDLE  # a second signal does not restart it
 
 
 @given(deadlines, deadlines, st.integers(0, S))
--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -1,4 +1,4 @@
-"""What operators' overrides make of the endpoints, free of I/O."""
+"""The effect of operators' overrides on the endpoints, without I/O."""
 
 from dataclasses import replace
 
@@ -22,11 +22,11 @@
         assert phases(endpoints.update(full, (endpoint(1, 0), endpoint(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
     endpoints.update(False, (endpoint(1, 0, phase=Phase.GONE),))
     assert endpoints.knows(1)
-    assert endpoints.reapply({1}) == ()  # not listed, and still down
+    assert endpoints.reapply({1}) == ()  # no longer listed, but still down
     moved = replace(endpoint(1, 0), started_at=11 * S, cell=5)
     assert phases(endpoints.update(False, (moved,))) == {1: Phase.DRAINING}
     overrides.set_down(1, 12 * S, False)
-    assert endpoints.reapply({1}) == (moved,)  # the list named its start
+    assert endpoints.reapply({1}) == (moved,)  # the list reported the new start
     endpoints.update(True, ())
     assert not endpoints.knows(1)
 
@@ -37,7 +37,7 @@
     endpoints.update(True, (endpoint(1, 0, started_at=3 * S),))
     overrides.set_down(1, 10 * S, True)
     overrides.set_down(1, 20 * S, False)
-    assert endpoints.reapply({1})[0].started_at == 20 * S  # while it was down it did not warm up
+    assert endpoints.reapply({1})[0].started_at == 20 * S  # it did not warm up while it was down
     for start in (14 * S, 25 * S):
         assert endpoints.update(False, (endpoint(1, 0, started_at=start),))[0].started_at == start
     overrides.forget(20 * S + RETENTION_US + 1)
--- a/tests/lifecycle/test_overrides.py
+++ b/tests/lifecycle/test_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides, free of I/O."""
+"""Operators' overrides, without I/O."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 def test_two_calls_down_need_one_up_and_a_call_up_alone_is_none() -> None:
     overrides = OperatorOverrides()
     overrides.set_down(1, 5 * S, False)
-    assert overrides.down == {}  # or a replica that was never down would be taken for a cold one
+    assert overrides.down == {}  # otherwise a replica that was never down would count as restarted
     for at in (10 * S, 11 * S):
         overrides.set_down(1, at, True)
     overrides.set_down(1, 12 * S, False)
@@ -31,7 +31,7 @@
 
 @given(CALLS)
 def test_of_two_processes_both_end_with_the_override_that_came_last(calls: list[tuple[int, int, int, bool]]) -> None:
-    """Each call reaches one of two; each takes over the other's after it, whatever their clocks say."""
+    """Each call reaches one of two processes with different clocks, which then merge each other's overrides."""
     both = OperatorOverrides(), OperatorOverrides()
     last: dict[int, bool] = {}
     for process, replica, at, on in calls:
--- a/tests/lifecycle/test_shutdown_times.py
+++ b/tests/lifecycle/test_shutdown_times.py
@@ -1,4 +1,4 @@
-"""The stages of a shutdown within what the platform leaves it."""
+"""The stages of a shutdown end before the platform sends SIGKILL."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -1,4 +1,4 @@
-"""What follows from the messages between two processes of one dispatcher, free of I/O."""
+"""Decisions from the messages between two processes of one dispatcher, without I/O."""
 
 from dataclasses import replace
 
@@ -27,7 +27,10 @@
     new.receive(9 * S, [predecessor])
     assert (new.process_count, new.predecessor_alive, new.predecessor_serving, new.succeeded) == (2, True, True, False)
     old.receive(9 * S, [successor])
-    assert (old.process_count, old.succeeded) == (2, False)  # until it serves, the predecessor goes on
+    assert (old.process_count, old.succeeded) == (
+        2,
+        False,
+    )  # the predecessor keeps accepting until the successor serves
     old.receive(9 * S, [replace(successor, serving=True)])
     assert old.succeeded
     assert not old.predecessor_alive
@@ -39,7 +42,7 @@
         assert (old.process_count, old.succeeded) == (
             1,
             False,
-        )  # it was killed: the predecessor accepts its clients again
+        )  # the successor has exited: the predecessor accepts clients again
 
 
 def test_the_predecessor_gets_the_time_to_answer_but_readiness_comes_in_time() -> None:
@@ -65,7 +68,7 @@
         new = Takeover("n3", now, OperatorOverrides())
         assert new.receive(now, [drained]) == ({7} if down else set(), drain)
         assert (new.overrides.is_down(7), new.overrides.drain is not None) == (down, drain)
-        assert new.expired(drained, now) == (not drain)  # a message that nobody will write again can go
+        assert new.expired(drained, now) == (not drain)  # a message whose process has exited can be deleted
 
 
 def test_a_predecessor_leaves_its_successors_message_alone() -> None:
@@ -84,6 +87,6 @@
     assert written
     assert written.down[3].on
     new.overrides.set_down(4, 9 * S, True)
-    assert written.down.keys() == {3}  # it is what was written, not what has come since
+    assert written.down.keys() == {3}  # a written message does not change with later overrides
     assert new.message(9 * S + 5, True, False)
     assert new.message(9 * S + 5 + REWRITE_INTERVAL_US, True, False)
--- a/tests/lifecycle/test_takeover_message.py
+++ b/tests/lifecycle/test_takeover_message.py
@@ -1,4 +1,4 @@
-"""The message between two processes of one dispatcher, as it is stored."""
+"""The stored form of the message between two processes of one dispatcher."""
 
 from dataclasses import replace
 
@@ -48,11 +48,11 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (b"", "no note"),
-        (b"PK\x03\x04", "no note"),
+        (b"", "not a takeover message"),
+        (b"PK\x03\x04", "not a takeover message"),
         (b"pearhill-note 2 00000000\n{}", "of another version"),
         (replace(MESSAGE, name="n4").encode(), "of another dispatcher"),
-        (replace(MESSAGE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many"),
+        (replace(MESSAGE, down={n: Override(1, True, 1) for n in range(10_001)}).encode(), "too many overrides"),
     ],
 )
 def test_an_error_says_why_a_message_is_rejected(data: bytes, why: str) -> None:
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -95,7 +95,7 @@
         program.config = path
         at = program.wait_line(rf"(?:{name} talks|aggregator {name} listens) on ([\d.]+):(\d+)")
         self.relay.place(name, at[1], int(at[2]))
-        self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
+        self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
 
     def send(self, number: int, *names: str) -> None:
         for name in names:
@@ -298,7 +298,7 @@
         (chat, fleet(named(OURS) * 2), r"fleet.aggregator\[1\].name: found 'a2'; allowed: a name that no oth"),
         (chat, fleet(named(OURS, "d1")), r"aggregator\[0\].name: found 'd1'; allowed: a name that no dispatc"),
         (chat, fleet(named(OURS) + named("fleet.peer")), r"aggregator\[0\].name: found 'a2'; allowed: a name"),
-        (chat, fleet(named(OURS, more="zone = 1\n")), r"fleet.aggregator\[0\].zone: found a key that is not"),
+        (chat, fleet(named(OURS, more="zone = 1\n")), r"fleet.aggregator\[0\].zone: found an unknown key"),
         (chat, fleet(named(OURS, more="region = 1\n")), r"fleet.aggregator\[0\].region: found 1; allowed: te"),
         (chat, fleet(named(OURS, "x" * 97)), r"fleet.aggregator\[0\].name: found 'x"),
         (chat, fleet(named(OURS), "x" * 97), "fleet.name: found 'x+...; allowed: 96 characters at most"),
@@ -309,7 +309,7 @@
         (aggregator, control(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
         (aggregator, control(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
         (aggregator, control('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
-        (aggregator, UNKNOWN_TABLE, "chat: found a key that is not known; allowed: aggregator"),
+        (aggregator, UNKNOWN_TABLE, "chat: found an unknown key; allowed: aggregator"),
     ],
 )
 def test_bad_files_are_told_by_file_path_found_and_allowed(
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -65,7 +65,7 @@
         self.cleanup.callback(program.kill)
         host, port = program.wait_line(rf"{name} talks on ([\d.]+):(\d+)").groups()
         self.relay.place(name, host, int(port))
-        self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
+        self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
         return program
 
     def agree(self, count: int, heard: int, *names: str) -> None:
--- a/tests/node/test_limits.py
+++ b/tests/node/test_limits.py
@@ -1,4 +1,4 @@
-"""How the descriptors of a process are shared."""
+"""How the descriptors of a process are divided between clients and replicas."""
 
 import pytest
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""What a daemon's process does before and after its loop runs."""
+"""The start of a daemon's process, before its event loop runs."""
 
 import subprocess
 import sys
--- a/tests/node/test_process_info.py
+++ b/tests/node/test_process_info.py
@@ -1,4 +1,4 @@
-"""What the system tells of a process."""
+"""The age of a process, as the system reports it."""
 
 import subprocess
 import sys
@@ -15,11 +15,11 @@
 """
 
 
-ATTEMPTS = 10  # the system counts a start in ticks of 10 ms: each falls elsewhere in its tick
+ATTEMPTS = 10  # the system gives the start in ticks of 10 ms, and each start lies at another point of its tick
 
 
 def test_a_process_reckons_with_no_more_than_its_true_age() -> None:
-    """It reports ready by its age, and otherwise would do so before its predecessor had its time."""
+    """A successor reports ready by its age. If that were too high, its predecessor would be ended too early."""
     for _ in range(ATTEMPTS):
         before = time.monotonic()
         done = subprocess.run([sys.executable, "-c", AGE], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -1,4 +1,4 @@
-"""The signals of the daemons that serve, on the real programs."""
+"""The signals of the daemons, sent to the real programs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.standins import Program, dead_address, platform_file
 
 BETWEEN_SIGNALS_S = 0.0005
-MAX_SIGNALS = 40_000  # some 20 s
+MAX_SIGNALS = 40_000  # about 20 s
 ONE_SIGNAL_EACH = (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT)
 
 
@@ -47,7 +47,7 @@
 def test_a_signal_that_comes_at_any_moment_of_a_shutdown_ends_no_process(
     tmp_path: pathlib.Path, start: Callable[[pathlib.Path], Program], number: signal.Signals
 ) -> None:
-    """Up to its very end: as the event loop closed, the system's own handling of the signal came back."""
+    """A closing event loop restored the default action, so that a late signal ended the process."""
     program = start(tmp_path)
     try:
         program.process.terminate()
@@ -63,7 +63,7 @@
 
 @ALL_PROGRAMS
 def test_sigusr1_logs_the_counters(tmp_path: pathlib.Path, start: Callable[[pathlib.Path], Program]) -> None:
-    """At an aggregator it stayed blocked for good."""
+    """At an aggregator the signal was never unblocked."""
     program = start(tmp_path)
     try:
         known = len(program.lines)
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -1,4 +1,4 @@
-"""Two real processes of one dispatcher, one after the other, on one listening socket that the platform holds."""
+"""Takeover between two real processes of one dispatcher that share a listening socket of the platform."""
 
 import http.client
 import json
@@ -53,7 +53,7 @@
         return program
 
     def call_admin(self, program: Program, method: str, path: str) -> tuple[int, bytes]:
-        status, _, body = call(program.wait_line(r"operators are heard on (\S+)")[1], method, path)
+        status, _, body = call(program.wait_line(r"admin endpoint: listening on (\S+)")[1], method, path)
         return status, body
 
     def wait_for(self, condition: Any, seconds: float = 20) -> None:
@@ -78,7 +78,7 @@
 
 
 class Traffic:
-    """Clients that keep their connections, one booking after another, until `stop`."""
+    """Clients with persistent connections that send bookings one after another until `stop`."""
 
     def __init__(self, address: str, clients: int) -> None:
         self.address, self.stopped = address, threading.Event()
@@ -95,7 +95,7 @@
             n += 1
             try:
                 connection.request("POST", PATH, BODY, headers(f"{client}-{n}", "job-booking"))
-                response = connection.getresponse()  # a connection whose answer said so is opened anew by itself
+                response = connection.getresponse()  # http.client reconnects after `Connection: close`
                 complete = response.read() == b"".join(TOKENS) + LAST
                 self.answers[f"{response.status}{'' if complete else ' broken'}"] += 1
             except (OSError, http.client.HTTPException) as e:
@@ -112,7 +112,7 @@
 
 class Takeovers(TakeoverCase):
     def start_unable_successor(self) -> "subprocess.Popen[bytes]":
-        """A successor that knows of no replica, once its signal handlers and its admin address are there."""
+        """Start a successor without replicas, and wait for its signal handlers and its admin endpoint."""
         empty = Discovery()
         self.addCleanup(empty.close)
         path = self.folder / "empty.json"
@@ -134,7 +134,7 @@
         self.addCleanup(new.stderr.close)
         self.addCleanup(new.wait)
         self.addCleanup(new.kill)
-        assert any(b"operators are heard" in line for line in new.stderr)
+        assert any(b"admin endpoint: listening" in line for line in new.stderr)
         return new
 
     def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self) -> None:
@@ -143,7 +143,7 @@
         traffic = Traffic(self.address, 8)
         self.wait_for(lambda: sum(traffic.answers.values()) > 50)
         new = self.start_process()
-        old.wait_line("another takes the clients")
+        old.wait_line("another accepts the clients")
         self.wait_for(lambda: self.is_ready(new))
         old.process.terminate()
         assert old.process.wait(20) == 0
@@ -153,7 +153,7 @@
         assert set(answers) == {"200"}, answers
         ran = Counter(h["Request-Id"] for replica in self.replicas for h in replica.headers if h.get("Request-Id"))
         assert (len(ran), set(ran.values())) == (sum(answers.values()), {1})
-        new.wait_line("upgrade: 1 processes serve, this one takes clients")
+        new.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert len(list(self.messages.iterdir())) == 1  # the old process's message is removed
 
     def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self) -> None:
@@ -186,33 +186,33 @@
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_unable_successor()
-        old.wait_line("upgrade: 2 processes serve, this one takes clients")
+        old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         assert [self.ask(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
         new.kill()
-        old.wait_line("upgrade: 1 processes serve, this one takes clients")
+        old.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
-        assert not [line for line in old.lines if "another takes" in line]
+        assert not [line for line in old.lines if "another accepts" in line]
 
     def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_unable_successor()
-        old.wait_line("upgrade: 2 processes serve, this one takes clients")
+        old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         new.terminate()
         answers: list[int] = []
         while new.poll() is None:
             answers.append(self.ask(f"a{len(answers)}", "job-booking"))
         assert (set(answers), new.wait(20)) == ({200}, 0)
-        assert not [line for line in old.lines if "another takes" in line]
+        assert not [line for line in old.lines if "another accepts" in line]
 
     def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_process()
-        old.wait_line("another takes the clients")
+        old.wait_line("another accepts the clients")
         new.process.kill()
-        assert self.ask("a1", "job-booking") == 200  # it waited for the old one to look again
-        old.wait_line("upgrade: 1 processes serve, this one takes clients")
+        assert self.ask("a1", "job-booking") == 200  # answered once the old process accepts again
+        old.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert self.ask("a2", path="/ready") == 200
 
     def test_readiness_waits_for_what_the_predecessor_answers(self) -> None:
@@ -233,7 +233,7 @@
         replica.wait_for("POST")
         began = time.monotonic()
         new = self.start_process()
-        if self.is_ready(new):  # it took the machine that long to start it
+        if self.is_ready(new):  # only if the machine was slow to start the process
             assert time.monotonic() - began > READY_WITHIN_US / 1000000.0
         replica.go.set()
         response = client.getresponse()
@@ -247,7 +247,7 @@
         assert self.call_admin(old, "POST", "/ops/drain/start")[0] == 200
         old.process.terminate()
         old.wait_line("draining: 0 requests open")
-        assert self.ask("a1") == 200  # it goes on accepting
+        assert self.ask("a1") == 200  # it still accepts clients
         assert old.process.wait(20) == 0
         new = self.start_process()
         self.wait_for(lambda: self.is_ready(new))
@@ -258,7 +258,7 @@
         self.messages.rmdir()
         alone = self.start_process()
         self.wait_for(lambda: self.is_ready(alone))
-        alone.wait_line("upgrade: the note cannot be written")
+        alone.wait_line("upgrade: the takeover message cannot be written")
         alone.kill()
         self.messages.mkdir()
         first = self.start_process()
@@ -269,7 +269,7 @@
             (self.messages / f"{name.partition('-')[0]}-{name.split('-')[1]}-{n}-1.note").write_bytes(data)
         again = self.start_process()
         self.wait_for(lambda: self.is_ready(again))
-        again.wait_line("upgrade: .* is left aside: of another version")
+        again.wait_line("upgrade: .* is ignored: of another version")
 
     def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self) -> None:
         plain = socket.socket()
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -112,7 +112,7 @@
                 assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
                 with unittest.mock.patch.object(Program, "LAUNCH", Shimmed.LAUNCH):
                     new = self.start_process(SOAK_COMMANDS=f"wall {step_s}")
-                old.wait_line("another takes the clients")
+                old.wait_line("another accepts the clients")
                 self.wait_for(lambda new=new: self.is_ready(new))
                 assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
                 old.stop()
