--- a/pearhill/__main__.py
+++ b/pearhill/__main__.py
@@ -21,7 +21,7 @@
         return service.serve(setup.load(arguments.chat), lambda: setup.load(arguments.chat))
     from pearhill.platform import daemon
 
-    return daemon.serve(load(os.environ), lambda before: load(os.environ, before))
+    return daemon.serve(load(os.environ), lambda previous: load(os.environ, previous))
 
 
 def main() -> int:
--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -140,11 +140,11 @@
             service.node.counters.rejected += 1
             extra, text = service.front.rejected(413, "the body is too large")
             reply.reject(413, extra, text)
-            return await self._pump(reply, send)
+            return await self._send_answer(reply, send)
         pending = service.front.handle(request, reply)
-        watch = asyncio.create_task(self._watch(receive, pending, reply))
+        watch = asyncio.create_task(self._watch_disconnect(receive, pending, reply))
         try:
-            await self._pump(reply, send)
+            await self._send_answer(reply, send)
         except BaseException:
             if pending:
                 pending.handle_disconnect()
@@ -165,17 +165,17 @@
                 return body
 
     @staticmethod
-    async def _watch(receive: Receive, pending: Pending | None, reply: _Reply) -> None:
+    async def _watch_disconnect(receive: Receive, pending: Pending | None, reply: _Reply) -> None:
         """Wait until the client disconnects, and cancel its request."""
         while (await receive())["type"] != "http.disconnect":
             pass
         reply.disconnected = True
         if pending:
             pending.handle_disconnect()
-        reply.messages.put_nowait(None)  # ends `_pump`: there is no client to write to
+        reply.messages.put_nowait(None)  # ends `_send_answer`: there is no client to write to
 
     @staticmethod
-    async def _pump(reply: _Reply, send: Send) -> None:
+    async def _send_answer(reply: _Reply, send: Send) -> None:
         """Send the messages of the answer. Raises AnswerTruncatedError if the answer cannot be completed."""
         while (message := await reply.messages.get()) is not None:
             if isinstance(message, Exception):
--- a/pearhill/config/platform.py
+++ b/pearhill/config/platform.py
@@ -38,15 +38,15 @@
     message_folder: str | None = None  # for messages between processes of one dispatcher
 
 
-def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """Returns the configuration at a start, or at a reload after `before`. Raises ConfigError if it is invalid."""
+def load(environ: Mapping[str, str], previous: Config | None = None) -> Config:
+    """Returns the configuration at a start, or at a reload after `previous`. Raises ConfigError if it is invalid."""
     contents = _read_file(environ.get("RELAY_CONFIG"))
     deployment = _deployment(contents)
     seed, sockets = _limits(contents)
     admin = environ.get("RELAY_ADMIN_ADDR") or contents.get("admin_addr")
-    passed_socket = before.passed_socket if before else _passed_socket(environ)
+    passed_socket = previous.passed_socket if previous else _passed_socket(environ)
     discovery_in_file = contents.get("discovery")
-    discovery = _discovery(environ, discovery_in_file, before)
+    discovery = _discovery(environ, discovery_in_file, previous)
     return Config(
         name=environ.get("RELAY_NAME") or str(contents.get("name", "pearhill")),
         listen=_address("listen", environ.get("RELAY_LISTEN") or contents.get("listen")),
@@ -105,16 +105,16 @@
     return seed, sockets
 
 
-def _discovery(environ: Mapping[str, str], in_file: Any, before: Config | None) -> Address:
+def _discovery(environ: Mapping[str, str], in_file: Any, previous: Config | None) -> Address:
     """Returns the address of discovery.
 
     At a reload only the file counts: the environment dates from the start of the process, and would override a changed
     file.
     """
-    if before is None:
+    if previous is None:
         return _address("discovery", environ.get("RELAY_DISCOVERY") or in_file)
-    if in_file == before.discovery_in_file:
-        return before.discovery
+    if in_file == previous.discovery_in_file:
+        return previous.discovery
     return _address("discovery", in_file)
 
 
--- a/pearhill/config/typed.py
+++ b/pearhill/config/typed.py
@@ -82,10 +82,10 @@
 
 def invalid_value(path: str, found: Any, allowed: str) -> ConfigError:
     """Returns the error for a value that is not allowed at this path."""
-    return ConfigError(f"{path}: found {shown(found)}; allowed: {allowed}")
+    return ConfigError(f"{path}: found {format_value(found)}; allowed: {allowed}")
 
 
-def shown(found: Any) -> str:
+def format_value(found: Any) -> str:
     """Returns a value as it is written in the file, shortened to MAX_SHOWN_CHARACTERS."""
     text = _as_in_file(found)
     if len(text) <= MAX_SHOWN_CHARACTERS:
@@ -150,8 +150,8 @@
     position = int(index) if index.isdigit() else 0
     place.path += f"[{index}]"
     place.type = getattr(_member(place.type, inspect.ListType), "item_type", None)
-    is_there = isinstance(place.found, list) and position < len(place.found)
-    place.found = place.found[position] if is_there else None
+    exists = isinstance(place.found, list) and position < len(place.found)
+    place.found = place.found[position] if exists else None
 
 
 def _member(kind: Any, wanted: type) -> Any:
--- a/pearhill/durable/frames.py
+++ b/pearhill/durable/frames.py
@@ -27,8 +27,8 @@
 class TornFrameError(Exception):
     """The bytes from `offset` on are not a valid frame."""
 
-    def __init__(self, offset: int, why: str) -> None:
-        super().__init__(f"at byte {offset}: {why}")
+    def __init__(self, offset: int, reason: str) -> None:
+        super().__init__(f"at byte {offset}: {reason}")
         self.offset = offset
 
 
--- a/pearhill/durable/journal.py
+++ b/pearhill/durable/journal.py
@@ -22,9 +22,9 @@
 SEGMENT_BYTES = 64 << 20  # size at which a new segment begins
 RETRY_INTERVAL_S = 1.0  # between two attempts while the disk fails
 CLOSING_RETRY_INTERVAL_S = 0.05  # the same while the journal is being closed
-MAX_WAITING_BYTES = 8 << 20  # limit on the bytes that wait for the disk
+MAX_PENDING_BYTES = 8 << 20  # limit on the bytes that wait for the disk
 CLOSE_TIMEOUT_S = 5.0
-KEPT_SNAPSHOTS = 2  # the second latest is retained in case the latest is damaged
+RETAINED_SNAPSHOTS = 2  # the second latest is retained in case the latest is damaged
 FILE_MODE = 0o640
 
 
@@ -42,19 +42,19 @@
         on_synced: Callable[[int], None],
         on_failure: Callable[[OSError | None], None],
         segment_bytes: int = SEGMENT_BYTES,
-        max_waiting_bytes: int = MAX_WAITING_BYTES,
+        max_pending_bytes: int = MAX_PENDING_BYTES,
     ) -> None:
         self.folder = folder
         self.seq = seq
         self._segment_bytes = segment_bytes
-        self._max_waiting_bytes = max_waiting_bytes
+        self._max_pending_bytes = max_pending_bytes
         self._on_synced = on_synced
         self._on_failure = on_failure
         self._changed = threading.Condition()
-        self._waiting: deque[tuple[int, bytes]] = deque()  # not written yet
+        self._queued: deque[tuple[int, bytes]] = deque()  # not written yet
         self._unsynced: deque[tuple[int, bytes]] = deque()  # written, not synced
-        self._bytes = 0  # of both
-        self._snapshot: tuple[int, bytes] | None = None  # waits for the disk
+        self._pending_bytes = 0  # of both
+        self._pending_snapshot: tuple[int, bytes] | None = None  # waits for the disk
         self._close_by: float | None = None  # monotonic time in seconds, or None while the journal is open
         self._file: int | None = None
         self._size = 0
@@ -66,7 +66,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the buffer is full because the disk has failed for too long."""
-        return self._bytes >= self._max_waiting_bytes
+        return self._pending_bytes >= self._max_pending_bytes
 
     def append(self, body: bytes) -> int:
         """Append a frame and return its sequence number.
@@ -79,8 +79,8 @@
         with self._changed:
             data = encode_frame(self.seq + 1, body)
             self.seq += 1
-            self._waiting.append((self.seq, data))
-            self._bytes += len(data)
+            self._queued.append((self.seq, data))
+            self._pending_bytes += len(data)
             self._changed.notify()
             return self.seq
 
@@ -92,7 +92,7 @@
         if len(state) > MAX_STATE_BYTES:
             raise ValueError(f"a snapshot of {len(state)} bytes is too large; {MAX_STATE_BYTES} are allowed")
         with self._changed:
-            self._snapshot = (self.seq, state)
+            self._pending_snapshot = (self.seq, state)
             self._changed.notify()
 
     def close(self, timeout: float = CLOSE_TIMEOUT_S) -> bool:
@@ -105,13 +105,13 @@
             self._changed.notify()
         self._retry_at_once.set()
         self._thread.join(timeout)
-        return not self._thread.is_alive() and not self._bytes
+        return not self._thread.is_alive() and not self._pending_bytes
 
     @property
     def unwritten(self) -> tuple[int, int]:
         """The number of frames that are not written and synced yet, and their size in bytes."""
         with self._changed:
-            return len(self._waiting) + len(self._unsynced), self._bytes
+            return len(self._queued) + len(self._unsynced), self._pending_bytes
 
     # The writing thread.
 
@@ -122,7 +122,7 @@
                 self._write_snapshot()
                 self._record_recovery()
             except OSError as e:
-                self._give_up_segment()
+                self._abandon_segment()
                 self._record_failure(e)
                 if not self._wait_for_retry():
                     break
@@ -144,7 +144,7 @@
         return time.monotonic() < self._close_by
 
     def _has_work(self) -> bool:
-        return bool(self._waiting or self._snapshot or self._unsynced)
+        return bool(self._queued or self._pending_snapshot or self._unsynced)
 
     def _record_recovery(self) -> None:
         if self._failed:
@@ -159,16 +159,16 @@
     def _write(self) -> None:
         """Write and sync all pending frames."""
         with self._changed:
-            batch = list(self._waiting)
+            batch = list(self._queued)
         if not batch and not self._unsynced:
             return
         if batch:
             self._open_segment(batch[0][0])
             assert self._file is not None
-            self._size += _write_all(self._file, b"".join(piece for _, piece in batch))
+            self._size += _write_all(self._file, b"".join(frame for _, frame in batch))
         with self._changed:
             for _ in batch:
-                self._unsynced.append(self._waiting.popleft())
+                self._unsynced.append(self._queued.popleft())
         assert self._file is not None
         os.fsync(self._file)
         self._acknowledge()
@@ -178,7 +178,7 @@
     def _acknowledge(self) -> None:
         with self._changed:
             last = self._unsynced[-1][0]
-            self._bytes -= sum(len(piece) for _, piece in self._unsynced)
+            self._pending_bytes -= sum(len(frame) for _, frame in self._unsynced)
             self._unsynced.clear()
         self._on_synced(last)
 
@@ -195,7 +195,7 @@
     def _write_snapshot(self) -> None:
         """Write the pending snapshot and move it into place atomically, and remove all but the latest snapshots."""
         with self._changed:
-            wanted = self._snapshot
+            wanted = self._pending_snapshot
         if wanted is None:
             return
         seq, state = wanted
@@ -204,20 +204,20 @@
         _write_file(temporary, encode_frame(seq, state, MAX_STATE_BYTES))
         os.rename(temporary, path)
         _sync_folder(self.folder)
-        for old in snapshots(self.folder)[:-KEPT_SNAPSHOTS]:
+        for old in snapshots(self.folder)[:-RETAINED_SNAPSHOTS]:
             old.unlink()
         with self._changed:
-            if self._snapshot == wanted:
-                self._snapshot = None
+            if self._pending_snapshot == wanted:
+                self._pending_snapshot = None
 
-    def _give_up_segment(self) -> None:
+    def _abandon_segment(self) -> None:
         """Close the segment after a failed write or sync, when its contents are unknown.
 
         All unacknowledged frames are written to a new segment; the old one may contain some of them too, under the same
         sequence numbers.
         """
         with self._changed:
-            self._waiting.extendleft(reversed(self._unsynced))
+            self._queued.extendleft(reversed(self._unsynced))
             self._unsynced.clear()
         self._close_file()
 
@@ -230,9 +230,9 @@
 
 def _write_all(file: int, data: bytes) -> int:
     """Write all of the data, and return its size in bytes."""
-    left = memoryview(data)
-    while left:
-        left = left[os.write(file, left) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(file, remaining) :]
     return len(data)
 
 
--- a/pearhill/durable/message_folder.py
+++ b/pearhill/durable/message_folder.py
@@ -22,19 +22,19 @@
     def __init__(self, folder: str, name: str, start: int) -> None:
         self.folder = pathlib.Path(folder)
         self._prefix = f"pearhill-{hashlib.blake2b(name.encode(), digest_size=8).hexdigest()}-"
-        self.own = self.folder / f"{self._prefix}{start:x}-{os.getpid()}.note"
+        self.own_path = self.folder / f"{self._prefix}{start:x}-{os.getpid()}.note"
 
     def write(self, data: bytes) -> None:
         """Write this process's message atomically, so that no process reads a partial one."""
-        part = self.own.with_suffix(".part")
-        part.write_bytes(data)
-        part.replace(self.own)
+        temporary = self.own_path.with_suffix(".part")
+        temporary.write_bytes(data)
+        temporary.replace(self.own_path)
 
-    def others(self) -> Iterator[tuple[pathlib.Path, bytes]]:
+    def other_messages(self) -> Iterator[tuple[pathlib.Path, bytes]]:
         """Yields the paths and contents of other processes' messages, without those that are removed meanwhile."""
         with os.scandir(self.folder) as entries:
             names = sorted(entry.name for entry in entries if self._is_message(entry.name))
-        names = [name for name in names if name != self.own.name]
+        names = [name for name in names if name != self.own_path.name]
         for name in names[-MAX_MESSAGES:]:
             path = self.folder / name
             with contextlib.suppress(OSError), open(path, "rb") as file:
@@ -45,6 +45,6 @@
 
     def remove(self, path: pathlib.Path) -> None:
         """Remove a message, and the temporary file that its process may have left behind while writing."""
-        for each in (path, path.with_suffix(".part")):
+        for file_path in (path, path.with_suffix(".part")):
             with contextlib.suppress(OSError):
-                each.unlink()
+                file_path.unlink()
--- a/pearhill/durable/recovery.py
+++ b/pearhill/durable/recovery.py
@@ -51,18 +51,18 @@
     paths = segments(folder)
     for position, path in enumerate(paths):
         try:
-            for one in decode_frames(path.read_bytes()):
-                found.setdefault(one.seq, one.body)
+            for frame in decode_frames(path.read_bytes()):
+                found.setdefault(frame.seq, frame.body)
         except TornFrameError as e:
             # A crash leaves a torn tail in the last segment. A write error leaves one in a segment that was abandoned,
             # whose unacknowledged frames are repeated in the next segment.
             is_last = position == len(paths) - 1
-            if not is_last and not _continues(found, paths[position + 1]):
+            if not is_last and not _is_continued_by(found, paths[position + 1]):
                 raise CorruptJournalError(f"{path.name}: {e}") from None
     return [Frame(seq, found[seq]) for seq in sorted(found)]
 
 
-def _continues(found: dict[int, bytes], following: pathlib.Path) -> bool:
+def _is_continued_by(found: dict[int, bytes], following: pathlib.Path) -> bool:
     """Whether the next segment starts at or before the sequence number that follows those already read."""
     return int(following.stem) <= max(found, default=0) + 1
 
@@ -85,7 +85,7 @@
         max(last, state_seq),
         None if snapshot is None else snapshot.body,
         state_seq,
-        [each for each in frames if each.seq > state_seq],
+        [frame for frame in frames if frame.seq > state_seq],
         torn_bytes,
     )
 
@@ -101,8 +101,8 @@
         for _ in decode_frames(data):
             pass
     except TornFrameError as e:
-        with open(last.with_suffix(".torn"), "ab") as aside:
-            aside.write(data[e.offset :])
+        with open(last.with_suffix(".torn"), "ab") as torn_file:
+            torn_file.write(data[e.offset :])
         os.truncate(last, e.offset)
         return len(data) - e.offset
     return 0
--- a/pearhill/lifecycle/endpoint_overrides.py
+++ b/pearhill/lifecycle/endpoint_overrides.py
@@ -37,14 +37,14 @@
         """Returns the effective endpoints of these replicas, for the router, after an override has changed."""
         return tuple(self._effective(self.endpoints[replica]) for replica in replicas if replica in self.endpoints)
 
-    def knows(self, replica: int) -> bool:
+    def is_known(self, replica: int) -> bool:
         """Whether a replica with this id is listed, or is administratively down and may be listed again."""
         return replica in self.endpoints or self.overrides.is_down(replica)
 
     def _effective(self, entry: Endpoint) -> Endpoint:
         if self.overrides.is_down(entry.replica):
             return replace(entry, phase=Phase.DRAINING) if entry.phase == Phase.READY else entry
-        restored = self.overrides.restored(entry.replica)
+        restored = self.overrides.restoring_override(entry.replica)
         # Operators restart a replica that is down, and the endpoint list reports the new start seconds late. Until then
         # the replica counts as started when it was restored, or it would be considered warm and be overloaded. A start
         # time in the list that lies after the replica was taken down is the actual one.
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -44,19 +44,19 @@
         if not down and not was_down:
             return
         since = before.since if before and was_down else now
-        self.down[replica] = self._after(before, now, down, since)
+        self.down[replica] = self._later_override(before, now, down, since)
 
     def set_drain(self, now: int, on: bool) -> None:
         """Begin or end the operators' drain. A repeated call does not change the time at which the drain began."""
         before = self.drain
         since = before.since if before and before.on and on else now
-        self.drain = self._after(before, now, on, since)
+        self.drain = self._later_override(before, now, on, since)
 
     def is_down(self, replica: int) -> bool:
         """Whether this replica is administratively down."""
         return replica in self.down and self.down[replica].on
 
-    def restored(self, replica: int) -> Override | None:
+    def restoring_override(self, replica: int) -> Override | None:
         """Returns the override that restored the replica, or None if it is down or was never down."""
         override = self.down.get(replica)
         return override if override and not override.on else None
@@ -73,7 +73,7 @@
             self.drain = drain
         return changed, drain_changed
 
-    def forget(self, now: int) -> None:
+    def delete_expired(self, now: int) -> None:
         """Delete the overrides of replicas that were restored more than RETENTION_US ago.
 
         Replicas are replaced under new ids, so that the overrides would accumulate without a limit.
@@ -87,7 +87,7 @@
             del self.down[replica]
 
     @staticmethod
-    def _after(before: Override | None, now: int, on: bool, since: int) -> Override:
+    def _later_override(before: Override | None, now: int, on: bool, since: int) -> Override:
         """Returns an override that is later than `before` at every process, even if clocks differ slightly."""
         set_at = max(now, before.set_at + 1) if before else now
         return Override(set_at, on, since)
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -33,23 +33,23 @@
         self.origin = origin
         self.boot = boot
         self.process_count = 1  # processes that share the limits now
-        self.succeeded = False  # a process that started later accepts the clients, so this one need not
+        self.has_successor = False  # a process that started later accepts the clients, so this one need not
         self.predecessor_alive = False  # a process that started earlier is still running
         self.predecessor_serving = False  # and still answers clients
         self._written: TakeoverMessage | None = None
 
-    def alive(self, message: TakeoverMessage, now: int) -> bool:
+    def is_alive(self, message: TakeoverMessage, now: int) -> bool:
         """Whether the process that wrote the message is still running."""
         return not message.ended and abs(now - message.written_at) < ALIVE_WITHIN_US
 
-    def expired(self, message: TakeoverMessage, now: int) -> bool:
+    def is_expired(self, message: TakeoverMessage, now: int) -> bool:
         """Whether the message can be deleted.
 
         It can if it is too old, or if its process started earlier and has exited: its overrides are merged here.
         """
         if self._too_old(message, now):
             return True
-        return message.started_at < self.started_at and not self.alive(message, now)
+        return message.started_at < self.started_at and not self.is_alive(message, now)
 
     def receive(self, now: int, messages: Iterable[TakeoverMessage]) -> tuple[set[int], bool]:
         """Process the current messages, which may include this process's own.
@@ -57,14 +57,14 @@
         Returns the replicas whose overrides have changed, and whether the drain's has.
         """
         messages = list(messages)
-        living = [m for m in messages if m.started_at != self.started_at and self.alive(m, now)]
-        earlier = [m for m in living if m.started_at < self.started_at]
-        self.process_count = 1 + min(1, len(living))
+        alive = [m for m in messages if m.started_at != self.started_at and self.is_alive(m, now)]
+        earlier = [m for m in alive if m.started_at < self.started_at]
+        self.process_count = 1 + min(1, len(alive))
         self.predecessor_alive = bool(earlier)
         self.predecessor_serving = any(not m.quiet for m in earlier)
-        self.succeeded = any(m.started_at > self.started_at and m.serving for m in living)
-        changed = self._merge_overrides(now, messages, living)
-        self.overrides.forget(now)
+        self.has_successor = any(m.started_at > self.started_at and m.serving for m in alive)
+        changed = self._merge_overrides(now, messages, alive)
+        self.overrides.delete_expired(now)
         return changed
 
     def reports_ready(self, age: int) -> bool:
@@ -89,13 +89,13 @@
             origin=self.origin,
             boot=self.boot,
         )
-        if self._says_nothing_new(message):
+        if self._is_unchanged(message):
             return None
         self._written = message
         return message
 
     def _merge_overrides(
-        self, now: int, messages: list[TakeoverMessage], living: list[TakeoverMessage]
+        self, now: int, messages: list[TakeoverMessage], alive: list[TakeoverMessage]
     ) -> tuple[set[int], bool]:
         """Merge the overrides of other processes.
 
@@ -107,12 +107,12 @@
         for message in messages:
             if message.started_at == self.started_at or self._too_old(message, now):
                 continue
-            changed, drain_changed = self.overrides.merge(message.down, message.drain if message in living else None)
+            changed, drain_changed = self.overrides.merge(message.down, message.drain if message in alive else None)
             replicas = replicas | changed
             drain = drain or drain_changed
         return replicas, drain
 
-    def _says_nothing_new(self, message: TakeoverMessage) -> bool:
+    def _is_unchanged(self, message: TakeoverMessage) -> bool:
         last = self._written
         if last is None or message.written_at - last.written_at >= REWRITE_INTERVAL_US:
             return False
--- a/pearhill/node/limits.py
+++ b/pearhill/node/limits.py
@@ -8,7 +8,7 @@
 from pearhill.net.admin_listener import MAX_ADMIN_CONNECTIONS
 
 RESERVED_DESCRIPTORS = 48  # for the log, the event loop, the listener and maintenance calls
-UPKEEP_DESCRIPTORS = 24  # part of the reserved ones: for releases and endpoint list requests
+MAINTENANCE_DESCRIPTORS = 24  # part of the reserved ones: for releases and endpoint list requests
 MIN_CONNECTIONS = 8  # minimum for clients, and as many for replicas, even if descriptors are scarce
 
 
--- a/pearhill/node/listeners.py
+++ b/pearhill/node/listeners.py
@@ -23,12 +23,12 @@
     """
     if not isinstance(address, tuple):
         return listener.adopt(address)
-    give_up_at = deadlines.clock() + LISTEN_TIMEOUT_US
+    timeout_at = deadlines.clock() + LISTEN_TIMEOUT_US
     while True:
         try:
             return listener.listen(address)
         except OSError as e:
-            if e.errno not in EXHAUSTION_ERRNOS or deadlines.clock() >= give_up_at:
+            if e.errno not in EXHAUSTION_ERRNOS or deadlines.clock() >= timeout_at:
                 raise
             counters.shortages += 1
         await pause(deadlines, RETRY_INTERVAL_US)
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -25,7 +25,7 @@
 from pearhill.net.pool import Pool
 from pearhill.net.ticks import EventLoopTicks, pause
 from pearhill.node.drain_control import DrainControl
-from pearhill.node.limits import UPKEEP_DESCRIPTORS, Limits
+from pearhill.node.limits import MAINTENANCE_DESCRIPTORS, Limits
 from pearhill.node.listeners import listen_for_clients
 from pearhill.node.override_control import OverrideControl
 from pearhill.node.shutdown import GracefulShutdown
@@ -49,8 +49,8 @@
 class Node:
     """A dispatcher with its connection pool and backend. It belongs to the running event loop.
 
-    Its owner may set two callbacks: `succeeded` returns whether a successor accepts the clients, and `on_report` is
-    called when the counters are logged.
+    Its owner may set two callbacks: `has_successor` returns whether a successor accepts the clients, and
+    `on_report` is called when the counters are logged.
     """
 
     def __init__(self, deployment: Deployment, dialect: Dialect, limits: Limits) -> None:
@@ -71,7 +71,7 @@
             connect_timeout=deployment.connect_timeout,
             idle_timeout=_idle_timeout(deployment),
             max_connections=self.connection_limit,
-            reserved_connections=UPKEEP_DESCRIPTORS,
+            reserved_connections=MAINTENANCE_DESCRIPTORS,
         )
         self.dispatcher = Dispatcher(deployment, limits.seed, self.deadlines, self.counters)
         self.backend = HttpBackend(self.pool, dialect, self.dispatcher.health_check_ended)
@@ -80,10 +80,10 @@
         self.override_control = OverrideControl(
             self.deadlines, self.dispatcher, self.backend, self.pool, self._drain_control
         )
-        self.succeeded: Callable[[], bool] = lambda: False
+        self.has_successor: Callable[[], bool] = lambda: False
         self.on_report: Callable[[], None] = lambda: None
         self._shutdown = GracefulShutdown(
-            self.drain, self.deadlines, self.dispatcher, self.backend, lambda: self.succeeded()
+            self.drain, self.deadlines, self.dispatcher, self.backend, lambda: self.has_successor()
         )
 
     @property
@@ -144,8 +144,8 @@
         """Apply endpoints, in force before the next attempt. With `full`, they replace all earlier ones."""
         self.counters.lists += 1
         entries = self._wall_clock.translate_start_times(full, entries)
-        gone = [entry.replica for entry in entries if entry.phase == Phase.GONE]
-        self.backend.update_addresses(addresses, gone, full)
+        removed = [entry.replica for entry in entries if entry.phase == Phase.GONE]
+        self.backend.update_addresses(addresses, removed, full)
         self.override_control.update_endpoints(full, entries)
 
     def figures(self) -> Figures:
@@ -198,7 +198,7 @@
             listener = self._drain_control.listener = self._make_listener(handler)
             # A process that is stopped before it can serve must not accept: it would reject clients that the
             # predecessor can answer.
-            if await self._waits_until_it_may_accept(may_accept, stopped):
+            if await self._wait_until_accepting_allowed(may_accept, stopped):
                 host, port = await listen_for_clients(listener, address, self.deadlines, self.counters)
                 self._drain_control.apply()  # a drain may have been requested before, possibly at another process
                 logger.info("{name} listens on {host}:{port}", name=name, host=host, port=port)
@@ -232,7 +232,7 @@
         logger.bind(counters=counts).info("counters {}", json.dumps(counts))
         self.on_report()
 
-    async def _waits_until_it_may_accept(self, may_accept: Callable[[], bool], stopped: asyncio.Event) -> bool:
+    async def _wait_until_accepting_allowed(self, may_accept: Callable[[], bool], stopped: asyncio.Event) -> bool:
         """Wait until clients may be accepted. Returns False if the process is stopped before that."""
         while not may_accept():
             if stopped.is_set():
--- a/pearhill/node/override_control.py
+++ b/pearhill/node/override_control.py
@@ -40,7 +40,7 @@
 
     def set_replica_down(self, replica: int, down: bool) -> bool:
         """Take a replica administratively down, or restore it. Returns False if no replica has this id."""
-        if not self._endpoints.knows(replica):
+        if not self._endpoints.is_known(replica):
             return False
         self.overrides.set_down(replica, self._deadlines.clock(), down)
         self.apply({replica}, False)
--- a/pearhill/node/process.py
+++ b/pearhill/node/process.py
@@ -12,10 +12,10 @@
 
 from pearhill.config import ConfigError
 from pearhill.net.log import LogThread
-from pearhill.node.signals import block_requests
+from pearhill.node.signals import block_operator_signals
 
 
-def run(work: Callable[[], Coroutine[Any, Any, None]], log_level: str, log_format: str = "text") -> int:
+def run(make_coroutine: Callable[[], Coroutine[Any, Any, None]], log_level: str, log_format: str = "text") -> int:
     """Create the coroutine and run it until it ends.
 
     Returns the exit code: 0; 1 if a system call failed (OSError); 2 if the configuration is invalid. The error is
@@ -23,9 +23,9 @@
     """
     # Without handlers these signals would end the process, so they stay pending until the handlers are installed.
     # Threads that are started here inherit the mask and never receive them.
-    block_requests()
+    block_operator_signals()
     try:
-        coroutine = work()
+        coroutine = make_coroutine()
     except ConfigError as e:
         print(f"pearhill: {e}", file=sys.stderr)
         return 2
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -55,13 +55,13 @@
         SIGKILL. All conditions are checked in one tick of the event loop, because any of them may change during a
         pause.
         """
-        wait_until = self._deadlines.clock()
+        wait_for_releases_until = self._deadlines.clock()
         while True:
             if listener:
                 self._close_idle_connections(listener)
             if self._dispatcher.requests or (listener is not None and listener.has_open_connections):
-                wait_until = self._deadlines.clock() + RELEASE_GRACE_US
-            elif not self._backend.pending_releases or self._gives_up_releases(wait_until):
+                wait_for_releases_until = self._deadlines.clock() + RELEASE_GRACE_US
+            elif not self._backend.pending_releases or self._may_abandon_releases(wait_for_releases_until):
                 return
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
@@ -76,8 +76,10 @@
         ):
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
-    def _gives_up_releases(self, wait_until: int) -> bool:
-        return self._deadlines.clock() >= wait_until and self._has_elapsed_since_sigterm(self._drain.times.kill_after)
+    def _may_abandon_releases(self, wait_for_releases_until: int) -> bool:
+        return self._deadlines.clock() >= wait_for_releases_until and self._has_elapsed_since_sigterm(
+            self._drain.times.kill_after
+        )
 
     def _has_elapsed_since_sigterm(self, span: int) -> bool:
         """Whether `span` microseconds have passed since the process noticed SIGTERM."""
--- a/pearhill/node/signals.py
+++ b/pearhill/node/signals.py
@@ -13,12 +13,12 @@
 from pearhill.config import ConfigError
 
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-REQUESTS_BY_SIGNAL = {signal.SIGHUP, signal.SIGUSR1}
+OPERATOR_SIGNALS = {signal.SIGHUP, signal.SIGUSR1}
 
 
-def block_requests() -> None:
+def block_operator_signals() -> None:
     """Block SIGHUP and SIGUSR1 during the start, when no handler exists and each of them would end the process."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, REQUESTS_BY_SIGNAL)
+    signal.pthread_sigmask(signal.SIG_BLOCK, OPERATOR_SIGNALS)
 
 
 @contextlib.contextmanager
@@ -38,11 +38,11 @@
         _install(loop, number, stop)
     _install(loop, signal.SIGUSR1, report)
     _install(loop, signal.SIGHUP, lambda: _reload(reload))
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, REQUESTS_BY_SIGNAL)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, OPERATOR_SIGNALS)
     try:
         yield
     finally:
-        for number in (*SHUTDOWN_SIGNALS, *REQUESTS_BY_SIGNAL):
+        for number in (*SHUTDOWN_SIGNALS, *OPERATOR_SIGNALS):
             signal.signal(number, signal.SIG_IGN)
 
 
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -45,7 +45,7 @@
         self.serving_announced = False  # a message that says that this process accepts clients has been written
         self._write_failed = False  # whether the last message could not be written
         self._warnings = set[str]()
-        node.succeeded = self._succeeded
+        node.has_successor = self._has_successor
         self._receive(self._exchange(self._message()))
         self._task = node.pool.spawn(self._run())
 
@@ -88,7 +88,7 @@
             self.takeover.write_failed()
             self._warn_once(f"the takeover message cannot be written, so other processes cannot detect this one: {e}")
         try:
-            return list(self.messages.others())
+            return list(self.messages.other_messages())
         except OSError as e:
             self._warn_once(f"the folder for takeover messages cannot be read, so this process serves alone: {e}")
             return []
@@ -104,19 +104,19 @@
         takeover = self.takeover
         now = self.node.deadlines.clock()
         received = self._decode(files)
-        before = takeover.process_count, takeover.succeeded
+        before = takeover.process_count, takeover.has_successor
         replicas, drain = takeover.receive(now, [message for _, message in received])
         for path, message in received:
-            if takeover.expired(message, now):
+            if takeover.is_expired(message, now):
                 self.messages.remove(path)
-        if (takeover.process_count, takeover.succeeded) != before:
+        if (takeover.process_count, takeover.has_successor) != before:
             logger.info(
                 "upgrade: {parts} processes serve, {what}",
                 parts=takeover.process_count,
-                what="another accepts the clients" if takeover.succeeded else "this one accepts clients",
+                what="another accepts the clients" if takeover.has_successor else "this one accepts clients",
             )
         self.node.share_limits(takeover.process_count)
-        self.node.yield_to_successor(takeover.succeeded)
+        self.node.yield_to_successor(takeover.has_successor)
         self.node.override_control.apply(replicas, drain)
 
     def _decode(self, files: list[tuple[pathlib.Path, bytes]]) -> list[_ReceivedMessage]:
@@ -132,11 +132,11 @@
                 received.append(_ReceivedMessage(path, message))
         return received
 
-    def _succeeded(self) -> bool:
+    def _has_successor(self) -> bool:
         """Whether a successor accepts the clients, according to the messages as they are now.
 
         The messages are read at once because SIGTERM may arrive after the successor has reported ready and before the
         next exchange.
         """
         self._receive(self._exchange(None))
-        return self.takeover.succeeded
+        return self.takeover.has_successor
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -51,7 +51,7 @@
 
 
 class Calls(AdminEndpointCase):
-    def test_bad_calls_get_their_answer_and_the_endpoint_goes_on(self) -> None:
+    def test_invalid_calls_are_rejected_and_the_endpoint_keeps_serving(self) -> None:
         self.start("all-in-one")
         down = "/ops/replicas/down"
         for status, method, path in (
@@ -81,12 +81,12 @@
                 assert expected in caller.recv(4096)
         assert self.call_admin("GET", "/ops/readiness") == 200
 
-    def test_one_call_a_connection(self) -> None:
+    def test_each_connection_is_closed_after_one_call(self) -> None:
         self.start("all-in-one")
         _, response_headers, _ = call(self.admin_address, "GET", "/ops/readiness")
         assert response_headers["Connection"] == "close"
 
-    def test_silent_callers_and_half_calls_keep_no_other_caller_out(self) -> None:
+    def test_silent_connections_and_partial_calls_do_not_block_other_calls(self) -> None:
         self.start("all-in-one")
         host, _, port = self.admin_address.rpartition(":")
         for n in range(60):  # more connections than the admin endpoint allows
@@ -106,7 +106,7 @@
                 caller.send(bytes([byte]))
             assert b"200 OK" in caller.recv(4096)
 
-    def test_not_ready_before_it_can_serve_and_absent_unless_asked_for(self) -> None:
+    def test_not_ready_until_it_can_serve_and_absent_unless_configured(self) -> None:
         self.start()
         assert self.call_admin("GET", "/ops/readiness") == 503
         replica = Standin()
@@ -120,7 +120,7 @@
         assert plain.ask("GET", "/ops/stats")[0] == 404
         assert not [line for line in plain.lines if "operators" in line or "admin endpoint" in line]
 
-    def test_a_bad_address_is_one_line_that_names_the_key(self) -> None:
+    def test_an_invalid_address_is_a_one_line_error_that_names_the_key(self) -> None:
         self.start("all-in-one")
         for address, code in (("nowhere", 2), (self.admin_address, 1)):
             with self.subTest(address=address):
@@ -146,7 +146,7 @@
 
 
 class ReportedFigures(AdminEndpointCase):
-    def test_each_request_is_counted_once_where_it_ended(self) -> None:
+    def test_each_request_is_counted_once_by_its_outcome(self) -> None:
         prefill, decode = self.start("reader", "writer")
         prefill.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
         none = {"success": 0, "busy": 0, "failure": 0}
@@ -159,11 +159,11 @@
         }
         assert self.ask("a1") == 200
 
-        def answer_when_told(handler: Any, body: bytes) -> None:
+        def answer_when_released(handler: Any, body: bytes) -> None:
             decode.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        decode.respond = answer_when_told
+        decode.respond = answer_when_released
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("a2", "job-booking"))
         decode.wait_for("POST", count=2)
@@ -184,26 +184,26 @@
 
 
 class ReplicasDown(AdminEndpointCase):
-    def test_a_replica_that_is_down_gets_nothing_until_one_call_up_whatever_discovery_lists(self) -> None:
+    def test_a_replica_that_is_down_receives_no_requests_until_it_is_restored(self) -> None:
         replicas = self.start("all-in-one", "all-in-one")
         targets = [(f"s-{n}", replica.address, "all-in-one") for n, replica in enumerate(replicas)]
         for _ in range(2):
             assert self.call_admin("POST", "/ops/replicas/down?target=s-0") == 200
 
-        def asked(id: str) -> tuple[int, int]:
+        def new_runs(id: str) -> tuple[int, int]:
             before = [replica.runs for replica in replicas]
             for n in range(8):
                 assert self.program.ask("POST", PATH, BODY, {**headers(f"{id}{n}"), "Affinity-Key": f"{n}"})[0] == 200
             return replicas[0].runs - before[0], replicas[1].runs - before[1]
 
-        assert asked("a") == (0, 8)
+        assert new_runs("a") == (0, 8)
         for rev, listed in ((2, targets[1:]), (3, targets)):  # unlisted, and listed again
             self.discovery.update(*listed)
             self.discovery.wait_for("GET", f"/v1/endpoints?after={rev}")
-            assert asked(f"b{rev}") == (0, 8)
+            assert new_runs(f"b{rev}") == (0, 8)
         assert self.call_admin("POST", "/ops/replicas/up?target=s-0") == 200
         end, n = time.monotonic() + 15, 0
-        while not asked(f"c{n}-")[0]:  # it is warming up, and receives its first requests within seconds
+        while not new_runs(f"c{n}-")[0]:  # it is warming up, and receives its first requests within seconds
             assert time.monotonic() < end
             n += 1
 
@@ -214,10 +214,10 @@
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
         assert [self.call_admin("POST", "/ops/replicas/up?target=s-0") for _ in range(2)] == [200, 404]
 
-    def test_an_answer_under_way_is_completed(self) -> None:
+    def test_an_answer_in_progress_is_completed(self) -> None:
         replica, _ = self.start("all-in-one", "all-in-one")
 
-        def answer_when_told(handler: Any, body: bytes) -> None:
+        def answer_when_released(handler: Any, body: bytes) -> None:
             handler.chunks(TOKENS[0], last=False)
             replica.go.wait(20)
             for part in (TOKENS[1], LAST):
@@ -225,7 +225,7 @@
             handler.wfile.write(b"0\r\n\r\n")
 
         assert self.call_admin("POST", "/ops/replicas/down?target=s-1") == 200
-        replica.respond = answer_when_told
+        replica.respond = answer_when_released
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("a1", "job-booking"))
         response = connection.getresponse()
@@ -235,7 +235,7 @@
 
 
 class Draining(AdminEndpointCase):
-    def test_clients_leave_during_a_drain_and_come_back(self) -> None:
+    def test_connections_are_closed_during_a_drain_and_persist_after_it(self) -> None:
         self.start("all-in-one")
         idle, used = self.program.connect(), self.program.connect()
         for connection in (idle, used):
@@ -253,14 +253,14 @@
         assert self.ask("b2") == 200  # clients open new connections for a while
         assert [self.call_admin("POST", "/ops/drain/stop") for _ in range(2)] == [200, 200]
         assert self.program.ask("GET", "/ready")[0] == 200
-        kept = self.program.connect()
+        persistent = self.program.connect()
         for n in range(2):
-            kept.request("POST", PATH, BODY, headers(f"c{n}"))
-            response = kept.getresponse()
+            persistent.request("POST", PATH, BODY, headers(f"c{n}"))
+            response = persistent.getresponse()
             assert (response.status, response.getheader("Connection")) == (200, None)
             response.read()
 
-    def test_the_end_of_a_drain_does_not_keep_a_process_that_was_told_to_end(self) -> None:
+    def test_the_end_of_a_drain_does_not_cancel_a_shutdown(self) -> None:
         self.start("all-in-one")
         assert self.call_admin("POST", "/ops/drain/start") == 200
         self.program.process.terminate()
--- a/tests/config/test_typed.py
+++ b/tests/config/test_typed.py
@@ -11,7 +11,7 @@
 from tests.chat.test_front import operator_file, write_file
 from tests.standins import ROOT
 
-GOOD = operator_file(["127.0.0.1:1"])
+VALID_FILE = operator_file(["127.0.0.1:1"])
 SERVER_TABLE = 'uid = "s0"\naddress = "127.0.0.1:1"\nkind = "all-in-one"\n'
 # The text that is replaced, its replacement, and the beginning of the error
 CASES = (
@@ -69,18 +69,18 @@
 
 
 class FileErrors(unittest.TestCase):
-    def test_each_names_its_place_what_was_found_and_what_is_allowed(self) -> None:
-        loads(GOOD)
+    def test_an_error_names_the_place_the_value_and_what_is_allowed(self) -> None:
+        loads(VALID_FILE)
         for old, new, error in CASES:
             with self.subTest(error=error):
-                assert old in GOOD
-                text = GOOD.replace(old, new, 1)
+                assert old in VALID_FILE
+                text = VALID_FILE.replace(old, new, 1)
                 with pytest.raises(ConfigError) as caught:
                     loads(text)
                 assert str(caught.value).startswith(error), str(caught.value)
                 assert str(caught.value).count("\n") == 0
 
-    def test_files_that_are_no_toml_or_not_there(self) -> None:
+    def test_an_error_names_a_file_that_is_invalid_or_absent(self) -> None:
         for path in (write_file(self, "[chat"), "/nowhere/chat.toml", str(ROOT)):
             with self.subTest(path=path), pytest.raises(ConfigError) as caught:
                 load(path)
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -51,55 +51,55 @@
 
 
 class TestWrittenAndRead(JournalCase):
-    def test_what_was_appended_comes_back_in_order_and_once(self) -> None:
-        wanted: list[bytes] = []
+    def test_appended_frames_are_read_in_order_and_once(self) -> None:
+        expected: list[bytes] = []
         for _ in range(3):
             journal = self.open(segment_bytes=200)
             for _ in range(20):
-                wanted.append(b"body %d" % len(wanted))
-                self.wait_synced(journal.append(wanted[-1]) - 3)
+                expected.append(b"body %d" % len(expected))
+                self.wait_synced(journal.append(expected[-1]) - 3)
             assert journal.close()
-        assert self.bodies() == wanted
-        assert self.synced == len(wanted)
+        assert self.bodies() == expected
+        assert self.synced == len(expected)
         assert len(segments(self.folder)) > 3
 
-    def test_cut_at_every_byte_it_reads_as_what_was_whole_before(self) -> None:
+    def test_a_file_cut_at_any_byte_reads_as_the_complete_frames_before(self) -> None:
         journal = self.open()
-        wanted = [bytes([65 + k]) * (k * 3) for k in range(12)]
-        for body in wanted:
+        expected = [bytes([65 + k]) * (k * 3) for k in range(12)]
+        for body in expected:
             journal.append(body)
         journal.close()
         (path,) = segments(self.folder)
         data = path.read_bytes()
         ends = [0]
-        for body in wanted:
+        for body in expected:
             ends.append(ends[-1] + FRAME_HEAD.size + len(body))
         for cut in range(len(data) + 1):
             path.write_bytes(data[:cut])
             path.with_suffix(".torn").unlink(missing_ok=True)
-            whole = sum(end <= cut for end in ends) - 1
+            complete = sum(end <= cut for end in ends) - 1
             found = recover(self.folder)
-            assert [f.body for f in found.frames] == wanted[:whole]
-            assert (found.seq, found.torn_bytes) == (whole, cut - ends[whole])
-            assert path.stat().st_size == ends[whole]
+            assert [f.body for f in found.frames] == expected[:complete]
+            assert (found.seq, found.torn_bytes) == (complete, cut - ends[complete])
+            assert path.stat().st_size == ends[complete]
             if found.torn_bytes:  # the torn bytes are retained
-                assert path.with_suffix(".torn").read_bytes() == data[ends[whole] : cut]
+                assert path.with_suffix(".torn").read_bytes() == data[ends[complete] : cut]
             again = Journal(self.folder, found.seq, self.on_synced, self.on_failure)
             again.append(b"after")
             assert again.close()
-            assert self.bodies() == [*wanted[:whole], b"after"]
+            assert self.bodies() == [*expected[:complete], b"after"]
             for other in segments(self.folder):
                 if other != path:
                     other.unlink()
 
     @pytest.mark.parametrize("at", range(len(TWO_FRAMES)))
-    def test_a_changed_byte_is_found_wherever_it_stands(self, at: int) -> None:
-        spoilt = bytearray(TWO_FRAMES)
-        spoilt[at] ^= 1
+    def test_a_changed_byte_is_detected_at_any_position(self, at: int) -> None:
+        corrupted = bytearray(TWO_FRAMES)
+        corrupted[at] ^= 1
         with pytest.raises(TornFrameError):
-            list(decode_frames(bytes(spoilt)))
+            list(decode_frames(bytes(corrupted)))
 
-    def test_damage_in_the_middle_is_not_cut_away(self) -> None:
+    def test_damage_in_the_middle_is_an_error_and_not_repaired(self) -> None:
         journal = self.open(segment_bytes=60)
         for k in range(10):
             journal.append(b"body %d" % k)
@@ -139,7 +139,9 @@
 
 
 class TestTooLarge(JournalCase):
-    def test_a_snapshot_that_is_too_large_ends_no_journal(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_a_snapshot_that_is_too_large_is_rejected_and_the_journal_continues(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         """The error ended the writing thread, so that later frames were lost."""
         monkeypatch.setattr("pearhill.durable.journal.MAX_STATE_BYTES", 10)
         journal = self.open()
@@ -170,13 +172,13 @@
     def patch_with(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monkeypatch = monkeypatch
 
-    def fail(self, name: str, times: int, error: OSError, partly: bool = False) -> None:
+    def fail(self, name: str, times: int, error: OSError, writes_partially: bool = False) -> None:
         real, left = getattr(os, name), [times]
 
         def call(*arguments: Any) -> Any:
             if left[0] and threading.current_thread().name == "journal":
                 left[0] -= 1
-                if partly:
+                if writes_partially:
                     real(arguments[0], bytes(arguments[1])[:7])
                 raise error
             return real(*arguments)
@@ -184,12 +186,12 @@
         self.monkeypatch.setattr(f"pearhill.durable.journal.os.{name}", call)
         self.monkeypatch.setattr("pearhill.durable.journal.RETRY_INTERVAL_S", 0.01)
 
-    @pytest.mark.parametrize(("name", "partly"), [("write", False), ("write", True), ("fsync", False)])
-    def test_a_disk_that_fails_for_a_while_loses_and_doubles_nothing(self, name: str, partly: bool) -> None:
+    @pytest.mark.parametrize(("name", "writes_partially"), [("write", False), ("write", True), ("fsync", False)])
+    def test_a_temporary_disk_failure_loses_and_duplicates_no_frame(self, name: str, writes_partially: bool) -> None:
         journal = self.open()
         journal.append(b"before")
         self.wait_synced(1)
-        self.fail(name, 3, OSError(28, "No space left on device"), partly)
+        self.fail(name, 3, OSError(28, "No space left on device"), writes_partially)
         for k in range(5):
             journal.append(b"%d" % k)
         self.wait_synced(6)
@@ -198,24 +200,26 @@
         assert recover(self.folder).seq == 6
         assert [e is None for e in self.failures] == [False, True]
 
-    @pytest.mark.parametrize(("name", "partly"), [("write", False), ("write", True), ("fsync", False), ("open", False)])
+    @pytest.mark.parametrize(
+        ("name", "writes_partially"), [("write", False), ("write", True), ("fsync", False), ("open", False)]
+    )
     @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-    def test_a_close_while_the_disk_fails_for_a_moment_loses_nothing(
-        self, name: str, partly: bool, number: int
+    def test_a_close_during_a_temporary_disk_failure_loses_no_frame(
+        self, name: str, writes_partially: bool, number: int
     ) -> None:
         """Close stopped at the first failure, so that pending frames were lost."""
         journal = self.open()
         for k in range(50):
             journal.append(b"%d" % k)
         self.wait_synced(50)
-        self.fail(name, 5, OSError(number, os.strerror(number)), partly)
+        self.fail(name, 5, OSError(number, os.strerror(number)), writes_partially)
         for k in range(50, 100):
             journal.append(b"%d" % k)
         assert journal.close()
         assert self.bodies() == [b"%d" % k for k in range(100)]
         assert journal.unwritten == (0, 0)
 
-    def test_a_close_says_what_could_not_be_written(self) -> None:
+    def test_a_close_reports_unwritten_frames(self) -> None:
         journal = self.open()
         self.fail("write", -1, OSError(errno.EIO, "Input/output error"))
         journal.append(b"x" * 50)
@@ -223,9 +227,9 @@
         assert not journal.close(timeout=0.2)
         assert journal.unwritten == (2, 2 * len(encode_frame(1, b"x" * 50)))
 
-    def test_a_disk_that_fails_for_good_is_reported_and_takes_no_more_than_its_bound(self) -> None:
+    def test_a_permanent_disk_failure_is_reported_and_pending_bytes_are_bounded(self) -> None:
         self.fail("write", -1, OSError(5, "Input/output error"))
-        journal = self.open(max_waiting_bytes=300)
+        journal = self.open(max_pending_bytes=300)
         with pytest.raises(BufferError, match="too many bytes wait for the disk"):
             append_often(journal)
         with self.changed:
@@ -245,15 +249,15 @@
     if k % 50 == 49:
         journal.snapshot(b"%d" % seq)
     if k % 200 == 199:
-        while journal._bytes > 4000: pass
+        while journal._pending_bytes > 4000: pass
 """
 
 
 class TestKilledProcess(JournalCase):
-    def test_whatever_was_acknowledged_before_a_kill_is_there_once(self) -> None:
+    def test_acknowledged_frames_are_recovered_once_after_a_kill(self) -> None:
         """Kills a writer 8 times with a fixed seed. The measurement had 200 kills, set by PEARHILL_KILLS."""
         rounds = int(os.environ.get("PEARHILL_KILLS", "8"))
-        rng, acked = random.Random(SEED), 0
+        rng, acknowledged = random.Random(SEED), 0
         print("seed", SEED)
         for turn in range(rounds):
             process = subprocess.Popen(
@@ -262,16 +266,16 @@
             assert process.stdout
             for _ in range(rng.randrange(1, 40)):
                 line = process.stdout.readline()
-                acked = max(acked, int(line))
+                acknowledged = max(acknowledged, int(line))
             process.send_signal(signal.SIGKILL)
             rest = process.stdout.read().split()
             process.stdout.close()
             process.wait()
-            acked = max([acked, *map(int, rest[:-1] if rest and not rest[-1].isdigit() else rest)])
+            acknowledged = max([acknowledged, *map(int, rest[:-1] if rest and not rest[-1].isdigit() else rest)])
             found = recover(self.folder)
-            assert found.seq >= acked, turn
-            every = read_frames(self.folder)
-            assert [f.seq for f in every] == list(range(1, found.seq + 1)), turn
-            assert [f.body for f in every] == [b"%d" % f.seq for f in every], turn
+            assert found.seq >= acknowledged, turn
+            all_frames = read_frames(self.folder)
+            assert [f.seq for f in all_frames] == list(range(1, found.seq + 1)), turn
+            assert [f.body for f in all_frames] == [b"%d" % f.seq for f in all_frames], turn
             if found.state is not None:
                 assert int(found.state) == found.state_seq, turn
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -24,7 +24,7 @@
     assert drain.stage(9 * S) is DrainStage.OPEN
 
 
-def test_the_end_of_the_operators_drain_does_not_undo_the_end_of_the_process() -> None:
+def test_the_end_of_the_operators_drain_does_not_cancel_the_shutdown() -> None:
     drain = Drain()
     drain.request(S, True)
     drain.end_process(2 * S, 6 * S)
@@ -36,16 +36,14 @@
 
 
 @given(deadlines, deadlines, st.integers(0, S))
-def test_other_deadlines_after_the_signal_bring_the_end_forward_and_never_put_it_off(
-    first: int, second: int, later: int
-) -> None:
+def test_changed_deadlines_after_the_signal_never_delay_the_end(first: int, second: int, later: int) -> None:
     drain = Drain()
     drain.end_process(S, first)
     drain.end_process(S + later, second)
     assert (drain.ending_since, drain.times) == (S, ShutdownTimes.for_deadline(min(first, second)))
 
 
-def test_what_is_half_sent_is_ended_only_when_the_process_ends() -> None:
+def test_partial_requests_are_closed_only_during_a_shutdown() -> None:
     drain = Drain()
     drain.request(0, True)
     assert not drain.closes_all(100 * S)
--- a/tests/lifecycle/test_endpoint_overrides.py
+++ b/tests/lifecycle/test_endpoint_overrides.py
@@ -21,17 +21,17 @@
     for full in (False, True):
         assert phases(endpoints.update(full, (endpoint(1, 0), endpoint(2, 1)))) == {1: Phase.DRAINING, 2: Phase.READY}
     endpoints.update(False, (endpoint(1, 0, phase=Phase.GONE),))
-    assert endpoints.knows(1)
+    assert endpoints.is_known(1)
     assert endpoints.reapply({1}) == ()  # no longer listed, but still down
     moved = replace(endpoint(1, 0), started_at=11 * S, cell=5)
     assert phases(endpoints.update(False, (moved,))) == {1: Phase.DRAINING}
     overrides.set_down(1, 12 * S, False)
     assert endpoints.reapply({1}) == (moved,)  # the list reported the new start
     endpoints.update(True, ())
-    assert not endpoints.knows(1)
+    assert not endpoints.is_known(1)
 
 
-def test_a_restored_replica_counts_as_cold_until_the_list_has_its_true_start() -> None:
+def test_a_restored_replica_is_warming_up_until_the_list_reports_its_start() -> None:
     overrides = OperatorOverrides()
     endpoints = EndpointOverrides(overrides)
     endpoints.update(True, (endpoint(1, 0, started_at=3 * S),))
@@ -40,5 +40,5 @@
     assert endpoints.reapply({1})[0].started_at == 20 * S  # it did not warm up while it was down
     for start in (14 * S, 25 * S):
         assert endpoints.update(False, (endpoint(1, 0, started_at=start),))[0].started_at == start
-    overrides.forget(20 * S + RETENTION_US + 1)
+    overrides.delete_expired(20 * S + RETENTION_US + 1)
     assert overrides.down == {}
--- a/tests/lifecycle/test_overrides.py
+++ b/tests/lifecycle/test_overrides.py
@@ -9,7 +9,7 @@
 CALLS = st.lists(st.tuples(st.integers(0, 1), st.integers(1, 3), st.integers(0, 20), st.booleans()), max_size=30)
 
 
-def test_two_calls_down_need_one_up_and_a_call_up_alone_is_none() -> None:
+def test_one_call_up_ends_two_calls_down_and_is_ignored_without_any() -> None:
     overrides = OperatorOverrides()
     overrides.set_down(1, 5 * S, False)
     assert overrides.down == {}  # otherwise a replica that was never down would count as restarted
@@ -17,20 +17,20 @@
         overrides.set_down(1, at, True)
     overrides.set_down(1, 12 * S, False)
     assert not overrides.is_down(1)
-    restored = overrides.restored(1)
+    restored = overrides.restoring_override(1)
     assert restored
     assert restored.since == 10 * S
 
 
-def test_overrides_in_force_are_never_forgotten() -> None:
+def test_overrides_in_force_never_expire() -> None:
     overrides = OperatorOverrides()
     overrides.set_down(1, S, True)
-    overrides.forget(100 * RETENTION_US)
+    overrides.delete_expired(100 * RETENTION_US)
     assert overrides.is_down(1)
 
 
 @given(CALLS)
-def test_of_two_processes_both_end_with_the_override_that_came_last(calls: list[tuple[int, int, int, bool]]) -> None:
+def test_two_processes_converge_on_the_latest_override(calls: list[tuple[int, int, int, bool]]) -> None:
     """Each call reaches one of two processes with different clocks, which then merge each other's overrides."""
     both = OperatorOverrides(), OperatorOverrides()
     last: dict[int, bool] = {}
--- a/tests/lifecycle/test_shutdown_times.py
+++ b/tests/lifecycle/test_shutdown_times.py
@@ -14,7 +14,7 @@
 
 
 @given(st.integers(0, 20 * S))
-def test_every_stage_ends_before_the_kill_even_of_a_process_that_noticed_the_signal_late(longest: int) -> None:
+def test_every_stage_ends_before_sigkill_even_if_the_signal_is_noticed_late(longest: int) -> None:
     times = ShutdownTimes.for_deadline(longest)
     kill = min(longest, MAX_KILL_DEADLINE_US) + KILL_AFTER_DEADLINE_US
     assert times.kill_after == kill
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -18,34 +18,39 @@
     return Takeover("n3", started_at, OperatorOverrides())
 
 
-def test_a_successor_knows_its_predecessor_and_the_predecessor_its_successor() -> None:
+def test_predecessor_and_successor_detect_each_other() -> None:
     new, old = takeover(9 * S), takeover(5 * S)
     predecessor, successor = (
         replace(MESSAGE, written_at=9 * S),
         replace(MESSAGE, started_at=9 * S, written_at=9 * S, serving=False),
     )
     new.receive(9 * S, [predecessor])
-    assert (new.process_count, new.predecessor_alive, new.predecessor_serving, new.succeeded) == (2, True, True, False)
+    assert (new.process_count, new.predecessor_alive, new.predecessor_serving, new.has_successor) == (
+        2,
+        True,
+        True,
+        False,
+    )
     old.receive(9 * S, [successor])
-    assert (old.process_count, old.succeeded) == (
+    assert (old.process_count, old.has_successor) == (
         2,
         False,
     )  # the predecessor keeps accepting until the successor serves
     old.receive(9 * S, [replace(successor, serving=True)])
-    assert old.succeeded
+    assert old.has_successor
     assert not old.predecessor_alive
-    for gone in (
+    for exited in (
         replace(successor, serving=True, ended=True),
         replace(successor, serving=True, written_at=9 * S - ALIVE_WITHIN_US),
     ):
-        old.receive(9 * S, [gone])
-        assert (old.process_count, old.succeeded) == (
+        old.receive(9 * S, [exited])
+        assert (old.process_count, old.has_successor) == (
             1,
             False,
         )  # the successor has exited: the predecessor accepts clients again
 
 
-def test_the_predecessor_gets_the_time_to_answer_but_readiness_comes_in_time() -> None:
+def test_readiness_waits_for_the_predecessor_but_not_beyond_the_limit() -> None:
     new = takeover()
     new.receive(9 * S, [replace(MESSAGE, written_at=9 * S)])
     assert not new.reports_ready(0)
@@ -58,7 +63,7 @@
     assert new.reports_ready(0)
 
 
-def test_what_is_down_outlives_every_process_and_a_drain_only_its_own() -> None:
+def test_down_overrides_outlive_their_process_and_a_drain_ends_with_it() -> None:
     drained = replace(MESSAGE, drain=Override(6 * S, True, 6 * S))
     for now, down, drain in (
         (6 * S, True, True),
@@ -68,15 +73,15 @@
         new = Takeover("n3", now, OperatorOverrides())
         assert new.receive(now, [drained]) == ({7} if down else set(), drain)
         assert (new.overrides.is_down(7), new.overrides.drain is not None) == (down, drain)
-        assert new.expired(drained, now) == (not drain)  # a message whose process has exited can be deleted
+        assert new.is_expired(drained, now) == (not drain)  # a message whose process has exited can be deleted
 
 
-def test_a_predecessor_leaves_its_successors_message_alone() -> None:
+def test_a_predecessor_never_deletes_its_successors_message() -> None:
     old = takeover(4 * S)
-    assert not old.expired(MESSAGE, 6 * S + ALIVE_WITHIN_US + 1)
+    assert not old.is_expired(MESSAGE, 6 * S + ALIVE_WITHIN_US + 1)
 
 
-def test_a_message_is_written_when_it_says_something_new_and_at_each_interval() -> None:
+def test_a_message_is_written_when_it_changes_and_at_each_interval() -> None:
     new = takeover()
     assert new.message(9 * S, False, True)
     assert new.message(9 * S + 1, False, True) is None
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -5,7 +5,7 @@
 
 from tests.standins import ROOT
 
-EARLY = """
+START_SCRIPT = """
 import os, signal
 from pearhill.config import ConfigError
 from pearhill.node.process import run
@@ -19,6 +19,6 @@
 """
 
 
-def test_a_signal_that_asks_for_a_report_or_a_reload_ends_no_process_that_is_starting() -> None:
-    done = subprocess.run([sys.executable, "-c", EARLY], cwd=ROOT, capture_output=True, text=True, timeout=60)
+def test_sighup_and_sigusr1_do_not_end_a_process_that_is_starting() -> None:
+    done = subprocess.run([sys.executable, "-c", START_SCRIPT], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert (done.returncode, done.stderr) == (2, "pearhill: far enough\n")
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -44,7 +44,7 @@
 
 @ALL_PROGRAMS
 @pytest.mark.parametrize("number", ONE_SIGNAL_EACH)
-def test_a_signal_that_comes_at_any_moment_of_a_shutdown_ends_no_process(
+def test_a_signal_at_any_time_of_a_shutdown_does_not_end_the_process(
     tmp_path: pathlib.Path, start: Callable[[pathlib.Path], Program], number: signal.Signals
 ) -> None:
     """A closing event loop restored the default action, so that a late signal ended the process."""
@@ -66,9 +66,9 @@
     """At an aggregator the signal was never unblocked."""
     program = start(tmp_path)
     try:
-        known = len(program.lines)
+        line_count = len(program.lines)
         program.process.send_signal(signal.SIGUSR1)
-        program.wait_line("counters ", known)
+        program.wait_line("counters ", line_count)
         assert program.stop() == 0
     finally:
         program.kill()
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -111,7 +111,7 @@
 
 
 class Takeovers(TakeoverCase):
-    def start_unable_successor(self) -> "subprocess.Popen[bytes]":
+    def start_successor_without_replicas(self) -> "subprocess.Popen[bytes]":
         """Start a successor without replicas, and wait for its signal handlers and its admin endpoint."""
         empty = Discovery()
         self.addCleanup(empty.close)
@@ -137,7 +137,7 @@
         assert any(b"admin endpoint: listening" in line for line in new.stderr)
         return new
 
-    def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self) -> None:
+    def test_during_a_takeover_no_booking_is_lost_repeated_or_reset(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         traffic = Traffic(self.address, 8)
@@ -156,7 +156,7 @@
         new.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert len(list(self.messages.iterdir())) == 1  # the old process's message is removed
 
-    def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self) -> None:
+    def test_an_override_set_at_either_process_applies_at_both_and_survives_the_takeover(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         down, up = "/ops/replicas/down?target=s-0", "/ops/replicas/up?target=s-0"
@@ -170,11 +170,13 @@
         assert self.call_admin(new, "POST", up)[0] == 200
         self.wait_for(lambda: avoided(old) == 0)
         for first, then in ((old, new), (new, old)):
-            for call_, stage in (("start", True), ("stop", False)):
-                assert self.call_admin(first, "POST", f"/ops/drain/{call_}")[0] == 200
-                begins = f"operators: the drain {'begins' if stage else 'is over'}"
+            for command, begins_drain in (("start", True), ("stop", False)):
+                assert self.call_admin(first, "POST", f"/ops/drain/{command}")[0] == 200
+                begins = f"operators: the drain {'begins' if begins_drain else 'is over'}"
                 first.wait_line(begins)
-                self.wait_for(lambda stage=stage: self.ask("r", path="/ready") == (503 if stage else 200))
+                self.wait_for(
+                    lambda begins_drain=begins_drain: self.ask("r", path="/ready") == (503 if begins_drain else 200)
+                )
             assert avoided(then) == 0
         assert self.call_admin(old, "POST", down)[0] == 200
         self.wait_for(lambda: avoided(new) == 1)
@@ -182,10 +184,10 @@
         new.wait_line("upgrade: 1 processes serve")
         assert avoided(new) == 1
 
-    def test_a_successor_that_cannot_serve_takes_nothing_and_its_death_changes_nothing(self) -> None:
+    def test_a_successor_that_cannot_serve_accepts_no_clients_and_its_exit_changes_nothing(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
-        new = self.start_unable_successor()
+        new = self.start_successor_without_replicas()
         old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         assert [self.ask(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
         new.kill()
@@ -193,10 +195,10 @@
         assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
         assert not [line for line in old.lines if "another accepts" in line]
 
-    def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self) -> None:
+    def test_a_successor_terminated_before_it_can_serve_accepts_no_clients(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
-        new = self.start_unable_successor()
+        new = self.start_successor_without_replicas()
         old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         new.terminate()
         answers: list[int] = []
@@ -205,7 +207,7 @@
         assert (set(answers), new.wait(20)) == ({200}, 0)
         assert not [line for line in old.lines if "another accepts" in line]
 
-    def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self) -> None:
+    def test_when_a_serving_successor_is_killed_the_predecessor_accepts_clients_again(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_process()
@@ -215,17 +217,17 @@
         old.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert self.ask("a2", path="/ready") == 200
 
-    def test_readiness_waits_for_what_the_predecessor_answers(self) -> None:
+    def test_readiness_waits_until_the_predecessor_has_answered_its_requests(self) -> None:
         replica = self.replicas[0]
         self.discovery.update(("s-0", replica.address, "all-in-one"))
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
 
-        def answer_when_told(handler: Any, body: bytes) -> None:
+        def answer_when_released(handler: Any, body: bytes) -> None:
             replica.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        replica.respond = answer_when_told
+        replica.respond = answer_when_released
         host, _, port = self.address.rpartition(":")
         client = http.client.HTTPConnection(host, int(port), timeout=20)
         self.addCleanup(client.close)
@@ -240,7 +242,7 @@
         assert (response.status, response.read()) == (200, b"".join(TOKENS) + LAST)
         self.wait_for(lambda: self.is_ready(new))
 
-    def test_without_a_successor_the_shutdown_is_the_usual_one_and_the_next_start_keeps_what_is_down(self) -> None:
+    def test_a_shutdown_without_a_successor_is_graceful_and_the_next_start_keeps_down_overrides(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
@@ -254,7 +256,7 @@
         assert self.ask("a2", path="/ready") == 200  # a drain ends with its process
         assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
 
-    def test_messages_that_cannot_be_stored_or_read_stop_no_start(self) -> None:
+    def test_unwritable_or_unreadable_messages_do_not_prevent_a_start(self) -> None:
         self.messages.rmdir()
         alone = self.start_process()
         self.wait_for(lambda: self.is_ready(alone))
@@ -271,7 +273,7 @@
         self.wait_for(lambda: self.is_ready(again))
         again.wait_line("upgrade: .* is ignored: of another version")
 
-    def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self) -> None:
+    def test_an_invalid_passed_socket_is_a_one_line_error_with_exit_code_2(self) -> None:
         plain = socket.socket()
         self.addCleanup(plain.close)
         path = self.folder / "config.json"
