--- a/pearhill/durable/journal.py
+++ b/pearhill/durable/journal.py
@@ -21,7 +21,7 @@
 
 SEGMENT_BYTES = 64 << 20  # size at which a new segment begins
 RETRY_INTERVAL_S = 1.0  # between two attempts while the disk fails
-CLOSING_RETRY_INTERVAL_S = 0.05  # the same while the journal is being closed
+CLOSING_RETRY_INTERVAL_S = 0.05  # between two attempts while the journal is being closed
 MAX_PENDING_BYTES = 8 << 20  # limit on the bytes that wait for the disk
 CLOSE_TIMEOUT_S = 5.0
 RETAINED_SNAPSHOTS = 2  # the second latest is retained in case the latest is damaged
@@ -53,7 +53,7 @@
         self._changed = threading.Condition()
         self._queued: deque[tuple[int, bytes]] = deque()  # not written yet
         self._unsynced: deque[tuple[int, bytes]] = deque()  # written, not synced
-        self._pending_bytes = 0  # of both
+        self._pending_bytes = 0  # total size of the frames in both queues
         self._pending_snapshot: tuple[int, bytes] | None = None  # waits for the disk
         self._close_by: float | None = None  # monotonic time in seconds, or None while the journal is open
         self._file: int | None = None
--- a/pearhill/lifecycle/overrides.py
+++ b/pearhill/lifecycle/overrides.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# How long the override of a restored replica is kept: an older message may still say that the replica is down.
+# How long the override of a restored replica is retained: an older message may still say that the replica is down.
 RETENTION_US = 600_000_000
 MAX_OVERRIDES = 10_000  # limit on the overrides in one message; far more than there are replicas
 
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -1,7 +1,7 @@
 """The takeover between two processes of one dispatcher: the successor replaces the predecessor.
 
-Each process maintains a message of its own and reads the other's; this module decides what follows from them. Times are
-microseconds of Unix time.
+Each process maintains a message of its own and reads the other's. This module decides from the messages which process
+accepts clients. Times are microseconds of Unix time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Takeover:
-    """One process's view of the takeover, according to the latest messages of the others."""
+    """One process's view of the takeover, according to the latest messages of the other processes."""
 
     def __init__(
         self, name: str, started_at: int, overrides: OperatorOverrides, origin: int = 0, boot: str = ""
@@ -35,7 +35,7 @@
         self.process_count = 1  # processes that share the limits now
         self.has_successor = False  # a process that started later accepts the clients, so this one need not
         self.predecessor_alive = False  # a process that started earlier is still running
-        self.predecessor_serving = False  # and still answers clients
+        self.predecessor_serving = False  # a process that started earlier still answers clients
         self._written: TakeoverMessage | None = None
 
     def is_alive(self, message: TakeoverMessage, now: int) -> bool:
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -16,7 +16,7 @@
 from pearhill.net.listener import Listener
 from pearhill.net.ticks import pause
 
-RECHECK_INTERVAL_US = 20_000
+RECHECK_INTERVAL_US = 20_000  # between two checks whether everything has ended
 RELEASE_GRACE_US = 1_000_000  # after the last request, for releases that have not begun yet
 
 
--- a/pearhill/node/takeover.py
+++ b/pearhill/node/takeover.py
@@ -1,6 +1,6 @@
 """Exchanges takeover messages with the predecessor and the successor in files, and applies the result to the node.
 
-`lifecycle.takeover` decides what follows from the messages.
+`lifecycle.takeover` decides from the messages which process accepts clients.
 """
 
 from __future__ import annotations
