--- a/pearhill/config/typed.py
+++ b/pearhill/config/typed.py
@@ -42,8 +42,8 @@
 }
 
 
-class Place(msgspec.Struct):
-    """A place in a file: its path, the value found there, and the expected type."""
+class FileLocation(msgspec.Struct):
+    """A location in a file: its path, the value found there, and the expected type."""
 
     path: str
     found: Any
@@ -55,7 +55,7 @@
         return [field.encode_name for field in _fields(self.type)]
 
     def key(self, name: str) -> str:
-        """Returns the path of a key in the table at this place."""
+        """Returns the path of a key in the table at this location."""
         return f"{self.path}.{name}" if self.path else name
 
 
@@ -104,54 +104,54 @@
 
 
 def _explain(message: str, contents: Any, record: Any) -> ConfigError:
-    """Converts an error of msgspec to one that names the place, the value found there and what is allowed."""
-    what, _, at = message.partition(" - at `$")
+    """Converts an error of msgspec to one that names the location, the value found there and what is allowed."""
+    description, _, at = message.partition(" - at `$")
     path = at.rstrip("`")
-    place = _place(record, contents, path)
-    unknown = _UNKNOWN_FIELD.search(what)
+    location = _locate(record, contents, path)
+    unknown = _UNKNOWN_FIELD.search(description)
     if unknown:
-        return _unknown_key(place, unknown[1])
-    missing = _MISSING_FIELD.search(what)
+        return _unknown_key(location, unknown[1])
+    missing = _MISSING_FIELD.search(description)
     if missing:
-        expected = _place(record, contents, f"{path}.{missing[1]}").type
+        expected = _locate(record, contents, f"{path}.{missing[1]}").type
         wanted = _NAMES_OF_TYPES.get(type(expected), "a value")
-        return invalid_value(place.key(missing[1]), None, f"{wanted}; it must be given")
-    return invalid_value(place.path, place.found, _allowed(place.type, what))
+        return invalid_value(location.key(missing[1]), None, f"{wanted}; it must be given")
+    return invalid_value(location.path, location.found, _allowed(location.type, description))
 
 
-def _unknown_key(place: Place, name: str) -> ConfigError:
-    keys = place.keys
+def _unknown_key(location: FileLocation, name: str) -> ConfigError:
+    keys = location.keys
     similar = difflib.get_close_matches(name, keys, 1)
     hint = f" (did you mean {similar[0]}?)" if similar else ""
-    return ConfigError(f"{place.key(name)}: found an unknown key{hint}; allowed: {', '.join(keys)}")
+    return ConfigError(f"{location.key(name)}: found an unknown key{hint}; allowed: {', '.join(keys)}")
 
 
-def _place(record: Any, contents: Any, path: str) -> Place:
+def _locate(record: Any, contents: Any, path: str) -> FileLocation:
     """Follow a path from an error of msgspec through the contents and the record's type."""
-    place = Place("", contents, inspect.type_info(record))
+    location = FileLocation("", contents, inspect.type_info(record))
     for name, index in _PATH_STEP.findall(path):
         if name:
-            _enter_table(place, name)
+            _enter_table(location, name)
         else:
-            _enter_list(place, index)
-    return place
+            _enter_list(location, index)
+    return location
 
 
-def _enter_table(place: Place, name: str) -> None:
-    types = {field.encode_name: field.type for field in _fields(place.type)}
-    value_type = getattr(_member(place.type, inspect.StructType), "value_type", None)
-    place.path = place.key(name)
-    place.type = types.get(name, value_type)
-    place.found = place.found.get(name) if isinstance(place.found, dict) else None
+def _enter_table(location: FileLocation, name: str) -> None:
+    types = {field.encode_name: field.type for field in _fields(location.type)}
+    value_type = getattr(_member(location.type, inspect.StructType), "value_type", None)
+    location.path = location.key(name)
+    location.type = types.get(name, value_type)
+    location.found = location.found.get(name) if isinstance(location.found, dict) else None
 
 
-def _enter_list(place: Place, index: str) -> None:
-    """Move the place to a list item. The index "..." stands for any item; the first is shown then."""
+def _enter_list(location: FileLocation, index: str) -> None:
+    """Move the location to a list item. The index "..." stands for any item; the first is shown then."""
     position = int(index) if index.isdigit() else 0
-    place.path += f"[{index}]"
-    place.type = getattr(_member(place.type, inspect.ListType), "item_type", None)
-    exists = isinstance(place.found, list) and position < len(place.found)
-    place.found = place.found[position] if exists else None
+    location.path += f"[{index}]"
+    location.type = getattr(_member(location.type, inspect.ListType), "item_type", None)
+    exists = isinstance(location.found, list) and position < len(location.found)
+    location.found = location.found[position] if exists else None
 
 
 def _member(kind: Any, wanted: type) -> Any:
@@ -166,12 +166,12 @@
     return tuple(getattr(_member(kind, inspect.StructType), "fields", ()))
 
 
-def _allowed(kind: Any, what: str) -> str:
+def _allowed(kind: Any, description: str) -> str:
     """Returns what msgspec expected, in terms that operators understand."""
     literal = _member(kind, inspect.LiteralType)
     if isinstance(literal, inspect.LiteralType):
         return ", ".join(map(str, literal.values))
-    expected = what.removeprefix("Expected ").partition(", got ")[0]
+    expected = description.removeprefix("Expected ").partition(", got ")[0]
     return re.sub(r"`([^`]*)`", lambda match: _type_names(match[1]), expected)
 
 
--- a/pearhill/durable/journal.py
+++ b/pearhill/durable/journal.py
@@ -195,10 +195,10 @@
     def _write_snapshot(self) -> None:
         """Write the pending snapshot and move it into place atomically, and remove all but the latest snapshots."""
         with self._changed:
-            wanted = self._pending_snapshot
-        if wanted is None:
+            pending = self._pending_snapshot
+        if pending is None:
             return
-        seq, state = wanted
+        seq, state = pending
         path = self.folder / f"{seq:020}.state"
         temporary = path.with_suffix(".new")
         _write_file(temporary, encode_frame(seq, state, MAX_STATE_BYTES))
@@ -207,7 +207,7 @@
         for old in snapshots(self.folder)[:-RETAINED_SNAPSHOTS]:
             old.unlink()
         with self._changed:
-            if self._pending_snapshot == wanted:
+            if self._pending_snapshot == pending:
                 self._pending_snapshot = None
 
     def _abandon_segment(self) -> None:
--- a/pearhill/lifecycle/takeover.py
+++ b/pearhill/lifecycle/takeover.py
@@ -47,7 +47,7 @@
 
         It can if it is too old, or if its process started earlier and has exited: its overrides are merged here.
         """
-        if self._too_old(message, now):
+        if self._is_too_old(message, now):
             return True
         return message.started_at < self.started_at and not self.is_alive(message, now)
 
@@ -105,7 +105,7 @@
         replicas = set[int]()
         drain = False
         for message in messages:
-            if message.started_at == self.started_at or self._too_old(message, now):
+            if message.started_at == self.started_at or self._is_too_old(message, now):
                 continue
             changed, drain_changed = self.overrides.merge(message.down, message.drain if message in alive else None)
             replicas = replicas | changed
@@ -119,5 +119,5 @@
         return replace(message, written_at=last.written_at) == last
 
     @staticmethod
-    def _too_old(message: TakeoverMessage, now: int) -> bool:
+    def _is_too_old(message: TakeoverMessage, now: int) -> bool:
         return abs(now - message.written_at) > MESSAGE_RETENTION_US
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -150,13 +150,13 @@
 
     def figures(self) -> Figures:
         """Returns the figures that the admin endpoint reports."""
-        core = self.dispatcher
+        dispatcher = self.dispatcher
         return Figures(
-            dict(zip(core.deployment.class_names, core.calls_by_class, strict=True)),
-            core.inflight,
+            dict(zip(dispatcher.deployment.class_names, dispatcher.calls_by_class, strict=True)),
+            dispatcher.inflight,
             self.counters.written,
-            len(core.endpoints),
-            core.router.avoided_count(self.deadlines.clock()),
+            len(dispatcher.endpoints),
+            dispatcher.router.avoided_count(self.deadlines.clock()),
         )
 
     def reconfigure(self, deployment: Deployment) -> None:
