--- a/pearhill/load_reports/peer_loads.py
+++ b/pearhill/load_reports/peer_loads.py
@@ -1,9 +1,9 @@
-"""What each dispatcher has in flight at each replica, as it says, and the sum of it over the fleet.
+"""The tokens that each dispatcher reports in flight at each replica, and their sum over the fleet.
 
-A digest is one dispatcher's gauge: the tokens that it has in flight at each replica now. A newer one replaces the older
-one whole, so that a digest that arrives twice, late, or out of order counts nothing twice. One that grows old fades,
-not to nothing but to the mean of what the others have there: as far as is known, a dispatcher that cannot be reached
-still sends its requests.
+A digest is a gauge of one dispatcher: the tokens that it has in flight at each replica now. A newer digest replaces the
+older one completely, so no token is counted twice if a digest arrives twice, late, or out of order. As a digest ages,
+its load decays not to zero but to the mean of the other dispatchers' load there, because a dispatcher that is
+unreachable for this one is assumed to still send requests.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 
 from pearhill.load_reports.peer_load_source import PeerLoadEstimate
 
-HALF_LIFE_US = 750_000  # of a digest: some gossip intervals, and the length of a prefill
-MAX_HALF_LIVES = 8  # after which a digest counts nothing
-MAX_ROWS = 48  # replicas of a digest; those with the most work
+HALF_LIFE_US = 750_000  # of a digest's weight: a few gossip intervals, and the duration of a prefill
+MAX_HALF_LIVES = 8  # after which a digest has no weight
+MAX_ROWS = 48  # replicas in a digest; those with the most tokens are included
 MAX_TOKENS = 1 << 40  # a row with more is discarded
 
-Version = tuple[int, int]  # incarnation and sequence: the larger is the newer
+Version = tuple[int, int]  # incarnation and sequence number; the larger is the newer
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLoad:
-    """One dispatcher's tokens at one replica: yet to be prefilled there, and in flight there in all."""
+    """One dispatcher's tokens at one replica.
+
+    `queued_tokens` are yet to be prefilled there. `total_tokens` are all that are in flight there.
+    """
 
     replica: int
     queued_tokens: int
@@ -38,24 +41,26 @@
 
 
 def largest_loads(rows: Iterable[ReplicaLoad]) -> list[ReplicaLoad]:
-    """The rows of a digest, which has room for `MAX_ROWS`: the largest."""
+    """Return the rows with the most tokens, at most `MAX_ROWS`, for a digest."""
     return sorted(rows, key=lambda row: (-row.total_tokens, row.replica))[:MAX_ROWS]
 
 
 class PeerLoads:
-    """The last digest of each peer, and their sums."""
+    """The latest digest of each peer, and their sums."""
 
     def __init__(self) -> None:
         self._last: dict[str, _Digest] = {}
-        # By replica there are few rows; a walk through all peers would make each choice slower the more there are.
-        self._by_replica: dict[int, dict[str, ReplicaLoad]] = {}
-        self._counted: Collection[str] = ()
-        # Of those counted: as of the last `update_weights`, and 1 if received since.
-        self._weights: dict[str, float] = {}
-        self._total_weight = 1.0  # their sum, and 1 for this dispatcher, whose own work is known
+        # There are few rows for each replica. Without this index, each choice would iterate over all peers and become
+        # slower the more peers there are.
+        self._rows_by_replica: dict[int, dict[str, ReplicaLoad]] = {}
+        self._counted_peers: Collection[str] = ()
+        self._weights: dict[
+            str, float
+        ] = {}  # of the counted peers: as of the last `update_weights`, or 1 if received since
+        self._total_weight = 1.0  # their sum, plus 1 for this dispatcher, whose own load is known
 
     def receive(self, now: int, name: str, version: Version, rows: Iterable[ReplicaLoad]) -> bool:
-        """Take in a peer's digest. False: it is no newer than the last one."""
+        """Store a peer's digest. Returns False if it is no newer than the last one."""
         last = self._last.get(name)
         if last and version <= last.version:
             return False
@@ -63,63 +68,63 @@
         digest = _Digest(version, now, {row.replica: row for row in rows if _is_plausible(row)})
         self._last[name] = digest
         for replica, row in digest.rows.items():
-            self._by_replica.setdefault(replica, {})[name] = row
+            self._rows_by_replica.setdefault(replica, {})[name] = row
         if name in self._weights:
             self._total_weight += 1 - self._weights[name]
             self._weights[name] = 1.0
         return True
 
-    def last_row(self, name: str, replica: int) -> ReplicaLoad | None:
-        """What a peer's last digest says of a replica; None: nothing."""
+    def latest_load(self, name: str, replica: int) -> ReplicaLoad | None:
+        """Return the replica's row in a peer's last digest, or None if it has none."""
         last = self._last.get(name)
         return last.rows.get(replica) if last else None
 
-    def update_weights(self, now: int, counted: Collection[str]) -> None:
-        """Compute anew which peers count, and how much.
+    def update_weights(self, now: int, counted_peers: Collection[str]) -> None:
+        """Recompute which peers count, and with which weights.
 
-        Called at every gossip interval, within which hardly anything fades, and not at a choice, which would become
-        slower the more peers there are. The same object as at the last call is taken for the same peers.
+        This is called at every gossip interval, within which weights hardly decay, and not at each choice, which would
+        become slower the more peers there are. If `counted_peers` is the same object as in the last call, the peers are
+        taken to be unchanged.
         """
-        if self._counted is not counted:
-            self._counted = counted
-            self._weights = {name: self.weight(now, name) for name in counted}
+        if self._counted_peers is not counted_peers:
+            self._counted_peers = counted_peers
+            self._weights = {name: self.weight(now, name) for name in counted_peers}
             self._total_weight = 1 + sum(self._weights.values())
 
     def estimate_peer_load(
-        self, now: int, replica: int, counted: Collection[str], own: ReplicaLoad
+        self, now: int, replica: int, counted_peers: Collection[str], own: ReplicaLoad
     ) -> PeerLoadEstimate:
-        """The sum over the peers that are `counted`, whether they can be reached or not.
+        """Return the sum over the `counted_peers`, reachable or not. `counted_peers` is as in `update_weights`.
 
-        `counted` as in `update_weights`.
-        A peer of which nothing is known counts as the mean of this dispatcher and all of which something is known.
+        A peer whose load is unknown counts as the mean of this dispatcher and of all peers whose load is known.
         """
-        self.update_weights(now, counted)
+        self.update_weights(now, counted_peers)
         queued = float(own.queued_tokens)
         total = float(own.total_tokens)
         weights = self._weights
-        for name, row in self._by_replica.get(replica, {}).items():
+        for name, row in self._rows_by_replica.get(replica, {}).items():
             if name in weights:
                 weight = self.weight(now, name)
                 queued += weight * row.queued_tokens
                 total += weight * row.total_tokens
-        known = self._total_weight
+        known_weight = self._total_weight
         peers = len(weights)
-        unknown = peers + 1 - known
-        scale = 1 + unknown / known
+        unknown_weight = peers + 1 - known_weight
+        scale = 1 + unknown_weight / known_weight
         return PeerLoadEstimate(
             max(0.0, queued * scale - own.queued_tokens),
             max(0.0, total * scale - own.total_tokens),
-            (known - 1) / peers if peers else 1.0,
+            (known_weight - 1) / peers if peers else 1.0,
         )
 
     def keep(self, names: Collection[str]) -> None:
-        """Forget the digests of all but these peers."""
-        for gone in self._last.keys() - set(names):
-            self._remove_rows(gone)
-            del self._last[gone]
+        """Discard the digests of all peers except these."""
+        for name in self._last.keys() - set(names):
+            self._remove_rows(name)
+            del self._last[name]
 
     def weight(self, now: int, name: str) -> float:
-        """How much a peer's last digest counts: 1 when it arrives, half after a half-life, 0 after a few."""
+        """Return the weight of a peer's last digest: 1 on arrival, half after a half-life, 0 after `MAX_HALF_LIVES`."""
         last = self._last.get(name)
         if last is None:
             return 0.0
@@ -131,10 +136,10 @@
         if last is None:
             return
         for replica in last.rows:
-            rows = self._by_replica[replica]
+            rows = self._rows_by_replica[replica]
             del rows[name]
             if not rows:
-                del self._by_replica[replica]
+                del self._rows_by_replica[replica]
 
 
 def _is_plausible(row: ReplicaLoad) -> bool:
--- a/pearhill/routing/start_times.py
+++ b/pearhill/routing/start_times.py
@@ -1,9 +1,9 @@
-"""When replicas were started, on the process's own clock.
+"""Translates the start times of replicas from the wall clock to the process's monotonic clock.
 
-An endpoint list has starts in wall-clock time, and the wall clock may be stepped, by an operator or a time server,
-while the process's own clock runs on. Slow start is a span of real time, so each start is placed on the own clock,
-once, when it is first received, and keeps that place. A start that would be possible before a step and after it counts
-as the later one: taken for older than it is, a warming-up replica would be overloaded.
+An endpoint list states start times in wall-clock time. The wall clock may be stepped, by an operator or a time server,
+while the monotonic clock keeps running. Slow start is a span of real time, so each start time is translated once, when
+it is first received, and keeps that value. A start time that would be possible both before and after a step counts as
+the later one: a warming-up replica that is taken for older than it is would be overloaded.
 """
 
 from __future__ import annotations
@@ -13,35 +13,38 @@
 
 from pearhill.routing.topology import Endpoint, Phase
 
-MIN_STEP_US = 50_000  # between two observations; the wall clock is stepped by more, and merely adjusted by less
-MAX_EPOCHS = 8  # steps that are remembered; a start before them is long past
+MIN_STEP_US = 50_000  # a larger change between two observations is a step, a smaller one an adjustment
+MAX_EPOCHS = 8  # number of epochs kept; a start before them is long past
 
 
 @dataclass(slots=True)
 class Epoch:
-    """A span without steps: the wall clock is `offset` microseconds ahead of the own one since `first`."""
+    """A span without steps. The wall clock is `offset` microseconds ahead of the monotonic one since `first`."""
 
     offset: int
     first: int
 
 
 @dataclass(frozen=True, slots=True)
-class _PlacedStart:
-    """A start as the list has it in wall-clock time, and its place on the own clock."""
+class _TranslatedStart:
+    """A start time as listed, in wall-clock time, and its translation to the monotonic clock."""
 
-    listed: int
-    placed: int
+    wall_start: int
+    monotonic_start: int
 
 
 class StartTimes:
-    """Feed it both clocks now and then, and every endpoint list; it places the starts that the list has."""
+    """Translates the start times of endpoint lists, given regular readings of both clocks."""
 
     def __init__(self, now: int, wall: int) -> None:
         self._epochs = [Epoch(wall - now, now)]
-        self._placed: dict[int, _PlacedStart] = {}  # by replica
+        self._translated: dict[int, _TranslatedStart] = {}  # by replica
 
     def observe(self, now: int, wall: int) -> int:
-        """Both clocks, read together. By how much the wall clock was stepped since the last time; 0: not at all."""
+        """Compare both clocks, which have to be read together.
+
+        Returns by how many microseconds the wall clock was stepped since the last call, or 0 if it was not stepped.
+        """
         offset = wall - now
         last = self._epochs[-1]
         step = offset - last.offset
@@ -53,30 +56,39 @@
         return step
 
     def translate(self, now: int, full: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
-        """The endpoints with their starts on the own clock. `full`: all replicas are among them."""
-        before = self._placed
+        """Return the endpoints with their start times on the monotonic clock.
+
+        `full` tells whether they are all replicas, so that earlier start times of others can be dropped.
+        """
+        before = self._translated
         if full:
-            self._placed = {}
-        return tuple(self._place(now, endpoint, before.get(endpoint.replica)) for endpoint in endpoints)
+            self._translated = {}
+        return tuple(self._translate(now, endpoint, before.get(endpoint.replica)) for endpoint in endpoints)
 
-    def _place(self, now: int, endpoint: Endpoint, before: _PlacedStart | None) -> Endpoint:
-        listed = endpoint.started_at
+    def _translate(self, now: int, endpoint: Endpoint, before: _TranslatedStart | None) -> Endpoint:
+        wall_start = endpoint.started_at
         if endpoint.phase == Phase.GONE:
-            self._placed.pop(endpoint.replica, None)
-        if not listed:
+            self._translated.pop(endpoint.replica, None)
+        if not wall_start:
             return endpoint
-        placed = before.placed if before and before.listed == listed else self._start(now, listed)
+        monotonic_start = (
+            before.monotonic_start
+            if before and before.wall_start == wall_start
+            else self._to_monotonic(now, wall_start)
+        )
         if endpoint.phase != Phase.GONE:
-            self._placed[endpoint.replica] = _PlacedStart(listed, placed)
-        return replace(endpoint, started_at=placed)
+            self._translated[endpoint.replica] = _TranslatedStart(wall_start, monotonic_start)
+        return replace(endpoint, started_at=monotonic_start)
 
-    def _start(self, now: int, listed: int) -> int:
-        """The latest moment at which the wall clock can have shown this time.
+    def _to_monotonic(self, now: int, wall_start: int) -> int:
+        """Return the latest time at which the wall clock can have shown this start time.
 
-        One that is still to come by every reckoning is now: a start is reported after it has happened.
+        If it is in the future by every epoch, the result is now, since a start is reported after it has happened.
         """
         ends = [epoch.first for epoch in self._epochs[1:]] + [now]
-        possible = [
-            listed - epoch.offset for epoch, end in zip(self._epochs, ends, strict=True) if listed - epoch.offset <= end
+        candidates = [
+            wall_start - epoch.offset
+            for epoch, end in zip(self._epochs, ends, strict=True)
+            if wall_start - epoch.offset <= end
         ]
-        return max(1, *possible) if possible else now
+        return max(1, *candidates) if candidates else now
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -20,9 +20,9 @@
 CODEC = AggregationCodec([b"k" * 16])
 
 
-class Case:
+class DatagramsCase:
     @pytest.fixture(autouse=True)
-    def begin(self) -> Iterator[None]:
+    def set_up(self) -> Iterator[None]:
         self.now, self.sent, self.lines = 1000 * S, list[tuple[bytes, Any]](), list[str]()
         self.deadlines = Deadlines(lambda: self.now)
         self.datagrams = Datagrams(self.deadlines)
@@ -31,7 +31,7 @@
         yield
         logger.remove(sink)
 
-    # The transport's side.
+    # The interface of the transport.
     def is_closing(self) -> bool:
         return False
 
@@ -48,8 +48,8 @@
             self.now = end
 
 
-class TestRejectedDatagrams(Case):
-    def test_are_counted_each_and_logged_once_a_minute_with_their_reasons(self) -> None:
+class TestRejectedDatagrams(DatagramsCase):
+    def test_rejected_datagrams_are_counted_and_logged_once_a_minute_with_their_reasons(self) -> None:
         def receiver(data: bytes, address: Any) -> None:
             if len(data) > 1:
                 raise MessageRejectedError("forged")
@@ -67,7 +67,7 @@
         }
         assert len(self.lines) == 1
         self.run_for(REJECTION_LOG_INTERVAL_US)
-        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing new, nothing logged
+        self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing more was rejected, so nothing is logged
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
         assert [str(line).strip() for line in self.lines] == [
             "fleet: 1 datagrams are not taken: reasons=forged:1, the last from 10.0.0.9:77",
@@ -76,8 +76,8 @@
         ]
 
 
-class TestAggregation(Case):
-    def test_answers_go_where_the_datagram_came_from_and_to_other_aggregators_where_the_file_says(self) -> None:
+class TestAggregation(DatagramsCase):
+    def test_dispatchers_are_answered_at_the_source_address_and_aggregators_at_the_configured_one(self) -> None:
         aggregator = Aggregator("a1", ["a2"], self.now, random.Random(1))
         driver = Aggregation(aggregator, CODEC, {"a2": ("10.0.0.2", 2)}, self.deadlines, self.datagrams)
         driver.start()
@@ -89,19 +89,19 @@
             self.datagrams.datagram_received(CODEC.pack(Hello(sender, "a1", 5, sequence, 9)), address)
             return [(CODEC.unpack(data, sender), to) for data, to in self.sent]
 
-        for sequence, port in ((1, 11), (2, 12)):  # a dispatcher may move
+        for sequence, port in ((1, 11), (2, 12)):  # a dispatcher's address may change
             ((answer, to),) = receive_hello("d1", sequence, ("10.0.0.3", port))
             assert isinstance(answer, HelloAck)
             assert to == ("10.0.0.3", port)
-        assert receive_hello("d1", 2, ("6.6.6.6", 6)) == []  # sent again by somebody: nothing goes there
+        assert receive_hello("d1", 2, ("6.6.6.6", 6)) == []  # replayed from elsewhere: nothing is sent there
         assert receive_hello("a2", 1, ("6.6.6.6", 6)) == []
 
 
-class TestReporting(Case):
-    def test_ticks_when_due_and_neither_spins_nor_is_put_off_by_what_comes_in(self) -> None:
+class TestReporting(DatagramsCase):
+    def test_ticks_run_at_a_minimum_interval_and_are_not_postponed_by_received_datagrams(self) -> None:
         case = self
 
-        class Eager:
+        class AlwaysDueReporter:
             name, ticks, sizes = "d1", list[int](), list[int]()
 
             def next_tick(self, now: int) -> int:
@@ -128,12 +128,12 @@
 
             due = case.now
 
-        reporter, counts, at = Eager(), list[int](), ("10.0.0.2", 2)
+        reporter, counts, at = AlwaysDueReporter(), list[int](), ("10.0.0.2", 2)
         driver = Reporting(reporter, CODEC, {"a1": at}, self.deadlines, self.datagrams)  # type: ignore[arg-type]
         driver.on_count_change = lambda: counts.append(reporter.count(self.now))
         driver.start()
         self.data = CODEC.pack(HelloAck("a1", "d1", 5, 1, 9))
-        for _ in range(5):  # one that always has something due is asked now and then, also after a fault
+        for _ in range(5):  # a reporter whose tick is always due is ticked at intervals, even after an error
             with contextlib.suppress(ValueError):
                 self.run_for(MIN_TICK_INTERVAL_US)
         for _ in range(100):
@@ -142,7 +142,7 @@
         assert len(reporter.ticks) >= 14
         assert all(b - a >= MIN_TICK_INTERVAL_US for a, b in zip(reporter.ticks, reporter.ticks[1:], strict=False))
         assert counts[:2] == [2, 3]
-        driver.close()  # leaves, and neither sends nor receives any more
+        driver.close()  # notifies the aggregators, and neither sends nor receives any more
         assert [(len(data), address) for data, address in self.sent] == [(reporter.sizes[0], at)]
         ticks = len(reporter.ticks)
         self.run_for(S)
