--- a/tests/chat/test_admin_endpoint.py
+++ b/tests/chat/test_admin_endpoint.py
@@ -7,7 +7,7 @@
 class ChatAdminEndpoint(ChatCase):
     def operate(self, method: str, path: str) -> tuple[int, bytes]:
         """Returns status and body of an operator's call."""
-        status, _, text = call(self.program.wait_line(r"operators are heard on (\S+)")[1], method, path)
+        status, _, text = call(self.program.wait_line(r"admin endpoint: listening on (\S+)")[1], method, path)
         return status, text
 
     def test_operators_can_read_statistics_override_replicas_and_drain(self):
@@ -33,7 +33,7 @@
 
     def test_the_endpoint_exists_only_if_the_file_names_its_address(self):
         self.start()
-        assert not [line for line in self.program.lines if "operators" in line]
+        assert not [line for line in self.program.lines if "operators" in line or "admin endpoint" in line]
         self.program.reload(
             self.program.config.read_text().replace("[chat]\n", "[chat]\nadmin_addr = 'nowhere'\n"),
             "the old configuration stays: .*chat.admin_addr",
--- a/tests/config/test_typed.py
+++ b/tests/config/test_typed.py
@@ -1,4 +1,4 @@
-"""Operators' files: what is wrong in them is reported with its place, what was found, and what is allowed."""
+"""Errors in operators' files name the place, the value found there and what is allowed."""
 
 import re
 import tomllib
@@ -11,14 +11,14 @@
 from tests.chat.test_front import operator_file, write_file
 from tests.standins import ROOT
 
-GOOD = operator_file(["127.0.0.1:1"])
+VALID_FILE = operator_file(["127.0.0.1:1"])
 SERVER_TABLE = 'uid = "s0"\naddress = "127.0.0.1:1"\nkind = "all-in-one"\n'
-# What is replaced, by what, and the beginning of the whole error
+# The text that is replaced, its replacement, and the beginning of the error
 CASES = (
     ("listen = '127.0.0.1:0'", "listen = 8090", "chat.listen: found 8090; allowed: text"),
     ("listen = '127.0.0.1:0'", "listen = 'here'", "chat.listen: found 'here'; allowed: "),
     ("listen = '127.0.0.1:0'", "listen = 'here:99999'", "chat.listen: found 'here:99999'; allowed: HOST:PORT"),
-    ("listen = ", "lisen = ", "chat.lisen: found a key that is not known (did you mean listen?); allowed: listen, "),
+    ("listen = ", "lisen = ", "chat.lisen: found an unknown key (did you mean listen?); allowed: listen, "),
     ("['help', 'booking']", "['help', 7]", "chat.models[1]: found 7; allowed: text"),
     ("['help', 'booking']", "['help', 'help']", "chat.models[1]: found 'help'; allowed: a name that no other"),
     ("['help', 'booking']", "['help']\nsockets = 10", "chat.sockets: found 10; allowed: a whole number >= 64"),
@@ -69,18 +69,18 @@
 
 
 class FileErrors(unittest.TestCase):
-    def test_each_names_its_place_what_was_found_and_what_is_allowed(self) -> None:
-        loads(GOOD)
+    def test_an_error_names_the_place_the_value_and_what_is_allowed(self) -> None:
+        loads(VALID_FILE)
         for old, new, error in CASES:
             with self.subTest(error=error):
-                assert old in GOOD
-                text = GOOD.replace(old, new, 1)
+                assert old in VALID_FILE
+                text = VALID_FILE.replace(old, new, 1)
                 with pytest.raises(ConfigError) as caught:
                     loads(text)
                 assert str(caught.value).startswith(error), str(caught.value)
                 assert str(caught.value).count("\n") == 0
 
-    def test_files_that_are_no_toml_or_not_there(self) -> None:
+    def test_an_error_names_a_file_that_is_invalid_or_absent(self) -> None:
         for path in (write_file(self, "[chat"), "/nowhere/chat.toml", str(ROOT)):
             with self.subTest(path=path), pytest.raises(ConfigError) as caught:
                 load(path)
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -97,7 +97,7 @@
         program.config = path
         at = program.wait_line(rf"(?:{name} talks|aggregator {name} listens) on ([\d.]+):(\d+)")
         self.relay.place(name, at[1], int(at[2]))
-        self.admin_addresses[name] = program.wait_line(r"operators are heard on ([\w.:]+)")[1]
+        self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
 
     def send(self, number: int, *names: str) -> None:
         for name in names:
@@ -323,7 +323,7 @@
         (
             chat,
             fleet_file(peer_table(FLEET_AGGREGATOR, more="zone = 1\n")),
-            r"fleet.aggregator\[0\].zone: found a key that is not",
+            r"fleet.aggregator\[0\].zone: found an unknown key",
         ),
         (
             chat,
@@ -351,7 +351,7 @@
         (aggregator, aggregator_file(key="none"), r"aggregator.key_files\[0\]: found .*; allowed: a readable file"),
         (aggregator, aggregator_file(listen="a1"), "aggregator.listen: found 'a1'; allowed: "),
         (aggregator, aggregator_file('admin_addr = "a1"\n'), "aggregator.admin_addr: found 'a1'; allowed: HOST:PORT"),
-        (aggregator, UNKNOWN_TABLE, "chat: found a key that is not known; allowed: aggregator"),
+        (aggregator, UNKNOWN_TABLE, "chat: found an unknown key; allowed: aggregator"),
     ],
 )
 def test_an_invalid_file_is_reported_with_path_key_found_and_allowed_value(
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -1,4 +1,4 @@
-"""Two real processes of one dispatcher, one after the other, on one listening socket that the platform holds."""
+"""Takeover between two real processes of one dispatcher that share a listening socket of the platform."""
 
 import http.client
 import json
@@ -53,7 +53,7 @@
         return program
 
     def call_admin(self, program: Program, method: str, path: str) -> tuple[int, bytes]:
-        status, _, body = call(program.wait_line(r"operators are heard on (\S+)")[1], method, path)
+        status, _, body = call(program.wait_line(r"admin endpoint: listening on (\S+)")[1], method, path)
         return status, body
 
     def wait_for(self, condition: Any, seconds: float = 20) -> None:
@@ -78,7 +78,7 @@
 
 
 class Traffic:
-    """Clients that keep their connections, one booking after another, until `stop`."""
+    """Clients with persistent connections that send bookings one after another until `stop`."""
 
     def __init__(self, address: str, clients: int) -> None:
         self.address, self.stopped = address, threading.Event()
@@ -95,7 +95,7 @@
             n += 1
             try:
                 connection.request("POST", PATH, BODY, headers(f"{client}-{n}", "job-booking"))
-                response = connection.getresponse()  # a connection whose answer said so is opened anew by itself
+                response = connection.getresponse()  # http.client reconnects after `Connection: close`
                 complete = response.read() == b"".join(TOKENS) + LAST
                 self.answers[f"{response.status}{'' if complete else ' broken'}"] += 1
             except (OSError, http.client.HTTPException) as e:
@@ -111,8 +111,8 @@
 
 
 class Takeovers(TakeoverCase):
-    def start_unable_successor(self) -> "subprocess.Popen[bytes]":
-        """A successor that knows of no replica, once its signal handlers and its admin address are there."""
+    def start_successor_without_replicas(self) -> "subprocess.Popen[bytes]":
+        """Start a successor without replicas, and wait for its signal handlers and its admin endpoint."""
         empty = Discovery()
         self.addCleanup(empty.close)
         path = self.folder / "empty.json"
@@ -134,16 +134,16 @@
         self.addCleanup(new.stderr.close)
         self.addCleanup(new.wait)
         self.addCleanup(new.kill)
-        assert any(b"operators are heard" in line for line in new.stderr)
+        assert any(b"admin endpoint: listening" in line for line in new.stderr)
         return new
 
-    def test_under_traffic_no_booking_is_lost_run_twice_or_reset(self) -> None:
+    def test_during_a_takeover_no_booking_is_lost_repeated_or_reset(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         traffic = Traffic(self.address, 8)
         self.wait_for(lambda: sum(traffic.answers.values()) > 50)
         new = self.start_process()
-        old.wait_line("another takes the clients")
+        old.wait_line("another accepts the clients")
         self.wait_for(lambda: self.is_ready(new))
         old.process.terminate()
         assert old.process.wait(20) == 0
@@ -153,10 +153,10 @@
         assert set(answers) == {"200"}, answers
         ran = Counter(h["Request-Id"] for replica in self.replicas for h in replica.headers if h.get("Request-Id"))
         assert (len(ran), set(ran.values())) == (sum(answers.values()), {1})
-        new.wait_line("upgrade: 1 processes serve, this one takes clients")
+        new.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert len(list(self.messages.iterdir())) == 1  # the old process's message is removed
 
-    def test_a_call_at_either_process_holds_for_both_and_over_the_takeover(self) -> None:
+    def test_an_override_set_at_either_process_applies_at_both_and_survives_the_takeover(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         down, up = "/ops/replicas/down?target=s-0", "/ops/replicas/up?target=s-0"
@@ -170,11 +170,13 @@
         assert self.call_admin(new, "POST", up)[0] == 200
         self.wait_for(lambda: avoided(old) == 0)
         for first, then in ((old, new), (new, old)):
-            for call_, stage in (("start", True), ("stop", False)):
-                assert self.call_admin(first, "POST", f"/ops/drain/{call_}")[0] == 200
-                begins = f"operators: the drain {'begins' if stage else 'is over'}"
+            for command, begins_drain in (("start", True), ("stop", False)):
+                assert self.call_admin(first, "POST", f"/ops/drain/{command}")[0] == 200
+                begins = f"operators: the drain {'begins' if begins_drain else 'is over'}"
                 first.wait_line(begins)
-                self.wait_for(lambda stage=stage: self.ask("r", path="/ready") == (503 if stage else 200))
+                self.wait_for(
+                    lambda begins_drain=begins_drain: self.ask("r", path="/ready") == (503 if begins_drain else 200)
+                )
             assert avoided(then) == 0
         assert self.call_admin(old, "POST", down)[0] == 200
         self.wait_for(lambda: avoided(new) == 1)
@@ -182,50 +184,50 @@
         new.wait_line("upgrade: 1 processes serve")
         assert avoided(new) == 1
 
-    def test_a_successor_that_cannot_serve_takes_nothing_and_its_death_changes_nothing(self) -> None:
+    def test_a_successor_that_cannot_serve_accepts_no_clients_and_its_exit_changes_nothing(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
-        new = self.start_unable_successor()
-        old.wait_line("upgrade: 2 processes serve, this one takes clients")
+        new = self.start_successor_without_replicas()
+        old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         assert [self.ask(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
         new.kill()
-        old.wait_line("upgrade: 1 processes serve, this one takes clients")
+        old.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
-        assert not [line for line in old.lines if "another takes" in line]
+        assert not [line for line in old.lines if "another accepts" in line]
 
-    def test_a_successor_told_to_end_before_it_can_serve_takes_nobody_on_its_way_out(self) -> None:
+    def test_a_successor_terminated_before_it_can_serve_accepts_no_clients(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
-        new = self.start_unable_successor()
-        old.wait_line("upgrade: 2 processes serve, this one takes clients")
+        new = self.start_successor_without_replicas()
+        old.wait_line("upgrade: 2 processes serve, this one accepts clients")
         new.terminate()
         answers: list[int] = []
         while new.poll() is None:
             answers.append(self.ask(f"a{len(answers)}", "job-booking"))
         assert (set(answers), new.wait(20)) == ({200}, 0)
-        assert not [line for line in old.lines if "another takes" in line]
+        assert not [line for line in old.lines if "another accepts" in line]
 
-    def test_a_successor_killed_after_it_took_the_clients_gives_them_back(self) -> None:
+    def test_when_a_serving_successor_is_killed_the_predecessor_accepts_clients_again(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_process()
-        old.wait_line("another takes the clients")
+        old.wait_line("another accepts the clients")
         new.process.kill()
-        assert self.ask("a1", "job-booking") == 200  # it waited for the old one to look again
-        old.wait_line("upgrade: 1 processes serve, this one takes clients")
+        assert self.ask("a1", "job-booking") == 200  # answered once the old process accepts again
+        old.wait_line("upgrade: 1 processes serve, this one accepts clients")
         assert self.ask("a2", path="/ready") == 200
 
-    def test_readiness_waits_for_what_the_predecessor_answers(self) -> None:
+    def test_readiness_waits_until_the_predecessor_has_answered_its_requests(self) -> None:
         replica = self.replicas[0]
         self.discovery.update(("s-0", replica.address, "all-in-one"))
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
 
-        def answer_when_told(handler: Any, body: bytes) -> None:
+        def answer_when_released(handler: Any, body: bytes) -> None:
             replica.go.wait(20)
             handler.chunks(*TOKENS, LAST)
 
-        replica.respond = answer_when_told
+        replica.respond = answer_when_released
         host, _, port = self.address.rpartition(":")
         client = http.client.HTTPConnection(host, int(port), timeout=20)
         self.addCleanup(client.close)
@@ -233,32 +235,32 @@
         replica.wait_for("POST")
         began = time.monotonic()
         new = self.start_process()
-        if self.is_ready(new):  # it took the machine that long to start it
+        if self.is_ready(new):  # only if the machine was slow to start the process
             assert time.monotonic() - began > READY_WITHIN_US / 1000000.0
         replica.go.set()
         response = client.getresponse()
         assert (response.status, response.read()) == (200, b"".join(TOKENS) + LAST)
         self.wait_for(lambda: self.is_ready(new))
 
-    def test_without_a_successor_the_shutdown_is_the_usual_one_and_the_next_start_keeps_what_is_down(self) -> None:
+    def test_a_shutdown_without_a_successor_is_graceful_and_the_next_start_keeps_down_overrides(self) -> None:
         old = self.start_process()
         self.wait_for(lambda: self.is_ready(old))
         assert self.call_admin(old, "POST", "/ops/replicas/down?target=s-0")[0] == 200
         assert self.call_admin(old, "POST", "/ops/drain/start")[0] == 200
         old.process.terminate()
         old.wait_line("draining: 0 requests open")
-        assert self.ask("a1") == 200  # it goes on accepting
+        assert self.ask("a1") == 200  # it still accepts clients
         assert old.process.wait(20) == 0
         new = self.start_process()
         self.wait_for(lambda: self.is_ready(new))
         assert self.ask("a2", path="/ready") == 200  # a drain ends with its process
         assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
 
-    def test_messages_that_cannot_be_stored_or_read_stop_no_start(self) -> None:
+    def test_unwritable_or_unreadable_messages_do_not_prevent_a_start(self) -> None:
         self.messages.rmdir()
         alone = self.start_process()
         self.wait_for(lambda: self.is_ready(alone))
-        alone.wait_line("upgrade: the note cannot be written")
+        alone.wait_line("upgrade: the takeover message cannot be written")
         alone.kill()
         self.messages.mkdir()
         first = self.start_process()
@@ -269,9 +271,9 @@
             (self.messages / f"{name.partition('-')[0]}-{name.split('-')[1]}-{n}-1.note").write_bytes(data)
         again = self.start_process()
         self.wait_for(lambda: self.is_ready(again))
-        again.wait_line("upgrade: .* is left aside: of another version")
+        again.wait_line("upgrade: .* is ignored: of another version")
 
-    def test_a_passed_socket_that_is_none_is_one_line_and_exit_code_2(self) -> None:
+    def test_an_invalid_passed_socket_is_a_one_line_error_with_exit_code_2(self) -> None:
         plain = socket.socket()
         self.addCleanup(plain.close)
         path = self.folder / "config.json"
