--- a/pearhill/lab/__init__.py
+++ b/pearhill/lab/__init__.py
@@ -1,4 +1,5 @@
-"""The laboratory: scripted model servers, an open-loop load, and reports. Loopback only; bounded in count and time.
+"""Load tests of the dispatcher: stand-in model servers, an open-loop load, and reports.
 
-It uses the dispatcher as anyone would, through its operator's file and its ports. It comes with the extra `[lab]`.
+They run on loopback only and are limited in count and time. They use the dispatcher through its public interfaces, the
+operator's file and the ports. The dependencies are installed with the extra `[lab]`.
 """
--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -1,4 +1,7 @@
-"""Many real dispatchers before stand-in replicas, through a plan of faults: who was served, how even the work was."""
+"""Runs many real dispatchers in front of stand-in replicas through a plan of faults.
+
+The result states the share of requests served and how evenly the work was spread over the replicas.
+"""
 
 from __future__ import annotations
 
@@ -22,22 +25,22 @@
 from pearhill.lab.scenario import FleetFault, FleetTable, Scenario
 from pearhill.load_reports.evenness import evenness
 
-START_TIMEOUT_S = 120.0  # for one dispatcher
+START_TIMEOUT_S = 120.0  # of one dispatcher
 POLL_INTERVAL_S = 0.05
-WINDOW_S = 1.0  # in which work and served requests are summed
-MAX_LATE_S = WINDOW_S / 2  # of the load tool itself, for a result that means something
+WINDOW_S = 1.0  # over which work and served requests are summed
+MAX_LATE_S = WINDOW_S / 2  # lateness of the load tool itself beyond which the result is invalid
 
 
 class NotStartedError(Exception):
-    """A dispatcher did not start; the text names it and gives its last log line."""
+    """A dispatcher did not start; the message names it and gives its last log line."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetResult:
-    """What came of a run.
+    """The result of a run.
 
     `peaks`: peak over mean of work by replica, and `served`: share of requests served, by second of the plan; `idle_s`:
-    the longest time that each replica had no work; `cpu_limit_note`: a warning if the machine was too small.
+    the longest time for which each replica had no work; `cpu_limit_note`: a warning if the machine was too slow.
     """
 
     rows: list[load.Row]
@@ -48,7 +51,7 @@
     cpu_limit_note: str
 
     def summary(self, warm_s: float) -> str:
-        """Three lines about all that was planned after the first `warm_s` seconds."""
+        """Returns three lines about the requests that were planned after the first `warm_s` seconds."""
         peaks = self.peaks[int(warm_s) :]
         rows = [row for row in self.rows if row.planned_s >= warm_s]
         share = {
@@ -66,10 +69,10 @@
 
 
 class DispatcherProcesses:
-    """The dispatchers' processes, and the relay between them where they gossip.
+    """The dispatchers' processes, and the relay between them if they gossip.
 
-    Their logs are files in `folder`: a pipe for each of hundreds of processes would have to be read. `text` is the
-    operator's file that all of them get. `close` ends the processes.
+    Their logs are written to files in `folder`: pipes of hundreds of processes would have to be read continuously.
+    `text` is the content of the operator's file for all of them. `close` ends the processes.
     """
 
     def __init__(self, fleet: FleetTable, folder: pathlib.Path, text: str, seed: int) -> None:
@@ -81,7 +84,7 @@
         (folder / "key").write_text(new_key())
 
     async def start_all(self) -> None:
-        """Start every dispatcher, `starts_at_once` at a time. NotStartedError: one of them did not start."""
+        """Start all dispatchers, `starts_at_once` at a time. Raises NotStartedError if one of them does not start."""
         gate = asyncio.Semaphore(self.fleet.starts_at_once)
 
         async def start_in_turn(name: str) -> None:
@@ -91,7 +94,7 @@
         await asyncio.gather(*map(start_in_turn, self.names))
 
     async def start(self, name: str) -> None:
-        """Start one dispatcher and wait until it listens. NotStartedError: it ended, or took too long."""
+        """Start one dispatcher and wait until it listens. Raises NotStartedError if it exits or is too slow."""
         log = self.folder / f"{name}.log"
         with log.open("wb") as file:
             self.processes[name] = process = subprocess.Popen(
@@ -100,7 +103,7 @@
         end = time.monotonic() + START_TIMEOUT_S
         while not (front := re.search(r"chat front listens on ([\d.]+):(\d+)", lines := log.read_text())):
             if process.poll() is not None or time.monotonic() > end:
-                raise NotStartedError(f"dispatcher {name}: {(lines.splitlines() or ['said nothing'])[-1]}")
+                raise NotStartedError(f"dispatcher {name}: {(lines.splitlines() or ['no log output'])[-1]}")
             await asyncio.sleep(POLL_INTERVAL_S)
         self.fronts[name] = front[1], int(front[2])
         if self.relay and (gossip := re.search(r"talks on ([\d.]+):(\d+)", lines)):
@@ -116,7 +119,7 @@
         return path
 
     def begin_fault(self, fault: FleetFault) -> None:
-        """Put a fault into effect."""
+        """Inject a fault."""
         names = self._affected(fault)
         if fault.kind == "stall":
             self._signal(names, signal.SIGSTOP)
@@ -128,7 +131,7 @@
             _impair(self.relay, fault.kind, fault.share, fault.delay_s)
 
     async def end_fault(self, fault: FleetFault) -> None:
-        """End a fault; crashed dispatchers are started again. NotStartedError: one of them did not start."""
+        """End a fault, and start crashed dispatchers again. Raises NotStartedError if one of them does not start."""
         names = self._affected(fault)
         if fault.kind == "stall":
             self._signal(names, signal.SIGCONT)
@@ -149,7 +152,7 @@
             self.processes[name].send_signal(number)
 
     def close(self) -> None:
-        """Kill all processes, also stopped ones, and wait for their ends."""
+        """Kill all processes, including stopped ones, and wait until they have exited."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -160,7 +163,7 @@
 
 
 def _impair(relay: Relay, kind: str, share: float, delay_s: float) -> None:
-    """Set what the relay does to all datagrams, for a fault of kind `loss`, `double` or `delay`."""
+    """Set the relay's loss, duplication or delay of all datagrams, for a fault of kind `loss`, `double` or `delay`."""
     if kind == "loss":
         relay.drop = share
     elif kind == "double":
@@ -170,7 +173,7 @@
 
 
 async def _run_faults(dispatchers: DispatcherProcesses, began: float, report_line: Callable[[str], None]) -> None:
-    """Begin and end the plan's faults; `began`: the load's beginning, of the monotonic clock."""
+    """Begin and end the plan's faults at their times; `began`: the load's start by the monotonic clock."""
     faults = dispatchers.fleet.fault
     begins = [(fault.from_s, 0, k) for k, fault in enumerate(faults)]
     ends = [(fault.to_s, 1, k) for k, fault in enumerate(faults)]
@@ -187,8 +190,8 @@
 async def run(scenario: Scenario, report_line: Callable[[str], None] = lambda line: None) -> FleetResult:
     """Start replicas and dispatchers, send the load through the plan of faults, and evaluate it.
 
-    `report_line` gets what is worth showing meanwhile. NotStartedError: a dispatcher did not start; ValueError: the
-    scenario has no fleet.
+    `report_line` is called with lines of progress. Raises NotStartedError if a dispatcher does not start, ValueError if
+    the scenario has no fleet.
     """
     fleet, lab = scenario.fleet, scenario.lab
     if fleet is None:
@@ -215,7 +218,7 @@
     keys: dict[str, str],
     report_line: Callable[[str], None],
 ) -> tuple[list[load.Row], float]:
-    """The load's rows, and its beginning, of the monotonic clock. Faults are counted from there."""
+    """Send the load, and return its rows and its start by the monotonic clock. Faults are timed from that start."""
     rng = random.Random(scenario.lab.seed)
     weights = [fleet.heavy if k % fleet.heavy_every == 0 else 1.0 for k in range(fleet.dispatchers)]
     began = 0.0
@@ -239,8 +242,11 @@
 
 
 def evaluate(rows: list[load.Row], work: list[BusySpans], began: float, seconds: float) -> FleetResult:
-    """The figures of a run. `work`: by replica; work in a second is the time that requests spent there; `began`: the
-    load's beginning, of the clock of `work`."""
+    """Returns the figures of a run.
+
+    `work`: the requests' spans at each replica; the work of a second is the time that requests spent there within it.
+    `began`: the load's start, by the clock of `work`.
+    """
     windows = int(seconds // WINDOW_S)
     peaks = [
         evenness({str(k): busy_s for k, busy_s in enumerate(window)}).peak
@@ -253,12 +259,12 @@
         served=[_served_share(rows, window) for window in range(windows)],
         idle_s=[_longest_idle_s(spans, began, seconds) for spans in work],
         replicas=len(work),
-        cpu_limit_note=("; the machine was too small for this: read nothing from it" if late_s > MAX_LATE_S else ""),
+        cpu_limit_note=("; the machine was too slow for this load: figures invalid" if late_s > MAX_LATE_S else ""),
     )
 
 
 def _work_by_window(work: list[BusySpans], began: float, windows: int) -> list[list[float]]:
-    """Seconds that requests spent at each replica, by window."""
+    """Returns the seconds that requests spent at each replica, by window."""
     spent = [[0.0] * len(work) for _ in range(windows)]
     for k, spans in enumerate(work):
         for begin, end in sorted(spans):
@@ -268,7 +274,7 @@
 
 
 def _longest_idle_s(spans: BusySpans, began: float, seconds: float) -> float:
-    """The longest time within the load that a replica had no request."""
+    """Returns the longest time within the load in which a replica had no request."""
     longest_s, busy_until = 0.0, began
     for begin, end in sorted(spans):
         if begin < began + seconds:
@@ -278,6 +284,6 @@
 
 
 def _served_share(rows: list[load.Row], window: int) -> float:
-    """Of the requests that were planned in a window; 1 where none was."""
+    """Returns the served share of the requests that were planned in a window, or 1 if there were none."""
     served = [row.outcome == load.SERVED for row in rows if window <= row.planned_s < window + 1]
     return sum(served) / len(served) if served else 1.0
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -1,6 +1,6 @@
-"""An open-loop load: every request has its planned time, drawn ahead, and is sent then whatever became of the others.
+"""An open-loop load. Every request is sent at a planned time, drawn in advance, regardless of the other requests.
 
-Times are measured from the plan, so that a load tool that is late shows it as the client would feel it.
+Times are measured from the planned time, so that lateness of the load tool is part of the measured latency.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from pearhill.conformance.client import ClientConnection
 from pearhill.lab.scenario import Scenario, TenantTable
 
-SERVED, REFUSED, FAILED = "served", "refused", "failed"  # outcomes, as the results' files have them
+SERVED, REFUSED, FAILED = "served", "refused", "failed"  # outcomes, as stored in result files
 REQUEST_TIMEOUT_S = 60.0
 START_DELAY_S = 0.1
 REJECTING_STATUSES = (429, 503)
 STREAM_END = b"data: [DONE]\n\n"
-PROMPT_HEAD_WORDS = 8  # of the prompt besides the repeated word
+PROMPT_HEAD_WORDS = 8  # words of the prompt without the repeated word
 Progress = Callable[[int, int], None]
 Front = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Row:
-    """One request. `planned_s`: since the load's start; `first_s` and `end_s`: since the planned time."""
+    """One request. `planned_s` counts from the load's start, `first_s` and `end_s` from the planned time."""
 
     tenant: str
     planned_s: float
@@ -43,7 +43,7 @@
 
 
 def draw_arrivals(tenant: TenantTable, seconds: float, seed: numpy.random.SeedSequence) -> list[float]:
-    """Planned times of a tenant's requests: a Poisson process, denser within its burst."""
+    """Returns the planned times of a tenant's requests: a Poisson process with a higher rate within its burst."""
     rng = numpy.random.default_rng(seed)
     peak = tenant.rate_per_s * max(1.0, tenant.times)
     times = numpy.sort(rng.uniform(0, seconds, rng.poisson(peak * seconds)))
@@ -70,7 +70,7 @@
 
 
 async def _send_request(tenant: TenantTable, planned: float, began: float, front: Front, key: str, opening: int) -> Row:
-    """Send one request now and wait for its end. `planned`: seconds after `began`, of the monotonic clock."""
+    """Send one request now and wait for its end. `planned`: seconds after `began`, by the monotonic clock."""
 
     def since_planned() -> float:
         return time.monotonic() - began - planned
@@ -115,10 +115,10 @@
     progress: Progress,
     on_start: Callable[[float], None] = lambda began: None,
 ) -> list[Row]:
-    """Send all tenants' requests; their rows in the order of the plan.
+    """Send all tenants' requests, and return their rows in the order of the plan.
 
-    `fronts` says where the next request goes, `keys` has each tenant's API key; `progress` gets the count of requests
-    sent and of all, `on_start` the load's beginning, of the monotonic clock.
+    `fronts` returns the address for the next request, `keys` has each tenant's API key. `progress` is called with the
+    counts of sent and of all requests, `on_start` with the load's start by the monotonic clock.
     """
     lab = scenario.lab
     openings = random.Random(lab.seed)
@@ -137,7 +137,7 @@
 
 
 def _planned_requests(scenario: Scenario) -> list[tuple[float, int]]:
-    """Planned time and tenant's number of all requests, in their order."""
+    """Returns the planned time and the tenant's index of each request, in order of time."""
     seeds = numpy.random.SeedSequence(scenario.lab.seed).spawn(len(scenario.tenant))
     return sorted(
         (at, k)
--- a/pearhill/lab/relay.py
+++ b/pearhill/lab/relay.py
@@ -1,4 +1,4 @@
-"""A UDP relay between named dispatchers that loses, doubles, delays and cuts their datagrams."""
+"""A UDP relay between named dispatchers that drops, duplicates and delays datagrams, and simulates partitions."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from collections.abc import Sequence
 
 Address = tuple[str, int]
-MAX_SELECT_S = 0.05  # so that `close` is noticed
+MAX_SELECT_S = 0.05  # bounds the time until the thread notices `close`
 MAX_DATAGRAM_BYTES = 65536
 CLOSE_TIMEOUT_S = 5
 
 
 class Relay:
-    """A socket for each name, served by a thread: what arrives there is forwarded to where the name listens.
+    """A relay with one socket for each name. A thread forwards datagrams from there to the address of that name.
 
-    It is sent from the socket of its sender, so that answers pass the relay too. A sender is known by its address: each
-    dispatcher has to be registered with `place` before its datagrams are forwarded. `drop` and `double` are shares of
-    all datagrams, `delay_s` is the longest delay, `passed` counts what was forwarded.
+    Each datagram is sent from the socket of its sender, so that answers pass through the relay too. Senders are
+    identified by their address: each dispatcher has to be registered with `place` before its datagrams are forwarded.
+    `drop` and `double` are shares of all datagrams, `delay_s` is the longest delay, `passed` counts forwarded
+    datagrams.
     """
 
     def __init__(self, names: Sequence[str], seed: int) -> None:
@@ -50,7 +51,7 @@
         return made
 
     def address(self, name: str) -> str:
-        """HOST:PORT at which the others reach this name by way of the relay."""
+        """Returns the HOST:PORT at which the others reach this name through the relay."""
         return "{}:{}".format(*self._sockets[name].getsockname())
 
     def place(self, name: str, host: str, port: int) -> None:
@@ -73,7 +74,7 @@
                 self._forward(*heapq.heappop(self._heap)[2:])
 
     def _accept(self, data: bytes, sender: str | None, addressee: str) -> None:
-        """Schedule what has arrived, unless it is lost."""
+        """Schedule a datagram for forwarding, unless it is dropped or cut off."""
         if sender is None or (sender, addressee) in self.cuts or self.rng.random() < self.drop:
             return
         for _ in range(1 + (self.rng.random() < self.double)):
--- a/pearhill/lab/report.py
+++ b/pearhill/lab/report.py
@@ -1,4 +1,4 @@
-"""The figures of a run, and the page with plots of one or several runs."""
+"""Computes the figures of a run, and renders the HTML page with plots of one or several runs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 COLOURS = ("#0b6e99", "#d9730d", "#448361", "#9065b0", "#c14c8a", "#9f6b53", "#787774")
 WIDTH, HEIGHT = 720, 220  # of a plot, in units of its own
 LEFT_MARGIN, BOTTOM_MARGIN = 40, 20
-MAX_TIME_US = 600_000_000  # that the histograms hold
+MAX_TIME_US = 600_000_000  # largest value of the histograms
 TEMPLATE = "report.html.j2"
 
 Parameters = dict[str, float]  # of a run: `seconds` and `warm_s`
@@ -44,7 +44,7 @@
 
 
 def tenant_figures(rows: Sequence[Row], parameters: Parameters) -> list[TenantFigures]:
-    """The figures of each tenant, by name."""
+    """Returns the figures of each tenant, in order of name."""
     warm_s, seconds = parameters.get("warm_s", 0.0), parameters["seconds"]
     counted = [row for row in rows if row.planned_s >= warm_s]
     return [
@@ -100,7 +100,7 @@
 
 
 def _polyline(curve: Sequence[float], top: float, colour: str) -> str:
-    """A curve of one value a second, `top` at the upper edge."""
+    """Returns an SVG curve of one value per second; the value `top` is at the upper edge."""
     points = " ".join(
         f"{LEFT_MARGIN + (WIDTH - LEFT_MARGIN) * (x + 0.5) / len(curve):.1f},"
         f"{(HEIGHT - BOTTOM_MARGIN) * (1 - y / top):.1f}"
@@ -114,7 +114,7 @@
 
 
 def plot(rows: Sequence[Row], seconds: float, outcome: str) -> str:
-    """Requests a second of one outcome, by tenant, as SVG."""
+    """Returns an SVG plot of the requests per second with one outcome, with a curve for each tenant."""
     tenants = _tenants(rows)
     curves = [_requests_by_second(rows, tenant, seconds, outcome) for tenant in tenants]
     top = max((max(curve) for curve in curves), default=0) or 1
@@ -132,7 +132,7 @@
 
 
 def fleet_plots(fleet: FleetResult) -> list[tuple[str, str]]:
-    """Captions and plots by second, as SVG, of how even the work was and who was served."""
+    """Returns captions and SVG plots, by second, of the evenness of the work and of the share of requests served."""
     curves = (
         ("peak over mean of work by engine", fleet.peaks, max(2.0, *fleet.peaks)),
         ("share served", fleet.served, 1.0),
@@ -144,7 +144,7 @@
 
 
 def page(title: str, runs: dict[str, tuple[list[Row], Parameters]], fleet: FleetResult | None = None) -> str:
-    """The HTML page of one run, or of several side by side. `fleet`: of a run with many dispatchers."""
+    """Returns the HTML page of one run, or of several side by side. `fleet`: the result of a run with a fleet."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab", "."),
         autoescape=True,
@@ -167,7 +167,7 @@
 
 
 def figures_text(figures: Sequence[TenantFigures]) -> str:
-    """A table for the terminal, a line a tenant."""
+    """Returns a table for the terminal, with a line for each tenant."""
     columns = ("served", "refused", "failed", "tokens/s", "p50 ms", "p95 ms", "p99 ms")
     lines = [f"{'tenant':<16}{'asked':>7}" + "".join(f"{name:>10}" for name in columns)]
     for f in figures:
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: stand-in replicas, the dispatcher with its operator's file, the load, and the rows that come of it."""
+"""Runs a scenario: starts stand-in replicas and a dispatcher with its operator's file, and sends the load."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from pearhill.lab import load
 from pearhill.lab.scenario import Scenario
 
-BusySpans = list[tuple[float, float]]  # when each request began and ended at one replica, of the monotonic clock
-METADATA_KEYS = (b"seconds", b"warm_s")  # of a result's Parquet file, as far as reports use them
+BusySpans = list[tuple[float, float]]  # when each request began and ended at one replica, by the monotonic clock
+METADATA_KEYS = (b"seconds", b"warm_s")  # the metadata of a result's Parquet file that reports use
 
 
 @contextlib.asynccontextmanager
 async def running_replicas(scenario: Scenario, work: list[BusySpans] | None = None) -> AsyncIterator[list[str]]:
-    """The addresses of the scenario's replicas, which run in one process of their own until the context is left.
+    """Run the scenario's replicas in one process of their own within the context, and yield their addresses.
 
-    `work` is extended at the end by each replica's spans, in the order of the addresses.
+    At the end each replica's spans are appended to `work`, in the order of the addresses.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "pearhill.lab.servers", stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -49,7 +49,7 @@
 
 
 def operator_file(scenario: Scenario, addresses: list[str], keys: dict[str, str]) -> str:
-    """The scenario's operator's file, with its replicas and its tenants' keys."""
+    """Returns the content of the scenario's operator's file with the replicas and the tenants' keys added."""
     text = (scenario.base / scenario.lab.operator_file).read_text(encoding="utf-8")
     kinds = [table.kind for table in scenario.server for _ in range(table.count)]
     for k, (kind, address) in enumerate(zip(kinds, addresses, strict=True)):
@@ -60,7 +60,10 @@
 
 
 async def run(scenario: Scenario, progress: load.Progress = lambda done, total: None) -> list[load.Row]:
-    """The rows of a scenario with one dispatcher. OSError, ConformanceRunError: it or a replica did not start."""
+    """Run a scenario with one dispatcher, and return its rows.
+
+    Raises OSError or ConformanceRunError if the dispatcher or a replica does not start.
+    """
     keys = {tenant.name: new_key() for tenant in scenario.tenant}
     async with running_replicas(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
         host, _, port = url.removeprefix("http://").rpartition(":")
@@ -76,10 +79,13 @@
 
 
 def read_rows(path: pathlib.Path) -> tuple[list[load.Row], dict[str, float]]:
-    """A run's rows and its parameters `seconds` and `warm_s`. ValueError, OSError: the file is no result of a run."""
+    """Returns a run's rows and its parameters `seconds` and `warm_s`.
+
+    Raises OSError if the file cannot be read, ValueError if it is not the result of a run.
+    """
     table = pyarrow.parquet.read_table(path)
     if set(table.column_names) != set(load.Row.__dataclass_fields__):
-        raise ValueError(f"{path}: is no result of `pearhill lab run`")
+        raise ValueError(f"{path}: is not a result of `pearhill lab run`")
     metadata = table.schema.metadata or {}
     parameters = {key.decode(): float(value) for key, value in metadata.items() if key in METADATA_KEYS}
     return [load.Row(**row) for row in table.to_pylist()], parameters
--- a/pearhill/lab/scenario.py
+++ b/pearhill/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario's file: stand-in replicas, tenants that send requests, and a fleet of dispatchers if there is one."""
+"""The scenario file: stand-in replicas, tenants that send requests, and optionally a fleet of dispatchers."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 
 
 class FaultTable(Struct, forbid_unknown_fields=True):
-    """What a replica does to a share of its requests between two moments, in seconds since its start. `garble` and
-    `stall` come after the first events."""
+    """A fault that a replica applies to a share of its requests, from `from_s` to `to_s` seconds after its start.
+
+    `garble` and `stall` take effect after the first events of an answer.
+    """
 
     kind: Literal["refuse", "reset", "stall", "garble"]
     from_s: Annotated[float, Meta(ge=0)] = 0.0
@@ -24,9 +26,10 @@
 
 
 class ServerTable(Struct, forbid_unknown_fields=True):
-    """`count` equal replicas. `kind` is one of the operator's file; `queue`: requests that wait beyond the slots.
+    """A group of `count` equal replicas.
 
-    `read_tokens_per_s`: of one prefill; `write_tokens_per_s`: of one stream.
+    `kind`: a machine kind of the operator's file; `queue`: the number of requests that may wait for a slot;
+    `read_tokens_per_s`: the speed of one prefill; `write_tokens_per_s`: the speed of one stream.
     """
 
     kind: str
@@ -37,11 +40,11 @@
     read_tokens_per_s: Positive = 50_000.0
     write_tokens_per_s: Positive = 100.0
     fault: list[FaultTable] = []
-    listen: str = ""  # HOST:PORT of a single one; empty: a port that the system picks
+    listen: str = ""  # HOST:PORT of a single replica; empty: a free port of loopback
 
 
 class TenantTable(Struct, forbid_unknown_fields=True):
-    """One tenant's requests: a Poisson process, `times` as dense between `from_s` and `to_s`."""
+    """One tenant's requests: a Poisson process, whose rate is multiplied by `times` between `from_s` and `to_s`."""
 
     name: Annotated[str, Meta(min_length=1)]
     rate_per_s: Positive
@@ -52,14 +55,15 @@
     from_s: Annotated[float, Meta(ge=0)] = 0.0
     to_s: Positive = 1e9
     max_tokens: Annotated[int, Meta(ge=0)] = 0
-    prefixes: Count = 1  # different openings of its prompts, equally likely
+    prefixes: Count = 1  # number of different prompt prefixes, equally likely
 
 
 class FleetFault(Struct, forbid_unknown_fields=True):
-    """A fault of dispatchers, named by their numbers from 0.
+    """A fault of the dispatchers `who`, which are numbered from 0.
 
-    `cut`: no gossip passes between these and the others; `loss`, `double`: a `share` of all datagrams; `delay`: each by
-    up to `delay_s`; `stall`: SIGSTOP and, at the end, SIGCONT; `crash`: SIGKILL and, at the end, a new start.
+    `cut`: no gossip passes between these and the others; `loss`, `double`: a `share` of all datagrams is lost or
+    duplicated; `delay`: each datagram is delayed by up to `delay_s`; `stall`: SIGSTOP and, at the end, SIGCONT;
+    `crash`: SIGKILL and, at the end, a restart.
     """
 
     kind: Literal["cut", "loss", "double", "delay", "stall", "crash"]
@@ -71,9 +75,9 @@
 
 
 class FleetTable(Struct, forbid_unknown_fields=True):
-    """Many dispatchers before the same replicas. Every `heavy_every`th gets `heavy` times the others' requests.
+    """Dispatchers in front of the same replicas. Every `heavy_every`th gets `heavy` times the requests of the others.
 
-    `talk`: they gossip; `starts_at_once`: so many are started at a time.
+    `talk`: whether they gossip; `starts_at_once`: how many are started at a time.
     """
 
     dispatchers: Annotated[int, Meta(ge=1, le=500)]
@@ -85,16 +89,16 @@
 
 
 class LabTable(Struct, forbid_unknown_fields=True):
-    """The run itself. `operator_file`: relative to the scenario's file; `seconds`: of load."""
+    """The parameters of a run. `operator_file`: relative to the scenario file; `seconds`: the length of the load."""
 
     operator_file: str
     seconds: Annotated[float, Meta(gt=0, le=600)] = 20.0
-    warm_s: Annotated[float, Meta(ge=0)] = 2.0  # left out of the figures
+    warm_s: Annotated[float, Meta(ge=0)] = 2.0  # warm-up time, excluded from the figures
     seed: int = 1
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
-    """A whole file. `base`: its folder, set by `load`."""
+    """A scenario file. `base`: its folder, set by `load`."""
 
     lab: LabTable
     server: Annotated[list[ServerTable], Meta(min_length=1)]
@@ -104,7 +108,7 @@
 
 
 def load(path: str) -> Scenario:
-    """Read and check a scenario's file. ConfigError: it cannot be used."""
+    """Read and validate a scenario file. Raises ConfigError if it is invalid."""
     scenario, _ = typed.load(path, Scenario)
     scenario.base = pathlib.Path(path).resolve().parent
     names = [tenant.name for tenant in scenario.tenant]
--- a/pearhill/lab/servers.py
+++ b/pearhill/lab/servers.py
@@ -1,8 +1,8 @@
-"""Stand-in replicas of the laboratory: slots, a queue, memory, two speeds, and faults. They answer by time alone.
+"""Stand-in replicas, simulated by timing alone: they have slots, a queue, memory, two speeds, and faults.
 
-python -m pearhill.lab.servers < JSON        prints one address a line, and serves until its input ends
+python -m pearhill.lab.servers < JSON        prints one address per line, and serves until its input ends
 
-Their last line is JSON: for each replica, when each of its requests began and ended, of the monotonic clock.
+The last line of the output is JSON: for each replica, when each request began and ended, by the monotonic clock.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 
 
 class Model:
-    """One replica. What exceeds its slots and queue, or its memory, is rejected as not started.
+    """One replica. Requests beyond its slots and queue, or beyond its memory, are rejected as not started.
 
-    `began`: of the monotonic clock, from which faults are timed. `waiting`: requests in slots and queue; `held`: tokens
-    of their prompts; `work`: when each request began and ended.
+    `began`: the time of the monotonic clock from which faults are timed. `waiting`: the count of requests in slots and
+    queue; `held`: the tokens of their prompts; `work`: when each request began and ended.
     """
 
     def __init__(self, table: ServerTable, seed: int, began: float) -> None:
@@ -58,7 +58,7 @@
         self.work: list[tuple[float, float]] = []
 
     def _fault(self) -> FaultTable | None:
-        """The fault that the next request meets."""
+        """Returns the fault to apply to the next request, or None."""
         now = time.monotonic() - self.began
         for fault in self.table.fault:
             if fault.from_s <= now < fault.to_s and self.rng.random() < fault.share:
@@ -80,7 +80,7 @@
             writer.transport.abort()
 
     async def _answer(self, message: RequestMessage, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; False: the connection has to end."""
+        """Answer one request. Returns False if the connection has to end."""
         if message.method == "DELETE":
             writer.write(answer(204))
             return True
@@ -115,12 +115,12 @@
         fault: FaultTable | None,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Write the answer's events; False: the connection has to end."""
+        """Write the answer's events. Returns False if the connection has to end."""
         limit = body.get("max_completion_tokens") or body.get("max_tokens") or UNLIMITED_TOKENS
         tokens = min(body.get("x_answer_tokens", DEFAULT_ANSWER_TOKENS), limit)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
         for sent in range(1, tokens + 1):
-            if writer.is_closing():  # the dispatcher has gone, and a further write would log an error
+            if writer.is_closing():  # the dispatcher has disconnected, and a further write would log an error
                 return False
             writer.write(chunk(EVENT))
             await writer.drain()
@@ -150,7 +150,7 @@
 async def serve(tables: list[ServerTable], seed: int) -> None:
     """Print the replicas' addresses in the tables' order, serve until standard input ends, then print their work.
 
-    An address that cannot be listened on is printed as an error line, and nothing is served.
+    If an address cannot be listened on, an error line is printed instead, and the function returns.
     """
     began = time.monotonic()
     replicas = []
@@ -176,7 +176,7 @@
 
 
 def main() -> None:
-    """Serve what the first line of standard input orders: `{"servers": [..], "seed": N}`."""
+    """Serve the replicas that the first line of standard input describes: `{"servers": [..], "seed": N}`."""
     order = json.loads(sys.stdin.readline())
     uvloop.run(serve(msgspec.convert(order["servers"], list[ServerTable]), order["seed"]))
 
--- a/pearhill/lab/soak/client_rules.py
+++ b/pearhill/lab/soak/client_rules.py
@@ -1,4 +1,4 @@
-"""The rules for answers, by what clients saw of them. Times are microseconds."""
+"""The rules for answers, checked against what clients observed. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 from pearhill.lab.soak.oracle_state import OracleState
 from pearhill.lab.soak.records import NON_IDEMPOTENT, SECOND, RequestRecord, SentRequest
 
-MAX_ANSWER_DELAY_US = 500_000  # an answer so long after the client's time earns nothing, a later one is lost
-MAX_END_DELAY_US = SECOND  # the end of a stream is passed on by then
-MIN_SILENCE_US = (
-    4 * SECOND
-)  # a stream that is silent for so long may be given up: its client may not wait 5 s for nothing
-MAX_BAD_CLIENT_US = 3 * SECOND  # a client that stops in the middle of a request gets its error or its end
+MAX_ANSWER_DELAY_US = 500_000  # after the client's deadline: an answer within it is worthless, a later one is lost
+MAX_END_DELAY_US = SECOND  # within which the end of a stream is forwarded to the client
+MIN_SILENCE_US = 4 * SECOND  # a dispatcher may end a stream after this silence: its client must not wait 5 s in vain
+MAX_BAD_CLIENT_US = 3 * SECOND  # within which a client that sends a partial request gets an error or a close
 REJECTION_STATUSES = (429, 503)
 
 
 class ClientRules:
-    """What a client must get for what it sent."""
+    """Checks what clients receive for the requests that they sent."""
 
     def __init__(self, state: OracleState) -> None:
         self._state = state
 
     def request_sent(self, at: int, request: str, dispatcher: str, effect: str, window: int, timeout: int) -> None:
-        """The request's last byte was written; once more, if its id is known: then it is the same request."""
+        """Record that the last byte of a request was written.
+
+        A request whose id is known already is the same request, sent again.
+        """
         if record := self._state.requests.get(request):
             self._state.exposure["sent once more"] += 1
             record.sent.append(SentRequest(dispatcher, at))
-            record.note(at, f"sent once more, to {dispatcher}")
+            record.note(at, f"sent again, to {dispatcher}")
         else:
             self._state.requests[request] = RequestRecord(effect, window, timeout, [SentRequest(dispatcher, at)])
         self._state.open_requests.add(request)
@@ -34,12 +35,12 @@
             self._state.exposure["written after SIGTERM"] += 1
 
     def is_ending(self, dispatcher: str) -> bool:
-        """Whether the dispatcher has had SIGTERM and was not killed yet."""
+        """Returns whether the dispatcher was sent SIGTERM and was not killed yet."""
         last = self._state.process_ends.last(dispatcher)
         return last is not None and bool(last.terminated) and not last.killed
 
     def client_closed(self, at: int, request: str) -> None:
-        """The client gave up, or left."""
+        """Record that the client has closed its connection or no longer waits for the answer."""
         record = self._state.requests[request]
         if not record.answered:
             self._state.exposure["clients that left before an answer"] += 1
@@ -53,11 +54,11 @@
         self._state.open_requests.discard(request)
 
     def note(self, at: int, request: str, what: str) -> None:
-        """For the request's trace alone."""
+        """Add a line to the request's trace; no rule uses it."""
         self._state.requests[request].note(at, what)
 
     def answer_started(self, at: int, request: str, status: int) -> None:
-        """The final answer's first byte."""
+        """Record the first byte of the final answer, and check when and with which status it came."""
         record = self._state.requests[request]
         record.answered, record.status = at, status
         self._state.exposure["answers"] += 1
@@ -66,21 +67,21 @@
         record.note(at, f"answered {status}")
         limit = record.at + record.timeout + MAX_ANSWER_DELAY_US
         if at > limit and not self._state.process_ends.excuses(record, at):
-            detail = f"answered {(at - record.at) // 1000} ms after it was asked, ttl {record.timeout // 1000} ms"
+            detail = f"answered {(at - record.at) // 1000} ms after it was sent, ttl {record.timeout // 1000} ms"
             self._state.add_violation(at, "late", request, detail, at - limit, record.at)
         ran = any(a.may_have_executed and a.writes_answer for a in record.attempts)
         if status in REJECTION_STATUSES and ran and record.idempotency == NON_IDEMPOTENT:
             self._state.add_violation(
-                at, "refused", request, "refused as harmless to repeat, though an attempt may have run"
+                at, "refused", request, "rejected as safe to repeat, although an attempt may have run"
             )
 
     def answer_received(self, request: str, data: bytes) -> None:
-        """Bytes of a stream."""
+        """Record bytes that a client has received of a stream."""
         self._state.requests[request].received += data
         self._state.exposure["bytes compared"] += len(data)
 
     def answer_completed(self, at: int, request: str) -> None:
-        """The answer was ended in good order."""
+        """Record the regular end of an answer, and check that the answer is complete."""
         record = self._state.requests[request]
         self._request_ended(at, request)
         record.note(at, "whole")
@@ -90,18 +91,18 @@
             a.finished and a.written == record.received for a in record.attempts
         ):
             self._state.add_violation(
-                at, "incomplete", request, f"ended as whole after {len(record.received)} bytes that are no whole answer"
+                at, "incomplete", request, f"ended as complete after {len(record.received)} bytes, a partial answer"
             )
 
     def answer_broken(self, at: int, request: str, peer: int) -> None:
-        """The connection ended in the middle of an answer that had begun with 200. `peer`: the client's port."""
+        """Record that the connection ended within an answer that had started with 200. `peer`: the client's port."""
         record = self._state.requests[request]
         self._request_ended(at, request)
         record.note(at, "stream broke")
         self._state.exposure["streams that broke"] += 1
         if self._check_bytes(at, request) and not self._may_break(at, record, peer):
             self._state.add_violation(
-                at, "broken", request, "its stream was ended while a replica was writing it, or had finished"
+                at, "broken", request, "its stream broke while a replica was writing it, or had finished it"
             )
 
     def _may_break(self, at: int, record: RequestRecord, peer: int) -> bool:
@@ -110,7 +111,7 @@
         if self._state.failing.overlap(record.dispatcher, record.at, at):
             return True
         attempt = record.streaming
-        if attempt is None:  # its first event is on its way: whichever replica was asked last writes it
+        if attempt is None:  # its first event has not reached the client: the replica that was called last writes it
             attempt = next((a for a in reversed(record.attempts) if a.writes_answer), None)
         if attempt is None:
             return False
@@ -120,25 +121,29 @@
         return silent or bool(attempt.broken_at)
 
     def _check_bytes(self, at: int, request: str) -> bool:
-        """Whether what came of a stream was written so, for this request, by some one replica."""
+        """Returns whether the received bytes of a stream were written in this order by a single replica."""
         record = self._state.requests[request]
         if not record.received or any(a.written.startswith(record.received) for a in record.attempts):
             return True
         self._state.add_violation(
-            at, "bytes", request, f"{len(record.received)} bytes came that no replica wrote so for this request"
+            at, "bytes", request, f"received {len(record.received)} bytes that no single replica wrote for this request"
         )
         return False
 
     def answer_missing(self, at: int, request: str, why: str) -> None:
-        """The connection ended, or the client waited too long, with no answer."""
+        """Record that the connection ended, or the client's wait timed out, without an answer."""
         record = self._state.requests[request]
         record.note(at, f"lost: {why}")
         if not self._state.process_ends.excuses(record, at):
             self._state.add_violation(at, "lost", request, why)
 
     def connection_ended(self, at: int, request: str, peer: int, used: bool) -> bool:
-        """Its connection ended with no answer. `used`: the connection had carried a request before. Whether its client
-        may send it once more, since a close may have crossed it: that takes a moment and not a second."""
+        """Record that the connection of a request ended without an answer.
+
+        `used`: the connection had carried a request before. Returns whether the client may send the request again,
+        because the dispatcher may have closed the connection while the request was on its way to it. Such a crossing
+        takes milliseconds; a close that comes later counts as a lost request.
+        """
         record = self._state.requests[request]
         record.note(at, "ended with no answer")
         if self._state.process_ends.excuses(record, at) or (record.dispatcher, peer) in self._state.broken_clients:
@@ -148,31 +153,33 @@
             return False
         limit = record.at + MAX_CROSSING_US
         if at > limit:
-            detail = f"its connection ended with no answer {(at - record.at) // 1000} ms after it was written"
+            detail = f"its connection ended without an answer {(at - record.at) // 1000} ms after the request was sent"
             self._state.add_violation(at, "lost", request, detail, at - limit, record.at)
         return True
 
     def _may_cross_first_request(self, record: RequestRecord, at: int) -> bool:
-        """Whether a close may cross the first request of a connection, for a moment. Where a crowd fills the
-        descriptors a new connection may be shut unread; a dispatcher that ends shuts those on which no client asks in
-        time."""
+        """Returns whether a dispatcher may close a connection while its first request is on its way.
+
+        A dispatcher whose file descriptors are used up by a flood may close a new connection unread. A dispatcher that
+        shuts down closes connections on which no request arrives in time.
+        """
         crowded = self._state.flooded.overlap(record.dispatcher, record.at, at)
         return crowded or self._state.process_ends.first_request_was_late(record.sent[-1])
 
     def bad_client_ended(self, at: int, dispatcher: str, since: int) -> None:
-        """A client that stopped half-way, or said nothing, got its error or its end."""
+        """Record that a client that sent a partial request or nothing got an error or the end of its connection."""
         self._state.exposure["bad clients"] += 1
         if at > since + MAX_BAD_CLIENT_US:
-            detail = f"a client that stopped half-way was sent away after {(at - since) // 1000} ms"
+            detail = f"a client that sent a partial request was disconnected after {(at - since) // 1000} ms"
             self._state.add_violation(at, "bad-client", dispatcher, detail, at - since - MAX_BAD_CLIENT_US, since)
 
     def scan(self, at: int) -> None:
-        """Look for streams whose end was not passed on."""
+        """Check all open requests for streams whose end was not forwarded to the client."""
         for request in list(self._state.open_requests):
             self._scan_end(at, request)
 
     def _scan_end(self, at: int, request: str) -> None:
-        """A stream that its replica has ended, in whatever way, and whose client was told nothing for a second."""
+        """Report a stream that its replica has completed or broken off, if its client sees no end within a second."""
         record = self._state.requests[request]
         if record.late_end_reported or record.status != 200 or not (attempt := record.streaming):
             return
@@ -184,5 +191,5 @@
         excess = at - over - MAX_END_DELAY_US
         if excess > self._state.lateness.between(over, at):
             record.late_end_reported = True
-            detail = f"{attempt.replica} ended its stream {(at - over) // 1000} ms ago, and its client was not told"
+            detail = f"{attempt.replica} ended its stream {(at - over) // 1000} ms ago, its client received no end"
             self._state.add_violation(at, "end-not-passed-on", request, detail)
--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -1,7 +1,8 @@
-"""Clients of the platform, good and bad, on raw connections; what each saw goes to the oracle.
+"""Well-behaved and misbehaving clients of the platform on raw connections. They report what they see to the oracle.
 
-Some come one by one, as an open load. Others are regulars: each keeps its connection to one dispatcher and asks on it
-again and again, and once that dispatcher has been told to end, without a pause, for as long as the connection stays.
+Some clients arrive one by one, as an open-loop load. The others are regular clients: each keeps a connection to one
+dispatcher and sends requests on it repeatedly. After SIGTERM to that dispatcher it sends them without pauses, until the
+connection ends.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from pearhill.lab.soak.records import KEYED, SECOND
 
 PATH = "/v1/chat/completions"
-# Of a hundred clients, how many behave so.
+# The number of clients with each behaviour, of a hundred open-loop clients.
 BEHAVIOUR_SHARES = {
     "plain": 42,
     "kept": 12,
@@ -35,17 +36,17 @@
     "rests": 8,
 }
 REGULAR_CLIENTS = 3  # of each dispatcher
-MAX_THINK_S = 0.3  # of a regular client; none once its dispatcher is to end
-RECONNECT_S = 0.02  # after which a regular client whose connection has ended comes again
-MAX_REST_S = 8.0  # for so long a resting client waits for its dispatcher's end
-ANSWER_TIMEOUT_S = 30.0  # an answer that has not come by then never comes
+MAX_THINK_S = 0.3  # pause of a regular client between requests; it makes none after SIGTERM to its dispatcher
+RECONNECT_S = 0.02  # after which a regular client whose connection has ended connects again
+MAX_REST_S = 8.0  # for which a resting client waits for SIGTERM to its dispatcher
+ANSWER_TIMEOUT_S = 30.0  # an answer that has not started by then counts as missing
 PIPELINED_REQUESTS = 3
 STREAM_STALL_S = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests of the settings. `window`: of its idempotency keys, in microseconds."""
+    """A request class of the settings. `window`: the window of its idempotency keys, in microseconds."""
 
     name: str
     effect: str
@@ -54,14 +55,14 @@
 
 
 class Clients:
-    """Open-loop arrivals. `addresses`: of the dispatchers to which new connections go now."""
+    """The open-loop and the regular clients. `addresses`: the dispatchers that get new connections now."""
 
     def __init__(self, seed: int, classes: list[RequestClass], oracle: Oracle, clock: Callable[[], int]) -> None:
         self.rng, self.classes, self.oracle, self.clock = random.Random(seed), classes, oracle, clock
         self.addresses: dict[str, ListenAddress] = {}
         self.outcomes: Counter[str] = Counter()
-        self.shutdown_begun: dict[str, asyncio.Event] = {}  # set once a dispatcher has been told to end
-        self.kill_after_s = 0.0  # for so long clients may still ask of a dispatcher that is to end
+        self.shutdown_begun: dict[str, asyncio.Event] = {}  # set when a dispatcher is sent SIGTERM
+        self.kill_after_s = 0.0  # for which clients may still send requests to a dispatcher after SIGTERM
         self._count = 0
         self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
@@ -79,7 +80,7 @@
         }
 
     async def run(self, rate: float, seconds: float) -> None:
-        """Requests for so long, and then the wait for all that are still open."""
+        """Start open-loop clients at `rate` per second for `seconds`; `finish` waits for the open ones."""
         end = self.clock() + int(seconds * SECOND)
         while self.clock() < end:
             await asyncio.sleep(self.rng.expovariate(rate))
@@ -88,7 +89,7 @@
                 self._spawn(self._run_one(behaviour, self.rng.choice(list(self.addresses.values()))))
 
     async def finish(self) -> None:
-        """Wait for all that are still open; the regulars stop with their next answer."""
+        """Wait for all open clients; the regular ones stop after their next answer."""
         self._stopping = True
         for ending in self.shutdown_begun.values():
             ending.set()
@@ -102,11 +103,11 @@
         task.add_done_callback(self._task_ended)
 
     def _task_ended(self, task: asyncio.Task[None]) -> None:
-        if task.cancelled() or task.exception() is None:  # a fault of the soak itself is kept for `finish`
+        if task.cancelled() or task.exception() is None:  # an exception of the soak itself is kept for `finish`
             self._tasks.discard(task)
 
     def add_dispatcher(self, address: ListenAddress) -> None:
-        """The front gives out connections to this dispatcher from now on."""
+        """Open new connections to this dispatcher from now on, as the front's balancer would."""
         self.addresses[address.name] = address
         if address.name not in self.shutdown_begun:
             for _ in range(REGULAR_CLIENTS):
@@ -114,7 +115,7 @@
         self.shutdown_begun[address.name] = asyncio.Event()
 
     def dispatcher_terminated(self, name: str) -> None:
-        """The dispatcher was sent SIGTERM: its regular clients ask without a pause from now on."""
+        """Record SIGTERM to a dispatcher: its regular clients send requests without a pause from now on."""
         self.shutdown_begun[name].set()
 
     async def _run_regular(self, name: str) -> None:
@@ -141,7 +142,7 @@
 
     @staticmethod
     async def _pause_until_shutdown(ending: asyncio.Event, seconds: float) -> None:
-        """Cut short by the dispatcher's end."""
+        """Pause for so many seconds; the pause ends early if the dispatcher is sent SIGTERM."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(ending.wait(), seconds)
 
@@ -158,7 +159,7 @@
         finally:
             exchange.close()
 
-    # What they do.
+    # The behaviours.
 
     async def _plain(self, exchange: Exchange, address: ListenAddress) -> None:
         await self._request(exchange, address)
@@ -170,14 +171,14 @@
             await asyncio.sleep(self.rng.uniform(0, 1.0))
 
     async def _resting(self, exchange: Exchange, address: ListenAddress) -> None:
-        """Asks again just as the dispatcher may end an idle connection."""
+        """Send a second request at about the time at which the dispatcher may close an idle connection."""
         if await self._request(exchange, address):
             await asyncio.sleep(self.rng.choice((4.95, 4.99, 5.0, 5.01)))
             if not exchange.ended:
                 await self._request(exchange, address)
 
     async def _rests(self, exchange: Exchange, address: ListenAddress) -> None:
-        """Asks once, and again somewhere between its dispatcher's signal to end and the kill."""
+        """Send one request, and a second one at a random time between SIGTERM to the dispatcher and SIGKILL."""
         if not await self._request(exchange, address):
             return
         await self._pause_until_shutdown(self.shutdown_begun[address.name], MAX_REST_S)
@@ -192,7 +193,7 @@
         if exchange.ended:
             self.outcomes["ended unused"] += 1
         else:
-            exchange.used = True  # it has been idle: a close may cross what comes now
+            exchange.used = True  # it has been idle: a close may cross the request on the network
             await self._request(exchange, address)
 
     async def _slow_writer(self, exchange: Exchange, address: ListenAddress) -> None:
@@ -222,7 +223,7 @@
             self.oracle.clients.client_closed(self.clock(), request)
 
     async def _half(self, exchange: Exchange, address: ListenAddress) -> None:
-        """Stops in the middle of its request, and stays."""
+        """Send a part of a request, and keep the connection open."""
         _, data = self._message(self.classes[0])
         exchange.writer.write(data[: self.rng.randrange(1, len(data))])
         await self._wait_until_ended(exchange, address)
@@ -239,7 +240,7 @@
             self.outcomes["never sent away"] += 1
         self.oracle.clients.bad_client_ended(self.clock(), address.name, since)
 
-    # One request.
+    # Sending one request.
 
     def _message(self, request_class: RequestClass, request: str = "") -> tuple[str, bytes]:
         self._count += 1
@@ -260,14 +261,14 @@
         )
 
     async def _request(self, exchange: Exchange, address: ListenAddress, pieces: int = 1) -> bool:
-        """True: the answer was whole, and the connection may be used again."""
+        """Send one request and read its answer, and return whether it was complete and the connection is reusable."""
         request_class = self.rng.choice(self.classes)
         request, data = self._message(request_class)
         size = len(data) // pieces + 1
         for at in range(0, len(data), size):
             if at:
                 await asyncio.sleep(0.05)
-                if exchange.ended:  # it was never written whole, so that nobody has taken it
+                if exchange.ended:  # the request was never written completely, so that no dispatcher has accepted it
                     self.outcomes["ended half-written"] += 1
                     return False
             exchange.writer.write(data[at : at + size])
@@ -278,8 +279,11 @@
     async def _read_answer(
         self, exchange: Exchange, request: str, again: tuple[RequestClass, ListenAddress] | None
     ) -> bool:
-        """True: it was whole, and the connection may be used again. `again`: how the request is sent once more, if its
-        connection was closed before it was read; None: it is not."""
+        """Read an answer, and return whether it was complete and the connection is reusable.
+
+        `again`: the class and the dispatcher with which the request is sent again if its connection was closed before
+        the request was read; None if it is not to be sent again.
+        """
         exchange.expect_response()
         used, exchange.used = exchange.used, True
         status, began = 0, False
@@ -306,13 +310,13 @@
                 return await self._resend(request, *again)
         except TimeoutError:
             self.oracle.clients.answer_missing(
-                self.clock(), request, "a stream stood still for 6 s" if began else "never answered"
+                self.clock(), request, "no data on a started stream for 6 s" if began else "no answer within 30 s"
             )
         self.oracle.clients.client_closed(self.clock(), request)
         return False
 
     async def _resend(self, request: str, request_class: RequestClass, address: ListenAddress) -> bool:
-        """On a new connection, to whichever dispatcher the front gives it."""
+        """Send a request again, on a new connection to a random dispatcher, another one if there is any."""
         addresses = [each for each in self.addresses.values() if each.name != address.name] or list(
             self.addresses.values()
         )
--- a/pearhill/lab/soak/connection.py
+++ b/pearhill/lab/soak/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client to a dispatcher, and where dispatchers listen."""
+"""A client's connection to a dispatcher, and the address at which a dispatcher listens."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ListenAddress:
-    """Where a dispatcher listens now."""
+    """The address at which a dispatcher listens now."""
 
     name: str
     host: str
@@ -19,7 +19,7 @@
 
 
 class ConnectionEndedError(Exception):
-    """The connection ended before the answer was whole."""
+    """The connection ended before the answer was complete."""
 
 
 class Exchange:
@@ -29,32 +29,35 @@
         self.reader, self.writer = reader, writer
         self._machine = ClientConnection()
         self._events: list[Event] = []
-        self.used = False  # it has carried a request
+        self.used = False  # whether it has carried a request
         self.opened_at_s = time.monotonic()
         self.port: int = writer.get_extra_info("sockname")[1]
 
     @classmethod
     async def open(cls, address: ListenAddress) -> Exchange:
-        """Connect within 5 s. OSError or TimeoutError: nobody accepts there."""
+        """Connect within 5 s. Raises OSError or TimeoutError if no dispatcher accepts the connection."""
         return cls(*await asyncio.wait_for(asyncio.open_connection(address.host, address.port), 5))
 
     @property
     def ended(self) -> bool:
-        """Its end is there already: a client sees that, and does not ask on it."""
+        """Whether the end of the connection has been received: a client then sends no request on it."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
     @property
     def description(self) -> str:
-        """For a request's trace: which connection it is, and how old."""
+        """The connection's port, use and age, for the trace of a request."""
         age_ms = (time.monotonic() - self.opened_at_s) * 1000
         return f"port {self.port}, {'used' if self.used else 'unused'}, open for {age_ms:.0f} ms"
 
     def expect_response(self) -> None:
-        """A request is being written: its response comes next."""
+        """Prepare the parser for the response of a request that is being written."""
         self._machine.expect()
 
     async def next_event(self, within_s: float) -> Event:
-        """Closed or TimeoutError: nothing more comes, or not in time."""
+        """Returns the next event of the response.
+
+        Raises ConnectionEndedError if the connection has ended, TimeoutError if no data arrives in time.
+        """
         while not self._events:
             data = await asyncio.wait_for(self.reader.read(1 << 16), within_s)
             self._events = self._machine.feed(data) if data else [Lost("closed")]
@@ -64,6 +67,6 @@
         return event
 
     def close(self) -> None:
-        """End the connection without waiting for what is unsent."""
+        """Abort the connection; unsent data is dropped."""
         self._machine.close()
         self.writer.transport.abort()
--- a/pearhill/lab/soak/connection_flood.py
+++ b/pearhill/lab/soak/connection_flood.py
@@ -1,8 +1,8 @@
-"""A flood of idle connections, which fills a dispatcher's descriptors.
+"""A flood of idle connections, which uses up a dispatcher's file descriptors.
 
-It runs in a process of its own (`python -m pearhill.lab.soak.connection_flood HOST PORT CONNECTIONS`): hundreds of
-connections that are ended and come again would keep the soak's event loop from its discovery agents and replicas, whose
-lateness would then be taken for the dispatchers'."""
+It runs in a process of its own (`python -m pearhill.lab.soak.connection_flood HOST PORT CONNECTIONS`). Hundreds of
+connections that are closed and opened again would delay the discovery agents and replicas in the soak's event loop, and
+those delays would be attributed to the dispatchers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import contextlib
 import sys
 
-RECONNECT_S = 0.1  # after which a client whose connection was ended comes again
+RECONNECT_S = 0.1  # after which a client whose connection was closed connects again
 
 
 class ConnectionFlood:
-    """Clients that connect to one dispatcher, ask for nothing, and come again when their connections are ended."""
+    """Clients that connect to one dispatcher, send nothing, and connect again when their connections are closed."""
 
     def __init__(self, name: str, host: str, port: int, connections: int) -> None:
         self.name = name  # the dispatcher's
@@ -22,18 +22,18 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start the process, and wait until its clients connect. RuntimeError: it ended before."""
+        """Start the process, and wait until its clients connect. Raises RuntimeError if the process ends before."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", __name__, *self._arguments, stdout=asyncio.subprocess.PIPE
         )
         assert self._process.stdout
         if not await self._process.stdout.readline():
-            raise RuntimeError(f"the flood of {self.name} did not start")
+            raise RuntimeError(f"the connection flood of {self.name} exited before its clients connected")
 
     async def stop(self) -> None:
-        """End the process, and all connections with it."""
+        """Kill the process, which closes all its connections."""
         if self._process:
-            with contextlib.suppress(ProcessLookupError):  # it has ended by itself
+            with contextlib.suppress(ProcessLookupError):  # the process has exited already
                 self._process.kill()
             await self._process.wait()
 
--- a/pearhill/lab/soak/discovery_agent.py
+++ b/pearhill/lab/soak/discovery_agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent of one dispatcher: it serves the endpoint list, and may fall silent."""
+"""The discovery agent of one dispatcher. It serves the endpoint list, and stops answering on command."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from pearhill.http1.server import ServerConnection
 from pearhill.lab.soak.oracle import Oracle
 
-POLLED_WITHIN_US = 250_000  # a silent agent is asked each 50 to 100 ms; one that is back has been asked by then
+POLLED_WITHIN_US = 250_000  # dispatchers poll a silent agent every 50 to 100 ms, and so have polled by then
 REQUEST_TARGET = re.compile(r"after=(\d+)(?:&wait_ms=(\d+))?")
 
 
 class DiscoveryAgent:
-    """One dispatcher's discovery agent: it has the list, and may be silent."""
+    """A discovery agent, which serves the endpoint list to one dispatcher unless it is silent."""
 
     def __init__(self, dispatcher: str, oracle: Oracle, clock: Callable[[], int]) -> None:
         self.dispatcher, self.oracle, self.clock = dispatcher, oracle, clock
@@ -25,23 +25,23 @@
         self._changed = asyncio.Condition()
         self._silence_over: asyncio.Event | None = None
         self._unpublished: list[dict[str, object]] = []
-        self._published_at: dict[str, int] = {}  # when each target was last learned
+        self._published_at: dict[str, int] = {}  # when each endpoint was last published
         self._server: asyncio.Server | None = None
         self.address = ""
 
     @property
     def is_silent(self) -> bool:
-        """Whether it answers nothing now."""
+        """Whether the agent leaves all requests unanswered now."""
         return self._silence_over is not None
 
     async def start(self) -> None:
-        """Listen at `address`."""
+        """Start listening, and set `address`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=64)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     async def publish(self, endpoint: dict[str, object]) -> None:
-        """A change. While the agent is silent it learns nothing; what it gets at its return counts at once."""
+        """Publish a changed endpoint; a silent agent publishes it when it answers again."""
         if self._silence_over:
             self._unpublished.append(endpoint)
             return
@@ -56,7 +56,7 @@
         self.oracle.attempts.endpoint_published(self.clock(), self.dispatcher, uid, endpoint["state"] == "active")
 
     async def set_silent(self, on: bool) -> None:
-        """Fall silent, or answer again and publish what changed meanwhile."""
+        """Stop answering, or answer again and publish the endpoints that have changed meanwhile."""
         if on:
             if self._silence_over is None:
                 self._silence_over = asyncio.Event()
@@ -72,7 +72,10 @@
             self._changed.notify_all()
 
     def _retract_latest(self) -> None:
-        """What it learned in the last moment nobody can have asked for: that counts as told at its return."""
+        """Count endpoints that were published within the last `POLLED_WITHIN_US` as not published yet.
+
+        The dispatcher may not have polled them; they are published when the agent answers again.
+        """
         for uid, at in self._published_at.items():
             if self.clock() < at + POLLED_WITHIN_US:
                 self.oracle.attempts.endpoint_retracted(self.dispatcher, uid)
@@ -85,7 +88,7 @@
                 for message in machine.feed(data):
                     if not isinstance(message, RequestMessage):
                         return
-                    if silent := self._silence_over:  # a connection on which an answer was missed stays silent for good
+                    if silent := self._silence_over:  # a connection with an unanswered request is never used again
                         await silent.wait()
                         return
                     writer.write(answer(200, (("Content-Type", "application/json"),), await self._list(message.target)))
@@ -101,11 +104,11 @@
             async with self._changed:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._changed.wait_for(lambda: self.revision > after), wait_s)
-                if self.revision == after:  # a change may have come in the moment in which the wait was over
+                if self.revision == after:  # a change may have been published just when the wait timed out
                     return json.dumps({"rev": self.revision, "all": False, "targets": []}).encode()
         return json.dumps({"rev": self.revision, "all": True, "targets": list(self.endpoints.values())}).encode()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening for connections."""
         if self._server:
             self._server.close()
--- a/pearhill/lab/soak/endings.py
+++ b/pearhill/lab/soak/endings.py
@@ -1,7 +1,7 @@
-"""How dispatchers ended, and which requests that excuses.
+"""How dispatchers' processes ended, and which failed requests such an end excuses.
 
-SIGKILL by itself excuses what is under way then. After SIGTERM it excuses only what arrived within 0.7 s of it. A
-dispatcher that exits by itself excuses nothing."""
+SIGKILL without a SIGTERM before it excuses the requests in flight. SIGKILL after SIGTERM excuses only requests that
+arrived within 0.7 s of SIGTERM. A dispatcher that exits by itself excuses no failed request."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from pearhill.lab.soak.records import RequestRecord, SentRequest
 
 EXCUSED_AFTER_SIGTERM_US = 700_000
-MAX_CROSSING_US = 100_000  # for a close and a request that meet on the way: moments, and not a second
-# The platform's clients open connections until 0.4 s after SIGTERM at the latest and ask at once; from 0.5 s on a
-# dispatcher may end those on which nothing was asked.
+MAX_CROSSING_US = 100_000  # for a close and a request to cross on the network, which takes milliseconds
+# The platform's clients open connections until 0.4 s after SIGTERM at the latest and send a request at once. From 0.5 s
+# after SIGTERM a dispatcher may close connections on which no request has arrived.
 FIRST_REQUESTS_AFTER_SIGTERM_US = 500_000
 
 
 @dataclass(slots=True)
 class ProcessEnd:
-    """One process's end, in microseconds; 0: not so."""
+    """The times of one process's end, in microseconds; 0 if it did not happen."""
 
     terminated: int = 0
     killed: int = 0
-    exited: int = 0  # by itself
+    exited: int = 0  # without SIGKILL
 
 
 class ProcessEnds:
-    """The ends of each dispatcher's processes, in their order. Times are microseconds."""
+    """The ends of each dispatcher's processes, in order of time. Times are in microseconds."""
 
     def __init__(self) -> None:
         self._by_dispatcher: dict[str, list[ProcessEnd]] = {}
 
     def terminated(self, at: int, dispatcher: str) -> None:
-        """The running process was sent SIGTERM; a second one changes nothing."""
+        """Record that the running process was sent SIGTERM; a second SIGTERM has no effect."""
         last = self.last(dispatcher)
         if last is None or last.killed or not last.terminated:
             self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(terminated=at))
 
     def killed(self, at: int, dispatcher: str) -> None:
-        """The running process was sent SIGKILL."""
+        """Record that the running process was sent SIGKILL."""
         last = self.last(dispatcher)
         if last and last.terminated and not last.killed:
             last.killed = at
@@ -46,19 +46,24 @@
             self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(killed=at))
 
     def exited(self, at: int, dispatcher: str) -> None:
-        """It ended by itself: a later signal is another process's."""
+        """Record that the process exited by itself: a later signal is for the dispatcher's next process."""
         if last := self.last(dispatcher):
             last.exited = at
         self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd())
 
     def last(self, dispatcher: str) -> ProcessEnd | None:
-        """The end of the last process that was told to end; empty once it has exited by itself, None before any."""
+        """Returns the end of the last process that was sent a signal.
+
+        It is empty once that process has exited by itself, and None before the first signal.
+        """
         endings = self._by_dispatcher.get(dispatcher)
         return endings[-1] if endings else None
 
     def first_request_was_late(self, sent: SentRequest) -> bool:
-        """Whether a connection's first request was written when its dispatcher was ending, and later than any client of
-        the platform writes one: this machine kept its client back."""
+        """Returns whether a first request was sent to a dispatcher that shuts down, later than a client may send it.
+
+        A client of the platform does not send its first request that late: this machine has delayed the client.
+        """
         for ending in self._by_dispatcher.get(sent.dispatcher, ()):
             over = ending.killed or ending.exited
             still_there = not over or sent.at <= over + MAX_CROSSING_US
@@ -67,11 +72,11 @@
         return False
 
     def excuses(self, request: RequestRecord, at: int) -> bool:
-        """Whether a kill excuses what became of the request by `at`."""
+        """Returns whether a SIGKILL excuses the outcome of the request at `at`."""
         return self._excuses(request.sent[-1], at)
 
     def excuses_any(self, request: RequestRecord, at: int) -> bool:
-        """The same for what any dispatcher that was asked may have left behind."""
+        """Returns whether a SIGKILL of any dispatcher that received the request excuses its state at `at`."""
         return any(self._excuses(sent, at) for sent in request.sent)
 
     def _excuses(self, sent: SentRequest, at: int) -> bool:
--- a/pearhill/lab/soak/fault_injection.py
+++ b/pearhill/lab/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Brings a plan's faults about: signals, restarts, cuts, silence, floods and failing system calls."""
+"""Injects a plan's faults: signals, restarts, cut networks, silent agents, floods and failing system calls."""
 
 from __future__ import annotations
 
@@ -23,19 +23,22 @@
 from pearhill.lab.soak.records import SECOND
 from pearhill.lab.soak.replicas import Replica
 
-NEW_CONNECTIONS_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
+NEW_CONNECTIONS_S = (0.2, 0.4)  # for which clients still open connections to a dispatcher after SIGTERM
 BETWEEN_SIGNALS_S = 0.05
-REPLACED_REPLICAS = 3  # while a crowd fills the descriptors
+REPLACED_REPLICAS = 3  # during a flood that uses up the file descriptors
 
 
 class FaultInjector:
-    """Faults overlap; a dispatcher that is being restarted is left alone by others. `injected`: a line for each."""
+    """Injects faults, which may overlap; no other fault restarts a dispatcher that is being restarted.
+
+    `injected`: a line for each fault that has begun.
+    """
 
     def __init__(self, fleet: SoakFleet, rng: random.Random) -> None:
         self.injected: list[str] = []
         self._fleet = fleet
         self._rng = rng
-        self._wall_offset_us = 0  # the step of everybody's wall clock
+        self._wall_offset_us = 0  # the sum of all steps of the wall clock, which all machines share
         self._busy: set[str] = set()  # dispatchers that are being restarted
         self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "terminate": self._terminate,
@@ -56,7 +59,7 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, bring it about, and wait until it is over."""
+        """Wait for the fault's time, inject it, and wait until it is over."""
         await asyncio.sleep(fault.at_s)
         self.injected.append(
             f"{fault.at_s:.3f} {fault.kind} {fault.variant} {fault.amount} for {fault.duration_s:.3f} s, "
@@ -85,7 +88,10 @@
         await self._restart(dispatcher)
 
     async def shut_down(self, dispatcher: Dispatcher, others: Sequence[SignalAt] = ()) -> None:
-        """Send SIGTERM, with the signals that follow it, and wait for the process's end; new connections cease soon."""
+        """Send SIGTERM and the signals that follow it, and wait for the process's end.
+
+        The dispatcher gets new connections for a short time after SIGTERM, `NEW_CONNECTIONS_S`.
+        """
         ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, others))
         self._fleet.clients.dispatcher_terminated(dispatcher.name)
         await asyncio.sleep(self._rng.uniform(*NEW_CONNECTIONS_S))
@@ -93,7 +99,7 @@
         await ended
 
     def _signals_after_sigterm(self, how: str) -> list[SignalAt]:
-        """What follows a SIGTERM."""
+        """Returns the signals that follow a SIGTERM in the series `how`."""
         numbers = {
             "plain": [],
             "twice": [signal.SIGTERM],
@@ -105,7 +111,7 @@
         return [SignalAt(number, self._rng.uniform(0, 0.3)) for number in numbers]
 
     async def _hang_and_terminate(self, fault: Fault) -> None:
-        """A restart while all replicas of one role hang, also those that the last process has asked."""
+        """Restart a dispatcher while all replicas of one role hang, including those that the old process has called."""
         chosen = self._pick_replica(fault)
         hanging = [r for r in self._fleet.replicas if r.role == chosen.role]
         for replica in hanging:
@@ -127,7 +133,10 @@
         self._busy.discard(dispatcher.name)
 
     async def _reload(self, fault: Fault) -> None:
-        """In quick succession, for all that run; sometimes a SIGTERM in the midst, or a report."""
+        """Reload all running dispatchers in quick succession.
+
+        Every second turn also sends SIGUSR1. Half of the faults end with a SIGTERM to one dispatcher.
+        """
         for turn in range(int(fault.amount)):
             for dispatcher in self._fleet.dispatchers:
                 if dispatcher.name not in self._busy:
@@ -149,7 +158,10 @@
             dispatcher.signal(signal.SIGCONT)
 
     async def _wall(self, fault: Fault) -> None:
-        """Every machine reads the same clock. A moment later a replica comes back cold."""
+        """Step the wall clock of all machines, and restart a replica shortly after.
+
+        The restarted replica states its start in the time of the stepped clock.
+        """
         self._wall_offset_us += int(fault.amount * SECOND)
         for dispatcher in self._fleet.dispatchers:
             dispatcher.command(f"wall {fault.amount}", lasting=True)
@@ -175,7 +187,7 @@
             await agent.publish(replica.endpoint())
 
     async def _cut(self, fault: Fault) -> None:
-        """A zone's replicas of one role fall silent."""
+        """Cut the network to the replicas of one role in one zone."""
         chosen = self._pick_replica(fault)
         cut = [r for r in self._fleet.replicas if r.role == chosen.role and r.zone == chosen.zone]
         for replica in cut:
@@ -193,7 +205,7 @@
         replica.misbehaving_share = 0.0
 
     async def _silence_agents(self, fault: Fault) -> None:
-        """Discovery is down for all. A replica begins to leave within a moment of its return."""
+        """Silence the discovery agents of all dispatchers, and drain a replica shortly after they answer again."""
         for agent in self._fleet.agents:
             await agent.set_silent(True)
         await asyncio.sleep(fault.duration_s)
@@ -231,7 +243,7 @@
             dispatcher.command("pieces 0")
 
     async def _meet_crowd(self, flooded: set[str], fault: Fault) -> None:
-        """What happens while the descriptors of these dispatchers are full."""
+        """Do what the fault's variant names while a flood uses up the file descriptors of these dispatchers."""
         if fault.variant == DISCOVERY_IS_DOWN:
             await self._silence_agents(fault)
         elif fault.variant == REPLICAS_ARE_REPLACED:
@@ -249,7 +261,7 @@
             await asyncio.sleep(fault.duration_s / REPLACED_REPLICAS)
 
     async def _flood(self, fault: Fault) -> None:
-        """Idle clients fill the descriptors of some."""
+        """Flood a third of the dispatchers with idle connections, which use up their file descriptors."""
         addresses = list(self._fleet.clients.addresses.values())
         self._rng.shuffle(addresses)
         chosen = addresses[: max(1, len(addresses) // 3)]
--- a/pearhill/lab/soak/fleet.py
+++ b/pearhill/lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""What one play runs: the oracle, the clients, replicas, discovery agents and dispatchers."""
+"""The components of one run of the soak: the oracle, the clients, replicas, discovery agents and dispatchers."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def monotonic_us() -> int:
-    """The soak's clock, in microseconds."""
+    """Returns the time of the soak's monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 @dataclass(slots=True)
 class SoakFleet:
-    """`kill_after_s`: from a dispatcher's SIGTERM to its SIGKILL."""
+    """The components of one run. `kill_after_s`: the time from a dispatcher's SIGTERM to its SIGKILL."""
 
     oracle: Oracle
     lateness: Lateness
@@ -31,6 +31,6 @@
     dispatchers: list[Dispatcher] = field(default_factory=list)
 
     def add_to_front(self, dispatcher: Dispatcher) -> None:
-        """Give new clients' connections to this dispatcher, too."""
+        """Let new clients connect to this dispatcher, too."""
         if dispatcher.address:
             self.clients.add_dispatcher(dispatcher.address)
--- a/pearhill/lab/soak/held_states.py
+++ b/pearhill/lab/soak/held_states.py
@@ -1,4 +1,4 @@
-"""The states of prompts that prefill replicas hold, and how long they may. Times are microseconds."""
+"""The prompt states that prefill replicas hold, and the limit on how long they hold them. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class HeldStates:
-    """Who holds what, and what is held too long while no attempt is out for it."""
+    """Records the held states, and reports those that are held too long while no attempt for them is in flight."""
 
     def __init__(self, state: OracleState) -> None:
         self._state = state
 
     def prefilled(self, at: int, request: str, replica: str) -> None:
-        """A reader has read the prompt and holds its state."""
+        """Record that a prefill replica has processed the prompt and holds its state."""
         if record := self._state.requests.get(request):
             record.held = HeldState(replica, at)
             self._state.exposure["states held"] += 1
             record.note(at, f"held at {replica}")
 
     def release_arrived(self, at: int, request: str, replica: str) -> None:
-        """A DELETE has arrived. It lets go of nothing while an attempt waits for the state."""
+        """Record that a DELETE has arrived. The replica keeps the state while an attempt for it is in flight."""
         record = self._state.requests.get(request)
         if record:
             record.note(at, f"release at {replica}")
@@ -30,7 +30,7 @@
             record.held = None
 
     def fetched(self, request: str) -> bool:
-        """A writer's first event: the state is gone. False: there was none."""
+        """Record that a decode replica has fetched the state, which ends the hold. Returns False if there was none."""
         record = self._state.requests.get(request)
         if record is None or record.held is None:
             return False
@@ -38,12 +38,12 @@
         return True
 
     def exists(self, request: str) -> bool:
-        """Whether a prefill replica holds a state for the request."""
+        """Returns whether a prefill replica holds a state for the request."""
         record = self._state.requests.get(request)
         return record is not None and record.held is not None
 
     def replica_restarted(self, replica: str) -> None:
-        """What the replica held went with its process."""
+        """Drop the states that the replica held; they were lost with its process."""
         for record in self._state.requests.values():
             if record.held and record.held.replica == replica:
                 record.held = None
@@ -53,7 +53,7 @@
         return any(a.writes_answer and not a.ended for a in record.attempts)
 
     def scan(self, at: int) -> None:
-        """Report what is held too long while no attempt is out for it."""
+        """Report states that are held too long while no attempt for them is in flight."""
         limit = self._state.limits.release_within + MAX_RELEASE_DELAY_US
         for request, record in self._state.requests.items():
             held = record.held
@@ -69,8 +69,8 @@
             ):
                 continue
             excess = at - held.since - limit
-            if excess <= self._state.lateness.between(held.since, at):  # looked at again: it may be let go of by then
+            if excess <= self._state.lateness.between(held.since, at):  # may be released by the next scan
                 continue
             held.reported = True
-            detail = f"held at {held.replica} for {(at - held.since) // 1000} ms with no attempt out"
+            detail = f"held at {held.replica} for {(at - held.since) // 1000} ms with no attempt in flight"
             self._state.add_violation(at, "pinned", request, detail)
--- a/pearhill/lab/soak/lateness.py
+++ b/pearhill/lab/soak/lateness.py
@@ -1,8 +1,8 @@
-"""How late this machine ran, and when: what the soak's limits are widened by, instead of a constant.
+"""Measures how late this machine ran, and when. The soak adds this lateness to its limits, instead of a constant.
 
-Two sources: the soak's own event loop, in which clients, replicas and proxies note their times, and a probe in a
-process of its own (`python -m pearhill.lab.soak.lateness`), which is as late as any dispatcher may be kept from its
-core."""
+There are two sources: the soak's event loop, in which clients, replicas and proxies record their times, and a probe in
+a process of its own (`python -m pearhill.lab.soak.lateness`), which the scheduler may delay as it delays a
+dispatcher."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 
 PROBE_INTERVAL_S = 0.01
-MIN_LATENESS_US = 3_000  # microseconds; less is how timers are
-MARGIN_US = 50_000  # a span counts for what happened so long before or after it
+MIN_LATENESS_US = 3_000  # a smaller lateness is within the usual precision of timers
+MARGIN_US = 50_000  # a span also counts for events up to this long before or after it
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """One sleep that ended late, by `late`; a stop counts with its whole length. Microseconds."""
+    """A sleep that ended late by `late`; a stopped process counts with the length of its stop. In microseconds."""
 
     since: int
     until: int
@@ -27,7 +27,7 @@
 
 
 class Lateness:
-    """Spans in which something ran late, in microseconds of the soak's clock. `base` is always granted."""
+    """Spans of lateness, in microseconds of the soak's clock. `base` is added to every limit."""
 
     def __init__(self, clock: Callable[[], int], base: int = 20_000) -> None:
         self.clock, self.base = clock, base
@@ -36,8 +36,11 @@
         self.stops: list[Span] = []  # dispatchers that were stopped on purpose
 
     def between(self, since: int, until: int) -> int:
-        """What may be added to a limit for something that began and was seen then: all that each source was late by.
-        What passes proxies takes several turns of the loop, and each may be late."""
+        """Returns what to add to a limit for an event that began at `since` and was observed at `until`.
+
+        It is the sum of all latenesses of all sources: data that passes the proxies takes several turns of the event
+        loop, and each of them may be late.
+        """
         return self.base + sum(self._sum(spans, since, until) for spans in (self.loop, self.probe, self.stops))
 
     @staticmethod
@@ -46,7 +49,7 @@
 
     @property
     def worst(self) -> int:
-        """By how much the latest sleep was late, in microseconds."""
+        """The largest lateness of a sleep, in microseconds."""
         return max((span.late for span in (*self.loop, *self.probe)), default=0)
 
     async def watch_loop(self) -> None:
@@ -57,7 +60,7 @@
             record_sleep(self.loop, before, self.clock())
 
     async def watch_probe(self) -> None:
-        """Record how late a process of its own runs, until cancelled; the process ends with this."""
+        """Record how late the probe process runs, until cancelled; then kill the process."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pearhill.lab.soak.lateness", stdout=asyncio.subprocess.PIPE
         )
@@ -72,14 +75,14 @@
 
 
 def record_sleep(spans: list[Span], since: int, until: int) -> None:
-    """A sleep of `PROBE_INTERVAL_S` began and ended then."""
+    """Record a sleep of `PROBE_INTERVAL_S` that began at `since` and ended at `until`, if it was late."""
     late = until - since - int(PROBE_INTERVAL_S * 1e6)
     if late >= MIN_LATENESS_US:
         spans.append(Span(since, until, late))
 
 
 def main() -> None:
-    """Tells each late sleep: when it began and ended, in microseconds of the monotonic clock, which processes share."""
+    """Print when each late sleep began and ended, in microseconds of the monotonic clock, which all processes share."""
     while True:
         before = time.monotonic_ns() // 1000
         time.sleep(PROBE_INTERVAL_S)
--- a/pearhill/lab/soak/oracle.py
+++ b/pearhill/lab/soak/oracle.py
@@ -1,7 +1,7 @@
-"""The rules of the platform as an oracle over what clients, replicas and agents saw. Free of I/O.
+"""Checks what clients, replicas and agents observed against the rules of the platform. It performs no I/O.
 
-Times are passed in: microseconds of one monotonic clock, that of the soak's own process. A limit that was passed is a
-violation unless this machine is known to have run that late just then (`Lateness`).
+Times are arguments, in microseconds of the monotonic clock of the soak's process. An exceeded limit is a violation
+unless the machine is known to have run at least that late at that time (`Lateness`).
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 class Oracle:
-    """The rules, each part with what it is told: `clients`, `attempts` and `held_states`; here, the faults injected."""
+    """The oracle. Its parts `clients`, `attempts` and `held_states` get observations and check the rules for them.
+
+    Its own methods record injected faults and the ends of processes.
+    """
 
     def __init__(self, limits: PlatformLimits, lateness: Lateness | None = None) -> None:
         self.state = OracleState(limits, lateness or Lateness(lambda: 0))
@@ -26,48 +29,48 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """The rules that were broken, as far as no lateness of this machine explains it."""
+        """The broken rules, without those that the lateness of this machine explains."""
         return self.state.violations
 
     def count(self, exposure: str) -> None:
-        """One more occasion on which rules could have been broken."""
+        """Count an occasion on which rules could have been broken."""
         self.state.exposure[exposure] += 1
 
     def scan(self, at: int) -> None:
-        """Look for what is held too long while no attempt is out for it, and for ends that were not passed on."""
+        """Check for states that are held too long and for ends of streams that were not forwarded."""
         self.held_states.scan(at)
         self.clients.scan(at)
 
     def replica_cut_off(self, at: int, replica: str, on: bool) -> None:
-        """Nothing reaches the replica from now on, or (not `on`) everything does again."""
+        """Record that the network to the replica is cut from now on, or, if `on` is False, restored."""
         self.state.unreachable.mark(at, replica, on)
 
     def system_calls_fail(self, at: int, dispatcher: str, on: bool) -> None:
-        """Reads and writes on the dispatcher's connections to replicas break them."""
+        """Record that system calls of the dispatcher break its connections from now on, or no longer."""
         self.state.failing.mark(at, dispatcher, on)
 
     def dispatcher_flooded(self, at: int, dispatcher: str, on: bool) -> None:
-        """Idle connections fill the dispatcher's descriptors from now on, or no longer do."""
+        """Record that idle connections use up the dispatcher's file descriptors from now on, or no longer."""
         self.state.flooded.mark(at, dispatcher, on)
 
     def client_connection_broken(self, dispatcher: str, port: int) -> None:
-        """The system broke the dispatcher's connection to this client."""
+        """Record that a failed system call broke the dispatcher's connection to this client."""
         self.state.broken_clients.add((dispatcher, port))
 
     def terminated(self, at: int, dispatcher: str) -> None:
-        """The dispatcher's process was sent SIGTERM."""
+        """Record that the dispatcher's process was sent SIGTERM."""
         self.state.process_ends.terminated(at, dispatcher)
         self._note_for_open_requests(at, dispatcher, "SIGTERM")
         self.state.exposure["under way at a SIGTERM"] += self._under_way(dispatcher)
 
     def killed(self, at: int, dispatcher: str) -> None:
-        """The dispatcher's process was sent SIGKILL."""
+        """Record that the dispatcher's process was sent SIGKILL."""
         self.state.process_ends.killed(at, dispatcher)
         self.count("processes that were killed")
         self.state.exposure["under way at a kill"] += self._under_way(dispatcher)
 
     def exited(self, at: int, dispatcher: str) -> None:
-        """The dispatcher's process ended by itself after SIGTERM."""
+        """Record that the dispatcher's process exited by itself after SIGTERM."""
         self.state.process_ends.exited(at, dispatcher)
         self._note_for_open_requests(at, dispatcher, "exit")
         self.count("processes that ended by themselves")
@@ -82,5 +85,5 @@
         return sum(self.state.requests[request].dispatcher == dispatcher for request in self.state.open_requests)
 
     def process_fault(self, at: int, dispatcher: str, detail: str) -> None:
-        """The dispatcher logged a fault, or ended as it must not."""
+        """Report that the dispatcher logged a fault, or that its process exited unexpectedly."""
         self.state.add_violation(at, "process", dispatcher, detail)
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed stands for: settings, a fleet, and a time line of faults that overlap."""
+"""Draws the plan of a run from a seed: settings, a fleet, and a time line of faults that may overlap."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from pearhill.lab.soak.slow_start import PlatformLimits
 
 ZONES = ("north", "south")
-FEW_SOCKETS, MANY_SOCKETS = 160, 512  # limits of a dispatcher; few where a crowd is to fill them
-FLOOD_CONNECTIONS = 80  # idle clients, more than fit
-REGULAR_RATE = 5.0  # requests a second of all regulars of a dispatcher, roughly
+FEW_SOCKETS, MANY_SOCKETS = 160, 512  # limits of a dispatcher; few if the plan has a flood that is to use them up
+FLOOD_CONNECTIONS = 80  # idle connections, more than the limit admits
+REGULAR_RATE = 5.0  # approximate requests per second of all regular clients of a dispatcher
 FAULT_KINDS = (
     "terminate",
     "kill",
@@ -32,7 +32,7 @@
     "crowd",
     "hang-and-terminate",
 )
-# The likelier ones: ends, and what meets them.
+# Faults that are drawn more often: shutdowns, and faults that coincide with them.
 FAULT_WEIGHTS = {"terminate": 4, "hang-and-terminate": 2, "misbehave": 3, "reload": 2}
 CALL_ERRORS = (
     ("accept", "ECONNABORTED"),
@@ -57,9 +57,9 @@
     "send-server",
     "recv-client",
     "send-client",
-)  # a connection that fails so is over
-SERIES = ("plain", "twice", "reload", "report", "all", "list")  # what comes with a SIGTERM
-# What happens while a crowd of idle clients fills the descriptors.
+)  # a connection is lost after such a failure
+SERIES = ("plain", "twice", "reload", "report", "all", "list")  # the series of signals or events around a SIGTERM
+# What happens while a flood of idle connections uses up the file descriptors.
 ALONE, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN = "", "discovery is down", "replicas are replaced", "shutdown"
 CROWD_OCCASIONS = (ALONE, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN)
 LONG_MS, SHORT_MS = (1500, 2000, 3000, 4000), (250, 400, 600, 1000)
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`at_s` counts from the first request; `pick` chooses whom it meets."""
+    """A fault to inject. `at_s` counts from the start of the load; `pick`, 0 to 1, chooses the affected process."""
 
     kind: str
     at_s: float
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What one play consists of. `rate`: requests a second beside the regular clients; `seconds`: of load."""
+    """The plan of one run. `rate`: requests per second of open-loop clients; `seconds`: the length of the load."""
 
     seed: int
     seconds: float
@@ -93,11 +93,11 @@
     classes: list[RequestClass]
     rules: PlatformLimits
     faults: list[Fault]
-    sockets: int  # of each dispatcher
+    sockets: int  # limit of each dispatcher
 
     @property
     def longest_timeout_s(self) -> float:
-        """The longest deadline of the settings."""
+        """The longest deadline of the request classes."""
         return max(each.ttl_ms for each in self.classes) / 1000
 
 
@@ -175,14 +175,14 @@
 
 
 def _failing_calls(rng: random.Random) -> str:
-    """One kind, or two at once: CALL ERRNO SHARE, divided by commas."""
+    """Returns one or two kinds of failing calls, each as CALL ERRNO SHARE, separated by commas."""
     chosen = rng.sample(CALL_ERRORS, rng.choice((1, 2)))
     shares = [rng.choice((0.01, 0.03) if call in CONNECTION_BREAKING_CALLS else (0.3, 0.8)) for call, _ in chosen]
     return ",".join(f"{call} {error} {share}" for (call, error), share in zip(chosen, shares, strict=True))
 
 
 def draw(seed: int, seconds: float = 12.0, dispatchers: int = 10) -> Plan:
-    """The plan of a seed: the same settings, fleet and faults every time."""
+    """Returns the plan of a seed: the same settings, fleet and faults every time."""
     rng = random.Random(seed)
     times = rng.choice((LONG_MS, SHORT_MS))
     classes = [
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""Dispatchers as processes under the shim: their start, commands, signals, logs and end."""
+"""Dispatcher processes that run under the shim: their start, commands, signals, logs and end."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SignalAt:
-    """A signal, so long after the one before it."""
+    """A signal to send `after_s` after the signal before it."""
 
     number: signal.Signals
     after_s: float
 
 
 class Dispatcher:
-    """One dispatcher: its name and configuration stay through restarts, its process and port do not."""
+    """One dispatcher. Its name and configuration stay the same after a restart, its process and port change."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self.address: ListenAddress | None = None
         self.starts = 0
         self.shutting_down = False
-        self.commands: list[str] = []  # given to each new process too
+        self.commands: list[str] = []  # sent to each new process too
         self._listening = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
         self._follower: asyncio.Task[None] | None = None
@@ -76,7 +76,7 @@
         )
 
     async def start(self) -> None:
-        """Start a process and wait until it listens. TimeoutError: it does not within 30 s."""
+        """Start a process and wait until it listens. Raises TimeoutError if it does not listen within 30 s."""
         self.starts += 1
         self.shutting_down = False
         self.write_config()
@@ -114,20 +114,20 @@
             if code not in (0, -signal.SIGKILL):
                 self.oracle.process_fault(self.clock(), self.name, f"exit code {code} after SIGTERM")
         else:
-            self.oracle.process_fault(self.clock(), self.name, f"ended by itself with exit code {code}")
+            self.oracle.process_fault(self.clock(), self.name, f"exited without SIGTERM or SIGKILL, exit code {code}")
 
     def _send_command(self, line: str) -> None:
         if self.process and self.process.stdin and self.process.returncode is None:
             self.process.stdin.write(line.encode() + b"\n")
 
     def command(self, line: str, lasting: bool = False) -> None:
-        """A line to the shim. `lasting`: processes started later get it too."""
+        """Send a command line to the shim. `lasting`: it is also sent to processes that are started later."""
         if lasting:
             self.commands.append(line)
         self._send_command(line)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal to the process, if it still runs."""
         if self.process:
             _send_signal(self.process, number)
 
@@ -138,7 +138,10 @@
         self.signal(signal.SIGHUP)
 
     async def terminate(self, within_s: float, others: Sequence[SignalAt] = ()) -> bool:
-        """SIGTERM, and SIGKILL after so long. `others`: signals that come meanwhile. True: it ended by itself."""
+        """Send SIGTERM, and SIGKILL if the process still runs after `within_s`.
+
+        `others`: signals to send in the meantime. Returns True if the process exited before SIGKILL.
+        """
         process = self.process
         assert process
         self.shutting_down = True
@@ -151,7 +154,7 @@
             return True
         except TimeoutError:
             self.oracle.killed(self.clock(), self.name)
-            with contextlib.suppress(ProcessLookupError):  # it has ended in this very moment: too late all the same
+            with contextlib.suppress(ProcessLookupError):  # it has exited just now, which is too late as well
                 process.kill()
             await process.wait()
             return False
@@ -160,7 +163,7 @@
             await self._wait_for_follower()
 
     async def _wait_for_follower(self) -> None:
-        """Its last lines are read, and its exit code, before another process takes its name."""
+        """Wait until the process's last log lines and exit code are read, before the next process is started."""
         if self._follower:
             await self._follower
 
@@ -170,7 +173,7 @@
             _send_signal(process, each.number)
 
     async def kill(self) -> None:
-        """SIGKILL, if the process still runs, and wait for its end."""
+        """Send SIGKILL if the process still runs, and wait for its end."""
         process = self.process
         if process and process.returncode is None:
             self.shutting_down = True
@@ -183,7 +186,8 @@
 def _send_signal(process: asyncio.subprocess.Process, number: int) -> None:
     """Send a signal, if the process still runs.
 
-    `Process.send_signal` looks first whether it has ended, and takes its exit code from the loop, which then has 255.
+    `Process.send_signal` is not used: it polls the process first and may reap it, so that the event loop finds no exit
+    code and reports 255.
     """
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
--- a/pearhill/lab/soak/proxy.py
+++ b/pearhill/lab/soak/proxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy before one replica: it passes bytes on, delays them, falls silent, or resets what passes.
+"""A TCP proxy in front of one replica. It forwards bytes, delays them, blocks them, or resets connections.
 
-On raw sockets, so that what a replica does arrives as it was done: bytes and the reset right behind them go on
-together."""
+It uses raw sockets, so that bytes and a reset that directly follows them are forwarded together, as the replica sent
+them."""
 
 from __future__ import annotations
 
@@ -22,46 +22,52 @@
 
 
 class InputEnd(enum.Enum):
-    """What stands behind the bytes that were read."""
+    """How the input goes on after the bytes that were read: it stays open, was closed, or was reset."""
 
     NONE, CLOSED, RESET = range(3)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """All that was there to read."""
+    """The bytes that were available to read, and what followed them."""
 
     data: bytes
     end: InputEnd
 
 
 class ProxiedConnection:
-    """One connection on both sides of the proxy. It is closed by the task that serves it, and by nobody else: a socket
-    that is closed while the loop still polls it may hand its number to another."""
+    """A connection's two sockets, `outer` to the dispatcher and `inner` to the replica.
+
+    Only the task that serves the connection closes it: if a socket is closed while the event loop still polls it, its
+    descriptor may be reused for another socket.
+    """
 
     def __init__(self, outer: socket.socket, inner: socket.socket) -> None:
         self.outer, self.inner = outer, inner
-        self.request = ""  # the last one that passed
+        self.request = ""  # the id of the last request that was forwarded
         self.directions: list[asyncio.Task[None]] = []
 
     def end_with_reset(self) -> None:
-        """Reset both sides."""
+        """Make both sockets reset at their close, and cancel the forwarding."""
         for sock in (self.outer, self.inner):
             reset_at_close(sock)
         for way in self.directions:
             way.cancel()
 
     def close(self) -> None:
-        """Close both sides; its own task alone may call this."""
+        """Close both sockets; only the task that serves the connection may call this."""
         for sock in (self.outer, self.inner):
             with contextlib.suppress(OSError):
                 sock.close()
 
 
 class Proxy:
-    """`silent`: nothing passes, connections stay open and come up; what was held back is reset when it ends.
-    `reset_share`: of the pieces that are followed by a reset, or lost to one. `on_reset` is told the last request that
-    passed on a connection which the proxy itself resets."""
+    """A proxy for one replica.
+
+    `silent`: nothing is forwarded, open connections stay open and new ones are accepted; the connections that were held
+    back are reset when the silence ends. `reset_share`: the share of reads whose data is followed or replaced by a
+    reset. `on_reset` is called with the id of the last request on a connection that the proxy itself resets.
+    """
 
     def __init__(self, port: int, seed: int, on_reset: Callable[[str], None]) -> None:
         self.port, self.rng, self.on_reset = port, random.Random(seed), on_reset
@@ -71,12 +77,12 @@
         self._loop = asyncio.get_running_loop()
         self._healed = asyncio.Event()
         self._stale: set[ProxiedConnection] = set()
-        self._unpaired: set[socket.socket] = set()  # came up while the proxy was silent
+        self._unpaired: set[socket.socket] = set()  # accepted while the proxy was silent
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = socket.create_server(("127.0.0.1", 0), backlog=1024)
 
     async def start(self) -> None:
-        """Accept connections from now on, at `address`."""
+        """Set `address`, and accept connections there from now on."""
         self._server.setblocking(False)
         host, port = self._server.getsockname()
         self.address = f"{host}:{port}"
@@ -100,7 +106,7 @@
             self._spawn(self._serve(outer))
 
     def cut(self, on: bool) -> None:
-        """Fall silent, or pass bytes again. Connections that were open through a cut are reset at its end."""
+        """Stop forwarding, or forward again and reset the connections that were held back or accepted meanwhile."""
         self.silent = on
         if on:
             return
@@ -140,7 +146,7 @@
             pair.close()
 
     async def _forward(self, pair: ProxiedConnection, source: socket.socket, to: socket.socket) -> None:
-        """One way, until its end or its reset, which is passed on right behind the last bytes."""
+        """Forward one direction until it is closed or reset; a reset is forwarded directly after the last bytes."""
         with contextlib.suppress(OSError):
             while True:
                 taken = await self._read_available(source)
@@ -153,7 +159,7 @@
                 resets = taken.data and self.rng.random() < self.reset_share
                 if taken.data and not (
                     resets and self.rng.random() < 0.5
-                ):  # a reset behind the bytes, or in their place
+                ):  # the reset follows the bytes or replaces them
                     await asyncio.sleep(self.rng.random() * self.delay_s)
                     await self._loop.sock_sendall(to, taken.data)
                 if resets:
@@ -180,20 +186,20 @@
         pair.end_with_reset()
 
     def close(self) -> None:
-        """Stop accepting and end all tasks."""
+        """Stop accepting connections, and cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         self._server.close()
 
 
 def reset_at_close(sock: socket.socket) -> None:
-    """Once it is closed, its connection ends with RST."""
+    """Set the socket's linger option, so that its connection ends with RST when it is closed."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a stream's connection with RST."""
+    """Abort a stream's connection with RST."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
--- a/pearhill/lab/soak/records.py
+++ b/pearhill/lab/soak/records.py
@@ -1,4 +1,4 @@
-"""What the oracle keeps of each request: who was asked, what arrived where, what was written and what was read."""
+"""The oracle's records of requests: where each was sent, where its attempts arrived, and the data written and read."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """`excess`: by how many microseconds a limit was passed; None: no lateness of a machine explains it. `since`: from
-    when on a lateness would count."""
+    """A broken rule.
+
+    `excess`: by how many microseconds a limit was exceeded, or None if lateness of the machine cannot explain the
+    violation. `since`: the time from which on lateness counts.
+    """
 
     at: int
     rule: str
@@ -23,23 +26,23 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One request that arrived whole at a replica."""
+    """A request that has arrived completely at a replica."""
 
     replica: str
     at: int
-    writes_answer: bool  # the replica writes the answer; a reader's run has no effect
+    writes_answer: bool  # the replica writes the answer; a prefill alone has no effect
     ended: int = 0
     may_have_executed: bool = True
     closed_by_dispatcher: bool = False
-    written: bytearray = field(default_factory=bytearray)  # whole events of its stream
-    written_at: int = 0  # the last of them
-    finished: bool = False  # the last chunk too
-    broken_at: int = 0  # the replica, or the network, ended its connection before that, or spoilt its stream
+    written: bytearray = field(default_factory=bytearray)  # complete events of its stream
+    written_at: int = 0  # when the last of them was written
+    finished: bool = False  # whether the last chunk was written
+    broken_at: int = 0  # when the replica or the network ended the connection before that, or corrupted the stream
 
 
 @dataclass(slots=True)
 class HeldState:
-    """A state that waits at a reader; `since`: the last moment at which an attempt was out for it."""
+    """A state that a prefill replica holds; `since`: the last time at which an attempt for it was in flight."""
 
     replica: str
     since: int
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """One writing of a request to a dispatcher: its last byte."""
+    """One transmission of a request to a dispatcher; `at`: when its last byte was written."""
 
     dispatcher: str
     at: int
@@ -56,39 +59,39 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request of a client, known by its id; sent once more, it is the same one."""
+    """One request of a client, identified by its id. A request that is sent again is the same request."""
 
     idempotency: str
     idempotency_window: int
     timeout: int
     sent: list[SentRequest]
-    closed: int = 0  # its client has gone
-    answered: int = 0  # the final answer's first byte
+    closed: int = 0  # when its client closed the connection
+    answered: int = 0  # when the first byte of the final answer arrived
     status: int = 0
-    ended: int = 0  # nothing more of an answer comes: it was whole, it broke, or the client has gone
+    ended: int = 0  # when the answer was complete or broken off, or the client closed the connection
     late_end_reported: bool = False
-    received: bytearray = field(default_factory=bytearray)  # of a stream
+    received: bytearray = field(default_factory=bytearray)  # the bytes of its stream
     attempts: list[AttemptRecord] = field(default_factory=list)
     held: HeldState | None = None
     trace: list[str] = field(default_factory=list)
 
     @property
     def dispatcher(self) -> str:
-        """The dispatcher that it was last sent to."""
+        """The dispatcher to which the request was last sent."""
         return self.sent[-1].dispatcher
 
     @property
     def at(self) -> int:
-        """Its client's time runs from here."""
+        """When the request was last sent; its deadline counts from there."""
         return self.sent[-1].at
 
     def note(self, at: int, what: str) -> None:
-        """One step in the life of the request, in milliseconds since it was first sent."""
+        """Add an event to the request's trace, with its time in milliseconds since the request was first sent."""
         self.trace.append(f"{(at - self.sent[0].at) / 1000:+.0f} {what}")
 
     @property
     def streaming(self) -> AttemptRecord | None:
-        """The attempt whose events the client has begun to get."""
+        """The attempt whose stream the client is receiving, or None if no attempt's stream fits the received bytes."""
         return (
             next((a for a in self.attempts if a.written and a.written.startswith(self.received)), None)
             if self.received
--- a/pearhill/lab/soak/replicas.py
+++ b/pearhill/lab/soak/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that speak the platform's protocol, misbehave on command, and report what arrives to the oracle."""
+"""Replicas that implement the platform's protocol, misbehave on command, and report attempts to the oracle."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Speeds:
-    """How long a replica takes: for a prefill, for its first event, and between two events."""
+    """The mean time in seconds that a replica takes for a prefill, for its first event, and between two events."""
 
     prefill_s: float
     first_event_s: float
@@ -47,7 +47,7 @@
 
 
 class Replica:
-    """One replica behind its proxy. `misbehaving_share` is that of requests on which it does as `misbehaviour` says."""
+    """One replica behind its proxy. It applies `misbehaviour` to a share `misbehaving_share` of its requests."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, behind a proxy of its own."""
+        """Start listening, behind a proxy of its own."""
         self._server = await asyncio.start_server(self._accepted, "127.0.0.1", 0, backlog=1024)
         self.proxy = Proxy(self._server.sockets[0].getsockname()[1], self.seed, self._connection_reset)
         await self.proxy.start()
@@ -78,7 +78,7 @@
         self.oracle.attempts.stream_broken(self.clock(), request)
 
     def restart(self, wall_ms: int) -> None:
-        """The process dies, its connections with it, and a cold one is there at once."""
+        """End all connections, as if the process had died and a cold one had been started at once."""
         for task in list(self._connections):
             task.cancel()
         self.oracle.held_states.replica_restarted(self.uid)
@@ -102,7 +102,7 @@
             writer.transport.abort()
 
     async def _serve(self, message: RequestMessage, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """False: the connection ends here."""
+        """Answer one request. Returns False if the connection has to end."""
         if message.path.startswith("/state/"):
             request = message.path.removeprefix("/state/")
             self.oracle.held_states.release_arrived(self.clock(), request, self.uid)
@@ -133,7 +133,7 @@
         finally:
             if connection_end.done():
                 attempt.closed_by_dispatcher = True
-            elif not work.done():  # this process ends
+            elif not work.done():  # the replica is being restarted
                 self.oracle.attempts.stream_broken(self.clock(), request, attempt)
             connection_end.cancel()
             work.cancel()
@@ -167,7 +167,7 @@
             return True
         self.oracle.held_states.prefilled(self.clock(), request, self.uid)
         self.oracle.attempts.ended(self.clock(), request, attempt)
-        if misbehaviour in ("reset", "stall"):  # the read has ended well, its answer is lost
+        if misbehaviour in ("reset", "stall"):  # the prefill has succeeded, its answer is lost
             reset(writer)
             return False
         writer.write(answer(202, (("Content-Type", "application/json"),), json.dumps({"cached_tokens": 4}).encode()))
@@ -195,7 +195,7 @@
         self.oracle.held_states.fetched(request)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
         for number in range(EVENTS):
-            # No two attempts write the same: what a client gets is some one's alone.
+            # Each attempt writes different text, so that the bytes a client receives identify one attempt.
             event = _EVENT % f"{self.uid}.{self.requests}.{number}".encode()
             self.oracle.attempts.wrote(self.clock(), attempt, event)
             writer.write(chunk(event))
@@ -215,20 +215,20 @@
     async def _continues(
         self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
     ) -> bool:
-        """What goes wrong in the middle of a stream. False: it has ended there."""
+        """Misbehave in the middle of a stream. Returns False if the stream has ended there."""
         if misbehaviour == "stall":
             await asyncio.sleep(HANG_S)
         if misbehaviour not in ("half-line", "event-reset"):
             return True
         self.oracle.attempts.stream_broken(self.clock(), request, attempt)
-        if misbehaviour == "event-reset":  # right behind the event
+        if misbehaviour == "event-reset":  # directly after the event
             reset(writer)
         else:
             writer.write(chunk(b'data: {"choi'))
         return False
 
     def endpoint(self) -> dict[str, object]:
-        """This replica as discovery lists it."""
+        """Returns this replica's entry in the endpoint list."""
         return {
             "uid": self.uid,
             "endpoint": self.proxy.address,
@@ -241,12 +241,12 @@
         }
 
     def close(self) -> None:
-        """Stop listening, proxy included."""
+        """Stop listening, and close the proxy."""
         self.proxy.close()
         if self._server:
             self._server.close()
 
 
 async def _end_of(reader: asyncio.StreamReader) -> None:
-    """Returns when the dispatcher has closed the connection of an attempt, or says something out of turn."""
+    """Returns when the dispatcher has closed the connection of an attempt, or sends data before the answer's end."""
     await reader.read(1)
--- a/pearhill/lab/soak/report.py
+++ b/pearhill/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""What came of playing one seed."""
+"""The result of running the plan of one seed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What came of one seed. `logs`: the last lines of each dispatcher that a violation names."""
+    """The result of one seed. `logs`: the last log lines of each dispatcher that a violation names."""
 
     seed: int
     violations: list[Violation]
@@ -22,7 +22,7 @@
     logs: dict[str, list[str]] = field(default_factory=dict)
 
     def text(self) -> str:
-        """Some lines for people: the counts, and for each violation the faults and the request's trace."""
+        """Returns a readable summary: the counts and, if there are violations, the faults and each request's trace."""
         lines = [
             f"seed {self.seed}: {len(self.violations)} violations, {dict(self.outcomes)}",
             f"  could have been broken: {dict(sorted(self.exposure.items()))}; latest {self.latest_ms:.0f} ms",
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan: starts the processes, brings the faults about, and reports what the oracle found."""
+"""Runs a plan: starts the processes, injects the faults, and reports the violations that the oracle found."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from pearhill.lab.soak.replicas import DECODE, MIXED, PREFILL, Replica, Speeds
 from pearhill.lab.soak.report import Report
 
-# SIGKILL comes the longest deadline, 3 s at most, and so much after SIGTERM.
+# SIGKILL follows SIGTERM after the longest deadline, limited to `MAX_KILL_DEADLINE_S`, and `KILL_AFTER_S`.
 MAX_KILL_DEADLINE_S = 3.0
 KILL_AFTER_S = 0.7
 SCAN_INTERVAL_S = 0.05
 SPEEDS = Speeds(prefill_s=0.04, first_event_s=0.05, event_s=0.02)
 TRACE_LINES = 60
-FAULTS_SEED = 0x50A6  # makes the faults' random numbers others than the plan's
+FAULTS_SEED = 0x50A6  # so that the random numbers of the faults differ from those of the plan
 
 
 class Soak:
@@ -56,7 +56,7 @@
         return SoakFleet(oracle, lateness, clients, replicas, agents, kill_after_s)
 
     async def run(self) -> Report:
-        """Play the plan once, to the end of the last process."""
+        """Run the plan once, until the last process has ended, and return the report."""
         await self._start_replicas()
         self.fleet.dispatchers = [self._make_dispatcher(n, agent) for n, agent in enumerate(self.fleet.agents)]
         async with self._watched():
@@ -84,7 +84,7 @@
 
     @contextlib.asynccontextmanager
     async def _watched(self) -> AsyncIterator[None]:
-        """Scans and lateness are recorded meanwhile; at the end everything is closed."""
+        """Scan for violations and record lateness within the context; at its end, end and close everything."""
         fleet = self.fleet
         watches = [
             asyncio.ensure_future(work)
@@ -144,6 +144,6 @@
 
 
 def play(seed: int, seconds: float, dispatchers: int) -> Report:
-    """One seed, from its first process to its last."""
+    """Run the plan of one seed, from the start of the first process to the end of the last one."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(Soak(draw(seed, seconds, dispatchers), pathlib.Path(folder)).run())
--- a/pearhill/lab/soak/shim.py
+++ b/pearhill/lab/soak/shim.py
@@ -1,15 +1,15 @@
 """A dispatcher whose clock, sockets and files fail on command: `python -m pearhill.lab.soak.shim`.
 
-Commands come one a line on standard input:
+Commands are read from standard input, one per line:
 
-    wall SECONDS              the wall clock is stepped; the monotonic clock runs on
-    fail CALL ERRNO SHARE     CALL (accept, socket, connect, recv, send, write-file, write-log) fails so in this share
-                              of cases; recv-server, send-server, recv-client, send-client: on connections to replicas
-                              and discovery, or of clients, alone
-    pieces BYTES              reads and writes on sockets are cut to at most so many bytes; 0: whole again
+    wall SECONDS              steps the wall clock; the monotonic clock is not changed
+    fail CALL ERRNO SHARE     CALL (accept, socket, connect, recv, send, write-file, write-log) fails with this error in
+                              this share of cases. recv-server and send-server fail only on connections to replicas and
+                              discovery, recv-client and send-client only on connections of clients
+    pieces BYTES              limits each read and write on a socket to so many bytes; 0 removes the limit
 
-`SOAK_COMMANDS` holds commands, divided by `;`, that count before the program starts. Python's own functions are
-replaced before the program is imported, so that the program itself is the real one.
+`SOAK_COMMANDS` holds commands, separated by `;`, that are applied before the program starts. Functions of Python's
+library are replaced before the program is imported, so that the program itself runs unchanged.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Faults:
-    """What fails now. Written by the command thread, read by the program."""
+    """The active faults. The command thread writes them, the program's calls read them."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -39,8 +39,10 @@
         self.failing: dict[str, tuple[int, float]] = {}
 
     def command(self, line: str) -> None:
-        """Take one line, as the module's docstring has them; any other is ignored. ValueError or AttributeError: a
-        number, or the name of an errno, that is none."""
+        """Apply a command line, in the form that the module's docstring gives; other lines are ignored.
+
+        Raises ValueError if a number is invalid, AttributeError if there is no errno of this name.
+        """
         match line.split():
             case ["wall", seconds]:
                 self.wall_ns += int(float(seconds) * 1e9)
@@ -50,14 +52,14 @@
                 self.pieces = int(size)
 
     def check(self, call: str) -> None:
-        """OSError: this call fails now."""
+        """Raises OSError if this call is to fail now."""
         number, share = self.failing.get(call, (0, 0.0))
         if share and self.rng.random() < share:
             raise OSError(number, os.strerror(number))
 
 
 class FaultySocket(_RealSocket):
-    """A socket whose calls fail, and whose bytes are cut in pieces, as `faults` has it."""
+    """A socket whose calls fail, and whose reads and writes are limited in size, as `faults` says."""
 
     faults: ClassVar[Faults]
 
@@ -68,19 +70,22 @@
         self.side = "server" if fileno is None else "client"
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """As of a socket, unless `accept` fails now."""
+        """Accepts a connection like `socket.accept`, unless `accept` is to fail now."""
         self.faults.check("accept")
         return super().accept()
 
     def connect(self, address: Any) -> None:
-        """As of a socket, unless `connect` fails now."""
+        """Connects like `socket.connect`, unless `connect` is to fail now."""
         self.faults.check("connect")
         super().connect(address)
 
     def check_bytes(self, call: str) -> None:
-        """OSError: this call fails now. An error by which the system ends a connection is printed on standard error,
-        with the client's address. The pair by which the event loop wakes itself is left alone: it reads again by
-        itself, and logs a trace."""
+        """Raises OSError if this call is to fail now.
+
+        An error that breaks the connection of a client is printed on standard error, with the client's address. The
+        socket pair with which the event loop wakes itself never fails: the loop would read again by itself and log a
+        trace.
+        """
         if self.family not in (socket.AF_INET, socket.AF_INET6):
             return
         self.faults.check(call)
@@ -93,24 +98,24 @@
             raise
 
     def recv(self, bufsize: int, flags: int = 0) -> bytes:
-        """As of a socket, unless `recv` fails now."""
+        """Reads like `socket.recv`, unless `recv` is to fail now."""
         self.check_bytes("recv")
         return super().recv(bufsize, flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """As of a socket, unless `send` fails now; no more than a piece is sent."""
+        """Sends like `socket.send`, at most `pieces` bytes, unless `send` is to fail now."""
         self.check_bytes("send")
         return super().send(memoryview(data)[: self.faults.pieces] if self.faults.pieces else data, flags)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """As of a socket, unless `recv` fails now; no more than a piece is read."""
+        """Reads like `socket.recv_into`, at most `pieces` bytes, unless `recv` is to fail now."""
         self.check_bytes("recv")
         view = memoryview(buffer)
         return super().recv_into(view[: self.faults.pieces] if self.faults.pieces else view, nbytes, flags)
 
 
 def install(faults: Faults) -> None:
-    """Replace the standard library's calls by those that may fail."""
+    """Replace calls of the standard library with versions that may fail."""
     time.time_ns = lambda: _real_time_ns() + faults.wall_ns
     time.time = lambda: time.time_ns() / 1e9
     FaultySocket.faults = faults
@@ -118,12 +123,12 @@
     write_bytes, write_log = pathlib.Path.write_bytes, sys.stderr.write
 
     def checked_write_bytes(path: pathlib.Path, data: Any) -> int:
-        """`Path.write_bytes`, unless files cannot be written now."""
+        """Writes like `Path.write_bytes`, unless `write-file` is to fail now."""
         faults.check("write-file")
         return write_bytes(path, data)
 
     def checked_write_log(text: str) -> int:
-        """`sys.stderr.write`, unless the log cannot be written now."""
+        """Writes like `sys.stderr.write`, unless `write-log` is to fail now."""
         faults.check("write-log")
         return write_log(text)
 
@@ -137,7 +142,7 @@
 
 
 def main() -> int:
-    """Install the faults, follow standard input, and run the real program."""
+    """Install the faults, read commands from standard input in a thread, and run the program."""
     faults = Faults(int(os.environ.get("SOAK_SEED", "0")))
     for line in os.environ.get("SOAK_COMMANDS", "").split(";"):
         faults.command(line)
--- a/pearhill/lab/soak/slow_start.py
+++ b/pearhill/lab/soak/slow_start.py
@@ -1,4 +1,7 @@
-"""What a cold replica bears: requests in any window of the settings, by its age, of what warm ones are seen to bear."""
+"""The slow-start rule: a limit on the requests that a cold replica receives within a window, by its age.
+
+The limit grows to the rate that warm replicas of the same role are observed to receive.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,15 @@
 
 from pearhill.lab.soak.records import SECOND
 
-PEERS_WINDOWS = 4  # of the settings' window: over so many what warm peers get is looked at
+PEERS_WINDOWS = 4  # the rate of warm peers is taken over so many windows of the settings
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformLimits:
-    """The limits that the settings name, in microseconds; `warm_rate`: requests a second that a warm replica bears at
-    the least."""
+    """The limits of the settings; times are in microseconds.
+
+    `warm_rate`: requests per second that a warm replica can serve at least.
+    """
 
     release_within: int
     drain_grace: int
@@ -25,7 +30,10 @@
     warm_rate: float
 
     def slow_start_limit(self, age: int, warm_rate: float) -> float:
-        """Requests that a replica started so long ago bears within one window, if warm ones bear so many a second."""
+        """Returns the limit of requests within one window for a replica of this age.
+
+        `warm_rate`: the requests per second that a warm replica receives.
+        """
         share = min(1.0, self.initial_share + (1 - self.initial_share) * max(0, age) / self.warm_up_time)
         calls = self.window_multiple * share * warm_rate * self.window / SECOND
         root = math.sqrt(calls)
@@ -39,27 +47,27 @@
 
 
 class ColdReplicas:
-    """Those whose cold start discovery has told everybody, and what their warm peers get meanwhile."""
+    """The replicas whose cold start was published to all dispatchers, and the arrivals at their warm peers."""
 
     def __init__(self, rules: PlatformLimits) -> None:
         self.rules = rules
         self._cold: dict[str, _ColdReplica] = {}
-        self._warm: dict[str, dict[str, deque[int]]] = {}  # by role and replica: its arrivals of late
+        self._warm: dict[str, dict[str, deque[int]]] = {}  # recent arrivals by role and replica
 
     def replica_started(self, at: int, replica: str) -> None:
-        """The replica has started cold."""
+        """Record that the replica has started cold."""
         self._cold[replica] = _ColdReplica(at)
         for peers in self._warm.values():
             peers.pop(replica, None)
 
     def is_cold(self, replica: str) -> bool:
-        """Whether the replica is still warming up, as far as it has been looked at."""
+        """Returns whether the replica was still warming up at its last arrival."""
         return replica in self._cold
 
     def attempt_arrived(self, at: int, replica: str, role: str) -> str:
-        """One request more. What is wrong with it; empty: nothing."""
+        """Record the arrival of a request. Returns a description of the violation, or "" if there is none."""
         cold = self._cold.get(replica)
-        if cold and at > cold.started + self.rules.warm_up_time:  # a warm one does not fall
+        if cold and at > cold.started + self.rules.warm_up_time:  # the rule does not apply to a warm replica
             del self._cold[replica]
             cold = None
         if cold is None:
@@ -73,10 +81,10 @@
         if count <= limit:
             return ""
         cold.arrivals.clear()
-        return f"{count} requests in a window at {replica}, {age // 1000} ms old, which bears {limit:.1f}"
+        return f"{count} requests in a window at {replica}, {age // 1000} ms old, whose limit is {limit:.1f}"
 
     def _warm_rate(self, at: int, role: str) -> float:
-        """Requests a second that some warm peer is seen to bear: all replicas of a role are alike."""
+        """Returns the highest rate of requests per second at a warm peer: all replicas of a role are alike."""
         span = PEERS_WINDOWS * self.rules.window
         seen = max((sum(each >= at - span for each in got) for got in self._warm.get(role, {}).values()), default=0)
         return max(self.rules.warm_rate, seen * SECOND / span)
--- a/pearhill/lab/up.py
+++ b/pearhill/lab/up.py
@@ -1,4 +1,4 @@
-"""An operator's file served on one machine: stand-in replicas where it names some, and the dispatcher before them."""
+"""Serves an operator's file on one machine: starts a stand-in for each of its replicas, and a dispatcher."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 from pearhill.config import ConfigError
 from pearhill.lab.scenario import ServerTable
 
-SHUTDOWN_TIMEOUT_S = 30  # for the dispatcher, which answers what it has accepted first
+SHUTDOWN_TIMEOUT_S = 30  # of the dispatcher, which first answers the requests that it has accepted
 
 
 class NotStartedError(Exception):
-    """A stand-in replica did not start; the text says why."""
+    """A stand-in replica did not start; the message gives the reason."""
 
 
 def stand_in_tables(setup: ChatSetup) -> list[ServerTable]:
-    """A stand-in for each replica of the file. ConfigError: none, or one elsewhere, which might be real."""
+    """Returns a stand-in's table for each replica of the file.
+
+    Raises ConfigError if there are none, or if one is at an address of another machine, where it might be a real one.
+    """
     tables = []
     for entry in setup.endpoints:
         host, port = setup.addresses[entry.replica]
@@ -48,17 +51,17 @@
 
 
 async def serve_with_stand_ins(file: str, setup: ChatSetup, report_line: Callable[[str], None]) -> int:
-    """Run both until SIGINT, SIGTERM or the dispatcher's end; returns the dispatcher's exit code.
+    """Run the stand-ins and the dispatcher until SIGINT, SIGTERM or the dispatcher's exit, and return its exit code.
 
-    `report_line` gets what is worth showing. ConfigError: the file has no replicas that stand-ins can serve;
-    NotStartedError: a port is taken.
+    `report_line` is called with lines of progress. Raises ConfigError if the file has no replicas that stand-ins can
+    serve, NotStartedError if a port is taken.
     """
     tables = stand_in_tables(setup)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     async with _stand_ins(tables, report_line):
-        # In a session of its own, as Ctrl-C reaches every process of the terminal's session.
+        # In a session of its own, since Ctrl-C sends SIGINT to every process of the terminal's foreground group.
         dispatcher = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pearhill", "--chat", file, start_new_session=True
         )
@@ -70,7 +73,7 @@
 
 @contextlib.asynccontextmanager
 async def _stand_ins(tables: list[ServerTable], report_line: Callable[[str], None]) -> AsyncIterator[None]:
-    """The stand-ins run until the context is left, so that they outlive what the dispatcher has accepted."""
+    """Run the stand-ins within the context, so that they serve the dispatcher until it has answered all requests."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -97,12 +100,15 @@
 async def _exit_code(
     dispatcher: asyncio.subprocess.Process, stop: asyncio.Event, report_line: Callable[[str], None]
 ) -> int:
-    """Wait for the dispatcher's end, and ask for it once `stop` is set. TimeoutError: it does not end then."""
+    """Wait until the dispatcher exits, and send it SIGTERM once `stop` is set.
+
+    Returns its exit code. Raises TimeoutError if it does not exit within `SHUTDOWN_TIMEOUT_S` of SIGTERM.
+    """
     ended, stopped = asyncio.ensure_future(dispatcher.wait()), asyncio.ensure_future(stop.wait())
     await asyncio.wait((ended, stopped), return_when=asyncio.FIRST_COMPLETED)
     stopped.cancel()
     if not ended.done():
-        report_line("ending: what was taken is answered first")
+        report_line("ending: the dispatcher answers accepted requests first")
         with contextlib.suppress(ProcessLookupError):
             dispatcher.terminate()
     return await asyncio.wait_for(ended, SHUTDOWN_TIMEOUT_S)
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet runner: figures of spans made by hand, its file's errors, a short run of real processes with faults."""
+"""The fleet runner: figures of given spans, errors of its file, and a short run of real processes with faults."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def test_work_by_engine_and_second_idle_time_and_served_shares() -> None:
-    # Of three engines over three seconds: one works all the time, one in the second second, one never.
+    # Of three replicas over three seconds, one works all the time, one in the second second, one never.
     work = [[(9.5, 13.5)], [(11.0, 12.0)], []]
     result = fleet.evaluate([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
     assert result.peaks == [3.0, 1.5, 3.0]
@@ -76,7 +76,7 @@
         result = asyncio.run(fleet.run(self.load(faults), told.append))
         assert len(told) == 7, told
         assert len(result.rows) > 50
-        # Whoever was not sent to the one that was dead, or to the one that stood still, was served.
+        # Requests that were not sent to the crashed or to the stalled dispatcher were served.
         assert sum(r.outcome == SERVED for r in result.rows) / len(result.rows) > 0.7
         calm = [r for r in result.rows if r.planned_s > 5]
         assert [r.outcome for r in calm if r.outcome != SERVED] == []
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: its servers, its load and its reports, on a run of two seconds."""
+"""Load tests: the stand-in servers, the load and the reports, on a run of two seconds."""
 
 import asyncio
 import pathlib
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its oracle finds what is planted, and a short run of it finds nothing."""
+"""The fault soak: its oracle reports injected violations, and a short run reports none."""
 
 import asyncio
 import os
@@ -35,7 +35,7 @@
 
 
 def streaming(oracle: Oracle, got: bytes = b"one ") -> AttemptRecord:
-    """A writer has written two events; the client has got so much."""
+    """A decode replica has written two events; the client has received the bytes `got`."""
     attempt = oracle.attempts.arrived(10 * MS, "r", "w", True, 1000)
     oracle.attempts.wrote(20 * MS, attempt, b"one ")
     oracle.attempts.wrote(30 * MS, attempt, b"two ")
@@ -132,7 +132,7 @@
     oracle.terminated(10 * MS, "d")
     oracle.exited(900 * MS, "d")
     oracle.clients.connection_ended(S, "r", PORT, used=True)
-    oracle.killed(5 * S, "d")  # the next process
+    oracle.killed(5 * S, "d")  # the dispatcher's next process
 
 
 def ended_on_a_new_connection_while_new_ones_come(oracle: Oracle) -> None:
@@ -325,7 +325,7 @@
 
 
 def test_a_drain_that_the_soak_passed_on_late_is_judged_from_then() -> None:
-    """The agents run in the soak's own loop. Lateness before or long after the news does not count."""
+    """The agents run in the soak's event loop. Lateness before or long after the published change does not count."""
     late = 300 * MS
     for since, found in ((50 * MS, []), (-2 * S, ["drain"]), (3 * S, ["drain"])):
         lateness = Lateness(lambda: 0)
@@ -364,10 +364,10 @@
 
 
 class EndsAtTheKill:
-    """A process that has not ended when its time is over, and has when it is killed."""
+    """A process that is running when its time for shutdown is over, and has exited when it is killed."""
 
     returncode = None
-    pid = 1 << 22  # above every process's number
+    pid = 1 << 22  # above every possible process id
 
     def __init__(self) -> None:
         self.ended = asyncio.Event()
@@ -415,7 +415,7 @@
             sys.executable, "-c", "import sys; sys.stdin.read()", stdin=stdin
         )
         os.close(stdin)
-        os.close(end_of_input)  # The process ends now, while this callback keeps the loop from reaping it.
+        os.close(end_of_input)  # The process exits now, while this callback keeps the loop from reaping it.
         os.waitid(os.P_PID, dispatcher.process.pid, os.WEXITED | os.WNOWAIT)
         dispatcher.signal(signal.SIGHUP)
         return await dispatcher.process.wait()
@@ -438,7 +438,7 @@
         await flood.start()
         async with asyncio.timeout(20):
             held = [await connected.get() for _ in range(3)]
-            held[0].close()  # its client comes again
+            held[0].close()  # its client connects again
             held.append(await connected.get())
             assert connected.empty()
             await flood.stop()
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -1,4 +1,4 @@
-"""A newcomer's first minute: the README's commands as they stand."""
+"""The commands of the README's first steps work as they are written there."""
 
 from __future__ import annotations
 
