--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -85,10 +85,10 @@
 
     async def start_all(self) -> None:
         """Start all dispatchers, `starts_at_once` at a time. Raises NotStartedError if one of them does not start."""
-        gate = asyncio.Semaphore(self.fleet.starts_at_once)
+        start_limit = asyncio.Semaphore(self.fleet.starts_at_once)
 
         async def start_in_turn(name: str) -> None:
-            async with gate:
+            async with start_limit:
                 await self.start(name)
 
         await asyncio.gather(*map(start_in_turn, self.names))
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -52,13 +52,13 @@
     return [float(t) for t in times[rng.uniform(0, peak, len(times)) < rate]]
 
 
-def _request_body(tenant: TenantTable, opening: int) -> dict[str, Any]:
+def _request_body(tenant: TenantTable, prefix: int) -> dict[str, Any]:
     words = max(1, tenant.prompt_tokens * 4 // 5 - PROMPT_HEAD_WORDS)
     body: dict[str, Any] = {
         "model": tenant.model,
         "stream": True,
         "messages": [
-            {"role": "system", "content": f"You help the members of {tenant.name}, group {opening}."},
+            {"role": "system", "content": f"You help the members of {tenant.name}, group {prefix}."},
             {"role": "user", "content": "word " * words},
         ],
         "x_prompt_tokens": tenant.prompt_tokens,
@@ -69,7 +69,7 @@
     return body
 
 
-async def _send_request(tenant: TenantTable, planned: float, began: float, front: Front, key: str, opening: int) -> Row:
+async def _send_request(tenant: TenantTable, planned: float, began: float, front: Front, key: str, prefix: int) -> Row:
     """Send one request now and wait for its end. `planned`: seconds after `began`, by the monotonic clock."""
 
     def since_planned() -> float:
@@ -77,7 +77,7 @@
 
     row = Row(tenant.name, planned, since_planned(), status=0, outcome=FAILED, first_s=0.0, end_s=0.0, tokens=0)
     headers = {"Authorization": f"Bearer {key}"}
-    body = msgspec.json.encode(_request_body(tenant, opening))
+    body = msgspec.json.encode(_request_body(tenant, prefix))
     first_s = 0.0
 
     def on_first() -> bool:
@@ -85,17 +85,17 @@
         first_s = since_planned()
         return False
 
-    wire = ClientConnection(*front)
+    connection = ClientConnection(*front)
     try:
-        await wire.open()
-        got = await wire.exchange("POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first)
-        row.status = got.status
-        row.tokens = got.body.count(b'"content"')
-        row.outcome = _outcome(got.status, got.complete and got.body.endswith(STREAM_END))
+        await connection.open()
+        response = await connection.exchange("POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first)
+        row.status = response.status
+        row.tokens = response.body.count(b'"content"')
+        row.outcome = _outcome(response.status, response.complete and response.body.endswith(STREAM_END))
     except (OSError, TimeoutError):
         pass
     finally:
-        wire.close()
+        connection.close()
     row.end_s = since_planned()
     if row.outcome == SERVED:
         row.first_s = first_s
@@ -121,7 +121,7 @@
     counts of sent and of all requests, `on_start` with the load's start by the monotonic clock.
     """
     lab = scenario.lab
-    openings = random.Random(lab.seed)
+    prefix_rng = random.Random(lab.seed)
     planned = _planned_requests(scenario)
     began = time.monotonic() + START_DELAY_S
     tasks: list[asyncio.Task[Row]] = []
@@ -130,8 +130,8 @@
         if (wait := began + at - time.monotonic()) > 0:
             await asyncio.sleep(wait)
         tenant = scenario.tenant[k]
-        opening = openings.randrange(tenant.prefixes)
-        tasks.append(asyncio.create_task(_send_request(tenant, at, began, fronts(), keys[tenant.name], opening)))
+        prefix = prefix_rng.randrange(tenant.prefixes)
+        tasks.append(asyncio.create_task(_send_request(tenant, at, began, fronts(), keys[tenant.name], prefix)))
         progress(done + 1, len(planned))
     return list(await asyncio.gather(*tasks))
 
--- a/pearhill/lab/relay.py
+++ b/pearhill/lab/relay.py
@@ -44,11 +44,11 @@
         self._thread.start()
 
     def _open_socket(self, name: str) -> socket.socket:
-        made = socket.socket(type=socket.SOCK_DGRAM)
-        made.bind(("127.0.0.1", 0))
-        made.setblocking(False)
-        self._selector.register(made, selectors.EVENT_READ, name)
-        return made
+        sock = socket.socket(type=socket.SOCK_DGRAM)
+        sock.bind(("127.0.0.1", 0))
+        sock.setblocking(False)
+        self._selector.register(sock, selectors.EVENT_READ, name)
+        return sock
 
     def address(self, name: str) -> str:
         """Returns the HOST:PORT at which the others reach this name through the relay."""
--- a/pearhill/lab/soak/attempt_rules.py
+++ b/pearhill/lab/soak/attempt_rules.py
@@ -32,7 +32,7 @@
             return attempt
         record.note(at, f"arrived at {replica}, timeout {timeout_ms} ms")
         self._state.exposure["arrivals at replicas"] += 1
-        self._check_still_wanted(at, request, record, replica)
+        self._check_request_open(at, request, record, replica)
         self._check_time_left(at, request, record, replica, timeout_ms)
         self._check_not_draining(at, request, record, replica)
         self._check_repeat(at, record, request, attempt)
@@ -41,14 +41,14 @@
         record.attempts.append(attempt)
         if self._cold_replicas.is_cold(replica):
             self._state.exposure["arrivals at cold replicas"] += 1
-        if wrong := self._cold_replicas.attempt_arrived(at, replica, role):
-            self._state.add_violation(at, "slow-start", request, wrong)
+        if violation := self._cold_replicas.attempt_arrived(at, replica, role):
+            self._state.add_violation(at, "slow-start", request, violation)
         return attempt
 
-    def _check_still_wanted(self, at: int, request: str, record: RequestRecord, replica: str) -> None:
+    def _check_request_open(self, at: int, request: str, record: RequestRecord, replica: str) -> None:
         for rule, since, what in (
-            ("cancelled", record.closed, "its client closed"),
-            ("after-answer", record.answered, "its final answer had started"),
+            ("cancelled", record.closed_at, "its client closed"),
+            ("after-answer", record.answered_at, "its final answer had started"),
         ):
             if since and at > since + MAX_START_DELAY_US:
                 detail = f"started at {replica} {(at - since) // 1000} ms after {what}"
@@ -75,26 +75,29 @@
             self._state.add_violation(at, "drain", request, detail, excess, at - SECOND // 2)
 
     def _check_repeat(self, at: int, record: RequestRecord, request: str, attempt: AttemptRecord) -> None:
-        ran = [a for a in record.attempts if a.writes_answer and a.may_have_executed]
+        executed = [a for a in record.attempts if a.writes_answer and a.may_have_executed]
         if not attempt.writes_answer:
             return
         if record.attempts:
             self._state.exposure[f"further attempts at an answer, {record.idempotency}"] += 1
-        if not ran:
+        if not executed:
             return
         if record.idempotency == NON_IDEMPOTENT:
             self._state.add_violation(
-                at, "duplicate", request, f"attempt at {attempt.replica} after {ran[0].replica}, may have run twice"
+                at,
+                "duplicate",
+                request,
+                f"attempt at {attempt.replica} after {executed[0].replica}, may have run twice",
             )
-        elif record.idempotency == KEYED and at > ran[0].at + record.idempotency_window:
-            detail = f"repeated {(at - ran[0].at) // 1000} ms after its first attempt"
+        elif record.idempotency == KEYED and at > executed[0].at + record.idempotency_window:
+            detail = f"repeated {(at - executed[0].at) // 1000} ms after its first attempt"
             self._state.add_violation(
-                at, "window", request, detail, at - ran[0].at - record.idempotency_window, ran[0].at
+                at, "window", request, detail, at - executed[0].at - record.idempotency_window, executed[0].at
             )
 
     def ended(self, at: int, request: str, attempt: AttemptRecord, never_ran: bool = False) -> None:
         """Record that an attempt was answered or rejected (`never_ran`), or that its connection has ended."""
-        attempt.ended = at
+        attempt.ended_at = at
         self._state.exposure["attempts that ended"] += 1
         attempt.may_have_executed = attempt.may_have_executed and not never_ran
         record = self._state.requests.get(request)
--- a/pearhill/lab/soak/client_rules.py
+++ b/pearhill/lab/soak/client_rules.py
@@ -19,7 +19,9 @@
     def __init__(self, state: OracleState) -> None:
         self._state = state
 
-    def request_sent(self, at: int, request: str, dispatcher: str, effect: str, window: int, timeout: int) -> None:
+    def request_sent(
+        self, at: int, request: str, dispatcher: str, idempotency: str, idempotency_window: int, timeout: int
+    ) -> None:
         """Record that the last byte of a request was written.
 
         A request whose id is known already is the same request, sent again.
@@ -29,28 +31,30 @@
             record.sent.append(SentRequest(dispatcher, at))
             record.note(at, f"sent again, to {dispatcher}")
         else:
-            self._state.requests[request] = RequestRecord(effect, window, timeout, [SentRequest(dispatcher, at)])
+            self._state.requests[request] = RequestRecord(
+                idempotency, idempotency_window, timeout, [SentRequest(dispatcher, at)]
+            )
         self._state.open_requests.add(request)
-        if self.is_ending(dispatcher):
+        if self.is_shutting_down(dispatcher):
             self._state.exposure["written after SIGTERM"] += 1
 
-    def is_ending(self, dispatcher: str) -> bool:
+    def is_shutting_down(self, dispatcher: str) -> bool:
         """Returns whether the dispatcher was sent SIGTERM and was not killed yet."""
         last = self._state.process_ends.last(dispatcher)
-        return last is not None and bool(last.terminated) and not last.killed
+        return last is not None and bool(last.terminated_at) and not last.killed_at
 
     def client_closed(self, at: int, request: str) -> None:
         """Record that the client has closed its connection or no longer waits for the answer."""
         record = self._state.requests[request]
-        if not record.answered:
+        if not record.answered_at:
             self._state.exposure["clients that left before an answer"] += 1
-        record.closed = record.closed or at
+        record.closed_at = record.closed_at or at
         self._request_ended(at, request)
         record.note(at, "client closed")
 
     def _request_ended(self, at: int, request: str) -> None:
         record = self._state.requests[request]
-        record.ended = record.ended or at
+        record.ended_at = record.ended_at or at
         self._state.open_requests.discard(request)
 
     def note(self, at: int, request: str, what: str) -> None:
@@ -60,7 +64,7 @@
     def answer_started(self, at: int, request: str, status: int) -> None:
         """Record the first byte of the final answer, and check when and with which status it came."""
         record = self._state.requests[request]
-        record.answered, record.status = at, status
+        record.answered_at, record.status = at, status
         self._state.exposure["answers"] += 1
         if status in REJECTION_STATUSES:
             self._state.exposure[f"rejections, {record.idempotency}"] += 1
@@ -100,12 +104,12 @@
         self._request_ended(at, request)
         record.note(at, "stream broke")
         self._state.exposure["streams that broke"] += 1
-        if self._check_bytes(at, request) and not self._may_break(at, record, peer):
+        if self._check_bytes(at, request) and not self._is_break_allowed(at, record, peer):
             self._state.add_violation(
                 at, "broken", request, "its stream broke while a replica was writing it, or had finished it"
             )
 
-    def _may_break(self, at: int, record: RequestRecord, peer: int) -> bool:
+    def _is_break_allowed(self, at: int, record: RequestRecord, peer: int) -> bool:
         if self._state.process_ends.excuses(record, at) or (record.dispatcher, peer) in self._state.broken_clients:
             return True
         if self._state.failing.overlap(record.dispatcher, record.at, at):
@@ -163,8 +167,8 @@
         A dispatcher whose file descriptors are used up by a flood may close a new connection unread. A dispatcher that
         shuts down closes connections on which no request arrives in time.
         """
-        crowded = self._state.flooded.overlap(record.dispatcher, record.at, at)
-        return crowded or self._state.process_ends.first_request_was_late(record.sent[-1])
+        is_flooded = self._state.flooded.overlap(record.dispatcher, record.at, at)
+        return is_flooded or self._state.process_ends.first_request_was_late(record.sent[-1])
 
     def bad_client_ended(self, at: int, dispatcher: str, since: int) -> None:
         """Record that a client that sent a partial request or nothing got an error or the end of its connection."""
@@ -183,13 +187,13 @@
         record = self._state.requests[request]
         if record.late_end_reported or record.status != 200 or not (attempt := record.streaming):
             return
-        over = attempt.broken_at or (attempt.finished and attempt.written_at)
-        if not over or at <= over + MAX_END_DELAY_US:
+        end_at = attempt.broken_at or (attempt.finished and attempt.written_at)
+        if not end_at or at <= end_at + MAX_END_DELAY_US:
             return
         if self._state.process_ends.excuses(record, at) or self._state.was_cut_off(attempt.replica, attempt.at, at):
             return
-        excess = at - over - MAX_END_DELAY_US
-        if excess > self._state.lateness.between(over, at):
+        excess = at - end_at - MAX_END_DELAY_US
+        if excess > self._state.lateness.between(end_at, at):
             record.late_end_reported = True
-            detail = f"{attempt.replica} ended its stream {(at - over) // 1000} ms ago, its client received no end"
+            detail = f"{attempt.replica} ended its stream {(at - end_at) // 1000} ms ago, its client received no end"
             self._state.add_violation(at, "end-not-passed-on", request, detail)
--- a/pearhill/lab/soak/clients.py
+++ b/pearhill/lab/soak/clients.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from pearhill.http1.client import Data, End, Head
-from pearhill.lab.soak.connection import ConnectionEndedError, Exchange, ListenAddress
+from pearhill.lab.soak.connection import ConnectionEndedError, DispatcherConnection, ListenAddress
 from pearhill.lab.soak.oracle import Oracle
 from pearhill.lab.soak.records import KEYED, SECOND
 
@@ -46,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A request class of the settings. `window`: the window of its idempotency keys, in microseconds."""
+    """A request class of the settings. `idempotency_window`: the window of its idempotency keys, in microseconds."""
 
     name: str
-    effect: str
-    window: int
+    idempotency: str
+    idempotency_window: int
     ttl_ms: int
 
 
@@ -66,7 +66,7 @@
         self._count = 0
         self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._behaviours: dict[str, Callable[[Exchange, ListenAddress], Awaitable[None]]] = {
+        self._behaviours: dict[str, Callable[[DispatcherConnection, ListenAddress], Awaitable[None]]] = {
             "plain": self._plain,
             "kept": self._kept,
             "leaves": self._leaves,
@@ -91,8 +91,8 @@
     async def finish(self) -> None:
         """Wait for all open clients; the regular ones stop after their next answer."""
         self._stopping = True
-        for ending in self.shutdown_begun.values():
-            ending.set()
+        for shutdown in self.shutdown_begun.values():
+            shutdown.set()
         for result in await asyncio.gather(*self._tasks, return_exceptions=True):
             if isinstance(result, Exception):
                 raise result
@@ -124,117 +124,117 @@
             if address is None:
                 await asyncio.sleep(0.05)
                 continue
-            ending = self.shutdown_begun[name]
+            shutdown = self.shutdown_begun[name]
             try:
-                exchange = await Exchange.open(address)
+                connection = await DispatcherConnection.open(address)
             except (OSError, TimeoutError):
                 self.outcomes["unreachable"] += 1
                 await asyncio.sleep(0.05)
                 continue
             try:
-                while not self._stopping and not exchange.ended and await self._request(exchange, address):
-                    await self._pause_until_shutdown(ending, self.rng.uniform(0, MAX_THINK_S))
+                while not self._stopping and not connection.ended and await self._request(connection, address):
+                    await self._pause_until_shutdown(shutdown, self.rng.uniform(0, MAX_THINK_S))
                 await asyncio.sleep(RECONNECT_S)
             except (OSError, TimeoutError):
                 self.outcomes["regular: cut off"] += 1
             finally:
-                exchange.close()
+                connection.close()
 
     @staticmethod
-    async def _pause_until_shutdown(ending: asyncio.Event, seconds: float) -> None:
+    async def _pause_until_shutdown(shutdown: asyncio.Event, seconds: float) -> None:
         """Pause for so many seconds; the pause ends early if the dispatcher is sent SIGTERM."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(ending.wait(), seconds)
+            await asyncio.wait_for(shutdown.wait(), seconds)
 
     async def _run_one(self, behaviour: str, address: ListenAddress) -> None:
         try:
-            exchange = await Exchange.open(address)
+            connection = await DispatcherConnection.open(address)
         except (OSError, TimeoutError):
             self.outcomes["unreachable"] += 1
             return
         try:
-            await self._behaviours[behaviour](exchange, address)
+            await self._behaviours[behaviour](connection, address)
         except (OSError, TimeoutError, ConnectionEndedError) as error:
             self.outcomes[f"{behaviour}: {type(error).__name__}"] += 1
         finally:
-            exchange.close()
+            connection.close()
 
     # The behaviours.
 
-    async def _plain(self, exchange: Exchange, address: ListenAddress) -> None:
-        await self._request(exchange, address)
+    async def _plain(self, connection: DispatcherConnection, address: ListenAddress) -> None:
+        await self._request(connection, address)
 
-    async def _kept(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _kept(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         for _ in range(3):
-            if exchange.ended or not await self._request(exchange, address):
+            if connection.ended or not await self._request(connection, address):
                 return
             await asyncio.sleep(self.rng.uniform(0, 1.0))
 
-    async def _resting(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _resting(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         """Send a second request at about the time at which the dispatcher may close an idle connection."""
-        if await self._request(exchange, address):
+        if await self._request(connection, address):
             await asyncio.sleep(self.rng.choice((4.95, 4.99, 5.0, 5.01)))
-            if not exchange.ended:
-                await self._request(exchange, address)
+            if not connection.ended:
+                await self._request(connection, address)
 
-    async def _rests(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _rests(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         """Send one request, and a second one at a random time between SIGTERM to the dispatcher and SIGKILL."""
-        if not await self._request(exchange, address):
+        if not await self._request(connection, address):
             return
         await self._pause_until_shutdown(self.shutdown_begun[address.name], MAX_REST_S)
         await asyncio.sleep(self.rng.uniform(0, self.kill_after_s))
-        if exchange.ended:
+        if connection.ended:
             self.outcomes["ended at rest"] += 1
         else:
-            await self._request(exchange, address)
+            await self._request(connection, address)
 
-    async def _late_first(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _late_first(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         await asyncio.sleep(self.rng.uniform(0, 1.9))
-        if exchange.ended:
+        if connection.ended:
             self.outcomes["ended unused"] += 1
         else:
-            exchange.used = True  # it has been idle: a close may cross the request on the network
-            await self._request(exchange, address)
+            connection.used = True  # it has been idle: a close may cross the request on the network
+            await self._request(connection, address)
 
-    async def _slow_writer(self, exchange: Exchange, address: ListenAddress) -> None:
-        await self._request(exchange, address, pieces=8)
+    async def _slow_writer(self, connection: DispatcherConnection, address: ListenAddress) -> None:
+        await self._request(connection, address, pieces=8)
 
-    async def _leaves(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _leaves(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         request_class = self.rng.choice(self.classes)
         request, data = self._message(request_class)
         self._record_sent(request, request_class, address)
-        exchange.writer.write(data)
+        connection.writer.write(data)
         await asyncio.sleep(self.rng.uniform(0, 0.6))
         self.oracle.clients.client_closed(self.clock(), request)
         self.outcomes["left"] += 1
 
-    async def _pipelined(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _pipelined(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         sent = []
         for _ in range(PIPELINED_REQUESTS):
             request_class = self.rng.choice(self.classes)
             request, data = self._message(request_class)
             self._record_sent(request, request_class, address)
-            exchange.writer.write(data)
+            connection.writer.write(data)
             sent.append(request)
         for request in sent:
-            if not await self._read_answer(exchange, request, None):
+            if not await self._read_answer(connection, request, None):
                 break
         for request in sent:
             self.oracle.clients.client_closed(self.clock(), request)
 
-    async def _half(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _half(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         """Send a part of a request, and keep the connection open."""
         _, data = self._message(self.classes[0])
-        exchange.writer.write(data[: self.rng.randrange(1, len(data))])
-        await self._wait_until_ended(exchange, address)
+        connection.writer.write(data[: self.rng.randrange(1, len(data))])
+        await self._wait_until_ended(connection, address)
 
-    async def _silent(self, exchange: Exchange, address: ListenAddress) -> None:
-        await self._wait_until_ended(exchange, address)
+    async def _silent(self, connection: DispatcherConnection, address: ListenAddress) -> None:
+        await self._wait_until_ended(connection, address)
 
-    async def _wait_until_ended(self, exchange: Exchange, address: ListenAddress) -> None:
+    async def _wait_until_ended(self, connection: DispatcherConnection, address: ListenAddress) -> None:
         since = self.clock()
         try:
-            await asyncio.wait_for(exchange.reader.read(1), ANSWER_TIMEOUT_S)
+            await asyncio.wait_for(connection.reader.read(1), ANSWER_TIMEOUT_S)
             self.outcomes["sent away"] += 1
         except TimeoutError:
             self.outcomes["never sent away"] += 1
@@ -247,7 +247,7 @@
         request = request or f"soak-{self._count:06x}"
         prompt = self.rng.choice((300, 900, 3000, 8000))
         body = json.dumps({"model": "chat", "stream": True, "messages": [{"role": "user", "content": "w" * 400}]})
-        key = f"Idempotency-Key: {request}\r\n" if request_class.effect == KEYED else ""
+        key = f"Idempotency-Key: {request}\r\n" if request_class.idempotency == KEYED else ""
         head = (
             f"POST {PATH} HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {request}\r\nRequest-Class: {request_class.name}\r\n"
             f"Affinity-Key: {self.rng.randrange(40):x}\r\nRequest-Timeout-Ms: {request_class.ttl_ms}\r\n"
@@ -257,10 +257,15 @@
 
     def _record_sent(self, request: str, request_class: RequestClass, address: ListenAddress) -> None:
         self.oracle.clients.request_sent(
-            self.clock(), request, address.name, request_class.effect, request_class.window, request_class.ttl_ms * 1000
+            self.clock(),
+            request,
+            address.name,
+            request_class.idempotency,
+            request_class.idempotency_window,
+            request_class.ttl_ms * 1000,
         )
 
-    async def _request(self, exchange: Exchange, address: ListenAddress, pieces: int = 1) -> bool:
+    async def _request(self, connection: DispatcherConnection, address: ListenAddress, pieces: int = 1) -> bool:
         """Send one request and read its answer, and return whether it was complete and the connection is reusable."""
         request_class = self.rng.choice(self.classes)
         request, data = self._message(request_class)
@@ -268,28 +273,31 @@
         for at in range(0, len(data), size):
             if at:
                 await asyncio.sleep(0.05)
-                if exchange.ended:  # the request was never written completely, so that no dispatcher has accepted it
+                if connection.ended:  # the request was never written completely, so that no dispatcher has accepted it
                     self.outcomes["ended half-written"] += 1
                     return False
-            exchange.writer.write(data[at : at + size])
+            connection.writer.write(data[at : at + size])
         self._record_sent(request, request_class, address)
-        self.oracle.clients.note(self.clock(), request, f"written to {address.name} on {exchange.description}")
-        return await self._read_answer(exchange, request, (request_class, address))
+        self.oracle.clients.note(self.clock(), request, f"written to {address.name} on {connection.description}")
+        return await self._read_answer(connection, request, (request_class, address))
 
     async def _read_answer(
-        self, exchange: Exchange, request: str, again: tuple[RequestClass, ListenAddress] | None
+        self,
+        connection: DispatcherConnection,
+        request: str,
+        resend_arguments: tuple[RequestClass, ListenAddress] | None,
     ) -> bool:
         """Read an answer, and return whether it was complete and the connection is reusable.
 
         `again`: the class and the dispatcher with which the request is sent again if its connection was closed before
         the request was read; None if it is not to be sent again.
         """
-        exchange.expect_response()
-        used, exchange.used = exchange.used, True
+        connection.expect_response()
+        used, connection.used = connection.used, True
         status, began = 0, False
         try:
             while True:
-                event = await exchange.next_event(STREAM_STALL_S if began else ANSWER_TIMEOUT_S)
+                event = await connection.next_event(STREAM_STALL_S if began else ANSWER_TIMEOUT_S)
                 match event:
                     case Head(code):
                         status = code
@@ -303,11 +311,11 @@
                         return reusable and status == 200
         except (OSError, ConnectionEndedError):
             if status:
-                self.oracle.clients.answer_broken(self.clock(), request, exchange.port)
+                self.oracle.clients.answer_broken(self.clock(), request, connection.port)
                 self.outcomes["broken"] += 1
                 return False
-            if self.oracle.clients.connection_ended(self.clock(), request, exchange.port, used) and again:
-                return await self._resend(request, *again)
+            if self.oracle.clients.connection_ended(self.clock(), request, connection.port, used) and resend_arguments:
+                return await self._resend(request, *resend_arguments)
         except TimeoutError:
             self.oracle.clients.answer_missing(
                 self.clock(), request, "no data on a started stream for 6 s" if began else "no answer within 30 s"
@@ -322,7 +330,7 @@
         )
         self.outcomes["sent once more"] += 1
         try:
-            fresh = await Exchange.open(self.rng.choice(addresses))
+            fresh = await DispatcherConnection.open(self.rng.choice(addresses))
         except (OSError, TimeoutError, IndexError):
             self.oracle.clients.client_closed(self.clock(), request)
             return False
@@ -335,6 +343,6 @@
         return False
 
     @staticmethod
-    def _address_of(exchange: Exchange, addresses: list[ListenAddress]) -> ListenAddress:
-        port = exchange.writer.get_extra_info("peername")[1]
+    def _address_of(connection: DispatcherConnection, addresses: list[ListenAddress]) -> ListenAddress:
+        port = connection.writer.get_extra_info("peername")[1]
         return next(address for address in addresses if address.port == port)
--- a/pearhill/lab/soak/connection.py
+++ b/pearhill/lab/soak/connection.py
@@ -22,7 +22,7 @@
     """The connection ended before the answer was complete."""
 
 
-class Exchange:
+class DispatcherConnection:
     """One connection to a dispatcher."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -34,7 +34,7 @@
         self.port: int = writer.get_extra_info("sockname")[1]
 
     @classmethod
-    async def open(cls, address: ListenAddress) -> Exchange:
+    async def open(cls, address: ListenAddress) -> DispatcherConnection:
         """Connect within 5 s. Raises OSError or TimeoutError if no dispatcher accepts the connection."""
         return cls(*await asyncio.wait_for(asyncio.open_connection(address.host, address.port), 5))
 
--- a/pearhill/lab/soak/endings.py
+++ b/pearhill/lab/soak/endings.py
@@ -20,9 +20,9 @@
 class ProcessEnd:
     """The times of one process's end, in microseconds; 0 if it did not happen."""
 
-    terminated: int = 0
-    killed: int = 0
-    exited: int = 0  # without SIGKILL
+    terminated_at: int = 0
+    killed_at: int = 0
+    exited_at: int = 0  # without SIGKILL
 
 
 class ProcessEnds:
@@ -34,21 +34,21 @@
     def terminated(self, at: int, dispatcher: str) -> None:
         """Record that the running process was sent SIGTERM; a second SIGTERM has no effect."""
         last = self.last(dispatcher)
-        if last is None or last.killed or not last.terminated:
-            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(terminated=at))
+        if last is None or last.killed_at or not last.terminated_at:
+            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(terminated_at=at))
 
     def killed(self, at: int, dispatcher: str) -> None:
         """Record that the running process was sent SIGKILL."""
         last = self.last(dispatcher)
-        if last and last.terminated and not last.killed:
-            last.killed = at
+        if last and last.terminated_at and not last.killed_at:
+            last.killed_at = at
         else:
-            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(killed=at))
+            self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd(killed_at=at))
 
     def exited(self, at: int, dispatcher: str) -> None:
         """Record that the process exited by itself: a later signal is for the dispatcher's next process."""
         if last := self.last(dispatcher):
-            last.exited = at
+            last.exited_at = at
         self._by_dispatcher.setdefault(dispatcher, []).append(ProcessEnd())
 
     def last(self, dispatcher: str) -> ProcessEnd | None:
@@ -56,18 +56,22 @@
 
         It is empty once that process has exited by itself, and None before the first signal.
         """
-        endings = self._by_dispatcher.get(dispatcher)
-        return endings[-1] if endings else None
+        process_ends = self._by_dispatcher.get(dispatcher)
+        return process_ends[-1] if process_ends else None
 
     def first_request_was_late(self, sent: SentRequest) -> bool:
         """Returns whether a first request was sent to a dispatcher that shuts down, later than a client may send it.
 
         A client of the platform does not send its first request that late: this machine has delayed the client.
         """
-        for ending in self._by_dispatcher.get(sent.dispatcher, ()):
-            over = ending.killed or ending.exited
+        for process_end in self._by_dispatcher.get(sent.dispatcher, ()):
+            over = process_end.killed_at or process_end.exited_at
             still_there = not over or sent.at <= over + MAX_CROSSING_US
-            if ending.terminated and still_there and sent.at > ending.terminated + FIRST_REQUESTS_AFTER_SIGTERM_US:
+            if (
+                process_end.terminated_at
+                and still_there
+                and sent.at > process_end.terminated_at + FIRST_REQUESTS_AFTER_SIGTERM_US
+            ):
                 return True
         return False
 
@@ -81,9 +85,9 @@
 
     def _excuses(self, sent: SentRequest, at: int) -> bool:
         return any(
-            ending.killed
-            and sent.at <= ending.killed + MAX_CROSSING_US
-            and ending.killed <= at + MAX_CROSSING_US
-            and (not ending.terminated or sent.at <= ending.terminated + EXCUSED_AFTER_SIGTERM_US)
-            for ending in self._by_dispatcher.get(sent.dispatcher, ())
+            process_end.killed_at
+            and sent.at <= process_end.killed_at + MAX_CROSSING_US
+            and process_end.killed_at <= at + MAX_CROSSING_US
+            and (not process_end.terminated_at or sent.at <= process_end.terminated_at + EXCUSED_AFTER_SIGTERM_US)
+            for process_end in self._by_dispatcher.get(sent.dispatcher, ())
         )
--- a/pearhill/lab/soak/fault_injection.py
+++ b/pearhill/lab/soak/fault_injection.py
@@ -19,7 +19,7 @@
     SHUTDOWN,
     Fault,
 )
-from pearhill.lab.soak.processes import Dispatcher, SignalAt
+from pearhill.lab.soak.processes import DelayedSignal, Dispatcher
 from pearhill.lab.soak.records import SECOND
 from pearhill.lab.soak.replicas import Replica
 
@@ -39,7 +39,7 @@
         self._fleet = fleet
         self._rng = rng
         self._wall_offset_us = 0  # the sum of all steps of the wall clock, which all machines share
-        self._busy: set[str] = set()  # dispatchers that are being restarted
+        self._restarting: set[str] = set()  # dispatchers that are being restarted
         self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "terminate": self._terminate,
             "kill": self._kill,
@@ -68,7 +68,7 @@
         await self._injectors[fault.kind](fault)
 
     def _pick_dispatcher(self, fault: Fault) -> Dispatcher | None:
-        free = [d for d in self._fleet.dispatchers if d.name not in self._busy]
+        free = [d for d in self._fleet.dispatchers if d.name not in self._restarting]
         return free[int(fault.pick * len(free))] if free else None
 
     def _pick_replica(self, fault: Fault) -> Replica:
@@ -79,7 +79,7 @@
             await self._terminate_one(dispatcher, fault)
 
     async def _terminate_one(self, dispatcher: Dispatcher, fault: Fault) -> None:
-        self._busy.add(dispatcher.name)
+        self._restarting.add(dispatcher.name)
         if fault.variant == "list":
             await self._restart_replica(fault)
         signals = self._signals_after_sigterm(fault.variant)
@@ -87,19 +87,19 @@
         await self.shut_down(dispatcher, signals)
         await self._restart(dispatcher)
 
-    async def shut_down(self, dispatcher: Dispatcher, others: Sequence[SignalAt] = ()) -> None:
+    async def shut_down(self, dispatcher: Dispatcher, further_signals: Sequence[DelayedSignal] = ()) -> None:
         """Send SIGTERM and the signals that follow it, and wait for the process's end.
 
         The dispatcher gets new connections for a short time after SIGTERM, `NEW_CONNECTIONS_S`.
         """
-        ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, others))
+        ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, further_signals))
         self._fleet.clients.dispatcher_terminated(dispatcher.name)
         await asyncio.sleep(self._rng.uniform(*NEW_CONNECTIONS_S))
         self._fleet.clients.addresses.pop(dispatcher.name, None)
         await ended
 
-    def _signals_after_sigterm(self, how: str) -> list[SignalAt]:
-        """Returns the signals that follow a SIGTERM in the series `how`."""
+    def _signals_after_sigterm(self, series: str) -> list[DelayedSignal]:
+        """Returns the signals that follow a SIGTERM of the `series`."""
         numbers = {
             "plain": [],
             "twice": [signal.SIGTERM],
@@ -107,8 +107,8 @@
             "report": [signal.SIGUSR1, signal.SIGUSR1],
             "all": [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP],
             "list": [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM],
-        }[how]
-        return [SignalAt(number, self._rng.uniform(0, 0.3)) for number in numbers]
+        }[series]
+        return [DelayedSignal(number, self._rng.uniform(0, 0.3)) for number in numbers]
 
     async def _hang_and_terminate(self, fault: Fault) -> None:
         """Restart a dispatcher while all replicas of one role hang, including those that the old process has called."""
@@ -122,7 +122,7 @@
 
     async def _kill(self, fault: Fault) -> None:
         if dispatcher := self._pick_dispatcher(fault):
-            self._busy.add(dispatcher.name)
+            self._restarting.add(dispatcher.name)
             self._fleet.clients.addresses.pop(dispatcher.name, None)
             await dispatcher.kill()
             await self._restart(dispatcher)
@@ -130,7 +130,7 @@
     async def _restart(self, dispatcher: Dispatcher) -> None:
         await dispatcher.start()
         self._fleet.add_to_front(dispatcher)
-        self._busy.discard(dispatcher.name)
+        self._restarting.discard(dispatcher.name)
 
     async def _reload(self, fault: Fault) -> None:
         """Reload all running dispatchers in quick succession.
@@ -139,7 +139,7 @@
         """
         for turn in range(int(fault.amount)):
             for dispatcher in self._fleet.dispatchers:
-                if dispatcher.name not in self._busy:
+                if dispatcher.name not in self._restarting:
                     dispatcher.reload(dispatcher.discovery)
                     if turn % 2:
                         dispatcher.signal(signal.SIGUSR1)
@@ -222,17 +222,17 @@
 
     async def _fail_calls(self, fault: Fault) -> None:
         calls = [each.split() for each in fault.variant.split(",")]
-        breaks = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
+        breaks_connections = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
         for dispatcher in self._fleet.dispatchers:
             for call, error, share in calls:
                 dispatcher.command(f"fail {call} {error} {share}")
-            if breaks:
+            if breaks_connections:
                 self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, True)
         await asyncio.sleep(fault.duration_s)
         for dispatcher in self._fleet.dispatchers:
             for call, error, _ in calls:
                 dispatcher.command(f"fail {call} {error} 0")
-            if breaks:
+            if breaks_connections:
                 self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, False)
 
     async def _pieces(self, fault: Fault) -> None:
@@ -242,14 +242,14 @@
         for dispatcher in self._fleet.dispatchers:
             dispatcher.command("pieces 0")
 
-    async def _meet_crowd(self, flooded: set[str], fault: Fault) -> None:
+    async def _run_during_flood(self, flooded: set[str], fault: Fault) -> None:
         """Do what the fault's variant names while a flood uses up the file descriptors of these dispatchers."""
         if fault.variant == DISCOVERY_IS_DOWN:
             await self._silence_agents(fault)
         elif fault.variant == REPLICAS_ARE_REPLACED:
             await self._replace_replicas(fault)
         elif fault.variant == SHUTDOWN:
-            free = [d for d in self._fleet.dispatchers if d.name in flooded and d.name not in self._busy]
+            free = [d for d in self._fleet.dispatchers if d.name in flooded and d.name not in self._restarting]
             for dispatcher in free[:1]:
                 await self._terminate_one(dispatcher, replace(fault, variant="all"))
         else:
@@ -271,7 +271,7 @@
                 self._fleet.oracle.dispatcher_flooded(monotonic_us(), flood.name, True)
             await asyncio.gather(*(flood.start() for flood in floods))
             self._fleet.oracle.count(f"crowds: {fault.variant or 'nothing else'}")
-            await self._meet_crowd({flood.name for flood in floods}, fault)
+            await self._run_during_flood({flood.name for flood in floods}, fault)
         finally:
             await asyncio.gather(*(flood.stop() for flood in floods))
         for flood in floods:
--- a/pearhill/lab/soak/held_states.py
+++ b/pearhill/lab/soak/held_states.py
@@ -26,7 +26,7 @@
         record = self._state.requests.get(request)
         if record:
             record.note(at, f"release at {replica}")
-        if record and record.held and record.held.replica == replica and not self._has_attempt_out(record):
+        if record and record.held and record.held.replica == replica and not self._has_attempt_in_flight(record):
             record.held = None
 
     def fetched(self, request: str) -> bool:
@@ -49,8 +49,8 @@
                 record.held = None
 
     @staticmethod
-    def _has_attempt_out(record: RequestRecord) -> bool:
-        return any(a.writes_answer and not a.ended for a in record.attempts)
+    def _has_attempt_in_flight(record: RequestRecord) -> bool:
+        return any(a.writes_answer and not a.ended_at for a in record.attempts)
 
     def scan(self, at: int) -> None:
         """Report states that are held too long while no attempt for them is in flight."""
@@ -60,7 +60,7 @@
             if (
                 held is None
                 or held.reported
-                or self._has_attempt_out(record)
+                or self._has_attempt_in_flight(record)
                 or at <= held.since + limit + self._state.lateness.base
             ):
                 continue
--- a/pearhill/lab/soak/plan.py
+++ b/pearhill/lab/soak/plan.py
@@ -58,10 +58,22 @@
     "recv-client",
     "send-client",
 )  # a connection is lost after such a failure
-SERIES = ("plain", "twice", "reload", "report", "all", "list")  # the series of signals or events around a SIGTERM
+SIGNAL_SERIES = (
+    "plain",
+    "twice",
+    "reload",
+    "report",
+    "all",
+    "list",
+)  # the series of signals or events around a SIGTERM
 # What happens while a flood of idle connections uses up the file descriptors.
-ALONE, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN = "", "discovery is down", "replicas are replaced", "shutdown"
-CROWD_OCCASIONS = (ALONE, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN)
+FLOOD_ONLY, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN = (
+    "",
+    "discovery is down",
+    "replicas are replaced",
+    "shutdown",
+)
+FLOOD_VARIANTS = (FLOOD_ONLY, DISCOVERY_IS_DOWN, REPLICAS_ARE_REPLACED, SHUTDOWN)
 LONG_MS, SHORT_MS = (1500, 2000, 3000, 4000), (250, 400, 600, 1000)
 WALL_STEPS_S = (-3600.0, -7.0, -2.0, 2.0, 7.0, 3600.0)
 
@@ -91,7 +103,7 @@
     rate: float
     settings: dict[str, Any]
     classes: list[RequestClass]
-    rules: PlatformLimits
+    limits: PlatformLimits
     faults: list[Fault]
     sockets: int  # limit of each dispatcher
 
@@ -107,9 +119,9 @@
             "name": c.name,
             "aim": c.ttl_ms * 300,
             "deadline": c.ttl_ms * 1000,
-            "effect": c.effect,
+            "effect": c.idempotency,
             "group": "all",
-            "window": c.window,
+            "window": c.idempotency_window,
             "worth": worth,
             "late-worth": 0.2,
         }
@@ -162,11 +174,11 @@
         case "fail-calls":
             return Fault(kind, at_s, min(duration_s, 1.0), pick, _failing_calls(rng))
         case "terminate" | "hang-and-terminate":
-            return Fault(kind, at_s, duration_s, pick, rng.choice(SERIES))
+            return Fault(kind, at_s, duration_s, pick, rng.choice(SIGNAL_SERIES))
         case "reload":
             return Fault(kind, at_s, duration_s, pick, amount=rng.choice((2, 5)))
         case "crowd":
-            return Fault(kind, at_s, duration_s, pick, rng.choice(CROWD_OCCASIONS), FLOOD_CONNECTIONS)
+            return Fault(kind, at_s, duration_s, pick, rng.choice(FLOOD_VARIANTS), FLOOD_CONNECTIONS)
         case "resets":
             return Fault(kind, at_s, duration_s, pick, amount=0.05)
         case "pieces":
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SignalAt:
+class DelayedSignal:
     """A signal to send `after_s` after the signal before it."""
 
     number: signal.Signals
@@ -57,7 +57,7 @@
         self.commands: list[str] = []  # sent to each new process too
         self._listening = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
-        self._follower: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
 
     def write_config(self) -> None:
         """Write the configuration that the next start or reload reads."""
@@ -93,10 +93,10 @@
         )
         for line in self.commands:
             self._send_command(line)
-        self._follower = asyncio.ensure_future(self._follow(process))
+        self._log_reader = asyncio.ensure_future(self._read_log(process))
         await asyncio.wait_for(self._listening.wait(), START_TIMEOUT_S)
 
-    async def _follow(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
         while raw := await process.stderr.readline():
             line = raw.decode(errors="replace").rstrip()
@@ -137,17 +137,17 @@
         self.write_config()
         self.signal(signal.SIGHUP)
 
-    async def terminate(self, within_s: float, others: Sequence[SignalAt] = ()) -> bool:
+    async def terminate(self, within_s: float, further_signals: Sequence[DelayedSignal] = ()) -> bool:
         """Send SIGTERM, and SIGKILL if the process still runs after `within_s`.
 
-        `others`: signals to send in the meantime. Returns True if the process exited before SIGKILL.
+        `further_signals`: signals to send in the meantime. Returns True if the process exited before SIGKILL.
         """
         process = self.process
         assert process
         self.shutting_down = True
         self.oracle.terminated(self.clock(), self.name)
         self.signal(signal.SIGTERM)
-        later = asyncio.ensure_future(self._send_signals(process, others))
+        later = asyncio.ensure_future(self._send_signals(process, further_signals))
         try:
             await asyncio.wait_for(process.wait(), within_s)
             self.oracle.exited(self.clock(), self.name)
@@ -164,11 +164,13 @@
 
     async def _wait_for_follower(self) -> None:
         """Wait until the process's last log lines and exit code are read, before the next process is started."""
-        if self._follower:
-            await self._follower
+        if self._log_reader:
+            await self._log_reader
 
-    async def _send_signals(self, process: asyncio.subprocess.Process, others: Sequence[SignalAt]) -> None:
-        for each in others:
+    async def _send_signals(
+        self, process: asyncio.subprocess.Process, further_signals: Sequence[DelayedSignal]
+    ) -> None:
+        for each in further_signals:
             await asyncio.sleep(each.after_s)
             _send_signal(process, each.number)
 
--- a/pearhill/lab/soak/proxy.py
+++ b/pearhill/lab/soak/proxy.py
@@ -36,27 +36,27 @@
 
 
 class ProxiedConnection:
-    """A connection's two sockets, `outer` to the dispatcher and `inner` to the replica.
+    """A connection's two sockets, `downstream` to the dispatcher and `upstream` to the replica.
 
     Only the task that serves the connection closes it: if a socket is closed while the event loop still polls it, its
     descriptor may be reused for another socket.
     """
 
-    def __init__(self, outer: socket.socket, inner: socket.socket) -> None:
-        self.outer, self.inner = outer, inner
+    def __init__(self, downstream: socket.socket, upstream: socket.socket) -> None:
+        self.downstream, self.upstream = downstream, upstream
         self.request = ""  # the id of the last request that was forwarded
         self.directions: list[asyncio.Task[None]] = []
 
     def end_with_reset(self) -> None:
         """Make both sockets reset at their close, and cancel the forwarding."""
-        for sock in (self.outer, self.inner):
+        for sock in (self.downstream, self.upstream):
             reset_at_close(sock)
-        for way in self.directions:
-            way.cancel()
+        for direction in self.directions:
+            direction.cancel()
 
     def close(self) -> None:
         """Close both sockets; only the task that serves the connection may call this."""
-        for sock in (self.outer, self.inner):
+        for sock in (self.downstream, self.upstream):
             with contextlib.suppress(OSError):
                 sock.close()
 
@@ -75,9 +75,9 @@
         self.reset_share = self.delay_s = 0.0
         self.address = ""
         self._loop = asyncio.get_running_loop()
-        self._healed = asyncio.Event()
-        self._stale: set[ProxiedConnection] = set()
-        self._unpaired: set[socket.socket] = set()  # accepted while the proxy was silent
+        self._cut_ended = asyncio.Event()
+        self._held_back: set[ProxiedConnection] = set()
+        self._accepted_while_silent: set[socket.socket] = set()  # accepted while the proxy was silent
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = socket.create_server(("127.0.0.1", 0), backlog=1024)
 
@@ -97,76 +97,76 @@
     async def _accept(self) -> None:
         while True:
             try:
-                outer, _ = await self._loop.sock_accept(self._server)
+                downstream, _ = await self._loop.sock_accept(self._server)
             except OSError:
                 await asyncio.sleep(0.01)
                 continue
-            outer.setblocking(False)
-            outer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._spawn(self._serve(outer))
+            downstream.setblocking(False)
+            downstream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._spawn(self._serve(downstream))
 
     def cut(self, on: bool) -> None:
         """Stop forwarding, or forward again and reset the connections that were held back or accepted meanwhile."""
         self.silent = on
         if on:
             return
-        stale, self._stale = self._stale, set()
-        unpaired, self._unpaired = self._unpaired, set()
-        for pair in stale:
-            self._reset(pair)
+        stale, self._held_back = self._held_back, set()
+        unpaired, self._accepted_while_silent = self._accepted_while_silent, set()
+        for connection in stale:
+            self._reset(connection)
         for sock in unpaired:
             reset_at_close(sock)
             sock.close()
-        self._healed.set()
-        self._healed = asyncio.Event()
+        self._cut_ended.set()
+        self._cut_ended = asyncio.Event()
 
-    async def _serve(self, outer: socket.socket) -> None:
+    async def _serve(self, downstream: socket.socket) -> None:
         if self.silent:
-            self._unpaired.add(outer)
-            await self._healed.wait()
+            self._accepted_while_silent.add(downstream)
+            await self._cut_ended.wait()
             return
-        inner = socket.socket()
-        inner.setblocking(False)
-        pair = ProxiedConnection(outer, inner)
+        upstream = socket.socket()
+        upstream.setblocking(False)
+        connection = ProxiedConnection(downstream, upstream)
         try:
-            await self._loop.sock_connect(inner, ("127.0.0.1", self.port))
-            inner.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            pair.directions = [
-                self._spawn(self._forward(pair, outer, inner)),
-                self._spawn(self._forward(pair, inner, outer)),
+            await self._loop.sock_connect(upstream, ("127.0.0.1", self.port))
+            upstream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connection.directions = [
+                self._spawn(self._forward(connection, downstream, upstream)),
+                self._spawn(self._forward(connection, upstream, downstream)),
             ]
-            await asyncio.wait(pair.directions, return_when=asyncio.FIRST_COMPLETED)
-            for way in pair.directions:
-                way.cancel()
-            await asyncio.gather(*pair.directions, return_exceptions=True)
+            await asyncio.wait(connection.directions, return_when=asyncio.FIRST_COMPLETED)
+            for direction in connection.directions:
+                direction.cancel()
+            await asyncio.gather(*connection.directions, return_exceptions=True)
         except OSError:
             pass
         finally:
-            self._stale.discard(pair)
-            pair.close()
+            self._held_back.discard(connection)
+            connection.close()
 
-    async def _forward(self, pair: ProxiedConnection, source: socket.socket, to: socket.socket) -> None:
+    async def _forward(self, connection: ProxiedConnection, source: socket.socket, destination: socket.socket) -> None:
         """Forward one direction until it is closed or reset; a reset is forwarded directly after the last bytes."""
         with contextlib.suppress(OSError):
             while True:
-                taken = await self._read_available(source)
-                if source is pair.outer and (found := _REQUEST_ID.search(taken.data)):
-                    pair.request = found[1].decode()
+                result = await self._read_available(source)
+                if source is connection.downstream and (found := _REQUEST_ID.search(result.data)):
+                    connection.request = found[1].decode()
                 if self.silent:
-                    self._stale.add(pair)
-                    await self._healed.wait()
+                    self._held_back.add(connection)
+                    await self._cut_ended.wait()
                     return
-                resets = taken.data and self.rng.random() < self.reset_share
-                if taken.data and not (
+                resets = result.data and self.rng.random() < self.reset_share
+                if result.data and not (
                     resets and self.rng.random() < 0.5
                 ):  # the reset follows the bytes or replaces them
                     await asyncio.sleep(self.rng.random() * self.delay_s)
-                    await self._loop.sock_sendall(to, taken.data)
+                    await self._loop.sock_sendall(destination, result.data)
                 if resets:
-                    return self._reset(pair)
-                if taken.end == InputEnd.RESET:
-                    return reset_at_close(to)
-                if taken.end == InputEnd.CLOSED:
+                    return self._reset(connection)
+                if result.end == InputEnd.RESET:
+                    return reset_at_close(destination)
+                if result.end == InputEnd.CLOSED:
                     return
 
     async def _read_available(self, source: socket.socket) -> ReadResult:
@@ -180,10 +180,10 @@
             return ReadResult(bytes(gathered), InputEnd.RESET)
         return ReadResult(bytes(gathered), InputEnd.CLOSED)
 
-    def _reset(self, pair: ProxiedConnection) -> None:
-        if pair.request:
-            self.on_reset(pair.request)
-        pair.end_with_reset()
+    def _reset(self, connection: ProxiedConnection) -> None:
+        if connection.request:
+            self.on_reset(connection.request)
+        connection.end_with_reset()
 
     def close(self) -> None:
         """Stop accepting connections, and cancel all tasks."""
--- a/pearhill/lab/soak/records.py
+++ b/pearhill/lab/soak/records.py
@@ -31,7 +31,7 @@
     replica: str
     at: int
     writes_answer: bool  # the replica writes the answer; a prefill alone has no effect
-    ended: int = 0
+    ended_at: int = 0
     may_have_executed: bool = True
     closed_by_dispatcher: bool = False
     written: bytearray = field(default_factory=bytearray)  # complete events of its stream
@@ -65,10 +65,10 @@
     idempotency_window: int
     timeout: int
     sent: list[SentRequest]
-    closed: int = 0  # when its client closed the connection
-    answered: int = 0  # when the first byte of the final answer arrived
+    closed_at: int = 0  # when its client closed the connection
+    answered_at: int = 0  # when the first byte of the final answer arrived
     status: int = 0
-    ended: int = 0  # when the answer was complete or broken off, or the client closed the connection
+    ended_at: int = 0  # when the answer was complete or broken off, or the client closed the connection
     late_end_reported: bool = False
     received: bytearray = field(default_factory=bytearray)  # the bytes of its stream
     attempts: list[AttemptRecord] = field(default_factory=list)
--- a/pearhill/lab/soak/replicas.py
+++ b/pearhill/lab/soak/replicas.py
@@ -15,7 +15,7 @@
 from pearhill.lab.soak.records import AttemptRecord
 
 PREFILL, DECODE, MIXED = "read", "write", "both"
-EVENTS = 6
+EVENT_COUNT = 6
 HANG_S = 60.0
 MISBEHAVIOUR_KINDS = (
     "error",
@@ -30,7 +30,7 @@
     "last-reset",
 )
 _EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%b "},"finish_reason":null}]}\n\n'
-_LAST = (
+_FINAL_EVENTS = (
     b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":6,"prompt_tokens_details":'
     b'{"cached_tokens":4}}}\n\ndata: [DONE]\n\n'
@@ -125,8 +125,8 @@
         attempt = self.oracle.attempts.arrived(
             self.clock(), request, self.uid, self.role != PREFILL, timeout_ms, self.role
         )
-        connection_end = asyncio.ensure_future(_end_of(reader))
-        work = asyncio.ensure_future(self._work(request, attempt, writer))
+        connection_end = asyncio.ensure_future(_wait_for_input(reader))
+        work = asyncio.ensure_future(self._process_attempt(request, attempt, writer))
         try:
             await asyncio.wait((connection_end, work), return_when=asyncio.FIRST_COMPLETED)
             return work.done() and not connection_end.done() and await work
@@ -138,10 +138,10 @@
             connection_end.cancel()
             work.cancel()
             await asyncio.gather(connection_end, work, return_exceptions=True)
-            if not attempt.ended:
+            if not attempt.ended_at:
                 self.oracle.attempts.ended(self.clock(), request, attempt)
 
-    async def _work(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
+    async def _process_attempt(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
         misbehaviour = self.misbehaviour if self.rng.random() < self.misbehaving_share else ""
         if misbehaviour == "full":
             return self._reject(request, attempt, writer, 503)
@@ -194,18 +194,18 @@
             return False
         self.oracle.held_states.fetched(request)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
-        for number in range(EVENTS):
+        for number in range(EVENT_COUNT):
             # Each attempt writes different text, so that the bytes a client receives identify one attempt.
             event = _EVENT % f"{self.uid}.{self.requests}.{number}".encode()
             self.oracle.attempts.wrote(self.clock(), attempt, event)
             writer.write(chunk(event))
-            if number == EVENTS // 2 and not await self._continues(request, attempt, writer, misbehaviour):
+            if number == EVENT_COUNT // 2 and not await self._continues(request, attempt, writer, misbehaviour):
                 return False
             await writer.drain()
             await asyncio.sleep(self.speeds.event_s)
-        self.oracle.attempts.wrote(self.clock(), attempt, _LAST)
+        self.oracle.attempts.wrote(self.clock(), attempt, _FINAL_EVENTS)
         attempt.finished = True
-        writer.write(chunk(_LAST) + LAST_CHUNK)
+        writer.write(chunk(_FINAL_EVENTS) + LAST_CHUNK)
         if misbehaviour == "last-reset":
             reset(writer)
             return False
@@ -247,6 +247,6 @@
             self._server.close()
 
 
-async def _end_of(reader: asyncio.StreamReader) -> None:
+async def _wait_for_input(reader: asyncio.StreamReader) -> None:
     """Returns when the dispatcher has closed the connection of an attempt, or sends data before the answer's end."""
     await reader.read(1)
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -43,7 +43,7 @@
         plan = self.plan
         kill_after_s = min(MAX_KILL_DEADLINE_S, plan.longest_timeout_s) + KILL_AFTER_S
         lateness = Lateness(monotonic_us)
-        oracle = Oracle(plan.rules, lateness)
+        oracle = Oracle(plan.limits, lateness)
         roles = [PREFILL] * plan.prefill_replicas + [DECODE] * plan.decode_replicas + [MIXED] * plan.mixed_replicas
         replicas = [
             Replica(f"s-{n:02}", role, ZONES[n % 2], n % 2, SPEEDS, oracle, plan.seed * 100 + n, monotonic_us)
@@ -60,7 +60,7 @@
         await self._start_replicas()
         self.fleet.dispatchers = [self._make_dispatcher(n, agent) for n, agent in enumerate(self.fleet.agents)]
         async with self._watched():
-            await self._play()
+            await self._run_plan()
         return self._report()
 
     async def _start_replicas(self) -> None:
@@ -102,7 +102,7 @@
             for agent in fleet.agents:
                 agent.close()
 
-    async def _play(self) -> None:
+    async def _run_plan(self) -> None:
         fleet = self.fleet
         await asyncio.gather(*(d.start() for d in fleet.dispatchers))
         for dispatcher in fleet.dispatchers:
--- a/pearhill/lab/soak/shim.py
+++ b/pearhill/lab/soak/shim.py
@@ -35,7 +35,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.wall_ns = 0
-        self.pieces = 0
+        self.max_io_bytes = 0
         self.failing: dict[str, tuple[int, float]] = {}
 
     def command(self, line: str) -> None:
@@ -49,7 +49,7 @@
             case ["fail", call, name, share]:
                 self.failing[call] = getattr(errno, name), float(share)
             case ["pieces", size]:
-                self.pieces = int(size)
+                self.max_io_bytes = int(size)
 
     def check(self, call: str) -> None:
         """Raises OSError if this call is to fail now."""
@@ -103,15 +103,15 @@
         return super().recv(bufsize, flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """Sends like `socket.send`, at most `pieces` bytes, unless `send` is to fail now."""
+        """Sends like `socket.send`, at most `max_io_bytes` bytes, unless `send` is to fail now."""
         self.check_bytes("send")
-        return super().send(memoryview(data)[: self.faults.pieces] if self.faults.pieces else data, flags)
+        return super().send(memoryview(data)[: self.faults.max_io_bytes] if self.faults.max_io_bytes else data, flags)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Reads like `socket.recv_into`, at most `pieces` bytes, unless `recv` is to fail now."""
+        """Reads like `socket.recv_into`, at most `max_io_bytes` bytes, unless `recv` is to fail now."""
         self.check_bytes("recv")
         view = memoryview(buffer)
-        return super().recv_into(view[: self.faults.pieces] if self.faults.pieces else view, nbytes, flags)
+        return super().recv_into(view[: self.faults.max_io_bytes] if self.faults.max_io_bytes else view, nbytes, flags)
 
 
 def install(faults: Faults) -> None:
@@ -136,7 +136,7 @@
     sys.stderr.write = checked_write_log  # type: ignore[method-assign]
 
 
-def _follow(faults: Faults) -> None:
+def _read_commands(faults: Faults) -> None:
     for line in sys.stdin:
         faults.command(line)
 
@@ -147,7 +147,7 @@
     for line in os.environ.get("SOAK_COMMANDS", "").split(";"):
         faults.command(line)
     install(faults)
-    threading.Thread(target=_follow, args=(faults,), daemon=True).start()
+    threading.Thread(target=_read_commands, args=(faults,), daemon=True).start()
     sys.argv = sys.argv[:1]
     runpy.run_module("pearhill", run_name="__main__", alter_sys=True)
     return 0
--- a/pearhill/lab/soak/slow_start.py
+++ b/pearhill/lab/soak/slow_start.py
@@ -35,22 +35,22 @@
         `warm_rate`: the requests per second that a warm replica receives.
         """
         share = min(1.0, self.initial_share + (1 - self.initial_share) * max(0, age) / self.warm_up_time)
-        calls = self.window_multiple * share * warm_rate * self.window / SECOND
-        root = math.sqrt(calls)
-        return calls + (3 * root + 3 if calls < 30 else 2 * root + 2)
+        expected = self.window_multiple * share * warm_rate * self.window / SECOND
+        deviation = math.sqrt(expected)
+        return expected + (3 * deviation + 3 if expected < 30 else 2 * deviation + 2)
 
 
 @dataclass(slots=True)
 class _ColdReplica:
-    started: int
+    started_at: int
     arrivals: deque[int] = field(default_factory=deque)
 
 
 class ColdReplicas:
     """The replicas whose cold start was published to all dispatchers, and the arrivals at their warm peers."""
 
-    def __init__(self, rules: PlatformLimits) -> None:
-        self.rules = rules
+    def __init__(self, limits: PlatformLimits) -> None:
+        self.limits = limits
         self._cold: dict[str, _ColdReplica] = {}
         self._warm: dict[str, dict[str, deque[int]]] = {}  # recent arrivals by role and replica
 
@@ -67,17 +67,17 @@
     def attempt_arrived(self, at: int, replica: str, role: str) -> str:
         """Record the arrival of a request. Returns a description of the violation, or "" if there is none."""
         cold = self._cold.get(replica)
-        if cold and at > cold.started + self.rules.warm_up_time:  # the rule does not apply to a warm replica
+        if cold and at > cold.started_at + self.limits.warm_up_time:  # the rule does not apply to a warm replica
             del self._cold[replica]
             cold = None
         if cold is None:
             _add_arrival(
-                self._warm.setdefault(role, {}).setdefault(replica, deque()), at, PEERS_WINDOWS * self.rules.window
+                self._warm.setdefault(role, {}).setdefault(replica, deque()), at, PEERS_WINDOWS * self.limits.window
             )
             return ""
-        _add_arrival(cold.arrivals, at, self.rules.window)
-        age, count = at - cold.started, len(cold.arrivals)
-        limit = self.rules.slow_start_limit(age, self._warm_rate(at, role))
+        _add_arrival(cold.arrivals, at, self.limits.window)
+        age, count = at - cold.started_at, len(cold.arrivals)
+        limit = self.limits.slow_start_limit(age, self._warm_rate(at, role))
         if count <= limit:
             return ""
         cold.arrivals.clear()
@@ -85,9 +85,9 @@
 
     def _warm_rate(self, at: int, role: str) -> float:
         """Returns the highest rate of requests per second at a warm peer: all replicas of a role are alike."""
-        span = PEERS_WINDOWS * self.rules.window
-        seen = max((sum(each >= at - span for each in got) for got in self._warm.get(role, {}).values()), default=0)
-        return max(self.rules.warm_rate, seen * SECOND / span)
+        span = PEERS_WINDOWS * self.limits.window
+        seen = max((sum(each >= at - span for each in times) for times in self._warm.get(role, {}).values()), default=0)
+        return max(self.limits.warm_rate, seen * SECOND / span)
 
 
 def _add_arrival(arrivals: deque[int], at: int, span: int) -> None:
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -43,7 +43,7 @@
     return Row("m", planned, 0.0, 200, outcome, 0.1, 0.2, 1)
 
 
-def test_work_by_engine_and_second_idle_time_and_served_shares() -> None:
+def test_work_by_replica_and_second_idle_time_and_served_shares() -> None:
     # Of three replicas over three seconds, one works all the time, one in the second second, one never.
     work = [[(9.5, 13.5)], [(11.0, 12.0)], []]
     result = fleet.evaluate([row(0.1, SERVED), row(0.2, REFUSED), row(2.5, SERVED)], work, 10.0, 3.0)
@@ -60,7 +60,7 @@
         path.write_text(SHORT % faults)
         return scenario.load(str(path))
 
-    def test_a_time_line_that_cannot_be_is_told_by_its_path(self) -> None:
+    def test_an_invalid_fault_is_reported_with_its_path(self) -> None:
         for faults, why in (
             (fault("cut", 3, 2), r"fleet.fault\[0\].to_s: found 2.0; allowed: more than from_s, 3.0"),
             (fault("stall", 1, 2, "[]"), r"fleet.fault\[0\].who: found nobody"),
@@ -72,13 +72,13 @@
 
     def test_four_dispatchers_through_a_crash_a_stall_and_a_cut(self) -> None:
         faults = fault("crash", 1, 3, "[1]") + fault("stall", 3.5, 4.5, "[2]") + fault("cut", 5, 7, "[0, 1]")
-        told: list[str] = []
-        result = asyncio.run(fleet.run(self.load(faults), told.append))
-        assert len(told) == 7, told
+        lines: list[str] = []
+        result = asyncio.run(fleet.run(self.load(faults), lines.append))
+        assert len(lines) == 7, lines
         assert len(result.rows) > 50
         # Requests that were not sent to the crashed or to the stalled dispatcher were served.
         assert sum(r.outcome == SERVED for r in result.rows) / len(result.rows) > 0.7
-        calm = [r for r in result.rows if r.planned_s > 5]
-        assert [r.outcome for r in calm if r.outcome != SERVED] == []
+        later = [r for r in result.rows if r.planned_s > 5]
+        assert [r.outcome for r in later if r.outcome != SERVED] == []
         assert all(0 <= idle <= 8.5 for idle in result.idle_s)
         assert sum(result.peaks) > 0
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -60,12 +60,12 @@
             text=True,
         )
 
-    def test_a_run_its_files_and_a_comparison(self) -> None:
+    def test_a_run_writes_its_files_and_two_runs_can_be_compared(self) -> None:
         for name in ("small", "other"):
             done = self.cli("run", str(self.scenario(name=name)), "--out", str(self.folder))
             assert done.returncode == 0, done.stderr
-        rows, told = run.read_rows(self.folder / "small.parquet")
-        assert told["seconds"] == 2.0
+        rows, parameters = run.read_rows(self.folder / "small.parquet")
+        assert parameters["seconds"] == 2.0
         assert {row.outcome for row in rows} == {SERVED}
         assert {row.tokens for row in rows} == {5}
         assert all(0 < row.first_s <= row.end_s for row in rows)
@@ -81,14 +81,14 @@
         )
         assert (done.returncode, (self.folder / "c.html").read_text().count("<polyline")) == (0, 8)
 
-    def test_faults_are_seen_by_the_load(self) -> None:
+    def test_faults_of_servers_appear_in_the_outcomes(self) -> None:
         made = scenario.load(str(self.scenario('[[server.fault]]\nkind = "refuse"')))
         assert {row.outcome for row in asyncio.run(run.run(made))} == {REFUSED}
         made = scenario.load(str(self.scenario('[[server.fault]]\nkind = "garble"\nshare = 0.5')))
         found = {row.outcome for row in asyncio.run(run.run(made))}
         assert found == {SERVED, load.FAILED}
 
-    def test_what_cannot_be_run_or_compared_is_one_line(self) -> None:
+    def test_an_unusable_scenario_or_result_is_reported_in_one_line(self) -> None:
         bad = self.folder / "bad.toml"
         bad.write_text(self.scenario().read_text().replace("seconds = 2.0", "seconds = 0"))
         for arguments, why in (
@@ -100,7 +100,7 @@
             assert (done.returncode, done.stderr.count("\n")) == (2, 1), done.stderr
             assert re.search(why, done.stderr), done.stderr
 
-    def test_the_scenarios_in_deploy_are_good(self) -> None:
+    def test_the_scenarios_in_deploy_are_valid_and_a_duplicate_tenant_is_rejected(self) -> None:
         for path in sorted(LAB.glob("*.toml")):
             if not path.name.endswith("front.toml"):
                 scenario.load(str(path))
@@ -119,7 +119,7 @@
         assert 1_800 < inside < 2_200, (inside, len(times))
         assert 1_350 < len(times) - inside < 1_650, (inside, len(times))
 
-    def test_figures_count_from_the_planned_time_and_leave_the_warming_out(self) -> None:
+    def test_figures_count_from_the_planned_time_and_exclude_the_warm_up(self) -> None:
         rows = [
             Row("a", t, 0.001, 200 if t % 2 else 429, SERVED if t % 2 else REFUSED, 0.1 * t, 0.2 * t, 10)
             for t in range(10)
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -15,26 +15,26 @@
 from pearhill.lab.soak.connection_flood import ConnectionFlood
 from pearhill.lab.soak.lateness import Lateness, Span
 from pearhill.lab.soak.oracle import Oracle
-from pearhill.lab.soak.plan import CROWD_OCCASIONS, SERIES, draw
+from pearhill.lab.soak.plan import FLOOD_VARIANTS, SIGNAL_SERIES, draw
 from pearhill.lab.soak.processes import Dispatcher
 from pearhill.lab.soak.records import IDEMPOTENT, KEYED, NON_IDEMPOTENT, SECOND, AttemptRecord, Violation
 from pearhill.lab.soak.report import Report
 from pearhill.lab.soak.slow_start import PlatformLimits
 
 S, MS = 1_000_000, 1000
-RULES = PlatformLimits(300 * MS, 500 * MS, 8 * S, 0.1, 1500 * MS, 1.5, 20.0)
+LIMITS = PlatformLimits(300 * MS, 500 * MS, 8 * S, 0.1, 1500 * MS, 1.5, 20.0)
 SHORT_S = 5.0
 PORT = 4000
 SEEDS = [int(seed) for seed in os.environ.get("SOAK_SEED", "2,3,4").split(",")]
 
 
-def asked(effect: str = IDEMPOTENT, window: int = 0) -> Oracle:
-    oracle = Oracle(RULES)
+def oracle_with_request(effect: str = IDEMPOTENT, window: int = 0) -> Oracle:
+    oracle = Oracle(LIMITS)
     oracle.clients.request_sent(0, "r", "d", effect, window, 2 * S)
     return oracle
 
 
-def streaming(oracle: Oracle, got: bytes = b"one ") -> AttemptRecord:
+def start_stream(oracle: Oracle, got: bytes = b"one ") -> AttemptRecord:
     """A decode replica has written two events; the client has received the bytes `got`."""
     attempt = oracle.attempts.arrived(10 * MS, "r", "w", True, 1000)
     oracle.attempts.wrote(20 * MS, attempt, b"one ")
@@ -44,12 +44,12 @@
     return attempt
 
 
-def cancelled(oracle: Oracle) -> None:
+def start_attempt_after_close(oracle: Oracle) -> None:
     oracle.clients.client_closed(10 * MS, "r")
     oracle.attempts.arrived(140 * MS, "r", "w", True, 1000)
 
 
-def begun_after_its_answer(oracle: Oracle) -> None:
+def start_attempt_after_answer(oracle: Oracle) -> None:
     oracle.clients.answer_started(10 * MS, "r", 503)
     oracle.clients.answer_completed(10 * MS, "r")
     oracle.attempts.arrived(140 * MS, "r", "w", True, 1000)
@@ -63,7 +63,7 @@
     assert not oracle.clients.connection_ended(1 * MS, "r", PORT, used=False)
 
 
-def twice_over_two_dispatchers(oracle: Oracle) -> None:
+def send_second_attempt_by_another_dispatcher(oracle: Oracle) -> None:
     oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
     assert oracle.clients.connection_ended(30 * MS, "r", PORT, used=True)
     oracle.clients.request_sent(40 * MS, "r", "e", NON_IDEMPOTENT, 0, 2 * S)
@@ -71,26 +71,26 @@
 
 
 def broken_while_written(oracle: Oracle) -> None:
-    streaming(oracle)
+    start_stream(oracle)
     oracle.clients.answer_broken(100 * MS, "r", PORT)
 
 
 def broken_when_finished(oracle: Oracle) -> None:
-    attempt = streaming(oracle)
+    attempt = start_stream(oracle)
     attempt.finished = True
     oracle.clients.answer_broken(6 * S, "r", PORT)
 
 
-def other_bytes(oracle: Oracle) -> None:
-    streaming(oracle, b"one tow ")
+def receive_other_bytes(oracle: Oracle) -> None:
+    start_stream(oracle, b"one tow ")
     oracle.scan(50 * MS)
     oracle.clients.client_closed(60 * MS, "r")
     oracle.attempts.stream_broken(60 * MS, "r")
     oracle.clients.answer_broken(70 * MS, "r", PORT)
 
 
-def anothers_answer_behind_the_first_event(oracle: Oracle) -> None:
-    first = streaming(oracle)
+def mix_two_answers(oracle: Oracle) -> None:
+    first = start_stream(oracle)
     oracle.attempts.stream_broken(40 * MS, "r", first)
     second = oracle.attempts.arrived(50 * MS, "r", "w2", True, 1000)
     oracle.attempts.wrote(60 * MS, second, b"three")
@@ -99,21 +99,21 @@
     oracle.clients.answer_broken(70 * MS, "r", PORT)
 
 
-def whole_too_soon(oracle: Oracle) -> None:
-    streaming(oracle)
+def end_partial_answer_as_complete(oracle: Oracle) -> None:
+    start_stream(oracle)
     oracle.clients.answer_completed(60 * MS, "r")
 
 
-def left_without_its_end(oracle: Oracle) -> None:
-    oracle.attempts.stream_broken(40 * MS, "r", streaming(oracle))
+def withhold_end_of_broken_stream(oracle: Oracle) -> None:
+    oracle.attempts.stream_broken(40 * MS, "r", start_stream(oracle))
     oracle.scan(1_000 * MS)
     assert not oracle.violations
     oracle.scan(1_100 * MS)
     oracle.scan(1_200 * MS)
 
 
-def left_without_the_end_of_a_whole_answer(oracle: Oracle) -> None:
-    streaming(oracle).finished = True
+def withhold_end_of_complete_answer(oracle: Oracle) -> None:
+    start_stream(oracle).finished = True
     oracle.scan(1_100 * MS)
 
 
@@ -122,7 +122,7 @@
     oracle.killed(2 * S, "d")
 
 
-def lost_at_the_kill_long_after_the_signal_to_end(oracle: Oracle) -> None:
+def lost_at_a_kill_long_after_sigterm(oracle: Oracle) -> None:
     oracle.terminated(-800 * MS, "d")
     oracle.killed(S, "d")
     oracle.clients.connection_ended(S, "r", PORT, used=True)
@@ -135,7 +135,7 @@
     oracle.killed(5 * S, "d")  # the dispatcher's next process
 
 
-def ended_on_a_new_connection_while_new_ones_come(oracle: Oracle) -> None:
+def ended_on_a_new_connection_shortly_after_sigterm(oracle: Oracle) -> None:
     oracle.terminated(-450 * MS, "d")
     assert not oracle.clients.connection_ended(60 * MS, "r", PORT, used=False)
 
@@ -151,35 +151,35 @@
     assert not oracle.clients.connection_ended(1 * MS, "r", PORT, used=False)
 
 
-def drained(oracle: Oracle) -> None:
+def send_to_draining_replica(oracle: Oracle) -> None:
     oracle.attempts.endpoint_published(0, "d", "w", False)
     oracle.attempts.arrived(700 * MS, "r", "w", True, 1000)
 
 
-def pinned(oracle: Oracle) -> None:
+def hold_state_too_long(oracle: Oracle) -> None:
     oracle.held_states.prefilled(0, "r", "reader")
     oracle.scan(600 * MS)
     assert not oracle.violations
     oracle.scan(800 * MS)
 
 
-def twice(oracle: Oracle) -> None:
+def send_second_attempt(oracle: Oracle) -> None:
     oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
     oracle.attempts.arrived(900 * MS, "r", "w2", True, 1000)
 
 
-def refused(oracle: Oracle) -> None:
+def reject_after_execution(oracle: Oracle) -> None:
     oracle.attempts.ended(20 * MS, "r", oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000))
     oracle.clients.answer_started(30 * MS, "r", 503)
 
 
-def copied(oracle: Oracle) -> None:
+def keep_two_attempts_in_flight(oracle: Oracle) -> None:
     first = oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000)
     oracle.attempts.arrived(20 * MS, "r", "w2", True, 1000)
     oracle.attempts.ended(500 * MS, "r", first)
 
 
-def pushed(oracle: Oracle) -> None:
+def overload_cold_replica(oracle: Oracle) -> None:
     oracle.attempts.replica_started(0, "w")
     for number in range(20):
         oracle.clients.request_sent(number, f"r{number}", "d", IDEMPOTENT, 0, 2 * S)
@@ -187,49 +187,49 @@
 
 
 @pytest.mark.parametrize(
-    ("rule", "effect", "plant"),
+    ("rule", "effect", "inject"),
     [
-        ("cancelled", IDEMPOTENT, cancelled),
-        ("drain", IDEMPOTENT, drained),
-        ("pinned", IDEMPOTENT, pinned),
-        ("duplicate", NON_IDEMPOTENT, twice),
-        ("window", KEYED, twice),
-        ("refused", NON_IDEMPOTENT, refused),
-        ("second-copy", IDEMPOTENT, copied),
-        ("slow-start", IDEMPOTENT, pushed),
+        ("cancelled", IDEMPOTENT, start_attempt_after_close),
+        ("drain", IDEMPOTENT, send_to_draining_replica),
+        ("pinned", IDEMPOTENT, hold_state_too_long),
+        ("duplicate", NON_IDEMPOTENT, send_second_attempt),
+        ("window", KEYED, send_second_attempt),
+        ("refused", NON_IDEMPOTENT, reject_after_execution),
+        ("second-copy", IDEMPOTENT, keep_two_attempts_in_flight),
+        ("slow-start", IDEMPOTENT, overload_cold_replica),
         ("deadline", IDEMPOTENT, lambda oracle: oracle.attempts.arrived(S, "r", "w", True, 1300)),
         ("late", IDEMPOTENT, lambda oracle: oracle.clients.answer_started(2700 * MS, "r", 200)),
         ("lost", IDEMPOTENT, lambda oracle: oracle.clients.answer_missing(S, "r", "closed")),
         ("bad-client", IDEMPOTENT, lambda oracle: oracle.clients.bad_client_ended(3200 * MS, "d", 0)),
-        ("after-answer", IDEMPOTENT, begun_after_its_answer),
+        ("after-answer", IDEMPOTENT, start_attempt_after_answer),
         ("lost", IDEMPOTENT, ended_long_after_it_was_written),
         ("lost", IDEMPOTENT, ended_on_a_new_connection),
-        ("duplicate", NON_IDEMPOTENT, twice_over_two_dispatchers),
+        ("duplicate", NON_IDEMPOTENT, send_second_attempt_by_another_dispatcher),
         ("broken", IDEMPOTENT, broken_while_written),
         ("broken", IDEMPOTENT, broken_when_finished),
-        ("bytes", IDEMPOTENT, other_bytes),
-        ("bytes", IDEMPOTENT, anothers_answer_behind_the_first_event),
-        ("incomplete", IDEMPOTENT, whole_too_soon),
-        ("end-not-passed-on", IDEMPOTENT, left_without_its_end),
-        ("end-not-passed-on", IDEMPOTENT, left_without_the_end_of_a_whole_answer),
+        ("bytes", IDEMPOTENT, receive_other_bytes),
+        ("bytes", IDEMPOTENT, mix_two_answers),
+        ("incomplete", IDEMPOTENT, end_partial_answer_as_complete),
+        ("end-not-passed-on", IDEMPOTENT, withhold_end_of_broken_stream),
+        ("end-not-passed-on", IDEMPOTENT, withhold_end_of_complete_answer),
         ("lost", IDEMPOTENT, lost_before_the_kill),
-        ("lost", IDEMPOTENT, lost_at_the_kill_long_after_the_signal_to_end),
+        ("lost", IDEMPOTENT, lost_at_a_kill_long_after_sigterm),
         ("lost", IDEMPOTENT, lost_when_it_exited_by_itself),
-        ("lost", IDEMPOTENT, ended_on_a_new_connection_while_new_ones_come),
+        ("lost", IDEMPOTENT, ended_on_a_new_connection_shortly_after_sigterm),
         ("lost", IDEMPOTENT, ended_long_after_a_late_first_request),
         ("lost", IDEMPOTENT, ended_on_a_new_connection_to_the_next_process),
     ],
 )
-def test_the_oracle_finds_what_is_planted(rule: str, effect: str, plant: Callable[[Oracle], None]) -> None:
-    oracle = asked(effect, window=500 * MS)
-    plant(oracle)
+def test_the_oracle_reports_an_injected_violation(rule: str, effect: str, inject: Callable[[Oracle], None]) -> None:
+    oracle = oracle_with_request(effect, window=500 * MS)
+    inject(oracle)
     assert [violation.rule for violation in oracle.violations] == [rule]
 
 
-def test_what_is_allowed_is_no_violation() -> None:
-    oracle = asked(NON_IDEMPOTENT)
-    turned_away = oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000)
-    oracle.attempts.ended(20 * MS, "r", turned_away, never_ran=True)
+def test_a_rejected_attempt_and_a_fetched_state_are_no_violation() -> None:
+    oracle = oracle_with_request(NON_IDEMPOTENT)
+    rejected = oracle.attempts.arrived(10 * MS, "r", "w1", True, 1000)
+    oracle.attempts.ended(20 * MS, "r", rejected, never_ran=True)
     oracle.held_states.prefilled(50 * MS, "r", "reader")
     fetch = oracle.attempts.arrived(60 * MS, "r", "w2", True, 1000)
     oracle.scan(S)
@@ -244,50 +244,50 @@
     assert oracle.clients.connection_ended(20 * MS, "r", PORT, used=True)
 
 
-def a_kill_under_way(oracle: Oracle) -> None:
+def a_kill_with_the_request_in_flight(oracle: Oracle) -> None:
     oracle.killed(S, "d")
     assert not oracle.clients.connection_ended(S + 1 * MS, "r", PORT, used=False)
 
 
-def a_kill_after_the_signal(oracle: Oracle) -> None:
+def a_kill_after_sigterm(oracle: Oracle) -> None:
     oracle.terminated(-600 * MS, "d")
     oracle.killed(S, "d")
     assert not oracle.clients.connection_ended(S, "r", PORT, used=False)
 
 
-def a_crowd(oracle: Oracle) -> None:
+def a_flood(oracle: Oracle) -> None:
     oracle.dispatcher_flooded(-S, "d", True)
     assert oracle.clients.connection_ended(10 * MS, "r", PORT, used=False)
 
 
-def a_first_request_after_new_ones_have_ceased(oracle: Oracle) -> None:
+def a_late_first_request_after_sigterm(oracle: Oracle) -> None:
     oracle.terminated(-600 * MS, "d")
     assert oracle.clients.connection_ended(60 * MS, "r", PORT, used=False)
 
 
-def a_connection_that_the_system_broke(oracle: Oracle) -> None:
+def a_connection_broken_by_a_failed_system_call(oracle: Oracle) -> None:
     oracle.client_connection_broken("d", PORT)
     assert not oracle.clients.connection_ended(S, "r", PORT, used=False)
 
 
 def a_stream_that_its_replica_broke(oracle: Oracle) -> None:
-    oracle.attempts.stream_broken(40 * MS, "r", streaming(oracle))
+    oracle.attempts.stream_broken(40 * MS, "r", start_stream(oracle))
     oracle.clients.answer_broken(50 * MS, "r", PORT)
 
 
-def a_stream_that_stood_still(oracle: Oracle) -> None:
-    streaming(oracle)
+def a_stalled_stream(oracle: Oracle) -> None:
+    start_stream(oracle)
     oracle.clients.answer_broken(4600 * MS, "r", PORT)
 
 
-def a_list_that_nobody_could_ask_for(oracle: Oracle) -> None:
+def an_endpoint_retracted_before_it_was_polled(oracle: Oracle) -> None:
     oracle.attempts.endpoint_published(0, "d", "w", False)
     oracle.attempts.endpoint_retracted("d", "w")
     oracle.attempts.arrived(700 * MS, "r", "w", True, 1000)
 
 
-def a_whole_stream(oracle: Oracle) -> None:
-    streaming(oracle, b"one two ").finished = True
+def a_complete_stream(oracle: Oracle) -> None:
+    start_stream(oracle, b"one two ").finished = True
     oracle.clients.answer_completed(40 * MS, "r")
 
 
@@ -295,54 +295,54 @@
     "allowed",
     [
         a_close_that_crossed_its_request,
-        a_kill_under_way,
-        a_kill_after_the_signal,
-        a_crowd,
-        a_first_request_after_new_ones_have_ceased,
-        a_connection_that_the_system_broke,
+        a_kill_with_the_request_in_flight,
+        a_kill_after_sigterm,
+        a_flood,
+        a_late_first_request_after_sigterm,
+        a_connection_broken_by_a_failed_system_call,
         a_stream_that_its_replica_broke,
-        a_stream_that_stood_still,
-        a_whole_stream,
-        a_list_that_nobody_could_ask_for,
+        a_stalled_stream,
+        a_complete_stream,
+        an_endpoint_retracted_before_it_was_polled,
     ],
 )
-def test_what_the_pages_allow_is_no_violation(allowed: Callable[[Oracle], None]) -> None:
-    oracle = asked()
+def test_a_permitted_outcome_is_no_violation(allowed: Callable[[Oracle], None]) -> None:
+    oracle = oracle_with_request()
     allowed(oracle)
     oracle.scan(10 * S)
     assert oracle.violations == []
 
 
-def test_only_a_lateness_of_that_moment_excuses_a_limit_that_was_passed() -> None:
+def test_only_lateness_at_that_time_excuses_an_exceeded_limit() -> None:
     once, thrice = [140 * MS], [10 * MS] * 3
     for since, lates, found in ((0, once, []), (0, thrice, []), (5 * S, once, ["cancelled"]), (0, [], ["cancelled"])):
         lateness = Lateness(lambda: 0)
         lateness.loop += [Span(since + n * 20 * MS, since + n * 20 * MS + late, late) for n, late in enumerate(lates)]
-        oracle = Oracle(RULES, lateness)
+        oracle = Oracle(LIMITS, lateness)
         oracle.clients.request_sent(0, "r", "d", IDEMPOTENT, 0, 2 * S)
-        cancelled(oracle)
+        start_attempt_after_close(oracle)
         assert [violation.rule for violation in oracle.violations] == found
 
 
-def test_a_drain_that_the_soak_passed_on_late_is_judged_from_then() -> None:
+def test_lateness_of_the_soak_at_a_drain_extends_its_limit() -> None:
     """The agents run in the soak's event loop. Lateness before or long after the published change does not count."""
     late = 300 * MS
     for since, found in ((50 * MS, []), (-2 * S, ["drain"]), (3 * S, ["drain"])):
         lateness = Lateness(lambda: 0)
         lateness.loop.append(Span(since, since + late, late))
-        oracle = Oracle(RULES, lateness)
+        oracle = Oracle(LIMITS, lateness)
         oracle.clients.request_sent(0, "r", "d", IDEMPOTENT, 0, 2 * S)
-        drained(oracle)
+        send_to_draining_replica(oracle)
         assert [violation.rule for violation in oracle.violations] == found
 
 
-def test_all_that_meets_a_crowd_or_follows_a_sigterm_is_drawn() -> None:
+def test_every_flood_variant_and_signal_series_is_drawn() -> None:
     faults = [fault for seed in range(5001, 5051) for fault in draw(seed).faults]
-    assert {fault.variant for fault in faults if fault.kind == "crowd"} == set(CROWD_OCCASIONS)
-    assert {fault.variant for fault in faults if fault.kind == "terminate"} == set(SERIES)
+    assert {fault.variant for fault in faults if fault.kind == "crowd"} == set(FLOOD_VARIANTS)
+    assert {fault.variant for fault in faults if fault.kind == "terminate"} == set(SIGNAL_SERIES)
 
 
-def test_a_seed_draws_the_same_every_time() -> None:
+def test_a_seed_draws_the_same_plan_every_time() -> None:
     assert draw(7) == draw(7)
     assert draw(7) != draw(8)
 
@@ -355,7 +355,7 @@
     assert report.outcomes["200"] > 50, report.text()
 
 
-def test_a_report_has_the_faults_above_the_violations() -> None:
+def test_a_report_lists_the_faults_before_the_violations() -> None:
     violation = Violation(2 * SECOND, "late", "r-1", "1 s")
     report = Report(7, [violation], Counter({"200": 3}), Counter(), 1.5, faults=["1.000 kill s-01"])
     lines = report.text().splitlines()
@@ -363,7 +363,7 @@
     assert lines[3] == "  VIOLATION at 2.000 late r-1: 1 s"
 
 
-class EndsAtTheKill:
+class ProcessThatExitsAtKill:
     """A process that is running when its time for shutdown is over, and has exited when it is killed."""
 
     returncode = None
@@ -381,10 +381,10 @@
         raise ProcessLookupError
 
 
-def test_a_process_that_ends_in_the_moment_of_its_kill_counts_as_killed(tmp_path: pathlib.Path) -> None:
+def test_a_process_that_exits_at_its_kill_counts_as_killed(tmp_path: pathlib.Path) -> None:
     async def terminate() -> bool:
-        dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(RULES), lambda: 0, 1)
-        process: Any = EndsAtTheKill()
+        dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(LIMITS), lambda: 0, 1)
+        process: Any = ProcessThatExitsAtKill()
         dispatcher.process = process
         return await dispatcher.terminate(0.01)
 
@@ -407,9 +407,9 @@
 
 
 @pytest.mark.usefixtures("children_reaped_by_the_loop")
-def test_a_signal_to_a_process_that_has_just_ended_leaves_its_exit_code(tmp_path: pathlib.Path) -> None:
+def test_a_signal_to_an_exited_process_preserves_its_exit_code(tmp_path: pathlib.Path) -> None:
     async def exit_code() -> int:
-        dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(RULES), lambda: 0, 1)
+        dispatcher = Dispatcher("d", tmp_path, {}, "127.0.0.1:1", Oracle(LIMITS), lambda: 0, 1)
         stdin, end_of_input = os.pipe()
         dispatcher.process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", "import sys; sys.stdin.read()", stdin=stdin
@@ -423,7 +423,7 @@
     assert asyncio.run(exit_code()) == 0
 
 
-def test_a_flood_holds_its_connections_comes_again_and_ends_with_its_process() -> None:
+def test_a_flood_keeps_connections_open_reconnects_and_ends_with_its_process() -> None:
     async def flood() -> None:
         connected: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
         ended: asyncio.Queue[bytes] = asyncio.Queue()
--- a/tests/lab/test_up.py
+++ b/tests/lab/test_up.py
@@ -43,11 +43,11 @@
             with socket.socket() as left, pytest.raises(ConnectionRefusedError):
                 left.connect(("127.0.0.1", port))
 
-    def test_what_cannot_be_brought_up_is_said_in_one_line(self) -> None:
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
-            port = taken.getsockname()[1]
+    def test_a_file_that_cannot_be_served_is_reported_without_a_traceback(self) -> None:
+        with socket.socket() as occupied:
+            occupied.bind(("127.0.0.1", 0))
+            occupied.listen()
+            port = occupied.getsockname()[1]
             for address, why in (
                 (f"127.0.0.1:{port}", f"stand-in engine: cannot listen on 127.0.0.1:{port}: "),
                 ("10.1.2.3:80", "server: found one at 10.1.2.3:80; allowed: addresses of this"),
