--- a/pearhill/lab/soak/fault_injection.py
+++ b/pearhill/lab/soak/fault_injection.py
@@ -39,7 +39,7 @@
         self._fleet = fleet
         self._rng = rng
         self._wall_offset_us = 0  # the sum of all steps of the wall clock, which all machines share
-        self._restarting: set[str] = set()  # dispatchers that are being restarted
+        self._restarting: set[str] = set()  # names of dispatchers
         self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "terminate": self._terminate,
             "kill": self._kill,
@@ -99,7 +99,7 @@
         await ended
 
     def _signals_after_sigterm(self, series: str) -> list[DelayedSignal]:
-        """Returns the signals that follow a SIGTERM of the `series`."""
+        """Returns the signals that follow a SIGTERM in this series, at random intervals."""
         numbers = {
             "plain": [],
             "twice": [signal.SIGTERM],
--- a/pearhill/lab/soak/proxy.py
+++ b/pearhill/lab/soak/proxy.py
@@ -77,7 +77,7 @@
         self._loop = asyncio.get_running_loop()
         self._cut_ended = asyncio.Event()
         self._held_back: set[ProxiedConnection] = set()
-        self._accepted_while_silent: set[socket.socket] = set()  # accepted while the proxy was silent
+        self._accepted_while_silent: set[socket.socket] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = socket.create_server(("127.0.0.1", 0), backlog=1024)
 
