--- a/pearhill/lab/soak/fault_injection.py
+++ b/pearhill/lab/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Brings a plan's faults about: signals, restarts, cuts, silence, floods and failing system calls."""
+"""Injects a plan's faults: signals, restarts, cut networks, silent agents, floods and failing system calls."""
 
 from __future__ import annotations
 
@@ -19,24 +19,27 @@
     SHUTDOWN,
     Fault,
 )
-from pearhill.lab.soak.processes import Dispatcher, SignalAt
+from pearhill.lab.soak.processes import DelayedSignal, Dispatcher
 from pearhill.lab.soak.records import SECOND
 from pearhill.lab.soak.replicas import Replica
 
-NEW_CONNECTIONS_S = (0.2, 0.4)  # for so long after SIGTERM the front still gives out new connections
+NEW_CONNECTIONS_S = (0.2, 0.4)  # for which clients still open connections to a dispatcher after SIGTERM
 BETWEEN_SIGNALS_S = 0.05
-REPLACED_REPLICAS = 3  # while a crowd fills the descriptors
+REPLACED_REPLICAS = 3  # during a flood that uses up the file descriptors
 
 
 class FaultInjector:
-    """Faults overlap; a dispatcher that is being restarted is left alone by others. `injected`: a line for each."""
+    """Injects faults, which may overlap; no other fault restarts a dispatcher that is being restarted.
+
+    `injected`: a line for each fault that has begun.
+    """
 
     def __init__(self, fleet: SoakFleet, rng: random.Random) -> None:
         self.injected: list[str] = []
         self._fleet = fleet
         self._rng = rng
-        self._wall_offset_us = 0  # the step of everybody's wall clock
-        self._busy: set[str] = set()  # dispatchers that are being restarted
+        self._wall_offset_us = 0  # the sum of all steps of the wall clock, which all machines share
+        self._restarting: set[str] = set()  # names of dispatchers
         self._injectors: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "terminate": self._terminate,
             "kill": self._kill,
@@ -56,7 +59,7 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, bring it about, and wait until it is over."""
+        """Wait for the fault's time, inject it, and wait until it is over."""
         await asyncio.sleep(fault.at_s)
         self.injected.append(
             f"{fault.at_s:.3f} {fault.kind} {fault.variant} {fault.amount} for {fault.duration_s:.3f} s, "
@@ -65,7 +68,7 @@
         await self._injectors[fault.kind](fault)
 
     def _pick_dispatcher(self, fault: Fault) -> Dispatcher | None:
-        free = [d for d in self._fleet.dispatchers if d.name not in self._busy]
+        free = [d for d in self._fleet.dispatchers if d.name not in self._restarting]
         return free[int(fault.pick * len(free))] if free else None
 
     def _pick_replica(self, fault: Fault) -> Replica:
@@ -76,7 +79,7 @@
             await self._terminate_one(dispatcher, fault)
 
     async def _terminate_one(self, dispatcher: Dispatcher, fault: Fault) -> None:
-        self._busy.add(dispatcher.name)
+        self._restarting.add(dispatcher.name)
         if fault.variant == "list":
             await self._restart_replica(fault)
         signals = self._signals_after_sigterm(fault.variant)
@@ -84,16 +87,19 @@
         await self.shut_down(dispatcher, signals)
         await self._restart(dispatcher)
 
-    async def shut_down(self, dispatcher: Dispatcher, others: Sequence[SignalAt] = ()) -> None:
-        """Send SIGTERM, with the signals that follow it, and wait for the process's end; new connections cease soon."""
-        ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, others))
+    async def shut_down(self, dispatcher: Dispatcher, further_signals: Sequence[DelayedSignal] = ()) -> None:
+        """Send SIGTERM and the signals that follow it, and wait for the process's end.
+
+        The dispatcher gets new connections for a short time after SIGTERM, `NEW_CONNECTIONS_S`.
+        """
+        ended = asyncio.ensure_future(dispatcher.terminate(self._fleet.kill_after_s, further_signals))
         self._fleet.clients.dispatcher_terminated(dispatcher.name)
         await asyncio.sleep(self._rng.uniform(*NEW_CONNECTIONS_S))
         self._fleet.clients.addresses.pop(dispatcher.name, None)
         await ended
 
-    def _signals_after_sigterm(self, how: str) -> list[SignalAt]:
-        """What follows a SIGTERM."""
+    def _signals_after_sigterm(self, series: str) -> list[DelayedSignal]:
+        """Returns the signals that follow a SIGTERM in this series, at random intervals."""
         numbers = {
             "plain": [],
             "twice": [signal.SIGTERM],
@@ -101,11 +107,11 @@
             "report": [signal.SIGUSR1, signal.SIGUSR1],
             "all": [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGHUP],
             "list": [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM],
-        }[how]
-        return [SignalAt(number, self._rng.uniform(0, 0.3)) for number in numbers]
+        }[series]
+        return [DelayedSignal(number, self._rng.uniform(0, 0.3)) for number in numbers]
 
     async def _hang_and_terminate(self, fault: Fault) -> None:
-        """A restart while all replicas of one role hang, also those that the last process has asked."""
+        """Restart a dispatcher while all replicas of one role hang, including those that the old process has called."""
         chosen = self._pick_replica(fault)
         hanging = [r for r in self._fleet.replicas if r.role == chosen.role]
         for replica in hanging:
@@ -116,7 +122,7 @@
 
     async def _kill(self, fault: Fault) -> None:
         if dispatcher := self._pick_dispatcher(fault):
-            self._busy.add(dispatcher.name)
+            self._restarting.add(dispatcher.name)
             self._fleet.clients.addresses.pop(dispatcher.name, None)
             await dispatcher.kill()
             await self._restart(dispatcher)
@@ -124,13 +130,16 @@
     async def _restart(self, dispatcher: Dispatcher) -> None:
         await dispatcher.start()
         self._fleet.add_to_front(dispatcher)
-        self._busy.discard(dispatcher.name)
+        self._restarting.discard(dispatcher.name)
 
     async def _reload(self, fault: Fault) -> None:
-        """In quick succession, for all that run; sometimes a SIGTERM in the midst, or a report."""
+        """Reload all running dispatchers in quick succession.
+
+        Every second turn also sends SIGUSR1. Half of the faults end with a SIGTERM to one dispatcher.
+        """
         for turn in range(int(fault.amount)):
             for dispatcher in self._fleet.dispatchers:
-                if dispatcher.name not in self._busy:
+                if dispatcher.name not in self._restarting:
                     dispatcher.reload(dispatcher.discovery)
                     if turn % 2:
                         dispatcher.signal(signal.SIGUSR1)
@@ -149,7 +158,10 @@
             dispatcher.signal(signal.SIGCONT)
 
     async def _wall(self, fault: Fault) -> None:
-        """Every machine reads the same clock. A moment later a replica comes back cold."""
+        """Step the wall clock of all machines, and restart a replica shortly after.
+
+        The restarted replica states its start in the time of the stepped clock.
+        """
         self._wall_offset_us += int(fault.amount * SECOND)
         for dispatcher in self._fleet.dispatchers:
             dispatcher.command(f"wall {fault.amount}", lasting=True)
@@ -175,7 +187,7 @@
             await agent.publish(replica.endpoint())
 
     async def _cut(self, fault: Fault) -> None:
-        """A zone's replicas of one role fall silent."""
+        """Cut the network to the replicas of one role in one zone."""
         chosen = self._pick_replica(fault)
         cut = [r for r in self._fleet.replicas if r.role == chosen.role and r.zone == chosen.zone]
         for replica in cut:
@@ -193,7 +205,7 @@
         replica.misbehaving_share = 0.0
 
     async def _silence_agents(self, fault: Fault) -> None:
-        """Discovery is down for all. A replica begins to leave within a moment of its return."""
+        """Silence the discovery agents of all dispatchers, and drain a replica shortly after they answer again."""
         for agent in self._fleet.agents:
             await agent.set_silent(True)
         await asyncio.sleep(fault.duration_s)
@@ -210,17 +222,17 @@
 
     async def _fail_calls(self, fault: Fault) -> None:
         calls = [each.split() for each in fault.variant.split(",")]
-        breaks = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
+        breaks_connections = any(call in CONNECTION_BREAKING_CALLS for call, _, _ in calls)
         for dispatcher in self._fleet.dispatchers:
             for call, error, share in calls:
                 dispatcher.command(f"fail {call} {error} {share}")
-            if breaks:
+            if breaks_connections:
                 self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, True)
         await asyncio.sleep(fault.duration_s)
         for dispatcher in self._fleet.dispatchers:
             for call, error, _ in calls:
                 dispatcher.command(f"fail {call} {error} 0")
-            if breaks:
+            if breaks_connections:
                 self._fleet.oracle.system_calls_fail(monotonic_us(), dispatcher.name, False)
 
     async def _pieces(self, fault: Fault) -> None:
@@ -230,14 +242,14 @@
         for dispatcher in self._fleet.dispatchers:
             dispatcher.command("pieces 0")
 
-    async def _meet_crowd(self, flooded: set[str], fault: Fault) -> None:
-        """What happens while the descriptors of these dispatchers are full."""
+    async def _run_during_flood(self, flooded: set[str], fault: Fault) -> None:
+        """Do what the fault's variant names while a flood uses up the file descriptors of these dispatchers."""
         if fault.variant == DISCOVERY_IS_DOWN:
             await self._silence_agents(fault)
         elif fault.variant == REPLICAS_ARE_REPLACED:
             await self._replace_replicas(fault)
         elif fault.variant == SHUTDOWN:
-            free = [d for d in self._fleet.dispatchers if d.name in flooded and d.name not in self._busy]
+            free = [d for d in self._fleet.dispatchers if d.name in flooded and d.name not in self._restarting]
             for dispatcher in free[:1]:
                 await self._terminate_one(dispatcher, replace(fault, variant="all"))
         else:
@@ -249,7 +261,7 @@
             await asyncio.sleep(fault.duration_s / REPLACED_REPLICAS)
 
     async def _flood(self, fault: Fault) -> None:
-        """Idle clients fill the descriptors of some."""
+        """Flood a third of the dispatchers with idle connections, which use up their file descriptors."""
         addresses = list(self._fleet.clients.addresses.values())
         self._rng.shuffle(addresses)
         chosen = addresses[: max(1, len(addresses) // 3)]
@@ -259,7 +271,7 @@
                 self._fleet.oracle.dispatcher_flooded(monotonic_us(), flood.name, True)
             await asyncio.gather(*(flood.start() for flood in floods))
             self._fleet.oracle.count(f"crowds: {fault.variant or 'nothing else'}")
-            await self._meet_crowd({flood.name for flood in floods}, fault)
+            await self._run_during_flood({flood.name for flood in floods}, fault)
         finally:
             await asyncio.gather(*(flood.stop() for flood in floods))
         for flood in floods:
--- a/pearhill/lab/soak/processes.py
+++ b/pearhill/lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""Dispatchers as processes under the shim: their start, commands, signals, logs and end."""
+"""Dispatcher processes that run under the shim: their start, commands, signals, logs and end."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SignalAt:
-    """A signal, so long after the one before it."""
+class DelayedSignal:
+    """A signal to send `after_s` after the signal before it."""
 
     number: signal.Signals
     after_s: float
 
 
 class Dispatcher:
-    """One dispatcher: its name and configuration stay through restarts, its process and port do not."""
+    """One dispatcher. Its name and configuration stay the same after a restart, its process and port change."""
 
     def __init__(
         self,
@@ -54,10 +54,10 @@
         self.address: ListenAddress | None = None
         self.starts = 0
         self.shutting_down = False
-        self.commands: list[str] = []  # given to each new process too
+        self.commands: list[str] = []  # sent to each new process too
         self._listening = asyncio.Event()
         self.process: asyncio.subprocess.Process | None = None
-        self._follower: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
 
     def write_config(self) -> None:
         """Write the configuration that the next start or reload reads."""
@@ -76,7 +76,7 @@
         )
 
     async def start(self) -> None:
-        """Start a process and wait until it listens. TimeoutError: it does not within 30 s."""
+        """Start a process and wait until it listens. Raises TimeoutError if it does not listen within 30 s."""
         self.starts += 1
         self.shutting_down = False
         self.write_config()
@@ -93,10 +93,10 @@
         )
         for line in self.commands:
             self._send_command(line)
-        self._follower = asyncio.ensure_future(self._follow(process))
+        self._log_reader = asyncio.ensure_future(self._read_log(process))
         await asyncio.wait_for(self._listening.wait(), START_TIMEOUT_S)
 
-    async def _follow(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
         while raw := await process.stderr.readline():
             line = raw.decode(errors="replace").rstrip()
@@ -114,20 +114,20 @@
             if code not in (0, -signal.SIGKILL):
                 self.oracle.process_fault(self.clock(), self.name, f"exit code {code} after SIGTERM")
         else:
-            self.oracle.process_fault(self.clock(), self.name, f"ended by itself with exit code {code}")
+            self.oracle.process_fault(self.clock(), self.name, f"exited without SIGTERM or SIGKILL, exit code {code}")
 
     def _send_command(self, line: str) -> None:
         if self.process and self.process.stdin and self.process.returncode is None:
             self.process.stdin.write(line.encode() + b"\n")
 
     def command(self, line: str, lasting: bool = False) -> None:
-        """A line to the shim. `lasting`: processes started later get it too."""
+        """Send a command line to the shim. `lasting`: it is also sent to processes that are started later."""
         if lasting:
             self.commands.append(line)
         self._send_command(line)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal to the process, if it still runs."""
         if self.process:
             _send_signal(self.process, number)
 
@@ -137,21 +137,24 @@
         self.write_config()
         self.signal(signal.SIGHUP)
 
-    async def terminate(self, within_s: float, others: Sequence[SignalAt] = ()) -> bool:
-        """SIGTERM, and SIGKILL after so long. `others`: signals that come meanwhile. True: it ended by itself."""
+    async def terminate(self, within_s: float, further_signals: Sequence[DelayedSignal] = ()) -> bool:
+        """Send SIGTERM, and SIGKILL if the process still runs after `within_s`.
+
+        `further_signals`: signals to send in the meantime. Returns True if the process exited before SIGKILL.
+        """
         process = self.process
         assert process
         self.shutting_down = True
         self.oracle.terminated(self.clock(), self.name)
         self.signal(signal.SIGTERM)
-        later = asyncio.ensure_future(self._send_signals(process, others))
+        later = asyncio.ensure_future(self._send_signals(process, further_signals))
         try:
             await asyncio.wait_for(process.wait(), within_s)
             self.oracle.exited(self.clock(), self.name)
             return True
         except TimeoutError:
             self.oracle.killed(self.clock(), self.name)
-            with contextlib.suppress(ProcessLookupError):  # it has ended in this very moment: too late all the same
+            with contextlib.suppress(ProcessLookupError):  # it has exited just now, which is too late as well
                 process.kill()
             await process.wait()
             return False
@@ -160,17 +163,19 @@
             await self._wait_for_follower()
 
     async def _wait_for_follower(self) -> None:
-        """Its last lines are read, and its exit code, before another process takes its name."""
-        if self._follower:
-            await self._follower
+        """Wait until the process's last log lines and exit code are read, before the next process is started."""
+        if self._log_reader:
+            await self._log_reader
 
-    async def _send_signals(self, process: asyncio.subprocess.Process, others: Sequence[SignalAt]) -> None:
-        for each in others:
+    async def _send_signals(
+        self, process: asyncio.subprocess.Process, further_signals: Sequence[DelayedSignal]
+    ) -> None:
+        for each in further_signals:
             await asyncio.sleep(each.after_s)
             _send_signal(process, each.number)
 
     async def kill(self) -> None:
-        """SIGKILL, if the process still runs, and wait for its end."""
+        """Send SIGKILL if the process still runs, and wait for its end."""
         process = self.process
         if process and process.returncode is None:
             self.shutting_down = True
@@ -183,7 +188,8 @@
 def _send_signal(process: asyncio.subprocess.Process, number: int) -> None:
     """Send a signal, if the process still runs.
 
-    `Process.send_signal` looks first whether it has ended, and takes its exit code from the loop, which then has 255.
+    `Process.send_signal` is not used: it polls the process first and may reap it, so that the event loop finds no exit
+    code and reports 255.
     """
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
--- a/pearhill/lab/soak/replicas.py
+++ b/pearhill/lab/soak/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that speak the platform's protocol, misbehave on command, and report what arrives to the oracle."""
+"""Replicas that implement the platform's protocol, misbehave on command, and report attempts to the oracle."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pearhill.lab.soak.records import AttemptRecord
 
 PREFILL, DECODE, MIXED = "read", "write", "both"
-EVENTS = 6
+EVENT_COUNT = 6
 HANG_S = 60.0
 MISBEHAVIOUR_KINDS = (
     "error",
@@ -30,7 +30,7 @@
     "last-reset",
 )
 _EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%b "},"finish_reason":null}]}\n\n'
-_LAST = (
+_FINAL_EVENTS = (
     b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":6,"prompt_tokens_details":'
     b'{"cached_tokens":4}}}\n\ndata: [DONE]\n\n'
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Speeds:
-    """How long a replica takes: for a prefill, for its first event, and between two events."""
+    """The mean time in seconds that a replica takes for a prefill, for its first event, and between two events."""
 
     prefill_s: float
     first_event_s: float
@@ -47,7 +47,7 @@
 
 
 class Replica:
-    """One replica behind its proxy. `misbehaving_share` is that of requests on which it does as `misbehaviour` says."""
+    """One replica behind its proxy. It applies `misbehaviour` to a share `misbehaving_share` of its requests."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, behind a proxy of its own."""
+        """Start listening, behind a proxy of its own."""
         self._server = await asyncio.start_server(self._accepted, "127.0.0.1", 0, backlog=1024)
         self.proxy = Proxy(self._server.sockets[0].getsockname()[1], self.seed, self._connection_reset)
         await self.proxy.start()
@@ -78,7 +78,7 @@
         self.oracle.attempts.stream_broken(self.clock(), request)
 
     def restart(self, wall_ms: int) -> None:
-        """The process dies, its connections with it, and a cold one is there at once."""
+        """End all connections, as if the process had died and a cold one had been started at once."""
         for task in list(self._connections):
             task.cancel()
         self.oracle.held_states.replica_restarted(self.uid)
@@ -102,7 +102,7 @@
             writer.transport.abort()
 
     async def _serve(self, message: RequestMessage, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """False: the connection ends here."""
+        """Answer one request. Returns False if the connection has to end."""
         if message.path.startswith("/state/"):
             request = message.path.removeprefix("/state/")
             self.oracle.held_states.release_arrived(self.clock(), request, self.uid)
@@ -125,23 +125,23 @@
         attempt = self.oracle.attempts.arrived(
             self.clock(), request, self.uid, self.role != PREFILL, timeout_ms, self.role
         )
-        connection_end = asyncio.ensure_future(_end_of(reader))
-        work = asyncio.ensure_future(self._work(request, attempt, writer))
+        connection_end = asyncio.ensure_future(_wait_for_input(reader))
+        work = asyncio.ensure_future(self._process_attempt(request, attempt, writer))
         try:
             await asyncio.wait((connection_end, work), return_when=asyncio.FIRST_COMPLETED)
             return work.done() and not connection_end.done() and await work
         finally:
             if connection_end.done():
                 attempt.closed_by_dispatcher = True
-            elif not work.done():  # this process ends
+            elif not work.done():  # the replica is being restarted
                 self.oracle.attempts.stream_broken(self.clock(), request, attempt)
             connection_end.cancel()
             work.cancel()
             await asyncio.gather(connection_end, work, return_exceptions=True)
-            if not attempt.ended:
+            if not attempt.ended_at:
                 self.oracle.attempts.ended(self.clock(), request, attempt)
 
-    async def _work(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
+    async def _process_attempt(self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter) -> bool:
         misbehaviour = self.misbehaviour if self.rng.random() < self.misbehaving_share else ""
         if misbehaviour == "full":
             return self._reject(request, attempt, writer, 503)
@@ -167,7 +167,7 @@
             return True
         self.oracle.held_states.prefilled(self.clock(), request, self.uid)
         self.oracle.attempts.ended(self.clock(), request, attempt)
-        if misbehaviour in ("reset", "stall"):  # the read has ended well, its answer is lost
+        if misbehaviour in ("reset", "stall"):  # the prefill has succeeded, its answer is lost
             reset(writer)
             return False
         writer.write(answer(202, (("Content-Type", "application/json"),), json.dumps({"cached_tokens": 4}).encode()))
@@ -194,18 +194,18 @@
             return False
         self.oracle.held_states.fetched(request)
         writer.write(stream_head(200, (("Content-Type", "text/event-stream"),)))
-        for number in range(EVENTS):
-            # No two attempts write the same: what a client gets is some one's alone.
+        for number in range(EVENT_COUNT):
+            # Each attempt writes different text, so that the bytes a client receives identify one attempt.
             event = _EVENT % f"{self.uid}.{self.requests}.{number}".encode()
             self.oracle.attempts.wrote(self.clock(), attempt, event)
             writer.write(chunk(event))
-            if number == EVENTS // 2 and not await self._continues(request, attempt, writer, misbehaviour):
+            if number == EVENT_COUNT // 2 and not await self._continues(request, attempt, writer, misbehaviour):
                 return False
             await writer.drain()
             await asyncio.sleep(self.speeds.event_s)
-        self.oracle.attempts.wrote(self.clock(), attempt, _LAST)
+        self.oracle.attempts.wrote(self.clock(), attempt, _FINAL_EVENTS)
         attempt.finished = True
-        writer.write(chunk(_LAST) + LAST_CHUNK)
+        writer.write(chunk(_FINAL_EVENTS) + LAST_CHUNK)
         if misbehaviour == "last-reset":
             reset(writer)
             return False
@@ -215,20 +215,20 @@
     async def _continues(
         self, request: str, attempt: AttemptRecord, writer: asyncio.StreamWriter, misbehaviour: str
     ) -> bool:
-        """What goes wrong in the middle of a stream. False: it has ended there."""
+        """Misbehave in the middle of a stream. Returns False if the stream has ended there."""
         if misbehaviour == "stall":
             await asyncio.sleep(HANG_S)
         if misbehaviour not in ("half-line", "event-reset"):
             return True
         self.oracle.attempts.stream_broken(self.clock(), request, attempt)
-        if misbehaviour == "event-reset":  # right behind the event
+        if misbehaviour == "event-reset":  # directly after the event
             reset(writer)
         else:
             writer.write(chunk(b'data: {"choi'))
         return False
 
     def endpoint(self) -> dict[str, object]:
-        """This replica as discovery lists it."""
+        """Returns this replica's entry in the endpoint list."""
         return {
             "uid": self.uid,
             "endpoint": self.proxy.address,
@@ -241,12 +241,12 @@
         }
 
     def close(self) -> None:
-        """Stop listening, proxy included."""
+        """Stop listening, and close the proxy."""
         self.proxy.close()
         if self._server:
             self._server.close()
 
 
-async def _end_of(reader: asyncio.StreamReader) -> None:
-    """Returns when the dispatcher has closed the connection of an attempt, or says something out of turn."""
+async def _wait_for_input(reader: asyncio.StreamReader) -> None:
+    """Returns when the dispatcher has closed the connection of an attempt, or sends data before the answer's end."""
     await reader.read(1)
--- a/pearhill/lab/soak/run.py
+++ b/pearhill/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan: starts the processes, brings the faults about, and reports what the oracle found."""
+"""Runs a plan: starts the processes, injects the faults, and reports the violations that the oracle found."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from pearhill.lab.soak.replicas import DECODE, MIXED, PREFILL, Replica, Speeds
 from pearhill.lab.soak.report import Report
 
-# SIGKILL comes the longest deadline, 3 s at most, and so much after SIGTERM.
+# SIGKILL follows SIGTERM after the longest deadline, limited to `MAX_KILL_DEADLINE_S`, and `KILL_AFTER_S`.
 MAX_KILL_DEADLINE_S = 3.0
 KILL_AFTER_S = 0.7
 SCAN_INTERVAL_S = 0.05
 SPEEDS = Speeds(prefill_s=0.04, first_event_s=0.05, event_s=0.02)
 TRACE_LINES = 60
-FAULTS_SEED = 0x50A6  # makes the faults' random numbers others than the plan's
+FAULTS_SEED = 0x50A6  # so that the random numbers of the faults differ from those of the plan
 
 
 class Soak:
@@ -43,7 +43,7 @@
         plan = self.plan
         kill_after_s = min(MAX_KILL_DEADLINE_S, plan.longest_timeout_s) + KILL_AFTER_S
         lateness = Lateness(monotonic_us)
-        oracle = Oracle(plan.rules, lateness)
+        oracle = Oracle(plan.limits, lateness)
         roles = [PREFILL] * plan.prefill_replicas + [DECODE] * plan.decode_replicas + [MIXED] * plan.mixed_replicas
         replicas = [
             Replica(f"s-{n:02}", role, ZONES[n % 2], n % 2, SPEEDS, oracle, plan.seed * 100 + n, monotonic_us)
@@ -56,11 +56,11 @@
         return SoakFleet(oracle, lateness, clients, replicas, agents, kill_after_s)
 
     async def run(self) -> Report:
-        """Play the plan once, to the end of the last process."""
+        """Run the plan once, until the last process has ended, and return the report."""
         await self._start_replicas()
         self.fleet.dispatchers = [self._make_dispatcher(n, agent) for n, agent in enumerate(self.fleet.agents)]
         async with self._watched():
-            await self._play()
+            await self._run_plan()
         return self._report()
 
     async def _start_replicas(self) -> None:
@@ -84,7 +84,7 @@
 
     @contextlib.asynccontextmanager
     async def _watched(self) -> AsyncIterator[None]:
-        """Scans and lateness are recorded meanwhile; at the end everything is closed."""
+        """Scan for violations and record lateness within the context; at its end, end and close everything."""
         fleet = self.fleet
         watches = [
             asyncio.ensure_future(work)
@@ -102,7 +102,7 @@
             for agent in fleet.agents:
                 agent.close()
 
-    async def _play(self) -> None:
+    async def _run_plan(self) -> None:
         fleet = self.fleet
         await asyncio.gather(*(d.start() for d in fleet.dispatchers))
         for dispatcher in fleet.dispatchers:
@@ -144,6 +144,6 @@
 
 
 def play(seed: int, seconds: float, dispatchers: int) -> Report:
-    """One seed, from its first process to its last."""
+    """Run the plan of one seed, from the start of the first process to the end of the last one."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(Soak(draw(seed, seconds, dispatchers), pathlib.Path(folder)).run())
