--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -25,15 +25,15 @@
 ADMISSIONS = 100_000
 TICKS = 60
 REFILLS = 5
-SKETCH_PLACES = 64
+SKETCH_COUNTERS = 64
 TOP = 10  # number of heavy hitters that are compared with the exact count
-S = 1_000_000  # microseconds
+MICROSECONDS_PER_S = 1_000_000
 START_US = 10**15  # time of the monotonic clock
 WALL_S = 1_796_083_200  # time of the wall clock, in seconds
 NAMES = [f"t{k}" for k in range(TENANTS)]
 
 
-def spread(times: list[int]) -> str:
+def format_times(times: list[int]) -> str:
     """Returns the median and 99th percentile of times in nanoseconds, as text in microseconds."""
     percentiles = statistics.quantiles(times, n=100)
     return f"median {statistics.median(times) / 1e3:.2f} us, 99% {percentiles[98] / 1e3:.2f} us"
@@ -61,9 +61,9 @@
         admission = budgets.admit(START_US, WALL_S, name, f"k{name}", 10, 10)
         assert admission.reservation
         budgets.settle(START_US, admission.reservation, Usage(10, 0, 5))
-    held = tracemalloc.get_traced_memory()[0] - before
+    state_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    print(f"memory: {held / TENANTS:.0f} bytes per tenant with usage today, including its key and history")
+    print(f"memory: {state_bytes / TENANTS:.0f} bytes per tenant with usage today, including its key and history")
     return budgets
 
 
@@ -76,14 +76,14 @@
         now += 50
         name = NAMES[rng.randrange(ACTIVE_TENANTS)]
         key = f"k{name}"
-        began = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         admission = budgets.admit(now, WALL_S, name, key, 20, 100)
-        admissions.append(time.perf_counter_ns() - began)
+        admissions.append(time.perf_counter_ns() - started_ns)
         if admission.reservation:
-            began = time.perf_counter_ns()
+            started_ns = time.perf_counter_ns()
             budgets.settle(now, admission.reservation, Usage(20, 0, 60))
-            settlements.append(time.perf_counter_ns() - began)
-    print(f"admission, three levels: {spread(admissions)}; settlement: {spread(settlements)}")
+            settlements.append(time.perf_counter_ns() - started_ns)
+    print(f"admission, three levels: {format_times(admissions)}; settlement: {format_times(settlements)}")
     return now
 
 
@@ -91,11 +91,11 @@
     """Print the time that a tick takes, with one tick every 10 s of simulated time from `now` on."""
     ticks: list[int] = []
     for _ in range(TICKS):
-        now += 10 * S
-        began = time.perf_counter_ns()
+        now += 10 * MICROSECONDS_PER_S
+        started_ns = time.perf_counter_ns()
         budgets.tick(now)
-        ticks.append(time.perf_counter_ns() - began)
-    print(f"tick over {TENANTS:,} tenants, bounded: {spread(ticks)}, most {max(ticks) / 1e6:.2f} ms")
+        ticks.append(time.perf_counter_ns() - started_ns)
+    print(f"tick over {TENANTS:,} tenants, bounded: {format_times(ticks)}, most {max(ticks) / 1e6:.2f} ms")
 
 
 def measure_plain_refills() -> None:
@@ -103,32 +103,32 @@
     levels = dict.fromkeys(NAMES, 0.0)
     refills: list[int] = []
     for _ in range(REFILLS):
-        began = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         for name, level in levels.items():
             levels[name] = min(100_000.0, level + 100.0)
-        refills.append(time.perf_counter_ns() - began)
+        refills.append(time.perf_counter_ns() - started_ns)
     print(f"dictionary that a timer refills: {statistics.median(refills) / 1e6:.1f} ms per tick")
 
 
 def measure_heavy_hitters(rng: random.Random) -> None:
     """Print the time and accuracy of the sketch in comparison with an exact count, with Pareto-distributed keys."""
     keys = [NAMES[min(TENANTS - 1, int(rng.paretovariate(0.9)))] for _ in range(ADMISSIONS)]
-    sketch = HeavyHitters[str](SKETCH_PLACES)
+    sketch = HeavyHitters[str](SKETCH_COUNTERS)
     count = Counter[str]()
-    began = time.perf_counter_ns()
+    started_ns = time.perf_counter_ns()
     for key in keys:
         sketch.add(key, 100)
-    sketch_ns = time.perf_counter_ns() - began
-    began = time.perf_counter_ns()
+    sketch_ns = time.perf_counter_ns() - started_ns
+    started_ns = time.perf_counter_ns()
     for key in keys:
         count[key] += 100
-    count_ns = time.perf_counter_ns() - began
+    count_ns = time.perf_counter_ns() - started_ns
     found = {hitter.key for hitter in sketch.top(TOP)}
-    true = {key for key, _ in count.most_common(TOP)}
+    top_keys = {key for key, _ in count.most_common(TOP)}
     print(
-        f"heavy hitters: {sketch_ns / len(keys) / 1e3:.2f} us per arrival with {SKETCH_PLACES} counters, "
+        f"heavy hitters: {sketch_ns / len(keys) / 1e3:.2f} us per arrival with {SKETCH_COUNTERS} counters, "
         f"{count_ns / len(keys) / 1e3:.2f} us in an exact count of {len(count):,} keys; "
-        f"{len(found & true)} of the top {TOP} found"
+        f"{len(found & top_keys)} of the top {TOP} found"
     )
 
 
--- a/benchmarks/chat_front.py
+++ b/benchmarks/chat_front.py
@@ -34,7 +34,7 @@
     b'data: {"id":"chatcmpl-1","object":"chat.completion.chunk","created":7,"model":"m","choices":'
     b'[{"index":0,"delta":{"content":"hello "},"finish_reason":null}]}\n\n'
 )
-END = (
+STREAM_END = (
     b'data: {"id":"chatcmpl-1","object":"chat.completion.chunk","created":7,"model":"m","choices":'
     b'[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11}}\n\ndata: [DONE]\n\n'
@@ -88,8 +88,8 @@
     def data_received(self, data: bytes) -> None:
         """Answer once the request is complete; requests are not pipelined."""
         self.buffer += data
-        head, found, body = self.buffer.partition(b"\r\n\r\n")
-        if not found:
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
+        if not separator:
             return
         lines = head.lower().split(b"\r\n")
         length = next((int(line[15:]) for line in lines if line.startswith(b"content-length:")), 0)
@@ -115,7 +115,7 @@
                 await self.may_write.wait()
                 self.transport.write(event)
                 await asyncio.sleep(gap)
-        self.transport.write(chunk(END) + b"0\r\n\r\n")
+        self.transport.write(chunk(STREAM_END) + b"0\r\n\r\n")
 
 
 async def serve() -> None:
@@ -151,19 +151,19 @@
     """One connection that sends one request after the other."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Initialises the connection. The event loop calls this and all other methods but `ask`."""
+        """Initialises the connection. The event loop calls this and all other methods but `send`."""
         self.transport: Any = transport
         self.ended: asyncio.Future[tuple[float, float]] | None = None
 
-    def ask(self, data: bytes, complete: bool) -> asyncio.Future[tuple[float, float]]:
+    def send(self, data: bytes, expects_json: bool) -> asyncio.Future[tuple[float, float]]:
         """Send a request, and return a future for the times of the first event and of the end, from
         `time.perf_counter`.
 
-        `complete` means that the answer is one JSON object instead of a stream.
+        `expects_json` means that the answer is one JSON object instead of a stream.
         """
-        self.tail = b""
-        self.first = 0.0
-        self.complete = complete
+        self.last_bytes = b""
+        self.first_event_at = 0.0
+        self.expects_json = expects_json
         self.ended = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         return self.ended
@@ -172,16 +172,16 @@
         """Record the time of the first event. Resolve the request's future at the end of the answer, or fail it at a
         status other than 200."""
         assert self.ended
-        if not self.first:
-            if not data.startswith(b"HTTP/1.1 200") and not self.tail:
+        if not self.first_event_at:
+            if not data.startswith(b"HTTP/1.1 200") and not self.last_bytes:
                 self.ended.set_exception(RuntimeError(data[:300].decode()))
                 return
-            if self.complete or b"data:" in self.tail + data:
-                self.first = time.perf_counter()
-        self.tail = (self.tail + data)[-4096:]
-        has_ended = self.tail.endswith(b"0\r\n\r\n") or (self.complete and self.tail.endswith(b"}"))
+            if self.expects_json or b"data:" in self.last_bytes + data:
+                self.first_event_at = time.perf_counter()
+        self.last_bytes = (self.last_bytes + data)[-4096:]
+        has_ended = self.last_bytes.endswith(b"0\r\n\r\n") or (self.expects_json and self.last_bytes.endswith(b"}"))
         if has_ended and not self.ended.done():
-            self.ended.set_result((self.first, time.perf_counter()))
+            self.ended.set_result((self.first_event_at, time.perf_counter()))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request in progress."""
@@ -195,17 +195,20 @@
     return client
 
 
-async def burst(port: int, clients: int, each: int, data: bytes, complete: bool = False) -> float:
-    """Returns the seconds in which `clients` concurrent clients send `each` requests one after the other."""
+async def run_clients(
+    port: int, clients: int, requests_per_client: int, data: bytes, expects_json: bool = False
+) -> float:
+    """Returns the seconds in which `clients` concurrent clients send `requests_per_client` requests each, in
+    sequence."""
 
-    async def one() -> None:
+    async def run_client() -> None:
         client = await connect(port)
-        for _ in range(each):
-            await client.ask(data, complete)
+        for _ in range(requests_per_client):
+            await client.send(data, expects_json)
         client.transport.close()
 
     started = time.perf_counter()
-    await asyncio.gather(*(one() for _ in range(clients)))
+    await asyncio.gather(*(run_client() for _ in range(clients)))
     return time.perf_counter() - started
 
 
@@ -219,8 +222,8 @@
     times: list[float] = []
     for _ in range(count):
         sent = time.perf_counter()
-        first, _ = await client.ask(data, False)
-        times.append((first - sent) * 1e6)
+        first_event_at, _ = await client.send(data, False)
+        times.append((first_event_at - sent) * 1e6)
     client.transport.close()
     return times[count // 10 :]
 
@@ -234,7 +237,7 @@
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def resident(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Returns the resident memory of a process in bytes."""
     return int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
@@ -317,10 +320,10 @@
     streams = 100
     events = 400 // divisor
     before = cpu_time(pid)
-    await burst(daemon.port, streams, 1, request_bytes(stream=True, x_events=events, x_gap=0.02))
+    await run_clients(daemon.port, streams, 1, request_bytes(stream=True, x_events=events, x_gap=0.02))
     one_by_one = (cpu_time(pid) - before) / (streams * events) * 1e6
     before = cpu_time(pid)
-    await burst(daemon.port, 20, 2, request_bytes(stream=True, x_events=8_000 // divisor))
+    await run_clients(daemon.port, 20, 2, request_bytes(stream=True, x_events=8_000 // divisor))
     in_bursts = (cpu_time(pid) - before) / (40 * 8_000 / divisor) * 1e6
     return {"CPU us per event, one by one": one_by_one, "CPU us per event, in bursts": in_bursts}
 
@@ -332,7 +335,7 @@
     figures: dict[str, float] = {}
     for name, stream in (("whole", False), ("streamed", True)):
         before = cpu_time(pid)
-        elapsed = await burst(daemon.port, 8, count // 8, request_bytes(stream=stream), complete=not stream)
+        elapsed = await run_clients(daemon.port, 8, count // 8, request_bytes(stream=stream), expects_json=not stream)
         figures[f"CPU us per request, {name}"] = (cpu_time(pid) - before) / count * 1e6
         if stream:
             figures["streams a second on one core"] = count / elapsed
@@ -354,7 +357,7 @@
     """Measures the daemon's memory per stream whose client stops reading after the first bytes."""
     loop = asyncio.get_running_loop()
     data = request_bytes(stream=True, x_events=400, x_pad=8_000)
-    before = resident(daemon.process.pid)
+    before = resident_bytes(daemon.process.pid)
     stalled: list[socket.socket] = []
     for _ in range(STALLED_STREAMS):
         sock = socket.socket()
@@ -365,17 +368,17 @@
         await loop.sock_recv(sock, 64)
         stalled.append(sock)
     await asyncio.sleep(1)
-    held = (resident(daemon.process.pid) - before) / len(stalled) / 1024
+    kib_per_stream = (resident_bytes(daemon.process.pid) - before) / len(stalled) / 1024
     for sock in stalled:
         sock.close()
-    return {"KiB that a stalled stream holds": held}
+    return {"KiB that a stalled stream holds": kib_per_stream}
 
 
 async def measure(tree: pathlib.Path, replica_port: int, quick: bool) -> dict[str, float]:
     """Returns all figures of the version at `tree`, measured with a newly started daemon."""
     divisor = QUICK_DIVISOR if quick else 1
     async with running_daemon(tree, replica_port) as daemon:
-        await burst(daemon.port, 4, 50, request_bytes(stream=True))  # to warm up
+        await run_clients(daemon.port, 4, 50, request_bytes(stream=True))  # to warm up
         return {
             **await event_costs(daemon, divisor),
             **await request_costs(daemon, divisor),
@@ -410,23 +413,23 @@
 
 def measure_rounds(revision: str, rounds: int, quick: bool) -> dict[str, dict[str, list[float]]]:
     """Returns the figures of all rounds by version ("before", "now") and name. Every other round begins with "now"."""
-    found: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
+    samples: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
     with running_replica() as port, tempfile.TemporaryDirectory() as folder:
         trees = {"before": checkout(revision, folder), "now": ROOT}
-        for turn in range(rounds):
-            order = list(trees) if turn % 2 == 0 else list(trees)[::-1]
+        for round_number in range(rounds):
+            order = list(trees) if round_number % 2 == 0 else list(trees)[::-1]
             for name in order:
                 for key, value in asyncio.run(measure(trees[name], port, quick)).items():
-                    found[name].setdefault(key, []).append(value)
-    return found
+                    samples[name].setdefault(key, []).append(value)
+    return samples
 
 
-def print_table(found: dict[str, dict[str, list[float]]], revision: str, rounds: int) -> None:
+def print_table(samples: dict[str, dict[str, list[float]]], revision: str, rounds: int) -> None:
     """Print a row for each figure."""
     print(f"| {rounds} rounds, median (least to most) | before ({revision}) | now | now / before |")
     print("| --- | --- | --- | --- |")
-    for key, old in found["before"].items():
-        new = found["now"][key]
+    for key, old in samples["before"].items():
+        new = samples["now"][key]
         cells = [f"{statistics.median(v):,.1f} ({min(v):,.1f} to {max(v):,.1f})" for v in (old, new)]
         print(f"| {key} | {cells[0]} | {cells[1]} | {statistics.median(new) / statistics.median(old):.2f} |")
 
@@ -443,11 +446,11 @@
     if options.server:
         asyncio.run(serve())
         return
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, hard), hard))
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, hard_limit), hard_limit))
     os.sched_setaffinity(0, set(range(FIRST_CLIENT_CORE, os.cpu_count() or 4)) or {0})
-    found = measure_rounds(options.before, options.rounds, options.quick)
-    print_table(found, options.before, options.rounds)
+    samples = measure_rounds(options.before, options.rounds, options.quick)
+    print_table(samples, options.before, options.rounds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/panels.py
+++ b/benchmarks/panels.py
@@ -43,8 +43,8 @@
 LAST_SCORES = ROOT / "build" / "panels.json"
 FAILED_DAYS = pathlib.Path(__file__).with_name("failed_seeds.toml")
 MAX_LOSS = 0.03  # accepted loss relative to the last score that passed
-MAX_WHY = 120  # characters; the journal rejects longer texts
-NOTHING_AGAINST = "nothing speaks against landing"
+MAX_REASON_LENGTH = 120  # characters; the journal rejects longer texts
+NO_FAILURES = "nothing speaks against landing"
 
 
 @dataclass(frozen=True)
@@ -52,7 +52,7 @@
     """A panel of the bench: a set of simulated days, and the program that runs it."""
 
     program: str  # path of the program in the kit
-    played: re.Pattern[str]  # matches the field `panel` of this panel's journal entries
+    entry_pattern: re.Pattern[str]  # matches the field `panel` of this panel's journal entries
     options: tuple[str, ...] = ()  # options of the program
 
 
@@ -100,7 +100,7 @@
     day: list[FailedDay]
 
 
-class PlayedDay(NamedTuple):
+class CompletedDay(NamedTuple):
     """A day that the journal records as complete."""
 
     at: str  # start time of its entry, such as 2026-12-02T01:00:00
@@ -110,7 +110,7 @@
     figures: dict[str, Any]  # as written by the bench
 
 
-class LastPlay(NamedTuple):
+class LastRun(NamedTuple):
     """When a kind of day last ran on a site."""
 
     at: str  # empty if it never ran
@@ -131,52 +131,52 @@
 
 def verdict(name: str, score: float, days: dict[str, float], before: float | None) -> list[str]:
     """Returns the failures that speak against a merge; the list is empty if there are none."""
-    against = [
+    failures = [
         f"{name}: {day} is 0: a crash, a broken rule, or nothing kept" for day, figure in days.items() if figure <= 0
     ]
     if before is not None and score < before - MAX_LOSS:
-        against.append(f"{name}: {score:.3f} after {before:.3f}: replay its seeds on both versions")
-    return against
+        failures.append(f"{name}: {score:.3f} after {before:.3f}: replay its seeds on both versions")
+    return failures
 
 
 def gate(name: str, report: str) -> list[str]:
     """Returns the failure that the gate reports, if any. A report of a gated panel without a GATE line is a failure."""
-    found = _GATE.search(report)
-    if name not in GATED_PANELS and not found:
+    match = _GATE.search(report)
+    if name not in GATED_PANELS and not match:
         return []
-    result = found[1] if found else "said nothing"
+    result = match[1] if match else "said nothing"
     return [] if result == "passed" else [f"{name}: GATE {result}"]
 
 
 def due(panel: str, sites: list[pathlib.Path], journal: pathlib.Path) -> pathlib.Path:
     """Returns the site on which this panel ran least recently, or the first site on which it never ran."""
-    last: dict[str, str] = {}
+    last_runs: dict[str, str] = {}
     for path in journal.glob("*.json"):
         entry = json.loads(path.read_text())
-        if entry.get("cmd") == "real-score" and PANELS[panel].played.search(entry.get("panel") or ""):
-            last[entry["site"]] = max(last.get(entry["site"], ""), entry["at"][0])
-    return min(sites, key=lambda site: last.get(site.stem, ""))
+        if entry.get("cmd") == "real-score" and PANELS[panel].entry_pattern.search(entry.get("panel") or ""):
+            last_runs[entry["site"]] = max(last_runs.get(entry["site"], ""), entry["at"][0])
+    return min(sites, key=lambda site: last_runs.get(site.stem, ""))
 
 
-def played(journal: pathlib.Path) -> Iterator[PlayedDay]:
+def completed_days(journal: pathlib.Path) -> Iterator[CompletedDay]:
     """Yields every soak and every day at full size (`mass`) that the journal records as complete."""
     for path in sorted(journal.glob("*.json")):
         entry = json.loads(path.read_text())
         if not entry.get("ok"):
             continue
         for figures in entry.get("days") or ():
-            kind = _kind(figures.get("rough") or [])
+            kind = _day_kind(figures.get("rough") or [])
             if kind:
-                yield PlayedDay(entry["at"][0], entry["id"], entry["site"], kind, figures)
+                yield CompletedDay(entry["at"][0], entry["id"], entry["site"], kind, figures)
 
 
-def _kind(rough: list[str]) -> str:
+def _day_kind(disturbances: list[str]) -> str:
     """Returns the kind of a day from its disturbances, or "" if it is neither a soak nor at full size (`mass`)."""
-    if "mass" not in rough and rough[:1] != ["soak"]:
+    if "mass" not in disturbances and disturbances[:1] != ["soak"]:
         return ""
-    if "brink" in rough:
-        return f"{rough[0]}+brink"
-    return rough[0] if rough[0] == "soak" else f"{rough[0]}+mass"
+    if "brink" in disturbances:
+        return f"{disturbances[0]}+brink"
+    return disturbances[0] if disturbances[0] == "soak" else f"{disturbances[0]}+mass"
 
 
 def table(journal: pathlib.Path, since: str) -> list[str]:
@@ -185,26 +185,26 @@
         "| site | day | seed | score | served (gate) | broken or failed | memory, descriptors of | entry |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    return rows + [_row(day) for day in played(journal) if day.at >= since]
+    return rows + [_row(day) for day in completed_days(journal) if day.at >= since]
 
 
-def _row(day: PlayedDay) -> str:
+def _row(day: CompletedDay) -> str:
     figures = day.figures
-    against = figures["fault"] or figures["gate"] or ""
+    failures = figures["fault"] or figures["gate"] or ""
     return (
         f"| {day.site} | {day.kind} | {figures['seed']} | {figures['score']:.2f} | {figures['served']:.3f} "
-        f"({figures['served_least']:.3f}) | {against} | {figures['memory_mb']} of {figures['caps'][0]} MB, "
+        f"({figures['served_least']:.3f}) | {failures} | {figures['memory_mb']} of {figures['caps'][0]} MB, "
         f"{figures['files']} of {figures['caps'][1]} | {day.entry} |"
     )
 
 
-def oldest(journal: pathlib.Path, sites: list[str]) -> list[LastPlay]:
+def oldest(journal: pathlib.Path, sites: list[str]) -> list[LastRun]:
     """Returns the last run of each kind of day on each site, the oldest first."""
-    last = {(site, kind): "" for site in sites for kind in ALL_KINDS}
-    for day in played(journal):
-        if (day.site, day.kind) in last:
-            last[day.site, day.kind] = max(last[day.site, day.kind], day.at)
-    return sorted(LastPlay(at, site, kind) for (site, kind), at in last.items())
+    last_runs = {(site, kind): "" for site in sites for kind in ALL_KINDS}
+    for day in completed_days(journal):
+        if (day.site, day.kind) in last_runs:
+            last_runs[day.site, day.kind] = max(last_runs[day.site, day.kind], day.at)
+    return sorted(LastRun(at, site, kind) for (site, kind), at in last_runs.items())
 
 
 def again_verdict(name: str, report: str) -> list[str]:
@@ -227,51 +227,51 @@
     return done.stdout
 
 
-def play_again(kit: pathlib.Path, sites: list[pathlib.Path], days: list[FailedDay], why: str) -> list[str]:
+def replay_days(kit: pathlib.Path, sites: list[pathlib.Path], days: list[FailedDay], reason: str) -> list[str]:
     """Replay days, and return the failures."""
     paths = {site.stem: site for site in sites}
     program = kit / PANELS["gate"].program
-    against = []
+    failures = []
     for day in days:
         name = f"{day.site} {day.kind} seed {day.seed}"
         if day.site not in paths:
-            against.append(f"{name}: not replayed, because its site was not given")
+            failures.append(f"{name}: not replayed, because its site was not given")
             continue
-        report = run_bench(program, paths[day.site], "--rough", day.kind, "--seed", str(day.seed), "--why", why)
-        against += again_verdict(name, report)
-    return against
+        report = run_bench(program, paths[day.site], "--rough", day.kind, "--seed", str(day.seed), "--why", reason)
+        failures += again_verdict(name, report)
+    return failures
 
 
-def play_panels(
-    kit: pathlib.Path, panels: list[str], turns: dict[str, pathlib.Path], why: str, full: bool
+def run_panels(
+    kit: pathlib.Path, panels: list[str], next_sites: dict[str, pathlib.Path], reason: str, full: bool
 ) -> list[str]:
     """Run each panel on its site, store the scores of those that passed, and return the failures."""
     scores: dict[str, float] = json.loads(LAST_SCORES.read_text()) if LAST_SCORES.exists() else {}
-    against: list[str] = []
+    failures: list[str] = []
     size = "full" if full else "quick"
     for name in panels:
         panel = PANELS[name]
-        site = turns[name]
-        more = () if full else ("--quick",)
-        report = run_bench(kit / panel.program, "score", site, *panel.options, "--why", why, *more)
+        site = next_sites[name]
+        mode_options = () if full else ("--quick",)
+        report = run_bench(kit / panel.program, "score", site, *panel.options, "--why", reason, *mode_options)
         kind = f"{site.stem} {name} {size}"
         try:
             score, days = read(report)
         except ValueError as e:
-            against.append(f"{kind}: {e}")
+            failures.append(f"{kind}: {e}")
             continue
-        found = verdict(kind, score, days, scores.get(kind)) + gate(name, report)
-        against += found
-        if not found:  # a stored loss would become the baseline of the next run and hide the regression
+        panel_failures = verdict(kind, score, days, scores.get(kind)) + gate(name, report)
+        failures += panel_failures
+        if not panel_failures:  # a stored loss would become the baseline of the next run and hide the regression
             scores[kind] = score
     LAST_SCORES.parent.mkdir(exist_ok=True)
     LAST_SCORES.write_text(json.dumps(scores, indent=1) + "\n")
-    return against
+    return failures
 
 
-def print_due(turns: dict[str, pathlib.Path], sites: list[pathlib.Path]) -> None:
+def print_due(next_sites: dict[str, pathlib.Path], sites: list[pathlib.Path]) -> None:
     """Print the next site of each panel, and when each kind of day last ran."""
-    print("\n".join(f"{name}: {site.stem}" for name, site in turns.items()))
+    print("\n".join(f"{name}: {site.stem}" for name, site in next_sites.items()))
     for play in oldest(JOURNAL, [site.stem for site in sites]):
         print(f"{play.at or 'never':20} {play.kind} on {play.site}")
 
@@ -292,8 +292,8 @@
 
 def load_failed_days(parser: argparse.ArgumentParser, options: argparse.Namespace, panels: list[str]) -> FailedDays:
     """Validate the arguments, and return the days on which a rule was violated once. Exits the process at an error."""
-    if len(options.why) >= MAX_WHY:
-        parser.error(f"--why: {len(options.why)} characters, under {MAX_WHY} are allowed")
+    if len(options.why) >= MAX_REASON_LENGTH:
+        parser.error(f"--why: {len(options.why)} characters, under {MAX_REASON_LENGTH} are allowed")
     try:
         failed, _ = load(str(FAILED_DAYS), FailedDays)
     except ConfigError as e:
@@ -313,18 +313,18 @@
     if options.table:
         print("\n".join(table(JOURNAL, options.table)))
         return 0
-    turns = {name: due(name, options.sites, JOURNAL) for name in panels}
+    next_sites = {name: due(name, options.sites, JOURNAL) for name in panels}
     if options.due:
-        print_due(turns, options.sites)
+        print_due(next_sites, options.sites)
         return 0
     if not options.why:
         parser.error("--why is required to run panels")
     if options.again:
-        against = play_again(options.kit, options.sites, failed.day, options.why)
+        failures = replay_days(options.kit, options.sites, failed.day, options.why)
     else:
-        against = play_panels(options.kit, panels, turns, options.why, options.full)
-    print("\n".join(against) or NOTHING_AGAINST)
-    return 1 if against else 0
+        failures = run_panels(options.kit, panels, next_sites, options.why, options.full)
+    print("\n".join(failures) or NO_FAILURES)
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -40,17 +40,17 @@
 from pearhill.membership.members import GOSSIP_TICK_US
 from pearhill.membership.reporter import Reporter
 
-S = 1_000_000
-START = 1_000 * S
-TOKENS = 1000  # load of one request
-MEAN_HOLD_S = 0.5  # mean time for which a request occupies a replica
+MICROSECONDS_PER_S = 1_000_000
+START_US = 1_000 * MICROSECONDS_PER_S
+TOKENS_PER_REQUEST = 1000  # load of one request
+MEAN_SERVICE_TIME_S = 0.5  # mean time for which a request occupies a replica
 WARM_UP_S = 5  # excluded from the results
-WAYS = ("own", "told", "sums", "cut", "two", "all")
-LOSS = 0.1  # fraction of datagrams that are lost
+POLICIES = ("own", "told", "sums", "cut", "two", "all")
+LOSS_RATE = 0.1  # fraction of datagrams that are lost
 MIN_DELAY_US = 200
 MAX_DELAY_US = 50_000
 KEYS = [b"k" * 32]
-SITES = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
+AGGREGATOR_SITES = [AggregatorSite(f"a{k}", f"r{k}") for k in range(3)]
 
 
 @dataclass
@@ -69,7 +69,7 @@
     def __init__(self, replicas: int) -> None:
         self.tokens = [0] * replicas
         self._area = [0.0] * replicas
-        self._updated_at = [START] * replicas
+        self._updated_at = [START_US] * replicas
 
     def change(self, now: int, replica: int, tokens: int) -> None:
         """Add `tokens`, which may be negative, to the load of the replica."""
@@ -86,19 +86,19 @@
         return peak
 
 
-class Play:
+class Simulation:
     """One simulation of one policy."""
 
-    def __init__(self, way: str, dispatchers: int, replicas: int, rate: float, seconds: int, seed: int) -> None:
-        self.way = way
+    def __init__(self, policy: str, dispatchers: int, replicas: int, rate: float, seconds: int, seed: int) -> None:
+        self.policy = policy
         self.replicas = replicas
-        self.end = START + seconds * S
+        self.end = START_US + seconds * MICROSECONDS_PER_S
         self.result = Result()
         self.meter = LoadMeter(replicas)
         self.own = [[0] * replicas for _ in range(dispatchers)]
         self.names = [f"d{k}" for k in range(dispatchers)]
         self._index = {name: k for k, name in enumerate(self.names)}
-        self._net = random.Random(seed + 1)
+        self._network_rng = random.Random(seed + 1)
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._event_count = 0
         self._choice_s = 0.0
@@ -108,14 +108,14 @@
         self._protocols: list[GossipProtocol] = []
         self._reporters: list[Reporter] = []
         self._aggregators: dict[str, Aggregator] = {}
-        if way in ("told", "cut"):
+        if policy in ("told", "cut"):
             self._start_gossip(seed)
-        if way == "sums":
+        if policy == "sums":
             self._start_reports(seed)
-        self._plan_windows(seconds)
-        self._plan_arrivals(random.Random(seed), rate)
+        self._schedule_windows(seconds)
+        self._schedule_arrivals(random.Random(seed), rate)
 
-    def _at(self, when: int, handler: Callable[..., None], *values: Any) -> None:
+    def _schedule(self, when: int, handler: Callable[..., None], *values: Any) -> None:
         self._event_count += 1
         heapq.heappush(self._events, (when, self._event_count, handler, values))
 
@@ -138,66 +138,70 @@
     def _start_gossip(self, seed: int) -> None:
         for k, name in enumerate(self.names):
             rng = random.Random(seed * len(self.names) + k)
-            self._protocols.append(GossipProtocol(name, self.names, START, rng, self._own_loads(k)))
+            self._protocols.append(GossipProtocol(name, self.names, START_US, rng, self._own_loads(k)))
         for k in range(len(self.names)):
-            self._at(START + self._net.randrange(GOSSIP_TICK_US), self._gossip_tick, k)
+            self._schedule(START_US + self._network_rng.randrange(GOSSIP_TICK_US), self._gossip_tick, k)
 
     def _start_reports(self, seed: int) -> None:
         for k, name in enumerate(self.names):
             rng = random.Random(seed * len(self.names) + k)
-            self._reporters.append(Reporter(name, SITES[k % 3].region, SITES, START, rng, self._own_loads(k)))
-        names = [site.name for site in SITES]
-        self._aggregators = {name: Aggregator(name, names, START, random.Random(seed)) for name in names}
+            self._reporters.append(
+                Reporter(name, AGGREGATOR_SITES[k % 3].region, AGGREGATOR_SITES, START_US, rng, self._own_loads(k))
+            )
+        names = [site.name for site in AGGREGATOR_SITES]
+        self._aggregators = {name: Aggregator(name, names, START_US, random.Random(seed)) for name in names}
         for reporter in self._reporters:
-            self._at(reporter.next_tick(START), self._report_tick, reporter)
+            self._schedule(reporter.next_tick(START_US), self._report_tick, reporter)
         for aggregator in self._aggregators.values():
-            self._at(START + self._net.randrange(AGGREGATOR_TICK_US), self._aggregator_tick, aggregator)
+            self._schedule(
+                START_US + self._network_rng.randrange(AGGREGATOR_TICK_US), self._aggregator_tick, aggregator
+            )
 
-    def _plan_windows(self, seconds: int) -> None:
+    def _schedule_windows(self, seconds: int) -> None:
         for second in range(WARM_UP_S, seconds + 1):
-            self._at(START + second * S, self._end_window, second)
+            self._schedule(START_US + second * MICROSECONDS_PER_S, self._end_window, second)
 
-    def _plan_arrivals(self, rng: random.Random, rate: float) -> None:
+    def _schedule_arrivals(self, rng: random.Random, rate: float) -> None:
         dispatchers = range(len(self.names))
         shares = [10.0 if k % 20 == 0 else 1.0 for k in dispatchers]
-        arrival = START
+        arrival = START_US
         while arrival < self.end:
-            arrival += int(rng.expovariate(rate * self.replicas) * S)
+            arrival += int(rng.expovariate(rate * self.replicas) * MICROSECONDS_PER_S)
             dispatcher = rng.choices(dispatchers, shares)[0]
-            pair = rng.sample(range(self.replicas), 2)
-            hold = int(rng.expovariate(1 / MEAN_HOLD_S) * S)
-            self._at(arrival, self._arrive, dispatcher, pair, hold)
+            candidates = rng.sample(range(self.replicas), 2)
+            service_time_us = int(rng.expovariate(1 / MEAN_SERVICE_TIME_S) * MICROSECONDS_PER_S)
+            self._schedule(arrival, self._arrive, dispatcher, candidates, service_time_us)
 
     # Requests.
 
-    def _arrive(self, now: int, dispatcher: int, pair: list[int], hold: int) -> None:
+    def _arrive(self, now: int, dispatcher: int, candidates: list[int], service_time_us: int) -> None:
         began = time.perf_counter()
-        replica = self._choose(now, dispatcher, pair)
+        replica = self._choose(now, dispatcher, candidates)
         self._choice_s += time.perf_counter() - began
         self._choices += 1
-        self.own[dispatcher][replica] += TOKENS
-        self.meter.change(now, replica, TOKENS)
-        self._at(now + hold, self._finish, dispatcher, replica)
+        self.own[dispatcher][replica] += TOKENS_PER_REQUEST
+        self.meter.change(now, replica, TOKENS_PER_REQUEST)
+        self._schedule(now + service_time_us, self._finish, dispatcher, replica)
 
-    def _choose(self, now: int, dispatcher: int, pair: list[int]) -> int:
-        if self.way == "all":
+    def _choose(self, now: int, dispatcher: int, candidates: list[int]) -> int:
+        if self.policy == "all":
             return min(range(self.replicas), key=self.meter.tokens.__getitem__)
-        if self.way == "two":
-            return min(pair, key=self.meter.tokens.__getitem__)
+        if self.policy == "two":
+            return min(candidates, key=self.meter.tokens.__getitem__)
         own = self.own[dispatcher]
         sources: list[GossipProtocol] | list[Reporter] = self._protocols or self._reporters
         if not sources:
-            return min(pair, key=own.__getitem__)
+            return min(candidates, key=own.__getitem__)
         source = sources[dispatcher]
         return min(
-            pair,
+            candidates,
             key=lambda replica: own[replica]
             + source.estimate_peer_load(now, replica, own[replica], own[replica]).total_tokens,
         )
 
     def _finish(self, now: int, dispatcher: int, replica: int) -> None:
-        self.own[dispatcher][replica] -= TOKENS
-        self.meter.change(now, replica, -TOKENS)
+        self.own[dispatcher][replica] -= TOKENS_PER_REQUEST
+        self.meter.change(now, replica, -TOKENS_PER_REQUEST)
 
     def _end_window(self, now: int, second: int) -> None:
         peak = self.meter.end_window(now)
@@ -208,7 +212,7 @@
 
     def _gossip_tick(self, now: int, dispatcher: int) -> None:
         messages = self._protocols[dispatcher].tick(now)
-        self._at(now + GOSSIP_TICK_US, self._gossip_tick, dispatcher)
+        self._schedule(now + GOSSIP_TICK_US, self._gossip_tick, dispatcher)
         self._send_gossip(now, dispatcher, messages)
 
     def _receive_gossip(self, now: int, dispatcher: int, data: bytes) -> None:
@@ -223,21 +227,23 @@
             data = self._gossip_codec.pack(message)
             self.result.datagrams += 1
             self.result.bytes += len(data) + HEADER_BYTES
-            is_lost = self._net.random() < LOSS
-            is_cut = self.way == "cut" and (to < half) != (sender < half)
-            if not is_lost and not is_cut:
-                self._at(now + self._net.randrange(MIN_DELAY_US, MAX_DELAY_US), self._receive_gossip, to, data)
+            is_lost = self._network_rng.random() < LOSS_RATE
+            is_partitioned = self.policy == "cut" and (to < half) != (sender < half)
+            if not is_lost and not is_partitioned:
+                self._schedule(
+                    now + self._network_rng.randrange(MIN_DELAY_US, MAX_DELAY_US), self._receive_gossip, to, data
+                )
 
     # Reports and sums.
 
     def _report_tick(self, now: int, reporter: Reporter) -> None:
         if now >= reporter.next_tick(now):
             self._send_aggregation(now, reporter.tick(now))
-        self._at(max(now + 1, reporter.next_tick(now)), self._report_tick, reporter)
+        self._schedule(max(now + 1, reporter.next_tick(now)), self._report_tick, reporter)
 
     def _aggregator_tick(self, now: int, aggregator: Aggregator) -> None:
         self._send_aggregation(now, aggregator.tick(now))
-        self._at(now + AGGREGATOR_TICK_US, self._aggregator_tick, aggregator)
+        self._schedule(now + AGGREGATOR_TICK_US, self._aggregator_tick, aggregator)
 
     def _receive_aggregation(self, now: int, to: str, data: bytes) -> None:
         message = self._aggregation_codec.unpack(data, to)
@@ -254,9 +260,9 @@
                 self._reporters[self._index[message.sender]].sent(len(data))
                 self.result.datagrams += 1
                 self.result.bytes += len(data) + HEADER_BYTES
-            if self._net.random() >= LOSS:
-                delay = self._net.randrange(MIN_DELAY_US, MAX_DELAY_US)
-                self._at(now + delay, self._receive_aggregation, message.to, data)
+            if self._network_rng.random() >= LOSS_RATE:
+                delay = self._network_rng.randrange(MIN_DELAY_US, MAX_DELAY_US)
+                self._schedule(now + delay, self._receive_aggregation, message.to, data)
 
 
 def parse_arguments() -> argparse.Namespace:
@@ -265,19 +271,19 @@
     for name, value in (("dispatchers", 40), ("engines", 60), ("seconds", 20), ("seeds", 5)):
         parser.add_argument(f"--{name}", type=int, default=value)
     parser.add_argument("--rate", type=float, default=10, help="requests per second for each replica")
-    parser.add_argument("--ways", default=",".join(WAYS), help="policies to simulate, separated by commas")
+    parser.add_argument("--ways", default=",".join(POLICIES), help="policies to simulate, separated by commas")
     arguments = parser.parse_args()
     arguments.ways = arguments.ways.split(",")
-    unknown = set(arguments.ways) - set(WAYS)
+    unknown = set(arguments.ways) - set(POLICIES)
     if unknown:
-        parser.error(f"--ways: unknown: {', '.join(sorted(unknown))}; allowed: {', '.join(WAYS)}")
+        parser.error(f"--ways: unknown: {', '.join(sorted(unknown))}; allowed: {', '.join(POLICIES)}")
     return arguments
 
 
-def print_way(way: str, arguments: argparse.Namespace) -> None:
+def print_policy(policy: str, arguments: argparse.Namespace) -> None:
     """Simulate a policy with all seeds, and print its line."""
     runs = [
-        Play(way, arguments.dispatchers, arguments.engines, arguments.rate, arguments.seconds, seed).run()
+        Simulation(policy, arguments.dispatchers, arguments.engines, arguments.rate, arguments.seconds, seed).run()
         for seed in range(1, arguments.seeds + 1)
     ]
     means = [statistics.mean(run.peaks) for run in runs]
@@ -285,7 +291,7 @@
     datagrams = sum(run.datagrams for run in runs) / dispatcher_seconds
     size = sum(run.bytes for run in runs) / dispatcher_seconds
     print(
-        f"{way:5} {statistics.mean(means):.3f} ({min(means):.3f} to {max(means):.3f}), a choice "
+        f"{policy:5} {statistics.mean(means):.3f} ({min(means):.3f} to {max(means):.3f}), a choice "
         f"{statistics.mean(run.choice_us for run in runs):.1f} us, {datagrams:.1f} datagrams and "
         f"{size:.0f} bytes a second each",
         flush=True,
@@ -299,8 +305,8 @@
         f"{arguments.dispatchers} dispatchers, {arguments.engines} engines, {arguments.rate:g} requests a second each, "
         f"seeds 1 to {arguments.seeds}; peak over mean in 1 s windows"
     )
-    for way in arguments.ways:
-        print_way(way, arguments)
+    for policy in arguments.ways:
+        print_policy(policy, arguments)
 
 
 if __name__ == "__main__":
--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -6,7 +6,7 @@
 the two tables in docs/design/capacity.md.
 """
 
-from pearhill.lab.capacity.carriers import duty_carriers
+from pearhill.lab.capacity.carriers import find_implementations
 from pearhill.lab.capacity.design_note import NOTE_PATH, mechanisms_table, protocol_times_table, update_note
 from pearhill.lab.capacity.estimates import Estimates
 from pearhill.lab.capacity.formatting import NOT_MEASURED
@@ -34,7 +34,7 @@
     "Runs",
     "SourcedFigure",
     "count_report_traffic",
-    "duty_carriers",
+    "find_implementations",
     "gossip_datagram_bytes",
     "mechanisms_table",
     "protocol_times_table",
--- a/pearhill/lab/capacity/carriers.py
+++ b/pearhill/lab/capacity/carriers.py
@@ -5,10 +5,10 @@
 import re
 from collections.abc import Iterator
 
-LAST_HEADING = "carried by"
+IMPLEMENTATION_HEADING = "carried by"
 
 
-def duty_carriers(text: str) -> Iterator[tuple[str, list[str]]]:
+def find_implementations(text: str) -> Iterator[tuple[str, list[str]]]:
     """Yields a pair for each row of the tables whose last column is headed `carried by`.
 
     The pair holds the row's first cell, and the files and packages that its last cell names in backticks. If the last
@@ -19,7 +19,7 @@
         cells = _cells(line)
         if inside_table and cells and not set("".join(cells)) <= {"-"}:
             yield cells[0], _named_files(cells[-1])
-        inside_table = bool(cells) and (inside_table or cells[-1] == LAST_HEADING)
+        inside_table = bool(cells) and (inside_table or cells[-1] == IMPLEMENTATION_HEADING)
 
 
 def _cells(line: str) -> list[str]:
--- a/pearhill/lab/capacity/design_note.py
+++ b/pearhill/lab/capacity/design_note.py
@@ -41,7 +41,7 @@
 NOTE_PATH = "docs/design/capacity.md"
 
 
-MECHANISMS_MARK, TIMES_MARK = "weighed", "times"  # names of the tables in the HTML comments of the design note
+MECHANISMS_TABLE, TIMES_TABLE = "weighed", "times"  # names of the tables in the HTML comments of the design note
 
 Row = tuple[str, ...]
 
@@ -188,16 +188,16 @@
 
     Raises ConfigError if the note lacks the pair of comments that encloses a table.
     """
-    text = _replace_table(text, MECHANISMS_MARK, mechanisms_table())
-    return _replace_table(text, TIMES_MARK, protocol_times_table())
+    text = _replace_table(text, MECHANISMS_TABLE, mechanisms_table())
+    return _replace_table(text, TIMES_TABLE, protocol_times_table())
 
 
-def _replace_table(text: str, mark: str, table: str) -> str:
-    begin, end = f"<!-- {mark}: pearhill lab scale --page -->\n", f"<!-- /{mark} -->\n"
+def _replace_table(text: str, table_name: str, table: str) -> str:
+    begin, end = f"<!-- {table_name}: pearhill lab scale --page -->\n", f"<!-- /{table_name} -->\n"
     before, found_begin, rest = text.partition(begin)
     _, found_end, after = rest.partition(end)
     if not (found_begin and found_end):
         raise ConfigError(
-            f"{NOTE_PATH}: found no table of {mark}; allowed: one between {begin.strip()} and {end.strip()}"
+            f"{NOTE_PATH}: found no table of {table_name}; allowed: one between {begin.strip()} and {end.strip()}"
         )
     return before + begin + table + end + after
--- a/pearhill/lab/capacity/estimates.py
+++ b/pearhill/lab/capacity/estimates.py
@@ -116,8 +116,8 @@
     def start_spread_s(self) -> tuple[float, float]:
         """Seconds over which a fleet that starts simultaneously spreads its first discovery calls, and the seconds that
         one discovery service needs to serve them."""
-        wanted = in_seconds(SERVICE_TIME_PER_DISPATCHER_US * self.size.dispatchers)
-        return min(wanted, in_seconds(MAX_CALL_INTERVAL_US)), wanted
+        required_s = in_seconds(SERVICE_TIME_PER_DISPATCHER_US * self.size.dispatchers)
+        return min(required_s, in_seconds(MAX_CALL_INTERVAL_US)), required_s
 
     @property
     def router_steps_s(self) -> float:
@@ -140,9 +140,10 @@
         peers send to it, and the answers to both."""
         return 4 * self.pings_s * gossip_datagram_bytes(MAX_ROWS)
 
-    def report_traffic(self, times: float = 1.0) -> ReportTraffic:
-        """Returns the traffic of reports and their answers for a dispatcher with `times` times the mean traffic."""
-        busy, prefilling = self.busy_replicas(times)
+    def report_traffic(self, traffic_factor: float = 1.0) -> ReportTraffic:
+        """Returns the traffic of reports and their answers for a dispatcher with `traffic_factor` times the mean
+        traffic."""
+        busy, prefilling = self.busy_replicas(traffic_factor)
         return count_report_traffic(self.size.replicas, self.prefill_replicas, round(busy), round(prefilling))
 
     def aggregator_traffic(self, alive: int) -> tuple[float, float]:
@@ -157,13 +158,13 @@
             members * reports.bytes_s + partial_sums_s * reports.partial_sum_bytes + member_list_s,
         )
 
-    def sums_age_s(self, times: float = 1.0) -> SumsAge:
-        """Returns the age of the sums at a dispatcher with `times` times the mean traffic.
+    def sums_age_s(self, traffic_factor: float = 1.0) -> SumsAge:
+        """Returns the age of the sums at a dispatcher with `traffic_factor` times the mean traffic.
 
         A load figure waits for the next report, then until the aggregator computes the sums, then for the next answer.
         A figure from another region also waits for the next partial sum.
         """
-        report_s = 1 / self.report_traffic(times).reports_s
+        report_s = 1 / self.report_traffic(traffic_factor).reports_s
         partial_sum_s = in_seconds(AGGREGATOR_TICK_US)
         snapshot_s = snapshot_interval_s(self.size.replicas)
         return SumsAge(
--- a/pearhill/lab/capacity/fault_rows.py
+++ b/pearhill/lab/capacity/fault_rows.py
@@ -72,10 +72,10 @@
     """Returns the fleet, the duration, and for how long counts or sums were wrong, in one line."""
     _, fleet, speed_up, lasted, *_ = fault_columns(fault)
     sped_up = "" if fault.factor == 1 else f", sped up {speed_up}"
-    return f"{fleet}, {lasted}{sped_up}: {_wrong_for(fault.for_s)}"
+    return f"{fleet}, {lasted}{sped_up}: {_format_error_duration(fault.for_s)}"
 
 
-def _wrong_for(wrong_s: float | None) -> str:
+def _format_error_duration(wrong_s: float | None) -> str:
     if wrong_s is None:
         return "no time told"
     if wrong_s == 0:
--- a/pearhill/lab/capacity/formatting.py
+++ b/pearhill/lab/capacity/formatting.py
@@ -8,8 +8,8 @@
 from pearhill.lab.capacity.results import Percentiles
 
 NOT_MEASURED = "not measured"
-LARGEST_SHARE_OF_ONE = 0.995  # values below are shown as a fraction of one (percent or ms); 0.995 rounds to 1.00
-SECONDS_BEFORE_MINUTES = 120
+MIN_ROUNDED_TO_ONE = 0.995  # values below are shown as a fraction of one (percent or ms); 0.995 rounds to 1.00
+MIN_SHOWN_IN_MINUTES_S = 120
 
 
 def format_number(value: float) -> str:
@@ -40,16 +40,16 @@
     """Returns processor time per second in cores, or in percent of a core below one core."""
     if value >= 2:
         return f"{format_number(value)} cores"
-    if value < LARGEST_SHARE_OF_ONE:
+    if value < MIN_ROUNDED_TO_ONE:
         return f"{value * 100:.2g}% of a core"
     return f"{value:.2g} core"
 
 
 def format_duration(value: float) -> str:
     """Returns a duration in seconds as text in milliseconds, seconds or minutes."""
-    if value < LARGEST_SHARE_OF_ONE:
+    if value < MIN_ROUNDED_TO_ONE:
         return f"{value * 1000:.0f} ms"
-    if value < SECONDS_BEFORE_MINUTES:
+    if value < MIN_SHOWN_IN_MINUTES_S:
         return f"{format_number(value)} s"
     return f"{format_number(value / 60)} min"
 
@@ -71,8 +71,8 @@
     """Returns a quantity of the result files in the unit of its key, or `NOT_MEASURED` if the value is None."""
     if value is None:
         return NOT_MEASURED
-    either_way = re.sub(r"_(in|out)_s$", "_s", quantity)
-    return FORMATS.get(either_way, format_number)(value)
+    quantity_of_both_directions = re.sub(r"_(in|out)_s$", "_s", quantity)
+    return FORMATS.get(quantity_of_both_directions, format_number)(value)
 
 
 def format_percentiles(value: Percentiles | None) -> str:
--- a/pearhill/lab/capacity/mechanisms.py
+++ b/pearhill/lab/capacity/mechanisms.py
@@ -24,8 +24,8 @@
 REPORT_HEAD_BYTES = 60  # assumed size of a report without its rows and its authentication tag
 SHORT_DIGEST_ROWS = 12
 TREE_FAN_OUTS = (2, 4)
-ALL_LEFT = "all of it"
-OWN_WORK_LEFT = "one's own work alone"
+ALL_STILL_KNOWN = "all of it"
+ONLY_OWN_LOAD_KNOWN = "one's own work alone"
 ALL_REPLICAS = "all engines"
 
 
@@ -60,7 +60,7 @@
 
 def _gossip(estimates: Estimates) -> Iterator[Mechanism]:
     budget = estimates.size.control_bytes_s
-    seen = f"of {estimates.busy_replicas()[0]:.0f} engines where a dispatcher has work"
+    coverage_text = f"of {estimates.busy_replicas()[0]:.0f} engines where a dispatcher has work"
     for name, rows, pings_s in (
         ("full talk, as today", MAX_ROWS, estimates.pings_s),
         ("talk thinned to the bound", MAX_ROWS, budget / 4 / gossip_datagram_bytes(MAX_ROWS)),
@@ -77,8 +77,8 @@
             bytes_s=4 * pings_s * gossip_datagram_bytes(rows),
             mean_age_s=round_s / 3,
             worst_age_s=2 * round_s,
-            coverage=f"{rows} {seen}",
-            without_aggregators=ALL_LEFT,
+            coverage=f"{rows} {coverage_text}",
+            without_aggregators=ALL_STILL_KNOWN,
         )
 
 
@@ -88,24 +88,24 @@
     for fan_out in TREE_FAN_OUTS:
         depth = math.ceil(math.log(dispatchers * (fan_out - 1) + 1, fan_out)) - 1
         interval_s = 2 * (fan_out + 1) * sums_bytes / budget
-        up_and_down_s = 2 * depth * HOP_DELAY_S
+        tree_delay_s = 2 * depth * HOP_DELAY_S
         yield Mechanism(
             name=f"a tree, {fan_out} below each, a wave each {format_duration(interval_s)}",
             bytes_s=budget,
-            mean_age_s=up_and_down_s + interval_s / 2,
-            worst_age_s=up_and_down_s + interval_s,
+            mean_age_s=tree_delay_s + interval_s / 2,
+            worst_age_s=tree_delay_s + interval_s,
             coverage=ALL_REPLICAS,
             without_aggregators="all of it, but each that falls takes those below along",
         )
 
 
 def _ring(estimates: Estimates) -> Mechanism:
-    lap_s = estimates.size.dispatchers * HOP_DELAY_S
+    cycle_s = estimates.size.dispatchers * HOP_DELAY_S
     return Mechanism(
-        name=f"a ring, a lap of {format_duration(lap_s)}",
-        bytes_s=2 * estimates.report_traffic().sums_bytes / lap_s,
-        mean_age_s=lap_s,
-        worst_age_s=2 * lap_s,
+        name=f"a ring, a lap of {format_duration(cycle_s)}",
+        bytes_s=2 * estimates.report_traffic().sums_bytes / cycle_s,
+        mean_age_s=cycle_s,
+        worst_age_s=2 * cycle_s,
         coverage=ALL_REPLICAS,
         without_aggregators="all of it, but each that stalls or falls stops it",
     )
@@ -113,41 +113,41 @@
 
 def _reported_deltas(estimates: Estimates) -> Iterator[Mechanism]:
     size, sums_bytes = estimates.size, estimates.report_traffic().sums_bytes
-    for times in (1.0, size.busiest_over_mean):
-        reports_s = estimates.report_traffic(times).reports_s
+    for traffic_factor in (1.0, size.busiest_over_mean):
+        reports_s = estimates.report_traffic(traffic_factor).reports_s
         # A request starts and ends at each of two stages (prefill and decode).
-        changes = 4 * estimates.requests_s * times / reports_s
+        changes = 4 * estimates.requests_s * traffic_factor / reports_s
         report_bytes = min(changes * DELTA_BYTES, 2 * size.replicas) + HEADER_BYTES + 1 + TAG_BYTES + REPORT_HEAD_BYTES
-        ages = estimates.sums_age_s(times)
+        ages = estimates.sums_age_s(traffic_factor)
         yield Mechanism(
-            name=f"by region, deltas up, {times:g} times the mean's traffic",
+            name=f"by region, deltas up, {traffic_factor:g} times the mean's traffic",
             bytes_s=(report_bytes + sums_bytes) * reports_s,
             mean_age_s=ages.other_regions_mean_s,
             worst_age_s=ages.other_regions_worst_s,
             coverage="all engines, wrong from a lost delta until both agree",
-            without_aggregators=OWN_WORK_LEFT,
+            without_aggregators=ONLY_OWN_LOAD_KNOWN,
         )
 
 
 def _reported_gauges(estimates: Estimates) -> Iterator[Mechanism]:
-    for times in (1.0, estimates.size.busiest_over_mean):
-        ages = estimates.sums_age_s(times)
+    for traffic_factor in (1.0, estimates.size.busiest_over_mean):
+        ages = estimates.sums_age_s(traffic_factor)
         yield Mechanism(
-            name=f"**by region, gauges up**, {times:g} times the mean's traffic",
-            bytes_s=estimates.report_traffic(times).bytes_s,
+            name=f"**by region, gauges up**, {traffic_factor:g} times the mean's traffic",
+            bytes_s=estimates.report_traffic(traffic_factor).bytes_s,
             mean_age_s=ages.other_regions_mean_s,
             worst_age_s=ages.other_regions_worst_s,
             coverage=ALL_REPLICAS,
-            without_aggregators=OWN_WORK_LEFT,
+            without_aggregators=ONLY_OWN_LOAD_KNOWN,
         )
 
 
 def _own_region_only(estimates: Estimates) -> Mechanism:
     size = estimates.size
-    near = size.replicas // size.regions
+    region_replicas = size.replicas // size.regions
     busy, prefilling = estimates.busy_replicas()
     traffic = count_report_traffic(
-        near,
+        region_replicas,
         estimates.prefill_replicas // size.regions,
         round(busy / size.regions),
         round(prefilling / size.regions),
@@ -155,8 +155,8 @@
     return Mechanism(
         name="by region, its own replicas alone",
         bytes_s=traffic.bytes_s,
-        mean_age_s=1 / traffic.reports_s + snapshot_interval_s(near) / 2,
-        worst_age_s=2 / traffic.reports_s + snapshot_interval_s(near),
-        coverage=f"{near} of {size.replicas} engines",
-        without_aggregators=OWN_WORK_LEFT,
+        mean_age_s=1 / traffic.reports_s + snapshot_interval_s(region_replicas) / 2,
+        worst_age_s=2 / traffic.reports_s + snapshot_interval_s(region_replicas),
+        coverage=f"{region_replicas} of {size.replicas} engines",
+        without_aggregators=ONLY_OWN_LOAD_KNOWN,
     )
--- a/pearhill/lab/capacity/page.py
+++ b/pearhill/lab/capacity/page.py
@@ -36,9 +36,9 @@
     def __init__(self, runs: Runs) -> None:
         self.runs = runs
 
-    def measured(self, way: str, role: str, quantity: str) -> str:
+    def measured(self, mechanism: str, role: str, quantity: str) -> str:
         """Returns a quantity at the planned size with its source, or `NOT_MEASURED`."""
-        figure = self.runs.figure(way, role, quantity)
+        figure = self.runs.figure(mechanism, role, quantity)
         if figure is None:
             return NOT_MEASURED
         return f"{format_quantity(quantity, figure.value)} ({figure.source})"
@@ -50,9 +50,9 @@
             return NOT_MEASURED
         return f"{format_number(figure.value)}{unit} ({figure.source})"
 
-    def over_bounds(self, way: str, role: str, *bounds: tuple[str, float]) -> str:
+    def over_bounds(self, mechanism: str, role: str, *bounds: tuple[str, float]) -> str:
         """Returns the ratio of each quantity at the planned size to its bound, separated by commas."""
-        figures = [(self.runs.figure(way, role, quantity), bound) for quantity, bound in bounds]
+        figures = [(self.runs.figure(mechanism, role, quantity), bound) for quantity, bound in bounds]
         return ", ".join(f"{figure.value / bound:.2f}" if figure else NOT_MEASURED for figure, bound in figures)
 
 
--- a/pearhill/lab/capacity/report_traffic.py
+++ b/pearhill/lab/capacity/report_traffic.py
@@ -128,7 +128,7 @@
         self.bytes[kind] += size + HEADER_BYTES
 
 
-def _drawn_loads(rng: random.Random, replicas: int, prefilling: int, requests: float) -> list[ReplicaLoad]:
+def _random_loads(rng: random.Random, replicas: int, prefilling: int, requests: float) -> list[ReplicaLoad]:
     """Returns random loads of `replicas` replicas, with about `requests` requests at each. The first `prefilling` of
     them also have prompt tokens waiting for prefill.
 
@@ -150,8 +150,8 @@
     `prefilling` of them, in a fleet with work at all replicas. Traffic is counted after the warm-up, when the slot
     table is complete."""
     rng = random.Random(1)
-    own_loads = _drawn_loads(rng, busy, prefilling, 1.0)
-    fleet_loads = _drawn_loads(rng, replicas, prefill_replicas, FLEET_REQUESTS_PER_REPLICA)
+    own_loads = _random_loads(rng, busy, prefilling, 1.0)
+    fleet_loads = _random_loads(rng, replicas, prefill_replicas, FLEET_REQUESTS_PER_REPLICA)
     simulation = ReportSimulation(own_loads, fleet_loads)
     simulation.run()
     assert simulation.known_replicas() == replicas, "the slot table is incomplete after the warm-up"
--- a/pearhill/lab/capacity/requirements.py
+++ b/pearhill/lab/capacity/requirements.py
@@ -18,7 +18,7 @@
 from pearhill.lab.capacity.runs import Runs
 
 FEW_REPLICAS = 60  # baseline for the cost of a choice among all replicas
-WORKED_OUT = "worked out"  # the source given for a calculated figure that no run has measured
+CALCULATED = "worked out"  # the source given for a calculated figure that no run has measured
 SCHEDULE_FILE = "`pearhill/platform/schedule.py`"
 ROUTER_FILE = "`pearhill/routing/router.py`"
 
@@ -55,15 +55,15 @@
     """Returns all requirements that have a bound: first those that no file implements, then the others. Each group is
     sorted by ratio, largest first."""
     found = [
-        *_control(estimates, runs),
+        *_control_plane(estimates, runs),
         *_shared_discovery(estimates),
         *_choices(estimates, runs),
-        *_not_carried(estimates),
+        *_unimplemented(estimates),
     ]
     return sorted(found, key=lambda r: (bool(r.carried_by), r.ratio is None, -(r.ratio or 0.0)))
 
 
-def _control(estimates: Estimates, runs: Runs) -> Iterator[Requirement]:
+def _control_plane(estimates: Estimates, runs: Runs) -> Iterator[Requirement]:
     """Yields the measured cost of gossip and of reports for each role."""
     size = estimates.size
     dispatcher_limits = (
@@ -81,11 +81,11 @@
         yield _measured(runs, AGGREGATORS, "reports to control machines", "`pearhill/membership/aggregator.py`", limit)
 
 
-def _measured(runs: Runs, way: str, way_name: str, file: str, limit: Limit) -> Requirement:
-    figure = runs.figure(way, limit.role, limit.quantity)
+def _measured(runs: Runs, mechanism: str, mechanism_name: str, file: str, limit: Limit) -> Requirement:
+    figure = runs.figure(mechanism, limit.role, limit.quantity)
     owner = "a dispatcher's control" if limit.role == "dispatcher" else "a control machine"
     return Requirement(
-        subject=f"{owner} with {way_name}: {limit.name}",
+        subject=f"{owner} with {mechanism_name}: {limit.name}",
         required=limit.format(figure.value) if figure else NOT_MEASURED,
         bound=limit.format(limit.bound),
         ratio=figure.value / limit.bound if figure else None,
@@ -101,7 +101,7 @@
         required=f"{format_number(services)} services",
         bound="1 service",
         ratio=services,
-        source=WORKED_OUT,
+        source=CALCULATED,
         carried_by=SCHEDULE_FILE,
     )
     spread_s, required_s = estimates.start_spread_s
@@ -110,7 +110,7 @@
         required=f"{required_s:.1f} s",
         bound=f"{spread_s:.1f} s",
         ratio=required_s / spread_s,
-        source=WORKED_OUT,
+        source=CALCULATED,
         carried_by=SCHEDULE_FILE,
     )
 
@@ -118,11 +118,11 @@
 def _choices(estimates: Estimates, runs: Runs) -> Iterator[Requirement]:
     """Yields the cost of choices, or nothing if no run has measured a choice among as many replicas as planned."""
     size = estimates.size
-    among_all = runs.choice_cost_at(size.replicas)
-    if among_all is None or runs.choice_costs is None:
+    cost_among_all = runs.choice_cost_at(size.replicas)
+    if cost_among_all is None or runs.choice_costs is None:
         return
     source, _ = runs.choice_costs
-    cores = among_all.ms / 1000 * estimates.requests_s * size.busiest_over_mean
+    cores = cost_among_all.ms / 1000 * estimates.requests_s * size.busiest_over_mean
     yield Requirement(
         subject=f"a request's own work: choices at {size.busiest_over_mean:g} times the mean",
         required=format_cores(cores),
@@ -131,8 +131,8 @@
         source=source,
         carried_by=ROUTER_FILE,
     )
-    if among_few := runs.choice_cost_at(FEW_REPLICAS):
-        growth = among_all.ms / among_few.ms
+    if cost_among_few := runs.choice_cost_at(FEW_REPLICAS):
+        growth = cost_among_all.ms / cost_among_few.ms
         yield Requirement(
             subject=f"a request's own work: its choices at {size.replicas} over those at {FEW_REPLICAS}",
             required=f"{growth:.1f}",
@@ -143,14 +143,14 @@
         )
 
 
-def _not_carried(estimates: Estimates) -> Iterator[Requirement]:
+def _unimplemented(estimates: Estimates) -> Iterator[Requirement]:
     size = estimates.size
     yield Requirement(
         subject="a tenant's guarantee, its clients in one zone",
         required=f"1/{size.zones} of it is held by its {estimates.zone_failure.dispatchers:.0f} dispatchers",
         bound="all of it",
         ratio=float(size.zones),
-        source=WORKED_OUT,
+        source=CALCULATED,
         carried_by="",
     )
     yield Requirement(
--- a/pearhill/lab/capacity/results.py
+++ b/pearhill/lab/capacity/results.py
@@ -47,8 +47,8 @@
         if quantity not in ("bytes_s", "messages_s"):
             return getattr(self, quantity, None)
         kind = quantity.removesuffix("_s")
-        ways = [getattr(self, f"{kind}_{way}_s") for way in ("in", "out")]
-        return None if None in ways else sum(ways)
+        values = [getattr(self, f"{kind}_{direction}_s") for direction in ("in", "out")]
+        return None if None in values else sum(values)
 
 
 class DiscoveryCalls(msgspec.Struct):
--- a/pearhill/lab/capacity/runs.py
+++ b/pearhill/lab/capacity/runs.py
@@ -18,7 +18,7 @@
 )
 from pearhill.lab.capacity.size import FleetSize
 
-WORK_PREFERENCE = ("drawn", "router", "none")  # order of preference among several points at the planned size
+WORKLOAD_PREFERENCE = ("drawn", "router", "none")  # order of preference among several points at the planned size
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,28 +44,28 @@
         """Returns all rows of one list of the results, such as `points`, each with the name of its run."""
         return [(name, row) for name, result in self.results.items() for row in getattr(result, part)]
 
-    def point_at_size(self, way: str) -> tuple[str, MeasuredPoint] | None:
+    def point_at_size(self, mechanism: str) -> tuple[str, MeasuredPoint] | None:
         """Returns the run's name and the point that was measured at exactly the planned size, or None if there is
         none."""
         size = (self.size.dispatchers, self.size.replicas)
         run_order = {name: k for k, name in enumerate(self.results)}
-        fit = [(name, p) for name, p in self._hollow_points(way) if (p.dispatchers, p.replicas) == size]
-        if not fit:
+        candidates = [(name, p) for name, p in self._hollow_points(mechanism) if (p.dispatchers, p.replicas) == size]
+        if not candidates:
             return None
-        return min(fit, key=lambda row: (_work_rank(row[1].work), -run_order[row[0]]))
+        return min(candidates, key=lambda row: (_workload_rank(row[1].work), -run_order[row[0]]))
 
-    def figure(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+    def figure(self, mechanism: str, role: str, quantity: str) -> SourcedFigure | None:
         """Returns a figure at the planned size: measured there if possible, else extrapolated from smaller sizes.
         Returns None if no run measured it."""
         return (
-            self._figure_at_size(way, role, quantity)
-            or self._largest_measured(way, role, quantity)
-            or self._figure_on_slope(way, role, quantity)
-            or self._sum_of_both_ways(way, role, quantity)
+            self._figure_at_size(mechanism, role, quantity)
+            or self._largest_measured(mechanism, role, quantity)
+            or self._figure_on_slope(mechanism, role, quantity)
+            or self._sum_of_both_directions(mechanism, role, quantity)
         )
 
-    def _figure_at_size(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
-        found = self.point_at_size(way)
+    def _figure_at_size(self, mechanism: str, role: str, quantity: str) -> SourcedFigure | None:
+        found = self.point_at_size(mechanism)
         if found is None:
             return None
         name, point = found
@@ -73,42 +73,42 @@
         value = cost.quantity_value(quantity) if isinstance(cost, Cost) else getattr(cost, quantity, None)
         return None if value is None else SourcedFigure(value, name)
 
-    def _largest_measured(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+    def _largest_measured(self, mechanism: str, role: str, quantity: str) -> SourcedFigure | None:
         """Returns the largest measured figure of a dispatcher with gossip, or None for other mechanisms and roles.
 
         A gossip tick sends a bounded number of pings. A slope that was fitted to fleets below that bound does not
         include it, and would be many times too high at the planned size.
         """
-        if way != GOSSIP or role != "dispatcher":
+        if mechanism != GOSSIP or role != "dispatcher":
             return None
-        figures = [(p.dispatcher.quantity_value(quantity), name, p) for name, p in self._hollow_points(way)]
+        figures = [(p.dispatcher.quantity_value(quantity), name, p) for name, p in self._hollow_points(mechanism)]
         measured = [(value, name, p) for value, name, p in figures if value is not None]
         if not measured:
             return None
         value, name, point = max(measured, key=lambda row: row[0])
         return SourcedFigure(value, f"at least: {name}, {point.dispatchers} x {point.replicas}")
 
-    def _figure_on_slope(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+    def _figure_on_slope(self, mechanism: str, role: str, quantity: str) -> SourcedFigure | None:
         found: SourcedFigure | None = None
         for name, slope in self.rows("slopes"):
-            if _is_slope_of(slope, way, role, quantity):
+            if _is_slope_of(slope, mechanism, role, quantity):
                 stretched = f", {slope.stretched:.1f} times as far" if slope.stretched else ""
                 found = SourcedFigure(slope.at_size, f"slope of {name}{stretched}")
         return found
 
-    def _sum_of_both_ways(self, way: str, role: str, quantity: str) -> SourcedFigure | None:
+    def _sum_of_both_directions(self, mechanism: str, role: str, quantity: str) -> SourcedFigure | None:
         if quantity not in ("bytes_s", "messages_s"):
             return None
         kind = quantity.removesuffix("_s")
-        received = self.figure(way, role, f"{kind}_in_s")
-        sent = self.figure(way, role, f"{kind}_out_s")
+        received = self.figure(mechanism, role, f"{kind}_in_s")
+        sent = self.figure(mechanism, role, f"{kind}_out_s")
         if received is None or sent is None:
             return None
         return SourcedFigure(received.value + sent.value, received.source)
 
-    def _hollow_points(self, way: str) -> Iterator[tuple[str, MeasuredPoint]]:
+    def _hollow_points(self, mechanism: str) -> Iterator[tuple[str, MeasuredPoint]]:
         for name, point in self.rows("points"):
-            if (point.way, point.kind, point.busy) == (way, HOLLOW, False):
+            if (point.way, point.kind, point.busy) == (mechanism, HOLLOW, False):
                 yield name, point
 
     @property
@@ -139,9 +139,9 @@
         return found[-1] if found else None
 
 
-def _work_rank(work: str) -> int:
-    return WORK_PREFERENCE.index(work) if work in WORK_PREFERENCE else len(WORK_PREFERENCE)
+def _workload_rank(work: str) -> int:
+    return WORKLOAD_PREFERENCE.index(work) if work in WORKLOAD_PREFERENCE else len(WORKLOAD_PREFERENCE)
 
 
-def _is_slope_of(slope: FittedSlope, way: str, role: str, quantity: str) -> bool:
-    return (slope.way, slope.role, slope.quantity) == (way, role, quantity) and slope.at_size is not None
+def _is_slope_of(slope: FittedSlope, mechanism: str, role: str, quantity: str) -> bool:
+    return (slope.way, slope.role, slope.quantity) == (mechanism, role, quantity) and slope.at_size is not None
--- a/pearhill/lab/capacity/workload.py
+++ b/pearhill/lab/capacity/workload.py
@@ -92,16 +92,18 @@
     def uneven_requests_s(self, every: int = 20) -> tuple[float, float]:
         """Returns the requests per second of most dispatchers, and of every `every`th one, if the latter receives
         `busiest_over_mean` times as many as the others."""
-        least = self.size.requests_s / (self.size.dispatchers * (every - 1 + self.size.busiest_over_mean) / every)
-        return least, least * self.size.busiest_over_mean
+        typical_requests_s = self.size.requests_s / (
+            self.size.dispatchers * (every - 1 + self.size.busiest_over_mean) / every
+        )
+        return typical_requests_s, typical_requests_s * self.size.busiest_over_mean
 
     @property
     def remembered_requests(self) -> tuple[float, float]:
         """Requests whose prompts the prefix tables hold, at the mean and at the busiest dispatcher. The maximum length
         of the tables bounds both."""
         mean = self.requests_s * MAX_CACHED_AGE_US / MICROSECONDS_PER_S
-        longest = MAX_CACHED_PREFIXES * self.prefill_replicas / PREFIXES_PER_REQUEST
-        return min(mean, longest), min(mean * self.size.busiest_over_mean, longest)
+        max_requests = MAX_CACHED_PREFIXES * self.prefill_replicas / PREFIXES_PER_REQUEST
+        return min(mean, max_requests), min(mean * self.size.busiest_over_mean, max_requests)
 
     @property
     def descriptors(self) -> tuple[float, float]:
@@ -112,18 +114,18 @@
             connections * self.size.busiest_over_mean + RESERVED_DESCRIPTORS,
         )
 
-    def busy_replicas(self, times: float = 1.0) -> tuple[float, float]:
-        """Returns the number of replicas at which a dispatcher with `times` times the mean traffic has work, and how
-        many of them are prefill replicas, if a prefill takes as long as the router allows."""
-        prefills = self.requests_s * times * LATENCY_SHARE_FOR_PREFILL * self.size.first_token_s
+    def busy_replicas(self, traffic_factor: float = 1.0) -> tuple[float, float]:
+        """Returns the number of replicas at which a dispatcher with `traffic_factor` times the mean traffic has work,
+        and how many of them are prefill replicas, if a prefill takes as long as the router allows."""
+        prefills = self.requests_s * traffic_factor * LATENCY_SHARE_FOR_PREFILL * self.size.first_token_s
         prefilling = self.prefill_replicas * (1 - math.exp(-prefills / self.prefill_replicas))
-        decoding = self.decode_replicas * (1 - math.exp(-self.streams * times / self.decode_replicas))
+        decoding = self.decode_replicas * (1 - math.exp(-self.streams * traffic_factor / self.decode_replicas))
         return decoding + prefilling, prefilling
 
-    def connections(self, replicas: int, keep_s: float = 10.0) -> tuple[float, float]:
+    def connections(self, replicas: int, idle_timeout_s: float = 10.0) -> tuple[float, float]:
         """Returns the idle connections from all dispatchers to one replica, and new connections per second, for a role
         with `replicas` replicas. A dispatcher reuses an idle connection for its next request to the replica, and closes
-        it after `keep_s` seconds without one."""
+        it after `idle_timeout_s` seconds without one."""
         pair_requests_s = self.requests_s / replicas
-        closed_as_idle = math.exp(-pair_requests_s * keep_s)
+        closed_as_idle = math.exp(-pair_requests_s * idle_timeout_s)
         return self.size.dispatchers * (1 - closed_as_idle), self.size.dispatchers * pair_requests_s * closed_as_idle
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -88,7 +88,7 @@
     }
 
 
-class WithTemporaryRepository(unittest.TestCase):
+class TemporaryRepositoryTestCase(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -104,39 +104,43 @@
         return (self.root / capacity.PAGE_PATH).read_text()
 
 
-class Committed(unittest.TestCase):
+class CommittedPages(unittest.TestCase):
     """The pages that are committed in the repository."""
 
-    def test_the_page_is_what_its_results_make_of_it(self) -> None:
-        again = "differs from its results: run `pearhill lab scale --page`"
+    def test_the_committed_pages_match_their_results(self) -> None:
+        advice = "differs from its results: run `pearhill lab scale --page`"
         page = capacity.render_page(capacity.read_results(ROOT / capacity.RESULTS_FOLDER))
-        assert (ROOT / capacity.PAGE_PATH).read_text() == page, f"{capacity.PAGE_PATH} {again}"
+        assert (ROOT / capacity.PAGE_PATH).read_text() == page, f"{capacity.PAGE_PATH} {advice}"
         note = (ROOT / capacity.NOTE_PATH).read_text()
-        assert note == capacity.update_note(note), f"{capacity.NOTE_PATH} {again}"
+        assert note == capacity.update_note(note), f"{capacity.NOTE_PATH} {advice}"
 
-    def test_each_mechanism_is_a_file_or_package_or_said_to_be_missing(self) -> None:
-        rows = list(capacity.duty_carriers((ROOT / capacity.PAGE_PATH).read_text()))
+    def test_every_duty_names_an_existing_file_or_package_or_is_marked_missing(self) -> None:
+        rows = list(capacity.find_implementations((ROOT / capacity.PAGE_PATH).read_text()))
         assert len(rows) > 50
-        lost = {
+        missing = {
             f"{duty}: {name}"
             for duty, named in rows
             for name in named
             if not (name.startswith("pearhill/") and (ROOT / name).exists())
         }
-        assert lost == set()
+        assert missing == set()
 
 
-class Mechanisms(unittest.TestCase):
-    def test_files_missing_ones_and_gaps_are_told_apart(self) -> None:
+class FindImplementations(unittest.TestCase):
+    def test_files_missing_implementations_and_empty_cells_are_distinguished(self) -> None:
         text = (
             "| a | b | carried by |\n| --- | --- | --- |\n| 1 | x | `pearhill/a.py`, `pearhill/b` |\n"
             "| 2 | x | missing: all |\n| 3 | x |  |\n\n| a | b |\n| --- | --- |\n| 4 | `x` |\n"
         )
-        assert list(capacity.duty_carriers(text)) == [("1", ["pearhill/a.py", "pearhill/b"]), ("2", []), ("3", [""])]
+        assert list(capacity.find_implementations(text)) == [
+            ("1", ["pearhill/a.py", "pearhill/b"]),
+            ("2", []),
+            ("3", [""]),
+        ]
 
 
-class Arithmetic(unittest.TestCase):
-    def test_the_operators_figures(self) -> None:
+class EstimatesTests(unittest.TestCase):
+    def test_estimates_match_the_operators_figures(self) -> None:
         estimates = capacity.Estimates(SIZE)
         for what, found, expected, tolerance in (
             ("requests", estimates.requests_s, 45, 0.02),
@@ -151,12 +155,12 @@
             with self.subTest(what):
                 assert abs(found - expected) <= expected * tolerance
 
-    def test_a_fleet_of_uneven_traffic_has_the_same_requests(self) -> None:
+    def test_uneven_traffic_sums_to_the_same_request_rate(self) -> None:
         least, most = capacity.Estimates(SIZE).uneven_requests_s()
         assert abs(330 / 20 * (19 * least + most) - 15_000) < 5e-8
         assert abs(most / least - 10) < 5e-8
 
-    def test_reports_stay_within_their_budget_and_full_talk_does_not(self) -> None:
+    def test_reports_stay_within_their_byte_budget_and_full_gossip_exceeds_it(self) -> None:
         estimates = capacity.Estimates(SIZE)
         for times in (0.1, 1.0, 10.0):
             with self.subTest(times):
@@ -169,7 +173,7 @@
         assert estimates.gossip_bytes_s > 10 * SIZE.control_bytes_s
         assert capacity.gossip_datagram_bytes(48) <= 1400 + HEADER_BYTES
 
-    def test_a_gauge_is_a_byte_at_the_most_and_next_to_nothing_where_no_work_is(self) -> None:
+    def test_a_gauge_takes_at_most_one_byte_and_almost_none_without_load(self) -> None:
         few, many = capacity.count_report_traffic(300, 0, 10, 0), capacity.count_report_traffic(300, 0, 300, 0)
         assert few.report_bytes < 38 + 10 + 200
         assert many.report_bytes < 300 + 200
@@ -177,8 +181,8 @@
         assert max(few.sums_bytes, many.sums_bytes) < 300 + 200
 
 
-class Pages(WithTemporaryRepository):
-    def test_with_no_run_the_page_is_whole_and_says_so(self) -> None:
+class RenderedPages(TemporaryRepositoryTestCase):
+    def test_without_runs_the_page_has_all_sections_and_says_so(self) -> None:
         page = self.page()
         for part in (
             "## The size",
@@ -199,7 +203,7 @@
         assert page.count(capacity.NOT_MEASURED) > 30
         assert "\n\n\n" not in page
 
-    def test_figures_come_from_the_runs_and_name_them(self) -> None:
+    def test_measured_figures_are_shown_with_the_name_of_their_run(self) -> None:
         self.write_result(
             "control",
             result(
@@ -266,7 +270,7 @@
             with self.subTest(expected):
                 assert expected in page
 
-    def test_the_talks_slope_is_not_stretched_past_the_bound_on_its_pings(self) -> None:
+    def test_a_gossip_slope_is_not_extrapolated_beyond_the_ping_limit(self) -> None:
         self.write_result(
             "talk",
             result(
@@ -281,7 +285,7 @@
         assert "0.8% of a core (at least: talk, 80 x 60)" in page
         assert "41% of a core (slope" not in page
 
-    def test_the_larger_need_comes_first_and_what_nothing_carries_before_it(self) -> None:
+    def test_unimplemented_requirements_come_first_then_the_largest_ratios(self) -> None:
         self.write_result(
             "a", result(slopes=[slope(capacity.GOSSIP, "cpu_cores", 1.1), slope(capacity.GOSSIP, "memory_bytes", 16e6)])
         )
@@ -291,11 +295,11 @@
         carried = [row for row in rows if row.carried_by]
         assert carried == rows[len(rows) - len(carried) :]
         assert abs((carried[0].ratio or 0) - 100) < 5e-8
-        known = [row.ratio for row in carried if row.ratio is not None]
-        assert known == sorted(known, reverse=True)
-        assert all(row.ratio is None for row in carried[len(known) :])
+        measured = [row.ratio for row in carried if row.ratio is not None]
+        assert measured == sorted(measured, reverse=True)
+        assert all(row.ratio is None for row in carried[len(measured) :])
 
-    def test_the_later_run_counts_a_busy_one_does_not_and_a_point_goes_before_a_slope(self) -> None:
+    def test_later_runs_win_busy_points_are_skipped_and_points_precede_slopes(self) -> None:
         def cores(value: float, **fields: Any) -> dict[str, Any]:
             return point(dispatcher=COST | {"cpu_cores": value}, **fields)
 
@@ -313,24 +317,24 @@
         assert runs.figure(capacity.AGGREGATORS, "dispatcher", "cpu_cores") == capacity.SourcedFigure(0.002, "a-late")
         assert "| busy |" in self.page()
 
-    def test_the_notes_table_is_made_anew_and_nothing_else_of_it(self) -> None:
+    def test_only_the_tables_of_the_design_note_are_replaced(self) -> None:
         path = self.root / capacity.NOTE_PATH
         path.parent.mkdir(parents=True)
-        form = (
+        template = (
             "before\n<!-- weighed: pearhill lab scale --page -->\n{}<!-- /weighed -->\n"
             "between\n<!-- times: pearhill lab scale --page -->\n{}<!-- /times -->\nafter\n"
         )
-        path.write_text(form.format("old\n", ""))
+        path.write_text(template.format("old\n", ""))
         self.page()
-        assert path.read_text() == form.format(capacity.mechanisms_table(), capacity.protocol_times_table())
+        assert path.read_text() == template.format(capacity.mechanisms_table(), capacity.protocol_times_table())
         path.write_text("no table")
         with pytest.raises(ConfigError, match="capacity.md: found no table of weighed; allowed: one between"):
             capacity.write_pages(self.root)
 
 
-class BadResults(WithTemporaryRepository):
-    def test_file_key_found_and_allowed_are_told(self) -> None:
-        late = point(dispatcher=COST | {"beat_late_ms": {"p50": 1, "p99": 2}})
+class InvalidResults(TemporaryRepositoryTestCase):
+    def test_an_invalid_result_names_the_file_key_found_value_and_allowed_values(self) -> None:
+        incomplete_point = point(dispatcher=COST | {"beat_late_ms": {"p50": 1, "p99": 2}})
         for what, content, complaint in (
             ("no JSON", "{", r"bad\.json: Expecting"),
             ("a list", [], r"bad\.json: .*found \[\]; allowed: a table"),
@@ -346,7 +350,7 @@
             ),
             (
                 "a spread without its worst",
-                result(points=[late]),
+                result(points=[incomplete_point]),
                 r"bad\.json: points\[0\]\.dispatcher\.beat_late_ms\.max: found nothing; allowed: a number",
             ),
             (
