--- a/pearhill/lab/scale/analysis.py
+++ b/pearhill/lab/scale/analysis.py
@@ -1,4 +1,4 @@
-"""What follows from the points of a run: hollow against real dispatchers, and how costs grow with the fleet."""
+"""Analysis of a run's points: compares hollow with real dispatchers, and fits how costs grow with the fleet."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from pearhill.lab.scale import fit
 from pearhill.lab.scale.plan import SizeTable
 
-COMPARISON_TOLERANCE = 0.2  # the share by which hollow and real dispatchers may differ
-AGGREGATOR_CPU_CORES = 1.0  # bounds of an aggregator
+COMPARISON_TOLERANCE = 0.2  # the relative difference that is allowed between hollow and real dispatchers
+AGGREGATOR_CPU_CORES = 1.0  # upper bounds for one aggregator
 AGGREGATOR_MEMORY_BYTES = 1e9
 COMPARED_QUANTITIES = ("cpu_cores", "bytes_s", "memory_bytes")
 QUANTITIES = {
@@ -18,7 +18,7 @@
     "discovery": ("calls_s", "bytes_s"),
 }
 
-# In the results' form.
+# Dictionaries as they are written to the results file.
 Point = dict[str, Any]
 Figures = dict[str, Any]
 Check = dict[str, Any]
@@ -26,7 +26,7 @@
 
 
 def figure_of(figures: Figures, quantity: str) -> float | None:
-    """One quantity; `bytes_s` is that of both directions. None: it was not measured."""
+    """Returns the value of one quantity, or None if it was not measured. `bytes_s` is the sum of both directions."""
     if quantity == "bytes_s" and "bytes_s" not in figures:
         return float(figures["bytes_in_s"] + figures["bytes_out_s"])
     value = figures[quantity]
@@ -34,10 +34,10 @@
 
 
 def compare(hollow: Point, real: Point, alone: Point | None) -> list[Check]:
-    """Hollow against real dispatchers. What differs by more than the tolerance is carried into the fits as an error.
+    """Compares hollow with real dispatchers. A difference above the tolerance is added to the fits as an error.
 
-    `alone`: hollow dispatchers that have a process each show how much of a difference comes of sharing one. Nothing is
-    fitted to them, so nothing is carried.
+    `alone` is the point of the hollow dispatchers that have a process each. It shows how much of a difference is caused
+    by sharing a process. No form is fitted to these dispatchers, so their checks add no error.
     """
     fleet = f"{hollow['way']}, {hollow['dispatchers']} dispatchers before {hollow['replicas']} replicas"
     checks = [
@@ -51,7 +51,7 @@
 
 
 def _check(what: str, quantity: str, real: Point, hollow: Point, is_fitted: bool) -> Check | None:
-    """None: the quantity was not measured at one of them."""
+    """Returns the comparison of one quantity, or None if it was not measured at both kinds of dispatcher."""
     real_value = figure_of(real["dispatcher"], quantity)
     hollow_value = figure_of(hollow["dispatcher"], quantity)
     if not real_value or not hollow_value:
@@ -71,7 +71,7 @@
 
 
 def slopes(points: Iterable[Point], checks: Sequence[Check], size: SizeTable) -> list[Slope]:
-    """Each quantity of each role fitted over the grid; points of a busy machine are left out."""
+    """Fits each quantity of each role over the grid. Points that were measured on a busy machine are left out."""
     fitted = [p for p in points if p["kind"] == "hollow" and p["work"] == "drawn" and not p["busy"]]
     found = []
     for way in sorted({p["way"] for p in fitted}):
@@ -87,13 +87,13 @@
 
 
 def _carried_errors(way: str, checks: Sequence[Check]) -> dict[str, float]:
-    """The errors of hollow dispatchers by quantity, from the checks with this load exchange."""
+    """Returns the error of hollow dispatchers for each quantity, from the checks with this load exchange."""
     what = f"hollow against real, {way},"
     return {check["quantity"]: check["carried_as_error"] for check in checks if check["what"].startswith(what)}
 
 
 def _slope(points: Sequence[Point], role: str, quantity: str, size: SizeTable, carried: float) -> Slope | None:
-    """None: there are too few points, or no form fits them."""
+    """Returns the fit of one quantity, or None if there are too few points or no form fits them."""
     rows = [
         fit.Point(point["dispatchers"], point["replicas"], value)
         for point in points
@@ -124,7 +124,7 @@
 
 
 def _bound(role: str, quantity: str, size: SizeTable) -> float | None:
-    """What the quantity may be at the size; None: it has no bound."""
+    """Returns the upper bound of the quantity at the planned size, or None if it has no bound."""
     bounds = {
         ("dispatcher", "cpu_cores"): size.cpu_cores,
         ("dispatcher", "bytes_s"): size.bytes_s,
--- a/pearhill/lab/scale/bounds.py
+++ b/pearhill/lab/scale/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds within which a scale plan may run: processes, memory, time."""
+"""Limits on the processes, memory and time that a scale plan may use."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 MAX_PROCESSES = 300
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory
-MAX_PLAN_SECONDS = 3 * 3600  # a plan that takes longer is refused; one that hangs is stopped well before
-# Estimates of time, in seconds.
-DISPATCHER_START_S = 0.25  # to bring one dispatcher up on a busy core
-FLEET_START_S = 10.0  # to bring up the rest of a fleet
-PARALLEL_STARTS = 4  # dispatchers that come up at the same time
-CHOICE_S_PER_REPLICA = 2e-5  # of one arrival, by the Router alone
+# A plan that is expected to take longer is rejected. A run that hangs is stopped well before this time.
+MAX_PLAN_SECONDS = 3 * 3600
+# Estimated times in seconds.
+DISPATCHER_START_S = 0.25  # to start one dispatcher on a busy core
+FLEET_START_S = 10.0  # to start the rest of a fleet
+PARALLEL_STARTS = 4  # dispatchers that start at the same time
+CHOICE_S_PER_REPLICA = 2e-5  # the Router's own time for one arriving request
 
 
 def expected_seconds(plan: Plan) -> float:
-    """How long the whole plan should take, roughly."""
+    """Returns an estimate of the time that the whole plan takes."""
     choice_s = 0.0
     if plan.choice:
         choice_s = sum(plan.choice.replicas) * plan.choice.arrivals * CHOICE_S_PER_REPLICA
@@ -31,7 +32,7 @@
 
 
 def check_bounds(plan: Plan, memory_bytes: int) -> None:
-    """ConfigError: a fleet of the plan takes more than a machine with so much memory may give, or the plan too long."""
+    """Raises ConfigError if a fleet exceeds the limits of a machine with `memory_bytes`, or the plan takes too long."""
     allowed_bytes = MAX_MEMORY_SHARE * memory_bytes
     for fleet in planned_fleets(plan):
         size = fleet.size
--- a/pearhill/lab/scale/child.py
+++ b/pearhill/lab/scale/child.py
@@ -1,6 +1,6 @@
-"""A process of the scale run that takes orders: one JSON object a line in, one a line out.
+"""A process of the scale run that executes commands: it reads and writes one JSON object per line.
 
-It ends with its input, so that none outlives the command, however that ends.
+The process exits at the end of its input, so it never outlives the `pearhill lab scale` command, however that ends.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 ANSWER_TIMEOUT_S = 300.0
 EXIT_TIMEOUT_S = 10.0
 
-# Answers one order: an object with "order", its name, and its arguments.
+# Executes one command, an object with the command's name under "order" and its arguments, and returns the reply.
 Handle = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
 class ProcessFailedError(Exception):
-    """A process of the run did not come up, or could not carry out an order; the text says which and why."""
+    """A process of the run did not start or could not execute a command. The message names process and cause."""
 
 
 class Child:
-    """The command's side of one process. `log` is the file with what it writes to its standard error."""
+    """The parent's handle of one child process. `log` is the file that receives the child's standard error."""
 
     def __init__(self, name: str, log: pathlib.Path, process: asyncio.subprocess.Process) -> None:
         self.name = name
@@ -41,12 +41,12 @@
 
     @property
     def pid(self) -> int:
-        """The process's number."""
+        """The process ID."""
         return self.process.pid
 
     @classmethod
     async def start(cls, name: str, module: str, folder: pathlib.Path) -> Child:
-        """Start `python -m module`, with a log in `folder`."""
+        """Start `python -m module` with its log file in `folder`."""
         log = folder / f"{name}.log"
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
@@ -62,7 +62,10 @@
         return cls(name, log, process)
 
     async def call(self, order: str, **arguments: Any) -> dict[str, Any]:
-        """Send an order and return its answer. ProcessFailedError: there is none in time, or it says what failed."""
+        """Send a command and return its reply.
+
+        Raises ProcessFailedError if no reply arrives within `ANSWER_TIMEOUT_S` or if the reply reports an error.
+        """
         assert self.process.stdin
         assert self.process.stdout
         async with self._one_at_a_time:
@@ -77,7 +80,7 @@
         return answer
 
     async def close(self) -> None:
-        """End the process by the end of its input; after `EXIT_TIMEOUT_S` by SIGKILL."""
+        """End the process by closing its input, and send SIGKILL if it still runs after `EXIT_TIMEOUT_S`."""
         if self.process.stdin:
             self.process.stdin.close()
         try:
@@ -89,7 +92,7 @@
 
 
 def last_line(log: pathlib.Path) -> str:
-    """The last line of a log that is not blank; empty: there is none."""
+    """Returns the last non-blank line of a log, or an empty string if there is none."""
     lines = log.read_text(errors="replace").split("\n") if log.exists() else []
     return next((line for line in reversed(lines) if line.strip()), "")
 
@@ -101,14 +104,14 @@
     while line := await reader.readline():
         try:
             answer = await handle(json.loads(line))
-        except Exception as e:  # whatever it is, it is the answer, and the command ends the run
+        except Exception as e:  # every error is sent as the reply, and the parent then reports the failure
             answer = {"failed": f"{type(e).__name__}: {e}"}
         sys.stdout.write(json.dumps(answer) + "\n")
         sys.stdout.flush()
 
 
 def run(new_handler: Callable[[], Handle]) -> None:
-    """The process's side, until its input ends. `new_handler` is called within the event loop."""
+    """Run the child's side until its input ends. `new_handler` is called within the event loop."""
     log = LogThread(os.environ.get("PEARHILL_LOG", "INFO"))
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -1,6 +1,8 @@
-"""The Router's choice by itself: processor time of one arrival's two choices, and memory of each remembered request.
+"""Measures the Router's choice of replicas alone: CPU time per request, and memory per remembered request.
 
-python -m pearhill.lab.scale.choice        one JSON object a line in, one a line out
+A request has two choices: one at its arrival and one at the end of its prefill.
+
+python -m pearhill.lab.scale.choice        reads and writes one JSON object per line
 """
 
 from __future__ import annotations
@@ -27,14 +29,14 @@
 
 ARRIVAL_INTERVAL_US = 22_000  # 45 requests a second
 WARM_UP_REQUESTS = 60
-REMEMBERED_REQUESTS = 1_500  # over which memory is measured, at most
+REMEMBERED_REQUESTS = 1_500  # at most so many requests are measured for memory
 PREFILL_SHARE = 0.29  # of the replicas
 ZONES = 6
-MIN_PROMPT_TOKENS = 2_500  # prefilled at a prefill replica, so that there are two choices
+MIN_PROMPT_TOKENS = 2_500  # long enough for a prefill replica, so that each request has two choices
 MEAN_PROMPT_TOKENS = 4_000
 MAX_OUTPUT_TOKENS = 400
 TIMEOUT_US = 8_000_000
-# Microseconds from the arrival; `elapsed` times are counted from the attempt's start.
+# Microseconds from the request's arrival; the `ELAPSED` times are counted from the start of the attempt.
 PREFILL_ENDED_US = 60_000
 RESPONSE_STARTED_US = 70_000
 RESPONSE_ENDED_US = 80_000
@@ -43,7 +45,7 @@
 
 
 def new_router(replicas: int, dispatchers: int, seed: int) -> Router:
-    """A Router of one of so many dispatchers, with this many replicas that have long been ready."""
+    """Returns the Router of one of `dispatchers`, with `replicas` that have long been ready (none is warming up)."""
     zones = json.dumps([f"z{k}" for k in range(ZONES)])
     text = SETTINGS_TEMPLATE.format(instances=dispatchers, zones=zones).replace(ZONE_MARK, "0")
     router = Router(settings.parse(tomllib.loads(text)["settings"]).router, seed)
@@ -66,18 +68,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _TimedActions:
-    """What the Router answered to an event, and the seconds of processor time that it took."""
+    """The actions that the Router returned for an event, and the CPU seconds that it took."""
 
     actions: Sequence[Action]
     cpu_s: float
 
     def send(self) -> SendAttempt | None:
-        """The first attempt among the actions."""
+        """Returns the first attempt among the actions, or None if there is none."""
         return next((action for action in self.actions if isinstance(action, SendAttempt)), None)
 
 
 class RequestStream:
-    """Requests through one Router, each from its arrival to the end of its answer, with a new session and prefix."""
+    """Requests through one Router, each from arrival to the end of its response, with a new session and prefix."""
 
     def __init__(self, router: Router, seed: int) -> None:
         self._router = router
@@ -86,7 +88,7 @@
         self._request = 0
 
     def run_one(self) -> float:
-        """The processor seconds of one request's two choices: at its arrival, and at the end of its prefill."""
+        """Run one request. Returns the CPU seconds of its two choices: at arrival, and at the end of the prefill."""
         self._now += ARRIVAL_INTERVAL_US
         self._request += 1
         timed = self._timed(self._now, self._arrival())
@@ -136,7 +138,10 @@
 
 
 def measure_choice(replicas: int, arrivals: int, dispatchers: int, seed: int) -> dict[str, Any]:
-    """The median milliseconds of `arrivals` requests, and the bytes that each remembered one takes, as in results."""
+    """Returns the median CPU milliseconds of `arrivals` requests, and the bytes of memory per remembered request.
+
+    The dictionary has the form of the results file.
+    """
     stream = RequestStream(new_router(replicas, dispatchers, seed), seed)
     for _ in range(WARM_UP_REQUESTS):
         stream.run_one()
@@ -156,10 +161,10 @@
 
 
 def new_handler() -> Handle:
-    """The handler of the one order, "choice"."""
+    """Returns the handler of this process's only command, "choice"."""
 
     async def handle(order: dict[str, Any]) -> dict[str, Any]:
-        """Measure the choice among the order's count of replicas, over its count of arrivals."""
+        """Measure the choice among the given number of replicas, over the given number of arrivals."""
         return measure_choice(order["replicas"], order["arrivals"], order["instances"], order["seed"])
 
     return handle
--- a/pearhill/lab/scale/daemon.py
+++ b/pearhill/lab/scale/daemon.py
@@ -1,4 +1,4 @@
-"""A real process of the scale run, and what real processes use between two moments."""
+"""Real processes of the scale run, and the resources that they use between two moments."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 START_TIMEOUT_S = 60.0
 LOG_POLL_S = 0.05
 QUERY_TIMEOUT_S = 10
-# The log lines that say where a process listens.
+# The log lines that contain the addresses on which a process listens.
 _ADMIN_ADDRESS = re.compile(r"operators are heard on ([\d.]+:\d+)")
 _FRONT_ADDRESS = re.compile(r"front listens on ([\d.]+:\d+)")
 _TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
 
 class Daemon:
-    """A dispatcher before clients, or an aggregator. `arguments`: those of the Python interpreter.
+    """The process of a real dispatcher or aggregator. `arguments` are those of the Python interpreter.
 
-    `admin_address` and `front_address` are as its log says; empty: it has none.
+    `admin_address` and `front_address` are read from the log of the process; empty if it does not listen there.
     """
 
     def __init__(self, name: str, folder: pathlib.Path, arguments: tuple[str, ...]) -> None:
@@ -45,12 +45,15 @@
 
     @property
     def pid(self) -> int:
-        """The process's number, once it is started."""
+        """The process ID. It is only available once the process is started."""
         assert self.process
         return self.process.pid
 
     async def start(self, ready: str) -> None:
-        """Start the process and wait until its log matches `ready`. ProcessFailedError: it did not come up in time."""
+        """Start the process and wait until its log matches `ready`.
+
+        Raises ProcessFailedError if the process exits or does not become ready within `START_TIMEOUT_S`.
+        """
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, *self._arguments], stderr=log, stdout=log, start_new_session=True
@@ -58,7 +61,9 @@
         deadline = time.monotonic() + START_TIMEOUT_S
         while not re.search(ready, text := self.log.read_text(errors="replace")):
             if self.process.poll() is not None or time.monotonic() > deadline:
-                raise ProcessFailedError(f"{self.name} did not come up: {last_line(self.log) or 'it said nothing'}")
+                raise ProcessFailedError(
+                    f"{self.name} did not become ready: {last_line(self.log) or 'its log is empty'}"
+                )
             await asyncio.sleep(LOG_POLL_S)
         if found := _ADMIN_ADDRESS.search(text):
             self.admin_address = found[1]
@@ -66,7 +71,10 @@
             self.front_address = found[1]
 
     async def query(self, path: str) -> dict[str, Any]:
-        """The answer of an operators' call. ProcessFailedError: there is none in `QUERY_TIMEOUT_S`."""
+        """Returns the response of an admin endpoint.
+
+        Raises ProcessFailedError if no valid response arrives within `QUERY_TIMEOUT_S`.
+        """
         try:
             return await asyncio.to_thread(self._get, path)
         except (OSError, ValueError) as e:
@@ -78,7 +86,7 @@
             return body
 
     def kill(self) -> None:
-        """End the process by SIGKILL, if it was started and still runs."""
+        """Send SIGKILL to the process if it was started and still runs."""
         if self.process and self.process.poll() is None:
             self.process.kill()
         if self.process:
@@ -87,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSnapshot:
-    """What processes have used up to a moment: their usage, and messages and bytes of all of them together."""
+    """Resources used up to one moment: usage of each process, and the totals of their messages and bytes."""
 
     at: float
     processes: list[ProcessUsage]
@@ -95,14 +103,14 @@
 
 
 async def snapshot_before(daemons: Sequence[Daemon]) -> UsageSnapshot:
-    """The first of two snapshots. What the queries cost comes before it, and so not between the two."""
+    """Take the first of two snapshots. The queries run before it, so their cost is outside of the measured interval."""
     totals = await _datagram_totals(daemons)
     at = time.monotonic()
     return UsageSnapshot(at, [usage_of(daemon.pid) for daemon in daemons], totals)
 
 
 async def snapshot_after(daemons: Sequence[Daemon]) -> UsageSnapshot:
-    """The second of two snapshots. What the queries cost comes after it."""
+    """Take the second of two snapshots. The queries run after it, so their cost is outside of the measured interval."""
     processes = [usage_of(daemon.pid) for daemon in daemons]
     at = time.monotonic()
     return UsageSnapshot(at, processes, await _datagram_totals(daemons))
@@ -117,13 +125,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageWindow:
-    """What processes had used as a window began, and as it ended."""
+    """The resources that processes had used at the start and at the end of a measurement window."""
 
     before: UsageSnapshot
     after: UsageSnapshot
 
     def per_process(self) -> dict[str, Any] | None:
-        """The usage of one process, as the mean of several alike, in the results' form. None: there are none."""
+        """Returns the mean usage of one process in the form of the results file, or None if there are no processes.
+
+        The processes must be of the same kind.
+        """
         count = len(self.after.processes)
         if not count:
             return None
@@ -138,5 +149,5 @@
 
 
 def traffic_rates(totals: Counter[str], seconds: float, count: int) -> dict[str, float]:
-    """Bytes and messages a second of one of `count` processes or dispatchers, in the results' form."""
+    """Returns the mean bytes and messages per second of `count` processes or dispatchers, in the results' form."""
     return {f"{quantity}_s": round(totals[quantity] / seconds / count, 2) for quantity in _TRAFFIC}
--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -1,8 +1,8 @@
-"""The scale run's discovery and its replicas, in one process.
+"""The scale run's service registry and its replicas, in one process.
 
-The registry serves what `pearhill.eureka` fetches: the whole list, deltas of the last minutes, and the hash code over
-both. Bodies are made once for each version, as Eureka's own response cache does. A replica is a listening address that
-answers requests like `pearhill.lab.servers`, and health checks with its load.
+The registry serves what `pearhill.eureka` fetches: the full list, deltas of the last minutes, and the hash code over
+the full list. Response bodies are built once per version, as in Eureka's own response cache. A replica is a listening
+address that answers requests like `pearhill.lab.servers`, and health checks with its load.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from pearhill.lab.scenario import ServerTable
 from pearhill.lab.servers import Model
 
-DELTA_RETENTION_S = 180.0  # as far back as Eureka's own deltas reach
-DELTA_CACHE_S = 1.0  # for which a delta's body is served again
+DELTA_RETENTION_S = 180.0  # the retention of Eureka's own deltas
+DELTA_CACHE_S = 1.0  # the time for which the body of a delta is reused
 MAX_REQUEST_BODY = 1 << 16
 READ_BYTES = 1 << 16
 REGISTRY_BACKLOG = 2048
 REPLICA_BACKLOG = 1024
-CELLS = 997  # zones are hashed to so many cells
+CELLS = 997  # number of cells to which zones are hashed
 SIZES = {
     "reader": ServerTable("reader", slots=64, queue=256, memory_tokens=400_000),
     "writer": ServerTable("writer", slots=128, queue=256, memory_tokens=400_000, write_tokens_per_s=40.0),
@@ -43,14 +43,14 @@
 
 
 class InstanceStatus(StrEnum):
-    """Of a replica, as Eureka names it."""
+    """The status of a replica, with Eureka's names."""
 
     UP = "UP"
     DRAINING = "OUT_OF_SERVICE"
 
 
 class Action(StrEnum):
-    """What a delta says of an instance, as Eureka names it."""
+    """The kind of a change in a delta, with Eureka's names."""
 
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
@@ -72,14 +72,14 @@
 
 
 class Registry:
-    """The list of instances, and its changes of the last `retention_s` seconds. Times are of the monotonic clock."""
+    """The instances, and their changes of the last `retention_s` seconds. Times are those of the monotonic clock."""
 
     def __init__(self, retention_s: float) -> None:
         self.rows: dict[str, Row] = {}
         self.changes: list[_Change] = []
         self.version = 0
         self._retention_s = retention_s
-        self._cached: dict[bool, _CachedBody] = {}  # by whether it is the delta's
+        self._cached: dict[bool, _CachedBody] = {}  # key: whether the body is that of a delta
 
     def put(
         self,
@@ -91,9 +91,9 @@
         status: InstanceStatus = InstanceStatus.UP,
         started: bool = True,
     ) -> None:
-        """Add or change an instance. `started`: it has started just now; if not, its time of start stays.
+        """Add or change an instance. If `started`, its start time is the current time; otherwise its start time stays.
 
-        `now` stands in the row's metadata, so that whoever gets the row knows how old the change is.
+        `now` is written to the row's metadata, so that the receiver of the row can compute the age of the change.
         """
         before = self.rows.get(instance)
         up_ms = _wall_clock_ms() if started else _up_since_ms(before)
@@ -110,7 +110,7 @@
         self.changes.append(_Change(now, action, row))
 
     def body(self, is_delta: bool, now: float) -> bytes:
-        """The delta or the whole list as a response's JSON, with the hash code over the whole list."""
+        """Returns the JSON body of the delta or of the full list, with the hash code over the full list."""
         cached = self._cached.get(is_delta)
         if cached and cached.version == self.version and (not is_delta or now - cached.made_at < DELTA_CACHE_S):
             return cached.body
@@ -126,7 +126,7 @@
         return body
 
     def _delta_rows(self) -> list[Row]:
-        """The last change of each instance."""
+        """Returns the last change of each instance."""
         last = {change.row["instanceId"]: {**change.row, "actionType": change.action} for change in self.changes}
         return list(last.values())
 
@@ -170,7 +170,7 @@
 
 
 class Replica(Model):
-    """A model server at one address that answers health checks as well, with its load."""
+    """A model server at one address. It also answers health checks, with its load."""
 
     async def _answer(self, message: RequestMessage, writer: asyncio.StreamWriter) -> bool:
         if message.method != "GET":
@@ -181,7 +181,7 @@
 
 
 class Discovery:
-    """The process: the registry's server, the replicas, and the orders of the command."""
+    """The process: the registry's server, the replicas, and the commands of the parent process."""
 
     def __init__(self) -> None:
         self._registry = Registry(DELTA_RETENTION_S)
@@ -203,25 +203,25 @@
         }
 
     async def handle(self, order: Order) -> dict[str, Any]:
-        """Carry out one order of the command. ValueError: it is not known."""
+        """Execute one command of the parent process. Raises ValueError if the command is unknown."""
         name = order["order"]
         if name not in self._orders:
-            raise ValueError(f"order {name!r}")
+            raise ValueError(f"unknown command {name!r}")
         return await self._orders[name](order)
 
     async def _open(self, order: Order) -> dict[str, Any]:
-        """Start the registry's server and the replicas, of which the order's share `readers` are for prefill."""
+        """Start the registry's server and the replicas. The fraction `readers` of the replicas is for prefill."""
         self._rng = random.Random(order["seed"])
         self._zones = order["zones"]
         server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=REGISTRY_BACKLOG)
         replicas = order["replicas"]
         prefill_replicas = round(replicas * order["readers"])
         for k in range(replicas):
-            # Spread evenly: each zone has as many replicas of each kind as any other.
+            # Kinds are spread evenly: each zone has as many replicas of each kind as any other.
             kind = "reader" if (k * prefill_replicas) % replicas < prefill_replicas else "writer"
             zone = self._zones[k % len(self._zones)]
-            await self._add(zone, kind, started=False)  # up for long: none is warming up
-        self._registry.changes.clear()  # they have long been there
+            await self._add(zone, kind, started=False)  # an old start time: no replica is warming up
+        self._registry.changes.clear()  # the first replicas are not recent changes
         return {"address": _address_of(server)}
 
     async def _report_counts(self, order: Order) -> dict[str, Any]:
@@ -243,7 +243,7 @@
         return {"changed": [self._drain(name) for name in self._drawn(order["count"])]}
 
     async def _kill_some(self, order: Order) -> dict[str, Any]:
-        """Kill all of a zone, or a drawn number."""
+        """Kill all replicas of a zone, or a number of randomly drawn ones."""
         zone = order.get("zone")
         names = self._in_zone(zone) if zone else self._drawn(order["count"])
         return {"changed": [await self._kill(name, order["listed_s"]) for name in names]}
@@ -254,7 +254,7 @@
         return {"changed": [await self._add(self._rng.choice(zones), kind) for _ in range(order["count"])]}
 
     async def _convert_some(self, order: Order) -> dict[str, Any]:
-        """Replace replicas of other kinds by replicas of this kind."""
+        """Replace randomly drawn replicas of other kinds by replicas of the given kind."""
         kind = order["kind"]
         others = [name for name, its in self._kinds.items() if its != kind and name in self._registry.rows]
         drawn = self._rng.sample(others, min(order["count"], len(others)))
@@ -267,7 +267,7 @@
         return [name for name, row in self._registry.rows.items() if row["metadata"]["zone"] == zone]
 
     async def _add(self, zone: str, kind: str, started: bool = True) -> str:
-        """Start a replica and list it; its name."""
+        """Start a replica and add it to the registry. Returns its name."""
         self._replicas_made += 1
         name = f"{kind}-{self._replicas_made}"
         replica = Replica(SIZES[kind], self._replicas_made, time.monotonic())
@@ -278,7 +278,7 @@
         return name
 
     async def _replace(self, name: str, kind: str = "") -> str:
-        """Start another replica in its zone, under another name and address; then end this one."""
+        """Start another replica in the same zone, with a new name and address, then stop this one. Returns its name."""
         zone = self._registry.rows[name]["metadata"]["zone"]
         await self._add(zone, kind or self._kinds[name])
         self._end(name)
@@ -286,7 +286,7 @@
         return name
 
     def _drain(self, name: str) -> str:
-        """List it as draining."""
+        """Set the status of a replica to draining. Returns its name."""
         row = self._registry.rows[name]
         self._registry.put(
             name,
@@ -300,7 +300,7 @@
         return name
 
     async def _kill(self, name: str, listed_s: float) -> str:
-        """End a replica that stays listed until its lease is over, after `listed_s`."""
+        """Stop a replica. It stays in the registry for `listed_s`, until its lease expires. Returns its name."""
         self._end(name)
         asyncio.get_running_loop().call_later(listed_s, self._expire, name)
         return name
@@ -316,7 +316,7 @@
         self._kinds.pop(name, None)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection of a dispatcher to the registry."""
+        """Serve one connection of a dispatcher to the registry."""
         connection = ServerConnection(max_body=MAX_REQUEST_BODY)
         try:
             while data := await reader.read(READ_BYTES):
@@ -351,7 +351,7 @@
 
 
 def new_handler() -> Handle:
-    """The handler of all orders, within the event loop."""
+    """Returns the handler of all commands. It must be called within the event loop."""
     return Discovery().handle
 
 
--- a/pearhill/lab/scale/fault_watch.py
+++ b/pearhill/lab/scale/fault_watch.py
@@ -1,9 +1,10 @@
-"""What goes wrong in a fleet during a fault, and for how long.
+"""Measures which values are wrong in a fleet during a fault, and for how long.
 
-Once in `SAMPLE_INTERVAL_S` every hollow dispatcher reports how many dispatchers it counts, and some report their
-estimates of the tokens at drawn replicas. A count is right where it is the number of dispatchers that are up (in a cut:
-all of them). Estimates are right where they are within `SUMS_TOLERANCE` of what they were, against the true total,
-before the fault: a digest never holds all.
+Once per `SAMPLE_INTERVAL_S` every hollow dispatcher reports how many dispatchers it counts, and some report their
+estimates of the tokens at randomly drawn replicas. A count is right if it equals the number of running dispatchers
+(during a network partition: the number of all dispatchers). Estimates are right if their ratio to the true total is
+within `SUMS_TOLERANCE` of the ratio before the fault. The ratio before the fault is not 1, as a digest never contains
+all load.
 """
 
 from __future__ import annotations
@@ -20,18 +21,19 @@
 from pearhill.lab.scale.fleet import RunningFleet
 
 SAMPLE_INTERVAL_S = 0.5
-OBSERVED_PAIRS = 12_000  # dispatchers times replicas at which estimates are compared, about
+OBSERVED_PAIRS = 12_000  # approximate number of (dispatcher, replica) pairs whose estimates are compared
 MIN_OBSERVED_REPLICAS = 40
 SUMS_TOLERANCE = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSample:
-    """A fleet at one moment. Shares are of the dispatchers.
+    """The state of a fleet at one moment.
 
-    `at`: seconds of the run. `counting_right`: the share that counts right. `sums`: estimates over the true total.
-    `bytes_s`: of each dispatcher on the mean, both directions. `late_ms`: the worst delay of a tick since the last
-    sample. `list_complete`: the share that has the whole endpoint list.
+    `at` is in seconds since the watch began. `counting_right` is the fraction of dispatchers whose count is right.
+    `sums` is the mean estimate divided by the true total. `bytes_s` is the mean rate of a dispatcher, both directions
+    together. `late_ms` is the longest delay of a tick since the last sample. `list_complete` is the fraction of
+    dispatchers that have the complete endpoint list.
     """
 
     at: float
@@ -44,7 +46,7 @@
 
 
 class FleetWatch:
-    """Samples of a fleet, over and over. `expected_count`: the right count, where it is not those that are up."""
+    """Samples a fleet periodically. `expected_count` is the right count, or None: the number of running dispatchers."""
 
     def __init__(self, fleet: RunningFleet) -> None:
         self.samples: list[FleetSample] = []
@@ -52,14 +54,14 @@
         self._fleet = fleet
         self._replicas: list[str] = []
         self._began = time.monotonic()
-        self._last_bytes: tuple[float, int] | None = None  # when they were read, and their total
+        self._last_bytes: tuple[float, int] | None = None  # time of reading in monotonic seconds, total
 
     def elapsed(self) -> float:
         """Seconds since the watch began."""
         return time.monotonic() - self._began
 
     async def draw_replicas(self, rng: random.Random) -> None:
-        """Draw other replicas of those that are listed: the fewer dispatchers, the more replicas."""
+        """Draw the observed decode replicas anew from the registry. A fleet of fewer dispatchers has more of them."""
         assert self._fleet.discovery
         names = (await self._fleet.discovery.call("names"))["names"]
         decode_replicas = [name for name in names if name.startswith("writer")]
@@ -67,7 +69,7 @@
         self._replicas = rng.sample(decode_replicas, min(len(decode_replicas), wanted))
 
     async def sample_until(self, at: float) -> None:
-        """Sample until so many seconds after the watch began."""
+        """Sample until `at` seconds after the watch began."""
         while (now := self.elapsed()) < at:
             await asyncio.sleep(max(0.0, min(SAMPLE_INTERVAL_S, at - now)))
             await self._sample()
@@ -93,26 +95,26 @@
         )
 
     def _bytes_per_second(self, hosts: list[HostReport], now: float, up: int) -> float:
-        """Of each dispatcher since the last sample; 0 at the first one."""
+        """Returns the mean bytes per second of a dispatcher since the last sample, or 0 at the first sample."""
         total: int = sum(host["totals"].get(quantity, 0) for host in hosts for quantity in ("bytes_in", "bytes_out"))
         last = self._last_bytes
         self._last_bytes = (now, total)
         if last is None:
             return 0.0
         last_at, last_total = last
-        # A dispatcher that was stopped takes its counters along, and the total may fall.
+        # The total can decrease: the counters of a stopped dispatcher are no longer part of it.
         return max(0.0, (total - last_total) / (now - last_at) / max(1, up))
 
 
 def _sums_over_true_total(hosts: list[HostReport]) -> float:
-    """The mean estimate over what all dispatchers together have in flight; 1 where there is nothing to compare."""
+    """Returns the mean estimate divided by the total in flight of all dispatchers, or 1 if there is no data."""
     true_total: float = sum(host["own"] for host in hosts)
     estimates: list[float] = [estimate for host in hosts for estimate in host["seen"]]
     return statistics.mean(estimates) / true_total if true_total and estimates else 1.0
 
 
 def longest_wrong_s(samples: list[FleetSample], is_wrong: Callable[[FleetSample], bool]) -> float:
-    """The longest time without a sample at which it was right, in seconds."""
+    """Returns the duration in seconds of the longest sequence of wrong samples."""
     longest = 0.0
     since: float | None = None
     for sample in samples:
@@ -126,15 +128,15 @@
 
 
 def fault_figures(before: list[FleetSample], during: list[FleetSample]) -> dict[str, Any]:
-    """What came of a fault, in the results' form. `before`: samples of the undisturbed fleet."""
+    """Returns the effects of a fault in the form of the results file. `before` are samples of the undisturbed fleet."""
     usual_sums = statistics.median(sample.sums for sample in before) if before else 1.0
 
     def relative_sums(sample: FleetSample) -> float:
-        """The sample's estimates, relative to those of the undisturbed fleet."""
+        """Returns the sample's estimates relative to those of the undisturbed fleet."""
         return sample.sums / usual_sums if usual_sums else 1.0
 
     def sums_wrong(sample: FleetSample) -> bool:
-        """Whether the estimates are further from the undisturbed ones than is allowed."""
+        """Returns whether the estimates differ from the undisturbed ones by more than `SUMS_TOLERANCE`."""
         return abs(relative_sums(sample) - 1) > SUMS_TOLERANCE
 
     return {
--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""Faults on a time line, in one fleet that goes through all of them."""
+"""Injects faults into one fleet, one after the other, on a time line."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from pearhill.lab.scale.fleet import AGGREGATOR_READY, PrintLine, RunningFleet
 from pearhill.lab.scale.plan import AGGREGATORS_LOST, FaultEventTable, FaultKind
 
-SAMPLES_BEFORE = 8  # a fault, for what is usual without it
-RACK_SHARE = 60  # one in so many of everything stands in one rack
+SAMPLES_BEFORE = 8  # samples of the undisturbed fleet before each fault
+RACK_SHARE = 60  # one rack holds one in so many dispatchers and replicas
 DAY_S = 86_400
-# Of an ordinary day.
+# Events per ordinary day.
 REPLACED_A_DAY = 470
 DEAD_A_DAY = 12
 SETTINGS_A_DAY = 650
 LEASE_S = 90.0  # after which the registry drops a replica that sends no heartbeats
-MAX_OUT_IN_FILE = 800  # tokens of an answer, which a change of settings changes
+MAX_OUT_IN_FILE = 800  # the value of `max_out` in the template, which a change of settings replaces
 
 Figures = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class FaultDescription:
-    """What the results say of a kind of fault: what is lost by it, and what part of the program carries the change."""
+    """Texts of the results for a kind of fault: what is lost, and which part of the program propagates the change."""
 
     lost: str
     carried_by: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """When a fault happens, in seconds of the watch's clock."""
+    """The interval of a fault, in seconds of the clock of the `FleetWatch`."""
 
     event: FaultEventTable
     began: float
@@ -82,25 +82,25 @@
     clock: Callable[[], float]
 
     async def sleep_until(self, at: float) -> None:
-        """Sleep until that moment of the clock; not at all, if it is past."""
+        """Sleep until `at` of the clock. Returns at once if that time has passed."""
         await asyncio.sleep(max(0.0, at - self.clock()))
 
     async def sleep_until_part(self, part: float) -> None:
-        """Sleep until a part (0 to 1) of the fault's time is over."""
+        """Sleep until a fraction (0 to 1) of the fault's duration has passed."""
         await self.sleep_until(self.began + self.event.for_s * part)
 
     def ordinary(self, per_day: float) -> float:
-        """How many of what happens so often in an ordinary day happen within the fault."""
+        """Returns the number of events within the fault, for events that occur `per_day` times in an ordinary day."""
         return per_day * self.event.factor / DAY_S * self.event.for_s
 
 
 class FaultPlayer:
-    """Does to a fleet what a fault does, and undoes it at its end."""
+    """Injects a fault into a fleet, and reverts it at its end."""
 
     def __init__(self, fleet: RunningFleet) -> None:
         self.rng = random.Random(fleet.scale.seed)
         self._fleet = fleet
-        self._host_of: dict[str, int] = {}  # by dispatcher: the index of its process
+        self._host_of: dict[str, int] = {}  # key: dispatcher name; value: index of its process
         self._down: set[str] = set()
         self._revision = 0
         self._plays: dict[FaultKind, Callable[[FaultWindow], Awaitable[Figures]]] = {
@@ -115,19 +115,19 @@
         }
 
     async def find_hosts(self) -> None:
-        """Learn which process each dispatcher is in. To be called once, before the first fault."""
+        """Record which process each dispatcher runs in. It must be called once, before the first fault."""
         for k, host in enumerate(await self._fleet.call_hosts("look", engines=[])):
             self._host_of.update(dict.fromkeys(host["names"], k))
 
     async def play(self, window: FaultWindow) -> Figures:
-        """Play a fault from its beginning to its end, where it is undone; the figures of its own that it has."""
+        """Inject a fault, revert it at its end, and return the figures that only this kind of fault has."""
         return await self._plays[window.event.fault](window)
 
     async def _stop(self, names: list[str], gracefully: bool) -> None:
-        """Stop these dispatchers."""
+        """Stop the named dispatchers in their processes."""
 
         async def stop_in(k: int) -> None:
-            """Stop those of them that are in the process with this number."""
+            """Stop the named dispatchers that run in the process with index `k`."""
             in_host = [name for name in names if self._host_of[name] == k]
             if in_host:
                 await self._fleet.hosts[k].call("stop", names=in_host, gracefully=gracefully)
@@ -136,10 +136,10 @@
         self._down |= set(names)
 
     async def _start(self, names: list[str]) -> None:
-        """Start dispatchers that were stopped, in the processes where they were."""
+        """Start stopped dispatchers again, in the processes in which they ran before."""
 
         async def start_in(k: int) -> None:
-            """Start those of them that belong to the process with this number."""
+            """Start the named dispatchers that belong to the process with index `k`."""
             specs = [spec for spec in self._fleet.dispatchers if spec.name in names and self._host_of[spec.name] == k]
             if specs:
                 await self._fleet.hosts[k].call("start", places=[asdict(spec) for spec in specs])
@@ -152,9 +152,9 @@
         return await self._fleet.discovery.call(order, **arguments)
 
     async def _churn(self, window: FaultWindow) -> Figures:
-        """Replace and kill machines of both kinds by their number.
+        """Replace and kill dispatchers and replicas, drawn in proportion to their numbers.
 
-        A replaced machine is back at once, a dead one when the fault ends.
+        A replaced machine is available again at once, a dead one at the end of the fault.
         """
         done = {"replicas_replaced": 0, "dispatchers_replaced": 0, "replicas_dead": 0, "dispatchers_dead": 0}
         dead: list[str] = []
@@ -182,7 +182,7 @@
         return done
 
     def _churn_moments(self, window: FaultWindow) -> list[tuple[float, bool]]:
-        """When a machine goes, and whether it comes back at once."""
+        """Returns when each machine stops, and whether it is replaced at once."""
         replaced = round(window.ordinary(REPLACED_A_DAY))
         dead = max(1, round(window.ordinary(DEAD_A_DAY)))
         came_back = [True] * replaced + [False] * dead
@@ -199,7 +199,10 @@
         return await self._lose_machines(window, lost, zone=zone_names(self._fleet.scale)[0])
 
     async def _lose_machines(self, window: FaultWindow, dispatchers: list[str], **replicas: Any) -> Figures:
-        """Kill these dispatchers and the replicas that discovery's order "die" takes by `replicas`, until the end."""
+        """Kill these dispatchers and some replicas until the end of the fault.
+
+        `replicas` are the arguments of discovery's command "die", which select the replicas.
+        """
         lease_s = min(LEASE_S, window.event.for_s / 2)
         await self._stop(dispatchers, gracefully=False)
         dead = (await self._call_discovery("die", listed_s=lease_s, **replicas))["changed"]
@@ -212,7 +215,7 @@
         return {"dispatchers_gone": len(dispatchers), "replicas_gone": len(dead), "lease_s": lease_s}
 
     async def _cut_region(self, window: FaultWindow) -> Figures:
-        """Cut region 0 off from the others in both directions: dispatchers and aggregators."""
+        """Cut off the dispatchers and aggregators of region 0 from those of all other regions, in both directions."""
         fleet = self._fleet
         regions = fleet.scale.regions
         inside, outside = self._addresses_by_side()
@@ -230,7 +233,7 @@
         return {}
 
     def _addresses_by_side(self) -> tuple[list[tuple[str, int]], list[tuple[str, int]]]:
-        """The addresses in region 0, and those in all others. Aggregators stand in the regions in turn."""
+        """Returns the addresses in region 0 and in all others. Aggregators are assigned to the regions in turn."""
         inside: list[tuple[str, int]] = []
         outside: list[tuple[str, int]] = []
         for spec in self._fleet.dispatchers:
@@ -251,7 +254,7 @@
         return {}
 
     async def _raise_prefill_share(self, window: FaultWindow) -> Figures:
-        """Half as many prefill replicas again as there were, in even steps; each is a new replica at a new address."""
+        """Increase the number of prefill replicas by half, in even steps. Each is a new replica with a new address."""
         count = round(self._fleet.size.replicas * self._fleet.scale.prefill_share / 2)
         steps = max(1, min(count, int(window.event.for_s)))
         converted = 0
@@ -263,7 +266,7 @@
         return {"turned": converted}
 
     async def _change_settings(self, window: FaultWindow) -> Figures:
-        """Change the settings of all dispatchers as often as in ordinary days, then `burst` times without a pause."""
+        """Change all dispatchers' settings at `factor` times the usual rate, then `burst` times without a pause."""
         burst = window.event.burst
         count = max(1, round(window.ordinary(SETTINGS_A_DAY)))
         reload_cpu_s: list[float] = []
@@ -287,7 +290,7 @@
         }
 
     def _changed_file(self) -> str:
-        """The dispatchers' file with a value that it has not had yet."""
+        """Returns the template of the dispatchers' files with a value of `max_out` that was not used before."""
         self._revision += 1
         value = MAX_OUT_IN_FILE + 1 + self._revision
         return self._fleet.template.replace(f"max_out = {MAX_OUT_IN_FILE}", f"max_out = {value}", 1)
@@ -299,14 +302,17 @@
 
 
 def rate_factor(event: FaultEventTable) -> float:
-    """How many times faster than in ordinary days it happens. A change of the prefill share takes a day."""
+    """Returns how many times faster than in ordinary days the fault proceeds.
+
+    An ordinary change of the fraction of prefill replicas takes a day.
+    """
     return round(DAY_S / event.for_s, 1) if event.fault is FaultKind.PREFILL_SHARE else event.factor
 
 
 async def run(
     events: list[FaultEventTable], fleet: RunningFleet, results: list[dict[str, Any]], print_line: PrintLine
 ) -> None:
-    """Play every event in its turn, in a fleet that has settled; its result is added to `results` once it is over."""
+    """Inject every fault in turn into a settled fleet. The result of each is added to `results` at its end."""
     player = FaultPlayer(fleet)
     await player.find_hosts()
     watch = FleetWatch(fleet)
@@ -315,14 +321,17 @@
         results.append(result)
         worst_beat_ms = result["figures"]["worst_beat_ms"]
         print_line(
-            f"          counts or sums wrong for {result['for_s']:.1f} s, worst beat {worst_beat_ms:.0f} ms late"
+            f"          counts or sums wrong for {result['for_s']:.1f} s, worst tick delay {worst_beat_ms:.0f} ms"
         )
 
 
 async def _run_one(
     event: FaultEventTable, fleet: RunningFleet, player: FaultPlayer, watch: FleetWatch, print_line: PrintLine
 ) -> dict[str, Any]:
-    """Sample the undisturbed fleet, play one fault, and sample until it should have settled. The result's form."""
+    """Sample the undisturbed fleet, inject one fault, and sample until the fleet should have recovered.
+
+    Returns the fault's entry of the results file.
+    """
     await watch.draw_replicas(player.rng)
     await watch.sample_until(max(event.from_s, watch.elapsed() + SAMPLES_BEFORE * SAMPLE_INTERVAL_S))
     before = watch.samples[-SAMPLES_BEFORE:]
@@ -330,7 +339,7 @@
     began = watch.elapsed()
     window = FaultWindow(event, began, began + event.for_s, watch.elapsed)
     print_line(f"  {began:6.1f} s: {event.kind} for {event.for_s:.0f} s")
-    # Dispatchers on the other side of a cut are counted on.
+    # During a network partition, dispatchers on the other side are still counted.
     watch.expected_count = fleet.size.dispatchers if event.fault is FaultKind.REGION_CUT else None
     playing = asyncio.create_task(player.play(window))
     try:
--- a/pearhill/lab/scale/figures.py
+++ b/pearhill/lab/scale/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one measurement window: of hollow dispatchers, of discovery, and how even the work was."""
+"""The figures of one measurement window: costs of hollow dispatchers and discovery, and evenness of the work."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pearhill.load_reports.evenness import evenness
 from pearhill.routing.topology import Role
 
-HostReport = dict[str, Any]  # a hollow process's answer to the order "end"
+HostReport = dict[str, Any]  # the reply of a process of hollow dispatchers to the command "end"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetMeasurement:
-    """One window, in the results' form. `hollow` and `real`: points of those dispatchers.
+    """The measurements of one window, in the form of the results file.
 
-    `alone`: the figures of the hollow dispatchers that have a process each. `evenness`: with requests through the
-    Router.
+    `hollow` and `real` are the points of these kinds of dispatcher. `alone` are the figures of the hollow dispatchers
+    that have a process each. `evenness` is only measured with requests through the Router.
     """
 
     hollow: dict[str, Any]
@@ -33,7 +33,7 @@
 
 
 def hollow_figures(hosts: Sequence[HostReport]) -> dict[str, Any]:
-    """The figures of one dispatcher. The processor time of the processes' own ticks is subtracted."""
+    """Returns the figures of one dispatcher. The CPU time of the ticks of the processes is subtracted."""
     count = sum(host["count"] for host in hosts)
     seconds = statistics.mean(host["seconds"] for host in hosts)
     totals: Counter[str] = Counter()
@@ -51,7 +51,7 @@
 
 
 def discovery_figures(before: dict[str, Any], after: dict[str, Any]) -> dict[str, Any]:
-    """Calls and bytes a second of all dispatchers together, between two of discovery's answers to "counts"."""
+    """Returns calls and bytes per second of all dispatchers together, between two replies of discovery to "counts"."""
     seconds = after["at"] - before["at"]
     counts = Counter(after["counts"]) - Counter(before["counts"])
     return {
@@ -61,10 +61,11 @@
 
 
 def evenness_of(hosts: Iterable[HostReport]) -> dict[str, Any]:
-    """How even the work was in windows of a second, for decode and prefill replicas, and the requests' results.
+    """Returns the evenness of the work at decode and prefill replicas, and the number of requests by result.
 
-    It is the peak over the mean of all dispatchers' work by replica. The first and the last window are not whole and
-    left out; results count since the fleet came up.
+    The evenness is the work at the replica with the most work, divided by the mean over the replicas. The work of all
+    dispatchers is added up in windows of one second. The first and the last window are incomplete and left out.
+    Requests are counted since the fleet's start.
     """
     roles: dict[str, str] = {}
     results: Counter[str] = Counter()
@@ -84,7 +85,7 @@
 
 
 def _peak_over_mean(windows: Sequence[Counter[str]], replicas: Sequence[str]) -> dict[str, float] | None:
-    """Over all windows; None: there are none."""
+    """Returns the mean and the worst peak over mean of all windows, or None if there are no windows."""
     peaks = [evenness({name: float(work[name]) for name in replicas}).peak for work in windows]
     if not peaks:
         return None
--- a/pearhill/lab/scale/files.py
+++ b/pearhill/lab/scale/files.py
@@ -1,4 +1,4 @@
-"""Operators' files for the processes of a fleet. All addresses are on the loopback interface."""
+"""Configuration files for the processes of a fleet. All addresses are on the loopback interface."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from pearhill.lab.scale.plan import LoadExchange, ScaleTable
 
 LOOPBACK = "127.0.0.1"
-REGISTRY_APP = "REPLICAS"  # the application in the registry under which replicas stand
+REGISTRY_APP = "REPLICAS"  # the registry application under which replicas are listed
 MODEL_NAMES = ("small", "large", "code", "long")
-# Marks in the template, replaced by what each dispatcher has of its own.
+# Placeholders in the template, which are replaced by the values of each dispatcher.
 NAME_MARK = "@name@"
 LISTEN_MARK = "@listen@"
 SEED_MARK = "@seed@"
@@ -62,8 +62,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherSpec:
-    """What one dispatcher has of its own. `listen` is the UDP address of its fleet socket, `weight` its traffic over
-    the mean."""
+    """The values of one dispatcher. `listen` is the UDP address of its fleet socket, `weight` the ratio of its traffic
+    to the mean."""
 
     name: str
     listen: str
@@ -74,7 +74,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """UDP ports that nobody has now. All are bound until all are known, so that none comes twice."""
+    """Returns unused UDP ports. Each stays bound until all are drawn, so that no port is returned twice."""
     sockets: list[socket.socket] = []
     try:
         for _ in range(count):
@@ -88,12 +88,12 @@
 
 
 def zone_names(scale: ScaleTable) -> list[str]:
-    """The zones of all regions, by index: those of one region stand together."""
+    """Returns the zone names of all regions, by zone index. Zones of one region are adjacent."""
     return [f"r{region}-z{zone}" for region in range(scale.regions) for zone in range(scale.zones_per_region)]
 
 
 def dispatcher_specs(scale: ScaleTable, count: int) -> list[DispatcherSpec]:
-    """Dispatchers spread over the zones in turn; every `heavy_every`th has `heavy_weight`."""
+    """Returns dispatchers that are assigned to the zones in turn; every `heavy_every`th has `heavy_weight`."""
     rng = random.Random(scale.seed)
     ports = free_ports(count)
     return [_dispatcher_spec(scale, k, ports[k], rng.getrandbits(31)) for k in range(count)]
@@ -113,7 +113,7 @@
 
 
 def tenant_api_key(seed: int, tenant: int = 0) -> str:
-    """A tenant's API key. It is drawn from the seed, and so no secret: it opens the run's own dispatchers alone."""
+    """Returns a tenant's API key, drawn from the seed. It is not secret: only the run's own dispatchers accept it."""
     return f"ph-{random.Random(f'{seed} {tenant}').getrandbits(256):064x}"
 
 
@@ -136,10 +136,10 @@
     key_file: str,
     max_out: int = 800,
 ) -> str:
-    """The operator's file of every dispatcher, with marks where `file_of` puts what each has of its own.
+    """Returns the template of the dispatchers' configuration files. `file_of` replaces its placeholders.
 
-    `aggregators`: their addresses by name. `discovery`: the registry's address. `key_file`: the path of the fleet's
-    key. `max_out`: the most tokens of an answer.
+    `aggregators` are addresses by name. `discovery` is the registry's address. `key_file` is the path of the fleet's
+    key. `max_out` is the maximum number of tokens of a response.
     """
     text = (
         f'[chat]\nlisten = "{LOOPBACK}:0"\nadmin_addr = "{LOOPBACK}:0"\nsockets = 512\nseed = {SEED_MARK}\n'
@@ -169,7 +169,7 @@
 
 
 def file_of(dispatcher: DispatcherSpec, template: str) -> str:
-    """The template with this dispatcher's own values in place of the marks."""
+    """Returns the template with this dispatcher's values in place of the placeholders."""
     values = {
         NAME_MARK: dispatcher.name,
         LISTEN_MARK: dispatcher.listen,
@@ -183,7 +183,7 @@
 
 
 def aggregator_file(name: str, listen: str, peers: Mapping[str, str], key_file: str) -> str:
-    """The operator's file of one aggregator. `peers`: the addresses of all aggregators by name, its own among them."""
+    """Returns the configuration file of one aggregator. `peers` are the addresses of all aggregators by name."""
     text = (
         f'[aggregator]\nname = "{name}"\nlisten = "{listen}"\nkey_files = ["{key_file}"]\n'
         f'admin_addr = "{LOOPBACK}:0"\n'
--- a/pearhill/lab/scale/fit.py
+++ b/pearhill/lab/scale/fit.py
@@ -1,8 +1,9 @@
-"""How a cost grows with dispatchers (D) and replicas (R): forms fitted to measured points.
+"""Fits how a cost grows with the numbers of dispatchers (D) and replicas (R) to measured points.
 
-Each form is judged by its error at points that it was not fitted to (leave-one-out). Of those within some standard
-errors of the best one, or as near as a run repeats itself, that with the fewest coefficients is taken (Breiman and
-others, Classification and Regression Trees, 1984, section 3.4.3). Each term of a form has to be significant.
+Each form is rated by its leave-one-out error, the error at points to which it was not fitted. Of the forms within
+`TOLERATED_ERRORS` standard errors of the best one, or within `REPEATABILITY` of it, the one with the fewest
+coefficients is chosen (Breiman and others, Classification and Regression Trees, 1984, section 3.4.3). Each term of a
+form has to be significant.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A linear model. `terms`: what each coefficient is multiplied by, from D and R; the first is the constant's 1.
+    """A linear model. `terms` returns the factor of each coefficient for D and R; the first is 1, for the constant.
 
-    `is_curved`: it is curved in D, and two counts of dispatchers do not distinguish that from a line.
+    If `is_curved`, the form is curved in D. Two counts of dispatchers do not distinguish such a curve from a line.
     """
 
     coefficients: str
@@ -44,23 +45,23 @@
     "a + b*D + c*R + e*D*R": Form("abce", lambda d, r: [1, d, r, d * r]),
     "a + b*D + c*R + f*D^2": Form("abcf", lambda d, r: [1, d, r, d * d], is_curved=True),
 }
-MIN_POINTS = 4  # fewer show no growth, whatever there is
-MIN_CURVED_COUNTS = 3  # of dispatchers, for a curved form
-SIGNIFICANT_ERRORS = 3.0  # standard errors that a coefficient has to be away from 0
-# Standard errors from the best form within which a simpler one is taken; with one, a term that is not there is found in
-# one of ten draws of made data.
+MIN_POINTS = 4  # fewer points do not show how a cost grows
+MIN_CURVED_COUNTS = 3  # distinct counts of dispatchers that a curved form requires
+SIGNIFICANT_ERRORS = 3.0  # a coefficient has to differ from 0 by so many standard errors
+# A simpler form is chosen if its error is within so many standard errors of the best form's. With 1, one of ten sets of
+# generated data yields a term that the data does not have.
 TOLERATED_ERRORS = 2
-REPEATABILITY = 0.02  # bytes are measured to a thousandth, but a run repeats itself less well than that
-MIN_WEIGHED_SHARE = 0.05  # of the largest value: what is smaller weighs no more than this would
+REPEATABILITY = 0.02  # relative; bytes are measured to a thousandth, but repeated runs differ by more than that
+MIN_WEIGHED_SHARE = 0.05  # fraction of the largest value; smaller values get the weight of a value of this size
 EXTRAPOLATION_STEPS = 8
-MIN_STEP_RATIO = 0.999  # of a value to the one before it: what is not below is rounding, not a fall
-# Student's t, 95% two-sided, by degrees of freedom; past the last one it hardly changes.
+MIN_STEP_RATIO = 0.999  # of a value to the previous one; a decrease within this ratio is a rounding error
+# Student's t, 95% two-sided, by degrees of freedom. Beyond the last entry it hardly changes.
 T95 = (12.7, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12, 2.11, 2.10)
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """A measured value at so many dispatchers and replicas."""
+    """A value that was measured with these numbers of dispatchers and replicas."""
 
     dispatchers: float
     replicas: float
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The size of a fleet for which a cost is extrapolated."""
+    """The fleet size to which a cost is extrapolated."""
 
     dispatchers: float
     replicas: float
@@ -77,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The form that was chosen, and the value that it gives at the size.
+    """The chosen form, and the value `at_size` that it predicts for the planned size.
 
-    `error`: the mean share by which a point is missed when the others alone are fitted. `low` and `high`: the 95%
-    interval of `at_size`, on the assumption that the form holds beyond what was measured.
+    `error` is the mean relative leave-one-out error. `low` and `high` are the 95% interval of `at_size`, on the
+    assumption that the form holds beyond the measured sizes.
     """
 
     form: str
@@ -93,28 +94,31 @@
 
 @dataclass(frozen=True, slots=True)
 class _LeastSquares:
-    """A solution of `_solve`: coefficients, weighted rows of terms, weighted residuals."""
+    """A solution of a weighted fit: coefficients, weighted rows of terms, and weighted residuals."""
 
     coefficients: Any
     rows: Any
     residuals: Any
 
     def value(self, terms: Terms, dispatchers: float, replicas: float) -> float:
-        """The fitted value there."""
+        """Returns the fitted value for these numbers of dispatchers and replicas."""
         return float(numpy.dot(self.coefficients, terms(dispatchers, replicas)))
 
     def inverse(self) -> Any:
-        """Of the normal equations' matrix: the coefficients' covariance over the residuals' variance."""
+        """Returns the inverse of the normal equations' matrix.
+
+        It is the covariance of the coefficients divided by the variance of the residuals.
+        """
         return numpy.linalg.pinv(self.rows.T @ self.rows)
 
     def variance(self, freedom: int) -> float:
-        """Of the residuals, with so many degrees of freedom."""
+        """Returns the variance of the residuals with `freedom` degrees of freedom."""
         return float(self.residuals @ self.residuals) / freedom
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Candidate:
-    """A form that may be taken. The order is that of preference: fewer coefficients, then the smaller error."""
+    """A form that may be chosen. Candidates sort by preference: fewer coefficients first, then the smaller error."""
 
     coefficient_count: int
     mean_error: float
@@ -128,7 +132,7 @@
 
 
 def _solve(points: Sequence[Point], terms: Terms) -> _LeastSquares:
-    """Least squares, each point weighted by its own value, so that residuals are shares."""
+    """Solve the least squares problem with each point weighted by the inverse of its value: residuals are relative."""
     least = _least_weighed(points)
     weights = numpy.array([1 / max(abs(p.value), least) for p in points])
     rows = numpy.array([terms(p.dispatchers, p.replicas) for p in points], dtype=float) * weights[:, None]
@@ -138,9 +142,9 @@
 
 
 def _leave_one_out_errors(points: Sequence[Point], terms: Terms) -> list[float]:
-    """The share by which each point is missed when the others are fitted.
+    """Returns the relative error at each point of a fit to the other points.
 
-    Empty: without one of the points, the rest does not determine the coefficients.
+    The list is empty if the other points do not determine the coefficients for one of the points.
     """
     least = _least_weighed(points)
     errors = []
@@ -155,9 +159,9 @@
 
 
 def _falls_beyond(solution: _LeastSquares, terms: Terms, points: Sequence[Point], size: Size) -> bool:
-    """Whether the form falls between the last measured count of dispatchers and the size, or is below 0 there.
+    """Returns whether the form decreases from the largest measured count of dispatchers to the size, or is negative.
 
-    A square that is fitted to what flattens turns back beyond what was measured, and would end below 0.
+    A parabola that is fitted to a cost that flattens has its maximum beyond the measured points, and would end below 0.
     """
     last = max(p.dispatchers for p in points)
     if size.dispatchers > last:
@@ -169,9 +173,9 @@
 
 
 def _is_significant(solution: _LeastSquares) -> bool:
-    """Whether each coefficient but the constant is surely not 0.
+    """Returns whether each coefficient except the constant differs significantly from 0.
 
-    One that only follows the noise is small over what was measured, and large at the size.
+    A term that only fits noise is small over the measured points, but large at the planned size.
     """
     coefficients = solution.coefficients
     variance = solution.variance(max(1, len(solution.residuals) - len(coefficients)))
@@ -180,7 +184,7 @@
 
 
 def _candidate(name: str, points: Sequence[Point], size: Size) -> _Candidate | None:
-    """None: the points do not determine this form, or it is not one that may be extrapolated."""
+    """Returns the form as a candidate, or None if the points do not determine it or it must not be extrapolated."""
     form = FORMS[name]
     count = len(form.coefficients)
     if len(points) <= count + 1:
@@ -197,9 +201,9 @@
 
 
 def fit(points: Sequence[Point], size: Size, carried: float = 0.0) -> Fit | None:
-    """The simplest form that the points allow, and its value at the size. None: there are too few points.
+    """Returns the simplest form that fits the points, with its value at the size, or None if there are too few points.
 
-    `carried`: a share by which all points alike may be off; the interval is wider by it.
+    `carried` is a relative error that may affect all points equally. It widens the interval.
     """
     if len(points) < MIN_POINTS:
         return None
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""One fleet, brought up: discovery with its replicas, aggregators, hollow dispatchers and real ones."""
+"""One running fleet: the registry with its replicas, aggregators, hollow dispatchers and real ones."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from pearhill.lab.scale.plan import LoadExchange, ScaleTable, Workload
 from pearhill.lab.scale.planned_fleets import FleetSize
 
-STARTS_AT_ONCE = 4  # of real dispatchers
-SETTLE_TIMEOUT_S = 60.0  # beyond the warm-up, for every dispatcher to count the whole fleet
+STARTS_AT_ONCE = 4  # real dispatchers that start at the same time
+SETTLE_TIMEOUT_S = 60.0  # after the warm-up, until every dispatcher counts the whole fleet
 SETTLE_POLL_S = 1.0
 AGGREGATOR_READY = r"aggregator \S+ listens on"
 DISPATCHER_READY = "chat front listens"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Window:
-    """What was collected in a measurement window. `hosts`: of processes with several hollow dispatchers."""
+    """Data of one measurement window. `hosts` are the reports of processes with several hollow dispatchers."""
 
     hosts: list[HostReport]
     alone: list[HostReport]
@@ -51,9 +51,9 @@
 
 
 class RunningFleet:
-    """A fleet's processes. Use it as an asynchronous context: at its end, and on any error, they are ended.
+    """The processes of a fleet, as an asynchronous context manager that ends them on exit and on any error.
 
-    `can_be_cut`: aggregators reach each other by way of a relay, which a fault of the network can cut.
+    If `can_be_cut`, aggregators reach each other through a relay that can simulate a network partition.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         await self.close()
 
     def pids(self) -> list[int]:
-        """The processes that were started, without the command's own."""
+        """Returns the IDs of the processes that were started, without the calling process."""
         daemons = [daemon for daemon in (*self.real, *self.aggregators) if daemon.process]
         return [child.pid for child in self._children()] + [daemon.pid for daemon in daemons]
 
@@ -114,7 +114,7 @@
         await self._start_dispatchers()
 
     async def _start_discovery(self) -> str:
-        """The registry's address."""
+        """Start the registry with its replicas. Returns the registry's address."""
         scale = self.scale
         self.discovery = await Child.start("discovery", "pearhill.lab.scale.discovery", self._folder)
         opened = await self.discovery.call(
@@ -145,7 +145,7 @@
         return relay
 
     async def _start_dispatchers(self) -> None:
-        """Hollow and real ones at the same time: the first specs are for hollow ones, process by process."""
+        """Start hollow and real dispatchers concurrently. The first specs are for hollow ones, process by process."""
         counts = [*self.size.hosts(self.scale.per_process), *[1] * self.size.alone]
         self.hosts = list(
             await asyncio.gather(
@@ -162,7 +162,7 @@
         await asyncio.gather(*starts, self._start_real(self.dispatchers[first:]))
 
     def _host_settings(self) -> dict[str, Any]:
-        """The arguments of the order "open" that are the same for every process of hollow dispatchers."""
+        """Returns the arguments of the command "open" that are the same for all processes of hollow dispatchers."""
         size = self.size
         scale = self.scale
         prefill_replicas = round(size.replicas * scale.prefill_share)
@@ -181,14 +181,17 @@
         gate = asyncio.Semaphore(STARTS_AT_ONCE)
 
         async def start(spec: DispatcherSpec) -> None:
-            """Start one, as soon as fewer than `STARTS_AT_ONCE` are starting."""
+            """Start one dispatcher as soon as fewer than `STARTS_AT_ONCE` are starting."""
             async with gate:
                 self.real.append(await self.start_dispatcher(spec.name, file_of(spec, self.template)))
 
         await asyncio.gather(*map(start, specs))
 
     async def start_dispatcher(self, name: str, text: str) -> Daemon:
-        """Start a real dispatcher with this file. ProcessFailedError: it did not come up; it is ended then."""
+        """Start a real dispatcher with this configuration file.
+
+        Raises ProcessFailedError if it does not become ready; its process is ended then.
+        """
         path = self._folder / f"{name}.toml"
         path.write_text(text)
         daemon = Daemon(name, self._folder, ("-m", "pearhill", "--chat", str(path)))
@@ -200,13 +203,13 @@
         return daemon
 
     async def call_hosts(self, order: str, **arguments: Any) -> list[HostReport]:
-        """Send an order to every process of hollow dispatchers; their answers."""
+        """Send a command to every process of hollow dispatchers. Returns the replies in the order of the processes."""
         return list(await asyncio.gather(*(host.call(order, **arguments) for host in self.hosts)))
 
     async def settle(self) -> bool:
-        """Wait for the warm-up, and until each hollow dispatcher counts the whole fleet and has the whole list.
+        """Wait for the warm-up, and until each hollow dispatcher counts the whole fleet and has the complete list.
 
-        False: some still do not after `SETTLE_TIMEOUT_S`.
+        Returns False if some dispatchers do not after `SETTLE_TIMEOUT_S`.
         """
         deadline = time.monotonic() + self.scale.warm_s + SETTLE_TIMEOUT_S
         await asyncio.sleep(self.scale.warm_s)
@@ -241,7 +244,7 @@
         aggregators_before = await snapshot_before(self.aggregators)
         discovery_before = await self.discovery.call("counts")
         await self.call_hosts("begin", marker=self._marker())
-        await self.discovery.call("replace", count=1)  # the age of this change is measured at each dispatcher
+        await self.discovery.call("replace", count=1)  # each dispatcher measures the age of this change
         await asyncio.sleep(self.scale.seconds)
         hosts = await self.call_hosts("end")
         discovery_after = await self.discovery.call("counts")
@@ -258,7 +261,10 @@
         )
 
     def _marker(self) -> str:
-        """The dispatcher that leaves marks; none with requests through the Router, which have work at every replica."""
+        """Returns the name of the dispatcher that writes marks, or an empty string if none does.
+
+        With requests through the Router there are no marks: every replica has work.
+        """
         return "" if self.size.workload is Workload.ROUTER else self.dispatchers[0].name
 
     def _hollow_point(
@@ -275,7 +281,7 @@
         }
 
     def _news_age_ms(self, hosts: list[HostReport]) -> dict[str, float] | None:
-        """The age of the marker's load as the other hollow dispatchers know it."""
+        """Returns percentiles of the age of the marker's load at the other hollow dispatchers."""
         read_at: list[int] = next((host["read_at"] for host in hosts if host["read_at"]), [])
         sightings = [sighting for host in hosts for sighting in host["marks"]]
         ages = observe.mark_ages(read_at, sightings, self.size.exchange is LoadExchange.GOSSIP)
@@ -284,7 +290,7 @@
     def _real_point(
         self, window: _Window, common: dict[str, Any], aggregator: dict[str, Any] | None
     ) -> dict[str, Any] | None:
-        """None: there are no real dispatchers."""
+        """Returns the point of the real dispatchers, or None if there are none."""
         figures = window.real.per_process()
         if figures is None:
             return None
@@ -298,16 +304,21 @@
         }
 
     def _report_busy(self, hosts: list[HostReport]) -> bool:
-        """Whether the machine was too busy, which is reported: ticks of the processes were late, or there were none."""
+        """Returns whether the machine was too busy, and prints a line if so.
+
+        It was too busy if the ticks of the processes were late, or if there were no ticks.
+        """
         late = percentiles_ms(host["late"] for host in hosts)
         is_busy = late is None or late["p99"] * 1000 > MAX_LATE_P99_US
         if is_busy:
             p99 = late and late["p99"]
-            self.print_line(f"    the machine was too busy for this to be read: own beats late, p99 {p99} ms")
+            self.print_line(
+                f"    the machine was too busy for a valid measurement: p99 of the run's own tick delay is {p99} ms"
+            )
         return is_busy
 
     def _common(self, is_busy: bool) -> dict[str, Any]:
-        """What all points of a window have in common, in the results' form."""
+        """Returns the fields that all points of a window share, in the form of the results file."""
         size = self.size
         return {
             "way": size.exchange.value,
@@ -322,7 +333,7 @@
         }
 
     async def close(self) -> None:
-        """End all processes, and remove their logs."""
+        """End all processes and remove their logs."""
         for daemon in (*self.real, *self.aggregators):
             daemon.kill()
         await asyncio.gather(*(child.close() for child in self._children()), return_exceptions=True)
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -1,9 +1,9 @@
-"""Hollow dispatchers, some dozens to a process: the program's own `ChatService` each, from an operator's file.
+"""A process with dozens of hollow dispatchers: each is the program's own `ChatService`, from a configuration file.
 
-Each has its own sockets, endpoint list, gossip or load reports, Router, timers and seed, and no port for clients. Left
-out is what clients bring: their connections, the reading of requests, the streams. Beside the program there is a tick
-of the process, which draws the gauges of some of its dispatchers and looks at the marks they know, so that each has its
-turn once in `TURN_INTERVAL_S`. The thread's time in it is counted apart, and subtracted from the process's.
+Each has its own sockets, endpoint list, gossip or load reports, Router, timers and seed. It has no port for clients, so
+the costs of client connections, request parsing and streams are absent. A periodic tick of the process draws new gauges
+for some of its dispatchers and reads the marks that they have received, so that each dispatcher has a turn once per
+`TURN_INTERVAL_S`. The thread's CPU time in the tick is measured separately and subtracted from that of the process.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from pearhill.lab.scale.plan import Workload
 from pearhill.lab.scale.work import DrawnGauges
 
-TURN_INTERVAL_S = 0.25  # as often as gossip sends
-TICKS_PER_INTERVAL = 5  # of a process, so that no timer of a dispatcher waits for the turns of all the others
-DISPATCHERS_PER_ESTIMATE = 8  # one in so many estimates the tokens in flight
+TURN_INTERVAL_S = 0.25  # the interval at which gossip sends
+TICKS_PER_INTERVAL = 5  # ticks of a process; with one, a dispatcher's timer would wait for the turns of all others
+DISPATCHERS_PER_ESTIMATE = 8  # one in so many dispatchers estimates the tokens in flight
 
 
 class HollowHost:
-    """The process: its dispatchers, their turns, and the orders of the command."""
+    """The process: its dispatchers, their turns, and the commands of the parent process."""
 
     settings: HostSettings
 
     def __init__(self) -> None:
         self.window = MeasurementWindow()
         self._dispatchers: dict[str, HollowDispatcher] = {}
-        self._marker = ""  # the dispatcher that leaves marks in this window; empty: none
+        self._marker = ""  # the dispatcher that writes marks in this window; empty if none does
         self._gauges: dict[float, DrawnGauges] = {}
         self._loop = asyncio.get_running_loop()
         self._tick_due = 0.0
@@ -60,14 +60,14 @@
         }
 
     async def handle(self, order: Order) -> dict[str, Any]:
-        """Carry out one order of the command. ValueError: it is not known."""
+        """Execute one command of the parent process. Raises ValueError if the command is unknown."""
         name = order["order"]
         if name not in self._orders:
-            raise ValueError(f"order {name!r}")
+            raise ValueError(f"unknown command {name!r}")
         return await self._orders[name](order)
 
     def gauges_for(self, weight: float) -> DrawnGauges:
-        """The gauges of all dispatchers of one weight: each takes another set, rotated otherwise, at each turn."""
+        """Returns the gauges of all dispatchers of one weight. Each turn draws a set of them and a rotation."""
         if weight not in self._gauges:
             settings = self.settings
             self._gauges[weight] = DrawnGauges(
@@ -80,7 +80,7 @@
         return self._gauges[weight]
 
     def _tick(self) -> None:
-        """A turn for some of the dispatchers; all have had one after `TURN_INTERVAL_S`."""
+        """Run the turn of some of the dispatchers. All have had a turn after `TURN_INTERVAL_S`."""
         began_ns = time.thread_time_ns()
         now = self._loop.time()
         self.window.tick_delays.append(max(0, int((now - self._tick_due) * US_PER_S)))
@@ -93,20 +93,23 @@
         self.window.tick_cpu_ns += time.thread_time_ns() - began_ns
 
     async def _open(self, order: Order) -> dict[str, Any]:
-        """Begin to tick, and start the first dispatchers over `spread_s`."""
+        """Start the ticks, and start the first dispatchers, spread over `spread_s`."""
         self.settings = HostSettings.from_order(order)
         gc.collect()
-        gc.freeze()  # as the program does at its start
+        gc.freeze()  # the program does the same at its start
         self._tick_due = self._loop.time()
         self._tick()
         return await self._start_over(order["places"], order["spread_s"])
 
     async def _start(self, order: Order) -> dict[str, Any]:
-        """Start dispatchers at once, one after the other."""
+        """Start dispatchers one after the other, without a pause."""
         return await self._start_over(order["places"], 0.0)
 
     async def _start_over(self, specs: list[dict[str, Any]], spread_s: float) -> dict[str, Any]:
-        """Start dispatchers over `spread_s`: started all at once, they would go on to fetch the list all at once."""
+        """Start dispatchers, spread over `spread_s`.
+
+        Dispatchers that start at the same time would also fetch the endpoint list at the same times later.
+        """
         began = self._loop.time()
         rng = random.Random(specs[0]["seed"])
         for k, spec in enumerate(specs):
@@ -123,23 +126,23 @@
         return {}
 
     async def _reload(self, order: Order) -> dict[str, Any]:
-        """Have every dispatcher take another file. Those that are started later take the new one as well."""
+        """Reload every dispatcher with another file. Dispatchers that are started later use the new file as well."""
         self.settings = replace(self.settings, template=order["text"])
         seconds: list[float] = []
         for dispatcher in self._dispatchers.values():
             seconds.append(dispatcher.reload(self.settings.template))
-            await asyncio.sleep(0)  # a timer that is due waits for one reload, as in a process of its own
+            await asyncio.sleep(0)  # a due timer waits for one reload only, as in a process with one dispatcher
         return {"seconds": seconds}
 
     async def _cut(self, order: Order) -> dict[str, Any]:
-        """Cut every dispatcher off from the addresses that are far from its region."""
+        """Cut off every dispatcher from the addresses that `far` lists for its region."""
         far_by_region = [set(map(tuple, addresses)) for addresses in order["far"]]
         for dispatcher in self._dispatchers.values():
             observe.cut_off(dispatcher.service, far_by_region[dispatcher.spec.region])
         return {}
 
     async def _begin(self, order: Order) -> dict[str, Any]:
-        """Begin a measurement window, in which one dispatcher may leave marks."""
+        """Begin a measurement window, in which one dispatcher may write marks."""
         self.window = MeasurementWindow()
         self._marker = order["marker"]
         if self._marker in self._dispatchers:
@@ -149,7 +152,7 @@
         return {}
 
     async def _end(self, order: Order) -> dict[str, Any]:
-        """End the window; what was measured in it."""
+        """End the window and return its measurements."""
         window = self.window
         seconds = time.monotonic() - window.began
         cpu_s = time.process_time() - window.cpu_s
@@ -178,7 +181,7 @@
         }
 
     def _end_marks(self) -> list[int]:
-        """When the load of the one that left marks was read; empty: it is in another process."""
+        """Returns when the marker's load was read; empty if the marker is in another process. Ends the marks."""
         read_at: list[int] = []
         for dispatcher in self._dispatchers.values():
             read_at = dispatcher.service.read_at or read_at
@@ -193,7 +196,7 @@
         }
 
     async def _look(self, order: Order) -> dict[str, Any]:
-        """How things stand now: counts, totals since the start, and estimates of the tokens at some replicas."""
+        """Returns the current counts, the totals since the start, and estimates of the tokens at some replicas."""
         replica_ids = [replica_id(name) for name in order["engines"]]
         worst_delay = max(self.window.tick_delays, default=0)
         self.window.tick_delays = array("q")
@@ -223,7 +226,7 @@
 
 
 def new_handler() -> Handle:
-    """The handler of all orders, within the event loop."""
+    """Returns the handler of all commands. It must be called within the event loop."""
     return HollowHost().handle
 
 
--- a/pearhill/lab/scale/hollow_dispatcher.py
+++ b/pearhill/lab/scale/hollow_dispatcher.py
@@ -1,4 +1,4 @@
-"""One hollow dispatcher of a process: the program's own service, its workload, and what is measured at it."""
+"""One hollow dispatcher of a process: the program's own service, its workload, and its measurements."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.topology import Endpoint
 
-TURNS_PER_SIGHTING = 2  # of a dispatcher, from one look at the mark to the next
+TURNS_PER_SIGHTING = 2  # a dispatcher reads the mark once in so many turns
 US_PER_S = 1e6
 
-# Called with the age in seconds of a change of the endpoint list when it is in force.
+# Called with the age in seconds of a change of the endpoint list when the change takes effect.
 OnChange = Callable[[float], None]
 Order = dict[str, Any]
 
 
 class HollowService(ChatService):
-    """A ChatService that reports changes of its endpoint list, and that may leave marks in its own load.
+    """A ChatService that reports changes of its endpoint list, and that can write marks into its own load.
 
-    `read_at`: when its load was read, in microseconds, while it leaves marks; None: it leaves none.
+    `read_at` lists when its load was read, in microseconds, while it writes marks; otherwise it is None.
     """
 
     def __init__(self, setup: ChatSetup, on_change: OnChange) -> None:
@@ -64,7 +64,7 @@
             if changed_us <= known_us:
                 continue
             newest_us = max(newest_us, changed_us)
-            if known_us:  # the first list has no changes
+            if known_us:  # the rows of the first list are not changes
                 self._on_change(now - changed_us / US_PER_S)
         self._newest_change_us = newest_us
 
@@ -74,7 +74,7 @@
 
 
 class MeasurementWindow:
-    """What is measured from the order "begin" to the order "end". Array values are microseconds."""
+    """Measurements between the commands "begin" and "end". The values of arrays are microseconds."""
 
     def __init__(self) -> None:
         self.began = time.monotonic()
@@ -82,17 +82,18 @@
         self.tick_cpu_ns = 0
         self.tick_delays = array("q")
         self.list_ages = array("q")
-        # By second of the machine's monotonic clock: tokens in flight by replica.
+        # Key: second of the machine's monotonic clock; value: tokens in flight by replica.
         self.work: dict[int, Counter[int]] = {}
-        # When a mark was looked at, in microseconds, and the number that it stood for.
+        # When a mark was read, in microseconds, and the number that it encodes.
         self.sightings: list[tuple[int, int]] = []
 
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What the dispatchers of a process have in common, from the order "open".
+    """The settings that the dispatchers of a process share, from the command "open".
 
-    `template`: their file. `rate_per_s`, `streams`: of a dispatcher of mean traffic.
+    `template` is the template of their configuration files. `rate_per_s` and `streams` are those of a dispatcher with
+    mean traffic.
     """
 
     template: str
@@ -105,7 +106,7 @@
 
     @classmethod
     def from_order(cls, order: Order) -> HostSettings:
-        """The settings in an order "open"."""
+        """Returns the settings in a command "open"."""
         return cls(
             template=order["text"],
             workload=Workload(order["work"]),
@@ -118,23 +119,23 @@
 
 
 class Host(Protocol):
-    """What a dispatcher uses of its process."""
+    """The interface of the process that a hollow dispatcher uses."""
 
     settings: HostSettings
     window: MeasurementWindow
 
     def gauges_for(self, weight: float) -> DrawnGauges:
-        """The gauges of all dispatchers of this weight."""
+        """Returns the gauges that all dispatchers of this weight share."""
 
 
 class HollowDispatcher:
-    """One dispatcher of the process."""
+    """One hollow dispatcher of the process."""
 
     def __init__(self, host: Host, spec: DispatcherSpec) -> None:
         self.spec = spec
         self._host = host
         self._rng = random.Random(spec.seed)
-        # At the window's beginning. The process has one window, but each dispatcher counts for itself.
+        # Totals at the start of the window. Dispatchers share the window of the process, but each has its own totals.
         self._totals_before: Counter[str] = Counter()
         self.service = HollowService(loads(file_of(spec, host.settings.template)), self._add_list_age)
         self._gauges: DrawnGauges | None = None
@@ -157,29 +158,29 @@
 
     @property
     def now(self) -> int:
-        """Microseconds of the dispatcher's own clock."""
+        """The time in microseconds of the dispatcher's own clock."""
         return self.service.node.deadlines.clock()
 
     @property
     def replicas(self) -> dict[int, ReplicaState]:
-        """The Router's record of its replicas, by number."""
+        """The Router's state of its replicas, by ID."""
         return self.service.node.dispatcher.router.router.replicas
 
     @property
     def results(self) -> dict[str, int]:
-        """What became of its requests since it started."""
+        """The number of its requests by result since it started."""
         return self._arrivals.results if self._arrivals else {}
 
     def begin_window(self) -> None:
-        """Remember the socket's totals as they are now."""
+        """Record the current totals of the fleet socket."""
         self._totals_before = observe.datagram_totals(self.service)
 
     def window_totals(self) -> Counter[str]:
-        """Messages and bytes at its fleet socket since the window's beginning."""
+        """Returns messages and bytes at its fleet socket since the start of the window."""
         return observe.datagram_totals(self.service) - self._totals_before
 
     def take_turn(self, marker: str) -> None:
-        """Draw the gauges or add up the work in flight; now and then look at the mark that `marker` has left."""
+        """Draw gauges or add up the work in flight. Once per `TURNS_PER_SIGHTING` turns also read the marker's mark."""
         if self._gauges:
             self._draw(self._gauges, marker)
         elif self._arrivals:
@@ -205,13 +206,13 @@
                 work[replica.id] += replica.tokens_in_flight
 
     def reload(self, template: str) -> float:
-        """Take another file, as at SIGHUP. The seconds of processor time that it took."""
+        """Reload with another file, as at SIGHUP. Returns the CPU seconds that the reload took."""
         began = time.thread_time()
         self.service.reload(loads(file_of(self.spec, template)))
         return time.thread_time() - began
 
     async def stop(self, gracefully: bool) -> None:
-        """End it. Not gracefully: it falls silent, as a process that is killed."""
+        """Stop it. If not `gracefully`, it stops without a message, like a process that is killed."""
         if self._arrivals:
             self._arrivals.stop()
         if gracefully:
@@ -219,6 +220,6 @@
         service = self.service
         service._cancel_registry_tasks()
         if service.fleet:
-            service.fleet.datagrams.close()  # first, so that nobody is sent a message that it leaves
+            service.fleet.datagrams.close()  # first, so that `close` sends no leave message
             service.fleet.close()
         service.node.close()
--- a/pearhill/lab/scale/loaded.py
+++ b/pearhill/lab/scale/loaded.py
@@ -1,4 +1,7 @@
-"""Real dispatchers under load, for comparison with hollow ones whose Routers get as many requests by an event clock."""
+"""Measures real dispatchers under load.
+
+The point is compared with hollow dispatchers whose Routers get as many requests, with replicas simulated by a clock.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
 
 TENANT = "tenant-0"
 PROMPT_TOKENS = 400
-ANSWER_TOKENS = 8  # short streams, as all replicas are one process
+ANSWER_TOKENS = 8  # streams are short, as all replicas share one process
 PREFIXES = 64
 
 
 async def measure_under_load(fleet: RunningFleet, rate_per_s: float) -> dict[str, Any]:
-    """The point of the real dispatchers in the results' form, each with so many requests a second on the mean.
+    """Returns the point of the real dispatchers, with a mean of `rate_per_s` requests per second each.
 
     The load generator runs in this process.
     """
@@ -46,7 +49,7 @@
 
 
 def _scenario(fleet: RunningFleet, rate_per_s: float) -> Scenario:
-    """One tenant with so many requests a second, for one window."""
+    """Returns a scenario of one tenant with `rate_per_s` requests per second, for one window."""
     tenant = TenantTable(
         TENANT,
         rate_per_s,
--- a/pearhill/lab/scale/measure.py
+++ b/pearhill/lab/scale/measure.py
@@ -1,4 +1,4 @@
-"""Figures of a measurement window: histograms that can be merged, usage of processes, and the machine."""
+"""Measurement tools: histograms that can be merged, resource usage of processes, and facts about the machine."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-MAX_RECORDED_US = 3_600_000_000  # an hour; what is longer is recorded as this
-SIGNIFICANT_DIGITS = 3  # of a histogram's values
+MAX_RECORDED_US = 3_600_000_000  # an hour; longer times are recorded as an hour
+SIGNIFICANT_DIGITS = 3  # precision of a histogram's values
 PROCESS_CPU_CLOCK = 2  # Linux's CPUCLOCK_SCHED
-MAX_LATE_P99_US = 100_000  # ticks of the run's own that are later show a machine too busy for the rest to be read
+MAX_LATE_P99_US = 100_000  # if ticks are later than this, the machine is too busy for valid measurements
 
 
 def encode_histogram(values: array[int]) -> str:
-    """Microseconds as an HdrHistogram in its base64 form, which processes send and `percentiles_ms` merges."""
+    """Encode microseconds as a base64 HdrHistogram, which processes send and `percentiles_ms` merges."""
     histogram = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
     for value in values:
         histogram.record_value(min(MAX_RECORDED_US, max(1, value)))
@@ -29,9 +29,9 @@
 
 
 def percentiles_ms(histograms: Iterable[str]) -> dict[str, float] | None:
-    """Median, 99th percentile and maximum of several processes' histograms together, in milliseconds.
+    """Returns median, 99th percentile and maximum of the merged histograms of several processes, in milliseconds.
 
-    None: they are all empty.
+    Returns None if all histograms are empty.
     """
     total = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
     for histogram in histograms:
@@ -46,14 +46,14 @@
 
 
 def slope(counts: list[int], used: list[float]) -> float:
-    """What one more in a process uses, by least squares over unlike counts; NaN: they are all alike."""
+    """Returns the usage of one more dispatcher in a process, by least squares, or NaN if all counts are the same."""
     if len(set(counts)) < 2:
         return float("nan")
     return float(numpy.polyfit(counts, used, 1)[0])
 
 
 def describe_machine() -> dict[str, Any]:
-    """The machine that the run is on, in the results' form."""
+    """Returns facts about the machine on which the run takes place, in the form of the results file."""
     return {
         "processor": _processor_model(),
         "cores": os.cpu_count() or 1,
@@ -73,19 +73,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used so far: seconds of processor time, and bytes that it shares with no other process."""
+    """Usage of a process: CPU seconds so far, and the bytes of memory that it does not share with another process."""
 
     cpu_s: float
     unshared_bytes: float
 
 
 def cpu_seconds_of(pid: int) -> float:
-    """Processor time of all threads of a process.
+    """Returns the CPU time of all threads of a process in seconds.
 
-    It is read from the process's own clock where the system has one: psutil's has hundredths of a second, and control
-    takes a few of them in a window.
+    It is read from the CPU-time clock of the process if the system has one. psutil's resolution is a hundredth of a
+    second, which is too coarse: control traffic takes a few hundredths in a window.
     """
-    clock_id = (~pid << 3) | PROCESS_CPU_CLOCK  # as clock_getcpuclockid(3) makes it
+    clock_id = (~pid << 3) | PROCESS_CPU_CLOCK  # the encoding of clock_getcpuclockid(3)
     try:
         return time.clock_gettime_ns(clock_id) / 1e9
     except OSError:
@@ -94,12 +94,12 @@
 
 
 def usage_of(pid: int) -> ProcessUsage:
-    """The usage of a running process."""
+    """Returns the usage of a running process."""
     return ProcessUsage(cpu_seconds_of(pid), float(psutil.Process(pid).memory_full_info().uss))
 
 
 def resident_bytes(pids: Iterable[int]) -> int:
-    """Resident memory of all these processes together; one that has ended has none."""
+    """Returns the total resident memory of these processes in bytes. A process that has exited counts as 0."""
     total = 0
     for pid in pids:
         try:
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -1,4 +1,7 @@
-"""What a dispatcher in this process knows of the fleet, by gossip or by aggregators."""
+"""Reads what a dispatcher in this process has received about the fleet, by gossip or from aggregators.
+
+It also writes and reads marks, which measure the age of that data, and cuts off addresses for network partitions.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,10 @@
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.topology import Role
 
-HEADER_BYTES = 28  # of IP and UDP, counted with each datagram
-# Marks: one dispatcher's load at one decode replica, where nobody else has work, says how often it has been read.
-# Gossip carries the number whole; aggregators carry a code of the gauge, so that a mark returns after so many.
+HEADER_BYTES = 28  # IP and UDP headers, which are counted for each datagram
+# Marks measure the age of load data: one dispatcher writes into its load at one decode replica how often its load has
+# been read. No other dispatcher has work there. Gossip transmits the number exactly. Aggregators transmit a code of the
+# gauge, so that marks repeat after `MARK_CODES`.
 FIRST_GOSSIP_MARK = 1_000_000  # tokens
 FIRST_MARK_CODE = 170
 MARK_CODES = 72
@@ -24,17 +28,17 @@
 
 
 def counted_dispatchers(service: ChatService, now: int) -> int | None:
-    """Dispatchers that share the work, as far as this one knows. None: it knows nothing yet."""
+    """Returns how many dispatchers this one counts in the fleet, or None if it has no count yet."""
     return service.fleet.sources.count(now) if service.fleet else None
 
 
 def datagram_totals(service: ChatService) -> Counter[str]:
-    """Messages and bytes at this dispatcher's fleet socket since its start."""
+    """Returns messages and bytes at this dispatcher's fleet socket since its start."""
     return messages_and_bytes(service.fleet.datagrams.counts) if service.fleet else Counter()
 
 
 def messages_and_bytes(counts: Mapping[str, int]) -> Counter[str]:
-    """A datagram driver's counts as messages and bytes in each direction, headers included."""
+    """Returns the counts of a datagram driver as messages and bytes per direction, including headers."""
     received = counts.get("received", 0)
     sent = counts.get("sent", 0)
     return Counter(
@@ -48,7 +52,10 @@
 
 
 def estimated_tokens(service: ChatService, now: int, replica_ids: list[int]) -> float:
-    """Tokens in flight at these replicas, own and others', as a choice at this dispatcher would estimate them."""
+    """Returns the tokens in flight at these replicas, as this dispatcher estimates them when it chooses a replica.
+
+    They include its own tokens and those of its peers.
+    """
     router = service.node.dispatcher.router
     total = 0.0
     for replica_id in replica_ids:
@@ -65,12 +72,12 @@
 
 
 def marked_replica(service: ChatService) -> ReplicaState | None:
-    """The decode replica at which marks are left: the same one at all dispatchers that have the same list."""
+    """Returns the decode replica of the marks, or None. It is the same at all dispatchers with the same list."""
     return next(iter(service.node.dispatcher.router.router.ready[Role.DECODE]), None)
 
 
 def leave_mark(service: ChatService, number: int) -> None:
-    """Have this dispatcher's load at the marked replica stand for this number."""
+    """Encode `number` in this dispatcher's load at the marked replica."""
     replica = marked_replica(service)
     if replica is None or not service.fleet:
         return
@@ -81,9 +88,9 @@
 
 
 def read_mark(service: ChatService, now: int, marker: str) -> int:
-    """The last number that is known here of the dispatcher `marker`; with aggregators, its remainder by `MARK_CODES`.
+    """Returns the last number that was received from the dispatcher `marker`, or `NO_MARK` if there is none.
 
-    `NO_MARK`: none is known.
+    With aggregators, it is the remainder of the number modulo `MARK_CODES`.
     """
     replica = marked_replica(service)
     fleet = service.fleet
@@ -98,11 +105,11 @@
 
 
 def mark_ages(read_at: list[int], sightings: Iterable[tuple[int, int]], is_whole: bool) -> list[int]:
-    """Microseconds from the reading of the marker's load until each sighting of it at another dispatcher.
+    """Returns the microseconds from each reading of the marker's load until its sighting at another dispatcher.
 
-    `read_at`: when the load was read, by number. `sightings`: a moment, and the number that was seen; where not
-    `is_whole`, its remainder by `MARK_CODES`, and the latest number that can be meant counts. Sightings of no mark are
-    left out.
+    `read_at` lists when the load was read, by number. A sighting is a time and the number that was read then. If not
+    `is_whole`, the number is a remainder modulo `MARK_CODES`, and stands for the latest number with this remainder.
+    Sightings without a mark are left out.
     """
     ages = []
     for at, number in sightings:
@@ -115,14 +122,14 @@
 
 
 class CutTransport:
-    """A datagram socket that sends nothing to the addresses that are cut off."""
+    """A datagram transport that drops datagrams to the addresses in `cut_off`."""
 
     def __init__(self, transport: asyncio.DatagramTransport) -> None:
         self._transport = transport
         self.cut_off: set[Address] = set()
 
     def sendto(self, data: bytes, address: Address) -> None:
-        """Send, or drop what goes to an address that is cut off."""
+        """Send a datagram, or drop it if its destination is cut off."""
         if address not in self.cut_off:
             self._transport.sendto(data, address)
 
@@ -131,7 +138,7 @@
 
 
 def cut_off(service: ChatService, addresses: set[Address]) -> None:
-    """From now on send to all but these addresses. A cut in both directions needs both sides."""
+    """Drop all datagrams to these addresses from now on. A cut in both directions has to be made at both sides."""
     datagrams = service.fleet.datagrams if service.fleet else None
     if datagrams is None or datagrams._transport is None:
         return
--- a/pearhill/lab/scale/plan.py
+++ b/pearhill/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""A scale run's plan: the tables of its file, the values they may have, and its reading."""
+"""The plan of a scale run: the tables of its file, their allowed values, and its parser."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class LoadExchange(StrEnum):
-    """How dispatchers learn of each other's load. The values stand in plan files and results."""
+    """How dispatchers exchange their loads. The values are used in plan files and results."""
 
-    OWN = "own"  # not at all: each goes by its own load alone
+    OWN = "own"  # no exchange: each dispatcher uses its own load only
     GOSSIP = "talk"
     AGGREGATORS = "aggregators"
 
 
 class Workload(StrEnum):
-    """What hollow dispatchers have in flight. The values stand in plan files and results."""
+    """The load that hollow dispatchers have in flight. The values are used in plan files and results."""
 
     NONE = "none"
-    DRAWN = "drawn"  # gauges drawn anew each quarter of a second
-    ROUTER = "router"  # requests through the Router, with replicas that answer by a clock
+    DRAWN = "drawn"  # random gauges, drawn again every quarter of a second
+    ROUTER = "router"  # requests through the Router, with replicas that a clock simulates
 
 
 class FaultKind(StrEnum):
-    """What happens to a fleet. The values stand in plan files and results."""
+    """The kinds of fault. The values are used in plan files and results."""
 
     CHURN = "churn"
     RACK = "rack"
@@ -43,7 +43,7 @@
     SETTINGS = "settings"
 
 
-# The same values as the enums', for tables: an error names the values of a literal that are allowed.
+# The values of the enums, for tables: a validation error lists the allowed values of a literal.
 ExchangeKey = Literal["talk", "aggregators"]
 AnyExchangeKey = Literal["own", "talk", "aggregators"]
 WorkloadKey = Literal["none", "drawn", "router"]
@@ -51,12 +51,15 @@
     "churn", "rack", "zone", "region_cut", "aggregator_lost", "aggregators_lost_2", "readers_share", "settings"
 ]
 
-# How many aggregators a fault takes away.
+# Number of aggregators that a fault stops.
 AGGREGATORS_LOST = {FaultKind.AGGREGATOR_LOST: 1, FaultKind.TWO_AGGREGATORS_LOST: 2}
 
 
 class SizeTable(Struct, forbid_unknown_fields=True):
-    """The size that is planned for, and what a dispatcher's control may cost there, both directions together."""
+    """The planned fleet size, and upper bounds for the control costs of a dispatcher at that size.
+
+    `bytes_s` is the sum of both directions.
+    """
 
     dispatchers: PositiveInt = 330
     replicas: PositiveInt = 940
@@ -66,12 +69,12 @@
 
 
 class ScaleTable(Struct, forbid_unknown_fields=True):
-    """What holds for the whole run.
+    """Settings of the whole run.
 
-    `warm_s` is a minimum: a point begins when every dispatcher counts the whole fleet. `fetch_s` is how often a
-    dispatcher fetches the endpoint list. A window of `seconds` holds whole periods of it; otherwise it would hold one
-    whole list more or less by chance. A dispatcher of mean traffic has `rate_per_s` requests and `streams` open
-    streams; every `heavy_every`th has `heavy_weight` times as much.
+    `warm_s` is a minimum: a window begins when every dispatcher counts the whole fleet. `fetch_s` is the interval at
+    which a dispatcher fetches the endpoint list. `seconds`, the length of a window, is a multiple of it; otherwise the
+    number of full lists in a window would vary by chance. A dispatcher with mean traffic has `rate_per_s` requests and
+    `streams` open streams; every `heavy_every`th dispatcher has `heavy_weight` times as much.
     """
 
     seed: int = 1
@@ -81,7 +84,7 @@
     per_process: Annotated[int, Meta(ge=2, le=200)] = 40
     regions: Annotated[int, Meta(ge=1, le=16)] = 3
     zones_per_region: Annotated[int, Meta(ge=1, le=16)] = 2
-    prefill_share: Fraction = field(default=0.29, name="readers")  # of the replicas
+    prefill_share: Fraction = field(default=0.29, name="readers")  # fraction of the replicas
     tenants: Annotated[int, Meta(ge=0, le=10_000)] = 760
     rate_per_s: Annotated[float, Meta(gt=0, le=10_000)] = 45.0
     streams: Annotated[float, Meta(ge=0, le=100_000)] = 260.0
@@ -90,7 +93,7 @@
 
 
 class GridTable(Struct, forbid_unknown_fields=True):
-    """Points: every count of dispatchers with every count of replicas."""
+    """Measures one point for every combination of a number of dispatchers and a number of replicas."""
 
     exchange: ExchangeKey = field(name="way")
     dispatchers: Annotated[list[PositiveInt], Meta(min_length=1)]
@@ -100,10 +103,10 @@
 
 
 class CheckTable(Struct, forbid_unknown_fields=True):
-    """As many hollow as real dispatchers in one fleet without work, and `alone` hollow ones with a process each.
+    """Compares as many hollow as real dispatchers in one fleet without work.
 
-    The latter show what dispatchers take less or more for sharing a process. With `load_per_s` there is one more
-    window, with so many requests a second at each real dispatcher; 0: there is none.
+    The fleet also has `alone` hollow dispatchers with a process each, which show the effect of sharing a process. If
+    `load_per_s` is above 0, a second window has so many requests per second at each real dispatcher.
     """
 
     exchange: ExchangeKey = field(name="way")
@@ -115,16 +118,16 @@
 
 
 class ChoiceTable(Struct, forbid_unknown_fields=True):
-    """The Router's choice by itself, among so many replicas."""
+    """Measures the Router's choice alone, among each of these numbers of replicas."""
 
     replicas: Annotated[list[Annotated[int, Meta(ge=4, le=5000)]], Meta(min_length=1)]
     arrivals: Annotated[int, Meta(ge=20, le=100_000)] = 400
 
 
 class EvennessTable(Struct, forbid_unknown_fields=True):
-    """How evenly work lies on replicas that answer by a clock, once for each load exchange.
+    """Measures how evenly work is spread over replicas that a clock simulates, once for each load exchange.
 
-    Hollow dispatchers of mean traffic get `rate_per_s` requests each, through Dispatcher, LoadAwareRouter and Router.
+    Hollow dispatchers with mean traffic get `rate_per_s` requests each, through Dispatcher, LoadAwareRouter and Router.
     """
 
     exchanges: Annotated[list[AnyExchangeKey], Meta(min_length=1)] = field(name="ways")
@@ -135,9 +138,9 @@
 
 
 class FaultEventTable(Struct, forbid_unknown_fields=True):
-    """One fault, from `from_s` of the fleet's time for `for_s`, then `settle_s` to recover.
+    """One fault: it starts `from_s` after the fleet settled and lasts `for_s`. The fleet has `settle_s` to recover.
 
-    Rates are `factor` times those of an ordinary day. `burst`: changes of settings all at once.
+    Events occur at `factor` times the rate of an ordinary day. `burst` is the number of settings changes without pause.
     """
 
     kind: FaultKey
@@ -149,17 +152,17 @@
 
     @property
     def fault(self) -> FaultKind:
-        """What happens."""
+        """The kind of fault."""
         return FaultKind(self.kind)
 
     @property
     def settled_s(self) -> float:
-        """When the fleet is expected to have recovered."""
+        """The time at which the fleet is expected to have recovered, in seconds like `from_s`."""
         return self.from_s + self.for_s + self.settle_s
 
 
 class FaultsTable(Struct, forbid_unknown_fields=True):
-    """One fleet that goes through all of the faults, one after the other."""
+    """One fleet into which all of the faults are injected, one after the other."""
 
     exchange: ExchangeKey = field(name="way")
     dispatchers: PositiveInt
@@ -169,14 +172,14 @@
 
 
 class NotRunTable(Struct, forbid_unknown_fields=True):
-    """A part of which the results say that it was not run, and why."""
+    """A part that the results list as not run, with the reason."""
 
     what: str
     why: str
 
 
 class Plan(Struct, forbid_unknown_fields=True):
-    """A plan file. The parts are run in the order check, grid, evenness, faults, after the choice."""
+    """A plan file. The parts run in the order choice, check, grid, evenness, faults."""
 
     scale: ScaleTable = field(default_factory=ScaleTable)
     size: SizeTable = field(default_factory=SizeTable)
@@ -189,7 +192,7 @@
 
 
 def validated(plan: Plan) -> Plan:
-    """The plan itself. ConfigError: values that cannot go together, by the key's path."""
+    """Returns the plan. Raises ConfigError with the key's path if values contradict each other."""
     scale = plan.scale
     if scale.seconds % scale.fetch_s:
         raise ConfigError(f"scale.seconds: found {scale.seconds}; allowed: a multiple of fetch_s, {scale.fetch_s}")
@@ -212,7 +215,7 @@
 
 
 def _check_fault_kind(path: str, event: FaultEventTable, table: FaultsTable, scale: ScaleTable) -> None:
-    """ConfigError: this fault cannot happen to this fleet."""
+    """Raises ConfigError if this fault is impossible in this fleet."""
     lost = AGGREGATORS_LOST.get(event.fault, 0)
     has_aggregators = LoadExchange(table.exchange) is LoadExchange.AGGREGATORS
     if lost and (not has_aggregators or table.aggregators <= lost):
@@ -224,7 +227,10 @@
 
 
 def load(path: str) -> Plan:
-    """Read a plan file. ConfigError names the file, the key's path, what was found and what is allowed."""
+    """Read a plan file.
+
+    Raises ConfigError with the file, the key's path, the value that was found and the allowed values.
+    """
     plan, _ = typed.load(path, Plan)
     try:
         return validated(plan)
--- a/pearhill/lab/scale/planned_fleets.py
+++ b/pearhill/lab/scale/planned_fleets.py
@@ -1,4 +1,4 @@
-"""The fleets that a scale plan brings up, and what each takes of the machine."""
+"""The fleets of a scale plan, and an estimate of the resources that each uses."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     Workload,
 )
 
-# Estimates of memory, rounded up from trials: they refuse a plan before it starts, and nothing is reported from them.
+# Memory estimates, rounded up from trials. They only serve to reject a plan before it starts and are not reported.
 PROCESS_BYTES = 80 << 20
 DISPATCHER_BYTES = 4 << 20
 BYTES_PER_REPLICA = 5_000  # within a dispatcher, for each replica in its endpoint list
 BYTES_PER_PEER = 3_000  # within a dispatcher, for each other dispatcher
-PROCESS_FILL = 0.75  # mean count of dispatchers in a process, of the most that it may hold
+PROCESS_FILL = 0.75  # mean number of dispatchers in a process over the allowed maximum
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceEstimate:
-    """What a fleet takes of the machine, roughly and rather too much; the command's own process is included."""
+    """A rough estimate, rather too high, of the resources of a fleet. It includes the parent process."""
 
     processes: int
     memory_bytes: float
@@ -51,11 +51,14 @@
 
     @property
     def dispatchers(self) -> int:
-        """All of them: hollow, real and alone."""
+        """The number of all dispatchers: hollow, real and alone."""
         return self.hollow + self.real + self.alone
 
     def hosts(self, max_per_process: int) -> list[int]:
-        """Hollow dispatchers of each process: unlike counts, so that memory shows as a slope over the count."""
+        """Returns the number of hollow dispatchers of each process.
+
+        The numbers differ, so that the memory of one dispatcher can be measured as a slope over the number.
+        """
         process_count = max(min(2, self.hollow), math.ceil(self.hollow / (PROCESS_FILL * max_per_process)))
         weights = [1 + k % 2 for k in range(process_count)]
         counts: list[int] = []
@@ -67,7 +70,7 @@
         return counts
 
     def estimate(self, max_per_process: int) -> ResourceEstimate:
-        """Processes and bytes that the fleet takes."""
+        """Returns the estimated processes and bytes of the fleet."""
         processes = len(self.hosts(max_per_process)) + self.real + self.alone + self.aggregators + 2
         per_dispatcher = DISPATCHER_BYTES + BYTES_PER_REPLICA * self.replicas + BYTES_PER_PEER * self.dispatchers
         memory_bytes = processes * PROCESS_BYTES + self.dispatchers * float(per_dispatcher)
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFleet:
-    """One fleet of a plan: its path in the file, and the seconds for which it is watched."""
+    """One fleet of a plan, its path in the plan file, and the seconds for which it is observed."""
 
     path: str
     size: FleetSize
@@ -84,7 +87,7 @@
 
 
 def grid_fleets(plan: Plan) -> list[FleetSize]:
-    """The points of all grids, in the order in which they are run."""
+    """Returns the fleets of all grid points, in the order in which they run."""
     return [size for table in plan.grid for size in _grid_fleets(table, plan.scale)]
 
 
@@ -109,7 +112,10 @@
 
 
 def check_fleets(plan: Plan) -> list[tuple[FleetSize, float]]:
-    """The fleet of each check, and the requests a second of each real dispatcher in its last window (0: no such)."""
+    """Returns the fleet of each check, and the requests per second of each real dispatcher in its window under load.
+
+    The rate is 0 if the check has no window under load.
+    """
     return [(_check_fleet(table), table.load_per_s) for table in plan.check]
 
 
@@ -127,7 +133,7 @@
 
 
 def evenness_fleets(plan: Plan) -> list[FleetSize]:
-    """The fleets whose evenness is measured, one for each load exchange of each table."""
+    """Returns the fleets whose evenness is measured, one for each load exchange of each table."""
     return [size for table in plan.evenness for size in _evenness_fleets(table)]
 
 
@@ -146,14 +152,14 @@
 
 
 def fault_fleet(table: FaultsTable) -> FleetSize:
-    """The fleet that goes through the table's faults."""
+    """Returns the fleet into which the faults of the table are injected."""
     exchange = LoadExchange(table.exchange)
     aggregators = _aggregators_of(exchange, table.aggregators)
     return FleetSize(exchange, table.dispatchers, table.replicas, aggregators=aggregators)
 
 
 def planned_fleets(plan: Plan) -> Iterator[PlannedFleet]:
-    """Every fleet of the plan."""
+    """Returns every fleet of the plan."""
     window_s = plan.scale.warm_s + plan.scale.seconds
     for k, grid in enumerate(plan.grid):
         for size in _grid_fleets(grid, plan.scale):
--- a/pearhill/lab/scale/report.py
+++ b/pearhill/lab/scale/report.py
@@ -1,4 +1,4 @@
-"""The results of a scale run as a page with plots."""
+"""Renders the results of a scale run as an HTML page with plots."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 from pearhill.lab.report import COLOURS, HEIGHT, WIDTH
 from pearhill.lab.scale.analysis import Point, figure_of
 
-# Margins of a plot, in its own units.
+# Margins of a plot, in units of its SVG view box.
 LEFT = 60
 BOTTOM = 28
 TOP = 12
 RIGHT = 90
 FRAME_RIGHT = WIDTH - RIGHT
 FRAME_BOTTOM = HEIGHT - BOTTOM
-HEADROOM = 1.05  # of the axis over the largest value
+HEADROOM = 1.05  # ratio of the axis' maximum to the largest value
 
 
 @dataclass(frozen=True, slots=True)
 class PlottedQuantity:
-    """A quantity of dispatchers: its key in results, the plot's title, the plot's unit, the bound in the results'."""
+    """A quantity of dispatchers that is plotted.
+
+    `scale` converts from the unit of the results to that of the plot. `bound` is in the unit of the results.
+    """
 
     key: str
     title: str
@@ -32,9 +35,9 @@
 
 
 QUANTITIES = (
-    PlottedQuantity("cpu_cores", "Processor time of a dispatcher's control, share of a core", 1.0, 0.011),
-    PlottedQuantity("bytes_s", "Bytes a second both ways, KB", 1e-3, 7_000.0),
-    PlottedQuantity("memory_bytes", "Memory of a dispatcher's control, MB", 1e-6, 32e6),
+    PlottedQuantity("cpu_cores", "CPU time of a dispatcher's control traffic, fraction of a core", 1.0, 0.011),
+    PlottedQuantity("bytes_s", "Control traffic of a dispatcher in both directions, KB/s", 1e-3, 7_000.0),
+    PlottedQuantity("memory_bytes", "Memory for a dispatcher's control traffic, MB", 1e-6, 32e6),
 )
 
 
@@ -56,22 +59,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Axes:
-    """From 0 to the largest values, which stand at the frame's right and top."""
+    """The axes of a plot, from 0 to the largest values, which are at the right and top of the frame."""
 
     max_x: float
     max_y: float
 
     def x(self, value: float) -> str:
-        """The horizontal place of a value."""
+        """Returns the horizontal position of a value."""
         return f"{LEFT + (FRAME_RIGHT - LEFT) * value / self.max_x:.1f}"
 
     def y(self, value: float) -> str:
-        """The vertical place of a value."""
+        """Returns the vertical position of a value."""
         return f"{TOP + (FRAME_BOTTOM - TOP) * (1 - value / self.max_y):.1f}"
 
 
 def plot(curves: Sequence[Curve], x_title: str, bound: float | None = None) -> str:
-    """Lines with their points as SVG; `bound` is a dashed line. Empty: there are no points."""
+    """Returns curves with their points as SVG, or an empty string without points. `bound` is drawn as a dashed line."""
     points = [point for curve in curves for point in curve.points]
     if not points:
         return ""
@@ -118,7 +121,7 @@
 
 
 def _plots(results: dict[str, Any]) -> list[Plot]:
-    """Each quantity for each load exchange, and the choice. Those without points are left out."""
+    """Returns a plot of each quantity for each load exchange, and one of the choice. Empty plots are left out."""
     hollow = [p for p in results["points"] if p["kind"] == "hollow" and p["work"] == "drawn"]
     plots = []
     for way in sorted({p["way"] for p in hollow}):
@@ -129,12 +132,12 @@
     if results["choice"]:
         points = [(float(choice["replicas"]), float(choice["ms"])) for choice in results["choice"]]
         svg = plot([Curve("", points)], "replicas")
-        plots.append(Plot("The Router's two choices for one arrival, ms of a core", svg))
+        plots.append(Plot("CPU time of the Router's two choices for one request, ms", svg))
     return [made for made in plots if made.svg]
 
 
 def _curves(points: Sequence[Point], quantity: PlottedQuantity) -> list[Curve]:
-    """A quantity over the count of dispatchers, for each count of replicas."""
+    """Returns a quantity over the number of dispatchers, one curve for each number of replicas."""
     curves = []
     for replicas in sorted({point["replicas"] for point in points}):
         values = [
@@ -147,7 +150,7 @@
 
 
 def page(title: str, results: dict[str, Any]) -> str:
-    """The results' page as HTML."""
+    """Returns the page of the results as HTML."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab.scale", "."),
         autoescape=True,
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""A plan carried out: choice, checks, points, evenness and faults, one after the other, and the results."""
+"""Runs a plan: choice, checks, grid points, evenness and faults, one after the other. Collects the results."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from pearhill.lab.scale.planned_fleets import FleetSize, check_fleets, evenness_fleets, fault_fleet, grid_fleets
 
 RESOURCE_POLL_S = 1.0
-# The run stops itself after so many times what the plan should take, and so many seconds.
+# The run stops itself after `MAX_OVERRUN_FACTOR` times the plan's expected duration plus `MAX_OVERRUN_S`.
 MAX_OVERRUN_FACTOR = 4
 MAX_OVERRUN_S = 300.0
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
 class RunStoppedError(Exception):
-    """The run was ended before it was through; the text says why. `results`: those that there were until then."""
+    """The run was stopped before its end. The message is the reason; `results` are the results up to then."""
 
     def __init__(self, why: str) -> None:
         super().__init__(why)
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _CheckMeasurement:
-    """What a check has measured.
+    """The measurements of a check.
 
-    `loaded`: the point of the real dispatchers under load, if that is asked for. `bare_memory_bytes`, `bare_cpu_s`:
-    what a dispatcher without endpoint list and fleet holds, and takes in the window. `settled`: whether the fleet was
-    whole.
+    `loaded` is the point of the real dispatchers under load, if the check has one. `bare_memory_bytes` and `bare_cpu_s`
+    are the memory, and the CPU time in the window, of a dispatcher without endpoint list and fleet. `settled` is
+    whether all dispatchers had the complete endpoint list and counted the whole fleet.
     """
 
     fleet: FleetMeasurement
@@ -59,12 +59,12 @@
 
 
 class PlanRun:
-    """A run of one plan, and what it has found so far."""
+    """The run of one plan, with its results so far."""
 
     def __init__(self, plan: Plan, print_line: PrintLine) -> None:
         self._plan = plan
         self._print_line = print_line
-        self._fleet: RunningFleet | None = None  # the one that is up
+        self._fleet: RunningFleet | None = None  # the running fleet, if any
         self._points: list[Point] = []
         self._checks: list[Check] = []
         self._choice: list[dict[str, Any]] = []
@@ -76,7 +76,7 @@
         self._started = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
     async def run_all(self, folder: pathlib.Path) -> None:
-        """Run all parts of the plan, with the processes' files in `folder`."""
+        """Run all parts of the plan. The files of the processes are in `folder`."""
         plan = self._plan
         if plan.choice:
             await self._run_choice(folder)
@@ -97,28 +97,28 @@
             await self._or_not_run(size, self._run_faults(table, size, folder))
 
     async def _or_not_run(self, size: FleetSize, part: Coroutine[Any, Any, None]) -> None:
-        """Run a part. One that fails stands in the results as not run, and the plan goes on."""
+        """Run a part of the plan. If it fails, the results list it as not run, and the plan continues."""
         try:
             await part
         except ProcessFailedError as e:
             self.add_not_run(describe(size), e)
-            self._print_line(f"    not run to its end: {e}")
+            self._print_line(f"    this part failed: {e}")
         finally:
             self._fleet = None
 
     def add_not_run(self, what: str, why: Exception) -> None:
-        """Have the results say that a part was not run."""
+        """Add a part that was not run to the results, with the reason."""
         self._not_run.append({"what": what, "why": str(why)})
 
     def _new_fleet(self, size: FleetSize, folder: pathlib.Path, can_be_cut: bool = False) -> RunningFleet:
         return RunningFleet(size, self._plan.scale, folder, self._print_line, can_be_cut)
 
     async def _settle(self, fleet: RunningFleet) -> bool:
-        """Whether the fleet came to count itself right. If not, figures are of a fleet that is not whole."""
+        """Wait until the fleet has settled. Returns False if it has not: its figures are not valid then."""
         settled = await fleet.settle()
         if not settled:
             self._print_line(
-                "    not all dispatchers count them all, or have the whole list: what follows is not to be read"
+                "    some dispatchers have a wrong fleet count or an incomplete list: the next figures are invalid"
             )
         return settled
 
@@ -146,7 +146,7 @@
         hollow = measured.fleet.hollow
         real = measured.fleet.real
         assert real
-        # What a process takes without list and fleet is no control: its own memory, and its loop's idling.
+        # Memory and idle event loop of a process without endpoint list and fleet are not part of the control costs.
         real["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
         if measured.loaded:
             measured.loaded["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
@@ -218,9 +218,9 @@
             await faults.run(table.event, self._fleet, self._faults, self._print_line)
 
     async def watch_resources(self) -> None:
-        """Poll until cancelled. RunStoppedError: the processes take more than they may.
+        """Poll the resources until cancelled. Raises RunStoppedError if the processes exceed the limits.
 
-        Beyond the machine's memory, processes that are not the run's would be ended by the system.
+        If the machine ran out of memory, the system could kill processes that do not belong to the run.
         """
         allowed_bytes = MAX_MEMORY_SHARE * describe_machine()["memory_bytes"]
         while True:
@@ -236,7 +236,7 @@
                 )
 
     def results(self, name: str) -> dict[str, Any]:
-        """What was found so far, as it is written to the results' file. `name`: the plan's. To be called once."""
+        """Returns the results so far in the form of the results file. `name` is the plan's. It must be called once."""
         self._load_averages.append(_load_average())
         return {
             "version": pearhill.__version__,
@@ -257,12 +257,12 @@
 
 
 def _load_average() -> float:
-    """Of the last minute."""
+    """Returns the load average of the last minute."""
     return round(os.getloadavg()[0], 2)
 
 
 def git_commit() -> str:
-    """The short hash of the program that runs; empty outside a clone."""
+    """Returns the short hash of the running program's commit, or an empty string outside of a Git clone."""
     done = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
@@ -274,7 +274,7 @@
 
 
 def describe(size: FleetSize) -> str:
-    """A fleet, for lines that are printed."""
+    """Returns a description of a fleet for printed lines."""
     real = f" and {size.real} real" if size.real else ""
     aggregators = f", {size.aggregators} aggregators" if size.aggregators else ""
     dispatchers = f"{size.exchange}, {size.hollow} hollow{real} dispatchers"
@@ -282,17 +282,17 @@
 
 
 def summary_of(point: Point) -> str:
-    """A point's figures, for lines that are printed."""
+    """Returns a summary of a point's figures for printed lines."""
     dispatcher = point["dispatcher"]
     memory_bytes = dispatcher["memory_bytes"]
-    memory = f"{memory_bytes / 1e6:.2f} MB" if memory_bytes else "memory not told"
+    memory = f"{memory_bytes / 1e6:.2f} MB" if memory_bytes else "memory not measured"
     text = (
         f"{point['kind']}: {dispatcher['cpu_cores']:.2%} of a core, {dispatcher['bytes_in_s'] / 1e3:.2f} KB/s in, "
         f"{dispatcher['bytes_out_s'] / 1e3:.2f} out, {memory}"
     )
     age_ms = dispatcher["news_age_ms"]
     if age_ms:
-        text += f", news {age_ms['p50']:.0f} ms old, p99 {age_ms['p99']:.0f}"
+        text += f", age of load data {age_ms['p50']:.0f} ms, p99 {age_ms['p99']:.0f}"
     aggregator = point["aggregator"]
     if aggregator:
         megabytes = aggregator["memory_bytes"] / 1e6
@@ -301,21 +301,24 @@
 
 
 def bare_file(fleet: RunningFleet) -> str:
-    """An operator's file without endpoint list and fleet: its process takes what any does before any control."""
+    """Returns the configuration file of a dispatcher without endpoint list and fleet.
+
+    Its process uses the resources of any dispatcher before any control traffic.
+    """
     head = fleet.template[: fleet.template.index("\n[eureka]")].replace("admin_addr", "# admin_addr")
     server = '\n[[server]]\nuid = "one"\naddress = "127.0.0.1:9"\nkind = "writer"\n'
     return file_of(fleet.dispatchers[0], head) + server
 
 
 async def run(plan: Plan, name: str, print_line: PrintLine = lambda line: None) -> dict[str, Any]:
-    """Carry out a plan; the results, as they are written to a file.
+    """Run a plan and return its results in the form of the results file.
 
-    ConfigError: the plan is too large for this machine. RunStoppedError: it did not come through; its processes are
-    ended then, too.
+    Raises ConfigError if the plan is too large for this machine. Raises RunStoppedError if the run was stopped before
+    its end; its processes are ended in this case, too.
     """
     check_bounds(plan, describe_machine()["memory_bytes"])
     expected_s = expected_seconds(plan)
-    print_line(f"some {expected_s / 60:.0f} min, seed {plan.scale.seed}")
+    print_line(f"expected duration {expected_s / 60:.0f} min, seed {plan.scale.seed}")
     plan_run = PlanRun(plan, print_line)
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -329,7 +332,7 @@
 
 
 async def _run_guarded(plan_run: PlanRun, folder: pathlib.Path, timeout_s: float) -> None:
-    """The run, the watch over its resources, its time limit and the signals that end it: whichever comes first."""
+    """Run the plan until its end, a signal, the time limit or an excess of resources, whichever comes first."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in STOP_SIGNALS:
@@ -343,7 +346,7 @@
             return await work
         if watch in done:
             return await watch
-        raise RunStoppedError("ended by a signal" if stopped in done else f"not through after {timeout_s:.0f} s")
+        raise RunStoppedError("ended by a signal" if stopped in done else f"not finished after {timeout_s:.0f} s")
     finally:
         for number in STOP_SIGNALS:
             loop.remove_signal_handler(number)
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -1,4 +1,4 @@
-"""What a hollow dispatcher has in flight: gauges drawn anew, or requests that replicas answer by a clock alone."""
+"""Workloads of hollow dispatchers: randomly drawn gauges, or requests to replicas that a clock simulates."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from pearhill.routing.router import Router
 from pearhill.routing.topology import Role
 
-GAUGE_SETS = 24  # drawn ahead; each time one of them is taken, rotated by a drawn number of replicas
-PREFILL_S = 0.45  # a prefill's mean time at the size that is planned for, its wait included
-CLOCK_PREFILL_S = 0.15  # the same of a replica that answers by a clock, whatever its load
-STREAM_TOKENS = 2_400  # of a stream at its decode replica
-PROMPT_TOKENS = 2_000  # of a prompt at its prefill replica
+GAUGE_SETS = 24  # sets that are drawn in advance; each turn uses one of them, rotated by a random number of replicas
+PREFILL_S = 0.45  # mean time of a prefill, including its wait, at the planned size
+CLOCK_PREFILL_S = 0.15  # mean time of a prefill at a simulated replica, at any load
+STREAM_TOKENS = 2_400  # load of a stream at its decode replica
+PROMPT_TOKENS = 2_000  # load of a prompt at its prefill replica
 MIN_PROMPT_TOKENS = 64
 TOKEN_INTERVAL_S = 0.025
-ANSWER_TOKENS = 231  # 260 open streams at 45 requests a second
-LOAD_SPREAD = (0.6, 1.4)  # of a request's tokens, over their mean
+ANSWER_TOKENS = 231  # yields 260 open streams at 45 requests per second
+LOAD_SPREAD = (0.6, 1.4)  # range of the ratio of a request's tokens to the mean
 TIMEOUT_US = 8_000_000
 SESSIONS = 1 << 30
 PREFIXES = 512
 TENANTS = 760
-HEALTH_CHECK_US = 1_000  # until a replica that answers by a clock answers a health check
-REPLICA_LOAD = ReportedLoad(memory_used=0.5, queued_ktokens=1.0)  # of each replica, whatever it has to do
+HEALTH_CHECK_US = 1_000  # response time of a simulated replica to a health check
+REPLICA_LOAD = ReportedLoad(memory_used=0.5, queued_ktokens=1.0)  # reported by each simulated replica, at any load
 US_PER_S = 1e6
 
-# By set, by replica: tokens queued there, tokens in flight there.
+# Index: set, then replica; value: tokens queued and tokens in flight at the replica.
 GaugeSets = list[list[tuple[int, int]]]
 
 
 class RequestResult(StrEnum):
-    """What became of a request. The values stand in results."""
+    """The result of a request. The values are used in the results file."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -48,9 +48,9 @@
 
 
 class DrawnGauges:
-    """Gauges of one dispatcher at the size that is planned for.
+    """Gauges of one dispatcher at the planned size.
 
-    It has `streams` open streams at decode replicas and prefills `rate_per_s` prompts a second, in all.
+    In total, it has `streams` open streams at decode replicas and prefills `rate_per_s` prompts per second.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         return [[(load if is_prefill else 0, load) for load in gauges] for gauges in loads.tolist()]
 
     def apply(self, router: Router, rng: random.Random) -> None:
-        """Write a set into the Router's own record of its load, which gossip and load reports are made of."""
+        """Write a set into the Router's own load state, from which gossip messages and load reports are built."""
         self._set(router.ready[Role.DECODE], rng.choice(self._decode), rng)
         self._set(router.ready[Role.PREFILL], rng.choice(self._prefill), rng)
 
@@ -89,43 +89,44 @@
 
 
 class CountingClient:
-    """The client of a request at a hollow dispatcher: it reports the final result, and takes no answer."""
+    """The client of a request at a hollow dispatcher. It reports the final result and discards the response."""
 
     def __init__(self, on_result: Callable[[RequestResult], None]) -> None:
         self._on_result = on_result
 
     def reject(self, retry_after: int) -> None:
-        """Final: not executed."""
+        """Final result: the request was rejected without being executed."""
         self._on_result(RequestResult.REJECTED)
 
     def fail(self) -> None:
-        """Final: failed."""
+        """Final result: the request failed."""
         self._on_result(RequestResult.FAILED)
 
     def decline(self, replica_error: Any) -> None:
-        """Final: a replica found fault with the request; counted as failed."""
+        """Final result: a replica rejected the request as invalid, which counts as failed."""
         self._on_result(RequestResult.FAILED)
 
     async def forward(self, data: bytes) -> None:
-        """A piece of the answer, which is dropped."""
+        """Discard a part of the response."""
 
     def finish(self) -> None:
-        """Final: the answer is complete."""
+        """Final result: the response is complete."""
         self._on_result(RequestResult.SERVED)
 
     def abort(self) -> None:
-        """Final: the answer is truncated; counted as failed."""
+        """Final result: the response is truncated, which counts as failed."""
         self._on_result(RequestResult.FAILED)
 
     def has_disconnected(self) -> bool:
-        """It never does."""
+        """Returns False: a simulated client never disconnects."""
         return False
 
 
 class ClockBackend:
-    """A backend whose replicas answer by a clock, whatever their load. Nothing goes over a socket.
+    """A backend without sockets. Its simulated replicas respond after drawn times that do not depend on their load.
 
-    A prefill takes an exponential time. A decode starts after one token's time and ends after an exponential time.
+    A prefill takes an exponentially distributed time. The response of a decode starts after the interval of one token
+    and ends after an exponentially distributed time.
     """
 
     def __init__(self, dispatcher: Dispatcher, deadlines: Deadlines, rng: random.Random) -> None:
@@ -134,7 +135,7 @@
         self._rng = rng
 
     def send(self, attempt: Attempt) -> None:
-        """Answer the attempt in its time, if it may start."""
+        """Simulate the attempt, if it may start."""
         if not attempt.may_start():
             return
         kinds = self._dispatcher.deployment.router.kinds
@@ -152,7 +153,7 @@
 
     def _decode(self, attempt: Attempt) -> None:
         def start() -> None:
-            """Start the response, unless the attempt is over, and end it in its time."""
+            """Start the response, unless the attempt has ended, and schedule its end."""
             if attempt.start_response():
                 wait = self._exponential_us(ANSWER_TOKENS * TOKEN_INTERVAL_S)
                 self._deadlines.schedule_after(wait, lambda: attempt.end(Outcome.ANSWERED, PROMPT_TOKENS // 2))
@@ -163,15 +164,15 @@
         return int(self._rng.expovariate(1 / mean_s) * US_PER_S)
 
     def cancel(self, attempt: Attempt) -> bool:
-        """There is no connection to close."""
+        """Returns True. There is no connection to close."""
         return True
 
     def may_have_been_sent(self, attempt: Attempt) -> bool:
-        """An attempt starts as it is sent."""
+        """Returns True: an attempt starts when it is sent."""
         return True
 
     def check_health(self, replica: int) -> None:
-        """Every replica answers, with the same load."""
+        """Schedule a successful health check. Every replica reports the same load."""
         self._deadlines.schedule_after(
             HEALTH_CHECK_US, lambda: self._dispatcher.health_check_ended(replica, Outcome.ANSWERED, REPLICA_LOAD)
         )
@@ -184,7 +185,7 @@
 
 
 class PoissonArrivals:
-    """Requests at a hollow dispatcher as a Poisson process, and what became of them since it began."""
+    """Requests at a hollow dispatcher as a Poisson process, and their number by result since its start."""
 
     def __init__(self, dispatcher: Dispatcher, deadlines: Deadlines, rate_per_s: float, rng: random.Random) -> None:
         self._dispatcher = dispatcher
@@ -221,5 +222,5 @@
         self.results[result] += 1
 
     def stop(self) -> None:
-        """From now on no request arrives."""
+        """Stop the arrivals of requests."""
         self._stopped = True
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: impossible plans, bounds, forms told apart on made data, and a tiny run from end to end."""
+"""Tests of the scale run: invalid plans, resource limits, forms fitted to generated data, and tiny runs end to end."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
 
 
 def noisy_points(cost: Callable[[float, float], float], seed: int) -> list[fit.Point]:
-    """A grid of four by four, with 1% of noise."""
+    """Returns points on a grid of four by four, with 1% of noise."""
     rng = random.Random(seed)
     return [
         fit.Point(d, r, cost(d, r) * rng.uniform(0.99, 1.01)) for d in (10, 20, 40, 80) for r in (60, 235, 470, 940)
@@ -171,7 +171,7 @@
 class TestFits:
     @pytest.mark.parametrize("form", COSTS)
     def test_a_product_a_square_a_sum_and_what_does_not_grow_are_told_apart(self, form: str) -> None:
-        """On made data with 1% of noise; of ten draws one may look like another form."""
+        """The data is generated with 1% of noise. Noise may make one of ten draws look like another form."""
         cost = COSTS[form]
         found = [fit.fit(noisy_points(cost, seed), SIZE) for seed in range(10)]
         right = [one for one in found if one.form == form]
@@ -225,7 +225,8 @@
         assert client.apply(json.loads(registry.body(True, now + 3)))
         assert {name for _, name in client.instances} == {"w0", "w2", "w3", "w9"}
         registry.drop("w0", now + 4)
-        assert not client.apply(json.loads(registry.body(True, now + 90)))  # too old for its delta
+        # The change is older than the retention of deltas.
+        assert not client.apply(json.loads(registry.body(True, now + 90)))
 
 
 class TestFigures:
@@ -240,7 +241,7 @@
         read_at = [1000 * k for k in range(200)]
         whole = [(5500, 3), (5500, 5), (5500, 6), (5500, -1)]
         assert observe.mark_ages(read_at, whole, True) == [2500, 500]
-        # By way of aggregators a mark comes round again; the latest that can be meant is.
+        # With aggregators marks repeat, and a mark stands for the latest possible number.
         remainders = [(150_500, 149 % observe.MARK_CODES), (150_500, 140 % observe.MARK_CODES), (0, 0)]
         assert observe.mark_ages(read_at, remainders, False) == [1500, 10_500, 0]
 
@@ -291,7 +292,7 @@
     ) -> None:
         before = descendants_of(psutil.Process())
         lines: list[str] = []
-        # An aggregator counts nobody's work before an earlier lease of it is surely over.
+        # An aggregator does not count the load of dispatchers until any lease of its previous incarnation has expired.
         text = TINY.replace('"talk"', f'"{way}"\naggregators = 2').replace("warm_s = 1.0", f"warm_s = {warm_s}")
         results = asyncio.run(run.run(load_plan(tmp_path, text), "tiny", lines.append))
         (point,) = results["points"]
@@ -301,7 +302,7 @@
         dispatcher = point["dispatcher"]
         for quantity in ("cpu_cores", "bytes_in_s", "bytes_out_s", "messages_in_s", "messages_out_s"):
             assert dispatcher[quantity] > 0, quantity
-        # Either way each message has its answer; what two that gossip send one another comes in at the other.
+        # Each message has a reply in both modes. With gossip, the bytes that one dispatcher sends arrive at the other.
         assert abs(dispatcher["messages_in_s"] / dispatcher["messages_out_s"] - 1) <= 0.3
         if way == "talk":
             assert abs(dispatcher["bytes_in_s"] / dispatcher["bytes_out_s"] - 1) <= 0.3
