--- a/pearhill/lab/scale/analysis.py
+++ b/pearhill/lab/scale/analysis.py
@@ -25,7 +25,7 @@
 Slope = dict[str, Any]
 
 
-def figure_of(figures: Figures, quantity: str) -> float | None:
+def value_of(figures: Figures, quantity: str) -> float | None:
     """Returns the value of one quantity, or None if it was not measured. `bytes_s` is the sum of both directions."""
     if quantity == "bytes_s" and "bytes_s" not in figures:
         return float(figures["bytes_in_s"] + figures["bytes_out_s"])
@@ -45,62 +45,62 @@
         for quantity in COMPARED_QUANTITIES
     ]
     if alone:
-        what = f"hollow with a process each against real, {fleet}"
-        checks += [_check(what, quantity, real, alone, is_fitted=False) for quantity in COMPARED_QUANTITIES]
+        description = f"hollow with a process each against real, {fleet}"
+        checks += [_check(description, quantity, real, alone, is_fitted=False) for quantity in COMPARED_QUANTITIES]
     return [check for check in checks if check is not None]
 
 
-def _check(what: str, quantity: str, real: Point, hollow: Point, is_fitted: bool) -> Check | None:
+def _check(description: str, quantity: str, real: Point, hollow: Point, is_fitted: bool) -> Check | None:
     """Returns the comparison of one quantity, or None if it was not measured at both kinds of dispatcher."""
-    real_value = figure_of(real["dispatcher"], quantity)
-    hollow_value = figure_of(hollow["dispatcher"], quantity)
+    real_value = value_of(real["dispatcher"], quantity)
+    hollow_value = value_of(hollow["dispatcher"], quantity)
     if not real_value or not hollow_value:
         return None
     difference = hollow_value / real_value - 1
     is_within = abs(difference) <= COMPARISON_TOLERANCE
-    carried = 0.0 if is_within or not is_fitted else abs(real_value / hollow_value - 1)
+    carried_error = 0.0 if is_within or not is_fitted else abs(real_value / hollow_value - 1)
     return {
-        "what": what,
+        "what": description,
         "quantity": quantity,
         "real": real_value,
         "hollow": hollow_value,
         "difference": round(difference, 4),
         "within": is_within,
-        "carried_as_error": round(carried, 4),
+        "carried_as_error": round(carried_error, 4),
     }
 
 
 def slopes(points: Iterable[Point], checks: Sequence[Check], size: SizeTable) -> list[Slope]:
     """Fits each quantity of each role over the grid. Points that were measured on a busy machine are left out."""
     fitted = [p for p in points if p["kind"] == "hollow" and p["work"] == "drawn" and not p["busy"]]
-    found = []
-    for way in sorted({p["way"] for p in fitted}):
-        of_way = [p for p in fitted if p["way"] == way]
-        errors = _carried_errors(way, checks)
+    fits = []
+    for exchange in sorted({p["way"] for p in fitted}):
+        exchange_points = [p for p in fitted if p["way"] == exchange]
+        errors = _carried_errors(exchange, checks)
         for role, quantities in QUANTITIES.items():
             for quantity in quantities:
-                carried = errors.get(quantity, 0.0) if role == "dispatcher" else 0.0
-                slope = _slope(of_way, role, quantity, size, carried)
+                carried_error = errors.get(quantity, 0.0) if role == "dispatcher" else 0.0
+                slope = _slope(exchange_points, role, quantity, size, carried_error)
                 if slope is not None:
-                    found.append({"way": way, **slope})
-    return found
+                    fits.append({"way": exchange, **slope})
+    return fits
 
 
-def _carried_errors(way: str, checks: Sequence[Check]) -> dict[str, float]:
+def _carried_errors(exchange: str, checks: Sequence[Check]) -> dict[str, float]:
     """Returns the error of hollow dispatchers for each quantity, from the checks with this load exchange."""
-    what = f"hollow against real, {way},"
-    return {check["quantity"]: check["carried_as_error"] for check in checks if check["what"].startswith(what)}
+    description = f"hollow against real, {exchange},"
+    return {check["quantity"]: check["carried_as_error"] for check in checks if check["what"].startswith(description)}
 
 
-def _slope(points: Sequence[Point], role: str, quantity: str, size: SizeTable, carried: float) -> Slope | None:
+def _slope(points: Sequence[Point], role: str, quantity: str, size: SizeTable, carried_error: float) -> Slope | None:
     """Returns the fit of one quantity, or None if there are too few points or no form fits them."""
     rows = [
         fit.Point(point["dispatchers"], point["replicas"], value)
         for point in points
-        if point[role] and (value := figure_of(point[role], quantity)) is not None
+        if point[role] and (value := value_of(point[role], quantity)) is not None
     ]
-    found = fit.fit(rows, fit.Size(size.dispatchers, size.replicas), carried)
-    if found is None:
+    best_fit = fit.fit(rows, fit.Size(size.dispatchers, size.replicas), carried_error)
+    if best_fit is None:
         return None
     dispatchers = [row.dispatchers for row in rows]
     replicas = [row.replicas for row in rows]
@@ -108,18 +108,18 @@
     return {
         "role": role,
         "quantity": quantity,
-        "form": found.form,
-        "coefficients": found.coefficients,
-        "low": found.low,
-        "high": found.high,
+        "form": best_fit.form,
+        "coefficients": best_fit.coefficients,
+        "low": best_fit.low,
+        "high": best_fit.high,
         "fitted_over": {
             "dispatchers": [min(dispatchers), max(dispatchers)],
             "replicas": [min(replicas), max(replicas)],
         },
         "stretched": round(max(1.0, size.dispatchers / max(dispatchers), size.replicas / max(replicas)), 2),
-        "at_size": found.at_size,
+        "at_size": best_fit.at_size,
         "bound": bound,
-        "need_over_bound": round(found.at_size / bound, 4) if bound else None,
+        "need_over_bound": round(best_fit.at_size / bound, 4) if bound else None,
     }
 
 
--- a/pearhill/lab/scale/bounds.py
+++ b/pearhill/lab/scale/bounds.py
@@ -7,7 +7,7 @@
 from pearhill.lab.scale.planned_fleets import PlannedFleet, planned_fleets
 
 MAX_PROCESSES = 300
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
 # A plan that is expected to take longer is rejected. A run that hangs is stopped well before this time.
 MAX_PLAN_SECONDS = 3 * 3600
 # Estimated times in seconds.
@@ -27,22 +27,22 @@
 
 def _fleet_seconds(fleet: PlannedFleet, scale: ScaleTable) -> float:
     size = fleet.size
-    starting_s = max(scale.fetch_s, DISPATCHER_START_S * size.dispatchers / PARALLEL_STARTS)
-    return fleet.watched_s + FLEET_START_S + starting_s + size.real * DISPATCHER_START_S
+    start_s = max(scale.fetch_s, DISPATCHER_START_S * size.dispatchers / PARALLEL_STARTS)
+    return fleet.observed_s + FLEET_START_S + start_s + size.real * DISPATCHER_START_S
 
 
 def check_bounds(plan: Plan, memory_bytes: int) -> None:
     """Raises ConfigError if a fleet exceeds the limits of a machine with `memory_bytes`, or the plan takes too long."""
-    allowed_bytes = MAX_MEMORY_SHARE * memory_bytes
+    allowed_bytes = MAX_MEMORY_FRACTION * memory_bytes
     for fleet in planned_fleets(plan):
         size = fleet.size
         estimate = size.estimate(plan.scale.per_process)
-        what = f"{fleet.path}: found {size.dispatchers} dispatchers before {size.replicas} replicas"
+        description = f"{fleet.path}: found {size.dispatchers} dispatchers before {size.replicas} replicas"
         if estimate.processes > MAX_PROCESSES:
-            raise ConfigError(f"{what}, {estimate.processes} processes; allowed: {MAX_PROCESSES}")
+            raise ConfigError(f"{description}, {estimate.processes} processes; allowed: {MAX_PROCESSES}")
         if estimate.memory_bytes > allowed_bytes:
             raise ConfigError(
-                f"{what}, some {estimate.memory_bytes / 1e9:.1f} GB; allowed: {MAX_MEMORY_SHARE:.0%} of the "
+                f"{description}, some {estimate.memory_bytes / 1e9:.1f} GB; allowed: {MAX_MEMORY_FRACTION:.0%} of the "
                 f"machine's memory, {allowed_bytes / 1e9:.1f} GB"
             )
     seconds = expected_seconds(plan)
--- a/pearhill/lab/scale/child.py
+++ b/pearhill/lab/scale/child.py
@@ -19,11 +19,11 @@
 from pearhill.net.log import LogThread
 
 MAX_LINE_BYTES = 64 << 20
-ANSWER_TIMEOUT_S = 300.0
+REPLY_TIMEOUT_S = 300.0
 EXIT_TIMEOUT_S = 10.0
 
 # Executes one command, an object with the command's name under "order" and its arguments, and returns the reply.
-Handle = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
+CommandHandler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
 class ProcessFailedError(Exception):
@@ -37,7 +37,7 @@
         self.name = name
         self.log = log
         self.process = process
-        self._one_at_a_time = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
 
     @property
     def pid(self) -> int:
@@ -61,23 +61,23 @@
             )
         return cls(name, log, process)
 
-    async def call(self, order: str, **arguments: Any) -> dict[str, Any]:
+    async def call(self, command: str, **arguments: Any) -> dict[str, Any]:
         """Send a command and return its reply.
 
-        Raises ProcessFailedError if no reply arrives within `ANSWER_TIMEOUT_S` or if the reply reports an error.
+        Raises ProcessFailedError if no reply arrives within `REPLY_TIMEOUT_S` or if the reply reports an error.
         """
         assert self.process.stdin
         assert self.process.stdout
-        async with self._one_at_a_time:
+        async with self._call_lock:
             try:
-                self.process.stdin.write(json.dumps({"order": order, **arguments}).encode() + b"\n")
-                line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_TIMEOUT_S)
-                answer: dict[str, Any] = json.loads(line)
+                self.process.stdin.write(json.dumps({"order": command, **arguments}).encode() + b"\n")
+                line = await asyncio.wait_for(self.process.stdout.readline(), REPLY_TIMEOUT_S)
+                reply: dict[str, Any] = json.loads(line)
             except (OSError, ValueError, TimeoutError) as e:
-                raise ProcessFailedError(f"{self.name}: {order}: {last_line(self.log) or repr(e)}") from None
-        if "failed" in answer:
-            raise ProcessFailedError(f"{self.name}: {order}: {answer['failed']}")
-        return answer
+                raise ProcessFailedError(f"{self.name}: {command}: {last_line(self.log) or repr(e)}") from None
+        if "failed" in reply:
+            raise ProcessFailedError(f"{self.name}: {command}: {reply['failed']}")
+        return reply
 
     async def close(self) -> None:
         """End the process by closing its input, and send SIGKILL if it still runs after `EXIT_TIMEOUT_S`."""
@@ -97,20 +97,20 @@
     return next((line for line in reversed(lines) if line.strip()), "")
 
 
-async def _serve(new_handler: Callable[[], Handle]) -> None:
+async def _serve(new_handler: Callable[[], CommandHandler]) -> None:
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     handle = new_handler()
     while line := await reader.readline():
         try:
-            answer = await handle(json.loads(line))
+            reply = await handle(json.loads(line))
         except Exception as e:  # every error is sent as the reply, and the parent then reports the failure
-            answer = {"failed": f"{type(e).__name__}: {e}"}
-        sys.stdout.write(json.dumps(answer) + "\n")
+            reply = {"failed": f"{type(e).__name__}: {e}"}
+        sys.stdout.write(json.dumps(reply) + "\n")
         sys.stdout.flush()
 
 
-def run(new_handler: Callable[[], Handle]) -> None:
+def run(new_handler: Callable[[], CommandHandler]) -> None:
     """Run the child's side until its input ends. `new_handler` is called within the event loop."""
     log = LogThread(os.environ.get("PEARHILL_LOG", "INFO"))
     try:
--- a/pearhill/lab/scale/choice.py
+++ b/pearhill/lab/scale/choice.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from pearhill import settings
-from pearhill.lab.scale.child import Handle, run
-from pearhill.lab.scale.files import SETTINGS_TEMPLATE, ZONE_MARK
+from pearhill.lab.scale.child import CommandHandler, run
+from pearhill.lab.scale.files import SETTINGS_TEMPLATE, ZONE_PLACEHOLDER
 from pearhill.routing.actions import Action, SendAttempt
 from pearhill.routing.events import AttemptEnded, EndpointsUpdated, Event, RequestArrived, ResponseStarted
 from pearhill.routing.outcomes import Outcome
@@ -30,7 +30,7 @@
 ARRIVAL_INTERVAL_US = 22_000  # 45 requests a second
 WARM_UP_REQUESTS = 60
 REMEMBERED_REQUESTS = 1_500  # at most so many requests are measured for memory
-PREFILL_SHARE = 0.29  # of the replicas
+PREFILL_FRACTION = 0.29  # of the replicas
 ZONES = 6
 MIN_PROMPT_TOKENS = 2_500  # long enough for a prefill replica, so that each request has two choices
 MEAN_PROMPT_TOKENS = 4_000
@@ -41,15 +41,15 @@
 RESPONSE_STARTED_US = 70_000
 RESPONSE_ENDED_US = 80_000
 FIRST_TOKEN_ELAPSED_US = 10_000
-ANSWER_ELAPSED_US = 20_000
+RESPONSE_ELAPSED_US = 20_000
 
 
 def new_router(replicas: int, dispatchers: int, seed: int) -> Router:
     """Returns the Router of one of `dispatchers`, with `replicas` that have long been ready (none is warming up)."""
     zones = json.dumps([f"z{k}" for k in range(ZONES)])
-    text = SETTINGS_TEMPLATE.format(instances=dispatchers, zones=zones).replace(ZONE_MARK, "0")
+    text = SETTINGS_TEMPLATE.format(instances=dispatchers, zones=zones).replace(ZONE_PLACEHOLDER, "0")
     router = Router(settings.parse(tomllib.loads(text)["settings"]).router, seed)
-    prefill_replicas = max(2, round(replicas * PREFILL_SHARE))
+    prefill_replicas = max(2, round(replicas * PREFILL_FRACTION))
     endpoints = tuple(
         Endpoint(
             replica=k + 1,
@@ -73,7 +73,7 @@
     actions: Sequence[Action]
     cpu_s: float
 
-    def send(self) -> SendAttempt | None:
+    def first_attempt(self) -> SendAttempt | None:
         """Returns the first attempt among the actions, or None if there is none."""
         return next((action for action in self.actions if isinstance(action, SendAttempt)), None)
 
@@ -91,17 +91,17 @@
         """Run one request. Returns the CPU seconds of its two choices: at arrival, and at the end of the prefill."""
         self._now += ARRIVAL_INTERVAL_US
         self._request += 1
-        timed = self._timed(self._now, self._arrival())
-        cpu_s = timed.cpu_s
+        timed_actions = self._handle_timed(self._now, self._arrival())
+        cpu_s = timed_actions.cpu_s
         attempt = 0
-        send = timed.send()
-        if send and self._router.replicas[send.replica].role == Role.PREFILL:
-            timed = self._timed(self._now + PREFILL_ENDED_US, self._prefill_ended(send))
-            cpu_s += timed.cpu_s
+        sent_attempt = timed_actions.first_attempt()
+        if sent_attempt and self._router.replicas[sent_attempt.replica].role == Role.PREFILL:
+            timed_actions = self._handle_timed(self._now + PREFILL_ENDED_US, self._prefill_ended(sent_attempt))
+            cpu_s += timed_actions.cpu_s
             attempt = 1
-            send = timed.send()
-        if send:
-            self._answer(attempt, send.replica)
+            sent_attempt = timed_actions.first_attempt()
+        if sent_attempt:
+            self._end_response(attempt, sent_attempt.replica)
         return cpu_s
 
     def _arrival(self) -> RequestArrived:
@@ -122,18 +122,18 @@
             resumed=False,
         )
 
-    def _prefill_ended(self, send: SendAttempt) -> AttemptEnded:
-        return AttemptEnded(self._request, 0, send.replica, Outcome.PREFILLED, False, 0, PREFILL_ENDED_US, None)
+    def _prefill_ended(self, sent_attempt: SendAttempt) -> AttemptEnded:
+        return AttemptEnded(self._request, 0, sent_attempt.replica, Outcome.PREFILLED, False, 0, PREFILL_ENDED_US, None)
 
-    def _timed(self, now: int, event: Event) -> _TimedActions:
+    def _handle_timed(self, now: int, event: Event) -> _TimedActions:
         began = time.thread_time()
         actions = self._router.handle(now, event)
         return _TimedActions(actions, time.thread_time() - began)
 
-    def _answer(self, attempt: int, replica: int) -> None:
+    def _end_response(self, attempt: int, replica: int) -> None:
         started = ResponseStarted(self._request, attempt, replica, FIRST_TOKEN_ELAPSED_US)
         self._router.handle(self._now + RESPONSE_STARTED_US, started)
-        ended = AttemptEnded(self._request, attempt, replica, Outcome.ANSWERED, True, 0, ANSWER_ELAPSED_US, None)
+        ended = AttemptEnded(self._request, attempt, replica, Outcome.ANSWERED, True, 0, RESPONSE_ELAPSED_US, None)
         self._router.handle(self._now + RESPONSE_ENDED_US, ended)
 
 
@@ -151,21 +151,21 @@
     before = tracemalloc.get_traced_memory()[0]
     for _ in range(remembered):
         stream.run_one()
-    grown = tracemalloc.get_traced_memory()[0] - before
+    grown_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return {
         "replicas": replicas,
         "ms": round(statistics.median(times_s) * 1000, 4),
-        "remembered_bytes": round(grown / remembered),
+        "remembered_bytes": round(grown_bytes / remembered),
     }
 
 
-def new_handler() -> Handle:
+def new_handler() -> CommandHandler:
     """Returns the handler of this process's only command, "choice"."""
 
-    async def handle(order: dict[str, Any]) -> dict[str, Any]:
+    async def handle(command: dict[str, Any]) -> dict[str, Any]:
         """Measure the choice among the given number of replicas, over the given number of arrivals."""
-        return measure_choice(order["replicas"], order["arrivals"], order["instances"], order["seed"])
+        return measure_choice(command["replicas"], command["arrivals"], command["instances"], command["seed"])
 
     return handle
 
--- a/pearhill/lab/scale/daemon.py
+++ b/pearhill/lab/scale/daemon.py
@@ -26,7 +26,7 @@
 # The log lines that contain the addresses on which a process listens.
 _ADMIN_ADDRESS = re.compile(r"operators are heard on ([\d.]+:\d+)")
 _FRONT_ADDRESS = re.compile(r"front listens on ([\d.]+:\d+)")
-_TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
+_TRAFFIC_QUANTITIES = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
 
 class Daemon:
@@ -139,8 +139,8 @@
         if not count:
             return None
         seconds = self.after.at - self.before.at
-        both = zip(self.before.processes, self.after.processes, strict=True)
-        cpu_s = sum(after.cpu_s - before.cpu_s for before, after in both)
+        pairs = zip(self.before.processes, self.after.processes, strict=True)
+        cpu_s = sum(after.cpu_s - before.cpu_s for before, after in pairs)
         return {
             "cpu_cores": round(cpu_s / seconds / count, 6),
             **traffic_rates(self.after.totals - self.before.totals, seconds, count),
@@ -150,4 +150,4 @@
 
 def traffic_rates(totals: Counter[str], seconds: float, count: int) -> dict[str, float]:
     """Returns the mean bytes and messages per second of `count` processes or dispatchers, in the results' form."""
-    return {f"{quantity}_s": round(totals[quantity] / seconds / count, 2) for quantity in _TRAFFIC}
+    return {f"{quantity}_s": round(totals[quantity] / seconds / count, 2) for quantity in _TRAFFIC_QUANTITIES}
--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -21,7 +21,7 @@
 
 from pearhill.http1.messages import RequestMessage, answer
 from pearhill.http1.server import ServerConnection
-from pearhill.lab.scale.child import Handle, run
+from pearhill.lab.scale.child import CommandHandler, run
 from pearhill.lab.scale.files import LOOPBACK, REGISTRY_APP
 from pearhill.lab.scenario import ServerTable
 from pearhill.lab.servers import Model
@@ -33,13 +33,13 @@
 REGISTRY_BACKLOG = 2048
 REPLICA_BACKLOG = 1024
 CELLS = 997  # number of cells to which zones are hashed
-SIZES = {
+SERVER_TABLES = {
     "reader": ServerTable("reader", slots=64, queue=256, memory_tokens=400_000),
     "writer": ServerTable("writer", slots=128, queue=256, memory_tokens=400_000, write_tokens_per_s=40.0),
 }
 
 Row = dict[str, Any]  # an instance in Eureka's JSON
-Order = dict[str, Any]
+Command = dict[str, Any]
 
 
 class InstanceStatus(StrEnum):
@@ -49,7 +49,7 @@
     DRAINING = "OUT_OF_SERVICE"
 
 
-class Action(StrEnum):
+class ChangeAction(StrEnum):
     """The kind of a change in a delta, with Eureka's names."""
 
     ADDED = "ADDED"
@@ -60,14 +60,14 @@
 @dataclass(frozen=True, slots=True)
 class _Change:
     at: float
-    action: Action
+    action: ChangeAction
     row: Row
 
 
 @dataclass(frozen=True, slots=True)
 class _CachedBody:
     version: int
-    made_at: float
+    built_at: float
     body: bytes
 
 
@@ -96,23 +96,23 @@
         `now` is written to the row's metadata, so that the receiver of the row can compute the age of the change.
         """
         before = self.rows.get(instance)
-        up_ms = _wall_clock_ms() if started else _up_since_ms(before)
-        row = _row(instance, address, kind, zone, now, status, up_ms)
+        started_ms = _wall_clock_ms() if started else _started_ms(before)
+        row = _row(instance, address, kind, zone, now, status, started_ms)
         self.rows[instance] = row
-        self._add_change(now, Action.MODIFIED if before else Action.ADDED, row)
+        self._add_change(now, ChangeAction.MODIFIED if before else ChangeAction.ADDED, row)
 
-    def drop(self, instance: str, now: float) -> None:
+    def remove(self, instance: str, now: float) -> None:
         """Remove an instance."""
-        self._add_change(now, Action.DELETED, self.rows.pop(instance))
+        self._add_change(now, ChangeAction.DELETED, self.rows.pop(instance))
 
-    def _add_change(self, now: float, action: Action, row: Row) -> None:
+    def _add_change(self, now: float, action: ChangeAction, row: Row) -> None:
         self.version += 1
         self.changes.append(_Change(now, action, row))
 
     def body(self, is_delta: bool, now: float) -> bytes:
         """Returns the JSON body of the delta or of the full list, with the hash code over the full list."""
         cached = self._cached.get(is_delta)
-        if cached and cached.version == self.version and (not is_delta or now - cached.made_at < DELTA_CACHE_S):
+        if cached and cached.version == self.version and (not is_delta or now - cached.built_at < DELTA_CACHE_S):
             return cached.body
         self.changes = [change for change in self.changes if now - change.at <= self._retention_s]
         rows = self._delta_rows() if is_delta else list(self.rows.values())
@@ -139,11 +139,11 @@
     return int(time.time() * 1000)
 
 
-def _up_since_ms(row: Row | None) -> int:
+def _started_ms(row: Row | None) -> int:
     return int(row["leaseInfo"]["serviceUpTimestamp"]) if row else 0
 
 
-def _row(instance: str, address: str, kind: str, zone: str, now: float, status: InstanceStatus, up_ms: int) -> Row:
+def _row(instance: str, address: str, kind: str, zone: str, now: float, status: InstanceStatus, started_ms: int) -> Row:
     host, _, port = address.rpartition(":")
     return {
         "instanceId": instance,
@@ -156,7 +156,7 @@
         "securePort": {"$": 443, "@enabled": "false"},
         "countryId": 1,
         "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": up_ms},
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": started_ms},
         "metadata": {
             "kind": kind,
             "zone": zone,
@@ -190,11 +190,11 @@
         self._servers: dict[str, asyncio.Server] = {}
         self._kinds: dict[str, str] = {}
         self._zones: list[str] = []
-        self._replicas_made = 0
-        self._orders: dict[str, Callable[[Order], Awaitable[dict[str, Any]]]] = {
+        self._replicas_created = 0
+        self._commands: dict[str, Callable[[Command], Awaitable[dict[str, Any]]]] = {
             "open": self._open,
             "counts": self._report_counts,
-            "names": self._names,
+            "names": self._list_names,
             "replace": self._replace_some,
             "drain": self._drain_some,
             "die": self._kill_some,
@@ -202,20 +202,20 @@
             "turn": self._convert_some,
         }
 
-    async def handle(self, order: Order) -> dict[str, Any]:
+    async def handle(self, command: Command) -> dict[str, Any]:
         """Execute one command of the parent process. Raises ValueError if the command is unknown."""
-        name = order["order"]
-        if name not in self._orders:
+        name = command["order"]
+        if name not in self._commands:
             raise ValueError(f"unknown command {name!r}")
-        return await self._orders[name](order)
+        return await self._commands[name](command)
 
-    async def _open(self, order: Order) -> dict[str, Any]:
+    async def _open(self, command: Command) -> dict[str, Any]:
         """Start the registry's server and the replicas. The fraction `readers` of the replicas is for prefill."""
-        self._rng = random.Random(order["seed"])
-        self._zones = order["zones"]
+        self._rng = random.Random(command["seed"])
+        self._zones = command["zones"]
         server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=REGISTRY_BACKLOG)
-        replicas = order["replicas"]
-        prefill_replicas = round(replicas * order["readers"])
+        replicas = command["replicas"]
+        prefill_replicas = round(replicas * command["readers"])
         for k in range(replicas):
             # Kinds are spread evenly: each zone has as many replicas of each kind as any other.
             kind = "reader" if (k * prefill_replicas) % replicas < prefill_replicas else "writer"
@@ -224,7 +224,7 @@
         self._registry.changes.clear()  # the first replicas are not recent changes
         return {"address": _address_of(server)}
 
-    async def _report_counts(self, order: Order) -> dict[str, Any]:
+    async def _report_counts(self, command: Command) -> dict[str, Any]:
         return {
             "counts": dict(self._counts),
             "version": self._registry.version,
@@ -233,44 +233,46 @@
             "at": time.monotonic(),
         }
 
-    async def _names(self, order: Order) -> dict[str, Any]:
+    async def _list_names(self, command: Command) -> dict[str, Any]:
         return {"names": list(self._registry.rows)}
 
-    async def _replace_some(self, order: Order) -> dict[str, Any]:
-        return {"changed": [await self._replace(name) for name in self._drawn(order["count"])]}
+    async def _replace_some(self, command: Command) -> dict[str, Any]:
+        return {"changed": [await self._replace(name) for name in self._draw_names(command["count"])]}
 
-    async def _drain_some(self, order: Order) -> dict[str, Any]:
-        return {"changed": [self._drain(name) for name in self._drawn(order["count"])]}
+    async def _drain_some(self, command: Command) -> dict[str, Any]:
+        return {"changed": [self._drain(name) for name in self._draw_names(command["count"])]}
 
-    async def _kill_some(self, order: Order) -> dict[str, Any]:
+    async def _kill_some(self, command: Command) -> dict[str, Any]:
         """Kill all replicas of a zone, or a number of randomly drawn ones."""
-        zone = order.get("zone")
-        names = self._in_zone(zone) if zone else self._drawn(order["count"])
-        return {"changed": [await self._kill(name, order["listed_s"]) for name in names]}
+        zone = command.get("zone")
+        names = self._names_in_zone(zone) if zone else self._draw_names(command["count"])
+        return {"changed": [await self._kill(name, command["listed_s"]) for name in names]}
 
-    async def _add_some(self, order: Order) -> dict[str, Any]:
-        zones = order.get("zones") or self._zones
-        kind = order.get("kind") or "writer"
-        return {"changed": [await self._add(self._rng.choice(zones), kind) for _ in range(order["count"])]}
+    async def _add_some(self, command: Command) -> dict[str, Any]:
+        zones = command.get("zones") or self._zones
+        kind = command.get("kind") or "writer"
+        return {"changed": [await self._add(self._rng.choice(zones), kind) for _ in range(command["count"])]}
 
-    async def _convert_some(self, order: Order) -> dict[str, Any]:
+    async def _convert_some(self, command: Command) -> dict[str, Any]:
         """Replace randomly drawn replicas of other kinds by replicas of the given kind."""
-        kind = order["kind"]
-        others = [name for name, its in self._kinds.items() if its != kind and name in self._registry.rows]
-        drawn = self._rng.sample(others, min(order["count"], len(others)))
+        kind = command["kind"]
+        others = [
+            name for name, other_kind in self._kinds.items() if other_kind != kind and name in self._registry.rows
+        ]
+        drawn = self._rng.sample(others, min(command["count"], len(others)))
         return {"changed": [await self._replace(name, kind) for name in drawn]}
 
-    def _drawn(self, count: int) -> list[str]:
+    def _draw_names(self, count: int) -> list[str]:
         return self._rng.sample(list(self._registry.rows), min(count, len(self._registry.rows)))
 
-    def _in_zone(self, zone: str) -> list[str]:
+    def _names_in_zone(self, zone: str) -> list[str]:
         return [name for name, row in self._registry.rows.items() if row["metadata"]["zone"] == zone]
 
     async def _add(self, zone: str, kind: str, started: bool = True) -> str:
         """Start a replica and add it to the registry. Returns its name."""
-        self._replicas_made += 1
-        name = f"{kind}-{self._replicas_made}"
-        replica = Replica(SIZES[kind], self._replicas_made, time.monotonic())
+        self._replicas_created += 1
+        name = f"{kind}-{self._replicas_created}"
+        replica = Replica(SERVER_TABLES[kind], self._replicas_created, time.monotonic())
         server = await asyncio.start_server(replica.serve, LOOPBACK, 0, backlog=REPLICA_BACKLOG)
         self._servers[name] = server
         self._kinds[name] = kind
@@ -281,8 +283,8 @@
         """Start another replica in the same zone, with a new name and address, then stop this one. Returns its name."""
         zone = self._registry.rows[name]["metadata"]["zone"]
         await self._add(zone, kind or self._kinds[name])
-        self._end(name)
-        self._registry.drop(name, time.monotonic())
+        self._stop_server(name)
+        self._registry.remove(name, time.monotonic())
         return name
 
     def _drain(self, name: str) -> str:
@@ -301,15 +303,15 @@
 
     async def _kill(self, name: str, listed_s: float) -> str:
         """Stop a replica. It stays in the registry for `listed_s`, until its lease expires. Returns its name."""
-        self._end(name)
+        self._stop_server(name)
         asyncio.get_running_loop().call_later(listed_s, self._expire, name)
         return name
 
     def _expire(self, name: str) -> None:
         if name in self._registry.rows:
-            self._registry.drop(name, time.monotonic())
+            self._registry.remove(name, time.monotonic())
 
-    def _end(self, name: str) -> None:
+    def _stop_server(self, name: str) -> None:
         server = self._servers.pop(name, None)
         if server:
             server.close()
@@ -350,7 +352,7 @@
     return f"{host}:{port}"
 
 
-def new_handler() -> Handle:
+def new_handler() -> CommandHandler:
     """Returns the handler of all commands. It must be called within the event loop."""
     return Discovery().handle
 
--- a/pearhill/lab/scale/fault_watch.py
+++ b/pearhill/lab/scale/fault_watch.py
@@ -3,8 +3,8 @@
 Once per `SAMPLE_INTERVAL_S` every hollow dispatcher reports how many dispatchers it counts, and some report their
 estimates of the tokens at randomly drawn replicas. A count is right if it equals the number of running dispatchers
 (during a network partition: the number of all dispatchers). Estimates are right if their ratio to the true total is
-within `SUMS_TOLERANCE` of the ratio before the fault. The ratio before the fault is not 1, as a digest never contains
-all load.
+within `ESTIMATE_TOLERANCE` of the ratio before the fault. The ratio before the fault is not 1, as a digest never
+contains all load.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 SAMPLE_INTERVAL_S = 0.5
 OBSERVED_PAIRS = 12_000  # approximate number of (dispatcher, replica) pairs whose estimates are compared
 MIN_OBSERVED_REPLICAS = 40
-SUMS_TOLERANCE = 0.15
+ESTIMATE_TOLERANCE = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSample:
     """The state of a fleet at one moment.
 
-    `at` is in seconds since the watch began. `counting_right` is the fraction of dispatchers whose count is right.
-    `sums` is the mean estimate divided by the true total. `bytes_s` is the mean rate of a dispatcher, both directions
-    together. `late_ms` is the longest delay of a tick since the last sample. `list_complete` is the fraction of
-    dispatchers that have the complete endpoint list.
+    `at` is in seconds since the watch began. `right_count_fraction` is the fraction of dispatchers whose count is
+    right. `estimate_ratio` is the mean estimate divided by the true total. `bytes_s` is the mean rate of a dispatcher,
+    both directions together. `max_tick_delay_ms` is the longest delay of a tick since the last sample. `list_complete`
+    is the fraction of dispatchers that have the complete endpoint list.
     """
 
     at: float
     dispatchers: int
-    counting_right: float
-    sums: float
+    right_count_fraction: float
+    estimate_ratio: float
     bytes_s: float
-    late_ms: float
+    max_tick_delay_ms: float
     list_complete: float
 
 
@@ -65,8 +65,8 @@
         assert self._fleet.discovery
         names = (await self._fleet.discovery.call("names"))["names"]
         decode_replicas = [name for name in names if name.startswith("writer")]
-        wanted = max(MIN_OBSERVED_REPLICAS, OBSERVED_PAIRS // self._fleet.size.dispatchers)
-        self._replicas = rng.sample(decode_replicas, min(len(decode_replicas), wanted))
+        replica_count = max(MIN_OBSERVED_REPLICAS, OBSERVED_PAIRS // self._fleet.size.dispatchers)
+        self._replicas = rng.sample(decode_replicas, min(len(decode_replicas), replica_count))
 
     async def sample_until(self, at: float) -> None:
         """Sample until `at` seconds after the watch began."""
@@ -78,23 +78,24 @@
         hosts = await self._fleet.call_hosts("look", engines=self._replicas)
         now = time.monotonic()
         counts = [count for host in hosts for count in host["counts"]]
-        up = len(counts)
-        bytes_s = self._bytes_per_second(hosts, now, up)
+        running = len(counts)
+        bytes_s = self._bytes_per_second(hosts, now, running)
         rows = (await self._fleet.discovery.call("counts"))["rows"] if self._fleet.discovery else 0
         listed = [entries for host in hosts for entries in host["listed"]]
         self.samples.append(
             FleetSample(
                 at=now - self._began,
-                dispatchers=up,
-                counting_right=sum(count == (self.expected_count or up) for count in counts) / max(1, up),
-                sums=_sums_over_true_total(hosts),
+                dispatchers=running,
+                right_count_fraction=sum(count == (self.expected_count or running) for count in counts)
+                / max(1, running),
+                estimate_ratio=_estimates_over_true_total(hosts),
                 bytes_s=bytes_s,
-                late_ms=max(host["late_us"] for host in hosts) / 1000,
-                list_complete=sum(entries == rows for entries in listed) / max(1, up),
+                max_tick_delay_ms=max(host["late_us"] for host in hosts) / 1000,
+                list_complete=sum(entries == rows for entries in listed) / max(1, running),
             )
         )
 
-    def _bytes_per_second(self, hosts: list[HostReport], now: float, up: int) -> float:
+    def _bytes_per_second(self, hosts: list[HostReport], now: float, running: int) -> float:
         """Returns the mean bytes per second of a dispatcher since the last sample, or 0 at the first sample."""
         total: int = sum(host["totals"].get(quantity, 0) for host in hosts for quantity in ("bytes_in", "bytes_out"))
         last = self._last_bytes
@@ -103,10 +104,10 @@
             return 0.0
         last_at, last_total = last
         # The total can decrease: the counters of a stopped dispatcher are no longer part of it.
-        return max(0.0, (total - last_total) / (now - last_at) / max(1, up))
+        return max(0.0, (total - last_total) / (now - last_at) / max(1, running))
 
 
-def _sums_over_true_total(hosts: list[HostReport]) -> float:
+def _estimates_over_true_total(hosts: list[HostReport]) -> float:
     """Returns the mean estimate divided by the total in flight of all dispatchers, or 1 if there is no data."""
     true_total: float = sum(host["own"] for host in hosts)
     estimates: list[float] = [estimate for host in hosts for estimate in host["seen"]]
@@ -116,39 +117,39 @@
 def longest_wrong_s(samples: list[FleetSample], is_wrong: Callable[[FleetSample], bool]) -> float:
     """Returns the duration in seconds of the longest sequence of wrong samples."""
     longest = 0.0
-    since: float | None = None
+    wrong_since: float | None = None
     for sample in samples:
         if not is_wrong(sample):
-            since = None
+            wrong_since = None
             continue
-        if since is None:
-            since = sample.at
-        longest = max(longest, sample.at - since + SAMPLE_INTERVAL_S)
+        if wrong_since is None:
+            wrong_since = sample.at
+        longest = max(longest, sample.at - wrong_since + SAMPLE_INTERVAL_S)
     return round(longest, 2)
 
 
 def fault_figures(before: list[FleetSample], during: list[FleetSample]) -> dict[str, Any]:
     """Returns the effects of a fault in the form of the results file. `before` are samples of the undisturbed fleet."""
-    usual_sums = statistics.median(sample.sums for sample in before) if before else 1.0
+    baseline_ratio = statistics.median(sample.estimate_ratio for sample in before) if before else 1.0
 
-    def relative_sums(sample: FleetSample) -> float:
+    def relative_ratio(sample: FleetSample) -> float:
         """Returns the sample's estimates relative to those of the undisturbed fleet."""
-        return sample.sums / usual_sums if usual_sums else 1.0
+        return sample.estimate_ratio / baseline_ratio if baseline_ratio else 1.0
 
-    def sums_wrong(sample: FleetSample) -> bool:
-        """Returns whether the estimates differ from the undisturbed ones by more than `SUMS_TOLERANCE`."""
-        return abs(relative_sums(sample) - 1) > SUMS_TOLERANCE
+    def estimates_wrong(sample: FleetSample) -> bool:
+        """Returns whether the estimates differ from the undisturbed ones by more than `ESTIMATE_TOLERANCE`."""
+        return abs(relative_ratio(sample) - 1) > ESTIMATE_TOLERANCE
 
     return {
-        "count_wrong_s": longest_wrong_s(during, lambda sample: sample.counting_right < 1.0),
-        "sums_wrong_s": longest_wrong_s(during, sums_wrong),
+        "count_wrong_s": longest_wrong_s(during, lambda sample: sample.right_count_fraction < 1.0),
+        "sums_wrong_s": longest_wrong_s(during, estimates_wrong),
         "list_wrong_s": longest_wrong_s(during, lambda sample: sample.list_complete < 1.0),
-        "right_at_the_end": during[-1].counting_right == 1.0 and not sums_wrong(during[-1]),
-        "least_share_right": round(min(sample.counting_right for sample in during), 4),
-        "sums_least": round(min(map(relative_sums, during)), 3),
-        "sums_most": round(max(map(relative_sums, during)), 3),
-        "worst_beat_ms": round(max(sample.late_ms for sample in during), 1),
-        "worst_beat_before_ms": round(max((sample.late_ms for sample in before), default=0.0), 1),
+        "right_at_the_end": during[-1].right_count_fraction == 1.0 and not estimates_wrong(during[-1]),
+        "least_share_right": round(min(sample.right_count_fraction for sample in during), 4),
+        "sums_least": round(min(map(relative_ratio, during)), 3),
+        "sums_most": round(max(map(relative_ratio, during)), 3),
+        "worst_beat_ms": round(max(sample.max_tick_delay_ms for sample in during), 1),
+        "worst_beat_before_ms": round(max((sample.max_tick_delay_ms for sample in before), default=0.0), 1),
         "bytes_peak_s": round(max(sample.bytes_s for sample in during), 1),
         "bytes_before_s": round(statistics.median([sample.bytes_s for sample in before] or [0.0]), 1),
     }
--- a/pearhill/lab/scale/faults.py
+++ b/pearhill/lab/scale/faults.py
@@ -16,12 +16,12 @@
 from pearhill.lab.scale.plan import AGGREGATORS_LOST, FaultEventTable, FaultKind
 
 SAMPLES_BEFORE = 8  # samples of the undisturbed fleet before each fault
-RACK_SHARE = 60  # one rack holds one in so many dispatchers and replicas
+RACKS = 60  # one rack holds one in so many dispatchers and replicas
 DAY_S = 86_400
 # Events per ordinary day.
-REPLACED_A_DAY = 470
-DEAD_A_DAY = 12
-SETTINGS_A_DAY = 650
+REPLACEMENTS_PER_DAY = 470
+FAILURES_PER_DAY = 12
+SETTINGS_CHANGES_PER_DAY = 650
 LEASE_S = 90.0  # after which the registry drops a replica that sends no heartbeats
 MAX_OUT_IN_FILE = 800  # the value of `max_out` in the template, which a change of settings replaces
 
@@ -78,32 +78,32 @@
 
     event: FaultEventTable
     began: float
-    ends: float
+    ends_at: float
     clock: Callable[[], float]
 
     async def sleep_until(self, at: float) -> None:
         """Sleep until `at` of the clock. Returns at once if that time has passed."""
         await asyncio.sleep(max(0.0, at - self.clock()))
 
-    async def sleep_until_part(self, part: float) -> None:
+    async def sleep_until_fraction(self, fraction: float) -> None:
         """Sleep until a fraction (0 to 1) of the fault's duration has passed."""
-        await self.sleep_until(self.began + self.event.for_s * part)
+        await self.sleep_until(self.began + self.event.for_s * fraction)
 
-    def ordinary(self, per_day: float) -> float:
+    def expected_events(self, per_day: float) -> float:
         """Returns the number of events within the fault, for events that occur `per_day` times in an ordinary day."""
         return per_day * self.event.factor / DAY_S * self.event.for_s
 
 
-class FaultPlayer:
+class FaultInjector:
     """Injects a fault into a fleet, and reverts it at its end."""
 
     def __init__(self, fleet: RunningFleet) -> None:
         self.rng = random.Random(fleet.scale.seed)
         self._fleet = fleet
         self._host_of: dict[str, int] = {}  # key: dispatcher name; value: index of its process
-        self._down: set[str] = set()
+        self._stopped: set[str] = set()
         self._revision = 0
-        self._plays: dict[FaultKind, Callable[[FaultWindow], Awaitable[Figures]]] = {
+        self._injections: dict[FaultKind, Callable[[FaultWindow], Awaitable[Figures]]] = {
             FaultKind.CHURN: self._churn,
             FaultKind.RACK: self._lose_rack,
             FaultKind.ZONE: self._lose_zone,
@@ -119,9 +119,9 @@
         for k, host in enumerate(await self._fleet.call_hosts("look", engines=[])):
             self._host_of.update(dict.fromkeys(host["names"], k))
 
-    async def play(self, window: FaultWindow) -> Figures:
+    async def inject(self, window: FaultWindow) -> Figures:
         """Inject a fault, revert it at its end, and return the figures that only this kind of fault has."""
-        return await self._plays[window.event.fault](window)
+        return await self._injections[window.event.fault](window)
 
     async def _stop(self, names: list[str], gracefully: bool) -> None:
         """Stop the named dispatchers in their processes."""
@@ -133,7 +133,7 @@
                 await self._fleet.hosts[k].call("stop", names=in_host, gracefully=gracefully)
 
         await asyncio.gather(*map(stop_in, range(len(self._fleet.hosts))))
-        self._down |= set(names)
+        self._stopped |= set(names)
 
     async def _start(self, names: list[str]) -> None:
         """Start stopped dispatchers again, in the processes in which they ran before."""
@@ -145,54 +145,56 @@
                 await self._fleet.hosts[k].call("start", places=[asdict(spec) for spec in specs])
 
         await asyncio.gather(*map(start_in, range(len(self._fleet.hosts))))
-        self._down -= set(names)
+        self._stopped -= set(names)
 
-    async def _call_discovery(self, order: str, **arguments: Any) -> dict[str, Any]:
+    async def _call_discovery(self, command: str, **arguments: Any) -> dict[str, Any]:
         assert self._fleet.discovery
-        return await self._fleet.discovery.call(order, **arguments)
+        return await self._fleet.discovery.call(command, **arguments)
 
     async def _churn(self, window: FaultWindow) -> Figures:
         """Replace and kill dispatchers and replicas, drawn in proportion to their numbers.
 
         A replaced machine is available again at once, a dead one at the end of the fault.
         """
-        done = {"replicas_replaced": 0, "dispatchers_replaced": 0, "replicas_dead": 0, "dispatchers_dead": 0}
+        counts = {"replicas_replaced": 0, "dispatchers_replaced": 0, "replicas_dead": 0, "dispatchers_dead": 0}
         dead: list[str] = []
         size = self._fleet.size
-        dispatcher_share = size.dispatchers / (size.dispatchers + size.replicas)
-        for at, comes_back in self._churn_moments(window):
-            await window.sleep_until(min(at, window.ends))
-            is_dispatcher = self.rng.random() < dispatcher_share
+        dispatcher_fraction = size.dispatchers / (size.dispatchers + size.replicas)
+        for at, is_replaced in self._churn_moments(window):
+            await window.sleep_until(min(at, window.ends_at))
+            is_dispatcher = self.rng.random() < dispatcher_fraction
             machines = "dispatchers" if is_dispatcher else "replicas"
-            done[f"{machines}_{'replaced' if comes_back else 'dead'}"] += 1
+            counts[f"{machines}_{'replaced' if is_replaced else 'dead'}"] += 1
             if not is_dispatcher:
-                order = "replace" if comes_back else "die"
-                await self._call_discovery(order, count=1, listed_s=LEASE_S / window.event.factor)
+                command = "replace" if is_replaced else "die"
+                await self._call_discovery(command, count=1, listed_s=LEASE_S / window.event.factor)
                 continue
-            name = self.rng.choice([spec.name for spec in self._fleet.dispatchers if spec.name not in self._down])
-            await self._stop([name], gracefully=comes_back)
-            if comes_back:
+            name = self.rng.choice([spec.name for spec in self._fleet.dispatchers if spec.name not in self._stopped])
+            await self._stop([name], gracefully=is_replaced)
+            if is_replaced:
                 await self._start([name])
             else:
                 dead.append(name)
-        await window.sleep_until(window.ends)
+        await window.sleep_until(window.ends_at)
         await self._start(dead)
-        if done["replicas_dead"]:
-            await self._call_discovery("add", count=done["replicas_dead"])
-        return done
+        if counts["replicas_dead"]:
+            await self._call_discovery("add", count=counts["replicas_dead"])
+        return counts
 
     def _churn_moments(self, window: FaultWindow) -> list[tuple[float, bool]]:
         """Returns when each machine stops, and whether it is replaced at once."""
-        replaced = round(window.ordinary(REPLACED_A_DAY))
-        dead = max(1, round(window.ordinary(DEAD_A_DAY)))
-        came_back = [True] * replaced + [False] * dead
-        return sorted((window.began + window.event.for_s * self.rng.random(), back) for back in came_back)
+        replaced = round(window.expected_events(REPLACEMENTS_PER_DAY))
+        dead = max(1, round(window.expected_events(FAILURES_PER_DAY)))
+        replacements = [True] * replaced + [False] * dead
+        return sorted(
+            (window.began + window.event.for_s * self.rng.random(), is_replaced) for is_replaced in replacements
+        )
 
     async def _lose_rack(self, window: FaultWindow) -> Figures:
         size = self._fleet.size
         names = [spec.name for spec in self._fleet.dispatchers]
-        lost = self.rng.sample(names, max(1, size.dispatchers // RACK_SHARE))
-        return await self._lose_machines(window, lost, count=max(1, size.replicas // RACK_SHARE))
+        lost = self.rng.sample(names, max(1, size.dispatchers // RACKS))
+        return await self._lose_machines(window, lost, count=max(1, size.replicas // RACKS))
 
     async def _lose_zone(self, window: FaultWindow) -> Figures:
         lost = [spec.name for spec in self._fleet.dispatchers if spec.zone == 0]
@@ -206,7 +208,7 @@
         lease_s = min(LEASE_S, window.event.for_s / 2)
         await self._stop(dispatchers, gracefully=False)
         dead = (await self._call_discovery("die", listed_s=lease_s, **replicas))["changed"]
-        await window.sleep_until(window.ends)
+        await window.sleep_until(window.ends_at)
         await self._start(dispatchers)
         zones = [replicas["zone"]] if "zone" in replicas else None
         for kind in ("reader", "writer"):
@@ -226,7 +228,7 @@
                 [name for k, name in enumerate(names) if k % regions == 0],
                 [name for k, name in enumerate(names) if k % regions != 0],
             )
-        await window.sleep_until(window.ends)
+        await window.sleep_until(window.ends_at)
         await fleet.call_hosts("cut", far=[[] for _ in range(regions)])
         if fleet.relay:
             fleet.relay.cut()
@@ -238,10 +240,10 @@
         outside: list[tuple[str, int]] = []
         for spec in self._fleet.dispatchers:
             side = inside if spec.region == 0 else outside
-            side.append(_parsed(spec.listen))
+            side.append(_parse_address(spec.listen))
         for k, address in enumerate(self._fleet.aggregator_addresses.values()):
             side = inside if k % self._fleet.scale.regions == 0 else outside
-            side.append(_parsed(address))
+            side.append(_parse_address(address))
         return inside, outside
 
     async def _lose_aggregators(self, window: FaultWindow) -> Figures:
@@ -249,7 +251,7 @@
         lost = self._fleet.aggregators[:count]
         for aggregator in lost:
             aggregator.kill()
-        await window.sleep_until(window.ends)
+        await window.sleep_until(window.ends_at)
         await asyncio.gather(*(aggregator.start(AGGREGATOR_READY) for aggregator in lost))
         return {}
 
@@ -259,44 +261,44 @@
         steps = max(1, min(count, int(window.event.for_s)))
         converted = 0
         for k in range(steps):
-            await window.sleep_until_part(k / steps)
+            await window.sleep_until_fraction(k / steps)
             missing = count * (k + 1) // steps - converted
             converted += len((await self._call_discovery("turn", count=missing, kind="reader"))["changed"])
-        await window.sleep_until(window.ends)
+        await window.sleep_until(window.ends_at)
         return {"turned": converted}
 
     async def _change_settings(self, window: FaultWindow) -> Figures:
         """Change all dispatchers' settings at `factor` times the usual rate, then `burst` times without a pause."""
         burst = window.event.burst
-        count = max(1, round(window.ordinary(SETTINGS_A_DAY)))
+        count = max(1, round(window.expected_events(SETTINGS_CHANGES_PER_DAY)))
         reload_cpu_s: list[float] = []
-        handed_s: list[float] = []
+        distribution_s: list[float] = []
         for k in range(count + burst):
             if k < count:
-                await window.sleep_until_part(k / count)
+                await window.sleep_until_fraction(k / count)
             began = time.monotonic()
-            for host in await self._fleet.call_hosts("reload", text=self._changed_file()):
+            for host in await self._fleet.call_hosts("reload", text=self._changed_template()):
                 reload_cpu_s += host["seconds"]
-            handed_s.append(time.monotonic() - began)
-        await window.sleep_until(window.ends)
+            distribution_s.append(time.monotonic() - began)
+        await window.sleep_until(window.ends_at)
         mean_cpu_s = statistics.mean(reload_cpu_s)
         return {
             "changes": count,
             "burst": burst,
             "reload_cpu_ms": round(mean_cpu_s * 1000, 2),
             "reload_cpu_ms_worst": round(max(reload_cpu_s) * 1000, 2),
-            "handed_by_the_run_to_all_s": round(max(handed_s), 2),
-            "cpu_cores_at_650_a_day": round(mean_cpu_s * SETTINGS_A_DAY / DAY_S, 8),
+            "handed_by_the_run_to_all_s": round(max(distribution_s), 2),
+            "cpu_cores_at_650_a_day": round(mean_cpu_s * SETTINGS_CHANGES_PER_DAY / DAY_S, 8),
         }
 
-    def _changed_file(self) -> str:
+    def _changed_template(self) -> str:
         """Returns the template of the dispatchers' files with a value of `max_out` that was not used before."""
         self._revision += 1
         value = MAX_OUT_IN_FILE + 1 + self._revision
         return self._fleet.template.replace(f"max_out = {MAX_OUT_IN_FILE}", f"max_out = {value}", 1)
 
 
-def _parsed(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -313,11 +315,11 @@
     events: list[FaultEventTable], fleet: RunningFleet, results: list[dict[str, Any]], print_line: PrintLine
 ) -> None:
     """Inject every fault in turn into a settled fleet. The result of each is added to `results` at its end."""
-    player = FaultPlayer(fleet)
-    await player.find_hosts()
+    injector = FaultInjector(fleet)
+    await injector.find_hosts()
     watch = FleetWatch(fleet)
     for event in events:
-        result = await _run_one(event, fleet, player, watch, print_line)
+        result = await _run_fault(event, fleet, injector, watch, print_line)
         results.append(result)
         worst_beat_ms = result["figures"]["worst_beat_ms"]
         print_line(
@@ -325,14 +327,14 @@
         )
 
 
-async def _run_one(
-    event: FaultEventTable, fleet: RunningFleet, player: FaultPlayer, watch: FleetWatch, print_line: PrintLine
+async def _run_fault(
+    event: FaultEventTable, fleet: RunningFleet, injector: FaultInjector, watch: FleetWatch, print_line: PrintLine
 ) -> dict[str, Any]:
     """Sample the undisturbed fleet, inject one fault, and sample until the fleet should have recovered.
 
     Returns the fault's entry of the results file.
     """
-    await watch.draw_replicas(player.rng)
+    await watch.draw_replicas(injector.rng)
     await watch.sample_until(max(event.from_s, watch.elapsed() + SAMPLES_BEFORE * SAMPLE_INTERVAL_S))
     before = watch.samples[-SAMPLES_BEFORE:]
     first = len(watch.samples)
@@ -341,18 +343,18 @@
     print_line(f"  {began:6.1f} s: {event.kind} for {event.for_s:.0f} s")
     # During a network partition, dispatchers on the other side are still counted.
     watch.expected_count = fleet.size.dispatchers if event.fault is FaultKind.REGION_CUT else None
-    playing = asyncio.create_task(player.play(window))
+    injection = asyncio.create_task(injector.inject(window))
     try:
-        await watch.sample_until(window.ends)
-        own_figures = await playing
+        await watch.sample_until(window.ends_at)
+        specific_figures = await injection
     finally:
-        playing.cancel()
-    await watch.sample_until(window.ends + event.settle_s)
+        injection.cancel()
+    await watch.sample_until(window.ends_at + event.settle_s)
     watch.expected_count = None
-    return _result(event, fleet, fault_figures(before, watch.samples[first:]), own_figures)
+    return _result(event, fleet, fault_figures(before, watch.samples[first:]), specific_figures)
 
 
-def _result(event: FaultEventTable, fleet: RunningFleet, figures: Figures, own_figures: Figures) -> dict[str, Any]:
+def _result(event: FaultEventTable, fleet: RunningFleet, figures: Figures, specific_figures: Figures) -> dict[str, Any]:
     description = DESCRIPTIONS[event.fault]
     return {
         "kind": event.kind,
@@ -362,7 +364,7 @@
         "carried_by": description.carried_by,
         "figures": {
             **figures,
-            **own_figures,
+            **specific_figures,
             "lasted_s": event.for_s,
             "way": fleet.size.exchange.value,
             "dispatchers": fleet.size.dispatchers,
--- a/pearhill/lab/scale/files.py
+++ b/pearhill/lab/scale/files.py
@@ -15,11 +15,11 @@
 REGISTRY_APP = "REPLICAS"  # the registry application under which replicas are listed
 MODEL_NAMES = ("small", "large", "code", "long")
 # Placeholders in the template, which are replaced by the values of each dispatcher.
-NAME_MARK = "@name@"
-LISTEN_MARK = "@listen@"
-SEED_MARK = "@seed@"
-ZONE_MARK = "@zone@"
-REGION_MARK = "@region@"
+NAME_PLACEHOLDER = "@name@"
+LISTEN_PLACEHOLDER = "@listen@"
+SEED_PLACEHOLDER = "@seed@"
+ZONE_PLACEHOLDER = "@zone@"
+REGION_PLACEHOLDER = "@region@"
 
 SETTINGS_TEMPLATE = """
 [settings]
@@ -78,13 +78,13 @@
     sockets: list[socket.socket] = []
     try:
         for _ in range(count):
-            bound = socket.socket(type=socket.SOCK_DGRAM)
-            sockets.append(bound)
-            bound.bind((LOOPBACK, 0))
-        return [int(bound.getsockname()[1]) for bound in sockets]
+            udp_socket = socket.socket(type=socket.SOCK_DGRAM)
+            sockets.append(udp_socket)
+            udp_socket.bind((LOOPBACK, 0))
+        return [int(udp_socket.getsockname()[1]) for udp_socket in sockets]
     finally:
-        for bound in sockets:
-            bound.close()
+        for udp_socket in sockets:
+            udp_socket.close()
 
 
 def zone_names(scale: ScaleTable) -> list[str]:
@@ -136,13 +136,13 @@
     key_file: str,
     max_out: int = 800,
 ) -> str:
-    """Returns the template of the dispatchers' configuration files. `file_of` replaces its placeholders.
+    """Returns the template of the dispatchers' configuration files. `render_file` replaces its placeholders.
 
     `aggregators` are addresses by name. `discovery` is the registry's address. `key_file` is the path of the fleet's
     key. `max_out` is the maximum number of tokens of a response.
     """
     text = (
-        f'[chat]\nlisten = "{LOOPBACK}:0"\nadmin_addr = "{LOOPBACK}:0"\nsockets = 512\nseed = {SEED_MARK}\n'
+        f'[chat]\nlisten = "{LOOPBACK}:0"\nadmin_addr = "{LOOPBACK}:0"\nsockets = 512\nseed = {SEED_PLACEHOLDER}\n'
         f'default_class = "chat"\nmax_out = {max_out}\n'
     )
     text += "".join(f'\n[[chat.model]]\nname = "{name}"\n' for name in MODEL_NAMES)
@@ -151,10 +151,10 @@
     text += f'\n[eureka]\naddress = "{discovery}"\nservers = "{REGISTRY_APP}"\nfetch_s = {scale.fetch_s}\n'
     if exchange is LoadExchange.OWN:
         return text
-    text += f'\n[fleet]\nname = "{NAME_MARK}"\nlisten = "{LISTEN_MARK}"\nkey_files = ["{key_file}"]\n'
+    text += f'\n[fleet]\nname = "{NAME_PLACEHOLDER}"\nlisten = "{LISTEN_PLACEHOLDER}"\nkey_files = ["{key_file}"]\n'
     if exchange is LoadExchange.GOSSIP:
         return text + _peer_tables(dispatchers)
-    return text + f'region = "{REGION_MARK}"\n' + _aggregator_tables(aggregators, scale.regions)
+    return text + f'region = "{REGION_PLACEHOLDER}"\n' + _aggregator_tables(aggregators, scale.regions)
 
 
 def _peer_tables(dispatchers: Sequence[DispatcherSpec]) -> str:
@@ -168,17 +168,17 @@
     )
 
 
-def file_of(dispatcher: DispatcherSpec, template: str) -> str:
+def render_file(dispatcher: DispatcherSpec, template: str) -> str:
     """Returns the template with this dispatcher's values in place of the placeholders."""
     values = {
-        NAME_MARK: dispatcher.name,
-        LISTEN_MARK: dispatcher.listen,
-        SEED_MARK: str(dispatcher.seed),
-        ZONE_MARK: str(dispatcher.zone),
-        REGION_MARK: f"r{dispatcher.region}",
+        NAME_PLACEHOLDER: dispatcher.name,
+        LISTEN_PLACEHOLDER: dispatcher.listen,
+        SEED_PLACEHOLDER: str(dispatcher.seed),
+        ZONE_PLACEHOLDER: str(dispatcher.zone),
+        REGION_PLACEHOLDER: f"r{dispatcher.region}",
     }
-    for mark, value in values.items():
-        template = template.replace(mark, value)
+    for placeholder, value in values.items():
+        template = template.replace(placeholder, value)
     return template
 
 
--- a/pearhill/lab/scale/fit.py
+++ b/pearhill/lab/scale/fit.py
@@ -1,7 +1,7 @@
 """Fits how a cost grows with the numbers of dispatchers (D) and replicas (R) to measured points.
 
 Each form is rated by its leave-one-out error, the error at points to which it was not fitted. Of the forms within
-`TOLERATED_ERRORS` standard errors of the best one, or within `REPEATABILITY` of it, the one with the fewest
+`TOLERATED_STANDARD_ERRORS` standard errors of the best one, or within `REPEATABILITY` of it, the one with the fewest
 coefficients is chosen (Breiman and others, Classification and Regression Trees, 1984, section 3.4.3). Each term of a
 form has to be significant.
 """
@@ -47,12 +47,12 @@
 }
 MIN_POINTS = 4  # fewer points do not show how a cost grows
 MIN_CURVED_COUNTS = 3  # distinct counts of dispatchers that a curved form requires
-SIGNIFICANT_ERRORS = 3.0  # a coefficient has to differ from 0 by so many standard errors
+SIGNIFICANT_STANDARD_ERRORS = 3.0  # a coefficient has to differ from 0 by so many standard errors
 # A simpler form is chosen if its error is within so many standard errors of the best form's. With 1, one of ten sets of
 # generated data yields a term that the data does not have.
-TOLERATED_ERRORS = 2
+TOLERATED_STANDARD_ERRORS = 2
 REPEATABILITY = 0.02  # relative; bytes are measured to a thousandth, but repeated runs differ by more than that
-MIN_WEIGHED_SHARE = 0.05  # fraction of the largest value; smaller values get the weight of a value of this size
+MIN_WEIGHED_FRACTION = 0.05  # fraction of the largest value; smaller values get the weight of a value of this size
 EXTRAPOLATION_STEPS = 8
 MIN_STEP_RATIO = 0.999  # of a value to the previous one; a decrease within this ratio is a rounding error
 # Student's t, 95% two-sided, by degrees of freedom. Beyond the last entry it hardly changes.
@@ -111,9 +111,9 @@
         """
         return numpy.linalg.pinv(self.rows.T @ self.rows)
 
-    def variance(self, freedom: int) -> float:
-        """Returns the variance of the residuals with `freedom` degrees of freedom."""
-        return float(self.residuals @ self.residuals) / freedom
+    def variance(self, degrees_of_freedom: int) -> float:
+        """Returns the variance of the residuals with `degrees_of_freedom` degrees of freedom."""
+        return float(self.residuals @ self.residuals) / degrees_of_freedom
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -126,15 +126,15 @@
     form: str
 
 
-def _least_weighed(points: Sequence[Point]) -> float:
+def _min_weighed_value(points: Sequence[Point]) -> float:
     largest = max(abs(p.value) for p in points) or 1.0
-    return MIN_WEIGHED_SHARE * largest
+    return MIN_WEIGHED_FRACTION * largest
 
 
 def _solve(points: Sequence[Point], terms: Terms) -> _LeastSquares:
     """Solve the least squares problem with each point weighted by the inverse of its value: residuals are relative."""
-    least = _least_weighed(points)
-    weights = numpy.array([1 / max(abs(p.value), least) for p in points])
+    min_value = _min_weighed_value(points)
+    weights = numpy.array([1 / max(abs(p.value), min_value) for p in points])
     rows = numpy.array([terms(p.dispatchers, p.replicas) for p in points], dtype=float) * weights[:, None]
     values = numpy.array([p.value for p in points]) * weights
     coefficients, *_ = numpy.linalg.lstsq(rows, values, rcond=None)
@@ -146,7 +146,7 @@
 
     The list is empty if the other points do not determine the coefficients for one of the points.
     """
-    least = _least_weighed(points)
+    min_value = _min_weighed_value(points)
     errors = []
     for k, point in enumerate(points):
         others = [*points[:k], *points[k + 1 :]]
@@ -154,11 +154,11 @@
         if numpy.linalg.matrix_rank(solution.rows) < solution.rows.shape[1]:
             return []
         predicted = solution.value(terms, point.dispatchers, point.replicas)
-        errors.append(abs(predicted - point.value) / max(abs(point.value), least))
+        errors.append(abs(predicted - point.value) / max(abs(point.value), min_value))
     return errors
 
 
-def _falls_beyond(solution: _LeastSquares, terms: Terms, points: Sequence[Point], size: Size) -> bool:
+def _decreases_beyond(solution: _LeastSquares, terms: Terms, points: Sequence[Point], size: Size) -> bool:
     """Returns whether the form decreases from the largest measured count of dispatchers to the size, or is negative.
 
     A parabola that is fitted to a cost that flattens has its maximum beyond the measured points, and would end below 0.
@@ -180,7 +180,7 @@
     coefficients = solution.coefficients
     variance = solution.variance(max(1, len(solution.residuals) - len(coefficients)))
     errors = numpy.sqrt(numpy.maximum(0.0, variance * numpy.diag(solution.inverse())))
-    return bool(numpy.all(abs(coefficients[1:]) > SIGNIFICANT_ERRORS * errors[1:]))
+    return bool(numpy.all(abs(coefficients[1:]) > SIGNIFICANT_STANDARD_ERRORS * errors[1:]))
 
 
 def _candidate(name: str, points: Sequence[Point], size: Size) -> _Candidate | None:
@@ -195,15 +195,15 @@
     if not errors:
         return None
     solution = _solve(points, form.terms)
-    if count > 1 and (not _is_significant(solution) or _falls_beyond(solution, form.terms, points, size)):
+    if count > 1 and (not _is_significant(solution) or _decreases_beyond(solution, form.terms, points, size)):
         return None
     return _Candidate(count, statistics.mean(errors), statistics.stdev(errors) / math.sqrt(len(errors)), name)
 
 
-def fit(points: Sequence[Point], size: Size, carried: float = 0.0) -> Fit | None:
+def fit(points: Sequence[Point], size: Size, carried_error: float = 0.0) -> Fit | None:
     """Returns the simplest form that fits the points, with its value at the size, or None if there are too few points.
 
-    `carried` is a relative error that may affect all points equally. It widens the interval.
+    `carried_error` is a relative error that may affect all points equally. It widens the interval.
     """
     if len(points) < MIN_POINTS:
         return None
@@ -211,24 +211,24 @@
     if not candidates:
         return None
     best = min(candidates, key=lambda candidate: candidate.mean_error)
-    tolerated = best.mean_error + max(REPEATABILITY, TOLERATED_ERRORS * best.standard_error)
-    return _extrapolated(min(c for c in candidates if c.mean_error <= tolerated), points, size, carried)
+    max_error = best.mean_error + max(REPEATABILITY, TOLERATED_STANDARD_ERRORS * best.standard_error)
+    return _extrapolated(min(c for c in candidates if c.mean_error <= max_error), points, size, carried_error)
 
 
-def _extrapolated(chosen: _Candidate, points: Sequence[Point], size: Size, carried: float) -> Fit:
+def _extrapolated(chosen: _Candidate, points: Sequence[Point], size: Size, carried_error: float) -> Fit:
     form = FORMS[chosen.form]
     solution = _solve(points, form.terms)
-    freedom = len(points) - len(form.coefficients)
+    degrees_of_freedom = len(points) - len(form.coefficients)
     row = numpy.array(form.terms(size.dispatchers, size.replicas), dtype=float)
     at_size = float(row @ solution.coefficients)
-    variance_at_size = solution.variance(freedom) * float(row @ solution.inverse() @ row)
-    half_width = T95[min(freedom, len(T95)) - 1] * math.sqrt(max(0.0, variance_at_size))
+    variance_at_size = solution.variance(degrees_of_freedom) * float(row @ solution.inverse() @ row)
+    half_width = T95[min(degrees_of_freedom, len(T95)) - 1] * math.sqrt(max(0.0, variance_at_size))
     coefficients = zip(form.coefficients, solution.coefficients.tolist(), strict=True)
     return Fit(
         form=chosen.form,
         coefficients={name: float(f"{value:.6g}") for name, value in coefficients},
         error=chosen.mean_error,
         at_size=at_size,
-        low=max(0.0, at_size - half_width) * (1 - min(1.0, carried)),
-        high=(at_size + half_width) * (1 + carried),
+        low=max(0.0, at_size - half_width) * (1 - min(1.0, carried_error)),
+        high=(at_size + half_width) * (1 + carried_error),
     )
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -23,17 +23,17 @@
     evenness_of,
     hollow_figures,
 )
-from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, file_of
-from pearhill.lab.scale.measure import MAX_LATE_P99_US, encode_histogram, percentiles_ms
+from pearhill.lab.scale.files import LOOPBACK, DispatcherSpec, render_file
+from pearhill.lab.scale.measure import MAX_TICK_DELAY_P99_US, encode_histogram, percentiles_ms
 from pearhill.lab.scale.plan import LoadExchange, ScaleTable, Workload
 from pearhill.lab.scale.planned_fleets import FleetSize
 
-STARTS_AT_ONCE = 4  # real dispatchers that start at the same time
+PARALLEL_STARTS = 4  # real dispatchers that start at the same time
 SETTLE_TIMEOUT_S = 60.0  # after the warm-up, until every dispatcher counts the whole fleet
 SETTLE_POLL_S = 1.0
 AGGREGATOR_READY = r"aggregator \S+ listens on"
 DISPATCHER_READY = "chat front listens"
-CLI = ("-c", "from pearhill.cli.main import main; main()")
+CLI_ARGUMENTS = ("-c", "from pearhill.cli.main import main; main()")
 
 PrintLine = Callable[[str], None]
 
@@ -53,7 +53,7 @@
 class RunningFleet:
     """The processes of a fleet, as an asynchronous context manager that ends them on exit and on any error.
 
-    If `can_be_cut`, aggregators reach each other through a relay that can simulate a network partition.
+    If `can_be_partitioned`, aggregators reach each other through a relay that can simulate a network partition.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         scale: ScaleTable,
         folder: pathlib.Path,
         print_line: PrintLine,
-        can_be_cut: bool = False,
+        can_be_partitioned: bool = False,
     ) -> None:
         self.size = size
         self.scale = scale
@@ -76,7 +76,7 @@
         self.dispatchers: list[DispatcherSpec] = []
         self.template = ""
         self._folder = folder
-        self._can_be_cut = can_be_cut
+        self._can_be_partitioned = can_be_partitioned
 
     async def __aenter__(self) -> RunningFleet:
         try:
@@ -128,13 +128,13 @@
 
     async def _start_aggregators(self, key_file: str) -> None:
         peers = self.aggregator_addresses
-        if self._can_be_cut and peers:
+        if self._can_be_partitioned and peers:
             self.relay = self._new_relay()
             peers = {name: self.relay.address(name) for name in peers}
         for name, address in self.aggregator_addresses.items():
             path = self._folder / f"{name}.toml"
             path.write_text(files.aggregator_file(name, address, peers, key_file))
-            self.aggregators.append(Daemon(name, self._folder, (*CLI, "aggregator", str(path))))
+            self.aggregators.append(Daemon(name, self._folder, (*CLI_ARGUMENTS, "aggregator", str(path))))
         await asyncio.gather(*(aggregator.start(AGGREGATOR_READY) for aggregator in self.aggregators))
 
     def _new_relay(self) -> Relay:
@@ -146,7 +146,7 @@
 
     async def _start_dispatchers(self) -> None:
         """Start hollow and real dispatchers concurrently. The first specs are for hollow ones, process by process."""
-        counts = [*self.size.hosts(self.scale.per_process), *[1] * self.size.alone]
+        counts = [*self.size.hollow_per_process(self.scale.per_process), *[1] * self.size.alone]
         self.hosts = list(
             await asyncio.gather(
                 *(Child.start(f"host{k}", "pearhill.lab.scale.hollow", self._folder) for k in range(len(counts)))
@@ -178,12 +178,12 @@
         }
 
     async def _start_real(self, specs: list[DispatcherSpec]) -> None:
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
+        semaphore = asyncio.Semaphore(PARALLEL_STARTS)
 
         async def start(spec: DispatcherSpec) -> None:
-            """Start one dispatcher as soon as fewer than `STARTS_AT_ONCE` are starting."""
-            async with gate:
-                self.real.append(await self.start_dispatcher(spec.name, file_of(spec, self.template)))
+            """Start one dispatcher as soon as fewer than `PARALLEL_STARTS` are starting."""
+            async with semaphore:
+                self.real.append(await self.start_dispatcher(spec.name, render_file(spec, self.template)))
 
         await asyncio.gather(*map(start, specs))
 
@@ -202,9 +202,9 @@
             raise
         return daemon
 
-    async def call_hosts(self, order: str, **arguments: Any) -> list[HostReport]:
+    async def call_hosts(self, command: str, **arguments: Any) -> list[HostReport]:
         """Send a command to every process of hollow dispatchers. Returns the replies in the order of the processes."""
-        return list(await asyncio.gather(*(host.call(order, **arguments) for host in self.hosts)))
+        return list(await asyncio.gather(*(host.call(command, **arguments) for host in self.hosts)))
 
     async def settle(self) -> bool:
         """Wait for the warm-up, and until each hollow dispatcher counts the whole fleet and has the complete list.
@@ -229,11 +229,11 @@
     async def measure(self) -> FleetMeasurement:
         """Measure one window of `scale.seconds`."""
         window = await self._collect()
-        common = self._common(self._report_busy(window.hosts))
+        common_fields = self._common_fields(self._report_busy(window.hosts))
         aggregator = window.aggregators.per_process()
         return FleetMeasurement(
-            hollow=self._hollow_point(window, common, aggregator),
-            real=self._real_point(window, common, aggregator),
+            hollow=self._hollow_point(window, common_fields, aggregator),
+            real=self._real_point(window, common_fields, aggregator),
             alone={"dispatcher": hollow_figures(window.alone)} if window.alone else None,
             evenness=evenness_of(window.hosts) if self.size.workload is Workload.ROUTER else None,
         )
@@ -268,34 +268,34 @@
         return "" if self.size.workload is Workload.ROUTER else self.dispatchers[0].name
 
     def _hollow_point(
-        self, window: _Window, common: dict[str, Any], aggregator: dict[str, Any] | None
+        self, window: _Window, common_fields: dict[str, Any], aggregator: dict[str, Any] | None
     ) -> dict[str, Any]:
-        news_age_ms = self._news_age_ms([*window.hosts, *window.alone])
+        load_age_ms = self._load_age_ms([*window.hosts, *window.alone])
         return {
-            **common,
+            **common_fields,
             "kind": "hollow",
-            "dispatcher": {**hollow_figures(window.hosts), "news_age_ms": news_age_ms},
+            "dispatcher": {**hollow_figures(window.hosts), "news_age_ms": load_age_ms},
             "aggregator": aggregator,
             "discovery": discovery_figures(window.discovery_before, window.discovery_after),
             "list_age_ms": percentiles_ms(host["lists"] for host in window.hosts),
         }
 
-    def _news_age_ms(self, hosts: list[HostReport]) -> dict[str, float] | None:
+    def _load_age_ms(self, hosts: list[HostReport]) -> dict[str, float] | None:
         """Returns percentiles of the age of the marker's load at the other hollow dispatchers."""
         read_at: list[int] = next((host["read_at"] for host in hosts if host["read_at"]), [])
-        sightings = [sighting for host in hosts for sighting in host["marks"]]
-        ages = observe.mark_ages(read_at, sightings, self.size.exchange is LoadExchange.GOSSIP)
+        observations = [observation for host in hosts for observation in host["marks"]]
+        ages = observe.mark_ages(read_at, observations, self.size.exchange is LoadExchange.GOSSIP)
         return percentiles_ms([encode_histogram(array("q", ages))])
 
     def _real_point(
-        self, window: _Window, common: dict[str, Any], aggregator: dict[str, Any] | None
+        self, window: _Window, common_fields: dict[str, Any], aggregator: dict[str, Any] | None
     ) -> dict[str, Any] | None:
         """Returns the point of the real dispatchers, or None if there are none."""
         figures = window.real.per_process()
         if figures is None:
             return None
         return {
-            **common,
+            **common_fields,
             "kind": "real",
             "dispatcher": {**figures, "beat_late_ms": None, "news_age_ms": None},
             "aggregator": aggregator,
@@ -308,16 +308,16 @@
 
         It was too busy if the ticks of the processes were late, or if there were no ticks.
         """
-        late = percentiles_ms(host["late"] for host in hosts)
-        is_busy = late is None or late["p99"] * 1000 > MAX_LATE_P99_US
+        delays_ms = percentiles_ms(host["late"] for host in hosts)
+        is_busy = delays_ms is None or delays_ms["p99"] * 1000 > MAX_TICK_DELAY_P99_US
         if is_busy:
-            p99 = late and late["p99"]
+            p99 = delays_ms and delays_ms["p99"]
             self.print_line(
                 f"    the machine was too busy for a valid measurement: p99 of the run's own tick delay is {p99} ms"
             )
         return is_busy
 
-    def _common(self, is_busy: bool) -> dict[str, Any]:
+    def _common_fields(self, is_busy: bool) -> dict[str, Any]:
         """Returns the fields that all points of a window share, in the form of the results file."""
         size = self.size
         return {
--- a/pearhill/lab/scale/hollow.py
+++ b/pearhill/lab/scale/hollow.py
@@ -23,9 +23,9 @@
 
 from pearhill.core.replica_ids import replica_id
 from pearhill.lab.scale import observe
-from pearhill.lab.scale.child import Handle, run
+from pearhill.lab.scale.child import CommandHandler, run
 from pearhill.lab.scale.files import DispatcherSpec
-from pearhill.lab.scale.hollow_dispatcher import US_PER_S, HollowDispatcher, HostSettings, MeasurementWindow, Order
+from pearhill.lab.scale.hollow_dispatcher import US_PER_S, Command, HollowDispatcher, HostSettings, MeasurementWindow
 from pearhill.lab.scale.measure import encode_histogram
 from pearhill.lab.scale.plan import Workload
 from pearhill.lab.scale.work import DrawnGauges
@@ -48,23 +48,23 @@
         self._loop = asyncio.get_running_loop()
         self._tick_due = 0.0
         self._ticks = 0
-        self._orders: dict[str, Callable[[Order], Awaitable[dict[str, Any]]]] = {
+        self._commands: dict[str, Callable[[Command], Awaitable[dict[str, Any]]]] = {
             "open": self._open,
             "start": self._start,
             "stop": self._stop,
             "begin": self._begin,
             "end": self._end,
-            "look": self._look,
+            "look": self._sample,
             "reload": self._reload,
             "cut": self._cut,
         }
 
-    async def handle(self, order: Order) -> dict[str, Any]:
+    async def handle(self, command: Command) -> dict[str, Any]:
         """Execute one command of the parent process. Raises ValueError if the command is unknown."""
-        name = order["order"]
-        if name not in self._orders:
+        name = command["order"]
+        if name not in self._commands:
             raise ValueError(f"unknown command {name!r}")
-        return await self._orders[name](order)
+        return await self._commands[name](command)
 
     def gauges_for(self, weight: float) -> DrawnGauges:
         """Returns the gauges of all dispatchers of one weight. Each turn draws a set of them and a rotation."""
@@ -92,20 +92,20 @@
         self._loop.call_at(self._tick_due, self._tick)
         self.window.tick_cpu_ns += time.thread_time_ns() - began_ns
 
-    async def _open(self, order: Order) -> dict[str, Any]:
+    async def _open(self, command: Command) -> dict[str, Any]:
         """Start the ticks, and start the first dispatchers, spread over `spread_s`."""
-        self.settings = HostSettings.from_order(order)
+        self.settings = HostSettings.from_command(command)
         gc.collect()
         gc.freeze()  # the program does the same at its start
         self._tick_due = self._loop.time()
         self._tick()
-        return await self._start_over(order["places"], order["spread_s"])
+        return await self._start_spread(command["places"], command["spread_s"])
 
-    async def _start(self, order: Order) -> dict[str, Any]:
+    async def _start(self, command: Command) -> dict[str, Any]:
         """Start dispatchers one after the other, without a pause."""
-        return await self._start_over(order["places"], 0.0)
+        return await self._start_spread(command["places"], 0.0)
 
-    async def _start_over(self, specs: list[dict[str, Any]], spread_s: float) -> dict[str, Any]:
+    async def _start_spread(self, specs: list[dict[str, Any]], spread_s: float) -> dict[str, Any]:
         """Start dispatchers, spread over `spread_s`.
 
         Dispatchers that start at the same time would also fetch the endpoint list at the same times later.
@@ -120,38 +120,38 @@
             self._dispatchers[dispatcher.spec.name] = dispatcher
         return {"count": len(self._dispatchers)}
 
-    async def _stop(self, order: Order) -> dict[str, Any]:
-        for name in order["names"]:
-            await self._dispatchers.pop(name).stop(order["gracefully"])
+    async def _stop(self, command: Command) -> dict[str, Any]:
+        for name in command["names"]:
+            await self._dispatchers.pop(name).stop(command["gracefully"])
         return {}
 
-    async def _reload(self, order: Order) -> dict[str, Any]:
+    async def _reload(self, command: Command) -> dict[str, Any]:
         """Reload every dispatcher with another file. Dispatchers that are started later use the new file as well."""
-        self.settings = replace(self.settings, template=order["text"])
+        self.settings = replace(self.settings, template=command["text"])
         seconds: list[float] = []
         for dispatcher in self._dispatchers.values():
             seconds.append(dispatcher.reload(self.settings.template))
             await asyncio.sleep(0)  # a due timer waits for one reload only, as in a process with one dispatcher
         return {"seconds": seconds}
 
-    async def _cut(self, order: Order) -> dict[str, Any]:
+    async def _cut(self, command: Command) -> dict[str, Any]:
         """Cut off every dispatcher from the addresses that `far` lists for its region."""
-        far_by_region = [set(map(tuple, addresses)) for addresses in order["far"]]
+        far_by_region = [set(map(tuple, addresses)) for addresses in command["far"]]
         for dispatcher in self._dispatchers.values():
             observe.cut_off(dispatcher.service, far_by_region[dispatcher.spec.region])
         return {}
 
-    async def _begin(self, order: Order) -> dict[str, Any]:
+    async def _begin(self, command: Command) -> dict[str, Any]:
         """Begin a measurement window, in which one dispatcher may write marks."""
         self.window = MeasurementWindow()
-        self._marker = order["marker"]
+        self._marker = command["marker"]
         if self._marker in self._dispatchers:
             self._dispatchers[self._marker].service.read_at = []
         for dispatcher in self._dispatchers.values():
             dispatcher.begin_window()
         return {}
 
-    async def _end(self, order: Order) -> dict[str, Any]:
+    async def _end(self, command: Command) -> dict[str, Any]:
         """End the window and return its measurements."""
         window = self.window
         seconds = time.monotonic() - window.began
@@ -171,7 +171,7 @@
             "own_s": window.tick_cpu_ns / 1e9,
             "counts": dict(totals),
             "late": encode_histogram(window.tick_delays),
-            "marks": window.sightings,
+            "marks": window.observations,
             "read_at": read_at,
             "lists": encode_histogram(window.list_ages),
             "uss": psutil.Process().memory_full_info().uss,
@@ -195,9 +195,9 @@
             for replica in dispatcher.replicas.values()
         }
 
-    async def _look(self, order: Order) -> dict[str, Any]:
+    async def _sample(self, command: Command) -> dict[str, Any]:
         """Returns the current counts, the totals since the start, and estimates of the tokens at some replicas."""
-        replica_ids = [replica_id(name) for name in order["engines"]]
+        replica_ids = [replica_id(name) for name in command["engines"]]
         worst_delay = max(self.window.tick_delays, default=0)
         self.window.tick_delays = array("q")
         counts: list[int] = []
@@ -225,7 +225,7 @@
         }
 
 
-def new_handler() -> Handle:
+def new_handler() -> CommandHandler:
     """Returns the handler of all commands. It must be called within the event loop."""
     return HollowHost().handle
 
--- a/pearhill/lab/scale/hollow_dispatcher.py
+++ b/pearhill/lab/scale/hollow_dispatcher.py
@@ -14,7 +14,7 @@
 from pearhill.chat.setup import ChatSetup, loads
 from pearhill.eureka.client import Eureka
 from pearhill.lab.scale import observe
-from pearhill.lab.scale.files import DispatcherSpec, file_of
+from pearhill.lab.scale.files import DispatcherSpec, render_file
 from pearhill.lab.scale.plan import Workload
 from pearhill.lab.scale.work import DrawnGauges, PoissonArrivals
 from pearhill.load_reports.peer_loads import ReplicaLoad
@@ -22,12 +22,12 @@
 from pearhill.routing.replica_state import ReplicaState
 from pearhill.routing.topology import Endpoint
 
-TURNS_PER_SIGHTING = 2  # a dispatcher reads the mark once in so many turns
+TURNS_PER_OBSERVATION = 2  # a dispatcher reads the mark once in so many turns
 US_PER_S = 1e6
 
 # Called with the age in seconds of a change of the endpoint list when the change takes effect.
 OnChange = Callable[[float], None]
-Order = dict[str, Any]
+Command = dict[str, Any]
 
 
 class HollowService(ChatService):
@@ -44,7 +44,7 @@
 
     def _own_load(self) -> list[ReplicaLoad]:
         if self.read_at is not None:
-            observe.leave_mark(self, len(self.read_at))
+            observe.write_mark(self, len(self.read_at))
             self.read_at.append(_monotonic_us())
         return super()._own_load()
 
@@ -85,7 +85,7 @@
         # Key: second of the machine's monotonic clock; value: tokens in flight by replica.
         self.work: dict[int, Counter[int]] = {}
         # When a mark was read, in microseconds, and the number that it encodes.
-        self.sightings: list[tuple[int, int]] = []
+        self.observations: list[tuple[int, int]] = []
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,16 +105,16 @@
     decode_replicas: int
 
     @classmethod
-    def from_order(cls, order: Order) -> HostSettings:
+    def from_command(cls, command: Command) -> HostSettings:
         """Returns the settings in a command "open"."""
         return cls(
-            template=order["text"],
-            workload=Workload(order["work"]),
-            seed=order["seed"],
-            rate_per_s=order["rate_per_s"],
-            streams=order["streams"],
-            prefill_replicas=order["readers"],
-            decode_replicas=order["writers"],
+            template=command["text"],
+            workload=Workload(command["work"]),
+            seed=command["seed"],
+            rate_per_s=command["rate_per_s"],
+            streams=command["streams"],
+            prefill_replicas=command["readers"],
+            decode_replicas=command["writers"],
         )
 
 
@@ -137,10 +137,10 @@
         self._rng = random.Random(spec.seed)
         # Totals at the start of the window. Dispatchers share the window of the process, but each has its own totals.
         self._totals_before: Counter[str] = Counter()
-        self.service = HollowService(loads(file_of(spec, host.settings.template)), self._add_list_age)
+        self.service = HollowService(loads(render_file(spec, host.settings.template)), self._add_list_age)
         self._gauges: DrawnGauges | None = None
         self._arrivals: PoissonArrivals | None = None
-        self._turns = self._rng.randrange(TURNS_PER_SIGHTING)
+        self._turns = self._rng.randrange(TURNS_PER_OBSERVATION)
 
     def _add_list_age(self, age_s: float) -> None:
         self._host.window.list_ages.append(int(age_s * US_PER_S))
@@ -180,15 +180,15 @@
         return observe.datagram_totals(self.service) - self._totals_before
 
     def take_turn(self, marker: str) -> None:
-        """Draw gauges or add up the work in flight. Once per `TURNS_PER_SIGHTING` turns also read the marker's mark."""
+        """Draw gauges or add up the work in flight. Every `TURNS_PER_OBSERVATION` turns read the marker's mark."""
         if self._gauges:
             self._draw(self._gauges, marker)
         elif self._arrivals:
             self._add_work()
         self._turns += 1
-        if marker and marker != self.spec.name and self._turns % TURNS_PER_SIGHTING == 0:
+        if marker and marker != self.spec.name and self._turns % TURNS_PER_OBSERVATION == 0:
             number = observe.read_mark(self.service, self.now, marker)
-            self._host.window.sightings.append((_monotonic_us(), number))
+            self._host.window.observations.append((_monotonic_us(), number))
 
     def _draw(self, gauges: DrawnGauges, marker: str) -> None:
         gauges.apply(self.service.node.dispatcher.router.router, self._rng)
@@ -208,7 +208,7 @@
     def reload(self, template: str) -> float:
         """Reload with another file, as at SIGHUP. Returns the CPU seconds that the reload took."""
         began = time.thread_time()
-        self.service.reload(loads(file_of(self.spec, template)))
+        self.service.reload(loads(render_file(self.spec, template)))
         return time.thread_time() - began
 
     async def stop(self, gracefully: bool) -> None:
--- a/pearhill/lab/scale/loaded.py
+++ b/pearhill/lab/scale/loaded.py
@@ -26,24 +26,26 @@
 
     The load generator runs in this process.
     """
-    fronts = [_front(daemon.front_address) for daemon in fleet.real]
-    in_turn = itertools.cycle(random.Random(fleet.scale.seed).sample(fronts, len(fronts)))
+    fronts = [_parse_front(daemon.front_address) for daemon in fleet.real]
+    round_robin = itertools.cycle(random.Random(fleet.scale.seed).sample(fronts, len(fronts)))
     api_keys = {TENANT: tenant_api_key(fleet.scale.seed)}
     requests = asyncio.create_task(
-        load.run(_scenario(fleet, rate_per_s * len(fronts)), lambda: next(in_turn), api_keys, lambda done, total: None)
+        load.run(
+            _scenario(fleet, rate_per_s * len(fronts)), lambda: next(round_robin), api_keys, lambda done, total: None
+        )
     )
     try:
         point = (await fleet.measure()).real
         rows = await requests
     finally:
         requests.cancel()
-    served = sum(row.outcome == load.SERVED for row in rows) / max(1, len(rows))
-    fleet.print_line(f"    under load: {len(rows)} requests, {served:.1%} served")
+    served_fraction = sum(row.outcome == load.SERVED for row in rows) / max(1, len(rows))
+    fleet.print_line(f"    under load: {len(rows)} requests, {served_fraction:.1%} served")
     assert point is not None
     return {**point, "work": "router", "rate_per_dispatcher": rate_per_s}
 
 
-def _front(address: str) -> load.Front:
+def _parse_front(address: str) -> load.Front:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
--- a/pearhill/lab/scale/measure.py
+++ b/pearhill/lab/scale/measure.py
@@ -17,7 +17,7 @@
 MAX_RECORDED_US = 3_600_000_000  # an hour; longer times are recorded as an hour
 SIGNIFICANT_DIGITS = 3  # precision of a histogram's values
 PROCESS_CPU_CLOCK = 2  # Linux's CPUCLOCK_SCHED
-MAX_LATE_P99_US = 100_000  # if ticks are later than this, the machine is too busy for valid measurements
+MAX_TICK_DELAY_P99_US = 100_000  # if ticks are later than this, the machine is too busy for valid measurements
 
 
 def encode_histogram(values: array[int]) -> str:
@@ -45,11 +45,11 @@
     }
 
 
-def slope(counts: list[int], used: list[float]) -> float:
+def slope(counts: list[int], memory_bytes: list[float]) -> float:
     """Returns the usage of one more dispatcher in a process, by least squares, or NaN if all counts are the same."""
     if len(set(counts)) < 2:
         return float("nan")
-    return float(numpy.polyfit(counts, used, 1)[0])
+    return float(numpy.polyfit(counts, memory_bytes, 1)[0])
 
 
 def describe_machine() -> dict[str, Any]:
--- a/pearhill/lab/scale/observe.py
+++ b/pearhill/lab/scale/observe.py
@@ -62,12 +62,12 @@
         replica = router.router.replicas.get(replica_id)
         if not replica:
             continue
-        others = 0.0
+        peer_tokens = 0.0
         if router.peers:
-            _, others, _ = router.peers.estimate_peer_load(
+            _, peer_tokens, _ = router.peers.estimate_peer_load(
                 now, replica_id, replica.tokens_queued, replica.tokens_in_flight
             )
-        total += replica.tokens_in_flight + others
+        total += replica.tokens_in_flight + peer_tokens
     return total
 
 
@@ -76,7 +76,7 @@
     return next(iter(service.node.dispatcher.router.router.ready[Role.DECODE]), None)
 
 
-def leave_mark(service: ChatService, number: int) -> None:
+def write_mark(service: ChatService, number: int) -> None:
     """Encode `number` in this dispatcher's load at the marked replica."""
     replica = marked_replica(service)
     if replica is None or not service.fleet:
@@ -104,17 +104,17 @@
     return max(NO_MARK, encode(peer_load.total_tokens) - FIRST_MARK_CODE) if peer_load else NO_MARK
 
 
-def mark_ages(read_at: list[int], sightings: Iterable[tuple[int, int]], is_whole: bool) -> list[int]:
-    """Returns the microseconds from each reading of the marker's load until its sighting at another dispatcher.
+def mark_ages(read_at: list[int], observations: Iterable[tuple[int, int]], is_exact: bool) -> list[int]:
+    """Returns the microseconds from each reading of the marker's load until its observation at another dispatcher.
 
-    `read_at` lists when the load was read, by number. A sighting is a time and the number that was read then. If not
-    `is_whole`, the number is a remainder modulo `MARK_CODES`, and stands for the latest number with this remainder.
-    Sightings without a mark are left out.
+    `read_at` lists when the load was read, by number. An observation is a time and the number that was read. If not
+    `is_exact`, the number is a remainder modulo `MARK_CODES`, and stands for the latest number with this remainder.
+    Observations without a mark are left out.
     """
     ages = []
-    for at, number in sightings:
+    for at, number in observations:
         last = bisect_right(read_at, at) - 1
-        if not is_whole and number >= 0 and last >= 0:
+        if not is_exact and number >= 0 and last >= 0:
             number = last - (last - number) % MARK_CODES
         if 0 <= number <= last:
             ages.append(at - read_at[number])
--- a/pearhill/lab/scale/planned_fleets.py
+++ b/pearhill/lab/scale/planned_fleets.py
@@ -54,7 +54,7 @@
         """The number of all dispatchers: hollow, real and alone."""
         return self.hollow + self.real + self.alone
 
-    def hosts(self, max_per_process: int) -> list[int]:
+    def hollow_per_process(self, max_per_process: int) -> list[int]:
         """Returns the number of hollow dispatchers of each process.
 
         The numbers differ, so that the memory of one dispatcher can be measured as a slope over the number.
@@ -62,16 +62,16 @@
         process_count = max(min(2, self.hollow), math.ceil(self.hollow / (PROCESS_FILL * max_per_process)))
         weights = [1 + k % 2 for k in range(process_count)]
         counts: list[int] = []
-        left = self.hollow
+        remaining = self.hollow
         for k, weight in enumerate(weights):
-            count = max(1, round(left * weight / sum(weights[k:])))
+            count = max(1, round(remaining * weight / sum(weights[k:])))
             counts.append(count)
-            left -= count
+            remaining -= count
         return counts
 
     def estimate(self, max_per_process: int) -> ResourceEstimate:
         """Returns the estimated processes and bytes of the fleet."""
-        processes = len(self.hosts(max_per_process)) + self.real + self.alone + self.aggregators + 2
+        processes = len(self.hollow_per_process(max_per_process)) + self.real + self.alone + self.aggregators + 2
         per_dispatcher = DISPATCHER_BYTES + BYTES_PER_REPLICA * self.replicas + BYTES_PER_PEER * self.dispatchers
         memory_bytes = processes * PROCESS_BYTES + self.dispatchers * float(per_dispatcher)
         return ResourceEstimate(processes, memory_bytes)
@@ -83,7 +83,7 @@
 
     path: str
     size: FleetSize
-    watched_s: float
+    observed_s: float
 
 
 def grid_fleets(plan: Plan) -> list[FleetSize]:
@@ -171,5 +171,5 @@
         for size in _evenness_fleets(evenness):
             yield PlannedFleet(f"evenness[{k}]", size, window_s)
     for k, faults in enumerate(plan.faults):
-        watched_s = plan.scale.warm_s + faults.event[-1].settled_s
-        yield PlannedFleet(f"troubles[{k}]", fault_fleet(faults), watched_s)
+        observed_s = plan.scale.warm_s + faults.event[-1].settled_s
+        yield PlannedFleet(f"troubles[{k}]", fault_fleet(faults), observed_s)
--- a/pearhill/lab/scale/report.py
+++ b/pearhill/lab/scale/report.py
@@ -9,7 +9,7 @@
 import jinja2
 
 from pearhill.lab.report import COLOURS, HEIGHT, WIDTH
-from pearhill.lab.scale.analysis import Point, figure_of
+from pearhill.lab.scale.analysis import Point, value_of
 
 # Margins of a plot, in units of its SVG view box.
 LEFT = 60
@@ -109,9 +109,9 @@
 
 def _curve(curve: Curve, index: int, axes: _Axes) -> str:
     colour = COLOURS[index % len(COLOURS)]
-    places = [(axes.x(x), axes.y(y)) for x, y in sorted(curve.points)]
-    line = " ".join(f"{x},{y}" for x, y in places)
-    dots = "".join(f'<circle cx="{x}" cy="{y}" r="2.6" fill="{colour}"/>' for x, y in places)
+    positions = [(axes.x(x), axes.y(y)) for x, y in sorted(curve.points)]
+    line = " ".join(f"{x},{y}" for x, y in positions)
+    dots = "".join(f'<circle cx="{x}" cy="{y}" r="2.6" fill="{colour}"/>' for x, y in positions)
     name_y = TOP + 10 + 13 * index
     return (
         f'<polyline fill="none" stroke="{colour}" stroke-width="1.8" points="{line}"/>'
@@ -124,16 +124,16 @@
     """Returns a plot of each quantity for each load exchange, and one of the choice. Empty plots are left out."""
     hollow = [p for p in results["points"] if p["kind"] == "hollow" and p["work"] == "drawn"]
     plots = []
-    for way in sorted({p["way"] for p in hollow}):
-        of_way = [p for p in hollow if p["way"] == way]
+    for exchange in sorted({p["way"] for p in hollow}):
+        exchange_points = [p for p in hollow if p["way"] == exchange]
         for quantity in QUANTITIES:
-            svg = plot(_curves(of_way, quantity), "dispatchers", quantity.bound * quantity.scale)
-            plots.append(Plot(f"{quantity.title}: {way}", svg))
+            svg = plot(_curves(exchange_points, quantity), "dispatchers", quantity.bound * quantity.scale)
+            plots.append(Plot(f"{quantity.title}: {exchange}", svg))
     if results["choice"]:
         points = [(float(choice["replicas"]), float(choice["ms"])) for choice in results["choice"]]
         svg = plot([Curve("", points)], "replicas")
         plots.append(Plot("CPU time of the Router's two choices for one request, ms", svg))
-    return [made for made in plots if made.svg]
+    return [rendered for rendered in plots if rendered.svg]
 
 
 def _curves(points: Sequence[Point], quantity: PlottedQuantity) -> list[Curve]:
@@ -143,7 +143,7 @@
         values = [
             (float(point["dispatchers"]), value * quantity.scale)
             for point in points
-            if point["replicas"] == replicas and (value := figure_of(point["dispatcher"], quantity.key)) is not None
+            if point["replicas"] == replicas and (value := value_of(point["dispatcher"], quantity.key)) is not None
         ]
         curves.append(Curve(f"{replicas} replicas", values))
     return curves
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -17,10 +17,10 @@
 import pearhill
 from pearhill.lab.scale import faults
 from pearhill.lab.scale.analysis import Check, Point, compare, slopes
-from pearhill.lab.scale.bounds import MAX_MEMORY_SHARE, MAX_PROCESSES, check_bounds, expected_seconds
+from pearhill.lab.scale.bounds import MAX_MEMORY_FRACTION, MAX_PROCESSES, check_bounds, expected_seconds
 from pearhill.lab.scale.child import Child, ProcessFailedError
 from pearhill.lab.scale.figures import FleetMeasurement
-from pearhill.lab.scale.files import file_of
+from pearhill.lab.scale.files import render_file
 from pearhill.lab.scale.fleet import PrintLine, RunningFleet
 from pearhill.lab.scale.loaded import measure_under_load
 from pearhill.lab.scale.measure import describe_machine, resident_bytes, usage_of
@@ -37,8 +37,8 @@
 class RunStoppedError(Exception):
     """The run was stopped before its end. The message is the reason; `results` are the results up to then."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
         self.results: dict[str, Any] = {}
 
 
@@ -46,15 +46,15 @@
 class _CheckMeasurement:
     """The measurements of a check.
 
-    `loaded` is the point of the real dispatchers under load, if the check has one. `bare_memory_bytes` and `bare_cpu_s`
-    are the memory, and the CPU time in the window, of a dispatcher without endpoint list and fleet. `settled` is
-    whether all dispatchers had the complete endpoint list and counted the whole fleet.
+    `under_load` is the point of the real dispatchers under load, if the check has one. `baseline_memory_bytes` and
+    `baseline_cpu_s` are the memory, and the CPU time in the window, of a dispatcher without endpoint list and fleet.
+    `settled` is whether all dispatchers had the complete endpoint list and counted the whole fleet.
     """
 
     fleet: FleetMeasurement
-    loaded: Point | None
-    bare_memory_bytes: float
-    bare_cpu_s: float
+    under_load: Point | None
+    baseline_memory_bytes: float
+    baseline_cpu_s: float
     settled: bool
 
 
@@ -82,21 +82,21 @@
             await self._run_choice(folder)
         for number, (size, load_per_s) in enumerate(check_fleets(plan), 1):
             self._print_line(f"check {number} of {len(plan.check)}: {describe(size)}")
-            await self._or_not_run(size, self._run_check(size, load_per_s, folder))
+            await self._run_or_record_failure(size, self._run_check(size, load_per_s, folder))
         sizes = grid_fleets(plan)
         for number, size in enumerate(sizes, 1):
             elapsed_s = time.monotonic() - self._began
             self._print_line(f"point {number} of {len(sizes)}: {describe(size)}, {elapsed_s:.0f} s")
-            await self._or_not_run(size, self._run_point(size, folder))
+            await self._run_or_record_failure(size, self._run_point(size, folder))
         for size in evenness_fleets(plan):
             self._print_line(f"evenness: {describe(size)}, {size.rate_per_s:g} requests a second each")
-            await self._or_not_run(size, self._run_evenness(size, folder))
+            await self._run_or_record_failure(size, self._run_evenness(size, folder))
         for table in plan.faults:
             size = fault_fleet(table)
             self._print_line(f"troubles: {describe(size)}")
-            await self._or_not_run(size, self._run_faults(table, size, folder))
+            await self._run_or_record_failure(size, self._run_faults(table, size, folder))
 
-    async def _or_not_run(self, size: FleetSize, part: Coroutine[Any, Any, None]) -> None:
+    async def _run_or_record_failure(self, size: FleetSize, part: Coroutine[Any, Any, None]) -> None:
         """Run a part of the plan. If it fails, the results list it as not run, and the plan continues."""
         try:
             await part
@@ -106,12 +106,12 @@
         finally:
             self._fleet = None
 
-    def add_not_run(self, what: str, why: Exception) -> None:
+    def add_not_run(self, description: str, reason: Exception) -> None:
         """Add a part that was not run to the results, with the reason."""
-        self._not_run.append({"what": what, "why": str(why)})
+        self._not_run.append({"what": description, "why": str(reason)})
 
-    def _new_fleet(self, size: FleetSize, folder: pathlib.Path, can_be_cut: bool = False) -> RunningFleet:
-        return RunningFleet(size, self._plan.scale, folder, self._print_line, can_be_cut)
+    def _new_fleet(self, size: FleetSize, folder: pathlib.Path, can_be_partitioned: bool = False) -> RunningFleet:
+        return RunningFleet(size, self._plan.scale, folder, self._print_line, can_be_partitioned)
 
     async def _settle(self, fleet: RunningFleet) -> bool:
         """Wait until the fleet has settled. Returns False if it has not: its figures are not valid then."""
@@ -147,32 +147,32 @@
         real = measured.fleet.real
         assert real
         # Memory and idle event loop of a process without endpoint list and fleet are not part of the control costs.
-        real["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
-        if measured.loaded:
-            measured.loaded["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
-        bare_cpu_cores = measured.bare_cpu_s / self._plan.scale.seconds
-        real["dispatcher"]["cpu_cores"] = round(real["dispatcher"]["cpu_cores"] - bare_cpu_cores, 6)
-        for point in (hollow, real, measured.loaded):
+        real["dispatcher"]["memory_bytes"] -= round(measured.baseline_memory_bytes)
+        if measured.under_load:
+            measured.under_load["dispatcher"]["memory_bytes"] -= round(measured.baseline_memory_bytes)
+        baseline_cpu_cores = measured.baseline_cpu_s / self._plan.scale.seconds
+        real["dispatcher"]["cpu_cores"] = round(real["dispatcher"]["cpu_cores"] - baseline_cpu_cores, 6)
+        for point in (hollow, real, measured.under_load):
             if point:
                 self._add_point(point, measured.settled)
         self._add_checks(compare(hollow, real, measured.fleet.alone))
 
     async def _measure_check(self, fleet: RunningFleet, load_per_s: float) -> _CheckMeasurement:
-        bare = await fleet.start_dispatcher("bare", bare_file(fleet))
+        baseline = await fleet.start_dispatcher("bare", baseline_file(fleet))
         try:
             settled = await self._settle(fleet)
-            before = usage_of(bare.pid)
+            before = usage_of(baseline.pid)
             measurement = await fleet.measure()
-            bare_cpu_s = usage_of(bare.pid).cpu_s - before.cpu_s
+            baseline_cpu_s = usage_of(baseline.pid).cpu_s - before.cpu_s
         finally:
-            bare.kill()
-        loaded = await measure_under_load(fleet, load_per_s) if load_per_s else None
-        return _CheckMeasurement(measurement, loaded, before.unshared_bytes, bare_cpu_s, settled)
+            baseline.kill()
+        under_load = await measure_under_load(fleet, load_per_s) if load_per_s else None
+        return _CheckMeasurement(measurement, under_load, before.unshared_bytes, baseline_cpu_s, settled)
 
     def _add_point(self, point: Point, settled: bool) -> None:
         point["busy"] = point["busy"] or not settled
         self._points.append(point)
-        self._print_line("    " + summary_of(point))
+        self._print_line("    " + summarize(point))
 
     def _add_checks(self, checks: list[Check]) -> None:
         self._checks += checks
@@ -213,7 +213,7 @@
         )
 
     async def _run_faults(self, table: FaultsTable, size: FleetSize, folder: pathlib.Path) -> None:
-        async with self._new_fleet(size, folder, can_be_cut=True) as self._fleet:
+        async with self._new_fleet(size, folder, can_be_partitioned=True) as self._fleet:
             await self._settle(self._fleet)
             await faults.run(table.event, self._fleet, self._faults, self._print_line)
 
@@ -222,7 +222,7 @@
 
         If the machine ran out of memory, the system could kill processes that do not belong to the run.
         """
-        allowed_bytes = MAX_MEMORY_SHARE * describe_machine()["memory_bytes"]
+        allowed_bytes = MAX_MEMORY_FRACTION * describe_machine()["memory_bytes"]
         while True:
             await asyncio.sleep(RESOURCE_POLL_S)
             if self._fleet is None:
@@ -232,7 +232,7 @@
             if used_bytes > allowed_bytes or len(pids) >= MAX_PROCESSES:
                 raise RunStoppedError(
                     f"{len(pids)} processes hold {used_bytes / 1e9:.1f} GB; allowed: {MAX_PROCESSES}, and "
-                    f"{MAX_MEMORY_SHARE:.0%} of the machine's memory"
+                    f"{MAX_MEMORY_FRACTION:.0%} of the machine's memory"
                 )
 
     def results(self, name: str) -> dict[str, Any]:
@@ -281,7 +281,7 @@
     return f"{dispatchers} before {size.replicas} replicas, work {size.workload}{aggregators}"
 
 
-def summary_of(point: Point) -> str:
+def summarize(point: Point) -> str:
     """Returns a summary of a point's figures for printed lines."""
     dispatcher = point["dispatcher"]
     memory_bytes = dispatcher["memory_bytes"]
@@ -300,14 +300,14 @@
     return text
 
 
-def bare_file(fleet: RunningFleet) -> str:
+def baseline_file(fleet: RunningFleet) -> str:
     """Returns the configuration file of a dispatcher without endpoint list and fleet.
 
     Its process uses the resources of any dispatcher before any control traffic.
     """
     head = fleet.template[: fleet.template.index("\n[eureka]")].replace("admin_addr", "# admin_addr")
     server = '\n[[server]]\nuid = "one"\naddress = "127.0.0.1:9"\nkind = "writer"\n'
-    return file_of(fleet.dispatchers[0], head) + server
+    return render_file(fleet.dispatchers[0], head) + server
 
 
 async def run(plan: Plan, name: str, print_line: PrintLine = lambda line: None) -> dict[str, Any]:
--- a/pearhill/lab/scale/work.py
+++ b/pearhill/lab/scale/work.py
@@ -20,13 +20,13 @@
 
 GAUGE_SETS = 24  # sets that are drawn in advance; each turn uses one of them, rotated by a random number of replicas
 PREFILL_S = 0.45  # mean time of a prefill, including its wait, at the planned size
-CLOCK_PREFILL_S = 0.15  # mean time of a prefill at a simulated replica, at any load
+SIMULATED_PREFILL_S = 0.15  # mean time of a prefill at a simulated replica, at any load
 STREAM_TOKENS = 2_400  # load of a stream at its decode replica
 PROMPT_TOKENS = 2_000  # load of a prompt at its prefill replica
 MIN_PROMPT_TOKENS = 64
 TOKEN_INTERVAL_S = 0.025
-ANSWER_TOKENS = 231  # yields 260 open streams at 45 requests per second
-LOAD_SPREAD = (0.6, 1.4)  # range of the ratio of a request's tokens to the mean
+OUTPUT_TOKENS = 231  # yields 260 open streams at 45 requests per second
+LOAD_RANGE = (0.6, 1.4)  # range of the ratio of a request's tokens to the mean
 TIMEOUT_US = 8_000_000
 SESSIONS = 1 << 30
 PREFIXES = 512
@@ -67,16 +67,16 @@
         if not replicas:
             return [[] for _ in range(GAUGE_SETS)]
         counts = rng.poisson(mean_requests / replicas, (GAUGE_SETS, replicas))
-        loads = (counts * tokens * rng.uniform(*LOAD_SPREAD, counts.shape)).astype(int)
+        loads = (counts * tokens * rng.uniform(*LOAD_RANGE, counts.shape)).astype(int)
         return [[(load if is_prefill else 0, load) for load in gauges] for gauges in loads.tolist()]
 
     def apply(self, router: Router, rng: random.Random) -> None:
         """Write a set into the Router's own load state, from which gossip messages and load reports are built."""
-        self._set(router.ready[Role.DECODE], rng.choice(self._decode), rng)
-        self._set(router.ready[Role.PREFILL], rng.choice(self._prefill), rng)
+        self._write_gauges(router.ready[Role.DECODE], rng.choice(self._decode), rng)
+        self._write_gauges(router.ready[Role.PREFILL], rng.choice(self._prefill), rng)
 
     @staticmethod
-    def _set(replicas: Sequence[ReplicaState], gauges: list[tuple[int, int]], rng: random.Random) -> None:
+    def _write_gauges(replicas: Sequence[ReplicaState], gauges: list[tuple[int, int]], rng: random.Random) -> None:
         if not gauges:
             return
         first = rng.randrange(len(gauges))
@@ -122,7 +122,7 @@
         return False
 
 
-class ClockBackend:
+class SimulatedBackend:
     """A backend without sockets. Its simulated replicas respond after drawn times that do not depend on their load.
 
     A prefill takes an exponentially distributed time. The response of a decode starts after the interval of one token
@@ -146,7 +146,7 @@
             self._decode(attempt)
 
     def _prefill(self, attempt: Attempt) -> None:
-        wait = self._exponential_us(CLOCK_PREFILL_S)
+        wait = self._exponential_us(SIMULATED_PREFILL_S)
         self._deadlines.schedule_after(
             wait, lambda: attempt.end(Outcome.PREFILLED, PROMPT_TOKENS // 2, may_hold_state=True)
         )
@@ -155,7 +155,7 @@
         def start() -> None:
             """Start the response, unless the attempt has ended, and schedule its end."""
             if attempt.start_response():
-                wait = self._exponential_us(ANSWER_TOKENS * TOKEN_INTERVAL_S)
+                wait = self._exponential_us(OUTPUT_TOKENS * TOKEN_INTERVAL_S)
                 self._deadlines.schedule_after(wait, lambda: attempt.end(Outcome.ANSWERED, PROMPT_TOKENS // 2))
 
         self._deadlines.schedule_after(int(TOKEN_INTERVAL_S * US_PER_S), start)
@@ -193,7 +193,7 @@
         self._rate_per_s = rate_per_s
         self._rng = rng
         self.results: dict[str, int] = dict.fromkeys(RequestResult, 0)
-        dispatcher.backend = ClockBackend(dispatcher, deadlines, rng)
+        dispatcher.backend = SimulatedBackend(dispatcher, deadlines, rng)
         self._stopped = False
         self._next_at = deadlines.clock()
         self._schedule()
@@ -209,16 +209,16 @@
             request_class=0,
             timeout=TIMEOUT_US,
             prompt_tokens=max(MIN_PROMPT_TOKENS, int(self._rng.expovariate(1 / PROMPT_TOKENS))),
-            max_output_tokens=2 * ANSWER_TOKENS,
+            max_output_tokens=2 * OUTPUT_TOKENS,
             session=self._rng.randrange(1, SESSIONS),
             prefix=self._rng.randrange(1, PREFIXES),
             prefix_tokens=PROMPT_TOKENS // 2,
             tenant=self._rng.randrange(TENANTS),
         )
-        self._dispatcher.accept(spec, CountingClient(self._count), None)
+        self._dispatcher.accept(spec, CountingClient(self._count_result), None)
         self._schedule()
 
-    def _count(self, result: RequestResult) -> None:
+    def _count_result(self, result: RequestResult) -> None:
         self.results[result] += 1
 
     def stop(self) -> None:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -87,7 +87,7 @@
             ("[scale]\nregions = 1\n" + fault_plan('kind = "region_cut"\nfrom_s = 1'), "scale.regions is 2 or more"),
         ],
     )
-    def test_an_impossible_value_is_reported_by_its_path(self, tmp_path: pathlib.Path, text: str, why: str) -> None:
+    def test_an_invalid_value_is_reported_with_its_path(self, tmp_path: pathlib.Path, text: str, why: str) -> None:
         with pytest.raises(ConfigError, match=why):
             load_plan(tmp_path, text)
 
@@ -100,23 +100,25 @@
             ("[scale]\nseconds = 3600.0\n" + GRID.replace("[4]", "[4, 5, 6, 7]"), MEMORY_24_GB, "a plan of some 4"),
         ],
     )
-    def test_a_plan_that_is_too_large_for_the_machine_is_refused_before_it_starts(
+    def test_a_plan_that_is_too_large_for_the_machine_is_rejected_before_it_starts(
         self, tmp_path: pathlib.Path, text: str, memory_bytes: int, why: str
     ) -> None:
         loaded = load_plan(tmp_path, text)
         with pytest.raises(ConfigError, match=why):
             bounds.check_bounds(loaded, memory_bytes)
 
-    def test_plans_come_with_it(self) -> None:
+    def test_the_repository_contains_scale_plans(self) -> None:
         assert len(PLANS) >= 3
 
     @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.name)
-    def test_the_plans_that_come_with_it_fit_a_machine_of_24_gb(self, path: pathlib.Path) -> None:
+    def test_the_plans_of_the_repository_fit_a_machine_with_24_gb(self, path: pathlib.Path) -> None:
         bounds.check_bounds(plan.load(str(path)), MEMORY_24_GB)
 
     @pytest.mark.parametrize(("hollow", "max_per_process"), [(1, 40), (2, 40), (4, 8), (20, 12), (330, 40), (333, 7)])
-    def test_processes_hold_unlike_counts_that_add_up(self, hollow: int, max_per_process: int) -> None:
-        hosts = planned_fleets.FleetSize(plan.LoadExchange.GOSSIP, hollow, 10).hosts(max_per_process)
+    def test_processes_have_different_counts_that_add_up_to_all_hollow_dispatchers(
+        self, hollow: int, max_per_process: int
+    ) -> None:
+        hosts = planned_fleets.FleetSize(plan.LoadExchange.GOSSIP, hollow, 10).hollow_per_process(max_per_process)
         assert sum(hosts) == hollow
         assert max(hosts) <= max_per_process + 1
         assert hollow < 3 or len(set(hosts)) > 1
@@ -129,7 +131,7 @@
             (plan.FaultKind, plan.FaultKey),
         ],
     )
-    def test_the_values_of_a_table_are_those_of_the_enum(self, enum: type[StrEnum], literal: object) -> None:
+    def test_the_keys_of_a_table_are_the_values_of_the_enum(self, enum: type[StrEnum], literal: object) -> None:
         assert [member.value for member in enum] == list(get_args(literal))
 
 
@@ -170,7 +172,7 @@
 
 class TestFits:
     @pytest.mark.parametrize("form", COSTS)
-    def test_a_product_a_square_a_sum_and_what_does_not_grow_are_told_apart(self, form: str) -> None:
+    def test_a_fit_finds_the_form_of_generated_data(self, form: str) -> None:
         """The data is generated with 1% of noise. Noise may make one of ten draws look like another form."""
         cost = COSTS[form]
         found = [fit.fit(noisy_points(cost, seed), SIZE) for seed in range(10)]
@@ -180,11 +182,11 @@
             assert abs(one.at_size / cost(330, 940) - 1) <= 0.05
             assert one.low < one.at_size < one.high
 
-    def test_what_flattens_is_never_extrapolated_to_less_than_was_measured(self) -> None:
+    def test_a_cost_that_flattens_is_not_extrapolated_below_the_measured_values(self) -> None:
         points = [fit.Point(d, r, v) for d, v in ((20, 32.0), (40, 64.0), (80, 80.0), (160, 86.0)) for r in (60, 940)]
         assert fit.fit(points, SIZE).at_size > 80
 
-    def test_an_error_that_is_carried_widens_the_interval_and_too_few_points_fit_nothing(self) -> None:
+    def test_a_carried_error_widens_the_interval_and_too_few_points_yield_no_fit(self) -> None:
         points = [fit.Point(d, 60, 1 + 0.1 * d) for d in (10, 20, 40, 80)]
         plain = fit.fit(points, SIZE)
         wide = fit.fit(points, SIZE, 0.4)
@@ -192,7 +194,7 @@
         assert round(wide.low - plain.low * 0.6, 7) == 0
         assert fit.fit(points[:3], SIZE) is None
 
-    def test_slopes_leave_out_busy_points_and_carry_a_checks_error(self) -> None:
+    def test_slopes_exclude_busy_points_and_include_the_error_of_a_check(self) -> None:
         points = [result_point(d, 0.01 + 0.001 * d) for d in (10, 20, 40, 80)] + [result_point(160, 9.0, busy=True)]
         alone = {"dispatcher": result_point(8, 0.0098)["dispatcher"]}
         checks = analysis.compare(result_point(8, 0.006), result_point(8, 0.01), alone)
@@ -212,32 +214,32 @@
 
 
 class TestDiscovery:
-    def test_the_list_that_dispatchers_get_adds_up_through_deltas(self) -> None:
+    def test_a_client_updates_its_list_by_deltas_until_a_change_has_expired(self) -> None:
         registry = Registry(60.0)
         client = Client()
         now = 100.0
         for k in range(4):
             registry.put(f"w{k}", f"127.0.0.1:{9000 + k}", "writer", "r0-z0", now)
         client.replace(json.loads(registry.body(False, now)))
-        registry.drop("w1", now + 1)
+        registry.remove("w1", now + 1)
         registry.put("w9", "127.0.0.1:9009", "reader", "r0-z1", now + 1)
         registry.put("w2", "127.0.0.1:9002", "writer", "r0-z0", now + 2, InstanceStatus.DRAINING, started=False)
         assert client.apply(json.loads(registry.body(True, now + 3)))
         assert {name for _, name in client.instances} == {"w0", "w2", "w3", "w9"}
-        registry.drop("w0", now + 4)
+        registry.remove("w0", now + 4)
         # The change is older than the retention of deltas.
         assert not client.apply(json.loads(registry.body(True, now + 90)))
 
 
 class TestFigures:
-    def test_histograms_of_processes_add_up_and_memory_is_a_slope(self) -> None:
+    def test_histograms_are_merged_and_memory_is_measured_as_a_slope(self) -> None:
         histograms = [measure.encode_histogram(measure.array("q", values)) for values in ([1000] * 98, [2000, 500_000])]
         rounded = {name: round(value) for name, value in measure.percentiles_ms(histograms).items()}
         assert rounded == {"p50": 1, "p99": 2, "max": 500}
         assert measure.percentiles_ms([measure.encode_histogram(measure.array("q"))]) is None
         assert round(measure.slope([4, 8, 4, 8], [50.0, 62.0, 50.0, 62.0]) - 3.0, 7) == 0
 
-    def test_the_age_of_a_mark_counts_from_when_its_load_was_read(self) -> None:
+    def test_the_age_of_a_mark_is_measured_from_the_reading_of_its_load(self) -> None:
         read_at = [1000 * k for k in range(200)]
         whole = [(5500, 3), (5500, 5), (5500, 6), (5500, -1)]
         assert observe.mark_ages(read_at, whole, True) == [2500, 500]
@@ -245,13 +247,13 @@
         remainders = [(150_500, 149 % observe.MARK_CODES), (150_500, 140 % observe.MARK_CODES), (0, 0)]
         assert observe.mark_ages(read_at, remainders, False) == [1500, 10_500, 0]
 
-    def test_a_marks_code_comes_back_from_its_tokens(self) -> None:
+    def test_encoding_the_tokens_of_a_mark_returns_its_code(self) -> None:
         assert len(gauges.TOKENS) > observe.FIRST_MARK_CODE + observe.MARK_CODES
         for k in range(observe.MARK_CODES):
             code = observe.FIRST_MARK_CODE + k
             assert gauges.encode(int(gauges.TOKENS[code])) == code
 
-    def test_how_even_the_work_of_several_processes_was(self) -> None:
+    def test_evenness_is_computed_over_the_work_of_all_processes(self) -> None:
         roles = {"1": "writer", "2": "writer", "3": "reader"}
         hosts = [
             {"roles": roles, "ended": {"served": 2}, "work": {"9": {"1": 99}, "10": {"1": 10}, "11": {"3": 5}}},
@@ -270,9 +272,11 @@
             "readers": {"mean": 1.0, "worst": 1.0},
         }
 
-    def test_how_long_counts_and_sums_were_wrong_in_a_fault(self) -> None:
-        def sample(at: float, counting_right: float = 1.0, sums: float = 0.9) -> fault_watch.FleetSample:
-            return fault_watch.FleetSample(at, 6, counting_right, sums, 100.0, 2.0, 1.0)
+    def test_fault_figures_report_how_long_counts_and_estimates_were_wrong(self) -> None:
+        def sample(
+            at: float, right_count_fraction: float = 1.0, estimate_ratio: float = 0.9
+        ) -> fault_watch.FleetSample:
+            return fault_watch.FleetSample(at, 6, right_count_fraction, estimate_ratio, 100.0, 2.0, 1.0)
 
         before = [sample(0.5 * k) for k in range(8)]
         during = [sample(4), sample(4.5, 0.5), sample(5, 0.9, 0.5), sample(5.5, 1, 0.5), sample(6)]
@@ -287,7 +291,7 @@
 
 class TestRuns:
     @pytest.mark.parametrize(("way", "aggregators", "warm_s"), [("talk", 0, 1), ("aggregators", 2, 5)])
-    def test_two_hollow_dispatchers_before_five_replicas_either_way(
+    def test_a_run_measures_two_hollow_dispatchers_with_gossip_or_aggregators(
         self, tmp_path: pathlib.Path, way: str, aggregators: int, warm_s: int
     ) -> None:
         before = descendants_of(psutil.Process())
@@ -313,7 +317,7 @@
         assert "<svg" in report.page("tiny", results)
         assert descendants_of(psutil.Process()) == before
 
-    def test_the_page_has_the_faults_under_their_name(self) -> None:
+    def test_the_page_lists_the_faults(self) -> None:
         results = json.loads((ROOT / "docs" / "capacity" / "troubles.json").read_text())
         page = report.page("troubles", results)
         assert "<h2>Faults</h2>" in page
