--- a/pearhill/lab/scale/bounds.py
+++ b/pearhill/lab/scale/bounds.py
@@ -42,11 +42,11 @@
             raise ConfigError(f"{description}, {estimate.processes} processes; allowed: {MAX_PROCESSES}")
         if estimate.memory_bytes > allowed_bytes:
             raise ConfigError(
-                f"{description}, some {estimate.memory_bytes / 1e9:.1f} GB; allowed: {MAX_MEMORY_FRACTION:.0%} of the "
+                f"{description}, about {estimate.memory_bytes / 1e9:.1f} GB; allowed: {MAX_MEMORY_FRACTION:.0%} of the "
                 f"machine's memory, {allowed_bytes / 1e9:.1f} GB"
             )
     seconds = expected_seconds(plan)
     if seconds > MAX_PLAN_SECONDS:
         raise ConfigError(
-            f"grid: found a plan of some {seconds / 3600:.1f} h; allowed: {MAX_PLAN_SECONDS / 3600:.0f} h"
+            f"grid: found a plan of about {seconds / 3600:.1f} h; allowed: {MAX_PLAN_SECONDS / 3600:.0f} h"
         )
--- a/pearhill/lab/scale/fault_watch.py
+++ b/pearhill/lab/scale/fault_watch.py
@@ -46,7 +46,7 @@
 
 
 class FleetWatch:
-    """Samples a fleet periodically. `expected_count` is the right count, or None: the number of running dispatchers."""
+    """Samples a fleet periodically. `expected_count` is the right count; None stands for all running dispatchers."""
 
     def __init__(self, fleet: RunningFleet) -> None:
         self.samples: list[FleetSample] = []
--- a/pearhill/lab/scale/plan.py
+++ b/pearhill/lab/scale/plan.py
@@ -206,8 +206,8 @@
             path = f"troubles[{k}].event[{n}]"
             if event.from_s < previous_settled_s:
                 raise ConfigError(
-                    f"{path}.from_s: found {event.from_s}; allowed: {previous_settled_s} or later, when the one "
-                    "before has settled"
+                    f"{path}.from_s: found {event.from_s}; allowed: {previous_settled_s} or later, when the previous "
+                    "event has settled"
                 )
             previous_settled_s = event.settled_s
             _check_fault_kind(f"{path}.kind", event, table, scale)
@@ -220,7 +220,7 @@
     has_aggregators = LoadExchange(table.exchange) is LoadExchange.AGGREGATORS
     if lost and (not has_aggregators or table.aggregators <= lost):
         raise ConfigError(
-            f"{path}: found {event.kind!r}; allowed: where more than {lost} aggregators are, way 'aggregators'"
+            f"{path}: found {event.kind!r}; allowed: where more than {lost} aggregators run, with way 'aggregators'"
         )
     if event.fault in (FaultKind.REGION_CUT, FaultKind.ZONE) and scale.regions < 2:
         raise ConfigError(f"{path}: found {event.kind!r}; allowed: where scale.regions is 2 or more")
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -97,7 +97,7 @@
             (GRID.replace("[4]", "[4, 5000]"), MEMORY_24_GB, r"grid\[0\]: found 5000 dispatchers .* GB; allowed: 50%"),
             ("[scale]\nper_process = 2\n" + GRID.replace("[4]", "[500]"), 1 << 42, r"processes; allowed: 300"),
             (GRID.replace("[4]", "[330]").replace("[10]", "[940]"), 4 << 30, "330 dispatchers before 940 replicas"),
-            ("[scale]\nseconds = 3600.0\n" + GRID.replace("[4]", "[4, 5, 6, 7]"), MEMORY_24_GB, "a plan of some 4"),
+            ("[scale]\nseconds = 3600.0\n" + GRID.replace("[4]", "[4, 5, 6, 7]"), MEMORY_24_GB, "a plan of about 4"),
         ],
     )
     def test_a_plan_that_is_too_large_for_the_machine_is_rejected_before_it_starts(
