--- a/pearhill/lab/scale/analysis.py
+++ b/pearhill/lab/scale/analysis.py
@@ -1,4 +1,4 @@
-"""What follows from the points of a run: hollow against real dispatchers, and how costs grow with the fleet."""
+"""Analysis of a run's points: compares hollow with real dispatchers, and fits how costs grow with the fleet."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from pearhill.lab.scale import fit
 from pearhill.lab.scale.plan import SizeTable
 
-COMPARISON_TOLERANCE = 0.2  # the share by which hollow and real dispatchers may differ
-AGGREGATOR_CPU_CORES = 1.0  # bounds of an aggregator
+COMPARISON_TOLERANCE = 0.2  # the relative difference that is allowed between hollow and real dispatchers
+AGGREGATOR_CPU_CORES = 1.0  # upper bounds for one aggregator
 AGGREGATOR_MEMORY_BYTES = 1e9
 COMPARED_QUANTITIES = ("cpu_cores", "bytes_s", "memory_bytes")
 QUANTITIES = {
@@ -18,15 +18,15 @@
     "discovery": ("calls_s", "bytes_s"),
 }
 
-# In the results' form.
+# Dictionaries as they are written to the results file.
 Point = dict[str, Any]
 Figures = dict[str, Any]
 Check = dict[str, Any]
 Slope = dict[str, Any]
 
 
-def figure_of(figures: Figures, quantity: str) -> float | None:
-    """One quantity; `bytes_s` is that of both directions. None: it was not measured."""
+def value_of(figures: Figures, quantity: str) -> float | None:
+    """Returns the value of one quantity, or None if it was not measured. `bytes_s` is the sum of both directions."""
     if quantity == "bytes_s" and "bytes_s" not in figures:
         return float(figures["bytes_in_s"] + figures["bytes_out_s"])
     value = figures[quantity]
@@ -34,10 +34,10 @@
 
 
 def compare(hollow: Point, real: Point, alone: Point | None) -> list[Check]:
-    """Hollow against real dispatchers. What differs by more than the tolerance is carried into the fits as an error.
+    """Compares hollow with real dispatchers. A difference above the tolerance is added to the fits as an error.
 
-    `alone`: hollow dispatchers that have a process each show how much of a difference comes of sharing one. Nothing is
-    fitted to them, so nothing is carried.
+    `alone` is the point of the hollow dispatchers that have a process each. It shows how much of a difference is caused
+    by sharing a process. No form is fitted to these dispatchers, so their checks add no error.
     """
     fleet = f"{hollow['way']}, {hollow['dispatchers']} dispatchers before {hollow['replicas']} replicas"
     checks = [
@@ -45,62 +45,62 @@
         for quantity in COMPARED_QUANTITIES
     ]
     if alone:
-        what = f"hollow with a process each against real, {fleet}"
-        checks += [_check(what, quantity, real, alone, is_fitted=False) for quantity in COMPARED_QUANTITIES]
+        description = f"hollow with a process each against real, {fleet}"
+        checks += [_check(description, quantity, real, alone, is_fitted=False) for quantity in COMPARED_QUANTITIES]
     return [check for check in checks if check is not None]
 
 
-def _check(what: str, quantity: str, real: Point, hollow: Point, is_fitted: bool) -> Check | None:
-    """None: the quantity was not measured at one of them."""
-    real_value = figure_of(real["dispatcher"], quantity)
-    hollow_value = figure_of(hollow["dispatcher"], quantity)
+def _check(description: str, quantity: str, real: Point, hollow: Point, is_fitted: bool) -> Check | None:
+    """Returns the comparison of one quantity, or None if it was not measured at both kinds of dispatcher."""
+    real_value = value_of(real["dispatcher"], quantity)
+    hollow_value = value_of(hollow["dispatcher"], quantity)
     if not real_value or not hollow_value:
         return None
     difference = hollow_value / real_value - 1
     is_within = abs(difference) <= COMPARISON_TOLERANCE
-    carried = 0.0 if is_within or not is_fitted else abs(real_value / hollow_value - 1)
+    carried_error = 0.0 if is_within or not is_fitted else abs(real_value / hollow_value - 1)
     return {
-        "what": what,
+        "what": description,
         "quantity": quantity,
         "real": real_value,
         "hollow": hollow_value,
         "difference": round(difference, 4),
         "within": is_within,
-        "carried_as_error": round(carried, 4),
+        "carried_as_error": round(carried_error, 4),
     }
 
 
 def slopes(points: Iterable[Point], checks: Sequence[Check], size: SizeTable) -> list[Slope]:
-    """Each quantity of each role fitted over the grid; points of a busy machine are left out."""
+    """Fits each quantity of each role over the grid. Points that were measured on a busy machine are left out."""
     fitted = [p for p in points if p["kind"] == "hollow" and p["work"] == "drawn" and not p["busy"]]
-    found = []
-    for way in sorted({p["way"] for p in fitted}):
-        of_way = [p for p in fitted if p["way"] == way]
-        errors = _carried_errors(way, checks)
+    fits = []
+    for exchange in sorted({p["way"] for p in fitted}):
+        exchange_points = [p for p in fitted if p["way"] == exchange]
+        errors = _carried_errors(exchange, checks)
         for role, quantities in QUANTITIES.items():
             for quantity in quantities:
-                carried = errors.get(quantity, 0.0) if role == "dispatcher" else 0.0
-                slope = _slope(of_way, role, quantity, size, carried)
+                carried_error = errors.get(quantity, 0.0) if role == "dispatcher" else 0.0
+                slope = _slope(exchange_points, role, quantity, size, carried_error)
                 if slope is not None:
-                    found.append({"way": way, **slope})
-    return found
+                    fits.append({"way": exchange, **slope})
+    return fits
 
 
-def _carried_errors(way: str, checks: Sequence[Check]) -> dict[str, float]:
-    """The errors of hollow dispatchers by quantity, from the checks with this load exchange."""
-    what = f"hollow against real, {way},"
-    return {check["quantity"]: check["carried_as_error"] for check in checks if check["what"].startswith(what)}
+def _carried_errors(exchange: str, checks: Sequence[Check]) -> dict[str, float]:
+    """Returns the error of hollow dispatchers for each quantity, from the checks with this load exchange."""
+    description = f"hollow against real, {exchange},"
+    return {check["quantity"]: check["carried_as_error"] for check in checks if check["what"].startswith(description)}
 
 
-def _slope(points: Sequence[Point], role: str, quantity: str, size: SizeTable, carried: float) -> Slope | None:
-    """None: there are too few points, or no form fits them."""
+def _slope(points: Sequence[Point], role: str, quantity: str, size: SizeTable, carried_error: float) -> Slope | None:
+    """Returns the fit of one quantity, or None if there are too few points or no form fits them."""
     rows = [
         fit.Point(point["dispatchers"], point["replicas"], value)
         for point in points
-        if point[role] and (value := figure_of(point[role], quantity)) is not None
+        if point[role] and (value := value_of(point[role], quantity)) is not None
     ]
-    found = fit.fit(rows, fit.Size(size.dispatchers, size.replicas), carried)
-    if found is None:
+    best_fit = fit.fit(rows, fit.Size(size.dispatchers, size.replicas), carried_error)
+    if best_fit is None:
         return None
     dispatchers = [row.dispatchers for row in rows]
     replicas = [row.replicas for row in rows]
@@ -108,23 +108,23 @@
     return {
         "role": role,
         "quantity": quantity,
-        "form": found.form,
-        "coefficients": found.coefficients,
-        "low": found.low,
-        "high": found.high,
+        "form": best_fit.form,
+        "coefficients": best_fit.coefficients,
+        "low": best_fit.low,
+        "high": best_fit.high,
         "fitted_over": {
             "dispatchers": [min(dispatchers), max(dispatchers)],
             "replicas": [min(replicas), max(replicas)],
         },
         "stretched": round(max(1.0, size.dispatchers / max(dispatchers), size.replicas / max(replicas)), 2),
-        "at_size": found.at_size,
+        "at_size": best_fit.at_size,
         "bound": bound,
-        "need_over_bound": round(found.at_size / bound, 4) if bound else None,
+        "need_over_bound": round(best_fit.at_size / bound, 4) if bound else None,
     }
 
 
 def _bound(role: str, quantity: str, size: SizeTable) -> float | None:
-    """What the quantity may be at the size; None: it has no bound."""
+    """Returns the upper bound of the quantity at the planned size, or None if it has no bound."""
     bounds = {
         ("dispatcher", "cpu_cores"): size.cpu_cores,
         ("dispatcher", "bytes_s"): size.bytes_s,
--- a/pearhill/lab/scale/run.py
+++ b/pearhill/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""A plan carried out: choice, checks, points, evenness and faults, one after the other, and the results."""
+"""Runs a plan: choice, checks, grid points, evenness and faults, one after the other. Collects the results."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 import pearhill
 from pearhill.lab.scale import faults
 from pearhill.lab.scale.analysis import Check, Point, compare, slopes
-from pearhill.lab.scale.bounds import MAX_MEMORY_SHARE, MAX_PROCESSES, check_bounds, expected_seconds
+from pearhill.lab.scale.bounds import MAX_MEMORY_FRACTION, MAX_PROCESSES, check_bounds, expected_seconds
 from pearhill.lab.scale.child import Child, ProcessFailedError
 from pearhill.lab.scale.figures import FleetMeasurement
-from pearhill.lab.scale.files import file_of
+from pearhill.lab.scale.files import render_file
 from pearhill.lab.scale.fleet import PrintLine, RunningFleet
 from pearhill.lab.scale.loaded import measure_under_load
 from pearhill.lab.scale.measure import describe_machine, resident_bytes, usage_of
@@ -28,43 +28,43 @@
 from pearhill.lab.scale.planned_fleets import FleetSize, check_fleets, evenness_fleets, fault_fleet, grid_fleets
 
 RESOURCE_POLL_S = 1.0
-# The run stops itself after so many times what the plan should take, and so many seconds.
+# The run stops itself after `MAX_OVERRUN_FACTOR` times the plan's expected duration plus `MAX_OVERRUN_S`.
 MAX_OVERRUN_FACTOR = 4
 MAX_OVERRUN_S = 300.0
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
 class RunStoppedError(Exception):
-    """The run was ended before it was through; the text says why. `results`: those that there were until then."""
+    """The run was stopped before its end. The message is the reason; `results` are the results up to then."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
         self.results: dict[str, Any] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class _CheckMeasurement:
-    """What a check has measured.
+    """The measurements of a check.
 
-    `loaded`: the point of the real dispatchers under load, if that is asked for. `bare_memory_bytes`, `bare_cpu_s`:
-    what a dispatcher without endpoint list and fleet holds, and takes in the window. `settled`: whether the fleet was
-    whole.
+    `under_load` is the point of the real dispatchers under load, if the check has one. `baseline_memory_bytes` and
+    `baseline_cpu_s` are the memory, and the CPU time in the window, of a dispatcher without endpoint list and fleet.
+    `settled` is whether all dispatchers had the complete endpoint list and counted the whole fleet.
     """
 
     fleet: FleetMeasurement
-    loaded: Point | None
-    bare_memory_bytes: float
-    bare_cpu_s: float
+    under_load: Point | None
+    baseline_memory_bytes: float
+    baseline_cpu_s: float
     settled: bool
 
 
 class PlanRun:
-    """A run of one plan, and what it has found so far."""
+    """The run of one plan, with its results so far."""
 
     def __init__(self, plan: Plan, print_line: PrintLine) -> None:
         self._plan = plan
         self._print_line = print_line
-        self._fleet: RunningFleet | None = None  # the one that is up
+        self._fleet: RunningFleet | None = None  # the running fleet, if any
         self._points: list[Point] = []
         self._checks: list[Check] = []
         self._choice: list[dict[str, Any]] = []
@@ -76,49 +76,49 @@
         self._started = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
 
     async def run_all(self, folder: pathlib.Path) -> None:
-        """Run all parts of the plan, with the processes' files in `folder`."""
+        """Run all parts of the plan. The files of the processes are in `folder`."""
         plan = self._plan
         if plan.choice:
             await self._run_choice(folder)
         for number, (size, load_per_s) in enumerate(check_fleets(plan), 1):
             self._print_line(f"check {number} of {len(plan.check)}: {describe(size)}")
-            await self._or_not_run(size, self._run_check(size, load_per_s, folder))
+            await self._run_or_record_failure(size, self._run_check(size, load_per_s, folder))
         sizes = grid_fleets(plan)
         for number, size in enumerate(sizes, 1):
             elapsed_s = time.monotonic() - self._began
             self._print_line(f"point {number} of {len(sizes)}: {describe(size)}, {elapsed_s:.0f} s")
-            await self._or_not_run(size, self._run_point(size, folder))
+            await self._run_or_record_failure(size, self._run_point(size, folder))
         for size in evenness_fleets(plan):
             self._print_line(f"evenness: {describe(size)}, {size.rate_per_s:g} requests a second each")
-            await self._or_not_run(size, self._run_evenness(size, folder))
+            await self._run_or_record_failure(size, self._run_evenness(size, folder))
         for table in plan.faults:
             size = fault_fleet(table)
             self._print_line(f"troubles: {describe(size)}")
-            await self._or_not_run(size, self._run_faults(table, size, folder))
+            await self._run_or_record_failure(size, self._run_faults(table, size, folder))
 
-    async def _or_not_run(self, size: FleetSize, part: Coroutine[Any, Any, None]) -> None:
-        """Run a part. One that fails stands in the results as not run, and the plan goes on."""
+    async def _run_or_record_failure(self, size: FleetSize, part: Coroutine[Any, Any, None]) -> None:
+        """Run a part of the plan. If it fails, the results list it as not run, and the plan continues."""
         try:
             await part
         except ProcessFailedError as e:
             self.add_not_run(describe(size), e)
-            self._print_line(f"    not run to its end: {e}")
+            self._print_line(f"    this part failed: {e}")
         finally:
             self._fleet = None
 
-    def add_not_run(self, what: str, why: Exception) -> None:
-        """Have the results say that a part was not run."""
-        self._not_run.append({"what": what, "why": str(why)})
+    def add_not_run(self, description: str, reason: Exception) -> None:
+        """Add a part that was not run to the results, with the reason."""
+        self._not_run.append({"what": description, "why": str(reason)})
 
-    def _new_fleet(self, size: FleetSize, folder: pathlib.Path, can_be_cut: bool = False) -> RunningFleet:
-        return RunningFleet(size, self._plan.scale, folder, self._print_line, can_be_cut)
+    def _new_fleet(self, size: FleetSize, folder: pathlib.Path, can_be_partitioned: bool = False) -> RunningFleet:
+        return RunningFleet(size, self._plan.scale, folder, self._print_line, can_be_partitioned)
 
     async def _settle(self, fleet: RunningFleet) -> bool:
-        """Whether the fleet came to count itself right. If not, figures are of a fleet that is not whole."""
+        """Wait until the fleet has settled. Returns False if it has not: its figures are not valid then."""
         settled = await fleet.settle()
         if not settled:
             self._print_line(
-                "    not all dispatchers count them all, or have the whole list: what follows is not to be read"
+                "    some dispatchers have a wrong fleet count or an incomplete list: the next figures are invalid"
             )
         return settled
 
@@ -146,33 +146,33 @@
         hollow = measured.fleet.hollow
         real = measured.fleet.real
         assert real
-        # What a process takes without list and fleet is no control: its own memory, and its loop's idling.
-        real["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
-        if measured.loaded:
-            measured.loaded["dispatcher"]["memory_bytes"] -= round(measured.bare_memory_bytes)
-        bare_cpu_cores = measured.bare_cpu_s / self._plan.scale.seconds
-        real["dispatcher"]["cpu_cores"] = round(real["dispatcher"]["cpu_cores"] - bare_cpu_cores, 6)
-        for point in (hollow, real, measured.loaded):
+        # Memory and idle event loop of a process without endpoint list and fleet are not part of the control costs.
+        real["dispatcher"]["memory_bytes"] -= round(measured.baseline_memory_bytes)
+        if measured.under_load:
+            measured.under_load["dispatcher"]["memory_bytes"] -= round(measured.baseline_memory_bytes)
+        baseline_cpu_cores = measured.baseline_cpu_s / self._plan.scale.seconds
+        real["dispatcher"]["cpu_cores"] = round(real["dispatcher"]["cpu_cores"] - baseline_cpu_cores, 6)
+        for point in (hollow, real, measured.under_load):
             if point:
                 self._add_point(point, measured.settled)
         self._add_checks(compare(hollow, real, measured.fleet.alone))
 
     async def _measure_check(self, fleet: RunningFleet, load_per_s: float) -> _CheckMeasurement:
-        bare = await fleet.start_dispatcher("bare", bare_file(fleet))
+        baseline = await fleet.start_dispatcher("bare", baseline_file(fleet))
         try:
             settled = await self._settle(fleet)
-            before = usage_of(bare.pid)
+            before = usage_of(baseline.pid)
             measurement = await fleet.measure()
-            bare_cpu_s = usage_of(bare.pid).cpu_s - before.cpu_s
+            baseline_cpu_s = usage_of(baseline.pid).cpu_s - before.cpu_s
         finally:
-            bare.kill()
-        loaded = await measure_under_load(fleet, load_per_s) if load_per_s else None
-        return _CheckMeasurement(measurement, loaded, before.unshared_bytes, bare_cpu_s, settled)
+            baseline.kill()
+        under_load = await measure_under_load(fleet, load_per_s) if load_per_s else None
+        return _CheckMeasurement(measurement, under_load, before.unshared_bytes, baseline_cpu_s, settled)
 
     def _add_point(self, point: Point, settled: bool) -> None:
         point["busy"] = point["busy"] or not settled
         self._points.append(point)
-        self._print_line("    " + summary_of(point))
+        self._print_line("    " + summarize(point))
 
     def _add_checks(self, checks: list[Check]) -> None:
         self._checks += checks
@@ -213,16 +213,16 @@
         )
 
     async def _run_faults(self, table: FaultsTable, size: FleetSize, folder: pathlib.Path) -> None:
-        async with self._new_fleet(size, folder, can_be_cut=True) as self._fleet:
+        async with self._new_fleet(size, folder, can_be_partitioned=True) as self._fleet:
             await self._settle(self._fleet)
             await faults.run(table.event, self._fleet, self._faults, self._print_line)
 
     async def watch_resources(self) -> None:
-        """Poll until cancelled. RunStoppedError: the processes take more than they may.
+        """Poll the resources until cancelled. Raises RunStoppedError if the processes exceed the limits.
 
-        Beyond the machine's memory, processes that are not the run's would be ended by the system.
+        If the machine ran out of memory, the system could kill processes that do not belong to the run.
         """
-        allowed_bytes = MAX_MEMORY_SHARE * describe_machine()["memory_bytes"]
+        allowed_bytes = MAX_MEMORY_FRACTION * describe_machine()["memory_bytes"]
         while True:
             await asyncio.sleep(RESOURCE_POLL_S)
             if self._fleet is None:
@@ -232,11 +232,11 @@
             if used_bytes > allowed_bytes or len(pids) >= MAX_PROCESSES:
                 raise RunStoppedError(
                     f"{len(pids)} processes hold {used_bytes / 1e9:.1f} GB; allowed: {MAX_PROCESSES}, and "
-                    f"{MAX_MEMORY_SHARE:.0%} of the machine's memory"
+                    f"{MAX_MEMORY_FRACTION:.0%} of the machine's memory"
                 )
 
     def results(self, name: str) -> dict[str, Any]:
-        """What was found so far, as it is written to the results' file. `name`: the plan's. To be called once."""
+        """Returns the results so far in the form of the results file. `name` is the plan's. It must be called once."""
         self._load_averages.append(_load_average())
         return {
             "version": pearhill.__version__,
@@ -257,12 +257,12 @@
 
 
 def _load_average() -> float:
-    """Of the last minute."""
+    """Returns the load average of the last minute."""
     return round(os.getloadavg()[0], 2)
 
 
 def git_commit() -> str:
-    """The short hash of the program that runs; empty outside a clone."""
+    """Returns the short hash of the running program's commit, or an empty string outside of a Git clone."""
     done = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
@@ -274,25 +274,25 @@
 
 
 def describe(size: FleetSize) -> str:
-    """A fleet, for lines that are printed."""
+    """Returns a description of a fleet for printed lines."""
     real = f" and {size.real} real" if size.real else ""
     aggregators = f", {size.aggregators} aggregators" if size.aggregators else ""
     dispatchers = f"{size.exchange}, {size.hollow} hollow{real} dispatchers"
     return f"{dispatchers} before {size.replicas} replicas, work {size.workload}{aggregators}"
 
 
-def summary_of(point: Point) -> str:
-    """A point's figures, for lines that are printed."""
+def summarize(point: Point) -> str:
+    """Returns a summary of a point's figures for printed lines."""
     dispatcher = point["dispatcher"]
     memory_bytes = dispatcher["memory_bytes"]
-    memory = f"{memory_bytes / 1e6:.2f} MB" if memory_bytes else "memory not told"
+    memory = f"{memory_bytes / 1e6:.2f} MB" if memory_bytes else "memory not measured"
     text = (
         f"{point['kind']}: {dispatcher['cpu_cores']:.2%} of a core, {dispatcher['bytes_in_s'] / 1e3:.2f} KB/s in, "
         f"{dispatcher['bytes_out_s'] / 1e3:.2f} out, {memory}"
     )
     age_ms = dispatcher["news_age_ms"]
     if age_ms:
-        text += f", news {age_ms['p50']:.0f} ms old, p99 {age_ms['p99']:.0f}"
+        text += f", age of load data {age_ms['p50']:.0f} ms, p99 {age_ms['p99']:.0f}"
     aggregator = point["aggregator"]
     if aggregator:
         megabytes = aggregator["memory_bytes"] / 1e6
@@ -300,22 +300,25 @@
     return text
 
 
-def bare_file(fleet: RunningFleet) -> str:
-    """An operator's file without endpoint list and fleet: its process takes what any does before any control."""
+def baseline_file(fleet: RunningFleet) -> str:
+    """Returns the configuration file of a dispatcher without endpoint list and fleet.
+
+    Its process uses the resources of any dispatcher before any control traffic.
+    """
     head = fleet.template[: fleet.template.index("\n[eureka]")].replace("admin_addr", "# admin_addr")
     server = '\n[[server]]\nuid = "one"\naddress = "127.0.0.1:9"\nkind = "writer"\n'
-    return file_of(fleet.dispatchers[0], head) + server
+    return render_file(fleet.dispatchers[0], head) + server
 
 
 async def run(plan: Plan, name: str, print_line: PrintLine = lambda line: None) -> dict[str, Any]:
-    """Carry out a plan; the results, as they are written to a file.
+    """Run a plan and return its results in the form of the results file.
 
-    ConfigError: the plan is too large for this machine. RunStoppedError: it did not come through; its processes are
-    ended then, too.
+    Raises ConfigError if the plan is too large for this machine. Raises RunStoppedError if the run was stopped before
+    its end; its processes are ended in this case, too.
     """
     check_bounds(plan, describe_machine()["memory_bytes"])
     expected_s = expected_seconds(plan)
-    print_line(f"some {expected_s / 60:.0f} min, seed {plan.scale.seed}")
+    print_line(f"expected duration {expected_s / 60:.0f} min, seed {plan.scale.seed}")
     plan_run = PlanRun(plan, print_line)
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -329,7 +332,7 @@
 
 
 async def _run_guarded(plan_run: PlanRun, folder: pathlib.Path, timeout_s: float) -> None:
-    """The run, the watch over its resources, its time limit and the signals that end it: whichever comes first."""
+    """Run the plan until its end, a signal, the time limit or an excess of resources, whichever comes first."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in STOP_SIGNALS:
@@ -343,7 +346,7 @@
             return await work
         if watch in done:
             return await watch
-        raise RunStoppedError("ended by a signal" if stopped in done else f"not through after {timeout_s:.0f} s")
+        raise RunStoppedError("ended by a signal" if stopped in done else f"not finished after {timeout_s:.0f} s")
     finally:
         for number in STOP_SIGNALS:
             loop.remove_signal_handler(number)
