--- a/pearhill/conformance/__init__.py
+++ b/pearhill/conformance/__init__.py
@@ -1,5 +1,6 @@
-"""The conformance suite of the chat API: cases as data, a scripted replica, and a runner for any front.
+"""The conformance suite of the chat API: cases as data, a scripted replica, and a runner that tests any front end.
 
-A front under test must have the scripted replica as its only replica, and two models: `conform-safe`, whose requests
-are idempotent, and `conform-once`, whose requests must never run twice. `front.toml` is such an operator's file.
+The front end under test must have the scripted replica as its only replica, and two models: `conform-safe`, whose
+requests are idempotent, and `conform-once`, whose requests must never run twice. `front.toml` is a configuration file
+that meets these conditions.
 """
--- a/pearhill/conformance/case.py
+++ b/pearhill/conformance/case.py
@@ -1,4 +1,4 @@
-"""What a conformance case is: a request, the replica's scripts, the response and the upstream requests expected."""
+"""Defines a conformance case: a request, the replica's scripts, and the expected response and upstream requests."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedResponse:
-    """The response that the client must receive. What is None or empty is not checked.
+    """The response that the client must receive. A field that is None or empty is not checked.
 
-    `json` and each of `events` are matched as parts by `mismatch`. Of a stream, "[DONE]" is an event, and the text of
-    the first choice is put together from its events. A header's value "*" stands for any value.
+    `mismatch` compares `json` and each of `events`, so that the response may have more fields than are listed. In a
+    stream, "[DONE]" counts as an event. `text` is compared with the concatenated text of the stream's first choice. The
+    header value "*" matches any value.
     """
 
     status: int = 200
@@ -31,21 +32,22 @@
     headers: dict[str, str] = field(default_factory=dict)
     absent_headers: tuple[str, ...] = ()
     events: tuple[Any, ...] | None = None
-    event_names: tuple[str, ...] | None = None  # in order
-    body: bytes | None = None  # byte for byte
-    truncated: bool = False  # the connection ends before the body does
-    connection_usable: bool | None = None  # whether the connection takes another request
+    event_names: tuple[str, ...] | None = None  # the `event` fields of all events, in order
+    body: bytes | None = None  # compared byte for byte
+    truncated: bool = False  # the connection must end before the body is complete
+    connection_usable: bool | None = None  # whether the connection must accept another request
     text: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedRequests:
-    """What the scripted replica must have received: how many complete requests, and of the last one what it held.
+    """What the scripted replica must have received: the number of complete requests, and the content of the last one.
 
-    `fields` is matched as a part of the body, by `mismatch`; `absent` are names that the body must not have.
+    `mismatch` compares `fields` with the body, which may have more fields. `absent` lists the names of fields that the
+    body must not have, `absent_headers` the names of headers that the request must not have.
     """
 
-    count: int | None = 1  # None: one or more
+    count: int | None = 1  # None stands for one or more
     fields: Any = None
     absent: tuple[str, ...] = ()
     headers: dict[str, str] = field(default_factory=dict)
@@ -54,37 +56,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One request to the front under test, and all that must come of it."""
+    """One request to the front end under test, with the expected response and upstream requests."""
 
     name: str  # "group/name", unique in the suite
-    guards_against: str  # the fault that the case would show, for the report
-    body: Any  # a JSON value, or the bytes themselves
+    guards_against: str  # the fault that the case detects, as the report describes it
+    body: Any  # bytes, which are sent as they are, or a value that is sent as JSON
     expected_response: ExpectedResponse
-    scripts: tuple[Script, ...] = ()  # one for each request that the replica receives; the last one repeats
+    scripts: tuple[Script, ...] = ()  # the k-th is for the k-th request; the last one repeats
     expected_requests: ExpectedRequests = ExpectedRequests(count=0)
     path: str = CHAT_PATH
     method: str = "POST"
     headers: dict[str, str] = field(default_factory=dict)
-    standalone_only: bool = False  # left out where an application or its HTTP server decides, not the front
-    client_disconnects: bool = False  # after the first piece of the body
-    pause_after_s: float = 0.0  # until the front no longer remembers what the replica asked for
+    standalone_only: bool = False  # skipped where an embedding application or its HTTP server decides
+    client_disconnects: bool = False  # after the first part of the response body
+    pause_after_s: float = 0.0  # until the pause that the replica requested by `Retry-After` has expired
 
     @property
     def group(self) -> str:
-        """The part of the name before the slash; the report has one table for each."""
+        """The part of the name before the slash. The report has one table for each group."""
         return self.name.partition("/")[0]
 
     @property
     def request_body(self) -> bytes:
-        """The body as it is sent."""
+        """The bytes of the body as they are sent."""
         return self.body if isinstance(self.body, bytes) else msgspec.json.encode(self.body)
 
 
 def mismatch(expected: Any, actual: Any) -> str:
-    """Where `actual` differs from what is expected, in words; empty where it does not.
+    """Returns a description of the first difference between `actual` and `expected`, or an empty text if they match.
 
-    An object may have more fields than the expected one. Lists are compared item by item and must have the same length;
-    all other values must be equal and of the same type, so that 1, 1.0 and true differ.
+    An object may have more fields than the expected one. Lists are compared item by item and must have the same length.
+    All other values must be equal and of the same type, so that 1, 1.0 and true differ.
     """
     if isinstance(expected, dict):
         return _object_mismatch(expected, actual)
--- a/pearhill/conformance/client.py
+++ b/pearhill/conformance/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client that reports all that it received, however the response ended."""
+"""An HTTP/1.1 client that returns everything it received, also of a response that ended early."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class ReceivedResponse:
-    """A response, as far as it arrived. Header names are in lower case."""
+    """The part of a response that has arrived. Header names are in lower case."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -25,7 +25,7 @@
 
 
 class _ResponseParser:
-    """Collects one response. httptools calls the methods that begin with "on_"."""
+    """Collects one response. httptools calls the methods whose names begin with "on_"."""
 
     def __init__(self) -> None:
         self.response = ReceivedResponse()
@@ -33,24 +33,24 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header; of a name that comes twice the last value counts."""
+        """Store a header. If a name is repeated, the last value replaces the earlier ones."""
         self.response.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Keep the status; an interim response (1xx) is overwritten by the final one."""
+        """Store the status. The status of the final response overwrites that of an interim response (1xx)."""
         self.response.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Append a piece of the body, free of its chunked coding."""
+        """Append a part of the body, from which httptools has removed the chunked transfer coding."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """The end of a response: an interim one does not complete the exchange."""
+        """Mark the response as complete, unless it is an interim response (1xx), which the final one follows."""
         self.response.complete = self.response.status >= 200
 
 
 class ClientConnection:
-    """A client's connection to a front, for one request after the other."""
+    """A client's connection to a front end, for one request at a time."""
 
     def __init__(self, host: str, port: int) -> None:
         self.host = host
@@ -59,7 +59,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def open(self) -> None:
-        """Connect. OSError: the front cannot be reached."""
+        """Connect. Raises OSError if the front end cannot be reached."""
         self._reader, self._writer = await asyncio.open_connection(self.host, self.port)
 
     async def exchange(
@@ -71,10 +71,10 @@
         timeout: float,
         on_first: Callable[[], bool] = lambda: False,
     ) -> ReceivedResponse:
-        """Send a request and receive its response, up to the end of the body or of the connection.
+        """Send a request and receive its response until the body is complete or the connection ends.
 
-        `on_first` is called when the first piece of the body has arrived; if it returns True, nothing more is read.
-        TimeoutError: neither end has come within `timeout` seconds.
+        `on_first` is called once, when the first part of the body has arrived. If it returns True, reading stops there.
+        Raises TimeoutError if the response has not ended within `timeout` seconds.
         """
         assert self._reader
         assert self._writer
@@ -104,6 +104,6 @@
                     return
 
     def close(self) -> None:
-        """End the connection at once; what is not yet sent is dropped."""
+        """Abort the connection. Data that has not been sent yet is discarded."""
         if self._writer:
             self._writer.transport.abort()
--- a/pearhill/conformance/daemon.py
+++ b/pearhill/conformance/daemon.py
@@ -1,4 +1,4 @@
-"""This version's daemon as a process of its own, as the front under test."""
+"""Runs the daemon of this version in a separate process, as the front end under test."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from pearhill.conformance.errors import ConformanceRunError
 
 FRONT_FILE = pathlib.Path(__file__).parent / "front.toml"
-REPLICA_IN_FILE = "127.0.0.1:8199"  # the address of the replica in that file
+REPLICA_IN_FILE = "127.0.0.1:8199"  # the address of the replica in `front.toml`
 START_TIMEOUT_S = 20
 
 
 def front_file(address: str) -> str:
-    """The text of an operator's file for a front whose only replica is at HOST:PORT."""
+    """Returns the text of a configuration file for a front end whose only replica is at `address` (HOST:PORT)."""
     return FRONT_FILE.read_text(encoding="utf-8").replace(REPLICA_IN_FILE, address)
 
 
 @contextlib.asynccontextmanager
 async def own_daemon(text: str) -> AsyncIterator[str]:
-    """Run this version's daemon with the text of an operator's file; yields its base URL.
+    """Run the daemon of this version with a configuration file of this text, and yield its base URL.
 
-    It is sent SIGTERM at the end and waited for, or killed if an exception is on its way. ConformanceRunError: it did
-    not start. TimeoutError: it did not listen within `START_TIMEOUT_S`.
+    At the end of the context the daemon receives SIGTERM and is awaited. If the context ends with an exception, the
+    daemon is killed. Raises ConformanceRunError if the daemon exits before it listens, and TimeoutError if it does not
+    listen within `START_TIMEOUT_S`.
     """
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "front.toml"
@@ -45,7 +46,8 @@
         assert process.stderr
         try:
             url = await _wait_for_url(process.stderr)
-            drain = asyncio.create_task(process.stderr.read())  # a full pipe would block the daemon's log
+            # The log is read until the end, because the daemon would block on its log once the pipe was full.
+            drain = asyncio.create_task(process.stderr.read())
             yield url
             process.send_signal(signal.SIGTERM)
             await drain
@@ -58,9 +60,9 @@
 
 
 async def _wait_for_url(log: asyncio.StreamReader) -> str:
-    """Read the log up to the line that names the listening address."""
+    """Read the daemon's log up to the line with its listening address, and return the base URL."""
     async with asyncio.timeout(START_TIMEOUT_S):
         while line := await log.readline():
             if b" listens on " in line:
                 return f"http://{line.decode().rpartition(' ')[2].strip()}"
-    raise ConformanceRunError("the daemon did not start")
+    raise ConformanceRunError("the daemon exited before it listened")
--- a/pearhill/conformance/errors.py
+++ b/pearhill/conformance/errors.py
@@ -2,4 +2,7 @@
 
 
 class ConformanceRunError(Exception):
-    """The suite cannot be run: the URL is none, no front listens there or starts, or no case has the given name."""
+    """The suite cannot be run.
+
+    The URL is invalid, no front end listens there, the daemon does not start, or no case has the given name.
+    """
--- a/pearhill/conformance/payloads.py
+++ b/pearhill/conformance/payloads.py
@@ -1,4 +1,4 @@
-"""Request bodies, events and complete answers of the OpenAI API that the cases are made of."""
+"""Builds the request bodies, events and answers of the OpenAI API that the cases consist of."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def sse_event(value: Any) -> bytes:
-    """A server-sent event with a JSON value, or with bytes as they are, as its data."""
+    """Returns a server-sent event whose data is `value`: bytes as they are, any other value as JSON."""
     return b"data: %b\n\n" % (value if isinstance(value, bytes) else msgspec.json.encode(value))
 
 
@@ -20,7 +20,7 @@
 
 
 def chat_chunk(finish: str | None = None, index: int = 0, logprobs: Any = None, **delta: Any) -> dict[str, Any]:
-    """A `chat.completion.chunk` object with one choice. `finish`: its finish reason."""
+    """Returns a `chat.completion.chunk` object with one choice, whose `finish_reason` is `finish`."""
     choice = {"index": index, "delta": delta, "finish_reason": finish}
     if logprobs:
         choice["logprobs"] = logprobs
@@ -37,25 +37,25 @@
         "prompt_tokens_details": {"cached_tokens": 4},
     },
 }
-# The answer "one two", as objects, as events and as the script of a replica that needs one request for it.
+# The answer "one two" as chunk objects, as server-sent events, and as the scripts of a replica that always sends it.
 CHAT_CHUNKS = (chat_chunk(role="assistant", content="one "), chat_chunk(content="two"), chat_chunk(finish="stop"))
 ANSWER_EVENTS = (*map(sse_event, CHAT_CHUNKS), sse_event(USAGE_CHUNK), DONE_EVENT)
 GOOD_SCRIPTS = (event_stream(*ANSWER_EVENTS),)
 
 
 def error_body(code: str | None = None, param: str | None = None, kind: str | None = None) -> dict[str, Any]:
-    """An error object with those fields that are given. `kind`: its `type`."""
+    """Returns an error object with the fields that are given. `kind` is its `type`."""
     fields = {"code": code, "param": param, "type": kind}
     return {"error": {name: value for name, value in fields.items() if value is not None}}
 
 
 def chat_request(*messages: Any, model: Any = IDEMPOTENT_MODEL, **fields: Any) -> dict[str, Any]:
-    """The body of a chat request; without messages, one user's "Hi"."""
+    """Returns the body of a chat request. If no messages are given, it has one user message, "Hi"."""
     return {"model": model, "messages": list(messages) or [{"role": "user", "content": "Hi"}], **fields}
 
 
 def tool_call_delta(index: int, arguments: str = "", id: str | None = None, name: str | None = None) -> dict[str, Any]:
-    """One item of a chunk's `tool_calls`: a piece of a call's arguments, and in its first piece its id and name."""
+    """Returns an item of a chunk's `tool_calls`: a part of a call's arguments, with id and name in the first part."""
     function = {"arguments": arguments}
     if name:
         function["name"] = name
@@ -67,5 +67,5 @@
 
 
 def chunk_scripts(*chunks: dict[str, Any]) -> tuple[Script, ...]:
-    """Scripts of a replica that streams these chunks, the usage chunk and the end."""
+    """Returns the scripts of a replica that streams these chunks, then the usage chunk and [DONE]."""
     return (event_stream(*map(sse_event, chunks), sse_event(USAGE_CHUNK), DONE_EVENT),)
--- a/pearhill/conformance/replica.py
+++ b/pearhill/conformance/replica.py
@@ -1,4 +1,4 @@
-"""The scripted replica: does what a case's scripts say, and keeps the requests that it received."""
+"""The scripted replica: runs the scripts of a case and records the requests that it receives."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 MAX_REQUEST_BYTES = 64 << 20
 READ_BYTES = 65_536
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time to linger
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time of 0 s: closing the socket sends a TCP reset
 
 
 class ScriptedReplica:
-    """A model replica on loopback. `load` scripts before the request that they are for."""
+    """A replica that responds by scripts. `load` must be called before the requests that the scripts are for."""
 
     def __init__(self) -> None:
         self.scripts: tuple[Script, ...] = ()
-        self.requests: list[RequestMessage] = []  # complete ones since the last `load`, releases left out
-        self.releases = 0  # requests to release a held state, since the start
+        self.requests: list[RequestMessage] = []  # complete requests since the last `load`, without releases
+        self.releases = 0  # requests to release a held state, since the start of the replica
         self.address = ""
         self._resumed = asyncio.Event()
         self._client_received = asyncio.Event()
@@ -33,15 +33,16 @@
         self._tasks = set[asyncio.Task[Any]]()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; `address` is HOST:PORT from then on. Port 0: one that the system chooses."""
+        """Listen, and set `address` to HOST:PORT. If `port` is 0, the operating system chooses a free port."""
         self._server = await asyncio.start_server(self._serve, host, port)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     def load(self, scripts: tuple[Script, ...]) -> None:
-        """Play these scripts from the next request on, and forget the requests received so far.
+        """Use these scripts from the next request on, and clear the list of received requests.
 
-        The k-th request gets the k-th script, later ones the last. Without scripts a request ends its connection.
+        The k-th request gets the k-th script, and every later request the last one. If there are no scripts, a request
+        closes its connection.
         """
         self.scripts = scripts
         self.requests = []
@@ -53,16 +54,16 @@
         self._resumed.set()
 
     def client_received(self) -> None:
-        """The client has the first piece of its body: end the steps of kind WAIT_FOR_CLIENT."""
+        """End the steps of kind WAIT_FOR_CLIENT. Called when the client has the first part of its response body."""
         self._client_received.set()
 
     def release(self) -> None:
-        """End the steps of both waiting kinds."""
+        """End the steps of the kinds WAIT_FOR_RELEASE and WAIT_FOR_CLIENT."""
         self._client_received.set()
         self._resumed.set()
 
     async def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         self.release()
         if self._server:
             self._server.close()
@@ -71,7 +72,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def last_body(self) -> Any:
-        """The JSON value of the last request's body; None before the first request."""
+        """Returns the JSON value of the last request's body, or None before the first request."""
         return msgspec.json.decode(self.requests[-1].body) if self.requests else None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -92,7 +93,7 @@
             writer.close()
 
     async def _respond(self, message: RequestMessage, writer: asyncio.StreamWriter) -> bool:
-        """Play the script for a request; False: the connection ends with it."""
+        """Run the script for a request. Returns whether the connection stays open after it."""
         if message.method == "DELETE":
             self.releases += 1
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -101,7 +102,7 @@
         if not self.scripts:
             return False
         script = self.scripts[min(len(self.requests), len(self.scripts)) - 1]
-        # A script that waits goes on with its own events, also when the next scripts have been loaded meanwhile.
+        # `load` replaces both events while an earlier script may still wait, so each script keeps those of its start.
         resumed = self._resumed
         client_received = self._client_received
         for step in script:
--- a/pearhill/conformance/report.py
+++ b/pearhill/conformance/report.py
@@ -1,4 +1,4 @@
-"""What came of the cases, and the page that says so."""
+"""The results of the cases, and the Markdown page that lists them."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseResult:
-    """What came of one case."""
+    """The result of one case."""
 
     case: Case
-    failure: str  # in words; empty where the case holds
+    failure: str  # a description of the failure; empty if the case holds
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
         return [result for result in self.results if result.failure]
 
     def markdown(self) -> str:
-        """The page docs/CONFORMANCE.md."""
+        """Returns the text of the page docs/CONFORMANCE.md."""
         groups = Counter(result.case.group for result in self.results)
         lines = [
             "# Conformance",
--- a/pearhill/conformance/runner.py
+++ b/pearhill/conformance/runner.py
@@ -1,4 +1,4 @@
-"""Runs the cases against a front, one after the other."""
+"""Runs the cases against a front end, one after the other."""
 
 from __future__ import annotations
 
@@ -20,14 +20,17 @@
 
 
 class FrontAddress(NamedTuple):
-    """Where the front under test listens."""
+    """The address at which the front end under test listens."""
 
     host: str
     port: int
 
 
 async def run_case(case: Case, replica: ScriptedReplica, address: FrontAddress, key: str) -> str:
-    """Run one case; why it does not hold, or an empty text. `key`: an API key for the front, or empty."""
+    """Run one case. Returns a description of its failure, or an empty text if the case holds.
+
+    `key` is an API key for the front end, or empty.
+    """
     replica.load(case.scripts)
     connection = ClientConnection(*address)
     headers = {**({"Authorization": f"Bearer {key}"} if key else {}), **case.headers}
@@ -50,7 +53,7 @@
     case: Case, replica: ScriptedReplica, connection: ClientConnection, headers: dict[str, str]
 ) -> str:
     def on_first() -> bool:
-        """Let the replica send the rest of its script; whether the client disconnects here."""
+        """Let the replica continue its script. Returns whether the client disconnects at this point."""
         replica.client_received()
         return case.client_disconnects
 
@@ -69,7 +72,7 @@
 
 
 async def _is_usable(connection: ClientConnection, headers: dict[str, str]) -> bool:
-    """Whether the connection takes another request, sent with the same credentials."""
+    """Returns whether the connection accepts another request, which is sent with the same credentials."""
     credentials = {name: value for name, value in headers.items() if name.lower() in CREDENTIAL_HEADERS}
     try:
         response = await connection.exchange("GET", MODELS_PATH, credentials, None, CASE_TIMEOUT_S)
@@ -85,15 +88,15 @@
     only: str = "",
     embedded: bool = False,
 ) -> Report:
-    """Run the cases whose name contains `only` against the front at a URL whose only replica is the given one.
+    """Run the cases whose name contains `only` against the front end at `url`, whose only replica must be `replica`.
 
-    `embedded`: the front is inside an application. ConformanceRunError: the URL is none, nothing listens there, or no
-    case has such a name.
+    `embedded` says that the front end runs inside an application: cases that are `standalone_only` are skipped. Raises
+    ConformanceRunError if the URL is invalid, if no server listens there, or if no case has such a name.
     """
     address = _front_address(url)
     cases = [case for case in CASES if only in case.name and not (embedded and case.standalone_only)]
     if not cases:
-        raise ConformanceRunError(f"no case has {only!r} in its name")
+        raise ConformanceRunError(f"no case name contains {only!r}")
     await _check_reachable(address)
     report = Report()
     for case in cases:
@@ -118,7 +121,10 @@
 
 
 async def conform_url(url: str, listen: str, key: str, only: str) -> Report:
-    """Test a front that runs already and whose only replica is the scripted one, which listens at `listen`."""
+    """Test a front end that is already running, with a scripted replica that listens at `listen` (HOST:PORT).
+
+    That replica must be the only one of the front end.
+    """
     replica = ScriptedReplica()
     host, _, port = listen.rpartition(":")
     await replica.start(host.strip("[]") or "127.0.0.1", int(port))
@@ -129,7 +135,7 @@
 
 
 async def conform_own(only: str = "") -> Report:
-    """Start this version's daemon and test it."""
+    """Start the daemon of this version and test it."""
     replica = ScriptedReplica()
     await replica.start()
     try:
--- a/pearhill/conformance/scripts.py
+++ b/pearhill/conformance/scripts.py
@@ -1,4 +1,4 @@
-"""What the scripted replica does with a request: steps that write to its connection, wait or end it."""
+"""Scripts of the scripted replica: steps that write to a request's connection, wait, or reset the connection."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class StepKind(StrEnum):
-    """What a step does; only the first two have data."""
+    """The action of a step. Only SEND and SEND_CHUNK use the data of the step."""
 
-    SEND = "raw"  # the bytes as they are
-    SEND_CHUNK = "chunk"  # the bytes as one chunk of a chunked body (RFC 9112, 7.1)
-    WAIT_FOR_RELEASE = "hold"  # until the client has what it waited for, or has gone
-    WAIT_FOR_CLIENT = "seen"  # until the client has the first piece of the body
-    RESET = "reset"  # end the connection by a TCP reset
+    SEND = "raw"  # sends the bytes as they are
+    SEND_CHUNK = "chunk"  # sends the bytes as one chunk of a chunked body (RFC 9112, 7.1)
+    WAIT_FOR_RELEASE = "hold"  # waits until the case has ended, or `resume` is called
+    WAIT_FOR_CLIENT = "seen"  # waits until the client has received the first part of the body
+    RESET = "reset"  # ends the connection by a TCP reset
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that the scripted replica does."""
+    """One action of the scripted replica."""
 
     kind: StepKind
     data: bytes = b""
@@ -34,12 +34,12 @@
 
 
 def send_bytes(data: bytes) -> Step:
-    """A step that sends bytes as they are."""
+    """Returns a step that sends bytes as they are."""
     return Step(StepKind.SEND, data)
 
 
 def http_chunk(data: bytes) -> Step:
-    """A step that sends one chunk of a chunked body."""
+    """Returns a step that sends one chunk of a chunked body."""
     return Step(StepKind.SEND_CHUNK, data)
 
 
@@ -50,23 +50,29 @@
 
 
 def response_head(**headers: str) -> Step:
-    """The head of a chunked event stream, with status 200.
+    """Returns a step that sends the head of a chunked event stream, with status 200.
 
-    Headers add to the usual ones or replace them, with `_` for `-` in their names; an empty value leaves one out.
+    `headers` extend or replace the default headers. Their names have `_` in place of `-`, and an empty value omits the
+    header.
     """
     fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **_header_names(headers)}
     return send_bytes(_head(200, ((name, value) for name, value in fields.items() if value)))
 
 
 def event_stream(*parts: bytes, last: bool = True) -> Script:
-    """A good event stream with a chunk for each part. `last` False: the chunk that ends the body is left out."""
+    """Returns the script of a valid event stream with one chunk for each part.
+
+    If `last` is false, the last chunk, which ends the body, is omitted.
+    """
     ending = (LAST_CHUNK,) if last else ()
     return (response_head(), *map(http_chunk, parts), *ending)
 
 
 def plain_response(status: int, body: Any = b"", **headers: str) -> Script:
-    """A response with Content-Length, sent in one piece. A body that is not bytes is sent as JSON; headers are named
-    as in `response_head`."""
+    """Returns the script of a response with Content-Length, which is sent in one write.
+
+    A body of bytes is sent as it is, any other value as JSON. Header names are written as for `response_head`.
+    """
     data = body if isinstance(body, bytes) else msgspec.json.encode(body)
     fields = {"Content-Type": "application/json", "Content-Length": str(len(data)), **_header_names(headers)}
     return (send_bytes(_head(status, fields.items()) + data),)
@@ -82,6 +88,6 @@
 
 
 def keeps_connection(script: Script) -> bool:
-    """Whether a script sends a complete response, after which its connection stays open."""
+    """Returns whether a script sends a complete response, after which the connection stays open."""
     data = b"".join(step.data for step in script)
     return data.endswith(messages.LAST_CHUNK) or b"Content-Length: " in data
--- a/pearhill/conformance/suite/__init__.py
+++ b/pearhill/conformance/suite/__init__.py
@@ -1,4 +1,4 @@
-"""The cases, one module for each subject. The order is that in which they run."""
+"""All cases, with one module for each subject. The cases run in the order of `CASES`."""
 
 from pearhill.conformance.case import Case
 from pearhill.conformance.suite import answers, bodies, completions, replicas, responses, streams
--- a/pearhill/conformance/suite/answers.py
+++ b/pearhill/conformance/suite/answers.py
@@ -1,4 +1,4 @@
-"""Complete answers, and what the replica receives for them."""
+"""Cases of complete answers, of the requests that the replica receives, and of retries."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class AnswerRow(NamedTuple):
-    """A case of a complete answer: what the replica streams, and what the client must receive for it."""
+    """A complete answer: the chunks that the replica streams and the response that the client must receive."""
 
     name: str
     guards_against: str
-    fields: dict[str, Any]  # of the request, beside its message
-    chunks: tuple[dict[str, Any], ...]  # of the replica's stream
+    fields: dict[str, Any]  # further fields of the request, whose message is the default one
+    chunks: tuple[dict[str, Any], ...]  # the replica's stream, without the usage chunk and [DONE]
     expected: ExpectedResponse
 
     def case(self) -> Case:
-        """The row as a case of the group "answers"."""
+        """Returns the row as a case of the group "answers"."""
         return Case(
             f"answers/{self.name}",
             self.guards_against,
@@ -41,14 +41,14 @@
 
 
 class ForwardedRow(NamedTuple):
-    """A case of what the replica must receive of a request."""
+    """A case of a request and of the fields that the replica must receive for it."""
 
     name: str
-    fields: dict[str, Any]  # of the request, beside its message or in its place
+    fields: dict[str, Any]  # fields of the request, which extend or replace the default ones
     forwarded: dict[str, Any]  # fields that the replica must receive
 
     def case(self) -> Case:
-        """The row as a case of the group "sent"."""
+        """Returns the row as a case of the group "sent"."""
         return Case(
             f"sent/{self.name}",
             "a field that is lost or changed on its way to the server",
@@ -60,7 +60,7 @@
 
 
 def expected_message(finish: str = "stop", **fields: Any) -> ExpectedResponse:
-    """A complete answer with one message that has these fields. `finish`: its finish reason."""
+    """Returns the expected complete answer, whose message has these fields. `finish` is its finish reason."""
     return ExpectedResponse(
         json={
             "object": "chat.completion",
@@ -74,12 +74,12 @@
 
 
 def tool_call_chunk(*deltas: dict[str, Any]) -> dict[str, Any]:
-    """A chunk with pieces of tool calls."""
+    """Returns a chunk with these parts of tool calls."""
     return chat_chunk(tool_calls=list(deltas))
 
 
 def tool_call(id: str, name: str, arguments: str) -> dict[str, Any]:
-    """A complete tool call, as it stands in a message."""
+    """Returns a complete tool call in the format of a message."""
     return {"id": id, "type": "function", "function": {"name": name, "arguments": arguments}}
 
 
--- a/pearhill/conformance/suite/bodies.py
+++ b/pearhill/conformance/suite/bodies.py
@@ -1,4 +1,7 @@
-"""Requests that are rejected: with a 4xx that names the parameter, and with a connection that stays usable."""
+"""Cases of rejected requests, which get a 4xx response that names the parameter, and cases of the list of models.
+
+The connection must stay usable after a rejection, except after a body above the size limit.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 def rejection(status: int, code: str, param: str | None = None, **more: Any) -> ExpectedResponse:
-    """An `invalid_request_error`; `more` are fields of ExpectedResponse."""
+    """Returns the expected `invalid_request_error`. `more` are further fields of ExpectedResponse."""
     return ExpectedResponse(status, error_body(code, param, "invalid_request_error"), connection_usable=True, **more)
 
 
@@ -29,12 +32,12 @@
     """A case of a chat request that is rejected with status 400."""
 
     name: str
-    body: Any  # a JSON value, or the bytes themselves
-    param: str | None  # of the error object: where the fault is
+    body: Any  # bytes, which are sent as they are, or a value that is sent as JSON
+    param: str | None  # of the error object: the path of the invalid parameter
     code: str  # of the error object
 
     def case(self) -> Case:
-        """The row as a case of the group "bodies"."""
+        """Returns the row as a case of the group "bodies"."""
         return Case(
             f"bodies/{self.name}",
             f"{self.param or 'a body'} that is {self.code.replace('_', ' ')}",
@@ -44,12 +47,12 @@
 
 
 def model_case(name: str, guards_against: str, model: str, expected: ExpectedResponse) -> Case:
-    """A case of a client that looks at one model; `model` is as it stands in the path."""
+    """Returns a case of a request for a single model. `model` is inserted into the path without further encoding."""
     return Case(f"models/{name}", guards_against, None, expected, path=f"{MODELS_PATH}/{model}", method="GET")
 
 
 def request_with_parts(*content: Any) -> dict[str, Any]:
-    """A chat request with one message that has these content parts."""
+    """Returns the body of a chat request with one message that has these content parts."""
     return chat_request({"role": "user", "content": list(content)})
 
 
--- a/pearhill/conformance/suite/completions.py
+++ b/pearhill/conformance/suite/completions.py
@@ -1,4 +1,4 @@
-"""`/v1/completions`: text prompts, with complete and streamed answers."""
+"""Cases of `/v1/completions`: text prompts with complete and streamed answers, and rejected requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def completion_request(prompt: Any = "Hi", **fields: Any) -> dict[str, Any]:
-    """The body of a request to `/v1/completions`."""
+    """Returns the body of a request to `/v1/completions`."""
     return {"model": IDEMPOTENT_MODEL, "prompt": prompt, **fields}
 
 
--- a/pearhill/conformance/suite/replicas.py
+++ b/pearhill/conformance/suite/replicas.py
@@ -1,4 +1,4 @@
-"""What replicas send in place of a good answer, and what the client receives then."""
+"""Cases of replicas that send errors or invalid responses, and of requests repeated with an idempotency key."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def failed_case(name: str, guards_against: str, script: Script, headers: dict[str, str] | None = None) -> Case:
-    """A non-idempotent request that may have run: sent once, and answered with status 500."""
+    """Returns a case of a non-idempotent request that may have been executed: it is sent once and fails with 500."""
     return Case(
         f"servers/{name}",
         guards_against,
@@ -195,7 +195,7 @@
 def _repeated_cases(
     name: str, guards_against: str, first: Any, second: Any, path: str, expected: ExpectedResponse
 ) -> tuple[Case, Case]:
-    """Two requests with the same Idempotency-Key; the second one, at `path`, must not reach the replica."""
+    """Returns two cases with the same Idempotency-Key. The second request, at `path`, must not reach the replica."""
     headers = {"Idempotency-Key": f"conform-{name}"}
     return (
         Case(
--- a/pearhill/conformance/suite/responses.py
+++ b/pearhill/conformance/suite/responses.py
@@ -1,4 +1,4 @@
-"""`/v1/responses` without stored state: items in and out, and the sequence of events."""
+"""Cases of `/v1/responses` without stored state: input and output items, the order of events, rejected requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def response_request(input: Any = "Hi", **fields: Any) -> dict[str, Any]:
-    """The body of a request to `/v1/responses`."""
+    """Returns the body of a request to `/v1/responses`."""
     return {"model": IDEMPOTENT_MODEL, "input": input, **fields}
 
 
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -1,4 +1,4 @@
-"""Streams: unchanged byte for byte, cut into reads at any place, and truncated or malformed."""
+"""Cases of streams: forwarded byte for byte, split into reads at any byte, truncated, and malformed."""
 
 from __future__ import annotations
 
@@ -48,19 +48,22 @@
 
 
 def script_cut_every(size: int, events: tuple[bytes, ...]) -> Script:
-    """A stream in chunks of `size` bytes, which end anywhere within events, lines and characters."""
+    """Returns a stream in chunks of `size` bytes, whose boundaries fall within events, lines and characters."""
     stream = b"".join(events)
     chunks = (http_chunk(stream[at : at + size]) for at in range(0, len(stream), size))
     return (response_head(), *chunks, LAST_CHUNK)
 
 
 def with_line_ends(events: tuple[bytes, ...], end: bytes) -> tuple[bytes, ...]:
-    """The events with other line ends: the HTML standard takes CR LF, LF and CR (9.2.5)."""
+    """Returns the events with other line endings. The HTML standard permits CR LF, LF and CR (section 9.2.5)."""
     return tuple(event.replace(b"\n", end) for event in events)
 
 
 def disconnect_case(name: str, guards_against: str, body: dict[str, Any], path: str = CHAT_PATH) -> Case:
-    """A client that disconnects after the first event, while the replica still answers; the request must run once."""
+    """Returns a case of a client that disconnects after the first event, while the replica is still streaming.
+
+    The request must run exactly once.
+    """
     return Case(
         f"streams/{name}",
         guards_against,
@@ -82,7 +85,10 @@
 
 
 def truncated_cases(name: str, guards_against: str, *steps: Step) -> tuple[Case, Case]:
-    """The same fault of a non-idempotent request before its first event and after it; never is it sent twice."""
+    """Returns two cases of one fault in a stream: before the first event and after it.
+
+    The request is non-idempotent and must not be sent twice.
+    """
     return (
         Case(
             f"broken/{name}-at-once",
--- a/pearhill/conformance/suite/translated.py
+++ b/pearhill/conformance/suite/translated.py
@@ -1,4 +1,4 @@
-"""Cases of the endpoints whose requests are translated into chat requests for the replica."""
+"""Builds cases of the endpoints whose requests are translated into chat requests for the replica."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TranslatedEndpoint:
-    """Makes the cases of one endpoint; `group` is the first part of their names."""
+    """Builds the cases of one endpoint. `group` is the first part of their names."""
 
     group: str
     path: str
 
     def rejected_case(self, name: str, body: Any, param: str, code: str) -> Case:
-        """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
+        """Returns a case of a request that gets status 400 and an error object of this `param` and `code`."""
         return Case(
             f"{self.group}/{name}",
             f"{param}: {code.replace('_', ' ')}",
@@ -37,7 +37,10 @@
         fields: Any = None,
         absent: tuple[str, ...] = (),
     ) -> Case:
-        """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
+        """Returns a case of a request that the replica answers.
+
+        `fields` and `absent` are checked in the chat request that the replica receives.
+        """
         return Case(
             f"{self.group}/{name}",
             guards_against,
--- a/pearhill/conformance/verdict.py
+++ b/pearhill/conformance/verdict.py
@@ -1,6 +1,6 @@
-"""Whether a response, and the requests that the replica received, are as a case expects.
+"""Checks a response, and the requests that the replica received, against what a case expects.
 
-Each check returns why it fails, in words, or an empty text.
+Each check returns a description of the failure, or an empty text if the check passes.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 MAX_EVENT_BYTES = 64 << 20
 DONE = b"[DONE]"
-ANY_VALUE = "*"  # of a header
+ANY_VALUE = "*"  # matches any value of a header
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerTypes:
-    """The types that a good answer of an endpoint must decode to."""
+    """The types that a successful answer of an endpoint must decode to."""
 
     complete: type
-    event: type | None = None  # of a stream; None: the endpoint has none
+    event: type | None = None  # of a stream; None if the endpoint does not stream
 
 
 ANSWER_TYPES = {
@@ -46,11 +46,11 @@
     RESPONSES_PATH: AnswerTypes(answers.Response, answers.ResponseEvent),
     MODELS_PATH: AnswerTypes(answers.ModelList),
 }
-MODEL_CARD = AnswerTypes(answers.ModelCard)  # at the path of one model
+MODEL_CARD = AnswerTypes(answers.ModelCard)  # for the path of a single model
 
 
 def judge_response(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
-    """Why a response is not what the case expects; empty where it is."""
+    """Returns why a response differs from what the case expects, or an empty text if it does not."""
     return (
         _status_failure(response, expected)
         or _header_failure(response.headers, {"x-request-id": ANY_VALUE, **expected.headers}, expected.absent_headers)
@@ -62,7 +62,7 @@
 
 
 def judge_requests(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
-    """Why the replica did not receive what the case expects; empty where it did."""
+    """Returns why the received requests differ from what the case expects, or an empty text if they do not."""
     count = len(replica.requests)
     if expected.count is None and not count:
         return "the server had 0 runs, not some"
@@ -81,8 +81,10 @@
 
 
 def form_failure(response: ReceivedResponse, path: str) -> str:
-    """Why a good answer does not have the form of its endpoint (the types of `pearhill.chat.schema`); empty where it
-    has. A stream's events may be error objects."""
+    """Returns why a successful answer does not decode to the types of its endpoint, or an empty text if it does.
+
+    The types are those of `pearhill.chat.schema`. An event of a stream may also be an error object.
+    """
     types = ANSWER_TYPES.get(path, MODEL_CARD)
     try:
         if not response.headers.get("content-type", "").startswith("text/event-stream"):
@@ -98,7 +100,7 @@
 
 
 def stream_text(events: Iterable[Any]) -> str:
-    """The text of a stream's first choice, of whichever endpoint."""
+    """Returns the concatenated text of a stream's first choice, for every endpoint that streams."""
     text = ""
     for value in events:
         if not isinstance(value, dict):
@@ -118,7 +120,7 @@
 
 
 def _header_failure(headers: dict[str, str], expected: dict[str, str], absent: tuple[str, ...]) -> str:
-    """`headers` have names in lower case; the other names may be in any case."""
+    """Compares headers. The names in `headers` are in lower case, those in `expected` and `absent` in any case."""
     for name, value in expected.items():
         actual = headers.get(name.lower())
         if actual is None or value not in (ANY_VALUE, actual):
