--- a/pearhill/conformance/client.py
+++ b/pearhill/conformance/client.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.response = ReceivedResponse()
         self.body = bytearray()
-        self.parser = httptools.HttpResponseParser(self)
+        self.http_parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header. If a name is repeated, the last value replaces the earlier ones."""
@@ -38,7 +38,7 @@
 
     def on_headers_complete(self) -> None:
         """Store the status. The status of the final response overwrites that of an interim response (1xx)."""
-        self.response.status = self.parser.get_status_code()
+        self.response.status = self.http_parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body, from which httptools has removed the chunked transfer coding."""
@@ -69,11 +69,11 @@
         headers: dict[str, str],
         body: bytes | None,
         timeout: float,
-        on_first: Callable[[], bool] = lambda: False,
+        on_first_body: Callable[[], bool] = lambda: False,
     ) -> ReceivedResponse:
         """Send a request and receive its response until the body is complete or the connection ends.
 
-        `on_first` is called once, when the first part of the body has arrived. If it returns True, reading stops there.
+        `on_first_body` is called once, when the first part of the body has arrived. If it returns True, reading stops.
         Raises TimeoutError if the response has not ended within `timeout` seconds.
         """
         assert self._reader
@@ -82,12 +82,14 @@
         self._writer.write(request(method, path, f"{self.host}:{self.port}", tuple(fields.items()), body))
         parser = _ResponseParser()
         async with asyncio.timeout(timeout):
-            await self._receive(self._reader, parser, on_first)
+            await self._receive(self._reader, parser, on_first_body)
         parser.response.body = bytes(parser.body)
         return parser.response
 
     @staticmethod
-    async def _receive(reader: asyncio.StreamReader, parser: _ResponseParser, on_first: Callable[[], bool]) -> None:
+    async def _receive(
+        reader: asyncio.StreamReader, parser: _ResponseParser, on_first_body: Callable[[], bool]
+    ) -> None:
         first_arrived = False
         while not parser.response.complete:
             try:
@@ -97,10 +99,10 @@
             if not data:
                 parser.response.closed = True
                 return
-            parser.parser.feed_data(data)
+            parser.http_parser.feed_data(data)
             if parser.body and not first_arrived:
                 first_arrived = True
-                if on_first():
+                if on_first_body():
                     return
 
     def close(self) -> None:
--- a/pearhill/conformance/daemon.py
+++ b/pearhill/conformance/daemon.py
@@ -13,18 +13,18 @@
 
 from pearhill.conformance.errors import ConformanceRunError
 
-FRONT_FILE = pathlib.Path(__file__).parent / "front.toml"
-REPLICA_IN_FILE = "127.0.0.1:8199"  # the address of the replica in `front.toml`
+CONFIG_PATH = pathlib.Path(__file__).parent / "front.toml"
+CONFIG_REPLICA_ADDRESS = "127.0.0.1:8199"  # the address of the replica in `front.toml`
 START_TIMEOUT_S = 20
 
 
-def front_file(address: str) -> str:
+def config_text(address: str) -> str:
     """Returns the text of a configuration file for a front end whose only replica is at `address` (HOST:PORT)."""
-    return FRONT_FILE.read_text(encoding="utf-8").replace(REPLICA_IN_FILE, address)
+    return CONFIG_PATH.read_text(encoding="utf-8").replace(CONFIG_REPLICA_ADDRESS, address)
 
 
 @contextlib.asynccontextmanager
-async def own_daemon(text: str) -> AsyncIterator[str]:
+async def run_daemon(text: str) -> AsyncIterator[str]:
     """Run the daemon of this version with a configuration file of this text, and yield its base URL.
 
     At the end of the context the daemon receives SIGTERM and is awaited. If the context ends with an exception, the
--- a/pearhill/conformance/payloads.py
+++ b/pearhill/conformance/payloads.py
@@ -19,9 +19,9 @@
 CHUNK_FIELDS = {"id": "chatcmpl-1", "object": "chat.completion.chunk", "created": 7, "model": "m"}
 
 
-def chat_chunk(finish: str | None = None, index: int = 0, logprobs: Any = None, **delta: Any) -> dict[str, Any]:
-    """Returns a `chat.completion.chunk` object with one choice, whose `finish_reason` is `finish`."""
-    choice = {"index": index, "delta": delta, "finish_reason": finish}
+def chat_chunk(finish_reason: str | None = None, index: int = 0, logprobs: Any = None, **delta: Any) -> dict[str, Any]:
+    """Returns a `chat.completion.chunk` object with one choice, with this `finish_reason`."""
+    choice = {"index": index, "delta": delta, "finish_reason": finish_reason}
     if logprobs:
         choice["logprobs"] = logprobs
     return {**CHUNK_FIELDS, "choices": [choice]}
@@ -38,14 +38,18 @@
     },
 }
 # The answer "one two" as chunk objects, as server-sent events, and as the scripts of a replica that always sends it.
-CHAT_CHUNKS = (chat_chunk(role="assistant", content="one "), chat_chunk(content="two"), chat_chunk(finish="stop"))
+CHAT_CHUNKS = (
+    chat_chunk(role="assistant", content="one "),
+    chat_chunk(content="two"),
+    chat_chunk(finish_reason="stop"),
+)
 ANSWER_EVENTS = (*map(sse_event, CHAT_CHUNKS), sse_event(USAGE_CHUNK), DONE_EVENT)
-GOOD_SCRIPTS = (event_stream(*ANSWER_EVENTS),)
+SUCCESS_SCRIPTS = (event_stream(*ANSWER_EVENTS),)
 
 
-def error_body(code: str | None = None, param: str | None = None, kind: str | None = None) -> dict[str, Any]:
-    """Returns an error object with the fields that are given. `kind` is its `type`."""
-    fields = {"code": code, "param": param, "type": kind}
+def error_body(code: str | None = None, param: str | None = None, error_type: str | None = None) -> dict[str, Any]:
+    """Returns an error object with the fields that are given. `error_type` is its `type`."""
+    fields = {"code": code, "param": param, "type": error_type}
     return {"error": {name: value for name, value in fields.items() if value is not None}}
 
 
--- a/pearhill/conformance/runner.py
+++ b/pearhill/conformance/runner.py
@@ -8,32 +8,32 @@
 
 from pearhill.conformance.case import MODELS_PATH, Case
 from pearhill.conformance.client import ClientConnection
-from pearhill.conformance.daemon import front_file, own_daemon
+from pearhill.conformance.daemon import config_text, run_daemon
 from pearhill.conformance.errors import ConformanceRunError
 from pearhill.conformance.replica import ScriptedReplica
 from pearhill.conformance.report import CaseResult, Report
 from pearhill.conformance.suite import CASES
-from pearhill.conformance.verdict import judge_requests, judge_response
+from pearhill.conformance.verdict import requests_failure, response_failure
 
 CASE_TIMEOUT_S = 20.0
 CREDENTIAL_HEADERS = ("authorization", "api-key")
 
 
-class FrontAddress(NamedTuple):
+class FrontEndAddress(NamedTuple):
     """The address at which the front end under test listens."""
 
     host: str
     port: int
 
 
-async def run_case(case: Case, replica: ScriptedReplica, address: FrontAddress, key: str) -> str:
+async def run_case(case: Case, replica: ScriptedReplica, address: FrontEndAddress, api_key: str) -> str:
     """Run one case. Returns a description of its failure, or an empty text if the case holds.
 
-    `key` is an API key for the front end, or empty.
+    `api_key` is an API key for the front end, or empty.
     """
     replica.load(case.scripts)
     connection = ClientConnection(*address)
-    headers = {**({"Authorization": f"Bearer {key}"} if key else {}), **case.headers}
+    headers = {**({"Authorization": f"Bearer {api_key}"} if api_key else {}), **case.headers}
     try:
         failure = await _exchange_failure(case, replica, connection, headers)
         if failure:
@@ -46,13 +46,13 @@
         connection.close()
         replica.release()
         await asyncio.sleep(case.pause_after_s)
-    return judge_requests(replica, case.expected_requests)
+    return requests_failure(replica, case.expected_requests)
 
 
 async def _exchange_failure(
     case: Case, replica: ScriptedReplica, connection: ClientConnection, headers: dict[str, str]
 ) -> str:
-    def on_first() -> bool:
+    def on_first_body() -> bool:
         """Let the replica continue its script. Returns whether the client disconnects at this point."""
         replica.client_received()
         return case.client_disconnects
@@ -60,10 +60,10 @@
     expected = case.expected_response
     body = None if case.method == "GET" else case.request_body
     await connection.open()
-    response = await connection.exchange(case.method, case.path, headers, body, CASE_TIMEOUT_S, on_first)
+    response = await connection.exchange(case.method, case.path, headers, body, CASE_TIMEOUT_S, on_first_body)
     if case.client_disconnects:
         return "" if response.status == expected.status else f"status {response.status}, not {expected.status}"
-    failure = judge_response(response, expected, case.path)
+    failure = response_failure(response, expected, case.path)
     if failure:
         return failure
     if expected.connection_usable is None or expected.connection_usable == await _is_usable(connection, headers):
@@ -84,7 +84,7 @@
 async def run_cases(
     url: str,
     replica: ScriptedReplica,
-    key: str = "",
+    api_key: str = "",
     only: str = "",
     embedded: bool = False,
 ) -> Report:
@@ -93,25 +93,25 @@
     `embedded` says that the front end runs inside an application: cases that are `standalone_only` are skipped. Raises
     ConformanceRunError if the URL is invalid, if no server listens there, or if no case has such a name.
     """
-    address = _front_address(url)
+    address = _parse_url(url)
     cases = [case for case in CASES if only in case.name and not (embedded and case.standalone_only)]
     if not cases:
         raise ConformanceRunError(f"no case name contains {only!r}")
     await _check_reachable(address)
     report = Report()
     for case in cases:
-        report.results.append(CaseResult(case, await run_case(case, replica, address, key)))
+        report.results.append(CaseResult(case, await run_case(case, replica, address, api_key)))
     return report
 
 
-def _front_address(url: str) -> FrontAddress:
+def _parse_url(url: str) -> FrontEndAddress:
     parts = urlsplit(url if "//" in url else f"http://{url}")
     if parts.scheme != "http" or not parts.hostname:
         raise ConformanceRunError(f"{url!r} is no http://HOST:PORT")
-    return FrontAddress(parts.hostname, parts.port or 80)
+    return FrontEndAddress(parts.hostname, parts.port or 80)
 
 
-async def _check_reachable(address: FrontAddress) -> None:
+async def _check_reachable(address: FrontEndAddress) -> None:
     connection = ClientConnection(*address)
     try:
         await connection.open()
@@ -120,7 +120,7 @@
         raise ConformanceRunError(f"no front at {address.host}:{address.port}: {e}") from None
 
 
-async def conform_url(url: str, listen: str, key: str, only: str) -> Report:
+async def conform_url(url: str, listen: str, api_key: str, only: str) -> Report:
     """Test a front end that is already running, with a scripted replica that listens at `listen` (HOST:PORT).
 
     That replica must be the only one of the front end.
@@ -129,7 +129,7 @@
     host, _, port = listen.rpartition(":")
     await replica.start(host.strip("[]") or "127.0.0.1", int(port))
     try:
-        return await run_cases(url, replica, key, only)
+        return await run_cases(url, replica, api_key, only)
     finally:
         await replica.close()
 
@@ -139,7 +139,7 @@
     replica = ScriptedReplica()
     await replica.start()
     try:
-        async with own_daemon(front_file(replica.address)) as url:
+        async with run_daemon(config_text(replica.address)) as url:
             return await run_cases(url, replica, only=only)
     finally:
         await replica.close()
--- a/pearhill/conformance/suite/answers.py
+++ b/pearhill/conformance/suite/answers.py
@@ -7,7 +7,7 @@
 from pearhill.conformance.case import IDEMPOTENT_MODEL, NON_IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
 from pearhill.conformance.payloads import (
     CHAT_CHUNKS,
-    GOOD_SCRIPTS,
+    SUCCESS_SCRIPTS,
     chat_chunk,
     chat_request,
     chunk_scripts,
@@ -54,19 +54,19 @@
             "a field that is lost or changed on its way to the server",
             {**chat_request(), **self.fields},
             ExpectedResponse(),
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(fields=self.forwarded),
         )
 
 
-def expected_message(finish: str = "stop", **fields: Any) -> ExpectedResponse:
-    """Returns the expected complete answer, whose message has these fields. `finish` is its finish reason."""
+def expected_message(finish_reason: str = "stop", **fields: Any) -> ExpectedResponse:
+    """Returns the expected complete answer with this `finish_reason`, whose message has these fields."""
     return ExpectedResponse(
         json={
             "object": "chat.completion",
             "id": "chatcmpl-1",
             "created": 7,
-            "choices": [{"index": 0, "message": {"role": "assistant", **fields}, "finish_reason": finish}],
+            "choices": [{"index": 0, "message": {"role": "assistant", **fields}, "finish_reason": finish_reason}],
         },
         headers={"Content-Type": "application/json"},
         connection_usable=True,
@@ -106,7 +106,7 @@
         "an answer that was cut by its limit",
         {"max_tokens": 2},
         (CHAT_CHUNKS[0], chat_chunk("length")),
-        expected_message(content="one ", finish="length"),
+        expected_message(content="one ", finish_reason="length"),
     ),
     AnswerRow(
         "refusal",
@@ -124,7 +124,7 @@
             tool_call_chunk(tool_call_delta(0, arguments='":1}')),
             chat_chunk("tool_calls"),
         ),
-        expected_message(content=None, tool_calls=[tool_call("c1", "book", '{"a":1}')], finish="tool_calls"),
+        expected_message(content=None, tool_calls=[tool_call("c1", "book", '{"a":1}')], finish_reason="tool_calls"),
     ),
     AnswerRow(
         "two-tool-calls",
@@ -138,7 +138,7 @@
             chat_chunk("tool_calls"),
         ),
         expected_message(
-            tool_calls=[tool_call("c1", "book", "{}"), tool_call("c2", "book", "[]")], finish="tool_calls"
+            tool_calls=[tool_call("c1", "book", "{}"), tool_call("c2", "book", "[]")], finish_reason="tool_calls"
         ),
     ),
     AnswerRow(
@@ -151,7 +151,7 @@
             chat_chunk("tool_calls"),
         ),
         expected_message(
-            tool_calls=[tool_call("c2", "book", "[]"), tool_call("c5", "book", "{}")], finish="tool_calls"
+            tool_calls=[tool_call("c2", "book", "[]"), tool_call("c5", "book", "{}")], finish_reason="tool_calls"
         ),
     ),
     AnswerRow(
@@ -324,7 +324,7 @@
         "a field named twice, where two readers could each believe another one",
         b'{"model": "nobody", "messages": [{"role": "user", "content": "a"}], "model": "conform-safe"}',
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(fields={"model": IDEMPOTENT_MODEL}),
     ),
     Case(
@@ -332,7 +332,7 @@
         "the client's key at a server",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(absent_headers=("authorization", "api-key", "cookie")),
         headers={"Authorization": "Bearer somebodys-key", "Cookie": "a=b"},
     ),
@@ -341,7 +341,7 @@
         "an answer that cannot be found in the server's log",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(headers={"Request-Id": "*", "Request-Timeout-Ms": "*"}),
     ),
     Case(
@@ -349,7 +349,7 @@
         "an encoding that is none",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
         headers={"Content-Encoding": "identity"},
     ),
@@ -358,7 +358,7 @@
         "a question that is not tried again",
         chat_request(),
         ExpectedResponse(),
-        (plain_response(500), *GOOD_SCRIPTS),
+        (plain_response(500), *SUCCESS_SCRIPTS),
         ExpectedRequests(count=2),
     ),
     Case(
@@ -366,7 +366,7 @@
         "the same in a stream, before its first event",
         chat_request(stream=True),
         ExpectedResponse(text="one two"),
-        (plain_response(500), *GOOD_SCRIPTS),
+        (plain_response(500), *SUCCESS_SCRIPTS),
         ExpectedRequests(count=2),
     ),
 )
--- a/pearhill/conformance/suite/replicas.py
+++ b/pearhill/conformance/suite/replicas.py
@@ -13,7 +13,7 @@
     ExpectedRequests,
     ExpectedResponse,
 )
-from pearhill.conformance.payloads import ANSWER_EVENTS, GOOD_SCRIPTS, chat_request, error_body
+from pearhill.conformance.payloads import ANSWER_EVENTS, SUCCESS_SCRIPTS, chat_request, error_body
 from pearhill.conformance.scripts import (
     RESET,
     Script,
@@ -34,7 +34,7 @@
     }
 }
 NO_RETRY_HEADERS = {"X-Should-Retry": "false"}
-FAILED_BODY = error_body("request_failed", kind="server_error")
+FAILED_BODY = error_body("request_failed", error_type="server_error")
 
 
 def failed_case(name: str, guards_against: str, script: Script, headers: dict[str, str] | None = None) -> Case:
@@ -101,7 +101,7 @@
             f"servers/{status}-is-the-operators",
             "a wrong server key that passes for the client's fault",
             chat_request(model=model),
-            ExpectedResponse(502, error_body("server_credentials", kind="server_error"), connection_usable=True),
+            ExpectedResponse(502, error_body("server_credentials", error_type="server_error"), connection_usable=True),
             (plain_response(status, ERROR_BODY),),
             ExpectedRequests(),
         )
@@ -186,7 +186,7 @@
         "a front that has not got over the above",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
 )
@@ -203,7 +203,7 @@
             guards_against,
             first,
             ExpectedResponse(),
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(),
             headers=headers,
         ),
@@ -212,7 +212,7 @@
             guards_against,
             second,
             expected,
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(count=0),
             headers=headers,
             path=path,
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -17,7 +17,7 @@
     ANSWER_EVENTS,
     CHAT_CHUNKS,
     DONE_EVENT,
-    GOOD_SCRIPTS,
+    SUCCESS_SCRIPTS,
     USAGE_CHUNK,
     chat_chunk,
     chat_request,
@@ -43,7 +43,7 @@
 EVENTS_WITHOUT_USAGE = (*map(sse_event, CHAT_CHUNKS), DONE_EVENT)
 STREAM_HEADERS = {"Content-Type": "text/event-stream; charset=utf-8", "Cache-Control": "no-cache"}
 FIRST_EVENT = sse_event(CHAT_CHUNKS[0])
-TRUNCATED_BODY = error_body("stream_broken", kind="server_error")
+STREAM_BROKEN_BODY = error_body("stream_broken", error_type="server_error")
 UTF8_EVENTS = (sse_event(chat_chunk(content="é⵿👋é")), sse_event(chat_chunk("stop")), DONE_EVENT)
 
 
@@ -96,7 +96,7 @@
             NON_IDEMPOTENT_REQUEST,
             ExpectedResponse(
                 500,
-                error_body("request_failed", kind="server_error"),
+                error_body("request_failed", error_type="server_error"),
                 headers={"X-Should-Retry": "false"},
                 connection_usable=True,
             ),
@@ -107,7 +107,7 @@
             f"broken/{name}-later",
             guards_against,
             NON_IDEMPOTENT_REQUEST,
-            ExpectedResponse(truncated=True, headers=STREAM_HEADERS, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+            ExpectedResponse(truncated=True, headers=STREAM_HEADERS, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
             ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_CLIENT, *steps),),
             ExpectedRequests(),
         ),
@@ -143,7 +143,7 @@
         ExpectedResponse(
             headers=STREAM_HEADERS, body=b"".join(EVENTS_WITHOUT_USAGE), connection_usable=True, text="one two"
         ),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
     Case(
@@ -151,7 +151,7 @@
         "the usage event, where it is asked for",
         USAGE_REQUEST,
         ExpectedResponse(body=b"".join(ANSWER_EVENTS)),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
     Case(
@@ -159,7 +159,7 @@
         "usage: null on each chunk, as some servers send it",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(sse_event({**w, "usage": None}) for w in CHAT_CHUNKS), DONE_EVENT),),
+        (event_stream(*(sse_event({**chunk, "usage": None}) for chunk in CHAT_CHUNKS), DONE_EVENT),),
         ExpectedRequests(),
     ),
     Case(
@@ -175,7 +175,7 @@
         "data: without a space behind its colon",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(part.replace(b"data: ", b"data:") for part in ANSWER_EVENTS)),),
+        (event_stream(*(event.replace(b"data: ", b"data:") for event in ANSWER_EVENTS)),),
         ExpectedRequests(),
     ),
     Case(
@@ -191,7 +191,7 @@
         "id, event and retry fields beside the data",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(b"id: 1\nevent: message\nretry: 5\n" + part for part in ANSWER_EVENTS)),),
+        (event_stream(*(b"id: 1\nevent: message\nretry: 5\n" + event for event in ANSWER_EVENTS)),),
         ExpectedRequests(),
     ),
     Case(
@@ -349,7 +349,7 @@
         "broken/whole-answer",
         "a whole answer made of half a stream",
         chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(502, TRUNCATED_BODY, headers={"X-Should-Retry": "false"}, connection_usable=True),
+        ExpectedResponse(502, STREAM_BROKEN_BODY, headers={"X-Should-Retry": "false"}, connection_usable=True),
         (event_stream(FIRST_EVENT),),
         ExpectedRequests(),
     ),
@@ -357,7 +357,7 @@
         "broken/silent",
         "a server that falls silent in mid-stream",
         NON_IDEMPOTENT_REQUEST,
-        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
         ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_RELEASE),),
         ExpectedRequests(),
     ),
@@ -365,7 +365,7 @@
         "broken/comments-only",
         "a server that sends comments and nothing else",
         NON_IDEMPOTENT_REQUEST,
-        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
         ((response_head(), http_chunk(FIRST_EVENT), *(http_chunk(b": still here\n\n"),) * 40, WAIT_FOR_RELEASE),),
         ExpectedRequests(),
     ),
--- a/pearhill/conformance/suite/translated.py
+++ b/pearhill/conformance/suite/translated.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pearhill.conformance.case import Case, ExpectedRequests, ExpectedResponse
-from pearhill.conformance.payloads import GOOD_SCRIPTS, error_body
+from pearhill.conformance.payloads import SUCCESS_SCRIPTS, error_body
 from pearhill.conformance.scripts import Script
 
 
@@ -33,7 +33,7 @@
         guards_against: str,
         body: Any,
         expected: ExpectedResponse,
-        scripts: tuple[Script, ...] = GOOD_SCRIPTS,
+        scripts: tuple[Script, ...] = SUCCESS_SCRIPTS,
         fields: Any = None,
         absent: tuple[str, ...] = (),
     ) -> Case:
--- a/pearhill/conformance/verdict.py
+++ b/pearhill/conformance/verdict.py
@@ -49,19 +49,19 @@
 MODEL_CARD = AnswerTypes(answers.ModelCard)  # for the path of a single model
 
 
-def judge_response(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
+def response_failure(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
     """Returns why a response differs from what the case expects, or an empty text if it does not."""
     return (
         _status_failure(response, expected)
         or _header_failure(response.headers, {"x-request-id": ANY_VALUE, **expected.headers}, expected.absent_headers)
         or _body_failure(response, expected)
         or _json_failure(response, expected)
-        or (form_failure(response, path) if expected.status == 200 else "")
+        or (schema_failure(response, path) if expected.status == 200 else "")
         or _stream_failure(response, expected)
     )
 
 
-def judge_requests(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
+def requests_failure(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
     """Returns why the received requests differ from what the case expects, or an empty text if they do not."""
     count = len(replica.requests)
     if expected.count is None and not count:
@@ -80,7 +80,7 @@
     return _header_failure(replica.requests[-1].headers, expected.headers, expected.absent_headers)
 
 
-def form_failure(response: ReceivedResponse, path: str) -> str:
+def schema_failure(response: ReceivedResponse, path: str) -> str:
     """Returns why a successful answer does not decode to the types of its endpoint, or an empty text if it does.
 
     The types are those of `pearhill.chat.schema`. An event of a stream may also be an error object.
@@ -150,13 +150,17 @@
     if expected.events is None and expected.event_names is None and expected.text is None:
         return ""
     events = [event for event in EventParser(MAX_EVENT_BYTES).feed(response.body) if event.data is not None]
-    values = [DONE.decode() if e.data == DONE else msgspec.json.decode(e.data) for e in events if e.data]
+    values = [
+        DONE.decode() if event.data == DONE else msgspec.json.decode(event.data) for event in events if event.data
+    ]
     if expected.text is not None and stream_text(values) != expected.text:
         return f"text {stream_text(values)!r}, not {expected.text!r}"
     names = tuple(event.name for event in events)
     if expected.event_names is not None and names != expected.event_names:
         return f"events {names}"
-    numbers = [v["sequence_number"] for v in values if isinstance(v, dict) and "sequence_number" in v]
-    if numbers and numbers != list(range(len(values))):
+    sequence_numbers = [
+        value["sequence_number"] for value in values if isinstance(value, dict) and "sequence_number" in value
+    ]
+    if sequence_numbers and sequence_numbers != list(range(len(values))):
         return "sequence numbers do not rise by one"
     return mismatch(list(expected.events), values) if expected.events is not None else ""
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -80,7 +80,7 @@
     body = msgspec.json.encode(_request_body(tenant, opening))
     first_s = 0.0
 
-    def on_first() -> bool:
+    def on_first_body() -> bool:
         nonlocal first_s
         first_s = since_planned()
         return False
@@ -88,7 +88,7 @@
     wire = ClientConnection(*front)
     try:
         await wire.open()
-        got = await wire.exchange("POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first)
+        got = await wire.exchange("POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first_body)
         row.status = got.status
         row.tokens = got.body.count(b'"content"')
         row.outcome = _outcome(got.status, got.complete and got.body.endswith(STREAM_END))
--- a/pearhill/lab/run.py
+++ b/pearhill/lab/run.py
@@ -16,7 +16,7 @@
 import pyarrow.parquet
 
 from pearhill.chat.keys import new_key, record_of
-from pearhill.conformance.daemon import own_daemon
+from pearhill.conformance.daemon import run_daemon
 from pearhill.lab import load
 from pearhill.lab.scenario import Scenario
 
@@ -62,7 +62,7 @@
 async def run(scenario: Scenario, progress: load.Progress = lambda done, total: None) -> list[load.Row]:
     """The rows of a scenario with one dispatcher. OSError, ConformanceRunError: it or a replica did not start."""
     keys = {tenant.name: new_key() for tenant in scenario.tenant}
-    async with running_replicas(scenario) as addresses, own_daemon(operator_file(scenario, addresses, keys)) as url:
+    async with running_replicas(scenario) as addresses, run_daemon(operator_file(scenario, addresses, keys)) as url:
         host, _, port = url.removeprefix("http://").rpartition(":")
         return await load.run(scenario, lambda: (host, int(port)), keys, progress)
 
--- a/tests/chat/test_conformance.py
+++ b/tests/chat/test_conformance.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pearhill.conformance.daemon import front_file
+from pearhill.conformance.daemon import config_text
 from pearhill.conformance.errors import ConformanceRunError
 from pearhill.conformance.replica import ScriptedReplica
 from pearhill.conformance.report import Report
@@ -33,7 +33,7 @@
         server = ScriptedReplica()
         await server.start()
         path = tmp_path / "chat.toml"
-        path.write_text(front_file(server.address))
+        path.write_text(config_text(server.address))
         try:
             program = ExampleApp(str(path))
             try:
