--- a/pearhill/conformance/suite/answers.py
+++ b/pearhill/conformance/suite/answers.py
@@ -1,4 +1,4 @@
-"""Complete answers, and what the replica receives for them."""
+"""Cases of complete answers, of the requests that the replica receives, and of retries."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pearhill.conformance.case import IDEMPOTENT_MODEL, NON_IDEMPOTENT_MODEL, Case, ExpectedRequests, ExpectedResponse
 from pearhill.conformance.payloads import (
     CHAT_CHUNKS,
-    GOOD_SCRIPTS,
+    SUCCESS_SCRIPTS,
     chat_chunk,
     chat_request,
     chunk_scripts,
@@ -20,16 +20,16 @@
 
 
 class AnswerRow(NamedTuple):
-    """A case of a complete answer: what the replica streams, and what the client must receive for it."""
+    """A complete answer: the chunks that the replica streams and the response that the client must receive."""
 
     name: str
     guards_against: str
-    fields: dict[str, Any]  # of the request, beside its message
-    chunks: tuple[dict[str, Any], ...]  # of the replica's stream
+    fields: dict[str, Any]  # further fields of the request, whose message is the default one
+    chunks: tuple[dict[str, Any], ...]  # the replica's stream, without the usage chunk and [DONE]
     expected: ExpectedResponse
 
     def case(self) -> Case:
-        """The row as a case of the group "answers"."""
+        """Returns the row as a case of the group "answers"."""
         return Case(
             f"answers/{self.name}",
             self.guards_against,
@@ -41,32 +41,32 @@
 
 
 class ForwardedRow(NamedTuple):
-    """A case of what the replica must receive of a request."""
+    """A case of a request and of the fields that the replica must receive for it."""
 
     name: str
-    fields: dict[str, Any]  # of the request, beside its message or in its place
+    fields: dict[str, Any]  # fields of the request, which extend or replace the default ones
     forwarded: dict[str, Any]  # fields that the replica must receive
 
     def case(self) -> Case:
-        """The row as a case of the group "sent"."""
+        """Returns the row as a case of the group "sent"."""
         return Case(
             f"sent/{self.name}",
             "a field that is lost or changed on its way to the server",
             {**chat_request(), **self.fields},
             ExpectedResponse(),
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(fields=self.forwarded),
         )
 
 
-def expected_message(finish: str = "stop", **fields: Any) -> ExpectedResponse:
-    """A complete answer with one message that has these fields. `finish`: its finish reason."""
+def expected_message(finish_reason: str = "stop", **fields: Any) -> ExpectedResponse:
+    """Returns the expected complete answer with this `finish_reason`, whose message has these fields."""
     return ExpectedResponse(
         json={
             "object": "chat.completion",
             "id": "chatcmpl-1",
             "created": 7,
-            "choices": [{"index": 0, "message": {"role": "assistant", **fields}, "finish_reason": finish}],
+            "choices": [{"index": 0, "message": {"role": "assistant", **fields}, "finish_reason": finish_reason}],
         },
         headers={"Content-Type": "application/json"},
         connection_usable=True,
@@ -74,12 +74,12 @@
 
 
 def tool_call_chunk(*deltas: dict[str, Any]) -> dict[str, Any]:
-    """A chunk with pieces of tool calls."""
+    """Returns a chunk with these parts of tool calls."""
     return chat_chunk(tool_calls=list(deltas))
 
 
 def tool_call(id: str, name: str, arguments: str) -> dict[str, Any]:
-    """A complete tool call, as it stands in a message."""
+    """Returns a complete tool call in the format of a message."""
     return {"id": id, "type": "function", "function": {"name": name, "arguments": arguments}}
 
 
@@ -106,7 +106,7 @@
         "an answer that was cut by its limit",
         {"max_tokens": 2},
         (CHAT_CHUNKS[0], chat_chunk("length")),
-        expected_message(content="one ", finish="length"),
+        expected_message(content="one ", finish_reason="length"),
     ),
     AnswerRow(
         "refusal",
@@ -124,7 +124,7 @@
             tool_call_chunk(tool_call_delta(0, arguments='":1}')),
             chat_chunk("tool_calls"),
         ),
-        expected_message(content=None, tool_calls=[tool_call("c1", "book", '{"a":1}')], finish="tool_calls"),
+        expected_message(content=None, tool_calls=[tool_call("c1", "book", '{"a":1}')], finish_reason="tool_calls"),
     ),
     AnswerRow(
         "two-tool-calls",
@@ -138,7 +138,7 @@
             chat_chunk("tool_calls"),
         ),
         expected_message(
-            tool_calls=[tool_call("c1", "book", "{}"), tool_call("c2", "book", "[]")], finish="tool_calls"
+            tool_calls=[tool_call("c1", "book", "{}"), tool_call("c2", "book", "[]")], finish_reason="tool_calls"
         ),
     ),
     AnswerRow(
@@ -151,7 +151,7 @@
             chat_chunk("tool_calls"),
         ),
         expected_message(
-            tool_calls=[tool_call("c2", "book", "[]"), tool_call("c5", "book", "{}")], finish="tool_calls"
+            tool_calls=[tool_call("c2", "book", "[]"), tool_call("c5", "book", "{}")], finish_reason="tool_calls"
         ),
     ),
     AnswerRow(
@@ -324,7 +324,7 @@
         "a field named twice, where two readers could each believe another one",
         b'{"model": "nobody", "messages": [{"role": "user", "content": "a"}], "model": "conform-safe"}',
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(fields={"model": IDEMPOTENT_MODEL}),
     ),
     Case(
@@ -332,7 +332,7 @@
         "the client's key at a server",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(absent_headers=("authorization", "api-key", "cookie")),
         headers={"Authorization": "Bearer somebodys-key", "Cookie": "a=b"},
     ),
@@ -341,7 +341,7 @@
         "an answer that cannot be found in the server's log",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(headers={"Request-Id": "*", "Request-Timeout-Ms": "*"}),
     ),
     Case(
@@ -349,7 +349,7 @@
         "an encoding that is none",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
         headers={"Content-Encoding": "identity"},
     ),
@@ -358,7 +358,7 @@
         "a question that is not tried again",
         chat_request(),
         ExpectedResponse(),
-        (plain_response(500), *GOOD_SCRIPTS),
+        (plain_response(500), *SUCCESS_SCRIPTS),
         ExpectedRequests(count=2),
     ),
     Case(
@@ -366,7 +366,7 @@
         "the same in a stream, before its first event",
         chat_request(stream=True),
         ExpectedResponse(text="one two"),
-        (plain_response(500), *GOOD_SCRIPTS),
+        (plain_response(500), *SUCCESS_SCRIPTS),
         ExpectedRequests(count=2),
     ),
 )
--- a/pearhill/conformance/suite/replicas.py
+++ b/pearhill/conformance/suite/replicas.py
@@ -1,4 +1,4 @@
-"""What replicas send in place of a good answer, and what the client receives then."""
+"""Cases of replicas that send errors or invalid responses, and of requests repeated with an idempotency key."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     ExpectedRequests,
     ExpectedResponse,
 )
-from pearhill.conformance.payloads import ANSWER_EVENTS, GOOD_SCRIPTS, chat_request, error_body
+from pearhill.conformance.payloads import ANSWER_EVENTS, SUCCESS_SCRIPTS, chat_request, error_body
 from pearhill.conformance.scripts import (
     RESET,
     Script,
@@ -34,11 +34,11 @@
     }
 }
 NO_RETRY_HEADERS = {"X-Should-Retry": "false"}
-FAILED_BODY = error_body("request_failed", kind="server_error")
+FAILED_BODY = error_body("request_failed", error_type="server_error")
 
 
 def failed_case(name: str, guards_against: str, script: Script, headers: dict[str, str] | None = None) -> Case:
-    """A non-idempotent request that may have run: sent once, and answered with status 500."""
+    """Returns a case of a non-idempotent request that may have been executed: it is sent once and fails with 500."""
     return Case(
         f"servers/{name}",
         guards_against,
@@ -101,7 +101,7 @@
             f"servers/{status}-is-the-operators",
             "a wrong server key that passes for the client's fault",
             chat_request(model=model),
-            ExpectedResponse(502, error_body("server_credentials", kind="server_error"), connection_usable=True),
+            ExpectedResponse(502, error_body("server_credentials", error_type="server_error"), connection_usable=True),
             (plain_response(status, ERROR_BODY),),
             ExpectedRequests(),
         )
@@ -186,7 +186,7 @@
         "a front that has not got over the above",
         chat_request(),
         ExpectedResponse(),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
 )
@@ -195,7 +195,7 @@
 def _repeated_cases(
     name: str, guards_against: str, first: Any, second: Any, path: str, expected: ExpectedResponse
 ) -> tuple[Case, Case]:
-    """Two requests with the same Idempotency-Key; the second one, at `path`, must not reach the replica."""
+    """Returns two cases with the same Idempotency-Key. The second request, at `path`, must not reach the replica."""
     headers = {"Idempotency-Key": f"conform-{name}"}
     return (
         Case(
@@ -203,7 +203,7 @@
             guards_against,
             first,
             ExpectedResponse(),
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(),
             headers=headers,
         ),
@@ -212,7 +212,7 @@
             guards_against,
             second,
             expected,
-            GOOD_SCRIPTS,
+            SUCCESS_SCRIPTS,
             ExpectedRequests(count=0),
             headers=headers,
             path=path,
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -1,4 +1,4 @@
-"""Streams: unchanged byte for byte, cut into reads at any place, and truncated or malformed."""
+"""Cases of streams: forwarded byte for byte, split into reads at any byte, truncated, and malformed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ANSWER_EVENTS,
     CHAT_CHUNKS,
     DONE_EVENT,
-    GOOD_SCRIPTS,
+    SUCCESS_SCRIPTS,
     USAGE_CHUNK,
     chat_chunk,
     chat_request,
@@ -43,24 +43,27 @@
 EVENTS_WITHOUT_USAGE = (*map(sse_event, CHAT_CHUNKS), DONE_EVENT)
 STREAM_HEADERS = {"Content-Type": "text/event-stream; charset=utf-8", "Cache-Control": "no-cache"}
 FIRST_EVENT = sse_event(CHAT_CHUNKS[0])
-TRUNCATED_BODY = error_body("stream_broken", kind="server_error")
+STREAM_BROKEN_BODY = error_body("stream_broken", error_type="server_error")
 UTF8_EVENTS = (sse_event(chat_chunk(content="é⵿👋é")), sse_event(chat_chunk("stop")), DONE_EVENT)
 
 
 def script_cut_every(size: int, events: tuple[bytes, ...]) -> Script:
-    """A stream in chunks of `size` bytes, which end anywhere within events, lines and characters."""
+    """Returns a stream in chunks of `size` bytes, whose boundaries fall within events, lines and characters."""
     stream = b"".join(events)
     chunks = (http_chunk(stream[at : at + size]) for at in range(0, len(stream), size))
     return (response_head(), *chunks, LAST_CHUNK)
 
 
 def with_line_ends(events: tuple[bytes, ...], end: bytes) -> tuple[bytes, ...]:
-    """The events with other line ends: the HTML standard takes CR LF, LF and CR (9.2.5)."""
+    """Returns the events with other line endings. The HTML standard permits CR LF, LF and CR (section 9.2.5)."""
     return tuple(event.replace(b"\n", end) for event in events)
 
 
 def disconnect_case(name: str, guards_against: str, body: dict[str, Any], path: str = CHAT_PATH) -> Case:
-    """A client that disconnects after the first event, while the replica still answers; the request must run once."""
+    """Returns a case of a client that disconnects after the first event, while the replica is still streaming.
+
+    The request must run exactly once.
+    """
     return Case(
         f"streams/{name}",
         guards_against,
@@ -82,7 +85,10 @@
 
 
 def truncated_cases(name: str, guards_against: str, *steps: Step) -> tuple[Case, Case]:
-    """The same fault of a non-idempotent request before its first event and after it; never is it sent twice."""
+    """Returns two cases of one fault in a stream: before the first event and after it.
+
+    The request is non-idempotent and must not be sent twice.
+    """
     return (
         Case(
             f"broken/{name}-at-once",
@@ -90,7 +96,7 @@
             NON_IDEMPOTENT_REQUEST,
             ExpectedResponse(
                 500,
-                error_body("request_failed", kind="server_error"),
+                error_body("request_failed", error_type="server_error"),
                 headers={"X-Should-Retry": "false"},
                 connection_usable=True,
             ),
@@ -101,7 +107,7 @@
             f"broken/{name}-later",
             guards_against,
             NON_IDEMPOTENT_REQUEST,
-            ExpectedResponse(truncated=True, headers=STREAM_HEADERS, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+            ExpectedResponse(truncated=True, headers=STREAM_HEADERS, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
             ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_CLIENT, *steps),),
             ExpectedRequests(),
         ),
@@ -137,7 +143,7 @@
         ExpectedResponse(
             headers=STREAM_HEADERS, body=b"".join(EVENTS_WITHOUT_USAGE), connection_usable=True, text="one two"
         ),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
     Case(
@@ -145,7 +151,7 @@
         "the usage event, where it is asked for",
         USAGE_REQUEST,
         ExpectedResponse(body=b"".join(ANSWER_EVENTS)),
-        GOOD_SCRIPTS,
+        SUCCESS_SCRIPTS,
         ExpectedRequests(),
     ),
     Case(
@@ -153,7 +159,7 @@
         "usage: null on each chunk, as some servers send it",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(sse_event({**w, "usage": None}) for w in CHAT_CHUNKS), DONE_EVENT),),
+        (event_stream(*(sse_event({**chunk, "usage": None}) for chunk in CHAT_CHUNKS), DONE_EVENT),),
         ExpectedRequests(),
     ),
     Case(
@@ -169,7 +175,7 @@
         "data: without a space behind its colon",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(part.replace(b"data: ", b"data:") for part in ANSWER_EVENTS)),),
+        (event_stream(*(event.replace(b"data: ", b"data:") for event in ANSWER_EVENTS)),),
         ExpectedRequests(),
     ),
     Case(
@@ -185,7 +191,7 @@
         "id, event and retry fields beside the data",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        (event_stream(*(b"id: 1\nevent: message\nretry: 5\n" + part for part in ANSWER_EVENTS)),),
+        (event_stream(*(b"id: 1\nevent: message\nretry: 5\n" + event for event in ANSWER_EVENTS)),),
         ExpectedRequests(),
     ),
     Case(
@@ -343,7 +349,7 @@
         "broken/whole-answer",
         "a whole answer made of half a stream",
         chat_request(model=NON_IDEMPOTENT_MODEL),
-        ExpectedResponse(502, TRUNCATED_BODY, headers={"X-Should-Retry": "false"}, connection_usable=True),
+        ExpectedResponse(502, STREAM_BROKEN_BODY, headers={"X-Should-Retry": "false"}, connection_usable=True),
         (event_stream(FIRST_EVENT),),
         ExpectedRequests(),
     ),
@@ -351,7 +357,7 @@
         "broken/silent",
         "a server that falls silent in mid-stream",
         NON_IDEMPOTENT_REQUEST,
-        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
         ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_RELEASE),),
         ExpectedRequests(),
     ),
@@ -359,7 +365,7 @@
         "broken/comments-only",
         "a server that sends comments and nothing else",
         NON_IDEMPOTENT_REQUEST,
-        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], TRUNCATED_BODY)),
+        ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
         ((response_head(), http_chunk(FIRST_EVENT), *(http_chunk(b": still here\n\n"),) * 40, WAIT_FOR_RELEASE),),
         ExpectedRequests(),
     ),
--- a/pearhill/conformance/suite/translated.py
+++ b/pearhill/conformance/suite/translated.py
@@ -1,4 +1,4 @@
-"""Cases of the endpoints whose requests are translated into chat requests for the replica."""
+"""Builds cases of the endpoints whose requests are translated into chat requests for the replica."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from typing import Any
 
 from pearhill.conformance.case import Case, ExpectedRequests, ExpectedResponse
-from pearhill.conformance.payloads import GOOD_SCRIPTS, error_body
+from pearhill.conformance.payloads import SUCCESS_SCRIPTS, error_body
 from pearhill.conformance.scripts import Script
 
 
 @dataclass(frozen=True, slots=True)
 class TranslatedEndpoint:
-    """Makes the cases of one endpoint; `group` is the first part of their names."""
+    """Builds the cases of one endpoint. `group` is the first part of their names."""
 
     group: str
     path: str
 
     def rejected_case(self, name: str, body: Any, param: str, code: str) -> Case:
-        """A case of a request that is rejected with status 400 and an error object with this `param` and `code`."""
+        """Returns a case of a request that gets status 400 and an error object of this `param` and `code`."""
         return Case(
             f"{self.group}/{name}",
             f"{param}: {code.replace('_', ' ')}",
@@ -33,11 +33,14 @@
         guards_against: str,
         body: Any,
         expected: ExpectedResponse,
-        scripts: tuple[Script, ...] = GOOD_SCRIPTS,
+        scripts: tuple[Script, ...] = SUCCESS_SCRIPTS,
         fields: Any = None,
         absent: tuple[str, ...] = (),
     ) -> Case:
-        """A case of a request that the replica answers; `fields` and `absent` are of the chat request it receives."""
+        """Returns a case of a request that the replica answers.
+
+        `fields` and `absent` are checked in the chat request that the replica receives.
+        """
         return Case(
             f"{self.group}/{name}",
             guards_against,
--- a/pearhill/conformance/verdict.py
+++ b/pearhill/conformance/verdict.py
@@ -1,6 +1,6 @@
-"""Whether a response, and the requests that the replica received, are as a case expects.
+"""Checks a response, and the requests that the replica received, against what a case expects.
 
-Each check returns why it fails, in words, or an empty text.
+Each check returns a description of the failure, or an empty text if the check passes.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 MAX_EVENT_BYTES = 64 << 20
 DONE = b"[DONE]"
-ANY_VALUE = "*"  # of a header
+ANY_VALUE = "*"  # matches any value of a header
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerTypes:
-    """The types that a good answer of an endpoint must decode to."""
+    """The types that a successful answer of an endpoint must decode to."""
 
     complete: type
-    event: type | None = None  # of a stream; None: the endpoint has none
+    event: type | None = None  # of a stream; None if the endpoint does not stream
 
 
 ANSWER_TYPES = {
@@ -46,23 +46,23 @@
     RESPONSES_PATH: AnswerTypes(answers.Response, answers.ResponseEvent),
     MODELS_PATH: AnswerTypes(answers.ModelList),
 }
-MODEL_CARD = AnswerTypes(answers.ModelCard)  # at the path of one model
+MODEL_CARD = AnswerTypes(answers.ModelCard)  # for the path of a single model
 
 
-def judge_response(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
-    """Why a response is not what the case expects; empty where it is."""
+def response_failure(response: ReceivedResponse, expected: ExpectedResponse, path: str) -> str:
+    """Returns why a response differs from what the case expects, or an empty text if it does not."""
     return (
         _status_failure(response, expected)
         or _header_failure(response.headers, {"x-request-id": ANY_VALUE, **expected.headers}, expected.absent_headers)
         or _body_failure(response, expected)
         or _json_failure(response, expected)
-        or (form_failure(response, path) if expected.status == 200 else "")
+        or (schema_failure(response, path) if expected.status == 200 else "")
         or _stream_failure(response, expected)
     )
 
 
-def judge_requests(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
-    """Why the replica did not receive what the case expects; empty where it did."""
+def requests_failure(replica: ScriptedReplica, expected: ExpectedRequests) -> str:
+    """Returns why the received requests differ from what the case expects, or an empty text if they do not."""
     count = len(replica.requests)
     if expected.count is None and not count:
         return "the server had 0 runs, not some"
@@ -80,9 +80,11 @@
     return _header_failure(replica.requests[-1].headers, expected.headers, expected.absent_headers)
 
 
-def form_failure(response: ReceivedResponse, path: str) -> str:
-    """Why a good answer does not have the form of its endpoint (the types of `pearhill.chat.schema`); empty where it
-    has. A stream's events may be error objects."""
+def schema_failure(response: ReceivedResponse, path: str) -> str:
+    """Returns why a successful answer does not decode to the types of its endpoint, or an empty text if it does.
+
+    The types are those of `pearhill.chat.schema`. An event of a stream may also be an error object.
+    """
     types = ANSWER_TYPES.get(path, MODEL_CARD)
     try:
         if not response.headers.get("content-type", "").startswith("text/event-stream"):
@@ -98,7 +100,7 @@
 
 
 def stream_text(events: Iterable[Any]) -> str:
-    """The text of a stream's first choice, of whichever endpoint."""
+    """Returns the concatenated text of a stream's first choice, for every endpoint that streams."""
     text = ""
     for value in events:
         if not isinstance(value, dict):
@@ -118,7 +120,7 @@
 
 
 def _header_failure(headers: dict[str, str], expected: dict[str, str], absent: tuple[str, ...]) -> str:
-    """`headers` have names in lower case; the other names may be in any case."""
+    """Compares headers. The names in `headers` are in lower case, those in `expected` and `absent` in any case."""
     for name, value in expected.items():
         actual = headers.get(name.lower())
         if actual is None or value not in (ANY_VALUE, actual):
@@ -148,13 +150,17 @@
     if expected.events is None and expected.event_names is None and expected.text is None:
         return ""
     events = [event for event in EventParser(MAX_EVENT_BYTES).feed(response.body) if event.data is not None]
-    values = [DONE.decode() if e.data == DONE else msgspec.json.decode(e.data) for e in events if e.data]
+    values = [
+        DONE.decode() if event.data == DONE else msgspec.json.decode(event.data) for event in events if event.data
+    ]
     if expected.text is not None and stream_text(values) != expected.text:
         return f"text {stream_text(values)!r}, not {expected.text!r}"
     names = tuple(event.name for event in events)
     if expected.event_names is not None and names != expected.event_names:
         return f"events {names}"
-    numbers = [v["sequence_number"] for v in values if isinstance(v, dict) and "sequence_number" in v]
-    if numbers and numbers != list(range(len(values))):
+    sequence_numbers = [
+        value["sequence_number"] for value in values if isinstance(value, dict) and "sequence_number" in value
+    ]
+    if sequence_numbers and sequence_numbers != list(range(len(values))):
         return "sequence numbers do not rise by one"
     return mismatch(list(expected.events), values) if expected.events is not None else ""
--- a/pearhill/lab/load.py
+++ b/pearhill/lab/load.py
@@ -80,7 +80,7 @@
     body = msgspec.json.encode(_request_body(tenant, prefix))
     first_s = 0.0
 
-    def on_first() -> bool:
+    def on_first_body() -> bool:
         nonlocal first_s
         first_s = since_planned()
         return False
@@ -88,7 +88,9 @@
     connection = ClientConnection(*front)
     try:
         await connection.open()
-        response = await connection.exchange("POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first)
+        response = await connection.exchange(
+            "POST", "/v1/chat/completions", headers, body, REQUEST_TIMEOUT_S, on_first_body
+        )
         row.status = response.status
         row.tokens = response.body.count(b'"content"')
         row.outcome = _outcome(response.status, response.complete and response.body.endswith(STREAM_END))
