--- a/benchmarks/talk.py
+++ b/benchmarks/talk.py
@@ -245,7 +245,7 @@
         for message in messages:
             data = self._aggregation_codec.pack(message)
             if message.sender in self._index:
-                self._reporters[self._index[message.sender]].sent(len(data))
+                self._reporters[self._index[message.sender]].record_sent(len(data))
                 self.result.datagrams += 1
                 self.result.bytes += len(data) + HEADER_BYTES
             if self._net.random() >= LOSS:
--- a/pearhill/admin/call_table.py
+++ b/pearhill/admin/call_table.py
@@ -37,6 +37,6 @@
         except InvalidCallError as e:
             reply.answer(400, TEXT, f"{e}\n".encode())
 
-    def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
+    def rejection_response(self, status: int, reason: str) -> tuple[Headers, bytes]:
         """Returns the headers and the body of an answer to an invalid HTTP request."""
-        return TEXT, f"{why}\n".encode()
+        return TEXT, f"{reason}\n".encode()
--- a/pearhill/asgi.py
+++ b/pearhill/asgi.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from pearhill.chat.front import owns
+from pearhill.chat.front import is_chat_path
 from pearhill.chat.service import ChatService
 from pearhill.chat.setup import ChatSetup
 from pearhill.http1.handler import Pending
@@ -96,7 +96,7 @@
         """Answer the API's paths here, and forward everything else to the application."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
-        elif scope["type"] == "http" and owns(scope["path"]):
+        elif scope["type"] == "http" and is_chat_path(scope["path"]):
             await self._chat(scope, receive, send)
         else:
             await self.app(scope, receive, send)
@@ -138,7 +138,7 @@
         request = _request(scope, body)
         if len(body) > self.setup.max_body:
             service.node.counters.rejected += 1
-            extra, text = service.front.rejected(413, "the body is too large")
+            extra, text = service.front.rejection_response(413, "the body is too large")
             reply.reject(413, extra, text)
             return await self._send_answer(reply, send)
         pending = service.front.handle(request, reply)
--- a/pearhill/budgets/admission.py
+++ b/pearhill/budgets/admission.py
@@ -36,7 +36,7 @@
     return amount
 
 
-def find_rejection(path: LevelPath, amount: int, max_cost: int, wall: int, day: int) -> AdmissionDecision | None:
+def find_rejection(path: LevelPath, amount: int, max_cost: int, wall_s: int, day: int) -> AdmissionDecision | None:
     """Returns the rejection of a request that burst capacity cannot admit.
 
     Returns None if the request can be admitted, or if only the balance of the tenant's own bucket is too low, in which
@@ -52,7 +52,7 @@
             or level.day_used + amount > level.max_day_used
             or level.month_used + amount > level.max_month_used
         ):
-            rejection = _limit_rejection(level, amount, max_cost, wall, day)
+            rejection = _limit_rejection(level, amount, max_cost, wall_s, day)
             if rejection:
                 return rejection
         if is_short and level is not own:
@@ -67,7 +67,7 @@
     return AdmissionDecision(AdmissionStatus.OVER_LIMIT, wait, f"{level.name}: {reason}")
 
 
-def _limit_rejection(level: BudgetLevel, amount: int, max_cost: int, wall: int, day: int) -> AdmissionDecision | None:
+def _limit_rejection(level: BudgetLevel, amount: int, max_cost: int, wall_s: int, day: int) -> AdmissionDecision | None:
     """Returns the rejection by a limit of this level that burst capacity does not lift, or None if there is none."""
     limit = level.limit
     if limit.open and level.open_requests >= limit.open:
@@ -77,17 +77,17 @@
         reason = f"{level.name}: a debt is to be paid off"
         return AdmissionDecision(AdmissionStatus.OVERDRAWN, level.time_until_available(amount), reason)
     if limit.day and level.day_used + amount > limit.day * MILLI_PER_TOKEN:
-        return _quota_rejection(f"{level.name}: tokens a day", wall, day)
+        return _quota_rejection(f"{level.name}: tokens a day", wall_s, day)
     if limit.month and level.month_used + amount > limit.month * MILLI_PER_TOKEN:
-        return _quota_rejection(f"{level.name}: tokens a month", wall, day)
+        return _quota_rejection(f"{level.name}: tokens a month", wall_s, day)
     if level.rate and amount * GRAINS_PER_MILLI > level.max_balance:
         return _burst_rejection(level, max_cost)
     return None
 
 
-def _quota_rejection(reason: str, wall: int, day: int) -> AdmissionDecision:
+def _quota_rejection(reason: str, wall_s: int, day: int) -> AdmissionDecision:
     """Returns a rejection by a daily or monthly quota, with the start of the next day in UTC as the time to retry."""
-    until_next_day = max(1, (day + 1) * DAY_S - wall) * 1_000_000
+    until_next_day = max(1, (day + 1) * DAY_S - wall_s) * 1_000_000
     return AdmissionDecision(AdmissionStatus.OVER_LIMIT, until_next_day, reason, True)
 
 
--- a/pearhill/budgets/budgets.py
+++ b/pearhill/budgets/budgets.py
@@ -32,7 +32,7 @@
 class Budgets:
     """All balances of one dispatcher.
 
-    `now` is a time in microseconds that never goes back by much; `wall` is calendar time in seconds since 1970. Every
+    `now` is a time in microseconds that never goes back by much; `wall_s` is calendar time in seconds since 1970. Every
     call does a bounded amount of work, except `reconfigure`, `state` and `restore`, which iterate over all levels.
     """
 
@@ -90,7 +90,7 @@
     # Admission.
 
     def admit(
-        self, now: int, wall: int, tenant: str, key: str, prompt: int, max_answer: int, hint: int = 0
+        self, now: int, wall_s: int, tenant: str, key: str, prompt: int, max_answer: int, hint: int = 0
     ) -> AdmissionDecision:
         """Decide whether a request is admitted, and reserve its tokens if so.
 
@@ -101,13 +101,13 @@
         answer_price = self.plan.prices.answer
         prompt_cost = prompt * MILLI_PER_TOKEN
         max_cost = prompt_cost + max_answer * answer_price
-        day, month = self._period if wall == self._period_wall else self.current_period(wall)
+        day, month = self._period if wall_s == self._period_wall else self.current_period(wall_s)
         expected = prompt_cost + self._expected_answer(tenant, max_answer, hint) * answer_price
         amount = refill_and_size(path, now, day, month, expected, max_cost)
         self._arrivals += 1
         if self._arrivals & SAMPLE_MASK == 0:
             self.heavy_hitters.add(tenant, amount * (SAMPLE_MASK + 1))
-        rejection = find_rejection(path, amount, max_cost, wall, day)
+        rejection = find_rejection(path, amount, max_cost, wall_s, day)
         if rejection:
             return rejection
         own = path[0]
@@ -197,7 +197,7 @@
 
     # Queries.
 
-    def balance(self, now: int, wall: int, tenant: str) -> dict[str, int]:
+    def balance(self, now: int, wall_s: int, tenant: str) -> dict[str, int]:
         """Returns the state of a tenant's budget, as its own clients may see it.
 
         The keys give the limits and remaining amounts of tokens and open requests, the microseconds until the bucket is
@@ -208,7 +208,7 @@
         if level is None:
             level = BudgetLevel(tenant, plan.limit, now)
         level.refill(now)
-        level.enter_period(*self.current_period(wall))
+        level.enter_period(*self.current_period(wall_s))
         lacking = level.max_balance - level.balance
         return {
             "limit_tokens": plan.limit.burst,
@@ -274,11 +274,11 @@
         self.plan = plan
         self._level_cache.clear()
 
-    def current_period(self, wall: int) -> tuple[int, int]:
+    def current_period(self, wall_s: int) -> tuple[int, int]:
         """Returns the current day and month, which never go back when the calendar clock does."""
-        if wall != self._period_wall:
-            self._period = max(self._period, periods(wall))
-            self._period_wall = wall
+        if wall_s != self._period_wall:
+            self._period = max(self._period, periods(wall_s))
+            self._period_wall = wall_s
         return self._period
 
     def _observe_period(self, day: int, month: int) -> None:
--- a/pearhill/budgets/periods.py
+++ b/pearhill/budgets/periods.py
@@ -7,13 +7,13 @@
 EPOCH_YEAR = 1970
 
 
-def periods(wall: int) -> tuple[int, int]:
+def periods(wall_s: int) -> tuple[int, int]:
     """Returns the day and the month of a time in seconds, both counted since 1970 in UTC.
 
     Source: H. Hinnant, "chrono-compatible low-level date algorithms", civil_from_days. The local variables have the
     names of that article.
     """
-    day = wall // DAY_S
+    day = wall_s // DAY_S
     z = day + 719_468
     era = z // 146_097
     doe = z - era * 146_097
--- a/pearhill/chat/answers.py
+++ b/pearhill/chat/answers.py
@@ -121,8 +121,8 @@
             return
         try:
             if not self.stream:
-                return self.format.collect(data) if self.is_collectable else None
-            data = self.format.stream(data)
+                return self.format.collect_events(data) if self.is_collectable else None
+            data = self.format.convert_events(data)
         except Exception:
             # Events of a replica may have any content. If this exception escaped, the client would get no response.
             logger.exception("chat: the events of an answer could not be converted to the format of the endpoint")
@@ -144,7 +144,7 @@
     def finish(self) -> None:
         """End a complete answer."""
         if self.stream and self.started:
-            last = self.format.end()
+            last = self.format.encode_end()
             if self._end(200, ""):
                 self.reply.finish(last)
             return
@@ -152,7 +152,7 @@
             self.abort()
             return
         if self._end(200, ""):
-            self.reply.answer(200, (*JSON, *self.headers), self.format.complete())
+            self.reply.answer(200, (*JSON, *self.headers), self.format.encode_complete())
 
     def abort(self) -> None:
         """End an answer that was truncated."""
@@ -160,7 +160,7 @@
             self._answer_error(TRUNCATED, self.repeatable)
             return
         if self._end(502, TRUNCATED.code):
-            self.reply.abort(self.format.truncated(TRUNCATED))
+            self.reply.abort(self.format.encode_truncation(TRUNCATED))
 
     def has_disconnected(self) -> bool:
         """Returns whether the client has disconnected."""
--- a/pearhill/chat/endpoints/chat.py
+++ b/pearhill/chat/endpoints/chat.py
@@ -4,7 +4,7 @@
 
 from pearhill.chat.collected import CollectedCompletion
 from pearhill.chat.errors import ApiError
-from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_of_message
+from pearhill.chat.prompt import Prompt, ResponseIdentity, turn_from_message
 from pearhill.chat.schema.chat import ChatRequest
 from pearhill.chat.schema.reading import Reader
 
@@ -17,23 +17,23 @@
     def __init__(self, identity: ResponseIdentity) -> None:
         self._collected = CollectedCompletion()
 
-    def stream(self, data: bytes) -> bytes:
+    def convert_events(self, data: bytes) -> bytes:
         """Returns the events unchanged."""
         return data
 
-    def end(self) -> bytes:
+    def encode_end(self) -> bytes:
         """Returns nothing, as the replica's `[DONE]` has already been forwarded."""
         return b""
 
-    def truncated(self, error: ApiError) -> bytes:
+    def encode_truncation(self, error: ApiError) -> bytes:
         """Returns an event with the error object."""
         return b"data: %b\n\n" % error.body()
 
-    def collect(self, data: bytes) -> None:
-        """Collect the events for `complete`."""
+    def collect_events(self, data: bytes) -> None:
+        """Collect the events for `encode_complete`."""
         self._collected.feed(data)
 
-    def complete(self) -> bytes:
+    def encode_complete(self) -> bytes:
         """Returns a chat completion that is made of all collected events."""
         return self._collected.body()
 
@@ -48,7 +48,7 @@
         model=request.model,
         stream=stream,
         wants_usage=not stream or includes_usage,
-        turns=[turn_of_message(message) for message in request.messages],
+        turns=[turn_from_message(message) for message in request.messages],
         max_output_tokens=request.max_completion_tokens or request.max_tokens,
         metadata=request.metadata or {},
         fields=fields,
--- a/pearhill/chat/endpoints/completions.py
+++ b/pearhill/chat/endpoints/completions.py
@@ -37,7 +37,7 @@
         self._offsets: dict[int, int] = {}  # by choice: the offset of the next token in its text, in characters
         self._collected = CollectedCompletion()
 
-    def stream(self, data: bytes) -> bytes:
+    def convert_events(self, data: bytes) -> bytes:
         """Returns one event for each chunk, and the replica's `[DONE]`."""
         events = []
         for event in self._parser.feed(data):
@@ -48,19 +48,19 @@
                 events.append(b"data: %b\n\n" % msgspec.json.encode(self._completion_chunk(chunk)))
         return b"".join(events)
 
-    def end(self) -> bytes:
+    def encode_end(self) -> bytes:
         """Returns nothing, as the replica's `[DONE]` has already been forwarded."""
         return b""
 
-    def truncated(self, error: ApiError) -> bytes:
+    def encode_truncation(self, error: ApiError) -> bytes:
         """Returns an event with the error object."""
         return b"data: %b\n\n" % error.body()
 
-    def collect(self, data: bytes) -> None:
-        """Collect the events for `complete`."""
+    def collect_events(self, data: bytes) -> None:
+        """Collect the events for `encode_complete`."""
         self._collected.feed(data)
 
-    def complete(self) -> bytes:
+    def encode_complete(self) -> bytes:
         """Returns a text completion that is made of all collected events."""
         choices = []
         for index in sorted(self._collected.choices):
--- a/pearhill/chat/endpoints/responses.py
+++ b/pearhill/chat/endpoints/responses.py
@@ -70,28 +70,28 @@
         self._usage: dict[str, Any] | None = None
         self._finish_reason: str | None = None
 
-    def stream(self, data: bytes) -> bytes:
+    def convert_events(self, data: bytes) -> bytes:
         """Returns the events for these chunks."""
         return b"".join(self._add_chunk(chunk) for chunk in self._reader.feed(data))
 
-    def end(self) -> bytes:
+    def encode_end(self) -> bytes:
         """Returns the events that close the open items, and the event with the final response."""
         events = self._close_items()
         event_type = "response.incomplete" if self._finish_reason in INCOMPLETE_REASONS else "response.completed"
         return events + self._events.encode(event_type, response=self._final_response())
 
-    def truncated(self, error: ApiError) -> bytes:
+    def encode_truncation(self, error: ApiError) -> bytes:
         """Returns an event with the failed response."""
         self._output.mark_truncated()
         response = self._response("failed", error={"code": error.code, "message": error.message})
         return self._events.encode("response.failed", response=response)
 
-    def collect(self, data: bytes) -> None:
-        """Collect the contents of these chunks for `complete`."""
+    def collect_events(self, data: bytes) -> None:
+        """Collect the contents of these chunks for `encode_complete`."""
         for chunk in self._reader.feed(data):
             self._add_chunk(chunk)
 
-    def complete(self) -> bytes:
+    def encode_complete(self) -> bytes:
         """Returns the final response, made of all collected chunks."""
         self._close_items()
         return msgspec.json.encode(self._final_response())
--- a/pearhill/chat/front.py
+++ b/pearhill/chat/front.py
@@ -45,25 +45,28 @@
 MAX_IDEMPOTENCY_KEY_CHARS = 256
 
 
-def owns(path: str) -> bool:
+def is_chat_path(path: str) -> bool:
     """Returns whether a path belongs to the chat API. An embedding application must not serve these paths itself."""
     return path in ENDPOINTS or path in (MODELS_PATH, USAGE_PATH) or path.startswith(f"{MODELS_PATH}/")
 
 
 class ChatFront:
-    """Handles the requests of all connections to the chat API. `reading` and `keyring` are replaced at a reload."""
+    """Handles the requests of all connections to the chat API.
+
+    `request_rules` and `keyring` are replaced at a reload.
+    """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        reading: RequestRules,
+        request_rules: RequestRules,
         keyring: Keyring,
         store: RecordStore,
         spawn: Spawn,
         is_ready: Callable[[], bool],
         accounting: BudgetAccounting | None = None,
     ) -> None:
-        self.reading = reading
+        self.request_rules = request_rules
         self.keyring = keyring
         self._dispatcher = dispatcher
         self._spawn = spawn
@@ -74,7 +77,7 @@
 
     def handle(self, message: RequestMessage, reply: Reply) -> Pending | None:
         """Start a request. Returns the pending answer, or None if the request has been answered already."""
-        request = IncomingRequest(self._dispatcher, self._accounting, self.reading, message, reply)
+        request = IncomingRequest(self._dispatcher, self._accounting, self.request_rules, message, reply)
         try:
             if message.path in ENDPOINTS and message.method == "POST":
                 return self._accept(request)
@@ -83,9 +86,9 @@
             request.reject(error)
         return None
 
-    def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
+    def rejection_response(self, status: int, reason: str) -> tuple[Headers, bytes]:
         """Returns headers and body of the response to input that is rejected before it is a complete request."""
-        return (*JSON, ("x-request-id", secrets.token_hex(12))), invalid_request(why, code="bad_http").body()
+        return (*JSON, ("x-request-id", secrets.token_hex(12))), invalid_request(reason, code="bad_http").body()
 
     def _accept(self, request: IncomingRequest) -> Pending | None:
         """Read a request for a model's answer, and start it. Raises ApiError if it is rejected."""
@@ -96,7 +99,7 @@
                 "Bodies are taken as they are: leave Content-Encoding out.", code="unsupported_encoding", status=415
             )
         prompt = ENDPOINTS[message.path](message.body)
-        model = find_model(self.reading, prompt.model, request.tenant)
+        model = find_model(self.request_rules, prompt.model, request.tenant)
         request.model = model
         spec = read_spec(request, prompt, model, self._classes, self._dispatcher.deployment)
         idempotency_key = message.headers.get("idempotency-key", "")
@@ -107,7 +110,7 @@
 
     def _new_answer(self, request: IncomingRequest, prompt: Prompt, model: Model, request_class: int) -> Answer:
         idempotency = self._dispatcher.deployment.router.classes[request_class].idempotency
-        heartbeat = HeartbeatTimer(self._dispatcher.deadlines, self._spawn, self.reading.heartbeat)
+        heartbeat = HeartbeatTimer(self._dispatcher.deadlines, self._spawn, self.request_rules.heartbeat)
         response_format = prompt.new_format(ResponseIdentity(request.id, model.name, int(time.time())))
         return Answer(
             request.reply,
@@ -148,8 +151,8 @@
         """Returns the model that the path names, else a list of all models that the tenant may use, without aliases."""
         name = unquote(path.removeprefix(MODELS_PATH).removeprefix("/"))
         if name:
-            return _model_card(find_model(self.reading, name, tenant))
-        models = {model.name: model for model in self.reading.models.values() if tenant.may_use(model.name)}
+            return _model_card(find_model(self.request_rules, name, tenant))
+        models = {model.name: model for model in self.request_rules.models.values() if tenant.may_use(model.name)}
         return ModelList([_model_card(model) for model in models.values()])
 
 
--- a/pearhill/chat/identification.py
+++ b/pearhill/chat/identification.py
@@ -28,12 +28,12 @@
     request.update_rate_limits()
 
 
-def find_model(reading: RequestRules, name: str, tenant: Tenant) -> Model:
+def find_model(request_rules: RequestRules, name: str, tenant: Tenant) -> Model:
     """Returns the declared model of this name or alias.
 
     Raises ApiError if there is no such model, or if the tenant may not use it.
     """
-    model = reading.model(name)
+    model = request_rules.model(name)
     if model is None:
         raise ApiError(404, f"The model {name[:200]!r} does not exist.", "model_not_found", "model")
     if not tenant.may_use(model.name):
--- a/pearhill/chat/incoming_request.py
+++ b/pearhill/chat/incoming_request.py
@@ -22,15 +22,15 @@
 class IncomingRequest:
     """One request with its reply, and what the front end has found out about it so far.
 
-    `reading` has the operator's rules at the time of the request's arrival. `key_number` is the number of the request's
-    API key. `is_authenticated` says whether the tenant was found by that key.
+    `request_rules` has the operator's rules at the time of the request's arrival. `key_number` is the number of the
+    request's API key. `is_authenticated` says whether the tenant was found by that key.
     """
 
     __slots__ = (
         "id",
         "message",
         "reply",
-        "reading",
+        "request_rules",
         "tenant",
         "key_number",
         "is_authenticated",
@@ -45,14 +45,14 @@
         self,
         dispatcher: Dispatcher,
         accounting: BudgetAccounting | None,
-        reading: RequestRules,
+        request_rules: RequestRules,
         message: RequestMessage,
         reply: Reply,
     ) -> None:
         self.id = secrets.token_hex(12)
         self.message = message
         self.reply = reply
-        self.reading = reading
+        self.request_rules = request_rules
         self.tenant: Tenant = ANONYMOUS
         self.key_number = ""
         self.is_authenticated = False
--- a/pearhill/chat/prompt.py
+++ b/pearhill/chat/prompt.py
@@ -22,23 +22,23 @@
 class ResponseFormat(Protocol):
     """The format of one answer at an endpoint.
 
-    The replica's events, complete and validated, are passed to `stream` if the client has requested a stream, and to
-    `collect` otherwise.
+    The replica's events, complete and validated, are passed to `convert_events` if the client has requested a stream,
+    and to `collect_events` otherwise.
     """
 
-    def stream(self, data: bytes) -> bytes:
+    def convert_events(self, data: bytes) -> bytes:
         """Returns these events in the endpoint's format."""
 
-    def end(self) -> bytes:
+    def encode_end(self) -> bytes:
         """Returns the last events of a complete stream."""
 
-    def truncated(self, error: ApiError) -> bytes:
+    def encode_truncation(self, error: ApiError) -> bytes:
         """Returns the last event of a stream that was truncated after its start."""
 
-    def collect(self, data: bytes) -> None:
-        """Store these events for `complete`. Any exception means that they are not chunks of one answer."""
+    def collect_events(self, data: bytes) -> None:
+        """Store these events for `encode_complete`. Any exception means that they are not chunks of one answer."""
 
-    def complete(self) -> bytes:
+    def encode_complete(self) -> bytes:
         """Returns the body of the response, made of all collected events."""
 
 
@@ -85,7 +85,7 @@
         return int(text / chars_per_token) + sum(turn.extra_tokens for turn in self.turns)
 
 
-def turn_of_message(message: messages.Message) -> Turn:
+def turn_from_message(message: messages.Message) -> Turn:
     """Returns the text of a message, including its tool calls, and the tokens of its other content."""
     turn = Turn(str(message.__struct_config__.tag), "")
     content = message.content
--- a/pearhill/chat/request_placement.py
+++ b/pearhill/chat/request_placement.py
@@ -200,7 +200,7 @@
     """Returns the payload for replicas: the client's fields, except those that this dispatcher sets."""
     prompt = request.prompt
     model = request.model
-    reading = request.incoming.reading
+    request_rules = request.incoming.request_rules
     options = prompt.fields.get("stream_options")
     if isinstance(options, msgspec.Raw):
         options = msgspec.json.decode(options)
@@ -212,6 +212,6 @@
     }
     if meter and prompt.max_output_tokens is None:
         # Without a limit, the answer could overdraw its tenant's budget by any amount.
-        fields["max_completion_tokens"] = model.max_output_tokens or reading.max_output_tokens
+        fields["max_completion_tokens"] = model.max_output_tokens or request_rules.max_output_tokens
     body = msgspec.json.encode(fields)
-    return ChatPayload(request.incoming.id, body, prompt.wants_usage, reading.max_answer_bytes, meter)
+    return ChatPayload(request.incoming.id, body, prompt.wants_usage, request_rules.max_answer_bytes, meter)
--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -15,7 +15,7 @@
 from pearhill.chat.setup import ChatSetup
 from pearhill.config import for_next_start
 from pearhill.durable.recovery import CorruptJournalError
-from pearhill.eureka.client import Eureka
+from pearhill.eureka.client import EurekaClient
 from pearhill.load_reports.peer_loads import ReplicaLoad
 from pearhill.net.address import Address
 from pearhill.net.fleet import Fleet
@@ -42,13 +42,19 @@
         self.store = RecordStore(node.deadlines, setup.store_max_bytes, setup.store_retention)
         self.accounting = BudgetAccounting(setup.accounting, node.deadlines) if setup.accounting else None
         self.front = ChatFront(
-            node.dispatcher, setup.reading, setup.keyring, self.store, node.pool.spawn, self.is_ready, self.accounting
+            node.dispatcher,
+            setup.request_rules,
+            setup.keyring,
+            self.store,
+            node.pool.spawn,
+            self.is_ready,
+            self.accounting,
         )
         if self.accounting:
             node.on_report = self.accounting.log_top_tenants
         self.fleet = Fleet(setup.fleet, setup.seed, node.deadlines, self._own_loads) if setup.fleet else None
         if self.fleet:
-            self.fleet.on_count_change = node.share_work
+            self.fleet.on_count_change = node.set_fleet_size
         self._eureka = self._new_eureka(setup)
         self._address: Address | None = None
         self._fetch_task: asyncio.Task[None] | None = None
@@ -70,7 +76,7 @@
         if self.setup.endpoints:
             self.node.update_endpoints(True, self.setup.endpoints, self.setup.addresses)
         if self._eureka:
-            self._fetch_task = self.node.pool.spawn(self._eureka.follow())
+            self._fetch_task = self.node.pool.spawn(self._eureka.poll_instances())
 
     def register(self, address: Address) -> None:
         """Register the address at which this dispatcher listens, and renew the registration until it is cancelled."""
@@ -90,7 +96,7 @@
         old = self.setup
         self.node.reconfigure(new.deployment)
         self.setup = new
-        self.front.reading = new.reading
+        self.front.request_rules = new.request_rules
         self.front.keyring = new.keyring
         self.dialect.replica_keys = new.replica_keys
         self.dialect.default_key = new.default_replica_key
@@ -105,7 +111,7 @@
             self._eureka.deployment = new.deployment
         if not new.eureka:
             self.node.update_endpoints(True, new.endpoints, new.addresses)
-        applied = f"{len(new.reading.rules)} rules, {len(new.keyring.tenants)} tenants"
+        applied = f"{len(new.request_rules.rules)} rules, {len(new.keyring.tenants)} tenants"
         return applied + _changes_for_next_start(old, new)
 
     async def close(self) -> None:
@@ -140,10 +146,10 @@
         self.node.dispatcher.router.set_peer_load_source(fleet.sources)
         logger.info("fleet: {name} talks on {host}:{port}", name=name, host=host, port=port)
 
-    def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
+    def _new_eureka(self, setup: ChatSetup) -> EurekaClient | None:
         if not setup.eureka:
             return None
-        return Eureka(self.node.pool, setup.eureka, setup.deployment, self.node.update_endpoints)
+        return EurekaClient(self.node.pool, setup.eureka, setup.deployment, self.node.update_endpoints)
 
     def _change_registry(self, new: ChatSetup) -> None:
         """Deregister from the old registry, and fetch the endpoint list from the new one, if there is one."""
@@ -152,7 +158,7 @@
             self.node.pool.spawn(self._eureka.cancel())
         self._eureka = self._new_eureka(new)
         if self._eureka:
-            self._fetch_task = self.node.pool.spawn(self._eureka.follow())
+            self._fetch_task = self.node.pool.spawn(self._eureka.poll_instances())
         if self._address and not self.node.draining:
             self.register(self._address)
 
--- a/pearhill/chat/setup.py
+++ b/pearhill/chat/setup.py
@@ -98,7 +98,7 @@
     sockets: int
     seed: int
     deployment: settings.Deployment
-    reading: RequestRules
+    request_rules: RequestRules
     keyring: Keyring
     store_max_bytes: int
     store_retention: int
@@ -291,7 +291,7 @@
         sockets=chat.sockets,
         seed=chat.seed,
         deployment=deployment,
-        reading=_reading(chat, models, deployment),
+        request_rules=_reading(chat, models, deployment),
         keyring=_keyring(chat, deployment, models),
         store_max_bytes=file.idempotency.max_bytes,
         store_retention=file.idempotency.keep_s * 1_000_000,
--- a/pearhill/chat/spec_reader.py
+++ b/pearhill/chat/spec_reader.py
@@ -29,49 +29,49 @@
 
     Raises ApiError if the class is unknown, a length exceeds the model's limit, or the timeout header is invalid.
     """
-    reading = request.reading
+    request_rules = request.request_rules
     headers = request.message.headers
-    rule = next((rule for rule in reading.rules if rule.matches(model.name, headers)), None)
-    request_class = _request_class(reading, headers, prompt, model, rule, classes)
+    rule = next((rule for rule in request_rules.rules if rule.matches(model.name, headers)), None)
+    request_class = _request_class(request_rules, headers, prompt, model, rule, classes)
     prefix_text, conversation_start = _leading_text(prompt)
-    tokens = prompt.estimated_tokens(reading.chars_per_token)
+    tokens = prompt.estimated_tokens(request_rules.chars_per_token)
     _check_lengths(prompt, model, tokens)
     conversation = (
-        headers.get(reading.conversation_header)
-        or prompt.metadata.get(reading.conversation_field)
+        headers.get(request_rules.conversation_header)
+        or prompt.metadata.get(request_rules.conversation_field)
         or conversation_start
     )
     return RequestSpec(
         request_class,
-        _timeout(reading, headers, deployment.router.classes[request_class].deadline, rule),
+        _timeout(request_rules, headers, deployment.router.classes[request_class].deadline, rule),
         tokens,
-        prompt.choice_count * (prompt.max_output_tokens or model.max_output_tokens or reading.max_output_tokens),
+        prompt.choice_count * (prompt.max_output_tokens or model.max_output_tokens or request_rules.max_output_tokens),
         session=_stable_hash(conversation),
         prefix=_stable_hash(prefix_text) if prefix_text else 0,
-        prefix_tokens=int(len(prefix_text) / reading.chars_per_token),
+        prefix_tokens=int(len(prefix_text) / request_rules.chars_per_token),
         tenant=request.tenant.number,
         allowed_kinds=model.kinds,
     )
 
 
 def _request_class(
-    reading: RequestRules,
+    request_rules: RequestRules,
     headers: Mapping[str, str],
     prompt: Prompt,
     model: Model,
     rule: Rule | None,
     classes: Mapping[str, int],
 ) -> int:
-    named = headers.get(reading.class_header) or prompt.metadata.get(reading.class_field)
+    named = headers.get(request_rules.class_header) or prompt.metadata.get(request_rules.class_field)
     if named:
         if named not in classes:
-            raise invalid_request(f"There is no class {named[:64]!r}.", f"metadata.{reading.class_field}")
+            raise invalid_request(f"There is no class {named[:64]!r}.", f"metadata.{request_rules.class_field}")
         return classes[named]
     if rule:
         return rule.request_class
     if model.request_class >= 0:
         return model.request_class
-    return reading.default_class
+    return request_rules.default_class
 
 
 def _leading_text(prompt: Prompt) -> tuple[str, str]:
@@ -100,13 +100,13 @@
         raise invalid_request(f"{model.name} writes {model.max_output_tokens} tokens at most.", "max_tokens")
 
 
-def _timeout(reading: RequestRules, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
+def _timeout(request_rules: RequestRules, headers: Mapping[str, str], class_deadline: int, rule: Rule | None) -> int:
     """Returns the time until the request's deadline, in microseconds."""
-    header = headers.get(reading.timeout_header)
+    header = headers.get(request_rules.timeout_header)
     if header is None:
         return min(class_deadline, rule.deadline) if rule and rule.deadline > 0 else class_deadline
     if not re.fullmatch("[0-9]{1,10}", header) or not int(header):
-        raise invalid_request(f"{reading.timeout_header} must be a whole number of milliseconds above 0.")
+        raise invalid_request(f"{request_rules.timeout_header} must be a whole number of milliseconds above 0.")
     return min(class_deadline, int(header) * 1000)
 
 
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -92,7 +92,7 @@
         loaded = setup.load(str(file))
     except ConfigError as e:
         _fail(str(e))
-    models = {model.name for model in loaded.reading.models.values()}
+    models = {model.name for model in loaded.request_rules.models.values()}
     print(f"{file}: good. {_summary(loaded, len(models))}")
     if not loaded.keyring:
         print("  note: no tenants are declared, so every client that can connect is served")
@@ -106,7 +106,7 @@
         f"{len(loaded.endpoints)} servers{', eureka' if loaded.eureka else ''}",
         f"{models} models",
         f"{len(loaded.keyring.tenants)} tenants",
-        f"{len(loaded.reading.rules)} rules",
+        f"{len(loaded.request_rules.rules)} rules",
         f"classes {', '.join(loaded.deployment.class_names)}",
     ]
     if fleet_setup := loaded.fleet:
--- a/pearhill/eureka/client.py
+++ b/pearhill/eureka/client.py
@@ -29,11 +29,11 @@
 ListCallback = Callable[[bool, tuple[Endpoint, ...], dict[int, Address]], None]
 
 
-class Eureka:
+class EurekaClient:
     """A client of one Eureka registry.
 
-    `follow` and `keep_registered` run as tasks until they are cancelled. `on_list` is called with each list: True, as
-    the list replaces the previous one, then the endpoints, and their addresses.
+    `poll_instances` and `keep_registered` run as tasks until they are cancelled. `on_list` is called with each list:
+    True, as the list replaces the previous one, then the endpoints, and their addresses.
     """
 
     def __init__(self, pool: Pool, setup: EurekaSetup, deployment: Deployment, on_list: ListCallback) -> None:
@@ -47,7 +47,7 @@
         self._registered = False  # the registry has accepted the registration
         self._may_be_registered = False  # a registration was sent and may have reached the registry
 
-    async def follow(self) -> None:
+    async def poll_instances(self) -> None:
         """Fetch the full list, then deltas. While the registry is unavailable, the previous list remains in use."""
         period = self.setup.fetch_s * 1_000_000
         needs_full_list = True
--- a/pearhill/http1/client.py
+++ b/pearhill/http1/client.py
@@ -41,7 +41,7 @@
 class Lost:
     """The connection ended, or its bytes were not valid HTTP/1.1, before the response was complete."""
 
-    why: str
+    reason: str
 
 
 Event = Head | Data | End | Lost
@@ -86,14 +86,14 @@
                 self._events[-1] = End(reusable=False, clean=False)
         return self._take_events()
 
-    def eof(self, why: str = "eof") -> list[Event]:
-        """Handle the end of the server's bytes. `why`: the reason of the `Lost` event if a response is incomplete.
+    def eof(self, reason: str = "eof") -> list[Event]:
+        """Handle the end of the server's bytes. `reason`: the reason of the `Lost` event if a response is incomplete.
 
         A response without a length, which ends with its connection (RFC 9112, 6.3), is not accepted: its end cannot
         be distinguished from a broken connection.
         """
         if self.awaiting:
-            self._lose(why)
+            self._lose(reason)
         return self._take_events()
 
     def close(self) -> None:
@@ -101,10 +101,10 @@
         self.awaiting = False
         self._parser = None
 
-    def _lose(self, why: str) -> None:
+    def _lose(self, reason: str) -> None:
         self._flush_chunks()
         self.awaiting = False
-        self._events.append(Lost(why))
+        self._events.append(Lost(reason))
 
     def _take_events(self) -> list[Event]:
         """Return the events found and keep none: an event kept here would stay in memory with an idle connection."""
--- a/pearhill/http1/handler.py
+++ b/pearhill/http1/handler.py
@@ -56,5 +56,5 @@
         handling does not depend on the client.
         """
 
-    def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
+    def rejection_response(self, status: int, reason: str) -> tuple[Headers, bytes]:
         """Return the headers and the body of the response to input that could not be parsed as a request."""
--- a/pearhill/http1/server.py
+++ b/pearhill/http1/server.py
@@ -19,15 +19,15 @@
     """Input that is not an acceptable request. No later byte of the connection can be parsed."""
 
     status: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class ContinueWanted:
+class ContinueExpected:
     """The client waits for `100 Continue` before it sends the body."""
 
 
-Event = RequestMessage | Rejected | ContinueWanted
+Event = RequestMessage | Rejected | ContinueExpected
 
 
 class _RejectedError(Exception):
@@ -76,8 +76,8 @@
         self.broken = True
         self._parser = None
 
-    def _reject(self, status: int, why: str) -> None:
-        self._rejected = Rejected(status, why)
+    def _reject(self, status: int, reason: str) -> None:
+        self._rejected = Rejected(status, reason)
         raise _RejectedError
 
     def _count_head(self, size: int) -> None:
@@ -127,7 +127,7 @@
             self._reject(400, "no upgrade is offered here")
         self._message.method = self._parser.get_method().decode("latin-1")
         if headers.get("expect", "").lower() == "100-continue":
-            self._events.append(ContinueWanted())
+            self._events.append(ContinueExpected())
 
     def _check_framing(self, length: str | None, coding: str | None) -> None:
         """Reject an ambiguous or invalid body length.
--- a/pearhill/lab/capacity/report_traffic.py
+++ b/pearhill/lab/capacity/report_traffic.py
@@ -103,7 +103,7 @@
         for message in messages:
             size = len(self.codec.pack(message))
             if message.sender in self.reporters:
-                self.reporters[message.sender].sent(size)
+                self.reporters[message.sender].record_sent(size)
             if now >= START_US + WARM_UP_US and self._is_counted(message):
                 self._count(message, size)
             if message.to in self.aggregators:
--- a/pearhill/lab/scale/hollow_dispatcher.py
+++ b/pearhill/lab/scale/hollow_dispatcher.py
@@ -12,7 +12,7 @@
 
 from pearhill.chat.service import ChatService
 from pearhill.chat.setup import ChatSetup, loads
-from pearhill.eureka.client import Eureka
+from pearhill.eureka.client import EurekaClient
 from pearhill.lab.scale import observe
 from pearhill.lab.scale.files import DispatcherSpec, file_of
 from pearhill.lab.scale.plan import Workload
@@ -48,10 +48,10 @@
             self.read_at.append(_monotonic_us())
         return super()._own_loads()
 
-    def _new_eureka(self, setup: ChatSetup) -> Eureka | None:
+    def _new_eureka(self, setup: ChatSetup) -> EurekaClient | None:
         if not setup.eureka:
             return None
-        return Eureka(self.node.pool, setup.eureka, setup.deployment, self._update_endpoints)
+        return EurekaClient(self.node.pool, setup.eureka, setup.deployment, self._update_endpoints)
 
     def _update_endpoints(self, full: bool, entries: tuple[Endpoint, ...], addresses: dict[int, Address]) -> None:
         self.node.update_endpoints(full, entries, addresses)
--- a/pearhill/lab/soak/connection.py
+++ b/pearhill/lab/soak/connection.py
@@ -60,7 +60,7 @@
             self._events = self._machine.feed(data) if data else [Lost("closed")]
         event = self._events.pop(0)
         if isinstance(event, Lost):
-            raise ConnectionEndedError(event.why)
+            raise ConnectionEndedError(event.reason)
         return event
 
     def close(self) -> None:
--- a/pearhill/membership/reporter.py
+++ b/pearhill/membership/reporter.py
@@ -246,7 +246,7 @@
             )
         ]
 
-    def sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Pays for an outgoing datagram of `size` bytes."""
         self._budget.record_sent(self._now, size)
 
--- a/pearhill/net/accepted.py
+++ b/pearhill/net/accepted.py
@@ -169,7 +169,7 @@
 
     def _reject(self, message: Rejected) -> None:
         self.owner.counters.rejected += 1
-        headers, body = self.owner.handler.rejected(message.status, message.why)
+        headers, body = self.owner.handler.rejection_response(message.status, message.reason)
         self.reject(message.status, headers, body)
 
     def reject_partial_request(self) -> None:
--- a/pearhill/net/eviction.py
+++ b/pearhill/net/eviction.py
@@ -41,7 +41,7 @@
         for connection in finished:
             connection.close("room-needed")
 
-    def make_room(self, max_connections: int) -> bool:
+    def evict(self, max_connections: int) -> bool:
         """Close some connections, and return whether any was closed. The order is that of `ConnectionState`: first
         those that have had their last answer; then those that never sent a request, hundreds of which would block all
         other clients; then the one that has been idle longest; and last, one with a partial request."""
--- a/pearhill/net/exchange.py
+++ b/pearhill/net/exchange.py
@@ -39,8 +39,8 @@
     async def handle(self, event: Event) -> None:
         """Collect one event. The result of `done` is set once the response is complete or has failed."""
         match event:
-            case Lost(why):
-                self._finish(ConnectionResetError(why))
+            case Lost(reason):
+                self._finish(ConnectionResetError(reason))
             case End():
                 self._finish(None)
             case Head(status):
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -72,7 +72,7 @@
     async def open(self) -> Address:
         """Open the socket, start, and return the socket's address. Raises OSError if the address cannot be used."""
         address = await self.datagrams.open(self.setup.listen)
-        self._settle()
+        self._apply_setup()
         return address
 
     def reconfigure(self, setup: FleetSetup) -> None:
@@ -80,9 +80,9 @@
         is retained. Name, region and address remain those of the start."""
         initial = self.setup
         self.setup = replace(setup, name=initial.name, listen=initial.listen, region=initial.region)
-        self._settle()
+        self._apply_setup()
 
-    def _settle(self) -> None:
+    def _apply_setup(self) -> None:
         """Start, reconfigure or close gossip and reports, as the setup requires."""
         # The start time is the incarnation, and seeds the random generator: with equal seeds, all dispatchers would
         # ping the same one at the same time.
--- a/pearhill/net/listener.py
+++ b/pearhill/net/listener.py
@@ -135,7 +135,7 @@
             if full and accept_count:
                 # A further connection would be closed, maybe the last one accepted, while the queue may be empty.
                 return
-            if full and not self._evictor.make_room(self.max_connections):
+            if full and not self._evictor.evict(self.max_connections):
                 return self._accept_later()
             try:
                 client, peer = self._sock.accept()
@@ -157,7 +157,7 @@
         self._accept_failing = True
         logger.warning("accepting pauses: {error}", error=str(error))
         if error.errno == errno.EMFILE:
-            self._evictor.make_room(self.max_connections)
+            self._evictor.evict(self.max_connections)
         else:
             # The system's resources ran out, not this process's descriptors. Any connection that is closed here may
             # have a request in transit, whereas clients in the accept queue can wait there.
--- a/pearhill/net/pooled_connection.py
+++ b/pearhill/net/pooled_connection.py
@@ -126,7 +126,7 @@
     def _update(self, event: Event, exchange: Exchange | None) -> None:
         """Close the connection, or put it back into the pool, if a response has ended or is lost."""
         if isinstance(event, Lost):
-            self.close("unasked-bytes" if exchange is None else f"lost-{event.why.partition(':')[0]}")
+            self.close("unasked-bytes" if exchange is None else f"lost-{event.reason.partition(':')[0]}")
         elif isinstance(event, End):
             self.exchange = None
             # After a response that precedes the end of its request, the rest of the request still follows on the wire.
--- a/pearhill/net/reporting.py
+++ b/pearhill/net/reporting.py
@@ -94,7 +94,7 @@
             data = self.codec.pack(message)
             address = self.addresses.get(message.to)
             if address and self.datagrams.send(data, address):
-                self.reporter.sent(len(data))
+                self.reporter.record_sent(len(data))
 
     def close(self) -> None:
         """Notify the aggregator that this dispatcher disconnects, so that it is not waited for. The socket must still
--- a/pearhill/net/request_intake.py
+++ b/pearhill/net/request_intake.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from pearhill.http1.messages import RequestMessage
-from pearhill.http1.server import ContinueWanted, Rejected, ServerConnection
+from pearhill.http1.server import ContinueExpected, Rejected, ServerConnection
 from pearhill.net.accept_queue import accept_queue_wait_us
 from pearhill.net.socket_reader import SocketReader
 
@@ -50,11 +50,11 @@
         """Parse bytes, and add complete and rejected requests to `waiting`. `answering` is set while a request is being
         answered on the connection, and an interim response would be inserted into that answer."""
         for event in self._parser.feed(data):
-            if isinstance(event, ContinueWanted):
+            if isinstance(event, ContinueExpected):
                 if not (answering or self.waiting):
                     send_continue()
                 continue
-            if self._is_flooded(answering):
+            if self._is_queue_full(answering):
                 # Unread bytes of a flood would hide the disconnect of its client, whose requests would be forwarded
                 # needlessly. So reading continues, the rest is discarded, and the connection closes after the answers
                 # to the first requests.
@@ -65,7 +65,7 @@
                 event.arrived = self._clock() - self._read_delay_us()
             self.waiting.append(event)
 
-    def _is_flooded(self, answering: bool) -> bool:
+    def _is_queue_full(self, answering: bool) -> bool:
         """Whether the limit on waiting requests, or on the bytes of their bodies, is reached."""
         if len(self.waiting) >= MAX_PIPELINED_REQUESTS + (not answering):
             return True
--- a/pearhill/node/node.py
+++ b/pearhill/node/node.py
@@ -130,7 +130,7 @@
             self.listener.set_max_connections(self.connection_limit)
         self._reconfigure_dispatcher()
 
-    def share_work(self, dispatcher_count: int) -> None:
+    def set_fleet_size(self, dispatcher_count: int) -> None:
         """Set the number of dispatchers that share the work, which overrides the number in the settings."""
         if dispatcher_count != self.dispatcher_count:
             self.dispatcher_count = dispatcher_count
--- a/pearhill/node/shutdown.py
+++ b/pearhill/node/shutdown.py
@@ -1,7 +1,7 @@
 """The graceful shutdown: every accepted request is answered before the platform sends SIGKILL.
 
 In the first phase clients are still accepted, unless a successor accepts them. The second phase begins when
-`_accept_last` returns: no client is accepted, and every request that was read is answered.
+`_accept_remaining` returns: no client is accepted, and every request that was read is answered.
 `lifecycle.shutdown_times.ShutdownTimes` has the duration of each phase.
 """
 
@@ -43,7 +43,7 @@
             listener.stop_accepting(leave_queue=True)
         if on_shutdown:
             await on_shutdown()
-        await self._accept_last(listener)
+        await self._accept_remaining(listener)
         listener.stop_accepting(leave_queue=self._has_successor())
         await self.wait_until_finished(listener)
         await listener.close()
@@ -65,7 +65,7 @@
                 return
             await pause(self._deadlines, RECHECK_INTERVAL_US)
 
-    async def _accept_last(self, listener: Listener) -> None:
+    async def _accept_remaining(self, listener: Listener) -> None:
         """Accept connections while new ones may arrive, then until the accept queue is empty or the time is over."""
         while not self._has_elapsed_since_sigterm(self._drain.times.accept_for):
             await pause(self._deadlines, RECHECK_INTERVAL_US)
--- a/pearhill/platform/daemon.py
+++ b/pearhill/platform/daemon.py
@@ -13,12 +13,12 @@
 from pearhill.node.operations import Operations
 from pearhill.node.takeover import TakeoverTask
 from pearhill.platform.discovery import Watch
-from pearhill.platform.front import PlatformFront
+from pearhill.platform.front import PlatformFrontEnd
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.platform.schedule import CallSchedule
 
 # If discovery has not answered for so long after the start, the list known at the start is used.
-KNOWN_LIST_AFTER_US = 1_000_000
+KNOWN_LIST_DELAY_US = 1_000_000
 
 # Derives the schedule's seed from the node's. The Router draws from the node's seed: the two must not draw the same.
 SCHEDULE_SEED_MASK = 0x51
@@ -52,7 +52,7 @@
             self.schedule,
             config.known_endpoints,
         )
-        self.known_list_usable_from = self.node.deadlines.clock() + KNOWN_LIST_AFTER_US
+        self.known_list_usable_from = self.node.deadlines.clock() + KNOWN_LIST_DELAY_US
         self.takeover: TakeoverTask | None = None
         if config.passed_socket is not None and config.message_folder:
             self.takeover = TakeoverTask(self.node, config.message_folder, config.name)
@@ -65,7 +65,7 @@
         clients = config.listen if config.passed_socket is None else inherited_socket(config.passed_socket)
         await self.node.serve(
             clients,
-            PlatformFront(self.node.dispatcher, self.is_ready, self.node.drain.rejects),
+            PlatformFrontEnd(self.node.dispatcher, self.is_ready, self.node.drain.rejects),
             config.name,
             self.reload,
             admin=admin,
@@ -80,7 +80,7 @@
         """Return whether there is an endpoint list that may be used.
 
         The list known at the start may be outdated. It is used only if discovery does not answer within
-        `KNOWN_LIST_AFTER_US`.
+        `KNOWN_LIST_DELAY_US`.
         """
         return self.watch.has_answered or self.node.deadlines.clock() > self.known_list_usable_from
 
--- a/pearhill/platform/front.py
+++ b/pearhill/platform/front.py
@@ -98,7 +98,7 @@
             self.dispatcher.handle_disconnect(request)
 
 
-class PlatformFront:
+class PlatformFrontEnd:
     """Answers the platform's calls.
 
     `rejects_arrival_at`: whether a request that arrived at this time is rejected because the process is shutting down.
@@ -131,9 +131,9 @@
             self._answer_unknown_call(path, reply)
         return None
 
-    def rejected(self, status: int, why: str) -> tuple[Headers, bytes]:
+    def rejection_response(self, status: int, reason: str) -> tuple[Headers, bytes]:
         """Return the headers and the body of the response to input that could not be parsed as a request."""
-        return TEXT_HEADERS, f"{why}\n".encode()
+        return TEXT_HEADERS, f"{reason}\n".encode()
 
     def _answer_unknown_call(self, path: str, reply: Reply) -> None:
         self.dispatcher.counters.rejected += 1
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tests.platform.test_daemon import BODY, PATH, headers
-from tests.standins import LAST, ROOT, TOKENS, Discovery, Standin, platform, platform_file
+from tests.standins import ROOT, STREAM_CHUNKS, STREAM_END, Discovery, Standin, platform, platform_file
 
 
 def call(address: str, method: str, path: str) -> tuple[int, dict[str, str], bytes]:
@@ -47,7 +47,7 @@
         return stats
 
     def ask(self, id: str, cls: str = "advice") -> int:
-        return self.program.ask("POST", PATH, BODY, headers(id, cls))[0]
+        return self.program.request("POST", PATH, BODY, headers(id, cls))[0]
 
 
 class Calls(AdminEndpointCase):
@@ -117,7 +117,7 @@
         plain = platform(self.discovery.address)
         self.addCleanup(plain.kill)
         plain.wait_ready()
-        assert plain.ask("GET", "/ops/stats")[0] == 404
+        assert plain.request("GET", "/ops/stats")[0] == 404
         assert not [line for line in plain.lines if "operators" in line or "admin endpoint" in line]
 
     def test_an_invalid_address_is_a_one_line_error_that_names_the_key(self) -> None:
@@ -148,7 +148,7 @@
 class ReportedFigures(AdminEndpointCase):
     def test_each_request_is_counted_once_by_its_outcome(self) -> None:
         prefill, decode = self.start("reader", "writer")
-        prefill.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
+        prefill.respond = lambda h, b: h.send_response_body(*((204,) if h.command == "DELETE" else (202, b"{}")))
         none = {"success": 0, "busy": 0, "failure": 0}
         assert self.stats() == {
             "calls": {"advice": none, "job-booking": none},
@@ -160,8 +160,8 @@
         assert self.ask("a1") == 200
 
         def answer_when_released(handler: Any, body: bytes) -> None:
-            decode.go.wait(20)
-            handler.chunks(*TOKENS, LAST)
+            decode.release_answers.wait(20)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
         decode.respond = answer_when_released
         connection = self.program.connect()
@@ -169,9 +169,9 @@
         decode.wait_for("POST", count=2)
         stats = self.stats()
         assert (stats["inflight"], stats["backend_calls"]) == (1, 4)
-        decode.go.set()
+        decode.release_answers.set()
         connection.getresponse().read()
-        decode.respond = lambda h, b: h.plain(500)
+        decode.respond = lambda h, b: h.send_response_body(500)
         assert self.ask("a3", "job-booking") == 500
         assert self.call_admin("POST", "/ops/replicas/down?target=s-1") == 200
         assert self.ask("a4") == 503
@@ -191,10 +191,12 @@
             assert self.call_admin("POST", "/ops/replicas/down?target=s-0") == 200
 
         def new_runs(id: str) -> tuple[int, int]:
-            before = [replica.runs for replica in replicas]
+            before = [replica.post_count for replica in replicas]
             for n in range(8):
-                assert self.program.ask("POST", PATH, BODY, {**headers(f"{id}{n}"), "Affinity-Key": f"{n}"})[0] == 200
-            return replicas[0].runs - before[0], replicas[1].runs - before[1]
+                assert (
+                    self.program.request("POST", PATH, BODY, {**headers(f"{id}{n}"), "Affinity-Key": f"{n}"})[0] == 200
+                )
+            return replicas[0].post_count - before[0], replicas[1].post_count - before[1]
 
         assert new_runs("a") == (0, 8)
         for rev, listed in ((2, targets[1:]), (3, targets)):  # unlisted, and listed again
@@ -218,10 +220,10 @@
         replica, _ = self.start("all-in-one", "all-in-one")
 
         def answer_when_released(handler: Any, body: bytes) -> None:
-            handler.chunks(TOKENS[0], last=False)
-            replica.go.wait(20)
-            for part in (TOKENS[1], LAST):
-                handler.more(part)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            replica.release_answers.wait(20)
+            for part in (STREAM_CHUNKS[1], STREAM_END):
+                handler.send_chunk(part)
             handler.wfile.write(b"0\r\n\r\n")
 
         assert self.call_admin("POST", "/ops/replicas/down?target=s-1") == 200
@@ -230,8 +232,8 @@
         connection.request("POST", PATH, BODY, headers("a1", "job-booking"))
         response = connection.getresponse()
         assert self.call_admin("POST", "/ops/replicas/down?target=s-0") == 200
-        replica.go.set()
-        assert response.read() == b"".join(TOKENS) + LAST
+        replica.release_answers.set()
+        assert response.read() == b"".join(STREAM_CHUNKS) + STREAM_END
 
 
 class Draining(AdminEndpointCase):
@@ -242,7 +244,7 @@
             connection.request("POST", PATH, BODY, headers(f"{id(connection)}"))
             connection.getresponse().read()
         assert [self.call_admin("POST", "/ops/drain/start") for _ in range(2)] == [200, 200]
-        assert self.program.ask("GET", "/ready")[0] == 503
+        assert self.program.request("GET", "/ready")[0] == 503
         assert self.call_admin("GET", "/ops/readiness") == 200  # it still serves during the drain
         used.request("POST", PATH, BODY, headers("b1"))  # clients use connections that stay open
         response = used.getresponse()
@@ -252,7 +254,7 @@
         self.program.wait_line("side=client .* reason=drained")
         assert self.ask("b2") == 200  # clients open new connections for a while
         assert [self.call_admin("POST", "/ops/drain/stop") for _ in range(2)] == [200, 200]
-        assert self.program.ask("GET", "/ready")[0] == 200
+        assert self.program.request("GET", "/ready")[0] == 200
         persistent = self.program.connect()
         for n in range(2):
             persistent.request("POST", PATH, BODY, headers(f"c{n}"))
@@ -266,5 +268,5 @@
         self.program.process.terminate()
         self.program.wait_line("draining: 0 requests open")
         assert self.call_admin("POST", "/ops/drain/stop") == 200
-        assert self.program.ask("GET", "/ready")[0] == 503
+        assert self.program.request("GET", "/ready")[0] == 503
         assert self.program.process.wait(20) == 0
--- a/tests/chat/test_admin_endpoint.py
+++ b/tests/chat/test_admin_endpoint.py
@@ -16,7 +16,7 @@
         assert self.operate("POST", "/ops/replicas/down?target=s0")[0] == 200
         for n in range(4):
             assert self.ask(body(n=1, user=f"u{n}"))[0] == 200
-        assert (first.runs, second.runs) == (0, 4)
+        assert (first.post_count, second.post_count) == (0, 4)
         status, text = self.operate("GET", "/ops/stats")
         assert status == 200
         assert b'"advice": {"success": 4, "busy": 0, "failure": 0}' in text
@@ -27,9 +27,9 @@
         assert self.ask(body())[0] == 503
         assert self.operate("POST", "/ops/replicas/up?target=s1")[0] == 200
         assert self.operate("POST", "/ops/drain/start")[0] == 200
-        assert self.program.ask("GET", "/ready")[0] == 503
+        assert self.program.request("GET", "/ready")[0] == 503
         assert self.operate("POST", "/ops/drain/stop")[0] == 200
-        assert self.program.ask("GET", "/ready")[0] == 200
+        assert self.program.request("GET", "/ready")[0] == 200
 
     def test_the_endpoint_exists_only_if_the_file_names_its_address(self):
         self.start()
--- a/tests/chat/test_asgi.py
+++ b/tests/chat/test_asgi.py
@@ -15,7 +15,7 @@
 from pearhill.asgi import AnswerTruncatedError, PearhillMiddleware
 from pearhill.chat.setup import load
 from tests.chat.test_front import PATH, body, operator_file, write_file
-from tests.standins import LAST, ROOT, TOKENS, Program, Standin
+from tests.standins import ROOT, STREAM_CHUNKS, STREAM_END, Program, Standin
 
 
 class ExampleApp(Program):
@@ -44,14 +44,18 @@
         self.addCleanup(replica.close)
         program = ExampleApp(write_file(self, operator_file([replica.address])))
         self.addCleanup(program.kill)
-        assert json.loads(program.ask("GET", "/hours")[2])["open"] == "09:00"
-        status, _, received = program.ask("POST", PATH, body(stream=True))
-        assert (status, received[: len(TOKENS[0])], received[-14:]) == (200, TOKENS[0], b"data: [DONE]\n\n")
-        assert json.loads(program.ask("POST", PATH, body())[2])["object"] == "chat.completion"
-        assert program.ask("POST", PATH, b"{")[0] == 400
-        replica.respond = lambda h, b: h.chunks(TOKENS[0])  # no [DONE]
+        assert json.loads(program.request("GET", "/hours")[2])["open"] == "09:00"
+        status, _, received = program.request("POST", PATH, body(stream=True))
+        assert (status, received[: len(STREAM_CHUNKS[0])], received[-14:]) == (
+            200,
+            STREAM_CHUNKS[0],
+            b"data: [DONE]\n\n",
+        )
+        assert json.loads(program.request("POST", PATH, body())[2])["object"] == "chat.completion"
+        assert program.request("POST", PATH, b"{")[0] == 400
+        replica.respond = lambda h, b: h.chunks(STREAM_CHUNKS[0])  # no [DONE]
         with pytest.raises((http.client.HTTPException, OSError)):
-            program.ask("POST", PATH, body(stream=True))
+            program.request("POST", PATH, body(stream=True))
         assert program.stop() in (0, -signal.SIGTERM)  # some servers exit by the signal that they received
         program.wait_line(r'counters .*"served": 2')
 
@@ -91,21 +95,21 @@
 
     async def test_a_stream_is_forwarded_chunk_by_chunk(self):
         def respond_in_chunks(handler, body):
-            handler.chunks(TOKENS[0], last=False)
-            self.replica.go.wait(20)
-            handler.more(TOKENS[1] + LAST)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            self.replica.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + STREAM_END)
             handler.wfile.write(b"0\r\n\r\n")
 
         self.replica.respond = respond_in_chunks
         task, _, send = self.call(body(stream=True))
         assert (await send.get())["status"] == 200
-        assert (await send.get())["body"] == TOKENS[0]  # before the replica has sent the rest
-        self.replica.go.set()
+        assert (await send.get())["body"] == STREAM_CHUNKS[0]  # before the replica has sent the rest
+        self.replica.release_answers.set()
         await task
         assert "more_body" not in [*send._queue][-1]
 
     async def test_a_disconnected_client_cancels_its_attempt(self):
-        self.replica.respond = lambda h, b: self.replica.go.wait(20)
+        self.replica.respond = lambda h, b: self.replica.release_answers.wait(20)
         task, receive, _ = self.call(body())
         await asyncio.to_thread(self.replica.wait_for, "POST")
         receive.put_nowait({"type": "http.disconnect"})
@@ -114,7 +118,7 @@
         assert (counters.left, counters.outcomes["cancelled"]) == (1, 1)
 
     async def test_a_truncated_answer_raises_and_an_oversized_body_is_rejected(self):
-        self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
+        self.replica.respond = lambda h, b: h.chunks(STREAM_CHUNKS[0])
         task, _, _ = self.call(body(stream=True))
         with pytest.raises(AnswerTruncatedError):
             await task
--- a/tests/chat/test_budgets.py
+++ b/tests/chat/test_budgets.py
@@ -23,9 +23,9 @@
 from pearhill.config import typed
 from tests.chat.test_front import PATH, ChatCase, body, operator_file
 from tests.chat.test_keys import A, B, tenants
-from tests.standins import LAST, ROOT, TOKENS, Program
+from tests.standins import ROOT, STREAM_CHUNKS, STREAM_END, Program
 
-LONG = TOKENS[0] * 30
+LONG = STREAM_CHUNKS[0] * 30
 USAGE_AND_END = (
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":%d,"total_tokens":9}}\n\ndata: [DONE]\n\n'
 )
@@ -64,7 +64,7 @@
         return self.ask(sent, api_key=key, **headers)
 
     def usage(self, key: str = A) -> dict:
-        status, _, report = self.program.ask("GET", "/v1/usage", headers={"api-key": key})
+        status, _, report = self.program.request("GET", "/v1/usage", headers={"api-key": key})
         assert status == 200
         return json.loads(report)
 
@@ -86,7 +86,7 @@
         answer = self.call(body("booking", max_tokens=895), Idempotency_Key="k")
         assert (answer[0], self.error(answer)["code"]) == (429, "rate_limit_exceeded")
         assert 0 < float(answer[1]["retry-after"]) <= 1.2, answer[1]
-        assert (answer[1]["x-should-retry"], self.replica.runs) == ("true", 1)
+        assert (answer[1]["x-should-retry"], self.replica.post_count) == ("true", 1)
         assert self.call(body(max_tokens=800), B)[0] == 200  # the usage of north does not count for south
         counters = self.program.counters()
         assert (counters["refused"], counters["taken"], counters["faults"]) == (1, 3, 0)
@@ -98,9 +98,9 @@
         answers = []
         while not answers or answers[-1][0] == 429:
             answers.append(self.call(body("booking", max_tokens=795), Idempotency_Key="k"))
-        assert (answers[-1][0], self.replica.runs) == (200, 2)
+        assert (answers[-1][0], self.replica.post_count) == (200, 2)
         assert self.call(body("booking", max_tokens=795), Idempotency_Key="k")[0] == 200
-        assert self.replica.runs == 2  # a repeat is neither charged nor executed
+        assert self.replica.post_count == 2  # a repeat is neither charged nor executed
         assert self.usage()["tokens"]["this_month"] == 22
 
     def test_the_output_that_a_client_expects_is_reserved(self):
@@ -120,7 +120,7 @@
             "false",
         )
         assert self.usage()["tokens"]["day_limit"] == 850
-        self.replica.respond = lambda h, b: self.replica.go.wait(20)
+        self.replica.respond = lambda h, b: self.replica.release_answers.wait(20)
         connection = self.program.connect()
         self.addCleanup(connection.close)
         connection.request("POST", PATH, body(), {"api-key": B})
@@ -138,7 +138,7 @@
 
     def test_without_budgets_the_usage_report_is_not_found(self):
         self.start(extra=tenants(north=[A]))
-        assert self.program.ask("GET", "/v1/usage", headers={"api-key": A})[0] == 404
+        assert self.program.request("GET", "/v1/usage", headers={"api-key": A})[0] == 404
         assert "x-ratelimit-limit-tokens" not in self.call(body())[1]
 
 
@@ -161,26 +161,26 @@
 
     def test_what_was_received_of_a_truncated_or_abandoned_answer_is_charged(self):
         self.begin(tenant("north", day_tokens=10**6))
-        self.replica.respond = lambda h, b: h.chunks(TOKENS[0] * 7)
+        self.replica.respond = lambda h, b: h.chunks(STREAM_CHUNKS[0] * 7)
         assert self.call(body("booking"))[0] == 502
         first = self.usage()["tokens"]["today"]
         prompt = first - 7
         assert 0 < prompt < 20, first
-        self.replica.respond = lambda h, b: h.plain(500)
+        self.replica.respond = lambda h, b: h.send_response_body(500)
         assert self.call(body("booking"))[0] == 500  # nothing of the answer was received
         assert self.usage()["tokens"]["today"] == first
-        self.replica.respond = lambda h, b: h.plain(400, b'{"error": {"message": "no"}}')
+        self.replica.respond = lambda h, b: h.send_response_body(400, b'{"error": {"message": "no"}}')
         assert self.call(body("booking"))[0] == 400
         assert self.usage()["tokens"]["today"] == first
 
         def slow(handler, sent):
-            handler.chunks(TOKENS[0], last=False)
-            self.replica.go.wait(20)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            self.replica.release_answers.wait(20)
 
         self.replica.respond = slow
         connection = self.program.connect()
         connection.request("POST", PATH, body(stream=True), {"api-key": A})
-        connection.getresponse().read(len(TOKENS[0]))
+        connection.getresponse().read(len(STREAM_CHUNKS[0]))
         connection.close()
         self.program.wait_line("side=server .* reason=called-off")
         assert (self.usage()["tokens"]["today"], self.usage()["requests"]["open"]) == (first + prompt + 1, 0)
@@ -189,31 +189,31 @@
         self.begin(tenant("north", day_tokens=10**6))
 
         def slow(handler, sent):
-            handler.chunks(TOKENS[0], last=False)
-            self.replica.go.wait(20)
-            handler.more(TOKENS[1] + LAST)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            self.replica.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + STREAM_END)
             handler.wfile.write(b"0\r\n\r\n")
 
         self.replica.respond = slow
         connection = self.program.connect()
         connection.request("POST", PATH, body("booking", stream=True), {"api-key": A})
-        connection.getresponse().read(len(TOKENS[0]))
+        connection.getresponse().read(len(STREAM_CHUNKS[0]))
         connection.close()
         self.program.wait_line("side=client .* reason=client-closed")
         assert self.usage()["requests"]["open"] == 1
-        self.replica.go.set()
+        self.replica.release_answers.set()
         self.program.wait_line("outcome request=.* state=answered")
         usage = self.usage()
-        assert (usage["tokens"]["today"], usage["requests"]["open"], self.replica.runs) == (11, 0, 1)
+        assert (usage["tokens"]["today"], usage["requests"]["open"], self.replica.post_count) == (11, 0, 1)
 
     def test_retries_are_one_charge_and_replicas_get_the_limit_that_was_reserved(self):
         self.begin(tenant("north", day_tokens=10**6), count=2)
-        answers = iter([lambda h: h.plain(500), lambda h: h.chunks(*TOKENS, LAST)])
+        answers = iter([lambda h: h.send_response_body(500), lambda h: h.chunks(*STREAM_CHUNKS, STREAM_END)])
         replicas = (self.replica, *self.others)
         for replica in replicas:
-            replica.respond = lambda h, b: h.plain(204) if h.command == "DELETE" else next(answers)(h)
+            replica.respond = lambda h, b: h.send_response_body(204) if h.command == "DELETE" else next(answers)(h)
         assert self.call(body())[0] == 200
-        assert (sum(replica.runs for replica in replicas), self.usage()["tokens"]["today"]) == (2, 11)
+        assert (sum(replica.post_count for replica in replicas), self.usage()["tokens"]["today"]) == (2, 11)
         for replica in replicas:
             assert json.loads(replica.bodies[0])["max_completion_tokens"] == 800
 
@@ -223,7 +223,7 @@
         self.begin(tenant("north", day_tokens=10**6, tokens_per_min=1, burst_tokens=10_000), folder=True)
         for _ in range(5):
             self.call(body())
-        self.replica.respond = lambda h, b: self.replica.go.wait(20)
+        self.replica.respond = lambda h, b: self.replica.release_answers.wait(20)
         connection = self.program.connect()
         self.addCleanup(connection.close)
         connection.request("POST", PATH, body(), {"api-key": A})
@@ -298,7 +298,7 @@
         self.begin(tenant("north", tokens_per_min=1, burst_tokens=830), folder=True, cached_price=0.5)
         for key, sent in ((A, body()), (A, body(max_tokens=8_000)), (B, body()), (B, body())):
             self.call(sent, key)
-        self.replica.respond = lambda h, b: h.plain(500)
+        self.replica.respond = lambda h, b: h.send_response_body(500)
         self.call(body("booking"), B)
         self.program.stop()
         charges = read_folder(self.folder)
--- a/tests/chat/test_front.py
+++ b/tests/chat/test_front.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pearhill.chat.setup import load
-from tests.standins import LAST, ROOT, SETTINGS, TOKENS, Program, Standin, dead_address
+from tests.standins import ROOT, SETTINGS, STREAM_CHUNKS, STREAM_END, Program, Standin, dead_address
 
 PATH = "/v1/chat/completions"
 
@@ -91,7 +91,7 @@
         return replicas
 
     def ask(self, body: bytes, **headers: str) -> tuple[int, dict[str, str], bytes]:
-        return self.program.ask("POST", PATH, body, {k.replace("_", "-"): v for k, v in headers.items()})
+        return self.program.request("POST", PATH, body, {k.replace("_", "-"): v for k, v in headers.items()})
 
     def error(self, answer: tuple[int, dict[str, str], bytes]) -> dict[str, Any]:
         """Returns the error object of an answer, which must have all fields."""
@@ -105,11 +105,14 @@
         (replica,) = self.start()
         status, headers, got = self.ask(body(stream=True))
         assert (status, headers["content-type"]) == (200, "text/event-stream; charset=utf-8")
-        events = LAST.split(b"\n\n")
-        assert got == b"".join(TOKENS) + events[0] + b"\n\n" + events[2] + b"\n\n"
+        events = STREAM_END.split(b"\n\n")
+        assert got == b"".join(STREAM_CHUNKS) + events[0] + b"\n\n" + events[2] + b"\n\n"
         sent = json.loads(replica.bodies[0])
         assert (sent["stream"], sent["stream_options"]) == (True, {"include_usage": True})
-        assert self.ask(body(stream=True, stream_options={"include_usage": True}))[2] == b"".join(TOKENS) + LAST
+        assert (
+            self.ask(body(stream=True, stream_options={"include_usage": True}))[2]
+            == b"".join(STREAM_CHUNKS) + STREAM_END
+        )
 
     def test_a_client_that_does_not_stream_gets_one_chat_completion(self):
         self.start()
@@ -118,7 +121,7 @@
         assert (status, answer["object"], answer["usage"]["total_tokens"]) == (200, "chat.completion", 11)
         assert answer["choices"][0]["message"] == {"role": "assistant", "content": "one two"}
         assert answer["choices"][0]["finish_reason"] == "stop"
-        assert json.loads(self.program.ask("GET", "/v1/models")[2])["data"][0]["id"] == "help"
+        assert json.loads(self.program.request("GET", "/v1/models")[2])["data"][0]["id"] == "help"
 
     def test_invalid_requests_get_error_objects_and_are_counted(self):
         (replica,) = self.start()
@@ -136,10 +139,10 @@
                 answer = self.ask(sent)
                 assert (answer[0], self.error(answer)["type"]) == (400, "invalid_request_error")
         assert self.ask(body(), X_Request_Timeout_Ms="soon")[0] == 400
-        assert self.program.ask("GET", PATH)[0] == 405
-        assert self.program.ask("GET", "/v2")[0] == 404
+        assert self.program.request("GET", PATH)[0] == 405
+        assert self.program.request("GET", "/v2")[0] == 404
         assert self.error(self.ask(b"x" * 300_000))["code"] == "bad_http"
-        assert (self.program.counters()["rejected"], replica.runs) == (len(bad) + 4, 0)
+        assert (self.program.counters()["rejected"], replica.post_count) == (len(bad) + 4, 0)
 
     def test_a_request_for_a_dead_replica_is_rejected_with_retry_after(self):
         self.start(0, addresses=(dead_address(),))
@@ -150,19 +153,19 @@
 
     def test_an_attempt_without_an_answer_ends_at_the_clients_deadline(self):
         (replica,) = self.start()
-        replica.respond = lambda h, b: replica.go.wait(20)
+        replica.respond = lambda h, b: replica.release_answers.wait(20)
         answer = self.ask(body("booking"), X_Request_Timeout_Ms="300")
-        assert (answer[0], self.error(answer)["code"], replica.runs) == (500, "request_failed", 1)
+        assert (answer[0], self.error(answer)["code"], replica.post_count) == (500, "request_failed", 1)
         assert answer[1]["x-should-retry"] == "false"
 
     def test_errors_are_retried_only_if_the_class_permits(self):
         replicas = self.start(2)
         for replica in replicas:
-            replica.respond = lambda h, b: h.plain(500)
+            replica.respond = lambda h, b: h.send_response_body(500)
         assert self.ask(body("booking"))[0] == 500
-        assert sum(replica.runs for replica in replicas) == 1
+        assert sum(replica.post_count for replica in replicas) == 1
         self.ask(body("help"))
-        assert sum(replica.runs for replica in replicas) > 2
+        assert sum(replica.post_count for replica in replicas) > 2
 
 
 class Reload(ChatCase):
@@ -171,8 +174,8 @@
         self.addCleanup(other.close)
         self.program.reload(operator_file([other.address]).replace("'booking'", "'new'"))
         assert self.ask(body())[0] == 200
-        assert (first.runs, other.runs) == (0, 1)
-        assert json.loads(self.program.ask("GET", "/v1/models")[2])["data"][1]["id"] == "new"
+        assert (first.post_count, other.post_count) == (0, 1)
+        assert json.loads(self.program.request("GET", "/v1/models")[2])["data"][1]["id"] == "new"
         self.program.reload("[chat", "reload: the old configuration stays")
         assert self.ask(body())[0] == 200
 
@@ -192,22 +195,22 @@
     def test_malformed_events_fail_the_request_and_bookings_are_not_retried(self):
         (replica,) = self.start()
         for bad in self.INVALID_EVENTS:
-            for before in (b"", TOKENS[0]):
+            for before in (b"", STREAM_CHUNKS[0]):
                 with self.subTest(bad=bad, before=before):
-                    runs = replica.runs
+                    runs = replica.post_count
                     replica.respond = lambda h, b, parts=(before + bad,): h.chunks(*parts, last=False)
                     answer = self.ask(body("booking"))
                     assert (answer[0], self.error(answer)["code"]) in [(500, "request_failed"), (502, "stream_broken")]
-                    assert replica.runs == runs + 1
+                    assert replica.post_count == runs + 1
 
     def test_done_without_a_chunk_is_answered_with_an_error(self):
         (replica,) = self.start()
         replica.respond = lambda h, b: h.chunks(self.DONE_ONLY)
-        assert (self.ask(body("booking"))[0], replica.runs) == (500, 1)
+        assert (self.ask(body("booking"))[0], replica.post_count) == (500, 1)
 
     def test_a_truncated_stream_is_never_taken_for_complete(self):
         (replica,) = self.start()
-        for parts in ((TOKENS[0],), (TOKENS[0], TOKENS[1][:20])):
+        for parts in ((STREAM_CHUNKS[0],), (STREAM_CHUNKS[0], STREAM_CHUNKS[1][:20])):
             replica.respond = lambda h, b, parts=parts: h.chunks(*parts)  # well-formed HTTP, but no [DONE]
             assert self.ask(body("booking"))[0] == 502
             connection = self.program.connect()
@@ -215,27 +218,27 @@
             connection.request("POST", PATH, body("booking", stream=True))
             with pytest.raises(http.client.IncompleteRead):
                 connection.getresponse().read()
-        assert replica.runs == 4
+        assert replica.post_count == 4
 
     def test_a_stalled_stream_is_answered_with_an_error(self):
         (replica,) = self.start()
 
         def stall(handler, body):
-            handler.chunks(TOKENS[0], last=False)
-            while not replica.go.wait(0.5):
-                handler.more(b": comments are no events\n\n")
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            while not replica.release_answers.wait(0.5):
+                handler.send_chunk(b": comments are no events\n\n")
 
         replica.respond = stall
         assert self.ask(body("booking"))[0] == 502
-        assert replica.runs == 1
+        assert replica.post_count == 1
         self.program.wait_line("side=server .* reason=stalled")
 
     def test_done_ends_an_answer_whose_last_chunk_never_comes(self):
         (replica,) = self.start()
 
         def endless(handler, body):
-            handler.chunks(*TOKENS, LAST, last=False)
-            replica.go.wait(20)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END, last=False)
+            replica.release_answers.wait(20)
 
         replica.respond = endless
         assert self.ask(body("booking"))[0] == 200
@@ -247,9 +250,9 @@
         """A booking's client reads the first event and disconnects; then the replica sends the rest."""
 
         def slow(handler, body):
-            handler.chunks(TOKENS[0], last=False)
-            replica.go.wait(20)
-            handler.more(TOKENS[1] + LAST)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            replica.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + STREAM_END)
             handler.wfile.write(b"0\r\n\r\n")
 
         replica.respond = slow
@@ -258,7 +261,7 @@
         connection.sock.recv(4096)
         connection.close()
         self.program.wait_line("side=client .* reason=client-")
-        replica.go.set()
+        replica.release_answers.set()
 
     def test_a_booking_whose_client_disconnects_runs_once_and_repeats_get_its_answer(self):
         (replica,) = self.start()
@@ -267,25 +270,25 @@
             status, _, got = self.ask(body("booking", stream=True), Idempotency_Key="k1")
             assert (status, got.count(b"data: "), got[-14:]) == (200, 4, b"data: [DONE]\n\n")
         counters = self.program.counters()
-        assert (replica.runs, counters["replayed"], counters["served"], counters["taken"]) == (1, 2, 1, 1)
+        assert (replica.post_count, counters["replayed"], counters["served"], counters["taken"]) == (1, 2, 1, 1)
         self.program.wait_line("outcome request=.* state=answered")
         assert self.error(self.ask(body("booking"), Idempotency_Key="k1"))["code"] == "idempotency_key_reused"
         self.ask(body("booking", stream=True), Idempotency_Key="k1", Authorization="Bearer someone-else")
-        assert replica.runs == 2  # the same key of another client has a record of its own
+        assert replica.post_count == 2  # the same key of another client has a record of its own
 
     def test_without_a_key_the_run_still_completes_after_a_disconnection(self):
         (replica,) = self.start()
         self.disconnect_in_mid_stream(replica)
         self.program.wait_line("outcome request=.* state=answered")
-        assert (replica.runs, self.program.counters()["served"]) == (1, 1)
+        assert (replica.post_count, self.program.counters()["served"]) == (1, 1)
 
     def test_repeats_of_a_failed_run_fail_and_of_a_rejected_one_run(self):
         (replica,) = self.start()
-        replica.respond = lambda h, b: h.plain(500)
+        replica.respond = lambda h, b: h.send_response_body(500)
         for _ in range(2):
             assert self.ask(body("booking"), Idempotency_Key="k2")[0] == 500
-        assert replica.runs == 1
-        replica.respond = lambda h, b: h.plain(503, Not_Started="1")
+        assert replica.post_count == 1
+        replica.respond = lambda h, b: h.send_response_body(503, Not_Started="1")
         assert self.ask(body("booking"), Idempotency_Key="k3")[0] == 503
         del replica.respond
         assert self.ask(body("booking"), Idempotency_Key="k3")[0] == 200
@@ -295,11 +298,11 @@
         for key, status in (("a", 200), ("b", 200), ("a", 409), ("c", 503)):
             with self.subTest(key=key):
                 assert self.ask(body("booking"), Idempotency_Key=key)[0] == status
-        assert replica.runs == 2
+        assert replica.post_count == 2
 
     def test_an_idempotent_request_is_cancelled_when_its_client_disconnects(self):
         (replica,) = self.start()
-        replica.respond = lambda h, b: replica.go.wait(20)
+        replica.respond = lambda h, b: replica.release_answers.wait(20)
         connection = self.program.connect()
         connection.request("POST", PATH, body())
         replica.wait_for("POST")
--- a/tests/chat/test_keys.py
+++ b/tests/chat/test_keys.py
@@ -12,7 +12,7 @@
 from pearhill.chat.setup import loads
 from pearhill.config import ConfigError
 from tests.chat.test_front import PATH, ChatCase, body, operator_file
-from tests.standins import TOKENS
+from tests.standins import STREAM_CHUNKS
 
 A, B, C = (f"ph-{letter * 30}" for letter in "abc")
 
@@ -95,15 +95,15 @@
         ]
         for headers, model, status, code in cases:
             with self.subTest(headers=headers, model=model):
-                answer = self.program.ask("POST", PATH, body(model), headers)
+                answer = self.program.request("POST", PATH, body(model), headers)
                 assert (answer[0], self.error(answer)["code"]) == (status, code)
         for headers in ({"Authorization": f"bearer {A}"}, {"api-key": C}):
-            assert self.program.ask("POST", PATH, body(), headers)[0] == 200
-        models = json.loads(self.program.ask("GET", "/v1/models", headers={"api-key": C})[2])
+            assert self.program.request("POST", PATH, body(), headers)[0] == 200
+        models = json.loads(self.program.request("GET", "/v1/models", headers={"api-key": C})[2])
         assert [m["id"] for m in models["data"]] == ["help"]
-        assert self.program.ask("GET", "/v1/models")[0] == 401
-        assert self.program.ask("GET", "/ready")[0] == 200
-        assert self.replica.runs == 2
+        assert self.program.request("GET", "/v1/models")[0] == 401
+        assert self.program.request("GET", "/ready")[0] == 200
+        assert self.replica.post_count == 2
         for headers in self.replica.headers:
             assert "Authorization" not in headers
         log = "".join(self.program.lines)
@@ -117,15 +117,15 @@
         for key in (A, C):
             self.ask(body(), Authorization=f"Bearer {key}", Idempotency_Key="same")
         self.ask(body(), api_key=A, Idempotency_Key="same")
-        assert self.replica.runs == 2
+        assert self.replica.post_count == 2
 
     def test_a_key_removed_in_mid_stream_is_rejected_but_the_stream_completes(self):
         self.begin()
 
         def slow(handler, sent):
-            handler.chunks(TOKENS[0], last=False)
-            self.replica.go.wait(20)
-            handler.more(TOKENS[1] + b"data: [DONE]\n\n")
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            self.replica.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + b"data: [DONE]\n\n")
             handler.wfile.write(b"0\r\n\r\n")
 
         self.replica.respond = slow
@@ -133,14 +133,14 @@
         self.addCleanup(connection.close)
         connection.request("POST", PATH, body(stream=True), {"api-key": C})
         response = connection.getresponse()
-        first_event = response.read(len(TOKENS[0]))
+        first_event = response.read(len(STREAM_CHUNKS[0]))
         text = self.program.config.read_text()
         self.program.reload(text.replace(self.south, record_of(B)), "reload: done, 1 rules, 2 tenants")
-        assert self.program.ask("POST", PATH, body(), {"api-key": C})[0] == 401
-        self.replica.go.set()
+        assert self.program.request("POST", PATH, body(), {"api-key": C})[0] == 401
+        self.replica.release_answers.set()
         assert (first_event + response.read()).endswith(b"data: [DONE]\n\n")
         del self.replica.respond
-        assert self.program.ask("POST", PATH, body(), {"api-key": B})[0] == 200
+        assert self.program.request("POST", PATH, body(), {"api-key": B})[0] == 200
 
     def test_replicas_are_sent_the_key_of_the_operators_file(self):
         with tempfile.NamedTemporaryFile("w", suffix=".key") as file:
--- a/tests/chat/test_openai.py
+++ b/tests/chat/test_openai.py
@@ -9,7 +9,7 @@
 
 from pearhill.conformance.payloads import ANSWER_EVENTS
 from tests.chat.test_front import ChatCase
-from tests.standins import LAST, TOKENS
+from tests.standins import STREAM_CHUNKS, STREAM_END
 
 MESSAGES = [{"role": "user", "content": "Hi"}]
 TOOL = {"type": "function", "function": {"name": "book", "parameters": {"type": "object", "properties": {}}}}
@@ -62,7 +62,7 @@
 
     def test_tool_calls_are_parsed_in_chat_and_in_responses(self):
         client = self.start_client()
-        self.replica.respond = lambda h, b: h.chunks(*call_events('{"da', 'y":1}'), LAST)
+        self.replica.respond = lambda h, b: h.chunks(*call_events('{"da', 'y":1}'), STREAM_END)
         answer = client.chat.completions.create(model="help", messages=MESSAGES, tools=[TOOL])
         call = answer.choices[0].message.tool_calls[0]
         assert (call.id, call.function.name, call.function.arguments) == ("c1", "book", '{"day":1}')
@@ -96,17 +96,17 @@
         with pytest.raises(openai.BadRequestError) as caught:
             client.chat.completions.create(model="help", messages=MESSAGES, temperature=9)
         assert (caught.value.param, caught.value.code) == ("temperature", "invalid_value")
-        self.replica.respond = lambda h, b: h.plain(422, b'{"error": {"message": "no", "code": "odd"}}')
+        self.replica.respond = lambda h, b: h.send_response_body(422, b'{"error": {"message": "no", "code": "odd"}}')
         with pytest.raises(openai.UnprocessableEntityError):
             client.chat.completions.create(model="booking", messages=MESSAGES)
-        self.replica.respond = lambda h, b: h.plain(500)
+        self.replica.respond = lambda h, b: h.send_response_body(500)
         with pytest.raises(openai.InternalServerError) as caught:
             client.chat.completions.create(model="booking", messages=MESSAGES)
         assert caught.value.status_code == 500
 
     def test_a_truncated_stream_raises_an_error(self):
         client = self.start_client()
-        self.replica.respond = lambda h, b: h.chunks(TOKENS[0])
+        self.replica.respond = lambda h, b: h.chunks(STREAM_CHUNKS[0])
         received = []
 
         def read_stream() -> None:
@@ -115,17 +115,19 @@
 
         with pytest.raises((openai.APIError, httpx2.RemoteProtocolError)):
             read_stream()
-        assert (received, self.replica.runs) == (["one "], 1)
+        assert (received, self.replica.post_count) == (["one "], 1)
 
     def test_the_client_retries_only_requests_that_were_not_executed(self):
         client = self.start_client(max_retries=2)
-        self.replica.respond = lambda h, b: h.plain(500)
+        self.replica.respond = lambda h, b: h.send_response_body(500)
         with pytest.raises(openai.InternalServerError):
             client.chat.completions.create(model="booking", messages=MESSAGES)
-        assert self.replica.runs == 1  # the answer has the header `X-Should-Retry: false`
+        assert self.replica.post_count == 1  # the answer has the header `X-Should-Retry: false`
         rejections = iter([True])
         self.replica.respond = lambda h, b: (
-            h.plain(503, Not_Started="1") if next(rejections, False) else h.chunks(*TOKENS, LAST)
+            h.send_response_body(503, Not_Started="1")
+            if next(rejections, False)
+            else h.chunks(*STREAM_CHUNKS, STREAM_END)
         )
         answer = client.chat.completions.create(model="booking", messages=MESSAGES)
         assert answer.choices[0].message.content == "one two"
@@ -134,15 +136,15 @@
         client = self.start_client(timeout=0.5)
 
         def respond_late(handler, sent):
-            self.replica.go.wait(20)
-            handler.chunks(*TOKENS, LAST)
+            self.replica.release_answers.wait(20)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
         self.replica.respond = respond_late
         with pytest.raises(openai.APITimeoutError):
             client.chat.completions.create(model="booking", messages=MESSAGES)
-        self.replica.go.set()
+        self.replica.release_answers.set()
         self.program.wait_line("outcome request=.* state=answered")
-        assert self.replica.runs == 1
+        assert self.replica.post_count == 1
 
     def test_concurrent_streams_of_the_async_client_are_complete(self):
         client = self.start_client()
--- a/tests/chat/test_under_load.py
+++ b/tests/chat/test_under_load.py
@@ -25,8 +25,8 @@
 )
 from pearhill.http1.messages import request
 from tests.chat.test_front import PATH, ChatCase, body, operator_file, write_file
-from tests.standins import LAST as END
-from tests.standins import TOKENS, Program
+from tests.standins import STREAM_CHUNKS, Program
+from tests.standins import STREAM_END as END
 
 BIG = chat_chunk(content="x" * 8_000)
 
@@ -225,9 +225,9 @@
         (self.replica,) = self.start()
 
         def slow(handler, got):
-            handler.chunks(TOKENS[0], last=False)
-            self.replica.go.wait(20)
-            handler.more(TOKENS[1] + END)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            self.replica.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + END)
             handler.wfile.write(b"0\r\n\r\n")
 
         self.replica.respond = slow
@@ -235,20 +235,20 @@
         self.addCleanup(connection.close)
         connection.request("POST", PATH, sent)
         response = connection.getresponse()
-        assert response.read(len(TOKENS[0])) == TOKENS[0]
+        assert response.read(len(STREAM_CHUNKS[0])) == STREAM_CHUNKS[0]
         return response
 
     def test_sigterm_in_mid_stream_lets_the_stream_complete(self):
         response = self.start_stream(body("booking", stream=True))
         self.program.process.send_signal(signal.SIGTERM)
         self.program.wait_line("draining: 1 requests open")
-        self.replica.go.set()
+        self.replica.release_answers.set()
         assert response.read().endswith(b"data: [DONE]\n\n")
-        assert (self.program.stop(), self.replica.runs) == (0, 1)
+        assert (self.program.stop(), self.replica.post_count) == (0, 1)
 
     def test_sighup_in_mid_stream_does_not_affect_the_stream(self):
         response = self.start_stream(body(stream=True))
         self.program.reload(self.program.config.read_text().replace("'booking']", "'other']"))
-        self.replica.go.set()
+        self.replica.release_answers.set()
         assert response.read().endswith(b"data: [DONE]\n\n")
         assert self.ask(body("booking"))[0] == 404
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -24,7 +24,7 @@
     return completed.returncode, completed.stdout, completed.stderr
 
 
-class Served(Program):
+class ServeCommand(Program):
     """Starts `pearhill` instead of `python -m pearhill`."""
 
     LAUNCH = ("-c", "from pearhill.cli.main import main; main()")
@@ -78,9 +78,9 @@
         server = Standin()
         self.addCleanup(server.close)
         path = write_file(self, operator_file([server.address]))
-        program = Served("serve", path, "--log-format", "json", "--log-level", "DEBUG")
+        program = ServeCommand("serve", path, "--log-format", "json", "--log-level", "DEBUG")
         self.addCleanup(program.kill)
-        assert program.ask("POST", PATH, body(), {"X-Client-Request-Id": 'mine "1"'})[0] == 200
+        assert program.request("POST", PATH, body(), {"X-Client-Request-Id": 'mine "1"'})[0] == 200
         assert program.stop() == 0
         lines = [json.loads(line) for line in program.lines]
         (request,) = [line for line in lines if line["message"].startswith("request id=")]
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -78,7 +78,7 @@
     """One router, its clock, and the latest attempt of each request."""
 
     def __init__(self, s: RouterSettings = SETTINGS, fleet: tuple[Endpoint, ...] = FLEET, seed: int = 1) -> None:
-        self.router, self.now, self.next = Router(s, seed), 100 * S, 1
+        self.router, self.now, self.next_request = Router(s, seed), 100 * S, 1
         self.sent: dict[int, SendAttempt] = {}
         self.attempt: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
@@ -116,7 +116,7 @@
         tenant: int = 0,
         max_output_tokens: int = 100,
     ) -> tuple[int, list[Action]]:
-        request, self.next = self.next, self.next + 1
+        request, self.next_request = self.next_request, self.next_request + 1
         return request, self.feed(
             RequestArrived(
                 request,
--- a/tests/eureka/test_eureka.py
+++ b/tests/eureka/test_eureka.py
@@ -62,16 +62,18 @@
     def respond(self, handler: StandinHandler, body: bytes, /) -> None:
         path = handler.path.partition("?")[0]
         if self.down:
-            return handler.plain(500)
+            return handler.send_response_body(500)
         if handler.command == "GET":
-            return handler.plain(200, json.dumps(self.delta if path.endswith("/delta") else self.full_list).encode())
+            return handler.send_response_body(
+                200, json.dumps(self.delta if path.endswith("/delta") else self.full_list).encode()
+            )
         if handler.command == "POST":
             self.leases.add(f"{path}/{json.loads(body)['instance']['instanceId']}")
-            return handler.plain(204)
+            return handler.send_response_body(204)
         has_lease = path.replace("%3A", ":") in self.leases
         if handler.command == "DELETE":
             self.leases.discard(path.replace("%3A", ":"))
-        handler.plain(200 if has_lease else 404)
+        handler.send_response_body(200 if has_lease else 404)
 
 
 class DaemonWithRegistry(unittest.TestCase):
@@ -96,10 +98,10 @@
         )
 
     def test_replicas_of_the_registry_serve_requests_while_it_is_down(self) -> None:
-        assert self.program.ask("POST", PATH, body())[0] == 200
+        assert self.program.request("POST", PATH, body())[0] == 200
         self.eureka.down = True
         self.program.wait_line("the previous list stays in use")
-        assert self.program.ask("POST", PATH, body())[0] == 200
+        assert self.program.request("POST", PATH, body())[0] == 200
 
     def test_a_replica_that_is_not_up_receives_no_new_requests(self) -> None:
         self.eureka.delta = registry_response(
@@ -107,7 +109,7 @@
         )
         self.eureka.wait_for("GET", "/eureka/apps/delta")
         self.program.wait_ready(503)
-        assert (self.program.ask("POST", PATH, body())[0], self.replica.runs) == (503, 0)
+        assert (self.program.request("POST", PATH, body())[0], self.replica.post_count) == (503, 0)
 
     def test_a_delta_with_a_wrong_hash_code_causes_a_fetch_of_the_full_list(self) -> None:
         self.eureka.delta = registry_response(code="UP_2_")
@@ -124,7 +126,7 @@
         self.eureka.wait_for("DELETE", "/eureka/apps/PEARHILL")
         new_registry.wait_for("POST", "/eureka/apps/PEARHILL")
         new_registry.wait_for("GET", "/eureka/apps")
-        assert self.program.ask("POST", PATH, body())[0] == 200
+        assert self.program.request("POST", PATH, body())[0] == 200
 
     def test_a_registration_is_renewed_repeated_after_a_lost_lease_and_cancelled_at_exit(self) -> None:
         self.eureka.wait_for("POST", "/eureka/apps/PEARHILL")
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -126,7 +126,7 @@
             data = codec.pack(frame)
             network.send(frame.to, data)
             if reporter:
-                reporter.sent(len(data))
+                reporter.record_sent(len(data))
 
     for now in range(START, START + 60 * SECOND, STEP):
         second = (now - START) / SECOND
@@ -209,7 +209,7 @@
     deadlines = Deadlines(lambda: START)
     setup = FleetSetup("n1", ("127.0.0.1", 1), tuple(KEY), {"n2": ("127.0.0.1", 2)})
     fleet = Fleet(setup, 1, deadlines, list)
-    fleet._settle()
+    fleet._apply_setup()
     router_stub = SimpleNamespace(replica_statuses=lambda now: {11: (5, 9, False)})
     node = SimpleNamespace(
         dispatcher=SimpleNamespace(router=router_stub),
--- a/tests/load_reports/test_process.py
+++ b/tests/load_reports/test_process.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.standins import LAST, SETTINGS, TOKENS, CleanupCase, Discovery, Standin, dead_address, platform
+from tests.standins import SETTINGS, STREAM_CHUNKS, STREAM_END, CleanupCase, Discovery, Standin, dead_address, platform
 
 DIFFERENT_SETTINGS: dict[str, Any] = copy.deepcopy(SETTINGS)
 DIFFERENT_SETTINGS["allowed"].update(
@@ -42,11 +42,11 @@
 
 
 def report(x0: object, x1: object) -> Responder:
-    return lambda h: h.plain(200, f"active=3,waiting=1,x0={x0},x1={x1}".encode())
+    return lambda h: h.send_response_body(200, f"active=3,waiting=1,x0={x0},x1={x1}".encode())
 
 
 def leave_unanswered(h: Any) -> None:
-    h.standin.go.wait(20)
+    h.standin.release_answers.wait(20)
 
 
 def truncate_body(h: Any) -> None:
@@ -58,14 +58,14 @@
 
 
 BAD_REPORTS: list[Responder] = [
-    lambda h: h.plain(404),
-    lambda h: h.plain(503),
-    lambda h: h.plain(200),
-    lambda h: h.plain(500, b"x0=0,x1=0"),
+    lambda h: h.send_response_body(404),
+    lambda h: h.send_response_body(503),
+    lambda h: h.send_response_body(200),
+    lambda h: h.send_response_body(500, b"x0=0,x1=0"),
     report("nan", 1),
     report(-1, 2),
     report(0.5, "1,x1=9"),
-    lambda h: h.plain(200, b"z" * 65536),
+    lambda h: h.send_response_body(200, b"z" * 65536),
 ]
 
 
@@ -96,11 +96,11 @@
         if h.path == "/status/load":
             self.reports[n](h)
         elif h.command == "DELETE":
-            h.plain(204)
+            h.send_response_body(204)
         elif n < 2:
-            h.plain(202, b'{"cached_tokens":0}')
+            h.send_response_body(202, b'{"cached_tokens":0}')
         else:
-            h.chunks(*TOKENS, LAST)
+            h.chunks(*STREAM_CHUNKS, STREAM_END)
 
     def post(self, id: str, request_class: str = "order", **extra_headers: str) -> int:
         headers = {
@@ -112,12 +112,12 @@
             "Request-Info": "prompt_len=3000,max_out=100",
             **extra_headers,
         }
-        status, _, body = self.program.ask("POST", "/v1/chat/completions", BODY, headers)
-        assert status != 200 or body == b"".join(TOKENS) + LAST
+        status, _, body = self.program.request("POST", "/v1/chat/completions", BODY, headers)
+        assert status != 200 or body == b"".join(STREAM_CHUNKS) + STREAM_END
         return status
 
     def runs(self) -> list[int]:
-        return [s.runs for s in self.servers]
+        return [s.post_count for s in self.servers]
 
     def test_a_choice_follows_the_reports_and_costs_two_health_checks(self) -> None:
         self.start()
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -94,7 +94,7 @@
     def send(self, sender: object, messages: list[AggregationMessage]) -> None:
         for message in messages:
             if isinstance(sender, SimulatedDispatcher):
-                sender.reporter.sent(self.size)
+                sender.reporter.record_sent(self.size)
                 to: object = message.to
             else:
                 to = self.addresses.get((str(sender), message.to), message.to)
--- a/tests/membership/test_aggregation.py
+++ b/tests/membership/test_aggregation.py
@@ -305,7 +305,7 @@
                     total["d0"] += size + HEADER_BYTES
                     seen.append((world.now, size + HEADER_BYTES))
                 if isinstance(sender, SimulatedDispatcher):
-                    sender.reporter.sent(size)
+                    sender.reporter.record_sent(size)
                 world.schedule(
                     2_000,
                     "frame",
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -20,9 +20,9 @@
 from pearhill.config import ConfigError
 from pearhill.lab.relay import Relay
 from tests.chat.test_front import PATH, body, operator_file
-from tests.cli.test_cli import Served, run
+from tests.cli.test_cli import ServeCommand, run
 from tests.membership.fleet_processes import FleetProcesses
-from tests.standins import LAST, ROOT, TOKENS, Program, Standin
+from tests.standins import ROOT, STREAM_CHUNKS, STREAM_END, Program, Standin
 
 SEED = 20261202
 HOME_AGGREGATORS = {"d1": "a1", "d2": "a1", "d3": "a2", "d4": "a2", "d5": "a3"}
@@ -52,10 +52,10 @@
 
     def hold(self, handler: Any, sent: bytes) -> None:
         """Starts a stream that continues until the test sets `release`."""
-        handler.chunks(TOKENS[0], last=False)
+        handler.chunks(STREAM_CHUNKS[0], last=False)
         while not self.release.wait(1):
-            handler.more(TOKENS[0])
-        handler.more(LAST)
+            handler.send_chunk(STREAM_CHUNKS[0])
+        handler.send_chunk(STREAM_END)
         handler.wfile.write(b"0\r\n\r\n")
 
     def table(self, kind: str, names: tuple[str, ...], region: bool = True) -> str:
@@ -91,7 +91,7 @@
             text or (self.fleet_file(name, AGGREGATORS) if name in HOME_AGGREGATORS else self.aggregator_file(name))
         )
         program = self.programs[name] = (
-            Program("--chat", str(path)) if name in HOME_AGGREGATORS else Served("aggregator", str(path))
+            Program("--chat", str(path)) if name in HOME_AGGREGATORS else ServeCommand("aggregator", str(path))
         )
         self.cleanup.callback(program.kill)
         program.config = path
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -19,7 +19,7 @@
 from pearhill.lab.relay import Relay
 from tests.chat.test_front import PATH, body, operator_file
 from tests.membership.fleet_processes import FleetProcesses
-from tests.standins import LAST, TOKENS, Program, Standin
+from tests.standins import STREAM_CHUNKS, STREAM_END, Program, Standin
 
 SEED = 20261201
 LOAD = 400  # rough token estimate of one of the test's requests: half of its largest answer
@@ -49,9 +49,9 @@
 
     def hold(self, handler: Any, sent: bytes) -> None:
         """Starts a stream that continues until the test sets `release`."""
-        handler.chunks(TOKENS[0], last=False)
+        handler.chunks(STREAM_CHUNKS[0], last=False)
         self.release.wait(60)
-        handler.more(LAST)
+        handler.send_chunk(STREAM_END)
         handler.wfile.write(b"0\r\n\r\n")
 
     def run_one(self, name: str) -> Program:
@@ -135,7 +135,7 @@
             self.open_stream(name)
             wanted = (stream_count - 0.5) * LOAD
             self.wait_until(functools.partial(self.all_count_more_than, wanted))
-            runs = sorted(replica.runs for replica in self.replicas)
+            runs = sorted(replica.post_count for replica in self.replicas)
             assert runs == [0, 0, 0, 0, stream_count // 2, stream_count - stream_count // 2]
 
     def test_forged_datagrams_are_rejected_and_counted(self) -> None:
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -123,7 +123,7 @@
             def leave(self, now: int) -> list[Any]:
                 return [Hello("d1", "a1", 5, 1, 9), Hello("d1", "a7", 5, 2, 9)]
 
-            def sent(self, size: int) -> None:
+            def record_sent(self, size: int) -> None:
                 self.sizes.append(size)
 
             due = case.now
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -80,7 +80,7 @@
         evictor._candidates.extend(candidates)
         for each in candidates:
             each.connection.answering = True
-        assert evictor.make_room(MAX_CONNECTIONS)
+        assert evictor.evict(MAX_CONNECTIONS)
         assert not any(each.connection.closed for each in candidates)
         for each in candidates:
             each.connection.answering = False
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.chat.test_front import operator_file
-from tests.cli.test_cli import Served
+from tests.cli.test_cli import ServeCommand
 from tests.standins import Program, dead_address, platform_file
 
 BETWEEN_SIGNALS_S = 0.0005
@@ -36,7 +36,7 @@
     key.write_text("a-key-that-all-of-them-hold\n")
     path = folder / "aggregator.toml"
     path.write_text(f'[aggregator]\nname = "a1"\nlisten = "127.0.0.1:0"\nkey_files = ["{key}"]\n')
-    return Served("aggregator", str(path))
+    return ServeCommand("aggregator", str(path))
 
 
 ALL_PROGRAMS = pytest.mark.parametrize("start", [start_platform, start_chat, start_aggregator])
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -16,7 +16,7 @@
 from pearhill.lifecycle.takeover import READY_WITHIN_US
 from tests.admin.test_endpoint import call
 from tests.platform.test_daemon import BODY, PATH, headers
-from tests.standins import LAST, ROOT, TOKENS, Discovery, Program, Standin, platform_file
+from tests.standins import ROOT, STREAM_CHUNKS, STREAM_END, Discovery, Program, Standin, platform_file
 
 
 class TakeoverCase(unittest.TestCase):
@@ -65,7 +65,7 @@
     def is_ready(self, program: Program) -> bool:
         return self.call_admin(program, "GET", "/ops/readiness")[0] == 200
 
-    def ask(self, id: str, cls: str = "advice", path: str = PATH) -> int:
+    def request_status(self, id: str, cls: str = "advice", path: str = PATH) -> int:
         host, _, port = self.address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=20)
         try:
@@ -96,7 +96,7 @@
             try:
                 connection.request("POST", PATH, BODY, headers(f"{client}-{n}", "job-booking"))
                 response = connection.getresponse()  # http.client reconnects after `Connection: close`
-                complete = response.read() == b"".join(TOKENS) + LAST
+                complete = response.read() == b"".join(STREAM_CHUNKS) + STREAM_END
                 self.answers[f"{response.status}{'' if complete else ' broken'}"] += 1
             except (OSError, http.client.HTTPException) as e:
                 self.answers[type(e).__name__] += 1
@@ -175,7 +175,8 @@
                 begins = f"operators: the drain {'begins' if begins_drain else 'is over'}"
                 first.wait_line(begins)
                 self.wait_for(
-                    lambda begins_drain=begins_drain: self.ask("r", path="/ready") == (503 if begins_drain else 200)
+                    lambda begins_drain=begins_drain: self.request_status("r", path="/ready")
+                    == (503 if begins_drain else 200)
                 )
             assert avoided(then) == 0
         assert self.call_admin(old, "POST", down)[0] == 200
@@ -189,10 +190,10 @@
         self.wait_for(lambda: self.is_ready(old))
         new = self.start_successor_without_replicas()
         old.wait_line("upgrade: 2 processes serve, this one accepts clients")
-        assert [self.ask(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
+        assert [self.request_status(f"a{n}", "job-booking") for n in range(20)] == [200] * 20
         new.kill()
         old.wait_line("upgrade: 1 processes serve, this one accepts clients")
-        assert [self.ask(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
+        assert [self.request_status(f"b{n}", "job-booking") for n in range(20)] == [200] * 20
         assert not [line for line in old.lines if "another accepts" in line]
 
     def test_a_successor_terminated_before_it_can_serve_accepts_no_clients(self) -> None:
@@ -203,7 +204,7 @@
         new.terminate()
         answers: list[int] = []
         while new.poll() is None:
-            answers.append(self.ask(f"a{len(answers)}", "job-booking"))
+            answers.append(self.request_status(f"a{len(answers)}", "job-booking"))
         assert (set(answers), new.wait(20)) == ({200}, 0)
         assert not [line for line in old.lines if "another accepts" in line]
 
@@ -213,9 +214,9 @@
         new = self.start_process()
         old.wait_line("another accepts the clients")
         new.process.kill()
-        assert self.ask("a1", "job-booking") == 200  # answered once the old process accepts again
+        assert self.request_status("a1", "job-booking") == 200  # answered once the old process accepts again
         old.wait_line("upgrade: 1 processes serve, this one accepts clients")
-        assert self.ask("a2", path="/ready") == 200
+        assert self.request_status("a2", path="/ready") == 200
 
     def test_readiness_waits_until_the_predecessor_has_answered_its_requests(self) -> None:
         replica = self.replicas[0]
@@ -224,8 +225,8 @@
         self.wait_for(lambda: self.is_ready(old))
 
         def answer_when_released(handler: Any, body: bytes) -> None:
-            replica.go.wait(20)
-            handler.chunks(*TOKENS, LAST)
+            replica.release_answers.wait(20)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
         replica.respond = answer_when_released
         host, _, port = self.address.rpartition(":")
@@ -237,9 +238,9 @@
         new = self.start_process()
         if self.is_ready(new):  # only if the machine was slow to start the process
             assert time.monotonic() - began > READY_WITHIN_US / 1000000.0
-        replica.go.set()
+        replica.release_answers.set()
         response = client.getresponse()
-        assert (response.status, response.read()) == (200, b"".join(TOKENS) + LAST)
+        assert (response.status, response.read()) == (200, b"".join(STREAM_CHUNKS) + STREAM_END)
         self.wait_for(lambda: self.is_ready(new))
 
     def test_a_shutdown_without_a_successor_is_graceful_and_the_next_start_keeps_down_overrides(self) -> None:
@@ -249,11 +250,11 @@
         assert self.call_admin(old, "POST", "/ops/drain/start")[0] == 200
         old.process.terminate()
         old.wait_line("draining: 0 requests open")
-        assert self.ask("a1") == 200  # it still accepts clients
+        assert self.request_status("a1") == 200  # it still accepts clients
         assert old.process.wait(20) == 0
         new = self.start_process()
         self.wait_for(lambda: self.is_ready(new))
-        assert self.ask("a2", path="/ready") == 200  # a drain ends with its process
+        assert self.request_status("a2", path="/ready") == 200  # a drain ends with its process
         assert json.loads(self.call_admin(new, "GET", "/ops/stats")[1])["hosts_down"] == 1
 
     def test_unwritable_or_unreadable_messages_do_not_prevent_a_start(self) -> None:
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -18,7 +18,7 @@
 from pearhill.lifecycle.takeover import READY_WITHIN_US
 from tests.node.test_takeover import TakeoverCase
 from tests.platform.test_owed import BODY, PATH
-from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform_file
+from tests.standins import SETTINGS, STREAM_CHUNKS, STREAM_END, Discovery, Program, Standin, platform_file
 
 HOUR_S = 3600
 REQUEST_COUNT = 24
@@ -72,7 +72,7 @@
     discovery = DiscoveryWithStartTimes(("s-0", warm.address, "all-in-one"), ("s-1", cold.address, "all-in-one"))
     discovery.boot_ms = {"s-1": int((time.time() - 15) * 1000)}
     for server in (warm, cold):
-        server.respond = lambda handler, body: (release_answers.wait(20), handler.chunks(*TOKENS, LAST))
+        server.respond = lambda handler, body: (release_answers.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     program, command = start(tmp_path, discovery, monkeypatch)
     try:
         program.wait_ready()
@@ -88,10 +88,10 @@
             connection = program.connect()
             connection.request("POST", PATH, BODY, _headers(f"c{number}"))
             clients.append(connection)
-        while warm.runs + cold.runs + program.counters()["refused"] < REQUEST_COUNT:
-            assert time.monotonic() < end, (warm.runs, cold.runs, program.counters())
+        while warm.post_count + cold.post_count + program.counters()["refused"] < REQUEST_COUNT:
+            assert time.monotonic() < end, (warm.post_count, cold.post_count, program.counters())
         # At 0.28 of its capacity this dispatcher's bucket for the replica holds one request at a time.
-        assert cold.runs <= 3 < warm.runs, (warm.runs, cold.runs)
+        assert cold.post_count <= 3 < warm.post_count, (warm.post_count, cold.post_count)
     finally:
         release_answers.set()
         program.kill()
--- a/tests/platform/test_cut_answers.py
+++ b/tests/platform/test_cut_answers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.platform.test_owed import LoopbackDispatcher, loopback, request
-from tests.standins import TOKENS, Standin
+from tests.standins import STREAM_CHUNKS, Standin
 
 __all__ = ["loopback"]
 
@@ -16,7 +16,7 @@
     server = Standin()
 
     def respond(handler: Any, body: bytes) -> None:
-        handler.chunks(TOKENS[0], last=False)
+        handler.chunks(STREAM_CHUNKS[0], last=False)
         end.wait(20)
         handler.close_connection = True
 
@@ -35,7 +35,7 @@
     program = loopback.start((partial_answer_replica(end), "all-in-one"))
     client = loopback.connect()
     client.sendall(request("cut-1"))
-    assert TOKENS[0] in client.recv(65_536)
+    assert STREAM_CHUNKS[0] in client.recv(65_536)
     client.close() if client_disconnects else end.set()
     program.wait_line(rf"answer cut request=\d+ id=cut-1 replica=\d+ why={why} silent_us=\d+")
     program.wait_line(rf"side=server .* reason={reason} exchanges=1 cut=cut-1")
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -25,10 +25,10 @@
 from pearhill.platform.endpoint_list import parse_endpoints
 from pearhill.routing.topology import Endpoint, Phase
 from tests.standins import (
-    LAST,
     ROOT,
     SETTINGS,
-    TOKENS,
+    STREAM_CHUNKS,
+    STREAM_END,
     CleanupCase,
     Discovery,
     Program,
@@ -72,9 +72,9 @@
 class TestServing(PlatformCase):
     def test_prefill_and_decode_replica_get_the_request_unchanged(self) -> None:
         reader, writer = self.start("reader", "writer")
-        reader.respond = lambda h, b: h.plain(202, b'{"cached_tokens":0}')
-        status, _, body = self.program.ask("POST", PATH + "?q=1", BODY, headers("abc"))
-        assert (status, body) == (200, b"".join(TOKENS) + LAST)
+        reader.respond = lambda h, b: h.send_response_body(202, b'{"cached_tokens":0}')
+        status, _, body = self.program.request("POST", PATH + "?q=1", BODY, headers("abc"))
+        assert (status, body) == (200, b"".join(STREAM_CHUNKS) + STREAM_END)
         for server in (reader, writer):
             assert server.calls == [("POST", PATH + "?q=1")]
             assert server.bodies == [BODY]
@@ -87,9 +87,9 @@
         keyed = [{**SETTINGS["classes"][0], "effect": "idempotency_key", "group": "all", "window": 5_000_000}]
         servers = self.start("all-in-one", "all-in-one", settings={**SETTINGS, "classes": keyed})
         for server in servers:
-            server.respond = lambda h, b: h.plain(500)
-        self.program.ask("POST", PATH, BODY, headers("k1") | {"Idempotency-Key": "f882f41b"})
-        self.program.ask("POST", PATH, BODY, headers("k2"))
+            server.respond = lambda h, b: h.send_response_body(500)
+        self.program.request("POST", PATH, BODY, headers("k1") | {"Idempotency-Key": "f882f41b"})
+        self.program.request("POST", PATH, BODY, headers("k2"))
         got = [
             {(h["Request-Id"], h.get("Idempotency-Key")) for h in server.headers if "Request-Id" in h}
             for server in servers
@@ -100,10 +100,10 @@
     def test_a_booking_that_may_have_been_executed_is_not_retried(self) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
-            server.respond = lambda h, b: h.plain(500)
-        status, _, _ = self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))
+            server.respond = lambda h, b: h.send_response_body(500)
+        status, _, _ = self.program.request("POST", PATH, BODY, headers(cls="job-booking"))
         assert status == 500
-        assert sum(s.runs for s in servers) == 1
+        assert sum(s.post_count for s in servers) == 1
 
     @pytest.mark.parametrize(("mark", "status", "again"), [({}, 500, False), ({"Not_Started": "1"}, 503, True)])
     def test_a_503_without_not_started_may_have_been_executed(
@@ -111,29 +111,29 @@
     ) -> None:
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
-            server.respond = lambda h, b: h.plain(503, **mark)
-        assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
-        assert (sum(s.runs for s in servers) > 1) == again
+            server.respond = lambda h, b: h.send_response_body(503, **mark)
+        assert self.program.request("POST", PATH, BODY, headers(cls="job-booking"))[0] == status
+        assert (sum(s.post_count for s in servers) > 1) == again
 
     def test_an_unreachable_replica_costs_one_attempt_and_the_request_is_rejected(self) -> None:
         (alive,) = self.start("all-in-one")
         self.discovery.update(("s-9", dead_address(), "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?", 2)
-        status, _, _ = self.program.ask("POST", PATH, BODY, headers(cls="job-booking"))
-        assert (status, alive.runs) == (503, 0)
+        status, _, _ = self.program.request("POST", PATH, BODY, headers(cls="job-booking"))
+        assert (status, alive.post_count) == (503, 0)
         assert self.program.counters()["outcomes"]["unreachable"] >= 1
 
     def test_an_attempt_at_a_silent_replica_ends_at_the_deadline(self) -> None:
         (server,) = self.start("all-in-one")
-        server.respond = lambda h, b: server.go.wait(20)
-        assert self.program.ask("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
-        assert server.runs == 1
+        server.respond = lambda h, b: server.release_answers.wait(20)
+        assert self.program.request("POST", PATH, BODY, headers(cls="job-booking", wait_ms=400))[0] == 500
+        assert server.post_count == 1
 
     def test_a_broken_stream_is_closed_without_its_last_chunk(self) -> None:
         (server,) = self.start("all-in-one")
 
         def broken(handler: StandinHandler, body: bytes) -> None:
-            handler.chunks(TOKENS[0], last=False)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
             handler.connection.shutdown(socket.SHUT_RDWR)
 
         server.respond = broken
@@ -145,19 +145,21 @@
             got = b"".join(iter(lambda: client.recv(4096), b""))
         assert b"one " in got
         assert not got.endswith(b"0\r\n\r\n")
-        assert server.runs == 1
+        assert server.post_count == 1
 
     def test_held_state_is_released_if_no_decode_replica_fetches_it(self) -> None:
         reader, writer = self.start("reader", "writer")
-        reader.respond = lambda h, b: h.plain(*((204,) if h.command == "DELETE" else (202, b"{}")))
-        writer.respond = lambda h, b: h.plain(204 if h.command == "DELETE" else 500)
-        assert self.program.ask("POST", PATH, BODY, headers("b7", "job-booking"))[0] == 500
+        reader.respond = lambda h, b: h.send_response_body(*((204,) if h.command == "DELETE" else (202, b"{}")))
+        writer.respond = lambda h, b: h.send_response_body(204 if h.command == "DELETE" else 500)
+        assert self.program.request("POST", PATH, BODY, headers("b7", "job-booking"))[0] == 500
         reader.wait_for("DELETE", "/state/b7")
-        assert writer.runs == 1
+        assert writer.post_count == 1
 
     def test_held_state_is_released_if_the_client_disconnects_during_prefill(self) -> None:
         reader, _ = self.start("reader", "writer")
-        reader.respond = lambda h, b: h.plain(204) if h.command == "DELETE" else reader.go.wait(20)
+        reader.respond = (
+            lambda h, b: h.send_response_body(204) if h.command == "DELETE" else reader.release_answers.wait(20)
+        )
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers("c3"))
         reader.wait_for("POST")
@@ -181,9 +183,9 @@
             (413, b"x" * 300_000, good),
         ]
         for status, body, given in cases:
-            assert self.program.ask("POST", PATH, body, given)[0] == status, (given, body[:9])
-        assert self.program.ask("GET", "/nothing")[0] == 404
-        assert self.program.ask("GET", PATH)[0] == 405
+            assert self.program.request("POST", PATH, body, given)[0] == status, (given, body[:9])
+        assert self.program.request("GET", "/nothing")[0] == 404
+        assert self.program.request("GET", PATH)[0] == 405
         raw = [
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", b"400"),
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", b"400"),
@@ -251,7 +253,7 @@
         half, first = self.idle(2)
         half.sendall(b"GET / HT")  # the rest may be in flight, and would be lost if the connection were closed
         self.idle(20)
-        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
+        assert self.program.request("POST", PATH, BODY, headers())[0] == 200
         assert first.recv(1) == b""
         assert half.recv(12) == b"HTTP/1.1 408"
         used.request("GET", "/ready")  # it has carried a request: connections without one are closed first
@@ -267,7 +269,7 @@
             connections = [self.program.connect() for _ in range(count)]
             for n, connection in enumerate(connections):
                 connection.request("POST", PATH, large_body, headers(f"{count}-{n}"))
-                assert connection.getresponse().read() == b"".join(TOKENS) + LAST
+                assert connection.getresponse().read() == b"".join(STREAM_CHUNKS) + STREAM_END
                 connection.close() if n % 2 else self.cleanup.callback(connection.close)
             with open(f"/proc/{self.program.process.pid}/statm") as file:
                 return int(file.read().split()[1]) * resource.getpagesize() >> 20
@@ -279,10 +281,10 @@
         self.start("all-in-one", files=24)
         self.idle(40)
         self.program.wait_line("accepting pauses")
-        assert self.program.ask("GET", "/ready")[0] == 200
+        assert self.program.request("GET", "/ready")[0] == 200
 
 
-class TestSpoilt(PlatformCase):
+class TestMalformedAnswers(PlatformCase):
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def raw(self, *parts: bytes) -> Any:
@@ -301,15 +303,15 @@
         return respond
 
     def test_a_malformed_answer_is_not_retried_and_the_client_gets_valid_events_only(self) -> None:
-        first = b"%x\r\n%b\r\n" % (len(TOKENS[0]), TOKENS[0])
+        first = b"%x\r\n%b\r\n" % (len(STREAM_CHUNKS[0]), STREAM_CHUNKS[0])
         endless = self.HEAD[:-2] + b"A: " + b"x" * 100_000
-        lying, huge = b"5\r\n" + TOKENS[1] + b"\r\n", b"BFFFFFFF\r\n" + b"x" * 300_000
-        half = b"%x\r\n%b\r\n" % (9, TOKENS[1][:9])
+        lying, huge = b"5\r\n" + STREAM_CHUNKS[1] + b"\r\n", b"BFFFFFFF\r\n" + b"x" * 300_000
+        half = b"%x\r\n%b\r\n" % (9, STREAM_CHUNKS[1][:9])
         (server,) = self.start("all-in-one")
         for n, parts in enumerate(((b"noise\r\n\r\n",), (endless,), (self.HEAD, lying))):
             server.respond = self.raw(*parts)
-            assert self.program.ask("POST", PATH, BODY, headers(f"a{n}", "job-booking"))[0] == 500
-            assert server.runs == n + 1
+            assert self.program.request("POST", PATH, BODY, headers(f"a{n}", "job-booking"))[0] == 500
+            assert server.post_count == n + 1
         for n, spoilt in enumerate((lying, huge, half + b"zz\r\n")):
             server.respond = self.raw(self.HEAD, first, spoilt)
             connection = self.program.connect()
@@ -318,26 +320,28 @@
             response, got = connection.getresponse(), b""
             with pytest.raises(http.client.IncompleteRead) as broken:
                 got = response.read()
-            assert got + broken.value.partial == TOKENS[0]
+            assert got + broken.value.partial == STREAM_CHUNKS[0]
         self.program.wait_line("side=server .* reason=lost-malformed")
 
     def test_interim_answers_are_skipped_and_a_surplus_answer_is_not_used_for_the_next_request(self) -> None:
-        complete_answer = self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*TOKENS, LAST)) + b"0\r\n\r\n"
+        complete_answer = (
+            self.HEAD + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (*STREAM_CHUNKS, STREAM_END)) + b"0\r\n\r\n"
+        )
         (server,) = self.start("all-in-one")
         server.respond = self.raw(
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 E\r\nA: b\r\n\r\n" + complete_answer + complete_answer
         )
         for n in range(3):
-            assert self.program.ask("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(TOKENS) + LAST
-        assert server.runs == 3
+            assert self.program.request("POST", PATH, BODY, headers(f"c{n}"))[2] == b"".join(STREAM_CHUNKS) + STREAM_END
+        assert server.post_count == 3
 
     def test_a_rejection_followed_by_more_bytes_is_not_trusted_and_a_booking_is_not_retried(self) -> None:
         """If two answers arrive, neither can be trusted: one may belong to another request."""
         servers = self.start("all-in-one", "all-in-one")
         for server in servers:
             server.respond = self.raw(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + self.HEAD)
-        assert self.program.ask("POST", PATH, BODY, headers("d1", "job-booking"))[0] == 500
-        assert sum(server.runs for server in servers) == 1
+        assert self.program.request("POST", PATH, BODY, headers("d1", "job-booking"))[0] == 500
+        assert sum(server.post_count for server in servers) == 1
 
 
 class TestReload(PlatformCase):
@@ -348,9 +352,9 @@
             self.cleanup.callback(thing.close)
 
         def waits(handler: StandinHandler, body: bytes) -> None:
-            handler.chunks(TOKENS[0], last=False)
-            old.go.wait(20)
-            handler.more(TOKENS[1] + LAST)
+            handler.chunks(STREAM_CHUNKS[0], last=False)
+            old.release_answers.wait(20)
+            handler.send_chunk(STREAM_CHUNKS[1] + STREAM_END)
             handler.wfile.write(b"0\r\n\r\n")
 
         old.respond = waits
@@ -360,10 +364,10 @@
         self.program.reload(platform_file(other.address))  # RELAY_DISCOVERY still names the old discovery
         other.wait_for("GET", "/v1/endpoints?")
         assert other.calls[0] == ("GET", "/v1/endpoints")
-        assert self.program.ask("POST", PATH, BODY, headers("next"))[0] == 200
-        old.go.set()
-        assert response.read() == b"".join(TOKENS) + LAST
-        assert (old.runs, new.runs) == (1, 1)
+        assert self.program.request("POST", PATH, BODY, headers("next"))[0] == 200
+        old.release_answers.set()
+        assert response.read() == b"".join(STREAM_CHUNKS) + STREAM_END
+        assert (old.post_count, new.post_count) == (1, 1)
 
     def test_a_reload_applies_settings_and_an_invalid_file_keeps_the_old_ones(self) -> None:
         self.start()
@@ -376,19 +380,19 @@
             (platform_file(self.discovery.address, settings=kinds), "settings.models"),
         ):
             self.program.reload(text, f"reload: the old configuration stays: {key}")
-        status, answered, _ = self.program.ask("POST", PATH, BODY, headers())
+        status, answered, _ = self.program.request("POST", PATH, BODY, headers())
         assert (status, answered["retry-after"]) == (503, "0.250")
 
     def test_a_reload_does_not_disturb_a_drain(self) -> None:
         (server,) = self.start("all-in-one")
-        server.respond = lambda h, b: (server.go.wait(20), h.chunks(*TOKENS, LAST))
+        server.respond = lambda h, b: (server.release_answers.wait(20), h.chunks(*STREAM_CHUNKS, STREAM_END))
         connection = self.program.connect()
         connection.request("POST", PATH, BODY, headers())
         server.wait_for("POST")
         self.program.process.terminate()
         self.program.wait_line("draining")
         self.program.reload(platform_file(self.discovery.address))
-        server.go.set()
+        server.release_answers.set()
         assert connection.getresponse().status == 200
         assert self.program.process.wait(20) == 0
 
@@ -437,8 +441,8 @@
         (server,) = self.start("all-in-one")
 
         def waits(handler: StandinHandler, body: bytes) -> None:
-            server.go.wait(20)
-            handler.chunks(*TOKENS, LAST)
+            server.release_answers.wait(20)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
         server.respond = waits
         connection = self.program.connect()
@@ -446,11 +450,11 @@
         server.wait_for("POST")
         self.program.process.terminate()
         self.program.wait_line("draining: 1 requests open")
-        assert self.program.ask("GET", "/ready")[0] == 503
-        server.go.set()
+        assert self.program.request("GET", "/ready")[0] == 503
+        server.release_answers.set()
         response = connection.getresponse()
         assert (response.status, response.getheader("Connection")) == (200, "close")
-        assert response.read() == b"".join(TOKENS) + LAST
+        assert response.read() == b"".join(STREAM_CHUNKS) + STREAM_END
         assert self.program.process.wait(20) == 0
         self.program.wait_line(r'counters .*"served": 1')
 
@@ -462,12 +466,12 @@
         def read(handler: StandinHandler, body: bytes) -> None:
             if handler.command == "DELETE":
                 released.wait(20)
-                return handler.plain(204)
-            return handler.plain(202, b'{"cached_tokens":0}')
+                return handler.send_response_body(204)
+            return handler.send_response_body(202, b'{"cached_tokens":0}')
 
         def write(handler: StandinHandler, body: bytes) -> None:
             if handler.command == "DELETE":
-                return handler.plain(204)
+                return handler.send_response_body(204)
             held.append(handler.connection)
             handler.connection.recv(1)
             closed.set()
@@ -478,7 +482,7 @@
             released.clear()
             closed.clear()
             deletes = sum(method == "DELETE" for method, _ in reader.calls)
-            assert self.program.ask("POST", PATH, BODY, headers(f"g-{cls}", cls, wait_ms=900))[0] == (
+            assert self.program.request("POST", PATH, BODY, headers(f"g-{cls}", cls, wait_ms=900))[0] == (
                 503 if cls == "advice" else 500
             )
             reader.wait_for("DELETE", count=deletes + 1)
@@ -492,13 +496,13 @@
         (server,) = self.start("all-in-one")
 
         def once(handler: StandinHandler, body: bytes) -> None:
-            handler.chunks(*TOKENS, LAST)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
             handler.close_connection = True
 
         server.respond = once
         for n in range(5):
-            assert self.program.ask("POST", PATH, BODY, headers(f"d{n}", "job-booking"))[0] == 200
-        assert server.runs == 5
+            assert self.program.request("POST", PATH, BODY, headers(f"d{n}", "job-booking"))[0] == 200
+        assert server.post_count == 5
         self.program.wait_line("side=server .* reason=(server-eof|stale)")
 
     def test_a_replica_that_is_no_longer_listed_gets_no_requests(self) -> None:
@@ -506,8 +510,8 @@
         self.discovery.update(("s-1", second.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=2")
         for n in range(6):
-            assert self.program.ask("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
-        assert (first.runs, second.runs) == (0, 6)
+            assert self.program.request("POST", PATH, BODY, headers(f"e{n}"))[0] == 200
+        assert (first.post_count, second.post_count) == (0, 6)
 
     def test_an_indented_list_of_a_thousand_replicas_in_one_chunk_is_applied(self) -> None:
         server = Standin()
@@ -534,7 +538,9 @@
             self.discovery.update(("s-0", "{}:{}".format(*late.getsockname()), "all-in-one"))
             self.program.wait_ready()
             with ThreadPoolExecutor() as pool:
-                pending = pool.submit(self.program.ask, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000))
+                pending = pool.submit(
+                    self.program.request, "POST", PATH, BODY, headers(cls="job-booking", wait_ms=8000)
+                )
                 while not self.program.counters()["sent"]:
                     assert not pending.done()
                 revision = self.discovery.rev
@@ -544,16 +550,18 @@
                 late.settimeout(20)
                 with late.accept()[0]:  # this frees a place in the queue: the connection opens at the next try
                     status, _, body = pending.result(20)
-        assert (status, body) == (200, b"".join(TOKENS) + LAST)
+        assert (status, body) == (200, b"".join(STREAM_CHUNKS) + STREAM_END)
         counters = self.program.counters()
-        assert (second.runs, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
+        assert (second.post_count, counters["sent"], counters["outcomes"]) == (1, 2, {"withdrawn": 1, "answered": 1})
 
     def test_a_silent_watch_is_reopened_and_updates_after_its_return_are_received_at_once(self) -> None:
         """The open calls never end, and neither do calls on new connections for a while; then one is answered."""
         first, second = self.start("all-in-one", "all-in-one")
         silent, answer_as_usual = threading.Event(), self.discovery.respond
         silent.set()
-        self.discovery.respond = lambda h, b: self.discovery.go.wait(30) if silent.is_set() else answer_as_usual(h, b)
+        self.discovery.respond = (
+            lambda h, b: self.discovery.release_answers.wait(30) if silent.is_set() else answer_as_usual(h, b)
+        )
         self.discovery.update(("s-1", second.address, "all-in-one"))  # ends the open watch
         calls = len(self.discovery.calls)
         self.program.wait_line("discovery: no answer to anything: silent")
@@ -563,8 +571,8 @@
         self.program.wait_line("discovery: answers again")
         self.discovery.update(("s-0", first.address, "all-in-one"))
         self.discovery.wait_for("GET", "/v1/endpoints?after=3")
-        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
-        assert (first.runs, second.runs) == (1, 0)
+        assert self.program.request("POST", PATH, BODY, headers())[0] == 200
+        assert (first.post_count, second.post_count) == (1, 0)
         assert (
             len(self.discovery.calls) - calls_before < 20
         )  # it watches again instead of polling every few milliseconds
@@ -578,7 +586,7 @@
 
         def respond(handler: StandinHandler, body: bytes) -> None:
             polled.set()
-            discovery.go.wait(0.3)
+            discovery.release_answers.wait(0.3)
             answer_as_usual(handler, body)
 
         discovery.respond = respond
@@ -604,11 +612,11 @@
                     connection.close()
             self.program = program.result(20)
             self.cleanup.callback(self.program.kill)
-        assert (status, removed.runs, server.runs) == (200, 0, 1)
+        assert (status, removed.post_count, server.post_count) == (200, 0, 1)
 
     def test_the_list_known_at_the_start_is_used_while_discovery_is_silent(self) -> None:
         server, silent = Standin(), Standin()
-        silent.respond = lambda h, b: silent.go.wait(20)
+        silent.respond = lambda h, b: silent.release_answers.wait(20)
         self.cleanup.callback(server.close)
         self.cleanup.callback(silent.close)
         known = Discovery(("s-1", server.address, "all-in-one"))
@@ -616,4 +624,4 @@
         self.program = platform(silent.address, known.answer()["targets"])
         self.cleanup.callback(self.program.kill)
         self.program.wait_ready()
-        assert self.program.ask("POST", PATH, BODY, headers())[0] == 200
+        assert self.program.request("POST", PATH, BODY, headers())[0] == 200
--- a/tests/platform/test_failing_calls.py
+++ b/tests/platform/test_failing_calls.py
@@ -39,7 +39,7 @@
         for number in range(ROUNDS):
             client.sendall(request(f"a{number}"))
             assert read_answer(client) == (200, SERVED)
-        assert server.runs == ROUNDS
+        assert server.post_count == ROUNDS
     finally:
         started.end()
 
--- a/tests/platform/test_held_states.py
+++ b/tests/platform/test_held_states.py
@@ -10,7 +10,7 @@
 
 
 def answer_reads(handler: Any, body: bytes) -> None:
-    handler.plain(204) if handler.command == "DELETE" else handler.plain(202, READ)
+    handler.send_response_body(204) if handler.command == "DELETE" else handler.send_response_body(202, READ)
 
 
 def test_held_state_is_released_in_time_though_the_fetch_never_arrives(loopback: LoopbackDispatcher) -> None:  # noqa: F811
@@ -28,7 +28,7 @@
 
     prefill.respond = read
     decode.respond = lambda handler, body: (
-        handler.plain(204) if handler.command == "DELETE" else over.wait(20)  # as if nothing had arrived
+        handler.send_response_body(204) if handler.command == "DELETE" else over.wait(20)  # as if nothing had arrived
     )
     program = loopback.start((prefill, "reader"), (decode, "writer"))
     client = loopback.connect()
@@ -52,7 +52,7 @@
 
     def write(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
-            return handler.plain(204)
+            return handler.send_response_body(204)
         handler.connection.recv(1)
 
     prefill.respond, decode.respond = read, write
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, platform
+from tests.standins import SETTINGS, STREAM_CHUNKS, STREAM_END, Discovery, Program, Standin, platform
 
 PATH = "/v1/chat/completions"
 BODY = json.dumps({"model": "chat", "stream": True, "messages": []}).encode()
@@ -68,7 +68,7 @@
 def send_booking(program: Program, id: str) -> tuple[int, bytes]:
     """Send a booking. Returns the status and the body; the status is 0 if the dispatcher was killed."""
     try:
-        status, _, body = program.ask(
+        status, _, body = program.request(
             "POST",
             PATH,
             BODY,
@@ -101,7 +101,7 @@
     programs = [platform(agent.address, **changes) for agent in agents]
     stand_ins: list[Any] = [late, good, *agents]
     silent, answer = threading.Event(), agents[1].respond
-    agents[1].respond = lambda h, b: agents[1].go.wait(30) if silent.is_set() else answer(h, b)
+    agents[1].respond = lambda h, b: agents[1].release_answers.wait(30) if silent.is_set() else answer(h, b)
     try:
         with ThreadPoolExecutor() as pool:
             for program in programs:
@@ -124,9 +124,9 @@
                 agent.wait_for("GET", "/v1/endpoints?after=2")  # the dispatcher has received the change
             late.accept_from_now_on()
             answers = [a.result(20) for a in bookings]
-        served = (200, b"".join(TOKENS) + LAST)
+        served = (200, b"".join(STREAM_CHUNKS) + STREAM_END)
         assert answers == [served, served, (0, b""), served]
-        assert (late.bytes_received, good.runs) == (0, 3)
+        assert (late.bytes_received, good.post_count) == (0, 3)
         for program in programs[:2]:
             outcomes = program.counters()["outcomes"]
             assert outcomes["withdrawn"]
--- a/tests/platform/test_owed.py
+++ b/tests/platform/test_owed.py
@@ -18,11 +18,11 @@
 import pytest
 
 from tests.platform.test_leaving import LateReplica
-from tests.standins import LAST, SETTINGS, TOKENS, Discovery, Program, Standin, StandinHandler, platform
+from tests.standins import SETTINGS, STREAM_CHUNKS, STREAM_END, Discovery, Program, Standin, StandinHandler, platform
 
 PATH = "/v1/chat/completions"
 BODY = json.dumps({"model": "chat", "stream": True, "messages": []}).encode()
-SERVED = b"".join(TOKENS) + LAST
+SERVED = b"".join(STREAM_CHUNKS) + STREAM_END
 SLOW_CONNECT = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "connect-timeout": 8_000_000}}
 
 
@@ -168,7 +168,7 @@
             return bool(counters["left"] > n)
 
         loopback.wait_for_counters(has_left)
-        assert server.runs == n + 1, (end, more[:200])
+        assert server.post_count == n + 1, (end, more[:200])
     before.sendall(request("a0"))  # no trace of that request is left: its id may be used again
     assert read_answer(before) == (200, SERVED)
 
@@ -204,7 +204,7 @@
         lambda counters: counters["outcomes"].get("cancelled") or counters["outcomes"].get("timeout")
     )
     counters = program.counters()
-    assert (counters["outcomes"], counters["left"], server.runs) == ({"cancelled": 1}, 1, 1)
+    assert (counters["outcomes"], counters["left"], server.post_count) == ({"cancelled": 1}, 1, 1)
 
 
 def test_the_first_requests_of_a_flood_on_one_connection_are_answered_and_then_it_is_closed(
@@ -212,14 +212,14 @@
 ) -> None:
     """The number of queued requests is bounded. The rest is read and discarded, so that the end is still seen."""
     server = Standin()
-    server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
+    server.respond = lambda handler, body: (server.release_answers.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     loopback.start((server, "all-in-one"))
     client = loopback.connect()
     client.sendall(FLOOD)
-    server.go.set()
+    server.release_answers.set()
     got = b"".join(iter(lambda: client.recv(65_536), b""))
     assert [part[:3] for part in got.split(b"HTTP/1.1 ")[1:]] == [b"200"] * 5 + [b"429"]
-    assert server.runs == 5
+    assert server.post_count == 5
 
 
 def test_a_request_on_an_idle_connection_that_is_about_to_be_closed_is_answered(loopback: LoopbackDispatcher) -> None:
@@ -240,7 +240,7 @@
             other.sendall(request(f"o{n}"))
     for sock in (oldest, *others):
         assert read_answer(sock) == (200, SERVED)
-    assert server.runs == 19
+    assert server.post_count == 19
     assert sum(map(is_open_and_silent, idle)) < 8  # another connection was closed instead
 
 
@@ -253,7 +253,7 @@
         "classes": [{**SETTINGS["classes"][1], "effect": "idempotency_key", "group": "all", "window": window}],
     }
     first, late = Standin(), LateReplica()
-    first.respond = lambda handler, body: (first.go.wait(20), handler.plain(500))
+    first.respond = lambda handler, body: (first.release_answers.wait(20), handler.send_response_body(500))
     program = loopback.start((first, "all-in-one"), settings=keyed)
     client = loopback.connect()
     client.sendall(request("k1"))
@@ -261,7 +261,7 @@
     since = time.monotonic()
     loopback.discovery.update(("s-0", first.address, "all-in-one"), ("s-1", late.address, "all-in-one"))
     loopback.discovery.wait_for("GET", "/v1/endpoints?after=2")
-    first.go.set()
+    first.release_answers.set()
     wait_connecting(late)
     with StoppedProcess(program):
         late.accept_from_now_on()
@@ -281,15 +281,15 @@
     def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             silent.wait(20)
-            return handler.plain(204)
-        handler.plain(202, b'{"cached_tokens":0}')
+            return handler.send_response_body(204)
+        handler.send_response_body(202, b'{"cached_tokens":0}')
 
     def write(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
-            return handler.plain(204)
+            return handler.send_response_body(204)
         fetches.append(handler.standin)
         if len(fetches) > 1:
-            return handler.plain(410, Not_Started="1")
+            return handler.send_response_body(410, Not_Started="1")
         handler.connection.recv(1)
         fetch_closed.set()
 
@@ -315,7 +315,7 @@
     def read(handler: StandinHandler, body: bytes) -> None:
         if handler.command == "DELETE":
             answering.wait(30)
-            return handler.plain(204)
+            return handler.send_response_body(204)
         handler.rfile.read(1)  # until its dispatcher closes the connection
 
     replica.respond = read
@@ -363,12 +363,12 @@
     loopback.program = program = platform(agent.address, known, files=256)
     loopback.resources += [agent, server]
     program.wait_ready()
-    server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
+    server.respond = lambda handler, body: (server.release_answers.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     open_client = loopback.connect()
     open_client.sendall(request("o1"))
     server.wait_for("POST")
     idle_clients = [loopback.connect() for _ in range(400)]
-    server.respond = lambda handler, body: handler.chunks(*TOKENS, LAST)
+    server.respond = lambda handler, body: handler.chunks(*STREAM_CHUNKS, STREAM_END)
     client = loopback.connect()
     client.sendall(request("n1"))
     assert read_answer(client) == (200, SERVED)
@@ -378,7 +378,7 @@
     agent.update(*agent.targets)
     answering.set()
     loopback.wait_for_counters(lambda counters: counters["lists"] > lists)
-    server.go.set()
+    server.release_answers.set()
     assert read_answer(open_client) == (200, SERVED)
 
 
@@ -386,14 +386,14 @@
     """Write a stream of large events until `over` is set."""
     handler.chunks(last=False)
     while not over.is_set():
-        handler.more(b"data: " + b"x" * 60_000 + b"\n\n")
+        handler.send_chunk(b"data: " + b"x" * 60_000 + b"\n\n")
 
 
 def write_one_by_one(events: list[bytes], seen: threading.Semaphore, handler: Any) -> None:
     """Write a stream of these events, each after the client has received the one before."""
     handler.chunks(last=False)
     for event in events:
-        handler.more(event)
+        handler.send_chunk(event)
         assert seen.acquire(timeout=20)
     handler.wfile.write(b"0\r\n\r\n")
 
@@ -420,7 +420,7 @@
             case "s1":
                 write_one_by_one(events, seen, handler)
             case _:
-                handler.chunks(*TOKENS, LAST)
+                handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
     server.respond = respond
     loopback.start((server, "all-in-one"))
--- a/tests/platform/test_pipelined.py
+++ b/tests/platform/test_pipelined.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.platform.test_owed import SERVED, LoopbackDispatcher, loopback, read_answer, request  # noqa: F401
-from tests.standins import LAST, TOKENS, Standin
+from tests.standins import STREAM_CHUNKS, STREAM_END, Standin
 
 WAITED_S = 3.0
 TIMEOUT_MS = 5000
@@ -41,8 +41,8 @@
 
     def respond(handler: Any, body: bytes) -> None:
         if handler.headers["Request-Id"] == "p1":
-            server.go.wait(20)
-        handler.chunks(*TOKENS, LAST)
+            server.release_answers.wait(20)
+        handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
     server.respond = respond
     loopback.start((server, "all-in-one"))
@@ -52,7 +52,7 @@
     began = time.monotonic()
     while time.monotonic() < began + WAITED_S:
         pass
-    server.go.set()
+    server.release_answers.set()
     answers = Answers(client)
     assert [answers.next()[0] for _ in range(3)] == [200, 200, 503]
     given_ms = next(int(h["Request-Timeout-Ms"]) for h in server.headers if h.get("Request-Id") == "p2")
@@ -62,7 +62,7 @@
 def test_requests_received_before_a_drain_are_answered(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """The first answer was sent during the drain and closed its connection, so that the other requests were lost."""
     server, ending = Standin(), threading.Event()
-    server.respond = lambda handler, body: (ending.wait(20), handler.chunks(*TOKENS, LAST))
+    server.respond = lambda handler, body: (ending.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     program = loopback.start((server, "all-in-one"))
     client = loopback.connect()
     client.sendall(request("d1") + request("d2") + request("d3"))
@@ -78,7 +78,7 @@
 def test_a_request_long_after_sigterm_is_rejected(loopback: LoopbackDispatcher) -> None:  # noqa: F811
     """If it were in flight when the platform kills the process, it would be lost; rejected, it is served elsewhere."""
     server, over = Standin(), threading.Event()
-    server.respond = lambda handler, body: (over.wait(20), handler.chunks(*TOKENS, LAST))
+    server.respond = lambda handler, body: (over.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     program = loopback.start((server, "all-in-one"))
     client = loopback.connect()
     client.sendall(request("e1"))
@@ -93,4 +93,4 @@
     answers = Answers(client)
     assert answers.next() == (200, SERVED)
     assert answers.next()[0] == 503
-    assert server.runs == 1
+    assert server.post_count == 1
--- a/tests/platform/test_reset_behind_bytes.py
+++ b/tests/platform/test_reset_behind_bytes.py
@@ -12,7 +12,7 @@
 
 from tests.platform.test_clock_steps import start
 from tests.platform.test_owed import LoopbackDispatcher, StoppedProcess, loopback, read_answer, request, reset
-from tests.standins import LAST, TOKENS, Discovery, Standin
+from tests.standins import STREAM_CHUNKS, STREAM_END, Discovery, Standin
 
 __all__ = ["loopback"]
 RESET_SEEN = "server lost-ConnectionResetError"
@@ -40,15 +40,15 @@
     return got
 
 
-@pytest.mark.parametrize("trailing", [TOKENS[1], TOKENS[1][:20]], ids=["an event", "half an event"])
+@pytest.mark.parametrize("trailing", [STREAM_CHUNKS[1], STREAM_CHUNKS[1][:20]], ids=["an event", "half an event"])
 def test_a_reset_after_an_event_truncates_the_answer(loopback: LoopbackDispatcher, trailing: bytes) -> None:
     """Incident 40: the reset was not noticed, and the client was left waiting for the rest."""
     server, stopped, was_reset = Standin(), threading.Event(), threading.Event()
 
     def respond(handler: Any, body: bytes) -> None:
-        handler.chunks(TOKENS[0], last=False)
+        handler.chunks(STREAM_CHUNKS[0], last=False)
         stopped.wait(20)
-        handler.more(trailing)
+        handler.send_chunk(trailing)
         reset_from(handler)
         was_reset.set()
 
@@ -56,13 +56,13 @@
     program = loopback.start((server, "all-in-one"))
     client = loopback.connect()
     client.sendall(request("s1"))
-    assert TOKENS[0] in client.recv(65_536)
+    assert STREAM_CHUNKS[0] in client.recv(65_536)
     with StoppedProcess(program):
         stopped.set()
         assert was_reset.wait(20)
     assert end_reason(loopback, "server stalled", RESET_SEEN) == RESET_SEEN
     rest = body_until_its_end(client)
-    assert (TOKENS[1] in rest) == (trailing == TOKENS[1])
+    assert (STREAM_CHUNKS[1] in rest) == (trailing == STREAM_CHUNKS[1])
     assert not rest.endswith(b"0\r\n\r\n")  # the answer is not marked as complete
 
 
@@ -91,7 +91,7 @@
 
 def test_a_client_reset_after_more_bytes_cancels_the_open_request(loopback: LoopbackDispatcher) -> None:
     server = Standin()
-    server.respond = lambda handler, body: (server.go.wait(20), handler.chunks(*TOKENS, LAST))
+    server.respond = lambda handler, body: (server.release_answers.wait(20), handler.chunks(*STREAM_CHUNKS, STREAM_END))
     program = loopback.start((server, "all-in-one"))
     client = loopback.connect()
     client.sendall(request("c1", "advice", 3000))
@@ -104,7 +104,7 @@
     )
     assert program.counters()["outcomes"] == {"cancelled": 1}
     other = loopback.connect()
-    server.go.set()
+    server.release_answers.set()
     other.sendall(request("c1", "advice"))  # no trace of that request is left: its id may be used again
     assert read_answer(other)[0] == 200
 
--- a/tests/platform/test_schedule.py
+++ b/tests/platform/test_schedule.py
@@ -235,7 +235,7 @@
     answer_with_list = Discovery.respond
 
     def respond(handler: StandinHandler, body: bytes) -> None:
-        handler.plain(*answers.pop(0)) if answers else answer_with_list(discovery, handler, body)
+        handler.send_response_body(*answers.pop(0)) if answers else answer_with_list(discovery, handler, body)
 
     discovery.respond = respond
     discovery.targets = [("s-1", server.address, "all-in-one")]
--- a/tests/platform/test_shutdown_times.py
+++ b/tests/platform/test_shutdown_times.py
@@ -19,12 +19,12 @@
 from pearhill.net.address import Address
 from pearhill.node.limits import Limits
 from pearhill.node.node import Node
-from pearhill.platform.front import PlatformFront
+from pearhill.platform.front import PlatformFrontEnd
 from pearhill.platform.replica import ReplicaDialect
 from pearhill.routing.topology import Endpoint, Phase
 from pearhill.settings import parse
 from tests.platform.test_owed import request
-from tests.standins import LAST, SETTINGS, TOKENS
+from tests.standins import SETTINGS, STREAM_CHUNKS, STREAM_END
 from tests.virtual import VirtualLoop
 
 MAX_KILL_DEADLINE_S = 3.0
@@ -34,7 +34,7 @@
 MAX_CROSSING_S = 0.03  # a close and a request that cross in flight
 ANSWER_S = 0.05
 PIECE_S = 0.3  # between the pieces of a request that is written slowly
-SERVED = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (*TOKENS, LAST)) + b"0\r\n\r\n"
+SERVED = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (*STREAM_CHUNKS, STREAM_END)) + b"0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -140,7 +140,7 @@
     place = server.sockets[0].getsockname()[:2]
     node.update_endpoints(True, (Endpoint(1, 0, 2, 0, Phase.READY, 1.0, 0),), {1: place})
     listening: asyncio.Future[Address] = loop.create_future()
-    front = PlatformFront(node.dispatcher, lambda: True, node.drain.rejects)
+    front = PlatformFrontEnd(node.dispatcher, lambda: True, node.drain.rejects)
     serving = asyncio.create_task(node.serve(("127.0.0.1", 0), front, "t", lambda: "", listening.set_result))
     shutdown = ShutdownRun(loop, await listening, int(deadline_s * 1000), 0.0)
     shutdown.term_at = loop.time() + 1.0
--- a/tests/routing/test_many_routers.py
+++ b/tests/routing/test_many_routers.py
@@ -195,7 +195,7 @@
 
 def start_fetches(driver: RouterDriver, count: int, prompt: int = 5000) -> list[int]:
     """Start this many requests, whose states are then to be fetched by a decode replica."""
-    requests = [driver.arrive(prompt_tokens=prompt, session=driver.next)[0] for _ in range(count)]
+    requests = [driver.arrive(prompt_tokens=prompt, session=driver.next_request)[0] for _ in range(count)]
     for request in requests:
         driver.end(request, Outcome.PREFILLED)
     return requests
--- a/tests/routing/test_odd_events.py
+++ b/tests/routing/test_odd_events.py
@@ -94,7 +94,7 @@
         assert all(deadline >= self.driver.now for deadline in self.deadlines.values())
 
     def arrive(self) -> None:
-        self.deadlines[self.driver.next] = self.driver.now + TIMEOUT
+        self.deadlines[self.driver.next_request] = self.driver.now + TIMEOUT
         _, actions = self.driver.arrive(
             prompt_tokens=self.rng.randrange(20, 20_000),
             session=self.rng.randrange(9),
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -53,11 +53,11 @@
     "rules": {"cold": 13000000, "cold-from": 0.28, "fall": 1500000, "fall-multiple": 2.5},
     "tick": 2000,
 }
-TOKENS = [
+STREAM_CHUNKS = [
     b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n' % word
     for word in (b"one ", b"two")
 ]
-LAST = (
+STREAM_END = (
     b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11,'
     b'"prompt_tokens_details":{"cached_tokens":4}}}\n\ndata: [DONE]\n\n'
@@ -91,11 +91,11 @@
     def serve(self) -> None:
         """Read a request of any method, record it, and let the stand-in respond."""
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        with self.standin.seen:
+        with self.standin.recorded:
             self.standin.calls.append((self.command, self.path))
             self.standin.bodies.append(body)
             self.standin.headers.append(dict(self.headers))
-            self.standin.seen.notify_all()
+            self.standin.recorded.notify_all()
         try:
             self.standin.respond(self, body)
         except OSError:
@@ -104,7 +104,7 @@
     def log_message(self, *args: Any) -> None:
         """Suppresses the log of http.server."""
 
-    def plain(self, status: int, body: bytes = b"", **headers: str) -> None:
+    def send_response_body(self, status: int, body: bytes = b"", **headers: str) -> None:
         """Send a response with Content-Length. An `_` in a header's name stands for `-`."""
         self.send_response(status)
         for name, value in headers.items():
@@ -121,11 +121,11 @@
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         for part in parts:
-            self.more(part)
+            self.send_chunk(part)
         if last:
             self.wfile.write(b"0\r\n\r\n")
 
-    def more(self, part: bytes) -> None:
+    def send_chunk(self, part: bytes) -> None:
         """Send another chunk of a body that is not terminated yet."""
         self.wfile.write(b"%x\r\n%b\r\n" % (len(part), part))
         self.wfile.flush()
@@ -155,21 +155,21 @@
         self.calls: list[tuple[str, str]] = []  # method and path of each complete request
         self.bodies: list[bytes] = []  # the body of each of `calls`
         self.headers: list[dict[str, str]] = []  # the headers of each of `calls`
-        self.seen = threading.Condition()  # guards the three lists
-        self.go = threading.Event()  # set by a test to release answers that wait for it
+        self.recorded = threading.Condition()  # guards the three lists
+        self.release_answers = threading.Event()  # set by a test to release answers that wait for it
         self.server = StandinServer(self)
         self.address = f"127.0.0.1:{self.server.server_port}"
         threading.Thread(target=self.server.serve_forever, kwargs={"poll_interval": 0.02}, daemon=True).start()
 
     def respond(self, handler: Any, body: bytes, /) -> Any:
-        """Answer a DELETE (the release of a held state) with 204, other requests with the stream of TOKENS and LAST."""
+        """Answer a DELETE (the release of a held state) with 204, other requests with STREAM_CHUNKS and STREAM_END."""
         if handler.command == "DELETE":
-            handler.plain(204)
+            handler.send_response_body(204)
         else:
-            handler.chunks(*TOKENS, LAST)
+            handler.chunks(*STREAM_CHUNKS, STREAM_END)
 
     @property
-    def runs(self) -> int:
+    def post_count(self) -> int:
         """The number of complete POST requests."""
         return sum(method == "POST" for method, _ in self.calls)
 
@@ -179,12 +179,12 @@
         def found() -> bool:
             return sum(m == method and p.startswith(path) for m, p in self.calls) >= count
 
-        with self.seen:
-            assert self.seen.wait_for(found, 20), f"no {method} {path} among {self.calls}"
+        with self.recorded:
+            assert self.recorded.wait_for(found, 20), f"no {method} {path} among {self.calls}"
 
     def close(self) -> None:
-        """Release the answers that wait for `go`, and stop the server."""
-        self.go.set()
+        """Release the answers that wait for `release_answers`, and stop the server."""
+        self.release_answers.set()
         self.server.shutdown()
         self.server.server_close()
 
@@ -239,7 +239,7 @@
         if after:
             with self.changed:
                 self.changed.wait_for(lambda: self.rev > int(after[1]), int(after[2] or 0) / 1000)
-        handler.plain(200, json.dumps(self.answer()).encode())
+        handler.send_response_body(200, json.dumps(self.answer()).encode())
 
 
 class Program:
@@ -301,7 +301,7 @@
         """Returns a new connection; `timeout` is in seconds."""
         return http.client.HTTPConnection(self.host, self.port, timeout=timeout)
 
-    def ask(
+    def request(
         self,
         method: str,
         path: str,
@@ -319,13 +319,13 @@
 
     def counters(self) -> dict[str, Any]:
         """Returns the response to `GET /counters`."""
-        counters: dict[str, Any] = json.loads(self.ask("GET", "/counters")[2])
+        counters: dict[str, Any] = json.loads(self.request("GET", "/counters")[2])
         return counters
 
     def wait_ready(self, status: int = 200) -> None:
         """Wait until `GET /ready` answers with the status; fails after 20 s."""
         end = time.monotonic() + 20
-        while self.ask("GET", "/ready")[0] != status:
+        while self.request("GET", "/ready")[0] != status:
             assert time.monotonic() < end, f"never {status}:\n{''.join(self.lines)}"
 
     def kill(self) -> None:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 from pearhill.routing.settings import Idempotency
 from pearhill.settings import parse
 from tests.driver import RouterDriver
-from tests.standins import LAST, TOKENS, Discovery, Standin, platform
+from tests.standins import STREAM_CHUNKS, STREAM_END, Discovery, Standin, platform
 
 SITES = sorted((pathlib.Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
 EFFECT_NAMES = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
@@ -104,7 +104,7 @@
     try:
         program.wait_ready()
         for n, cls in enumerate(site["class"]):
-            status, _, body = program.ask(
+            status, _, body = program.request(
                 "POST",
                 "/v1/chat/completions",
                 json.dumps({"messages": []}).encode(),
@@ -116,7 +116,7 @@
                     "Request-Info": "prompt_len=900,max_out=50",
                 },
             )
-            assert (status, body) == (200, b"".join(TOKENS) + LAST)
+            assert (status, body) == (200, b"".join(STREAM_CHUNKS) + STREAM_END)
     finally:
         for end in (program.kill, discovery.close, server.close):
             end()
