--- a/pearhill/chat/service.py
+++ b/pearhill/chat/service.py
@@ -144,7 +144,7 @@
         except OSError as e:
             raise OSError(f"fleet.listen: {address[0]}:{address[1]}: {e.strerror or e}") from None
         self.node.dispatcher.router.set_peer_load_source(fleet.sources)
-        logger.info("fleet: {name} talks on {host}:{port}", name=name, host=host, port=port)
+        logger.info("fleet: {name} uses UDP address {host}:{port}", name=name, host=host, port=port)
 
     def _new_eureka(self, setup: ChatSetup) -> EurekaClient | None:
         if not setup.eureka:
--- a/pearhill/cli/fleet.py
+++ b/pearhill/cli/fleet.py
@@ -25,15 +25,18 @@
 
 
 def query_status(address: str, timeout_s: float) -> Status | str:
-    """Returns the status that one address responds with, or as a string the reason why it has none."""
+    """Returns the status that one address responds with, or as a string the reason why it has none.
+
+    Programs read the reasons from the output of `pearhill fleet --json`.
+    """
     try:
         with urllib.request.urlopen(f"http://{address}/ops/fleet", timeout=timeout_s) as response:
             status = json.loads(response.read(MAX_RESPONSE_BYTES))
     except urllib.error.HTTPError as e:
-        return f"HTTP status {e.code}: belongs to no fleet" if e.code == 404 else f"HTTP status {e.code}"
+        return f"answers {e.code}: it does not talk" if e.code == 404 else f"answers {e.code}"
     except (OSError, ValueError) as e:
         return str(getattr(e, "reason", e)) or type(e).__name__
-    return status if _is_status(status) else "response is not a fleet status"
+    return status if _is_status(status) else "answers something else"
 
 
 def _is_status(status: object) -> bool:
--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -103,7 +103,7 @@
                 raise NotStartedError(f"dispatcher {name}: {(lines.splitlines() or ['said nothing'])[-1]}")
             await asyncio.sleep(POLL_INTERVAL_S)
         self.fronts[name] = front[1], int(front[2])
-        if self.relay and (gossip := re.search(r"talks on ([\d.]+):(\d+)", lines)):
+        if self.relay and (gossip := re.search(r"uses UDP address ([\d.]+):(\d+)", lines)):
             self.relay.place(name, gossip[1], int(gossip[2]))
 
     def _operator_file(self, name: str) -> pathlib.Path:
--- a/pearhill/net/datagrams.py
+++ b/pearhill/net/datagrams.py
@@ -83,7 +83,7 @@
         if not self._rejected:
             return
         logger.warning(
-            "{side}: {count} datagrams are not taken: reasons={reasons}, the last from {peer}",
+            "{side}: {count} datagrams were rejected: reasons={reasons}, the last from {peer}",
             side=self.side,
             count=self._rejected.total(),
             peer=self._last_rejected_peer,
--- a/pearhill/net/fleet.py
+++ b/pearhill/net/fleet.py
@@ -132,7 +132,7 @@
             return
         self._count = count
         logger.info(
-            "fleet: {count} dispatchers share the work, {there} of them are heard of",
+            "fleet: {count} dispatchers share the work, {there} of them reachable",
             count=count,
             there=self._count_received(),
         )
--- a/pearhill/node/operations.py
+++ b/pearhill/node/operations.py
@@ -29,13 +29,18 @@
     def set_replica_down(self, uid: str, down: bool) -> bool:
         """Take a replica administratively down, or restore it. Returns False if no replica has this id."""
         known = self._node.override_control.set_replica_down(replica_id(uid), down)
-        if known:
-            logger.info("operators: replica {uid} is {what}", uid=uid, what="out" if down else "in use again")
-        else:
+        if not known:
             logger.warning("operators: no replica has the id {uid}", uid=uid)
+        elif down:
+            logger.info("operators: replica {uid} is administratively down", uid=uid, what="out")
+        else:
+            logger.info("operators: replica {uid} is in use again", uid=uid, what="in use again")
         return known
 
     def drain(self, on: bool) -> None:
         """Begin or end the drain that operators have requested."""
-        logger.info("operators: the drain {what}", what="begins" if on else "is over")
+        if on:
+            logger.info("operators: the drain begins", what="begins")
+        else:
+            logger.info("operators: the drain is over", what="is over")
         self._node.override_control.request_drain(on)
--- a/tests/membership/test_aggregation_process.py
+++ b/tests/membership/test_aggregation_process.py
@@ -95,7 +95,7 @@
         )
         self.cleanup.callback(program.kill)
         program.config = path
-        at = program.wait_line(rf"(?:{name} talks|aggregator {name} listens) on ([\d.]+):(\d+)")
+        at = program.wait_line(rf"(?:{name} uses UDP address|aggregator {name} listens on) ([\d.]+):(\d+)")
         self.relay.place(name, at[1], int(at[2]))
         self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
 
@@ -232,8 +232,8 @@
                     sender.sendto(data, self.relay.to[name])
             self.wait_until(functools.partial(has_counted, name), name)
             program = self.programs[name]
-            program.wait_line(r"1 datagrams are not taken: reasons=size:1, the last from 127\.0\.0\.1:")
-            assert sum("not taken" in line for line in program.lines) == 1
+            program.wait_line(r"1 datagrams were rejected: reasons=size:1, the last from 127\.0\.0\.1:")
+            assert sum("were rejected" in line for line in program.lines) == 1
         self.programs["d1"].reload(self.fleet_file("d1", ("a1",), ("d2", "d3")))
         self.agree(3, 3, *dispatchers)
         # Gossip ends, and a new key replaces the old one.
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -64,7 +64,7 @@
         path.write_text(text.replace("[chat]\n", "[chat]\nadmin_addr = '127.0.0.1:0'\n"))
         program = self.programs[name] = Program("--chat", str(path))
         self.cleanup.callback(program.kill)
-        host, port = program.wait_line(rf"{name} talks on ([\d.]+):(\d+)").groups()
+        host, port = program.wait_line(rf"{name} uses UDP address ([\d.]+):(\d+)").groups()
         self.relay.place(name, host, int(port))
         self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
         return program
@@ -109,7 +109,7 @@
         # A crash.
         self.programs["d5"].process.kill()
         self.agree(4, 4, "d1", "d2", "d3", "d4")
-        self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them are heard of")
+        self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them reachable")
         # The same name restarts.
         self.run_one("d5")
         self.agree(5, 5, *self.NAMES)
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -70,9 +70,9 @@
         self.run_for(2 * REJECTION_LOG_INTERVAL_US)  # nothing more was rejected, so nothing is logged
         self.datagrams.datagram_received(b"\1", ("10.0.0.8", 77))
         assert [str(line).strip() for line in self.lines] == [
-            "fleet: 1 datagrams are not taken: reasons=forged:1, the last from 10.0.0.9:77",
-            "fleet: 3 datagrams are not taken: reasons=forged:1,size:1,version:1, the last from 10.0.0.9:77",
-            "fleet: 1 datagrams are not taken: reasons=version:1, the last from 10.0.0.8:77",
+            "fleet: 1 datagrams were rejected: reasons=forged:1, the last from 10.0.0.9:77",
+            "fleet: 3 datagrams were rejected: reasons=forged:1,size:1,version:1, the last from 10.0.0.9:77",
+            "fleet: 1 datagrams were rejected: reasons=version:1, the last from 10.0.0.8:77",
         ]
 
 
