--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -106,7 +106,7 @@
                 raise NotStartedError(f"dispatcher {name}: {(lines.splitlines() or ['no log output'])[-1]}")
             await asyncio.sleep(POLL_INTERVAL_S)
         self.fronts[name] = front[1], int(front[2])
-        if self.relay and (gossip := re.search(r"talks on ([\d.]+):(\d+)", lines)):
+        if self.relay and (gossip := re.search(r"uses UDP address ([\d.]+):(\d+)", lines)):
             self.relay.place(name, gossip[1], int(gossip[2]))
 
     def _operator_file(self, name: str) -> pathlib.Path:
--- a/tests/membership/test_process.py
+++ b/tests/membership/test_process.py
@@ -19,7 +19,7 @@
 from pearhill.lab.relay import Relay
 from tests.chat.test_front import PATH, body, operator_file
 from tests.membership.fleet_processes import FleetProcesses
-from tests.standins import LAST, TOKENS, Program, Standin
+from tests.standins import STREAM_CHUNKS, STREAM_END, Program, Standin
 
 SEED = 20261201
 LOAD = 400  # rough token estimate of one of the test's requests: half of its largest answer
@@ -49,9 +49,9 @@
 
     def hold(self, handler: Any, sent: bytes) -> None:
         """Starts a stream that continues until the test sets `release`."""
-        handler.chunks(TOKENS[0], last=False)
+        handler.chunks(STREAM_CHUNKS[0], last=False)
         self.release.wait(60)
-        handler.more(LAST)
+        handler.send_chunk(STREAM_END)
         handler.wfile.write(b"0\r\n\r\n")
 
     def run_one(self, name: str) -> Program:
@@ -64,7 +64,7 @@
         path.write_text(text.replace("[chat]\n", "[chat]\nadmin_addr = '127.0.0.1:0'\n"))
         program = self.programs[name] = Program("--chat", str(path))
         self.cleanup.callback(program.kill)
-        host, port = program.wait_line(rf"{name} talks on ([\d.]+):(\d+)").groups()
+        host, port = program.wait_line(rf"{name} uses UDP address ([\d.]+):(\d+)").groups()
         self.relay.place(name, host, int(port))
         self.admin_addresses[name] = program.wait_line(r"admin endpoint: listening on ([\w.:]+)")[1]
         return program
@@ -109,7 +109,7 @@
         # A crash.
         self.programs["d5"].process.kill()
         self.agree(4, 4, "d1", "d2", "d3", "d4")
-        self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them are heard of")
+        self.programs["d1"].wait_line(r"fleet: 4 dispatchers share the work, 4 of them reachable")
         # The same name restarts.
         self.run_one("d5")
         self.agree(5, 5, *self.NAMES)
@@ -135,7 +135,7 @@
             self.open_stream(name)
             wanted = (stream_count - 0.5) * LOAD
             self.wait_until(functools.partial(self.all_count_more_than, wanted))
-            runs = sorted(replica.runs for replica in self.replicas)
+            runs = sorted(replica.post_count for replica in self.replicas)
             assert runs == [0, 0, 0, 0, stream_count // 2, stream_count - stream_count // 2]
 
     def test_forged_datagrams_are_rejected_and_counted(self) -> None:
