--- a/pearhill/lab/capacity/__init__.py
+++ b/pearhill/lab/capacity/__init__.py
@@ -1,8 +1,9 @@
-"""docs/CAPACITY.md: what a fleet of the planned size asks of each role.
+"""Generates docs/CAPACITY.md, which lists what a fleet of the planned size requires of each role.
 
-Three sources, never mixed in one figure: the operators' numbers (`FleetSize`), what follows from them and from the
-program's own constants (`Estimates`), and what runs have measured (`Runs`, of docs/capacity/*.json). The text is the
-template capacity.md.j2. `write_pages(root)` writes the page and the two tables of docs/design/capacity.md.
+Figures come from three sources, and no figure mixes them: the operators' numbers (`FleetSize`), values calculated from
+those numbers and the program's own constants (`Estimates`), and measurements from runs (`Runs`, read from
+docs/capacity/*.json). The text of the page is in the template capacity.md.j2. `write_pages(root)` writes the page and
+the two tables in docs/design/capacity.md.
 """
 
 from pearhill.lab.capacity.carriers import duty_carriers
--- a/pearhill/lab/capacity/formatting.py
+++ b/pearhill/lab/capacity/formatting.py
@@ -1,4 +1,4 @@
-"""Figures with their units, as the capacity page writes them: about three digits each."""
+"""Formats figures with their units for the capacity page, with about three significant digits each."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from pearhill.lab.capacity.results import Percentiles
 
 NOT_MEASURED = "not measured"
-LARGEST_SHARE_OF_ONE = 0.995  # from here on a share is written as a whole
+LARGEST_SHARE_OF_ONE = 0.995  # values below are shown as a fraction of one (percent or ms); 0.995 rounds to 1.00
 SECONDS_BEFORE_MINUTES = 120
 
 
 def format_number(value: float) -> str:
-    """Three digits, or all digits before the point where there are more."""
+    """Returns the number with three significant digits, or with all integer digits if there are more than three."""
     if abs(value) >= 100 or value == round(value, 0):
         return f"{value:,.0f}"
     if abs(value) >= 10:
@@ -24,7 +24,7 @@
 
 
 def format_bytes(value: float) -> str:
-    """Bytes in the largest decimal unit that leaves one or more: 1 KB is 1,000 bytes."""
+    """Returns bytes in the largest decimal unit in which the value is at least one; 1 KB is 1,000 bytes."""
     for unit, size in (("TB", 1e12), ("GB", 1e9), ("MB", 1e6), ("KB", 1e3)):
         if abs(value) >= size:
             return f"{format_number(value / size)} {unit}"
@@ -32,12 +32,12 @@
 
 
 def format_byte_rate(value: float) -> str:
-    """Bytes a second, in the units of `format_bytes`."""
+    """Returns bytes per second, in the units of `format_bytes`."""
     return f"{format_bytes(value)}/s"
 
 
 def format_cores(value: float) -> str:
-    """Processor time a second: in percent below one core."""
+    """Returns processor time per second in cores, or in percent of a core below one core."""
     if value >= 2:
         return f"{format_number(value)} cores"
     if value < LARGEST_SHARE_OF_ONE:
@@ -46,7 +46,7 @@
 
 
 def format_duration(value: float) -> str:
-    """Seconds as milliseconds, seconds or minutes."""
+    """Returns a duration in seconds as text in milliseconds, seconds or minutes."""
     if value < LARGEST_SHARE_OF_ONE:
         return f"{value * 1000:.0f} ms"
     if value < SECONDS_BEFORE_MINUTES:
@@ -68,7 +68,7 @@
 
 
 def format_quantity(quantity: str, value: float | None) -> str:
-    """A quantity of the result files, in the unit that its key tells; None was not measured."""
+    """Returns a quantity of the result files in the unit of its key, or `NOT_MEASURED` if the value is None."""
     if value is None:
         return NOT_MEASURED
     either_way = re.sub(r"_(in|out)_s$", "_s", quantity)
@@ -76,12 +76,12 @@
 
 
 def format_percentiles(value: Percentiles | None) -> str:
-    """Median, 99th percentile and maximum, without a unit."""
+    """Returns median, 99th percentile and maximum without a unit, or `NOT_MEASURED` if the value is None."""
     if value is None:
         return NOT_MEASURED
     return f"{format_number(value.p50)}, {format_number(value.p99)}, {format_number(value.max)}"
 
 
 def table_cell(text: object) -> str:
-    """The text without vertical bars and line ends, which would break a Markdown table."""
+    """Returns the text without vertical bars and line breaks, which would break a Markdown table."""
     return " ".join(str(text).replace("|", "/").split())
--- a/pearhill/lab/capacity/gossip_traffic.py
+++ b/pearhill/lab/capacity/gossip_traffic.py
@@ -1,4 +1,4 @@
-"""The size of a gossip datagram, counted from the program's own protocol code."""
+"""Determines the size of a gossip datagram by encoding one with the program's own protocol code."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def gossip_datagram_bytes(rows: int) -> int:
-    """Bytes of one ping with a digest of so many rows, IP and UDP headers included."""
+    """Returns the bytes of one ping whose digest has `rows` rows, including IP and UDP headers."""
     digest = tuple(ReplicaLoad(replica_id(f"s-{k}"), 3_815, 41_210) for k in range(rows))
     started = 1_796_187_600_000_000
     message = GossipMessage(
