--- a/pearhill/cli/lab.py
+++ b/pearhill/cli/lab.py
@@ -53,7 +53,7 @@
     run.write_rows(rows, loaded, target)
     rows, parameters = run.read_rows(target)
     page = target.with_suffix(".html")
-    page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}), encoding="utf-8")
+    page.write_text(report.render_page(file.stem, {file.stem: (rows, parameters)}), encoding="utf-8")
     print(report.figures_text(report.tenant_figures(rows, parameters)))
     print(f"{target}\n{page}")
 
@@ -84,7 +84,7 @@
     run.write_rows(result.rows, loaded, target)
     rows, parameters = run.read_rows(target)
     page = target.with_suffix(".html")
-    page.write_text(report.page(file.stem, {file.stem: (rows, parameters)}, result), encoding="utf-8")
+    page.write_text(report.render_page(file.stem, {file.stem: (rows, parameters)}, result), encoding="utf-8")
     print(result.summary(loaded.lab.warm_s))
     print(f"{target}\n{page}")
 
@@ -136,7 +136,7 @@
         _fail(e)
     except run.RunStoppedError as e:
         results, stopped = e.results, e
-    outputs = (json_file, json.dumps(results, indent=1) + "\n"), (report_file, report.page(file.stem, results))
+    outputs = (json_file, json.dumps(results, indent=1) + "\n"), (report_file, report.render_page(file.stem, results))
     for path, text in outputs:
         if path:
             path.parent.mkdir(parents=True, exist_ok=True)
@@ -188,7 +188,7 @@
         runs = {f"{side}: {path.stem}": run.read_rows(path) for side, path in (("A", before), ("B", after))}
     except (OSError, ValueError) as e:
         _fail(e)
-    out.write_text(report.page(f"{before.stem} and {after.stem}", runs), encoding="utf-8")
+    out.write_text(report.render_page(f"{before.stem} and {after.stem}", runs), encoding="utf-8")
     for name, (rows, parameters) in runs.items():
         print(f"{name}\n{report.figures_text(report.tenant_figures(rows, parameters))}\n")
     print(out)
@@ -208,7 +208,7 @@
     seeds_with_violations = 0
     exposure = Counter[str]()
     for seed in range(first, first + seeds):
-        report = run.play(seed, seconds, dispatchers)
+        report = run.run_seed(seed, seconds, dispatchers)
         print(report.text(), flush=True)
         seeds_with_violations += bool(report.violations)
         exposure += report.exposure
--- a/pearhill/cli/main.py
+++ b/pearhill/cli/main.py
@@ -157,15 +157,15 @@
 ) -> None:
     """Run the conformance suite. Exits with 1 if a case fails."""
     from pearhill.conformance.errors import ConformanceRunError
-    from pearhill.conformance.runner import conform_own, conform_url
+    from pearhill.conformance.runner import run_against_own_daemon, run_against_url
 
     try:
-        report = asyncio.run(conform_url(url, listen, key, only) if url else conform_own(only))
+        report = asyncio.run(run_against_url(url, listen, key, only) if url else run_against_own_daemon(only))
     except (ConformanceRunError, ValueError, OSError) as e:
         _fail(str(e))
     for result in report.failed:
         print(f"FAIL {result.case.name}: {result.failure}")
-    print(f"{len(report.held)} of {len(report.results)} cases hold")
+    print(f"{len(report.passed)} of {len(report.results)} cases hold")
     if write:
         Path(write).write_text(report.markdown(), encoding="utf-8")
     raise typer.Exit(1 if report.failed or not report.results else 0)
--- a/pearhill/conformance/replica.py
+++ b/pearhill/conformance/replica.py
@@ -20,11 +20,11 @@
 
 
 class ScriptedReplica:
-    """A replica that responds by scripts. `load` must be called before the requests that the scripts are for."""
+    """A replica that responds by scripts. `set_scripts` must be called before the requests that the scripts are for."""
 
     def __init__(self) -> None:
         self.scripts: tuple[Script, ...] = ()
-        self.requests: list[RequestMessage] = []  # complete requests since the last `load`, without releases
+        self.requests: list[RequestMessage] = []  # complete requests since the last `set_scripts`, without releases
         self.releases = 0  # requests to release a held state, since the start of the replica
         self.address = ""
         self._resumed = asyncio.Event()
@@ -38,7 +38,7 @@
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
-    def load(self, scripts: tuple[Script, ...]) -> None:
+    def set_scripts(self, scripts: tuple[Script, ...]) -> None:
         """Use these scripts from the next request on, and clear the list of received requests.
 
         The k-th request gets the k-th script, and every later request the last one. If there are no scripts, a request
@@ -50,21 +50,21 @@
         self._client_received = asyncio.Event()
 
     def resume(self) -> None:
-        """End the steps of kind WAIT_FOR_RELEASE."""
+        """End the steps of kind WAIT_FOR_RESUME."""
         self._resumed.set()
 
-    def client_received(self) -> None:
+    def continue_after_client(self) -> None:
         """End the steps of kind WAIT_FOR_CLIENT. Called when the client has the first part of its response body."""
         self._client_received.set()
 
-    def release(self) -> None:
-        """End the steps of the kinds WAIT_FOR_RELEASE and WAIT_FOR_CLIENT."""
+    def end_waits(self) -> None:
+        """End the steps of the kinds WAIT_FOR_RESUME and WAIT_FOR_CLIENT."""
         self._client_received.set()
         self._resumed.set()
 
     async def close(self) -> None:
         """Stop listening and close all connections."""
-        self.release()
+        self.end_waits()
         if self._server:
             self._server.close()
         for task in list(self._tasks):
@@ -102,11 +102,12 @@
         if not self.scripts:
             return False
         script = self.scripts[min(len(self.requests), len(self.scripts)) - 1]
-        # `load` replaces both events while an earlier script may still wait, so each script keeps those of its start.
+        # `set_scripts` replaces both events while an earlier script may still wait, so each script keeps those of its
+        # start.
         resumed = self._resumed
         client_received = self._client_received
         for step in script:
-            if step.kind is StepKind.WAIT_FOR_RELEASE:
+            if step.kind is StepKind.WAIT_FOR_RESUME:
                 await resumed.wait()
             elif step.kind is StepKind.WAIT_FOR_CLIENT:
                 await client_received.wait()
--- a/pearhill/conformance/report.py
+++ b/pearhill/conformance/report.py
@@ -23,7 +23,7 @@
     results: list[CaseResult] = field(default_factory=list)
 
     @property
-    def held(self) -> list[CaseResult]:
+    def passed(self) -> list[CaseResult]:
         """The cases that hold."""
         return [result for result in self.results if not result.failure]
 
@@ -40,7 +40,7 @@
             "",
             "Written by `pearhill conform --write docs/CONFORMANCE.md`; not by hand.",
             "",
-            f"{len(self.held)} of {len(self.results)} cases hold.",
+            f"{len(self.passed)} of {len(self.results)} cases hold.",
             "",
             "| group | cases |",
             "| --- | --- |",
--- a/pearhill/conformance/runner.py
+++ b/pearhill/conformance/runner.py
@@ -31,7 +31,7 @@
 
     `api_key` is an API key for the front end, or empty.
     """
-    replica.load(case.scripts)
+    replica.set_scripts(case.scripts)
     connection = ClientConnection(*address)
     headers = {**({"Authorization": f"Bearer {api_key}"} if api_key else {}), **case.headers}
     try:
@@ -44,7 +44,7 @@
         return f"the front cannot be reached: {e}"
     finally:
         connection.close()
-        replica.release()
+        replica.end_waits()
         await asyncio.sleep(case.pause_after_s)
     return requests_failure(replica, case.expected_requests)
 
@@ -54,7 +54,7 @@
 ) -> str:
     def on_first_body() -> bool:
         """Let the replica continue its script. Returns whether the client disconnects at this point."""
-        replica.client_received()
+        replica.continue_after_client()
         return case.client_disconnects
 
     expected = case.expected_response
@@ -120,7 +120,7 @@
         raise ConformanceRunError(f"no front at {address.host}:{address.port}: {e}") from None
 
 
-async def conform_url(url: str, listen: str, api_key: str, only: str) -> Report:
+async def run_against_url(url: str, listen: str, api_key: str, only: str) -> Report:
     """Test a front end that is already running, with a scripted replica that listens at `listen` (HOST:PORT).
 
     That replica must be the only one of the front end.
@@ -134,7 +134,7 @@
         await replica.close()
 
 
-async def conform_own(only: str = "") -> Report:
+async def run_against_own_daemon(only: str = "") -> Report:
     """Start the daemon of this version and test it."""
     replica = ScriptedReplica()
     await replica.start()
--- a/pearhill/conformance/scripts.py
+++ b/pearhill/conformance/scripts.py
@@ -17,7 +17,7 @@
 
     SEND = "raw"  # sends the bytes as they are
     SEND_CHUNK = "chunk"  # sends the bytes as one chunk of a chunked body (RFC 9112, 7.1)
-    WAIT_FOR_RELEASE = "hold"  # waits until the case has ended, or `resume` is called
+    WAIT_FOR_RESUME = "hold"  # waits until the case has ended, or `resume` is called
     WAIT_FOR_CLIENT = "seen"  # waits until the client has received the first part of the body
     RESET = "reset"  # ends the connection by a TCP reset
 
@@ -44,7 +44,7 @@
 
 
 LAST_CHUNK = send_bytes(messages.LAST_CHUNK)
-WAIT_FOR_RELEASE = Step(StepKind.WAIT_FOR_RELEASE)
+WAIT_FOR_RESUME = Step(StepKind.WAIT_FOR_RESUME)
 WAIT_FOR_CLIENT = Step(StepKind.WAIT_FOR_CLIENT)
 RESET = Step(StepKind.RESET)
 
--- a/pearhill/conformance/suite/streams.py
+++ b/pearhill/conformance/suite/streams.py
@@ -28,7 +28,7 @@
     LAST_CHUNK,
     RESET,
     WAIT_FOR_CLIENT,
-    WAIT_FOR_RELEASE,
+    WAIT_FOR_RESUME,
     Script,
     Step,
     event_stream,
@@ -73,7 +73,7 @@
             (
                 response_head(),
                 http_chunk(FIRST_EVENT),
-                WAIT_FOR_RELEASE,
+                WAIT_FOR_RESUME,
                 *map(http_chunk, ANSWER_EVENTS[1:]),
                 LAST_CHUNK,
             ),
@@ -258,7 +258,7 @@
         "an answer that is whole with [DONE], whatever its connection does",
         STREAM_REQUEST,
         ExpectedResponse(text="one two"),
-        ((response_head(), *map(http_chunk, ANSWER_EVENTS), WAIT_FOR_RELEASE),),
+        ((response_head(), *map(http_chunk, ANSWER_EVENTS), WAIT_FOR_RESUME),),
         ExpectedRequests(),
     ),
     Case(
@@ -358,7 +358,7 @@
         "a server that falls silent in mid-stream",
         NON_IDEMPOTENT_REQUEST,
         ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
-        ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_RELEASE),),
+        ((response_head(), http_chunk(FIRST_EVENT), WAIT_FOR_RESUME),),
         ExpectedRequests(),
     ),
     Case(
@@ -366,7 +366,7 @@
         "a server that sends comments and nothing else",
         NON_IDEMPOTENT_REQUEST,
         ExpectedResponse(truncated=True, events=(CHAT_CHUNKS[0], STREAM_BROKEN_BODY)),
-        ((response_head(), http_chunk(FIRST_EVENT), *(http_chunk(b": still here\n\n"),) * 40, WAIT_FOR_RELEASE),),
+        ((response_head(), http_chunk(FIRST_EVENT), *(http_chunk(b": still here\n\n"),) * 40, WAIT_FOR_RESUME),),
         ExpectedRequests(),
     ),
 )
--- a/pearhill/lab/fleet.py
+++ b/pearhill/lab/fleet.py
@@ -107,7 +107,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         self.fronts[name] = front[1], int(front[2])
         if self.relay and (gossip := re.search(r"talks on ([\d.]+):(\d+)", lines)):
-            self.relay.place(name, gossip[1], int(gossip[2]))
+            self.relay.register(name, gossip[1], int(gossip[2]))
 
     def _operator_file(self, name: str) -> pathlib.Path:
         text = self.text
--- a/pearhill/lab/relay.py
+++ b/pearhill/lab/relay.py
@@ -21,9 +21,9 @@
     """A relay with one socket for each name. A thread forwards datagrams from there to the address of that name.
 
     Each datagram is sent from the socket of its sender, so that answers pass through the relay too. Senders are
-    identified by their address: each dispatcher has to be registered with `place` before its datagrams are forwarded.
-    `drop` and `double` are shares of all datagrams, `delay_s` is the longest delay, `passed` counts forwarded
-    datagrams.
+    identified by their address: each dispatcher has to be registered with `register` before its datagrams are
+    forwarded. `drop` and `double` are shares of all datagrams, `delay_s` is the longest delay, `forwarded` is the
+    number of forwarded datagrams.
     """
 
     def __init__(self, names: Sequence[str], seed: int) -> None:
@@ -32,7 +32,7 @@
         self.names_at: dict[Address, str] = {}
         self.cuts: set[tuple[str, str]] = set()  # sender, addressee
         self.drop = self.double = self.delay_s = 0.0
-        self.passed = 0
+        self.forwarded = 0
         self._heap: list[tuple[float, int, bytes, str, str]] = []  # when, tie-breaker, data, sender, addressee
         self._count = 0
         self._closing = False
@@ -54,7 +54,7 @@
         """Returns the HOST:PORT at which the others reach this name through the relay."""
         return "{}:{}".format(*self._sockets[name].getsockname())
 
-    def place(self, name: str, host: str, port: int) -> None:
+    def register(self, name: str, host: str, port: int) -> None:
         """Register the address at which this name sends and receives."""
         self.names_at[host, port] = name
         self.to[name] = host, port
@@ -87,7 +87,7 @@
             return
         with contextlib.suppress(BlockingIOError):  # a full socket buffer loses datagrams, as on any network
             self._sockets[sender].sendto(data, self.to[addressee])
-        self.passed += 1
+        self.forwarded += 1
 
     def close(self) -> None:
         """End the thread and close the sockets."""
--- a/pearhill/lab/report.py
+++ b/pearhill/lab/report.py
@@ -143,7 +143,7 @@
     ]
 
 
-def page(title: str, runs: dict[str, tuple[list[Row], Parameters]], fleet: FleetResult | None = None) -> str:
+def render_page(title: str, runs: dict[str, tuple[list[Row], Parameters]], fleet: FleetResult | None = None) -> str:
     """Returns the HTML page of one run, or of several side by side. `fleet`: the result of a run with a fleet."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab", "."),
--- a/pearhill/lab/scale/discovery.py
+++ b/pearhill/lab/scale/discovery.py
@@ -24,7 +24,7 @@
 from pearhill.lab.scale.child import CommandHandler, run
 from pearhill.lab.scale.files import LOOPBACK, REGISTRY_APP
 from pearhill.lab.scenario import ServerTable
-from pearhill.lab.servers import Model
+from pearhill.lab.servers import StandInReplica
 
 DELTA_RETENTION_S = 180.0  # the retention of Eureka's own deltas
 DELTA_CACHE_S = 1.0  # the time for which the body of a delta is reused
@@ -169,7 +169,7 @@
     }
 
 
-class Replica(Model):
+class Replica(StandInReplica):
     """A model server at one address. It also answers health checks, with its load."""
 
     async def _answer(self, message: RequestMessage, writer: asyncio.StreamWriter) -> bool:
--- a/pearhill/lab/scale/fleet.py
+++ b/pearhill/lab/scale/fleet.py
@@ -141,7 +141,7 @@
         relay = Relay(list(self.aggregator_addresses), self.scale.seed)
         for name, address in self.aggregator_addresses.items():
             host, _, port = address.rpartition(":")
-            relay.place(name, host, int(port))
+            relay.register(name, host, int(port))
         return relay
 
     async def _start_dispatchers(self) -> None:
--- a/pearhill/lab/scale/report.py
+++ b/pearhill/lab/scale/report.py
@@ -149,7 +149,7 @@
     return curves
 
 
-def page(title: str, results: dict[str, Any]) -> str:
+def render_page(title: str, results: dict[str, Any]) -> str:
     """Returns the page of the results as HTML."""
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("pearhill.lab.scale", "."),
