--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,9 @@
-# What a newcomer needs: make build, make test, make lint, make run.
+# Main targets: make build, make test, make lint, make run.
 PYTHON := .venv/bin/python
 CHAT ?= deploy/chat.toml
 
-# Where the bench lies, whose words our own deployments in deploy/sites are played with: make sites KIT=FOLDER.
+# The bench's folder. `make sites KIT=FOLDER` copies the files from it that a simulation of the deployments in
+# deploy/sites needs.
 KIT ?= ../given/kit
 WORDS := real.json wire.json unlock.txt
 
@@ -21,12 +22,13 @@
 	.venv/bin/mypy
 	.venv/bin/lint-imports --no-cache
 
-# The chat front before stand-in engines, on this machine alone; Ctrl-C ends all. For engines of your own:
+# Runs the chat front end with stand-in replicas on this machine; Ctrl-C stops all of them. To use other replicas, run
 # `pearhill serve FILE`. The platform's dispatcher is `python -m pearhill`, with the platform's variables set.
 run: build
 	.venv/bin/pearhill lab up $(CHAT)
 
-# What the fleet's control costs, over a small grid: a few minutes on a quiet machine. The full plans: docs/LAB.md.
+# Measures the cost of the fleet's control traffic over a small grid; takes a few minutes on an idle machine.
+# docs/LAB.md describes the full plans.
 scale: build
 	.venv/bin/pearhill lab scale deploy/lab/scale/small.toml --json found/scale-small.json --report found/scale-small.html
 
